--- a/lab/src/main/java/sagefall/lab/command/Ablate.java
+++ b/lab/src/main/java/sagefall/lab/command/Ablate.java
@@ -13,30 +13,50 @@
 import sagefall.lab.policy.Mechanism;
 
 /** Each mechanism of the module off in turn. */
-@Command(name = "ablate", mixinStandardHelpOptions = true,
+@Command(
+        name = "ablate",
+        mixinStandardHelpOptions = true,
         description = "Switches each mechanism of the module off in turn and tells what it earns.")
 public final class Ablate implements Callable<Integer> {
 
-    @Parameters(paramLabel = "SCENARIO", arity = "1..*", description = "shipped scenarios, or TOML files")
+    @Parameters(
+            paramLabel = "SCENARIO",
+            arity = "1..*",
+            description = "shipped scenarios, or TOML files")
     private List<String> scenarios;
 
-    @Mixin
-    private Setting setting;
+    @Mixin private Setting setting;
 
     @Override
     public Integer call() throws Exception {
         int status = 0;
         for (String scenario : scenarios) {
-            System.out.println(scenario + ": G of the module as it is (A), without the mechanism (B), "
-                    + setting.seeds().size() + " seeds");
+            System.out.println(
+                    scenario
+                            + ": G of the module as it is (A), without the mechanism (B), "
+                            + setting.seeds().size()
+                            + " seeds");
             Compare.header();
             for (Mechanism m : Mechanism.values()) {
-                Comparison c = Comparison.of(setting.plays(), setting.scenario(scenario), setting.seeds(),
-                        "module", "module-without:" + m.word(), setting.listener());
+                Comparison c =
+                        Comparison.of(
+                                setting.plays(),
+                                setting.scenario(scenario),
+                                setting.seeds(),
+                                "module",
+                                "module-without:" + m.word(),
+                                setting.listener());
                 Paired g = c.figures().get(0);
-                System.out.printf(Locale.ROOT, "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n", m.word(),
+                System.out.printf(
+                        Locale.ROOT,
+                        "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
+                        m.word(),
                         g.meanA(),
-                        g.meanB(), g.mean(), g.low(), g.high(), verdict(g));
+                        g.meanB(),
+                        g.mean(),
+                        g.low(),
+                        g.high(),
+                        verdict(g));
                 List<DayResult> all = new ArrayList<>(c.b());
                 all.addAll(c.a());
                 status |= setting.breaches(all, scenario);
--- a/lab/src/main/java/sagefall/lab/command/Compare.java
+++ b/lab/src/main/java/sagefall/lab/command/Compare.java
@@ -15,8 +15,11 @@
 import sagefall.lab.report.HtmlReport;
 
 /** Two policies on the same days. */
-@Command(name = "compare", mixinStandardHelpOptions = true,
-        description = "Plays two policies on the same seeds and tells the difference with an interval.")
+@Command(
+        name = "compare",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays two policies on the same seeds and tells the difference with an interval.")
 public final class Compare implements Callable<Integer> {
 
     private static final double SMALL = 0.001;
@@ -30,13 +33,18 @@
     @Option(names = "--b", required = true, description = "the same")
     private String b;
 
-    @Mixin
-    private Setting setting;
+    @Mixin private Setting setting;
 
     @Override
     public Integer call() throws Exception {
-        Comparison c = Comparison.of(setting.plays(), setting.scenario(scenario), setting.seeds(), a, b,
-                setting.listener());
+        Comparison c =
+                Comparison.of(
+                        setting.plays(),
+                        setting.scenario(scenario),
+                        setting.seeds(),
+                        a,
+                        b,
+                        setting.listener());
         System.out.println("A: " + a + "; B: " + b + "; " + c.a().size() + " seeds of " + scenario);
         header();
         c.figures().forEach(Compare::row);
@@ -56,8 +64,15 @@
     }
 
     static void row(Paired p) {
-        System.out.printf(Locale.ROOT, "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n", p.figure(),
+        System.out.printf(
+                Locale.ROOT,
+                "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
+                p.figure(),
                 p.meanA(),
-                p.meanB(), p.mean(), p.low(), p.high(), p.verdict());
+                p.meanB(),
+                p.mean(),
+                p.low(),
+                p.high(),
+                p.verdict());
     }
 }
--- a/lab/src/main/java/sagefall/lab/command/DutiesCommand.java
+++ b/lab/src/main/java/sagefall/lab/command/DutiesCommand.java
@@ -15,15 +15,20 @@
 import sagefall.duties.LeaseStore;
 
 /** Looks at the duties of a machine's sidecars, from outside. */
-@Command(name = "duties", mixinStandardHelpOptions = true, description = "Who does what for all.",
-        subcommands = {DutiesCommand.StatusCommand.class, DutiesCommand.HistoryCommand.class,
-                DutiesCommand.ReleaseCommand.class})
+@Command(
+        name = "duties",
+        mixinStandardHelpOptions = true,
+        description = "Who does what for all.",
+        subcommands = {
+            DutiesCommand.StatusCommand.class,
+            DutiesCommand.HistoryCommand.class,
+            DutiesCommand.ReleaseCommand.class
+        })
 public final class DutiesCommand {
 
     /** What all of them take. */
     abstract static class OfFolder implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
 
         @Parameters(paramLabel = "DIR", description = "the folder that the section duties names")
         private Path folder;
@@ -32,14 +37,18 @@
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             if (!Files.isDirectory(folder)) {
-                spec.commandLine().getErr().println("sagefall duties: " + folder + ": no such folder");
+                spec.commandLine()
+                        .getErr()
+                        .println("sagefall duties: " + folder + ": no such folder");
                 return 2;
             }
             try {
                 run(new FolderStore(folder), out);
                 return 0;
             } catch (IOException e) {
-                spec.commandLine().getErr().println("sagefall duties: " + folder + ": " + e.getMessage());
+                spec.commandLine()
+                        .getErr()
+                        .println("sagefall duties: " + folder + ": " + e.getMessage());
                 return 1;
             }
         }
@@ -47,18 +56,39 @@
         abstract void run(LeaseStore store, PrintWriter out) throws IOException;
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Who holds it, and what counts.")
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
+            description = "Who holds it, and what counts.")
     static final class StatusCommand extends OfFolder {
         @Override
         void run(LeaseStore store, PrintWriter out) throws IOException {
             LeaseStore.Status status = store.status();
             boolean held = status.grant().leftNanos() > 0;
-            out.println("term " + status.grant().term() + ", " + (held ? "held by " + status.grant().owner()
-                    + " for " + status.grant().leftNanos() / 1_000_000 + " ms more" : "held by nobody"));
+            out.println(
+                    "term "
+                            + status.grant().term()
+                            + ", "
+                            + (held
+                                    ? "held by "
+                                            + status.grant().owner()
+                                            + " for "
+                                            + status.grant().leftNanos() / 1_000_000
+                                            + " ms more"
+                                    : "held by nobody"));
             Digest.Read digest = Digest.read(store);
-            out.println(digest == null ? "no digest" : "digest of term " + digest.term() + ", revision "
-                    + digest.kept().revision() + " of " + Instant.ofEpochMilli(digest.kept().atMillis())
-                    + ", " + digest.kept().lines().size() + " servers");
+            out.println(
+                    digest == null
+                            ? "no digest"
+                            : "digest of term "
+                                    + digest.term()
+                                    + ", revision "
+                                    + digest.kept().revision()
+                                    + " of "
+                                    + Instant.ofEpochMilli(digest.kept().atMillis())
+                                    + ", "
+                                    + digest.kept().lines().size()
+                                    + " servers");
         }
     }
 
@@ -67,13 +97,20 @@
         @Override
         void run(LeaseStore store, PrintWriter out) throws IOException {
             for (LeaseStore.Past p : store.status().past()) {
-                out.println("term " + p.term() + " from " + Instant.ofEpochMilli(p.atMillis()) + " on, "
-                        + (p.owner().isEmpty() ? "given back" : p.owner()));
+                out.println(
+                        "term "
+                                + p.term()
+                                + " from "
+                                + Instant.ofEpochMilli(p.atMillis())
+                                + " on, "
+                                + (p.owner().isEmpty() ? "given back" : p.owner()));
             }
         }
     }
 
-    @Command(name = "release", mixinStandardHelpOptions = true,
+    @Command(
+            name = "release",
+            mixinStandardHelpOptions = true,
             description = "Takes it from its holder, for the next one to have.")
     static final class ReleaseCommand extends OfFolder {
         @Override
--- a/lab/src/main/java/sagefall/lab/command/Rank.java
+++ b/lab/src/main/java/sagefall/lab/command/Rank.java
@@ -17,25 +17,35 @@
 import sagefall.lab.scenario.BenchFigures;
 
 /** Whether builds rank in the laboratory as they did on the operators' bench. */
-@Command(name = "rank", mixinStandardHelpOptions = true,
-        description = "Plays builds on scenarios and compares their order with the bench's figures.")
+@Command(
+        name = "rank",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays builds on scenarios and compares their order with the bench's figures.")
 public final class Rank implements Callable<Integer> {
 
-    @Option(names = "--figures", defaultValue = "docs/bench-ranks.toml", paramLabel = "FILE",
+    @Option(
+            names = "--figures",
+            defaultValue = "docs/bench-ranks.toml",
+            paramLabel = "FILE",
             description = "builds and what they reached on the bench (${DEFAULT-VALUE})")
     private Path figures;
 
-    @Option(names = "--build", paramLabel = "NAME=DIR",
+    @Option(
+            names = "--build",
+            paramLabel = "NAME=DIR",
             description = "a folder that $NAME in the file's policies stands for")
     private Map<String, String> folders = new LinkedHashMap<>();
 
-    @Option(names = "--spread", defaultValue = "0.02",
-            description = "differences on the bench that are none: what "
-            + "two plays of one build differ by (${DEFAULT-VALUE})")
+    @Option(
+            names = "--spread",
+            defaultValue = "0.02",
+            description =
+                    "differences on the bench that are none: what "
+                            + "two plays of one build differ by (${DEFAULT-VALUE})")
     private double spread;
 
-    @Mixin
-    private Setting setting;
+    @Mixin private Setting setting;
 
     @Override
     public Integer call() throws Exception {
@@ -43,17 +53,26 @@
         Map<String, Double> lab = play(bench);
         double[] onBench = new double[bench.plays().size()];
         double[] inLab = new double[onBench.length];
-        System.out.printf("%-10s %-22s %-24s %8s %8s%n", "scenario", "build", "day of the bench", "bench G",
-                "lab G");
+        System.out.printf(
+                "%-10s %-22s %-24s %8s %8s%n",
+                "scenario", "build", "day of the bench", "bench G", "lab G");
         for (int i = 0; i < onBench.length; i++) {
             BenchFigures.Play p = bench.plays().get(i);
             onBench[i] = p.g();
             inLab[i] = lab.get(p.scenario() + "\n" + p.build());
-            System.out.printf(Locale.ROOT, "%-10s %-22s %-24s %8.3f %8.3f%n", p.scenario(), p.build(),
-                    p.day(), onBench[i],
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-10s %-22s %-24s %8.3f %8.3f%n",
+                    p.scenario(),
+                    p.build(),
+                    p.day(),
+                    onBench[i],
                     inLab[i]);
         }
-        System.out.printf(Locale.ROOT, "Spearman's rank correlation over all %d: %.2f%n", onBench.length,
+        System.out.printf(
+                Locale.ROOT,
+                "Spearman's rank correlation over all %d: %.2f%n",
+                onBench.length,
                 new SpearmansCorrelation().correlation(onBench, inLab));
         pairs(bench, lab);
         return 0;
@@ -66,15 +85,21 @@
         List<Plays.Play> plays = new ArrayList<>();
         for (String cell : cells) {
             String build = cell.substring(cell.indexOf('\n') + 1);
-            String policy = bench.builds().stream().filter(b -> b.name().equals(build)).findFirst()
-                    .orElseThrow()
-                    .policy();
+            String policy =
+                    bench.builds().stream()
+                            .filter(b -> b.name().equals(build))
+                            .findFirst()
+                            .orElseThrow()
+                            .policy();
             for (Map.Entry<String, String> folder : folders.entrySet()) {
                 policy = policy.replace("$" + folder.getKey(), folder.getValue());
             }
             for (long seed : setting.seeds()) {
-                plays.add(new Plays.Play(setting.scenario(cell.substring(0, cell.indexOf('\n'))), seed,
-                        policy));
+                plays.add(
+                        new Plays.Play(
+                                setting.scenario(cell.substring(0, cell.indexOf('\n'))),
+                                seed,
+                                policy));
             }
         }
         List<DayResult> results = setting.plays().all(plays, setting.listener());
@@ -82,8 +107,12 @@
         int seeds = setting.seeds().size();
         int at = 0;
         for (String cell : cells) {
-            means.put(cell, results.subList(at, at + seeds).stream().mapToDouble(DayResult::g).average()
-                    .orElse(0));
+            means.put(
+                    cell,
+                    results.subList(at, at + seeds).stream()
+                            .mapToDouble(DayResult::g)
+                            .average()
+                            .orElse(0));
             at += seeds;
         }
         return means;
@@ -97,8 +126,11 @@
             for (BenchFigures.Play b : bench.plays()) {
                 if (a.day().equals(b.day()) && a.g() + spread < b.g()) {
                     all++;
-                    same += lab.get(a.scenario() + "\n" + a.build()) < lab.get(b.scenario() + "\n"
-                            + b.build()) ? 1 : 0;
+                    same +=
+                            lab.get(a.scenario() + "\n" + a.build())
+                                            < lab.get(b.scenario() + "\n" + b.build())
+                                    ? 1
+                                    : 0;
                 }
             }
         }
--- a/lab/src/main/java/sagefall/lab/command/Run.java
+++ b/lab/src/main/java/sagefall/lab/command/Run.java
@@ -15,7 +15,9 @@
 import sagefall.lab.scenario.Scenario;
 
 /** One policy on one scenario. */
-@Command(name = "run", mixinStandardHelpOptions = true,
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
         description = "Plays a scenario and tells what was served and why the rest was lost.")
 public final class Run implements Callable<Integer> {
 
@@ -27,8 +29,7 @@
     @Option(names = "--policy", defaultValue = "module", description = Policies.HELP)
     private String policy;
 
-    @Mixin
-    private Setting setting;
+    @Mixin private Setting setting;
 
     @Override
     public Integer call() throws Exception {
@@ -38,13 +39,22 @@
             plays.add(new Plays.Play(loaded, seed, policy));
         }
         List<DayResult> results = setting.plays().all(plays, setting.listener());
-        System.out.println(" seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
-                + "most by");
+        System.out.println(
+                " seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
+                        + "most by");
         for (DayResult r : results) {
-            System.out.printf(Locale.ROOT,
+            System.out.printf(
+                    Locale.ROOT,
                     "%5d  %.3f   %.3f     %.3f     %.3f  %.3f   %.3f  %5.0f  %5.0f  %s%n",
-                    r.seed(), r.g(), r.served(), r.worstTenSeconds(), r.attemptsPerRequest(),
-                    r.crossingsPerRequest(), r.setupsPerRequest(), r.latency().p50(), r.latency().p95(),
+                    r.seed(),
+                    r.g(),
+                    r.served(),
+                    r.worstTenSeconds(),
+                    r.attemptsPerRequest(),
+                    r.crossingsPerRequest(),
+                    r.setupsPerRequest(),
+                    r.latency().p50(),
+                    r.latency().p95(),
                     losses(r));
         }
         setting.report(HtmlReport.of(results));
@@ -53,7 +63,11 @@
 
     /** The largest causes of loss, as parts of what was asked for. */
     private static String losses(DayResult r) {
-        return String.join(", ", r.losses().stream().limit(CAUSES)
-                .map(e -> String.format(Locale.ROOT, "%s %.3f", e.getKey(), e.getValue())).toList());
+        return String.join(
+                ", ",
+                r.losses().stream()
+                        .limit(CAUSES)
+                        .map(e -> String.format(Locale.ROOT, "%s %.3f", e.getKey(), e.getValue()))
+                        .toList());
     }
 }
--- a/lab/src/main/java/sagefall/lab/command/Scenarios.java
+++ b/lab/src/main/java/sagefall/lab/command/Scenarios.java
@@ -9,15 +9,19 @@
 import sagefall.lab.scenario.Scenario;
 
 /** What there is to play. */
-@Command(name = "scenarios", mixinStandardHelpOptions = true,
-        description = "Lists the shipped scenarios, the policies and the mechanisms that can be switched "
-                + "off.")
+@Command(
+        name = "scenarios",
+        mixinStandardHelpOptions = true,
+        description =
+                "Lists the shipped scenarios, the policies and the mechanisms that can be switched "
+                        + "off.")
 public final class Scenarios implements Callable<Integer> {
 
     @Override
     public Integer call() throws Exception {
         for (String name : Scenario.SHIPPED) {
-            System.out.printf(Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
+            System.out.printf(
+                    Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
         }
         System.out.println("policies: " + Policies.HELP);
         for (Mechanism m : Mechanism.values()) {
--- a/lab/src/main/java/sagefall/lab/command/Setting.java
+++ b/lab/src/main/java/sagefall/lab/command/Setting.java
@@ -23,23 +23,36 @@
 /** What all experiments take. */
 final class Setting {
 
-    @Option(names = "--seeds", defaultValue = "1-8", paramLabel = "LIST",
+    @Option(
+            names = "--seeds",
+            defaultValue = "1-8",
+            paramLabel = "LIST",
             description = "seeds, such as 1-8 or 3,5,9 (${DEFAULT-VALUE})")
     private String seeds;
 
-    @Option(names = "--threads", defaultValue = "0", paramLabel = "N",
+    @Option(
+            names = "--threads",
+            defaultValue = "0",
+            paramLabel = "N",
             description = "days at a time; 0: one for each core")
     private int threads;
 
-    @Option(names = "--root", defaultValue = "${sys:sagefall.root:-.}", paramLabel = "DIR",
+    @Option(
+            names = "--root",
+            defaultValue = "${sys:sagefall.root:-.}",
+            paramLabel = "DIR",
             description = "checkout whose policy files are tried with changes (${DEFAULT-VALUE})")
     private Path root;
 
-    @Option(names = "--set", paramLabel = "NAME=VALUE",
+    @Option(
+            names = "--set",
+            paramLabel = "NAME=VALUE",
             description = "a figure in the place of the scenario's, such as fleet.servers=60")
     private List<String> sets = new ArrayList<>();
 
-    @Option(names = "--out", paramLabel = "DIR",
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
             description = "writes days.jsonl, a line for each day as it is done, and report.html")
     private Path out;
 
@@ -62,10 +75,13 @@
         List<Long> all = new ArrayList<>();
         for (String part : seeds.split(",")) {
             if (!part.matches("\\d{1,18}(-\\d{1,18})?")) {
-                throw new PolicyException("--seeds: '" + part + "' is neither a number nor FROM-TO");
+                throw new PolicyException(
+                        "--seeds: '" + part + "' is neither a number nor FROM-TO");
             }
             String[] ends = part.split("-");
-            for (long s = Long.parseLong(ends[0]); s <= Long.parseLong(ends[ends.length - 1]); s++) {
+            for (long s = Long.parseLong(ends[0]);
+                    s <= Long.parseLong(ends[ends.length - 1]);
+                    s++) {
                 all.add(s);
             }
         }
@@ -81,7 +97,7 @@
     }
 
     Plays.Listener listener() throws IOException {
-        return out == null ? result -> { } : new DayFiles(out);
+        return out == null ? result -> {} : new DayFiles(out);
     }
 
     /** Writes the page, if one is wanted. */
@@ -100,11 +116,19 @@
         for (DayResult r : results) {
             count += r.breachCount();
             for (Rules.Breach b : r.breaches().subList(0, Math.min(3, r.breaches().size()))) {
-                System.out.printf(Locale.ROOT,
+                System.out.printf(
+                        Locale.ROOT,
                         "BROKEN %s: request %s, server %d, sidecar %d, at %.3f s; again by: "
-                        + "./sagefall lab run %s --seeds %d --policy '%s'%s%n", b.rule(), b.request(),
-                                b.server(),
-                        b.sidecar(), b.second(), scenario, r.seed(), r.policy(), options);
+                                + "./sagefall lab run %s --seeds %d --policy '%s'%s%n",
+                        b.rule(),
+                        b.request(),
+                        b.server(),
+                        b.sidecar(),
+                        b.second(),
+                        scenario,
+                        r.seed(),
+                        r.policy(),
+                        options);
             }
         }
         if (count > 0) {
--- a/lab/src/main/java/sagefall/lab/command/Speed.java
+++ b/lab/src/main/java/sagefall/lab/command/Speed.java
@@ -17,11 +17,17 @@
 import sagefall.lab.scenario.Scenario;
 
 /** How long days of growing fleets take in one thread. */
-@Command(name = "speed", mixinStandardHelpOptions = true,
-        description = "Times a day of 50 s for fleets of growing size, one thread, after a warm-up.")
+@Command(
+        name = "speed",
+        mixinStandardHelpOptions = true,
+        description =
+                "Times a day of 50 s for fleets of growing size, one thread, after a warm-up.")
 public final class Speed implements Callable<Integer> {
 
-    @Option(names = "--sidecars", split = ",", defaultValue = "100,200,500,1000",
+    @Option(
+            names = "--sidecars",
+            split = ",",
+            defaultValue = "100,200,500,1000",
             description = "sizes; each with twice as many servers (${DEFAULT-VALUE})")
     private List<Integer> sizes;
 
@@ -38,8 +44,9 @@
     public Integer call() throws Exception {
         List<SpeedPlot.Point> points = new ArrayList<>();
         play(sizes.get(0));
-        System.out.println("sidecars  servers  seconds  events    us/event  seconds / (n log n), first = "
-                + "1  heap MiB");
+        System.out.println(
+                "sidecars  servers  seconds  events    us/event  seconds / (n log n), first = "
+                        + "1  heap MiB");
         double first = 0;
         for (int size : sizes) {
             System.gc();
@@ -49,8 +56,15 @@
             points.add(new SpeedPlot.Point(size, seconds));
             double per = seconds / (size * Math.log(size));
             first = first == 0 ? per : first;
-            System.out.printf(Locale.ROOT, "%8d %8d %8.2f %9d %8.2f %12.2f %27d%n", size, 2 * size, seconds,
-                    r.events(), 1e6 * seconds / r.events(), per / first,
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8d %8d %8.2f %9d %8.2f %12.2f %27d%n",
+                    size,
+                    2 * size,
+                    seconds,
+                    r.events(),
+                    1e6 * seconds / r.events(),
+                    per / first,
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() >> 20);
         }
         if (plot != null) {
@@ -61,8 +75,13 @@
 
     private DayResult play(int size) throws Exception {
         try (Policy policy = Policies.of(name, Path.of("."))) {
-            return new Day(Scenario.load(scenario, List.of("fleet.sidecars=" + size,
-                    "fleet.servers=" + 2 * size)), 1, policy).play();
+            return new Day(
+                            Scenario.load(
+                                    scenario,
+                                    List.of("fleet.sidecars=" + size, "fleet.servers=" + 2 * size)),
+                            1,
+                            policy)
+                    .play();
         }
     }
 }
--- a/lab/src/main/java/sagefall/lab/command/Sweep.java
+++ b/lab/src/main/java/sagefall/lab/command/Sweep.java
@@ -14,22 +14,28 @@
 import sagefall.lab.policy.PolicyException;
 
 /** A range of values of one tunable, or of one figure of the scenario. */
-@Command(name = "sweep", mixinStandardHelpOptions = true,
-        description = "Plays a range of values of a tunable of the module or of a figure of the scenario.")
+@Command(
+        name = "sweep",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays a range of values of a tunable of the module or of a figure of the"
+                        + " scenario.")
 public final class Sweep implements Callable<Integer> {
 
     @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
     private String scenario;
 
-    @Option(names = "--vary", required = true, paramLabel = "NAME=V1,V2,...",
+    @Option(
+            names = "--vary",
+            required = true,
+            paramLabel = "NAME=V1,V2,...",
             description = "a tunable such as SPILL or ZoneLimit.CUT, or a figure such as load.use")
     private String vary;
 
     @Option(names = "--policy", defaultValue = "module", description = Policies.HELP)
     private String policy;
 
-    @Mixin
-    private Setting setting;
+    @Mixin private Setting setting;
 
     @Override
     public Integer call() throws Exception {
@@ -42,10 +48,13 @@
         List<Plays.Play> plays = new ArrayList<>();
         for (String value : values) {
             for (long seed : setting.seeds()) {
-                plays.add(new Plays.Play(
-                        tunable ? setting.scenario(scenario) : setting.scenario(scenario, name + "="
-                                + value), seed,
-                        tunable ? "module:" + name + "=" + value : policy));
+                plays.add(
+                        new Plays.Play(
+                                tunable
+                                        ? setting.scenario(scenario)
+                                        : setting.scenario(scenario, name + "=" + value),
+                                seed,
+                                tunable ? "module:" + name + "=" + value : policy));
             }
         }
         List<DayResult> results = setting.plays().all(plays, setting.listener());
@@ -53,7 +62,10 @@
         System.out.printf("%-12s %7s %7s %9s %9s%n", name, "G", "served", "worst10s", "least G");
         for (int v = 0; v < values.length; v++) {
             List<DayResult> days = results.subList(v * seeds, (v + 1) * seeds);
-            System.out.printf(Locale.ROOT, "%-12s %7.3f %7.3f %9.3f %9.3f%n", values[v],
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-12s %7.3f %7.3f %9.3f %9.3f%n",
+                    values[v],
                     days.stream().mapToDouble(DayResult::g).average().orElse(0),
                     days.stream().mapToDouble(DayResult::served).average().orElse(0),
                     days.stream().mapToDouble(DayResult::worstTenSeconds).average().orElse(0),
--- a/lab/src/main/java/sagefall/lab/command/Windows.java
+++ b/lab/src/main/java/sagefall/lab/command/Windows.java
@@ -15,14 +15,18 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Reads the windows of 5 s that the operators' bench prints of a day, so that plays of a long day are held
- * against each other window by window, also where one was cut off before its end.
+ * Reads the windows of 5 s that the operators' bench prints of a day, so that plays of a long day
+ * are held against each other window by window, also where one was cut off before its end.
  */
-@Command(name = "windows", mixinStandardHelpOptions = true,
-        description = "Compares reports of one day of the bench over a span that all of them reached.")
+@Command(
+        name = "windows",
+        mixinStandardHelpOptions = true,
+        description =
+                "Compares reports of one day of the bench over a span that all of them reached.")
 public final class Windows implements Callable<Integer> {
 
-    private static final Pattern ROW = Pattern.compile("\\s+(\\d+)\\s+(\\d+)((?:\\s+[\\d.]+){17})\\s*");
+    private static final Pattern ROW =
+            Pattern.compile("\\s+(\\d+)\\s+(\\d+)((?:\\s+[\\d.]+){17})\\s*");
     private static final int LATE = 1;
     private static final int REFUSED = 2;
     private static final int FAILED = 3;
@@ -32,17 +36,28 @@
     @Parameters(paramLabel = "REPORT", description = "what the bench printed of a day")
     private List<Path> files;
 
-    @Option(names = "--until", defaultValue = "1e9", paramLabel = "SECOND",
+    @Option(
+            names = "--until",
+            defaultValue = "1e9",
+            paramLabel = "SECOND",
             description = "windows that begin from then on are left out")
     private double until;
 
     /** A window: its begin, requests, and the further columns in the bench's order. */
-    record Window(double from, double offered, double[] columns) { }
+    record Window(double from, double offered, double[] columns) {}
 
     @Override
     public Integer call() throws Exception {
-        System.out.printf("%-28s %7s %8s %18s %7s %9s %8s %9s%n", "report", "windows", "worth", "worst 10 s",
-                "late %", "refused %", "failed %", "mean p99");
+        System.out.printf(
+                "%-28s %7s %8s %18s %7s %9s %8s %9s%n",
+                "report",
+                "windows",
+                "worth",
+                "worst 10 s",
+                "late %",
+                "refused %",
+                "failed %",
+                "mean p99");
         for (Path file : files) {
             List<Window> all = read(file).stream().filter(w -> w.from < until).toList();
             double offered = all.stream().mapToDouble(Window::offered).sum();
@@ -53,11 +68,21 @@
                 at = both < worst ? all.get(i).from : at;
                 worst = Math.min(worst, both);
             }
-            System.out.printf(Locale.ROOT, "%-28s %7d %8.4f %7.3f at %6.0f s %7.3f %9.3f %8.3f %9.0f%n",
-                    file.getFileName(), all.size(), part(all, WORTH) / 100, worst, at, part(all, LATE),
-                    part(all, REFUSED), part(all, FAILED), part(all, P99));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-28s %7d %8.4f %7.3f at %6.0f s %7.3f %9.3f %8.3f %9.0f%n",
+                    file.getFileName(),
+                    all.size(),
+                    part(all, WORTH) / 100,
+                    worst,
+                    at,
+                    part(all, LATE),
+                    part(all, REFUSED),
+                    part(all, FAILED),
+                    part(all, P99));
             if (offered == 0) {
-                throw new NoSuchFileException(file + ": holds no windows of a day before " + until + " s");
+                throw new NoSuchFileException(
+                        file + ": holds no windows of a day before " + until + " s");
             }
         }
         return 0;
@@ -82,8 +107,11 @@
                 for (int i = 0; i < columns.length; i++) {
                     columns[i] = Double.parseDouble(words[i]);
                 }
-                windows.add(new Window(Double.parseDouble(m.group(1)), Double.parseDouble(m.group(2)),
-                        columns));
+                windows.add(
+                        new Window(
+                                Double.parseDouble(m.group(1)),
+                                Double.parseDouble(m.group(2)),
+                                columns));
             }
         }
         return windows;
--- a/lab/src/main/java/sagefall/lab/experiment/Comparison.java
+++ b/lab/src/main/java/sagefall/lab/experiment/Comparison.java
@@ -10,12 +10,24 @@
 import sagefall.lab.scenario.Scenario;
 
 /** Two policies on the same seeds of one scenario. */
-public record Comparison(String scenario, String policyA, String policyB, List<Paired> figures,
-        Map<String, Paired> lost, List<DayResult> a, List<DayResult> b) {
+public record Comparison(
+        String scenario,
+        String policyA,
+        String policyB,
+        List<Paired> figures,
+        Map<String, Paired> lost,
+        List<DayResult> a,
+        List<DayResult> b) {
 
     /** Plays both; results that a rule was broken on are in it, for the caller to tell. */
-    public static Comparison of(Plays plays, Scenario scenario, List<Long> seeds, String policyA,
-            String policyB, Plays.Listener listener) throws PolicyException {
+    public static Comparison of(
+            Plays plays,
+            Scenario scenario,
+            List<Long> seeds,
+            String policyA,
+            String policyB,
+            Plays.Listener listener)
+            throws PolicyException {
         List<Plays.Play> all = new ArrayList<>();
         for (long seed : seeds) {
             all.add(new Plays.Play(scenario, seed, policyA));
@@ -32,10 +44,12 @@
     }
 
     static Comparison of(String scenario, List<DayResult> a, List<DayResult> b) {
-        List<Paired> figures = List.of(Paired.of("G", a, b, DayResult::g),
-                Paired.of("served", a, b, DayResult::served),
-                Paired.of("worst ten seconds", a, b, DayResult::worstTenSeconds),
-                Paired.of("less the price", a, b, r -> -r.price()));
+        List<Paired> figures =
+                List.of(
+                        Paired.of("G", a, b, DayResult::g),
+                        Paired.of("served", a, b, DayResult::served),
+                        Paired.of("worst ten seconds", a, b, DayResult::worstTenSeconds),
+                        Paired.of("less the price", a, b, r -> -r.price()));
         TreeSet<String> causes = new TreeSet<>();
         a.forEach(r -> causes.addAll(r.lost().keySet()));
         b.forEach(r -> causes.addAll(r.lost().keySet()));
--- a/lab/src/main/java/sagefall/lab/experiment/Paired.java
+++ b/lab/src/main/java/sagefall/lab/experiment/Paired.java
@@ -1,8 +1,8 @@
 package sagefall.lab.experiment;
 
 import java.util.Arrays;
-import java.util.function.ToDoubleFunction;
 import java.util.List;
+import java.util.function.ToDoubleFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.statistics.descriptive.Mean;
 import org.apache.commons.statistics.descriptive.Quantile;
@@ -10,25 +10,34 @@
 import sagefall.lab.model.Draws;
 
 /**
- * The difference of two policies on the same seeds, with a bootstrap interval: seeds are drawn anew with
- * replacement, and the interval holds the middle part of the means that come of it. Few seeds give an
- * interval that is too narrow, so under {@value #LEAST} there is no verdict.
+ * The difference of two policies on the same seeds, with a bootstrap interval: seeds are drawn anew
+ * with replacement, and the interval holds the middle part of the means that come of it. Few seeds
+ * give an interval that is too narrow, so under {@value #LEAST} there is no verdict.
  *
  * @param figure what is compared
  * @param mean of B less A
  * @param low lower end of the interval
  * @param high upper end
  */
-public record Paired(String figure, int seeds, double meanA, double meanB, double mean, double low,
+public record Paired(
+        String figure,
+        int seeds,
+        double meanA,
+        double meanB,
+        double mean,
+        double low,
         double high) {
 
     /** Fewest seeds that a verdict rests on. */
     public static final int LEAST = 5;
+
     /** The part of the means that the interval holds. */
     public static final double CONFIDENCE = 0.95;
+
     private static final int DRAWN = 10_000;
 
-    static Paired of(String figure, List<DayResult> a, List<DayResult> b, ToDoubleFunction<DayResult> of) {
+    static Paired of(
+            String figure, List<DayResult> a, List<DayResult> b, ToDoubleFunction<DayResult> of) {
         double[] inA = a.stream().mapToDouble(of).toArray();
         double[] inB = b.stream().mapToDouble(of).toArray();
         double[] difference = new double[inA.length];
@@ -42,9 +51,16 @@
             }
             means[i] = sum / difference.length;
         }
-        double[] ends = Quantile.withDefaults().evaluate(means, (1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2);
-        return new Paired(figure, difference.length, Mean.of(inA).getAsDouble(), Mean.of(inB).getAsDouble(),
-                Mean.of(difference).getAsDouble(), ends[0], ends[1]);
+        double[] ends =
+                Quantile.withDefaults().evaluate(means, (1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2);
+        return new Paired(
+                figure,
+                difference.length,
+                Mean.of(inA).getAsDouble(),
+                Mean.of(inB).getAsDouble(),
+                Mean.of(difference).getAsDouble(),
+                ends[0],
+                ends[1]);
     }
 
     /** In words; a difference whose interval holds 0 is none. */
--- a/lab/src/main/java/sagefall/lab/experiment/Plays.java
+++ b/lab/src/main/java/sagefall/lab/experiment/Plays.java
@@ -19,7 +19,7 @@
 public final class Plays {
 
     /** A day to play: a scenario, a seed, and a policy by its name. */
-    public record Play(Scenario scenario, long seed, String policy) { }
+    public record Play(Scenario scenario, long seed, String policy) {}
 
     private final int threads;
     private final Path root;
@@ -51,16 +51,19 @@
             List<Future<DayResult>> futures = new ArrayList<>();
             int[] done = {0};
             for (Play play : plays) {
-                futures.add(pool.submit(() -> {
-                    try (Policy policy = Policies.of(play.policy, root)) {
-                        DayResult result = new Day(play.scenario, play.seed, policy).play();
-                        synchronized (done) {
-                            listener.done(result);
-                            bar(++done[0], plays.size());
-                        }
-                        return result;
-                    }
-                }));
+                futures.add(
+                        pool.submit(
+                                () -> {
+                                    try (Policy policy = Policies.of(play.policy, root)) {
+                                        DayResult result =
+                                                new Day(play.scenario, play.seed, policy).play();
+                                        synchronized (done) {
+                                            listener.done(result);
+                                            bar(++done[0], plays.size());
+                                        }
+                                        return result;
+                                    }
+                                }));
             }
             List<DayResult> results = new ArrayList<>();
             for (Future<DayResult> future : futures) {
@@ -83,8 +86,15 @@
     private void bar(int done, int all) {
         if (progress != null) {
             int full = 30 * done / all;
-            progress.print("\r[" + "#".repeat(full) + " ".repeat(30 - full) + "] " + done + "/" + all
-                    + (done == all ? "\n" : ""));
+            progress.print(
+                    "\r["
+                            + "#".repeat(full)
+                            + " ".repeat(30 - full)
+                            + "] "
+                            + done
+                            + "/"
+                            + all
+                            + (done == all ? "\n" : ""));
             progress.flush();
         }
     }
--- a/lab/src/main/java/sagefall/lab/load/Demo.java
+++ b/lab/src/main/java/sagefall/lab/load/Demo.java
@@ -11,23 +11,34 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A real sidecar between real sockets for half a minute, and a zone of servers that dies meanwhile. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "Starts stand-in servers, a real sidecar and load, loses a zone, and shows it live.")
+/**
+ * A real sidecar between real sockets for half a minute, and a zone of servers that dies meanwhile.
+ */
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description =
+                "Starts stand-in servers, a real sidecar and load, loses a zone, and shows it"
+                        + " live.")
 public final class Demo implements Callable<Integer> {
 
     private static final int IN_ZONE = 4;
     private static final StandIn.Service SERVICE = new StandIn.Service(4, 40, 40);
     private static final int TIMEOUT = 1250;
+
     /** Parts of the time after which a zone dies, discovery notices, and it is back. */
     private static final double DIES = 0.3;
+
     private static final double NOTICED = 0.4;
     private static final double BACK = 0.55;
 
     @Option(names = "--seconds", defaultValue = "30", description = "how long (${DEFAULT-VALUE})")
     private int seconds;
 
-    @Option(names = "--rate", defaultValue = "300", description = "requests a second (${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            defaultValue = "300",
+            description = "requests a second (${DEFAULT-VALUE})")
     private double rate;
 
     private final Directory directory = new Directory();
@@ -40,18 +51,47 @@
         }
         StandIn discovery = new StandIn(0, "a", StandIn.Service.NONE, directory);
         discovery.leave();
-        Map<String, Object> save = new LinkedHashMap<>(Map.of("name", "save", "effect", "token", "group",
-                "zone",
-                "dedup_window_us", 2_500_000, "aim_us", 600_000, "deadline_us", 1_250_000, "worth", 1,
-                "late_value", 0.0));
-        try (SidecarProcess sidecar = new SidecarProcess(SidecarProcess.JAR,
-                SidecarProcess.settings(List.of(save),
-                List.of("a", "b"), Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms"))),
+        Map<String, Object> save =
+                new LinkedHashMap<>(
+                        Map.of(
+                                "name",
+                                "save",
+                                "effect",
+                                "token",
+                                "group",
+                                "zone",
+                                "dedup_window_us",
+                                2_500_000,
+                                "aim_us",
+                                600_000,
+                                "deadline_us",
+                                1_250_000,
+                                "worth",
+                                1,
+                                "late_value",
+                                0.0));
+        try (SidecarProcess sidecar =
+                new SidecarProcess(
+                        SidecarProcess.JAR,
+                        SidecarProcess.settings(
+                                List.of(save),
+                                List.of("a", "b"),
+                                Map.of(
+                                        "source",
+                                        "answers",
+                                        "names",
+                                        List.of("cpu", "rps", "avg_ms"))),
                         null,
-                directory, discovery.port())) {
-            System.out.printf(Locale.ROOT,
+                        directory,
+                        discovery.port())) {
+            System.out.printf(
+                    Locale.ROOT,
                     "a sidecar on 127.0.0.1:%d, %d servers in 2 zones, %.0f requests/s for "
-                    + "%d s%n", sidecar.port(), servers.size(), rate, seconds);
+                            + "%d s%n",
+                    sidecar.port(),
+                    servers.size(),
+                    rate,
+                    seconds);
             return play(sidecar);
         }
     }
@@ -65,19 +105,32 @@
         for (int second = 1; second <= seconds; second++) {
             TimeUnit.SECONDS.sleep(1);
             OpenLoop.Figures now = load.figures();
-            System.out.printf(Locale.ROOT, "%7d %9d %10d %9d %8.1f %8.1f  %s%n", second,
-                    now.served() - before.served(), now.refused() - before.refused(),
-                    now.failed() - before.failed(), now.micros().getValueAtPercentile(50) / 1000.0,
-                    now.micros().getValueAtPercentile(99) / 1000.0, trouble(second));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%7d %9d %10d %9d %8.1f %8.1f  %s%n",
+                    second,
+                    now.served() - before.served(),
+                    now.refused() - before.refused(),
+                    now.failed() - before.failed(),
+                    now.micros().getValueAtPercentile(50) / 1000.0,
+                    now.micros().getValueAtPercentile(99) / 1000.0,
+                    trouble(second));
             before = now;
         }
         int open = load.settle(2 * TIMEOUT);
         OpenLoop.Figures all = load.figures();
         int status = sidecar.end();
-        System.out.printf(Locale.ROOT,
+        System.out.printf(
+                Locale.ROOT,
                 "%d requests: %d served, %d refused, %d failed, %d unsent, %d unanswered; the "
-                + "sidecar ended with status %d%n", all.sent(), all.served(), all.refused(), all.failed(),
-                all.unsent(), open, status);
+                        + "sidecar ended with status %d%n",
+                all.sent(),
+                all.served(),
+                all.refused(),
+                all.failed(),
+                all.unsent(),
+                open,
+                status);
         return open == 0 && all.unsent() == 0 && status == 0 ? 0 : 1;
     }
 
--- a/lab/src/main/java/sagefall/lab/load/Directory.java
+++ b/lab/src/main/java/sagefall/lab/load/Directory.java
@@ -51,7 +51,9 @@
         return list;
     }
 
-    /** Waits for something newer, at most so long; then the whole list, or that nothing has changed. */
+    /**
+     * Waits for something newer, at most so long; then the whole list, or that nothing has changed.
+     */
     synchronized String watch(long from, long holdMillis) throws InterruptedException {
         long until = System.nanoTime() + holdMillis * 1_000_000;
         while (from >= version) {
--- a/lab/src/main/java/sagefall/lab/load/Load.java
+++ b/lab/src/main/java/sagefall/lab/load/Load.java
@@ -6,20 +6,28 @@
 import picocli.CommandLine.Option;
 
 /** Open-loop load on a sidecar that runs already. */
-@Command(name = "load", mixinStandardHelpOptions = true,
-        description = "Sends saves to a sidecar on loopback at drawn times; latency from the time meant.")
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
+        description =
+                "Sends saves to a sidecar on loopback at drawn times; latency from the time meant.")
 public final class Load implements Callable<Integer> {
 
     @Option(names = "--port", required = true, description = "the sidecar's port on loopback")
     private int port;
 
-    @Option(names = "--rate", defaultValue = "200", description = "requests a second (${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            defaultValue = "200",
+            description = "requests a second (${DEFAULT-VALUE})")
     private double rate;
 
     @Option(names = "--seconds", defaultValue = "10", description = "how long (${DEFAULT-VALUE})")
     private double seconds;
 
-    @Option(names = "--timeout-ms", defaultValue = "1250",
+    @Option(
+            names = "--timeout-ms",
+            defaultValue = "1250",
             description = "what clients wait (${DEFAULT-VALUE})")
     private int timeout;
 
@@ -32,12 +40,21 @@
         load.run(seconds);
         int open = load.settle(2L * timeout);
         OpenLoop.Figures f = load.figures();
-        System.out.printf(Locale.ROOT,
+        System.out.printf(
+                Locale.ROOT,
                 "%d requests: %d served, %d refused, %d failed, %d unsent, %d unanswered%n",
-                f.sent(), f.served(), f.refused(), f.failed(), f.unsent(), open);
+                f.sent(),
+                f.served(),
+                f.refused(),
+                f.failed(),
+                f.unsent(),
+                open);
         for (double p : new double[] {50, 90, 99, 99.9, 100}) {
-            System.out.printf(Locale.ROOT, "  %5.1f %%  %8.2f ms%n", p, f.micros()
-                    .getValueAtPercentile(p) / 1000.0);
+            System.out.printf(
+                    Locale.ROOT,
+                    "  %5.1f %%  %8.2f ms%n",
+                    p,
+                    f.micros().getValueAtPercentile(p) / 1000.0);
         }
         return open == 0 ? 0 : 1;
     }
--- a/lab/src/main/java/sagefall/lab/load/OpenLoop.java
+++ b/lab/src/main/java/sagefall/lab/load/OpenLoop.java
@@ -15,17 +15,21 @@
 import sagefall.lab.model.Draws;
 
 /**
- * Requests at times that are drawn ahead and wait for no answer. A latency runs from the time at which its
- * request was meant to be sent, so a spell in which nothing is answered costs all that it delays.
+ * Requests at times that are drawn ahead and wait for no answer. A latency runs from the time at
+ * which its request was meant to be sent, so a spell in which nothing is answered costs all that it
+ * delays.
  */
 public final class OpenLoop {
 
     /** What came of the requests of a spell, and of those before. */
-    public record Figures(long sent, long served, long refused, long failed, long unsent,
-            Histogram micros) { }
+    public record Figures(
+            long sent, long served, long refused, long failed, long unsent, Histogram micros) {}
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(2)).build();
+    private final HttpClient client =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(Duration.ofSeconds(2))
+                    .build();
     private final URI base;
     private final double perSecond;
     private final int timeoutMillis;
@@ -62,7 +66,7 @@
                 return;
             }
             long due = begin + (long) (1e9 * at);
-            for (long left; (left = due - System.nanoTime()) > 0 && !ended;) {
+            for (long left; (left = due - System.nanoTime()) > 0 && !ended; ) {
                 LockSupport.parkNanos(left);
             }
             send(due);
@@ -82,24 +86,32 @@
             return;
         }
         String key = Integer.toHexString(random.nextInt(1000));
-        HttpRequest request = HttpRequest.newBuilder(base.resolve("/save/" + key))
-                .header("Request-Id", String.format("%016x", random.nextLong())).header("Tenant", "one")
-                .header("Request-Timeout-Ms", String.valueOf(timeoutMillis))
-                .header("Idempotency-Key", String.format("%016x%016x", random.nextLong(), random.nextLong()))
-                .timeout(Duration.ofMillis(timeoutMillis + 500L))
-                .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[300])).build();
-        client.sendAsync(request, HttpResponse.BodyHandlers.discarding()).whenComplete((answer, error) -> {
-            out.decrementAndGet();
-            int status = error == null ? answer.statusCode() : 0;
-            if (status == 200) {
-                served.incrementAndGet();
-                latencies.recordValue(Math.max(1, (System.nanoTime() - due) / 1000));
-            } else if (status == 429 || status == 503) {
-                refused.incrementAndGet();
-            } else {
-                failed.incrementAndGet();
-            }
-        });
+        HttpRequest request =
+                HttpRequest.newBuilder(base.resolve("/save/" + key))
+                        .header("Request-Id", String.format("%016x", random.nextLong()))
+                        .header("Tenant", "one")
+                        .header("Request-Timeout-Ms", String.valueOf(timeoutMillis))
+                        .header(
+                                "Idempotency-Key",
+                                String.format("%016x%016x", random.nextLong(), random.nextLong()))
+                        .timeout(Duration.ofMillis(timeoutMillis + 500L))
+                        .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[300]))
+                        .build();
+        client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
+                .whenComplete(
+                        (answer, error) -> {
+                            out.decrementAndGet();
+                            int status = error == null ? answer.statusCode() : 0;
+                            if (status == 200) {
+                                served.incrementAndGet();
+                                latencies.recordValue(
+                                        Math.max(1, (System.nanoTime() - due) / 1000));
+                            } else if (status == 429 || status == 503) {
+                                refused.incrementAndGet();
+                            } else {
+                                failed.incrementAndGet();
+                            }
+                        });
     }
 
     /** Waits until all is answered; how many requests are still out after so long. */
@@ -113,7 +125,12 @@
 
     /** Counts since the beginning; latencies, in microseconds, since the last call. */
     public Figures figures() {
-        return new Figures(sent.get(), served.get(), refused.get(), failed.get(), unsent.get(),
+        return new Figures(
+                sent.get(),
+                served.get(),
+                refused.get(),
+                failed.get(),
+                unsent.get(),
                 latencies.getIntervalHistogram());
     }
 }
--- a/lab/src/main/java/sagefall/lab/load/SidecarProcess.java
+++ b/lab/src/main/java/sagefall/lab/load/SidecarProcess.java
@@ -29,8 +29,12 @@
     /** The archive that {@code build} leaves. */
     static final String JAR = "sidecar/target/sagefall.jar";
 
-    /** The checkout whose deploy file is used; the launcher names it, whatever folder it is called from. */
+    /**
+     * The checkout whose deploy file is used; the launcher names it, whatever folder it is called
+     * from.
+     */
     public static final Path ROOT = Path.of(System.getProperty("sagefall.root", "."));
+
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long READY_SECONDS = 60;
 
@@ -47,11 +51,24 @@
      * @param extensions the file of extensions; null for none
      * @param discovery the port of discovery
      */
-    SidecarProcess(String jar, Map<String, Object> settings, Map<String, Object> extensions,
-            Directory directory, int discovery) throws IOException, InterruptedException {
-        this(run(ROOT).replace(JAR, jar), ROOT, Files.createTempDirectory("sidecar"),
+    SidecarProcess(
+            String jar,
+            Map<String, Object> settings,
+            Map<String, Object> extensions,
+            Directory directory,
+            int discovery)
+            throws IOException, InterruptedException {
+        this(
+                run(ROOT).replace(JAR, jar),
+                ROOT,
+                Files.createTempDirectory("sidecar"),
                 free(InetAddress.getLoopbackAddress()),
-                config("lab", "127.0.0.1:" + discovery, "8c1f30d27a5be964", directory.list(), settings),
+                config(
+                        "lab",
+                        "127.0.0.1:" + discovery,
+                        "8c1f30d27a5be964",
+                        directory.list(),
+                        settings),
                 extensions);
         awaitReady();
     }
@@ -63,31 +80,44 @@
      * @param root the checkout that it is run in
      * @param folder its own, for its configuration and its log, which a later start adds to
      */
-    public SidecarProcess(String run, Path root, Path folder, InetSocketAddress listen,
-            Map<String, Object> config, Map<String, Object> extensions) throws IOException {
+    public SidecarProcess(
+            String run,
+            Path root,
+            Path folder,
+            InetSocketAddress listen,
+            Map<String, Object> config,
+            Map<String, Object> extensions)
+            throws IOException {
         address = listen;
         log = folder.resolve("log");
         config.put("listen", listen.getAddress().getHostAddress() + ":" + listen.getPort());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).directory(root.toFile());
         builder.environment().put("LB_CONFIG", write(folder.resolve("config.json"), config));
         if (extensions != null) {
-            builder.environment().put("LB_EXTENSIONS", write(folder.resolve("extensions.json"), extensions));
+            builder.environment()
+                    .put("LB_EXTENSIONS", write(folder.resolve("extensions.json"), extensions));
         }
-        process = builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+        process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
     }
 
     /** The command of a checkout's deploy file; that its archive is missing is said in one line. */
     public static String run(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
         if (!Files.isReadable(file)) {
-            throw new NoSuchFileException(root + ": no checkout of sagefall: " + file + " is missing");
+            throw new NoSuchFileException(
+                    root + ": no checkout of sagefall: " + file + " is missing");
         }
         String run = new TomlMapper().readTree(Files.readString(file)).path("run").asText();
         Matcher archive = ARCHIVE.matcher(run);
         if (!archive.find() || !Files.isReadable(root.resolve(archive.group(1)))) {
-            throw new NoSuchFileException(root + ": not built: "
-                    + (archive.reset().find() ? archive.group(1) : "the archive") + " is missing");
+            throw new NoSuchFileException(
+                    root
+                            + ": not built: "
+                            + (archive.reset().find() ? archive.group(1) : "the archive")
+                            + " is missing");
         }
         return run;
     }
@@ -100,8 +130,12 @@
     }
 
     /** The configuration that laboratory sidecars have in common. */
-    public static Map<String, Object> config(String name, String discovery, String seed,
-            Map<String, Object> known, Map<String, Object> settings) {
+    public static Map<String, Object> config(
+            String name,
+            String discovery,
+            String seed,
+            Map<String, Object> known,
+            Map<String, Object> settings) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", name);
         config.put("discovery", discovery);
@@ -128,9 +162,12 @@
         return process;
     }
 
-    /** Settings for these classes and zones; the rest is what the laboratory's sidecars have in common. */
-    static Map<String, Object> settings(List<Map<String, Object>> classes, List<String> zones,
-            Map<String, Object> report) {
+    /**
+     * Settings for these classes and zones; the rest is what the laboratory's sidecars have in
+     * common.
+     */
+    static Map<String, Object> settings(
+            List<Map<String, Object>> classes, List<String> zones, Map<String, Object> report) {
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("classes", classes);
         settings.put("tenants", List.of(Map.of("name", "one", "share", 1)));
@@ -138,12 +175,35 @@
         settings.put("models", List.of("m"));
         settings.put("zone", 0);
         settings.put("discovery", "push");
-        settings.put("policy_limits", Map.of("attempts_cap", 4, "cancelling", true, "retry_after", true,
-                "max_retry_after_us", 2_000_000, "conn_idle_us", 15_000_000, "connect_timeout_us",
+        settings.put(
+                "policy_limits",
+                Map.of(
+                        "attempts_cap",
+                        4,
+                        "cancelling",
+                        true,
+                        "retry_after",
+                        true,
+                        "max_retry_after_us",
+                        2_000_000,
+                        "conn_idle_us",
+                        15_000_000,
+                        "connect_timeout_us",
                         2_000_000));
         settings.put("report", report);
-        settings.put("rules", Map.of("ask_every_us", 8_000_000, "drain_grace_us", 500_000, "cold_from", 0.3,
-                "cold_us", 5_000_000, "fall_us", 1_000_000));
+        settings.put(
+                "rules",
+                Map.of(
+                        "ask_every_us",
+                        8_000_000,
+                        "drain_grace_us",
+                        500_000,
+                        "cold_from",
+                        0.3,
+                        "cold_us",
+                        5_000_000,
+                        "fall_us",
+                        1_000_000));
         settings.put("tick_us", 1000);
         return settings;
     }
@@ -155,8 +215,10 @@
 
     private boolean healthy() {
         try (Socket socket = connect()) {
-            socket.getOutputStream().write("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(
-                    StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
+                                    .getBytes(StandardCharsets.US_ASCII));
             Map<String, String> head = StandIn.head(socket.getInputStream());
             return head != null && head.get("").contains(" 200 ");
         } catch (IOException e) {
@@ -187,8 +249,8 @@
 
     public int descriptors() throws IOException {
         int count = 0;
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc/" + process.pid()
-                + "/fd"))) {
+        try (DirectoryStream<Path> all =
+                Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/fd"))) {
             for (Path ignored : all) {
                 count++;
             }
@@ -202,16 +264,24 @@
     }
 
     private String heap() throws IOException, InterruptedException {
-        Process jcmd = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
-                String.valueOf(process.pid()), "GC.heap_info").redirectErrorStream(true).start();
+        Process jcmd =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                                String.valueOf(process.pid()),
+                                "GC.heap_info")
+                        .redirectErrorStream(true)
+                        .start();
         String text;
         try (InputStream in = jcmd.getInputStream()) {
             text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
         }
         jcmd.waitFor();
         long used = 0;
-        Matcher m = Pattern.compile("(?:new generation|tenured generation)\\s+total \\d+K, used (\\d+)K")
-                .matcher(text);
+        Matcher m =
+                Pattern.compile(
+                                "(?:new generation|tenured generation)\\s+total \\d+K, used"
+                                        + " (\\d+)K")
+                        .matcher(text);
         while (m.find()) {
             used += Long.parseLong(m.group(1));
         }
@@ -219,17 +289,19 @@
     }
 
     void print(String when) throws IOException, InterruptedException {
-        System.out.printf("  %-22s RSS %d MiB, heap %s, descriptors %d%n", when, status("VmRSS") / 1024,
-                heap(),
-                descriptors());
+        System.out.printf(
+                "  %-22s RSS %d MiB, heap %s, descriptors %d%n",
+                when, status("VmRSS") / 1024, heap(), descriptors());
     }
 
     /** Ends it as a planned restart does, by SIGTERM; its exit status. */
     int end() {
         process.destroy();
-        return process.onExit().orTimeout(20, TimeUnit.SECONDS)
+        return process.onExit()
+                .orTimeout(20, TimeUnit.SECONDS)
                 .exceptionally(late -> process.destroyForcibly())
-                .join().exitValue();
+                .join()
+                .exitValue();
     }
 
     /** Ends it and prints what it logged. */
--- a/lab/src/main/java/sagefall/lab/load/StandIn.java
+++ b/lab/src/main/java/sagefall/lab/load/StandIn.java
@@ -27,10 +27,11 @@
 import java.util.zip.CRC32;
 
 /**
- * A stand-in for a save server and for discovery, on loopback, to try and to measure a sidecar with. {@code
- * GET /CLASS/LENGTH/SEED/PAUSE_MS} is answered with so many bytes of a pattern, any {@code POST} with the
- * length and the CRC-32 of its body, and {@code /v1/servers} with the directory. A {@link Service} gives it
- * slots that work takes time in, and a report of its load; {@link Faults} what a socket can do wrong.
+ * A stand-in for a save server and for discovery, on loopback, to try and to measure a sidecar
+ * with. {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is answered with so many bytes of a pattern, any
+ * {@code POST} with the length and the CRC-32 of its body, and {@code /v1/servers} with the
+ * directory. A {@link Service} gives it slots that work takes time in, and a report of its load;
+ * {@link Faults} what a socket can do wrong.
  */
 public final class StandIn {
 
@@ -102,7 +103,10 @@
         directory.put(id, port, zone, "in_service", bootMillis);
     }
 
-    /** The process dies: it refuses, its connections are reset; discovery notices when it is told to. */
+    /**
+     * The process dies: it refuses, its connections are reset; discovery notices when it is told
+     * to.
+     */
     synchronized void kill() throws IOException {
         listening.close();
         for (Socket socket : sockets) {
@@ -157,7 +161,7 @@
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * 1024);
             OutputStream out = socket.getOutputStream();
-            for (Map<String, String> head; (head = head(in)) != null;) {
+            for (Map<String, String> head; (head = head(in)) != null; ) {
                 String[] first = head.get("").split(" ");
                 String[] path = first[1].split("/");
                 if (first[1].startsWith("/v1/servers")) {
@@ -167,8 +171,13 @@
                     answer(out, Long.parseLong(path[2]), number(path, 3), number(path, 4));
                 } else {
                     boolean chunked = head.containsKey("Transfer-Encoding");
-                    String sum = chunked ? sum(new Chunks(in), Long.MAX_VALUE)
-                            : sum(in, Long.parseLong(head.getOrDefault("Content-Length", "0")));
+                    String sum =
+                            chunked
+                                    ? sum(new Chunks(in), Long.MAX_VALUE)
+                                    : sum(
+                                            in,
+                                            Long.parseLong(
+                                                    head.getOrDefault("Content-Length", "0")));
                     if (!work(socket, out, sum)) {
                         return;
                     }
@@ -190,19 +199,22 @@
     }
 
     /** One request in a slot; whether its connection may go on. */
-    private boolean work(Socket socket, OutputStream out, String sum) throws IOException,
-            InterruptedException {
+    private boolean work(Socket socket, OutputStream out, String sum)
+            throws IOException, InterruptedException {
         if (held.incrementAndGet() > (long) service.slots + service.queue) {
             held.decrementAndGet();
-            out.write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".getBytes(
-                    StandardCharsets.US_ASCII));
+            out.write(
+                    "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             return true;
         }
         slots.acquire();
         try {
             if (service.millis > 0) {
-                double micros = -1000 * service.millis * Math.log(1 - ThreadLocalRandom.current()
-                        .nextDouble());
+                double micros =
+                        -1000
+                                * service.millis
+                                * Math.log(1 - ThreadLocalRandom.current().nextDouble());
                 LockSupport.parkNanos((long) (1000 * micros));
             }
         } finally {
@@ -212,7 +224,9 @@
         double luck = ThreadLocalRandom.current().nextDouble();
         Faults now = faults;
         if ((luck -= now.errors) < 0) {
-            out.write("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            out.write(
+                    "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
         } else if ((luck -= now.silences) < 0) {
             socket.getInputStream().read();
             return false;
@@ -230,8 +244,12 @@
 
     private String report() {
         double seconds = (System.nanoTime() - madeAt) / 1e9;
-        return String.format(Locale.ROOT, "Server-Load: TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f\r\n",
-                Math.min(1, held.get() / (double) service.slots), served.get() / seconds, service.millis);
+        return String.format(
+                Locale.ROOT,
+                "Server-Load: TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f\r\n",
+                Math.min(1, held.get() / (double) service.slots),
+                served.get() / seconds,
+                service.millis);
     }
 
     private static int number(String[] path, int place) {
@@ -239,14 +257,22 @@
     }
 
     private static void text(OutputStream out, String text, String header) throws IOException {
-        out.write(("HTTP/1.1 200 OK\r\n" + header + "Content-Length: " + text.length() + "\r\n\r\n" + text)
-                .getBytes(StandardCharsets.US_ASCII));
+        out.write(
+                ("HTTP/1.1 200 OK\r\n"
+                                + header
+                                + "Content-Length: "
+                                + text.length()
+                                + "\r\n\r\n"
+                                + text)
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     /** So many bytes of the pattern; with a pause behind the first of them. */
-    private static void answer(OutputStream out, long length, int seed, long pauseMillis) throws IOException {
-        out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n").getBytes(
-                StandardCharsets.US_ASCII));
+    private static void answer(OutputStream out, long length, int seed, long pauseMillis)
+            throws IOException {
+        out.write(
+                ("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         long at = 0;
         if (pauseMillis > 0) {
             out.write(PATTERN, seed % MIB, 100);
@@ -257,7 +283,7 @@
     }
 
     static void body(OutputStream out, long from, long length, int seed) throws IOException {
-        for (long at = from; at < length;) {
+        for (long at = from; at < length; ) {
             int start = (int) ((at + seed) % MIB);
             int part = (int) Math.min(Math.min(64 * 1024, MIB - start), length - at);
             out.write(PATTERN, start, part);
@@ -267,7 +293,7 @@
 
     static long expected(long length, int seed) {
         CRC32 sum = new CRC32();
-        for (long at = 0; at < length;) {
+        for (long at = 0; at < length; ) {
             int start = (int) ((at + seed) % MIB);
             int part = (int) Math.min(MIB - start, length - at);
             sum.update(PATTERN, start, part);
@@ -281,7 +307,7 @@
         byte[] buffer = new byte[64 * 1024];
         CRC32 sum = new CRC32();
         long rested = 0;
-        for (long at = 0; at < length;) {
+        for (long at = 0; at < length; ) {
             int count = in.read(buffer, 0, (int) Math.min(buffer.length, length - at));
             if (count < 0) {
                 throw new IOException("ended after " + at + " of " + length);
@@ -315,12 +341,13 @@
 
     static Map<String, String> head(InputStream in) throws IOException {
         Map<String, String> head = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; (line = line(in)) != null;) {
+        for (String line; (line = line(in)) != null; ) {
             if (line.isEmpty()) {
                 return head;
             }
             int colon = line.indexOf(':');
-            head.put(head.isEmpty() ? "" : line.substring(0, colon),
+            head.put(
+                    head.isEmpty() ? "" : line.substring(0, colon),
                     head.isEmpty() ? line : line.substring(colon + 1).trim());
         }
         return null;
@@ -328,7 +355,7 @@
 
     private static String line(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int c; (c = in.read()) != '\n';) {
+        for (int c; (c = in.read()) != '\n'; ) {
             if (c < 0) {
                 return null;
             }
@@ -364,7 +391,7 @@
                 begun = true;
                 left = Long.parseLong(String.valueOf(line(in)), 16);
                 ended = left == 0;
-                for (String trailer = "x"; ended && trailer != null && !trailer.isEmpty();) {
+                for (String trailer = "x"; ended && trailer != null && !trailer.isEmpty(); ) {
                     trailer = line(in);
                 }
             }
--- a/lab/src/main/java/sagefall/lab/load/StandIns.java
+++ b/lab/src/main/java/sagefall/lab/load/StandIns.java
@@ -5,21 +5,31 @@
 import picocli.CommandLine.Option;
 
 /** Save servers and a discovery, for a sidecar that is started by hand. */
-@Command(name = "stand-in", mixinStandardHelpOptions = true,
+@Command(
+        name = "stand-in",
+        mixinStandardHelpOptions = true,
         description = "Plays save servers and discovery on loopback until it is ended.")
 public final class StandIns implements Callable<Integer> {
 
-    @Option(names = "--port", defaultValue = "9001", description = "of discovery (${DEFAULT-VALUE})")
+    @Option(
+            names = "--port",
+            defaultValue = "9001",
+            description = "of discovery (${DEFAULT-VALUE})")
     private int port;
 
     @Option(names = "--servers", defaultValue = "4", description = "how many (${DEFAULT-VALUE})")
     private int count;
 
-    @Option(names = "--slots", defaultValue = "4",
+    @Option(
+            names = "--slots",
+            defaultValue = "4",
             description = "requests in work at a time (${DEFAULT-VALUE})")
     private int slots;
 
-    @Option(names = "--ms", defaultValue = "0", description = "mean time of a POST (${DEFAULT-VALUE})")
+    @Option(
+            names = "--ms",
+            defaultValue = "0",
+            description = "mean time of a POST (${DEFAULT-VALUE})")
     private double millis;
 
     @Option(names = "--errors", defaultValue = "0", description = "part of the POSTs that fail")
@@ -31,7 +41,10 @@
     @Option(names = "--resets", defaultValue = "0", description = "part whose connection is reset")
     private double resets;
 
-    @Option(names = "--noises", defaultValue = "0", description = "part that is answered with noise")
+    @Option(
+            names = "--noises",
+            defaultValue = "0",
+            description = "part that is answered with noise")
     private double noises;
 
     @Override
@@ -39,12 +52,13 @@
         Directory directory = new Directory();
         StandIn.Service service = new StandIn.Service(slots, 10 * slots, millis);
         for (int i = 0; i < count; i++) {
-            new StandIn(0, "a", service, directory).faults(new StandIn.Faults(errors, silences, resets,
-                    noises));
+            new StandIn(0, "a", service, directory)
+                    .faults(new StandIn.Faults(errors, silences, resets, noises));
         }
         StandIn discovery = new StandIn(port, "a", StandIn.Service.NONE, directory);
         discovery.leave();
-        System.out.println("discovery on 127.0.0.1:" + discovery.port() + ", " + count + " save servers");
+        System.out.println(
+                "discovery on 127.0.0.1:" + discovery.port() + ", " + count + " save servers");
         Thread.currentThread().join();
         return 0;
     }
--- a/lab/src/main/java/sagefall/lab/load/StreamLoad.java
+++ b/lab/src/main/java/sagefall/lab/load/StreamLoad.java
@@ -26,8 +26,12 @@
  * blocking clients and stand-in servers of this process. What it prints is what it counted;
  * docs/MEASURING.md says how to call it.
  */
-@Command(name = "streams", mixinStandardHelpOptions = true,
-        description = "Measures the streaming of a real sidecar: sums, memory, first byte, small requests.")
+@Command(
+        name = "streams",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measures the streaming of a real sidecar: sums, memory, first byte, small"
+                        + " requests.")
 public final class StreamLoad implements Callable<Integer> {
 
     private static final int MIB = 1024 * 1024;
@@ -38,19 +42,28 @@
     private final AtomicLong ids = new AtomicLong();
     private final AtomicInteger spoilt = new AtomicInteger();
 
-    @Parameters(paramLabel = "MODE",
-            description = "streams: 200 of 64 MiB at once, both ways; first-byte: its "
-            + "time, streamed and whole; small: uploads of 300 bytes, against another build")
+    @Parameters(
+            paramLabel = "MODE",
+            description =
+                    "streams: 200 of 64 MiB at once, both ways; first-byte: its time, streamed and"
+                            + " whole; small: uploads of 300 bytes, against another build")
     private Mode mode;
 
-    @Option(names = "--jar", defaultValue = SidecarProcess.JAR, description = "this build (${DEFAULT-VALUE})")
+    @Option(
+            names = "--jar",
+            defaultValue = SidecarProcess.JAR,
+            description = "this build (${DEFAULT-VALUE})")
     private String jar;
 
     @Option(names = "--other", description = "the other build of small")
     private String other;
 
     /** What is measured. */
-    enum Mode { STREAMS, FIRST_BYTE, SMALL }
+    enum Mode {
+        STREAMS,
+        FIRST_BYTE,
+        SMALL
+    }
 
     @Override
     public Integer call() throws Exception {
@@ -67,33 +80,65 @@
 
     /** A sidecar with or without the section for streams. */
     private SidecarProcess sidecar(String path, boolean streaming) throws Exception {
-        Map<String, Object> rest = Map.of("aim_us", 30_000_000, "deadline_us", 60_000_000, "worth", 1,
-                "late_value", 0.5);
+        Map<String, Object> rest =
+                Map.of(
+                        "aim_us",
+                        30_000_000,
+                        "deadline_us",
+                        60_000_000,
+                        "worth",
+                        1,
+                        "late_value",
+                        0.5);
         Map<String, Object> export = new LinkedHashMap<>(rest);
         export.putAll(Map.of("name", "export", "effect", "pure", "streaming", true));
         Map<String, Object> append = new LinkedHashMap<>(rest);
         append.putAll(Map.of("name", "append", "effect", "side_effect"));
-        Map<String, Object> settings = SidecarProcess.settings(List.of(export, append), List.of("a"),
-                Map.of("source", "none"));
+        Map<String, Object> settings =
+                SidecarProcess.settings(
+                        List.of(export, append), List.of("a"), Map.of("source", "none"));
         settings.put("discovery", "ask");
-        Map<String, Object> extensions = !streaming ? null : Map.of("streaming", Map.of("classes",
-                Map.of("export", Map.of("max_answer_bytes", 100_000_000),
-                        "append", Map.of("max_request_bytes", 100_000_000)),
-                "replay_bytes", 0, "max_buffered_bytes", 14_000_000));
+        Map<String, Object> extensions =
+                !streaming
+                        ? null
+                        : Map.of(
+                                "streaming",
+                                Map.of(
+                                        "classes",
+                                        Map.of(
+                                                "export",
+                                                Map.of("max_answer_bytes", 100_000_000),
+                                                "append",
+                                                Map.of("max_request_bytes", 100_000_000)),
+                                        "replay_bytes",
+                                        0,
+                                        "max_buffered_bytes",
+                                        14_000_000));
         return new SidecarProcess(path, settings, extensions, directory, servers.get(0).port());
     }
 
     private String request(String method, String path, long length) {
-        return method + " " + path + " HTTP/1.1\r\nHost: a\r\nRequest-Id: " + Long.toHexString(
-                ids.incrementAndGet()) + "\r\nTenant: one\r\nRequest-Timeout-Ms: 60000\r\n"
-                + (length > 0 ? "Content-Length: " + length + "\r\n" : "") + "\r\n";
+        return method
+                + " "
+                + path
+                + " HTTP/1.1\r\nHost: a\r\nRequest-Id: "
+                + Long.toHexString(ids.incrementAndGet())
+                + "\r\nTenant: one\r\nRequest-Timeout-Ms: 60000\r\n"
+                + (length > 0 ? "Content-Length: " + length + "\r\n" : "")
+                + "\r\n";
     }
 
-    /** Asks for an answer and checks its sum; the time to the first byte of its body in microseconds. */
-    private long download(Socket socket, long length, int seed, long pause, long rest) throws IOException {
+    /**
+     * Asks for an answer and checks its sum; the time to the first byte of its body in
+     * microseconds.
+     */
+    private long download(Socket socket, long length, int seed, long pause, long rest)
+            throws IOException {
         long began = System.nanoTime();
-        socket.getOutputStream().write(request("GET", "/export/" + length + "/" + seed + "/" + pause, 0)
-                .getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(
+                        request("GET", "/export/" + length + "/" + seed + "/" + pause, 0)
+                                .getBytes(StandardCharsets.US_ASCII));
         InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * 1024);
         Map<String, String> head = StandIn.head(in);
         if (head == null || !head.get("").contains(" 200 ")) {
@@ -103,7 +148,8 @@
         in.read();
         in.reset();
         long first = (System.nanoTime() - began) / 1000;
-        check(StandIn.checksum(in, length, rest) == StandIn.expected(length, seed),
+        check(
+                StandIn.checksum(in, length, rest) == StandIn.expected(length, seed),
                 "a download's sum differs");
         return first;
     }
@@ -117,9 +163,12 @@
         if (head == null || !head.get("").contains(" 200 ")) {
             throw new IOException("answered " + head);
         }
-        String sum = new String(in.readNBytes(Integer.parseInt(head.get("Content-Length"))),
-                StandardCharsets.US_ASCII);
-        check(sum.trim().equals(length + " " + Long.toHexString(StandIn.expected(length, seed))),
+        String sum =
+                new String(
+                        in.readNBytes(Integer.parseInt(head.get("Content-Length"))),
+                        StandardCharsets.US_ASCII);
+        check(
+                sum.trim().equals(length + " " + Long.toHexString(StandIn.expected(length, seed))),
                 "an upload's sum differs");
     }
 
@@ -134,8 +183,10 @@
 
     private void streams(String jar) throws Exception {
         for (boolean up : new boolean[] {false, true}) {
-            System.out.println(up ? "uploads, 200 x 64 MiB"
-                    : "downloads, 200 x 64 MiB, 20 of the readers slow");
+            System.out.println(
+                    up
+                            ? "uploads, 200 x 64 MiB"
+                            : "downloads, 200 x 64 MiB, 20 of the readers slow");
             try (SidecarProcess sidecar = sidecar(jar, true)) {
                 sidecar.print("before");
                 long cpu = sidecar.cpuMillis();
@@ -146,18 +197,19 @@
                 for (int i = 0; i < streams; i++) {
                     int seed = 1 + i * 37;
                     long rest = i % 10 == 0 ? 200 : 0;
-                    StandIn.daemon(() -> {
-                        try (Socket socket = sidecar.connect()) {
-                            if (up) {
-                                upload(socket, length, seed);
-                            } else {
-                                download(socket, length, seed, 0, rest);
-                            }
-                        } catch (IOException e) {
-                            check(false, e.toString());
-                        }
-                        done.countDown();
-                    });
+                    StandIn.daemon(
+                            () -> {
+                                try (Socket socket = sidecar.connect()) {
+                                    if (up) {
+                                        upload(socket, length, seed);
+                                    } else {
+                                        download(socket, length, seed, 0, rest);
+                                    }
+                                } catch (IOException e) {
+                                    check(false, e.toString());
+                                }
+                                done.countDown();
+                            });
                 }
                 long rss = 0;
                 int descriptors = 0;
@@ -171,10 +223,15 @@
                 }
                 double seconds = (System.nanoTime() - began) / 1e9;
                 double gib = streams * length / (1024.0 * MIB);
-                System.out.printf("  %.1f GiB in %.1f s, %.2f s of processor time a GiB; peak RSS "
-                        + "%d MiB, peak descriptors %d, failed %d%n", gib, seconds,
+                System.out.printf(
+                        "  %.1f GiB in %.1f s, %.2f s of processor time a GiB; peak RSS "
+                                + "%d MiB, peak descriptors %d, failed %d%n",
+                        gib,
+                        seconds,
                         (sidecar.cpuMillis() - cpu) / 1000.0 / gib,
-                        rss / 1024, descriptors, spoilt.get());
+                        rss / 1024,
+                        descriptors,
+                        spoilt.get());
                 StandIn.sleep(12_000);
                 sidecar.print("12 s after the last");
             }
@@ -185,24 +242,35 @@
 
     private void firstByte(String jar) throws Exception {
         int length = 60_000;
-        System.out.println("answers of 60,000 bytes whose rest comes 20 ms behind the first 100 bytes; and "
-                + "20,000 without that pause, on 8 connections");
+        System.out.println(
+                "answers of 60,000 bytes whose rest comes 20 ms behind the first 100 bytes; and "
+                        + "20,000 without that pause, on 8 connections");
         for (int pair = 0; pair < 3; pair++) {
             for (boolean streaming : new boolean[] {false, true}) {
-                try (SidecarProcess sidecar = sidecar(jar, streaming); Socket socket = sidecar.connect()) {
+                try (SidecarProcess sidecar = sidecar(jar, streaming);
+                        Socket socket = sidecar.connect()) {
                     long[] first = new long[100];
                     for (int i = 0; i < first.length; i++) {
                         first[i] = download(socket, length, i + 1, 20, 0);
                     }
                     Arrays.sort(first);
                     long cpu = sidecar.cpuMillis();
-                    long micros = crowd(sidecar, 8, 20_000,
-                            (s, n) -> download(s, length, 1 + n % 100, 0, 0))[1];
+                    long micros =
+                            crowd(
+                                    sidecar,
+                                    8,
+                                    20_000,
+                                    (s, n) -> download(s, length, 1 + n % 100, 0, 0))[1];
                     double gib = 20_000.0 * length / (1024.0 * MIB);
-                    System.out.printf("pair %d, %s: first byte median %.1f ms, 99%% %.1f ms; %.2f s of "
-                            + "processor time a GiB; median of a whole one %d us%n", pair + 1,
-                            streaming ? "streamed" : "whole   ", first[50] / 1000.0, first[98] / 1000.0,
-                            (sidecar.cpuMillis() - cpu) / 1000.0 / gib, micros);
+                    System.out.printf(
+                            "pair %d, %s: first byte median %.1f ms, 99%% %.1f ms; %.2f s of "
+                                    + "processor time a GiB; median of a whole one %d us%n",
+                            pair + 1,
+                            streaming ? "streamed" : "whole   ",
+                            first[50] / 1000.0,
+                            first[98] / 1000.0,
+                            (sidecar.cpuMillis() - cpu) / 1000.0 / gib,
+                            micros);
                 }
             }
         }
@@ -218,10 +286,18 @@
                 try (SidecarProcess sidecar = sidecar(path, build.equals("on"))) {
                     crowd(sidecar, 8, 20_000, (s, n) -> upload(s, 300, 1 + n % 1000));
                     long cpu = sidecar.cpuMillis();
-                    long[] times = crowd(sidecar, 8, 60_000, (s, n) -> upload(s, 300, 1 + n % 1000));
-                    System.out.printf("pair %d, %-5s (%s): %.1f us of processor time each; %d requests/s; "
-                            + "median %d us, 99%% %d us%n", pair + 1, build, new File(path).getName(),
-                            (sidecar.cpuMillis() - cpu) * 1000.0 / 60_000, times[0], times[1], times[2]);
+                    long[] times =
+                            crowd(sidecar, 8, 60_000, (s, n) -> upload(s, 300, 1 + n % 1000));
+                    System.out.printf(
+                            "pair %d, %-5s (%s): %.1f us of processor time each; %d requests/s; "
+                                    + "median %d us, 99%% %d us%n",
+                            pair + 1,
+                            build,
+                            new File(path).getName(),
+                            (sidecar.cpuMillis() - cpu) * 1000.0 / 60_000,
+                            times[0],
+                            times[1],
+                            times[2]);
                 }
             }
         }
@@ -231,7 +307,10 @@
         void with(Socket socket, int number) throws IOException;
     }
 
-    /** So many exchanges on so many connections: a second, median and 99th percentile in microseconds. */
+    /**
+     * So many exchanges on so many connections: a second, median and 99th percentile in
+     * microseconds.
+     */
     private long[] crowd(SidecarProcess sidecar, int connections, int exchanges, Exchange exchange)
             throws Exception {
         long[] took = new long[exchanges];
@@ -239,18 +318,19 @@
         CountDownLatch done = new CountDownLatch(connections);
         long began = System.nanoTime();
         for (int i = 0; i < connections; i++) {
-            StandIn.daemon(() -> {
-                try (Socket socket = sidecar.connect()) {
-                    for (int n; (n = next.getAndIncrement()) < exchanges;) {
-                        long at = System.nanoTime();
-                        exchange.with(socket, n);
-                        took[n] = (System.nanoTime() - at) / 1000;
-                    }
-                } catch (IOException e) {
-                    check(false, e.toString());
-                }
-                done.countDown();
-            });
+            StandIn.daemon(
+                    () -> {
+                        try (Socket socket = sidecar.connect()) {
+                            for (int n; (n = next.getAndIncrement()) < exchanges; ) {
+                                long at = System.nanoTime();
+                                exchange.with(socket, n);
+                                took[n] = (System.nanoTime() - at) / 1000;
+                            }
+                        } catch (IOException e) {
+                            check(false, e.toString());
+                        }
+                        done.countDown();
+                    });
         }
         done.await();
         long second = exchanges * 1_000_000_000L / (System.nanoTime() - began);
--- a/lab/src/main/java/sagefall/lab/model/Call.java
+++ b/lab/src/main/java/sagefall/lab/model/Call.java
@@ -10,8 +10,10 @@
     public final Wish wish;
     public final long takenAt;
     public final long deadline;
+
     /** It has its final answer, or its client has gone. */
     public boolean over;
+
     int out;
     final List<Attempt> attempts = new ArrayList<>(1);
 
@@ -30,13 +32,18 @@
         final int number;
         final SaveServer server;
         final long sentAt;
+
         /** The server's process that the connection leads to; -1 while there is none. */
         int epoch = -1;
+
         boolean fresh;
+
         /** From when on its first byte may not go out any more. */
         long latestAt = Long.MAX_VALUE;
+
         /** The client has its answer from this attempt: what the server did was no waste. */
         boolean used;
+
         Result result;
 
         Attempt(Call call, Sidecar sidecar, int number, SaveServer server, long sentAt) {
--- a/lab/src/main/java/sagefall/lab/model/ColdBudget.java
+++ b/lab/src/main/java/sagefall/lab/model/ColdBudget.java
@@ -3,13 +3,13 @@
 import java.util.ArrayDeque;
 
 /**
- * The rule on cold servers, for one server: within any span of a stated length it bears a multiple of its
- * present capacity, which is N requests of the mean work, as no sidecar can know that one is long; past them
- * 2 x root of N + 2 are chance.
+ * The rule on cold servers, for one server: within any span of a stated length it bears a multiple
+ * of its present capacity, which is N requests of the mean work, as no sidecar can know that one is
+ * long; past them 2 x root of N + 2 are chance.
  */
 public final class ColdBudget {
 
-    private record Sent(long at, boolean told) { }
+    private record Sent(long at, boolean told) {}
 
     private final double multiple;
     private final long spanMicros;
--- a/lab/src/main/java/sagefall/lab/model/Day.java
+++ b/lab/src/main/java/sagefall/lab/model/Day.java
@@ -20,8 +20,9 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * One day: a scenario, a seed and a policy, played from the first request to the last answer. Everything
- * happens in one thread and by one clock, so the same three give the same result on any machine.
+ * One day: a scenario, a seed and a policy, played from the first request to the last answer.
+ * Everything happens in one thread and by one clock, so the same three give the same result on any
+ * machine.
  */
 public final class Day implements Sidecar.World, SaveServer.Floor {
 
@@ -76,13 +77,29 @@
         facts = Facts.of(scenario);
         Settings settings = SettingsReader.read(0, facts(0));
         requestClass = settings.classes().get(0);
-        rules = new Rules(loop, requestClass, settings.limits(),
-                (long) (1000 * scenario.service().drainMillis()));
-        ledger = new Ledger((int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(),
-                scenario.service().overShareWorth());
+        rules =
+                new Rules(
+                        loop,
+                        requestClass,
+                        settings.limits(),
+                        (long) (1000 * scenario.service().drainMillis()));
+        ledger =
+                new Ledger(
+                        (int) Math.ceil(scenario.seconds()),
+                        zones,
+                        scenario.tenants().size(),
+                        scenario.service().overShareWorth());
         discovery = new Discovery(scenario.listing(), draws, loop, sidecars);
-        traffic = new Traffic(scenario, draws, loop, sidecars, ledger, network, requestClass,
-                fleet.capacity());
+        traffic =
+                new Traffic(
+                        scenario,
+                        draws,
+                        loop,
+                        sidecars,
+                        ledger,
+                        network,
+                        requestClass,
+                        fleet.capacity());
         first.forEach(this::bears);
         troubles = new Troubles(this, loop, draws, scenario.seconds());
         chances = draws.stream("chances");
@@ -118,8 +135,11 @@
     }
 
     private void bears(SaveServer s) {
-        s.bears(new ColdBudget(scenario.service().fallMultiple(),
-                (long) (1e6 * scenario.service().fallSeconds()), traffic.meanWork()));
+        s.bears(
+                new ColdBudget(
+                        scenario.service().fallMultiple(),
+                        (long) (1e6 * scenario.service().fallSeconds()),
+                        traffic.meanWork()));
     }
 
     /** Plays it. */
@@ -139,8 +159,16 @@
             loop.at(Loop.BEGIN + second * 1_000_000L, this::sample);
         }
         loop.runUntil(Loop.BEGIN + (long) (1e6 * scenario.seconds()) + AFTER);
-        return DayResult.of(scenario, seed, policy.name(), ledger, rules, troubles.drawn(), heat,
-                first.stream().map(s -> s.zone).toList(), loop.done());
+        return DayResult.of(
+                scenario,
+                seed,
+                policy.name(),
+                ledger,
+                rules,
+                troubles.drawn(),
+                heat,
+                first.stream().map(s -> s.zone).toList(),
+                loop.done());
     }
 
     /** How full each of the first servers is, in requests a core; -1 where it is down. */
@@ -183,15 +211,21 @@
 
     /** It stands still for a while, every so often, until then. */
     void pauses(SaveServer s, long every, long micros, long until) {
-        Pauses.begin(loop, chances, every, micros, until, by -> {
-            s.pauses += by;
-            s.settle();
-        });
+        Pauses.begin(
+                loop,
+                chances,
+                every,
+                micros,
+                until,
+                by -> {
+                    s.pauses += by;
+                    s.settle();
+                });
     }
 
     /**
-     * A new server takes the place of one that drains; that one turns new work away before it ends, either
-     * early, from its beginning to drain, or once all sidecars have heard of it.
+     * A new server takes the place of one that drains; that one turns new work away before it ends,
+     * either early, from its beginning to drain, or once all sidecars have heard of it.
      */
     void replace(SaveServer old, boolean early) {
         if (gone(old)) {
@@ -204,29 +238,35 @@
         discovery.started(fresh);
         discovery.draining(old);
         gone.put(old.id, true);
-        loop.in(early ? 0 : discovery.settled(), () -> {
-            if (old.state == SaveServer.State.UP) {
-                old.state = SaveServer.State.DRAINING;
-            }
-            loop.in(requestClass.deadlineMicros(), () -> {
-                if (old.state != SaveServer.State.DEAD) {
-                    old.end(false);
-                    discovery.ended(old);
-                }
-            });
-        });
+        loop.in(
+                early ? 0 : discovery.settled(),
+                () -> {
+                    if (old.state == SaveServer.State.UP) {
+                        old.state = SaveServer.State.DRAINING;
+                    }
+                    loop.in(
+                            requestClass.deadlineMicros(),
+                            () -> {
+                                if (old.state != SaveServer.State.DEAD) {
+                                    old.end(false);
+                                    discovery.ended(old);
+                                }
+                            });
+                });
     }
 
     void kill(Sidecar s, long downMicros) {
         if (!s.up) {
             return;
         }
-        s.kill().forEach(call -> {
-            if (!call.over) {
-                call.over = true;
-                traffic.dropped(call);
-            }
-        });
+        s.kill()
+                .forEach(
+                        call -> {
+                            if (!call.over) {
+                                call.over = true;
+                                traffic.dropped(call);
+                            }
+                        });
         double start = scenario.fleet().startSeconds().at(starts.nextDouble());
         loop.in(downMicros + (long) (1e6 * start), () -> back(s));
     }
@@ -238,17 +278,22 @@
         }
     }
 
-    /** Planned: nothing new comes, what is in hand is answered, then the process ends and another starts. */
+    /**
+     * Planned: nothing new comes, what is in hand is answered, then the process ends and another
+     * starts.
+     */
     void restart(Sidecar s, long downMicros) {
         if (!s.up) {
             return;
         }
         s.leaving = true;
-        loop.in(requestClass.deadlineMicros() + 700_000, () -> {
-            if (s.up) {
-                kill(s, downMicros);
-            }
-        });
+        loop.in(
+                requestClass.deadlineMicros() + 700_000,
+                () -> {
+                    if (s.up) {
+                        kill(s, downMicros);
+                    }
+                });
     }
 
     // ---- What a sidecar needs
@@ -283,14 +328,17 @@
     /** What an oracle may know. */
     private double answerMicros(long id, int fromZone) {
         SaveServer s = servers.get(id);
-        if (s == null || s.state != SaveServer.State.UP || network.cut(fromZone, s.zone)
+        if (s == null
+                || s.state != SaveServer.State.UP
+                || network.cut(fromZone, s.zone)
                 || network.cut(s.zone, fromZone)) {
             return Double.POSITIVE_INFINITY;
         }
         double cores = Math.max(1, Math.min(s.make.slots(), s.make.cores()));
         double each = s.capacity() / cores;
         double wait = s.held() < s.make.slots() ? 0 : s.backlog() / Math.max(1e-9, s.capacity());
-        return wait + traffic.meanWork() / Math.max(1e-9, each)
+        return wait
+                + traffic.meanWork() / Math.max(1e-9, each)
                 + (fromZone == s.zone ? 0 : 2000 * scenario.net().crossMillis().high());
     }
 
@@ -344,7 +392,10 @@
         }
         double sigma = Math.sqrt(Math.log(1 + attemptNoise * attemptNoise));
         Wish wish = a.call.wish;
-        a.work = wish.work * Math.exp(sigma * noise.sample() - sigma * sigma / 2) * s.keyed(wish.key);
+        a.work =
+                wish.work
+                        * Math.exp(sigma * noise.sample() - sigma * sigma / 2)
+                        * s.keyed(wish.key);
         if (repeat(wish, s)) {
             a.work = 0;
         }
@@ -387,18 +438,26 @@
             ledger.workWasted += a.work;
             return;
         }
-        LoadReport report = result == Result.SERVED || result == Result.ERROR ? told(a.server) : null;
-        loop.in(network.way(a.server.zone, a.sidecar.zone()), () -> {
-            a.sidecar.end(a, result, report);
-            ledger.workWasted += a.used ? 0 : a.work;
-        });
+        LoadReport report =
+                result == Result.SERVED || result == Result.ERROR ? told(a.server) : null;
+        loop.in(
+                network.way(a.server.zone, a.sidecar.zone()),
+                () -> {
+                    a.sidecar.end(a, result, report);
+                    ledger.workWasted += a.used ? 0 : a.work;
+                });
     }
 
     private LoadReport told(SaveServer s) {
         LoadReport exact = s.report();
         double factor = Math.max(0, 1 + reportNoise * noise.sample());
-        return new LoadReport(exact.inFlight(), exact.queue(), Math.min(1, exact.utilization() * factor),
-                exact.latencyMillis() * factor, exact.rate() * factor, exact.errorRate());
+        return new LoadReport(
+                exact.inFlight(),
+                exact.queue(),
+                Math.min(1, exact.utilization() * factor),
+                exact.latencyMillis() * factor,
+                exact.rate() * factor,
+                exact.errorRate());
     }
 
     @Override
@@ -406,8 +465,9 @@
         Attempt a = (Attempt) job;
         ledger.workWasted += a.work;
         if (!network.cut(a.server.zone, a.sidecar.zone())) {
-            loop.in(network.way(a.server.zone, a.sidecar.zone()), () -> a.sidecar.end(a, Result.BROKEN,
-                    null));
+            loop.in(
+                    network.way(a.server.zone, a.sidecar.zone()),
+                    () -> a.sidecar.end(a, Result.BROKEN, null));
         }
     }
 
--- a/lab/src/main/java/sagefall/lab/model/DayResult.java
+++ b/lab/src/main/java/sagefall/lab/model/DayResult.java
@@ -10,51 +10,97 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * What came of a day. Worth is counted per wish of a client, all of its tries together, in the second of its
- * first one; a part is one of what was asked for.
+ * What came of a day. Worth is counted per wish of a client, all of its tries together, in the
+ * second of its first one; a part is one of what was asked for.
  *
- * @param g the goal: 0.55 of the whole, 0.35 of the worst ten seconds, 0.1 of the worst tenant within its
- *     share, less the prices
+ * @param g the goal: 0.55 of the whole, 0.35 of the worst ten seconds, 0.1 of the worst tenant
+ *     within its share, less the prices
  * @param served the part of the worth that was answered within its aim
  * @param lost lost worth by cause: as the last answer to the client says, or what kept it from one
- * @param answers every refusal and failure by reason, those of tries that were followed by another too
- * @param heat by second, for each server of the day's beginning, the requests a core that it held; -1: down
+ * @param answers every refusal and failure by reason, those of tries that were followed by another
+ *     too
+ * @param heat by second, for each server of the day's beginning, the requests a core that it held;
+ *     -1: down
  */
-public record DayResult(String scenario, long seed, String policy, double g, double served,
-        double worstTenSeconds, double worstTenant, double price, double askedWorth, long requests,
-        Map<String, Loss> lost, Map<String, Long> answers, double attemptsPerRequest,
-        double crossingsPerRequest, double setupsPerRequest, double wastedWork, Latency latency,
-        List<String> zones, Series series, List<double[]> heat, List<Integer> serverZones,
-        List<Trouble> troubles, List<Rules.Breach> breaches, long breachCount, long events) {
+public record DayResult(
+        String scenario,
+        long seed,
+        String policy,
+        double g,
+        double served,
+        double worstTenSeconds,
+        double worstTenant,
+        double price,
+        double askedWorth,
+        long requests,
+        Map<String, Loss> lost,
+        Map<String, Long> answers,
+        double attemptsPerRequest,
+        double crossingsPerRequest,
+        double setupsPerRequest,
+        double wastedWork,
+        Latency latency,
+        List<String> zones,
+        Series series,
+        List<double[]> heat,
+        List<Integer> serverZones,
+        List<Trouble> troubles,
+        List<Rules.Breach> breaches,
+        long breachCount,
+        long events) {
 
-    /** Prices in parts of G, each times its rate: crossings and set-ups a request, wasted work, late loss. */
+    /**
+     * Prices in parts of G, each times its rate: crossings and set-ups a request, wasted work, late
+     * loss.
+     */
     private static final double CROSSING = 0.025;
+
     private static final double SETUP = 0.02;
     private static final double WASTE = 0.05;
     private static final double LATE = 0.043;
     private static final int WINDOW = 10;
 
-    /** Worth and count of requests lost, and the worth of those whose tenant was beyond its share. */
-    public record Loss(double worth, long count, double beyondShareWorth) { }
+    /**
+     * Worth and count of requests lost, and the worth of those whose tenant was beyond its share.
+     */
+    public record Loss(double worth, long count, double beyondShareWorth) {}
 
     /** Milliseconds from a client's first try to its answer. */
     public record Latency(double p50, double p95, double p99) {
         static Latency of(Histogram h) {
-            return new Latency(h.getValueAtPercentile(50) / 1000.0, h.getValueAtPercentile(95) / 1000.0,
+            return new Latency(
+                    h.getValueAtPercentile(50) / 1000.0,
+                    h.getValueAtPercentile(95) / 1000.0,
                     h.getValueAtPercentile(99) / 1000.0);
         }
     }
 
     /** Something that went wrong, in seconds of the day. */
-    public record Trouble(String what, double from, double to) { }
+    public record Trouble(String what, double from, double to) {}
 
     /** By second; asked, served and p95 milliseconds by zone too. */
-    public record Series(double[] asked, double[] served, Map<String, double[]> lost, double[] p50,
-            double[] p95, double[] p99, double[][] zoneAsked, double[][] zoneServed, double[][] zoneP95,
-            Map<String, double[]> lostByZone) { }
+    public record Series(
+            double[] asked,
+            double[] served,
+            Map<String, double[]> lost,
+            double[] p50,
+            double[] p95,
+            double[] p99,
+            double[][] zoneAsked,
+            double[][] zoneServed,
+            double[][] zoneP95,
+            Map<String, double[]> lostByZone) {}
 
-    static DayResult of(Scenario scenario, long seed, String policy, Ledger ledger, Rules rules,
-            List<Troubles.Drawn> troubles, List<double[]> heat, List<Integer> serverZones, long events) {
+    static DayResult of(
+            Scenario scenario,
+            long seed,
+            String policy,
+            Ledger ledger,
+            Rules rules,
+            List<Troubles.Drawn> troubles,
+            List<double[]> heat,
+            List<Integer> serverZones,
+            long events) {
         Series series = series(ledger);
         double asked = Arrays.stream(series.asked).sum();
         double served = Arrays.stream(series.served).sum() / Math.max(1e-9, asked);
@@ -67,18 +113,48 @@
         }
         double first = Math.max(1, ledger.firstTries);
         double waste = ledger.workWasted / Math.max(1, ledger.workDone);
-        double price = CROSSING * ledger.crossings / first + SETUP * ledger.setups / first + WASTE * waste
-                + LATE * ledger.lateWorth / Math.max(1e-9, asked);
+        double price =
+                CROSSING * ledger.crossings / first
+                        + SETUP * ledger.setups / first
+                        + WASTE * waste
+                        + LATE * ledger.lateWorth / Math.max(1e-9, asked);
         Map<String, Loss> lost = new TreeMap<>();
-        ledger.lost.forEach((cause, sum) -> lost.put(cause, new Loss(sum.worth(), sum.count(),
-                ledger.lostBeyond.containsKey(cause) ? ledger.lostBeyond.get(cause).worth() : 0)));
-        return new DayResult(scenario.name(), seed, policy,
-                0.55 * served + 0.35 * worst + 0.1 * tenant - price, served, worst, tenant, price, asked,
-                ledger.firstTries, lost, new TreeMap<>(ledger.answers), ledger.attempts / first,
-                ledger.crossings / first, ledger.setups / first, waste, Latency.of(ledger.all),
-                scenario.fleet().zones(), series, List.copyOf(heat), serverZones,
+        ledger.lost.forEach(
+                (cause, sum) ->
+                        lost.put(
+                                cause,
+                                new Loss(
+                                        sum.worth(),
+                                        sum.count(),
+                                        ledger.lostBeyond.containsKey(cause)
+                                                ? ledger.lostBeyond.get(cause).worth()
+                                                : 0)));
+        return new DayResult(
+                scenario.name(),
+                seed,
+                policy,
+                0.55 * served + 0.35 * worst + 0.1 * tenant - price,
+                served,
+                worst,
+                tenant,
+                price,
+                asked,
+                ledger.firstTries,
+                lost,
+                new TreeMap<>(ledger.answers),
+                ledger.attempts / first,
+                ledger.crossings / first,
+                ledger.setups / first,
+                waste,
+                Latency.of(ledger.all),
+                scenario.fleet().zones(),
+                series,
+                List.copyOf(heat),
+                serverZones,
                 troubles.stream().map(t -> new Trouble(t.what(), t.from(), t.to())).toList(),
-                rules.breaches(), rules.count(), events);
+                rules.breaches(),
+                rules.count(),
+                events);
     }
 
     private static double worstWindow(double[] asked, double[] served) {
@@ -110,8 +186,17 @@
             all[1][s] = latency.p95;
             all[2][s] = latency.p99;
         }
-        return new Series(sums(ledger.asked), sums(ledger.served), new LinkedHashMap<>(ledger.lostBySecond),
-                all[0], all[1], all[2], ledger.asked, ledger.served, p95, new TreeMap<>(ledger.lostByZone));
+        return new Series(
+                sums(ledger.asked),
+                sums(ledger.served),
+                new LinkedHashMap<>(ledger.lostBySecond),
+                all[0],
+                all[1],
+                all[2],
+                ledger.asked,
+                ledger.served,
+                p95,
+                new TreeMap<>(ledger.lostByZone));
     }
 
     private static double[] sums(double[][] byZone) {
@@ -121,7 +206,9 @@
     /** Lost worth by cause, the largest first, as parts of what was asked for. */
     public List<Map.Entry<String, Double>> losses() {
         List<Map.Entry<String, Double>> parts = new ArrayList<>();
-        lost.forEach((cause, loss) -> parts.add(Map.entry(cause, loss.worth / Math.max(1e-9, askedWorth))));
+        lost.forEach(
+                (cause, loss) ->
+                        parts.add(Map.entry(cause, loss.worth / Math.max(1e-9, askedWorth))));
         parts.sort(Map.Entry.<String, Double>comparingByValue().reversed());
         return parts;
     }
--- a/lab/src/main/java/sagefall/lab/model/Discovery.java
+++ b/lab/src/main/java/sagefall/lab/model/Discovery.java
@@ -11,8 +11,8 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * What is known of the servers, and when each sidecar hears of it: a change is noticed after a while, goes
- * into the next list, and reaches one sidecar after another.
+ * What is known of the servers, and when each sidecar hears of it: a change is noticed after a
+ * while, goes into the next list, and reaches one sidecar after another.
  */
 public final class Discovery {
 
@@ -29,13 +29,19 @@
     private final double add;
     private final long period;
     private final long[] lag;
+
     /** Who hears of no change; how many troubles keep it from that. */
     private final int[] deaf;
-    /** How many times as long everything takes; and how many troubles keep it from saying anything. */
+
+    /**
+     * How many times as long everything takes; and how many troubles keep it from saying anything.
+     */
     public double late = 1;
+
     public int down;
 
-    public Discovery(Scenario.Listing listing, Draws draws, Loop loop, List<? extends Subscriber> sidecars) {
+    public Discovery(
+            Scenario.Listing listing, Draws draws, Loop loop, List<? extends Subscriber> sidecars) {
         this.loop = loop;
         this.sidecars = sidecars;
         notice = 1e6 * listing.noticeSeconds().draw(draws, "discovery.notice");
@@ -62,38 +68,55 @@
     }
 
     private static Server line(SaveServer s, Phase phase) {
-        return new Server(s.id, s.zone, s.make.kind(), s.cell, phase, s.startedAt,
+        return new Server(
+                s.id,
+                s.zone,
+                s.make.kind(),
+                s.cell,
+                phase,
+                s.startedAt,
                 s.make.cores() * s.make.speed());
     }
 
     /** A server has started. */
     public void started(SaveServer s) {
         int epoch = s.epoch;
-        loop.in(after(add), () -> {
-            if (epoch == s.epoch && s.state == SaveServer.State.UP) {
-                change(line(s, Phase.READY));
-            }
-        });
+        loop.in(
+                after(add),
+                () -> {
+                    if (epoch == s.epoch && s.state == SaveServer.State.UP) {
+                        change(line(s, Phase.READY));
+                    }
+                });
     }
 
     /** A server is to be replaced. */
     public void draining(SaveServer s) {
-        loop.in(after(notice), () -> {
-            Server now = known.get(s.id);
-            if (now != null) {
-                change(line(s, Phase.DRAINING));
-            }
-        });
+        loop.in(
+                after(notice),
+                () -> {
+                    Server now = known.get(s.id);
+                    if (now != null) {
+                        change(line(s, Phase.DRAINING));
+                    }
+                });
     }
 
-    /** A server's process has ended; known once it is noticed that it does not run, if it still does not. */
+    /**
+     * A server's process has ended; known once it is noticed that it does not run, if it still does
+     * not.
+     */
     public void ended(SaveServer s) {
         int epoch = s.epoch;
-        loop.in(after(s.state == SaveServer.State.SILENT ? silent : notice), () -> {
-            if (epoch == s.epoch && s.state != SaveServer.State.UP && known.containsKey(s.id)) {
-                change(line(s, Phase.REMOVED));
-            }
-        });
+        loop.in(
+                after(s.state == SaveServer.State.SILENT ? silent : notice),
+                () -> {
+                    if (epoch == s.epoch
+                            && s.state != SaveServer.State.UP
+                            && known.containsKey(s.id)) {
+                        change(line(s, Phase.REMOVED));
+                    }
+                });
     }
 
     /** One server is noticed sooner, another later. */
@@ -121,11 +144,13 @@
             changed.clear();
             for (Subscriber s : sidecars) {
                 int life = s.life();
-                loop.in((long) (lag[s.index()] * late), () -> {
-                    if (life == s.life() && deaf[s.index()] == 0) {
-                        s.list(ListKind.CHANGES, lines);
-                    }
-                });
+                loop.in(
+                        (long) (lag[s.index()] * late),
+                        () -> {
+                            if (life == s.life() && deaf[s.index()] == 0) {
+                                s.list(ListKind.CHANGES, lines);
+                            }
+                        });
             }
         }
         loop.in(period, this::publish);
@@ -142,15 +167,17 @@
     /** A sidecar that has just started asks for the whole list. */
     public void ask(Subscriber s) {
         int life = s.life();
-        loop.in(lag[s.index()] / 4 + 1, () -> {
-            if (life != s.life()) {
-                return;
-            }
-            if (down > 0 || deaf[s.index()] > 0) {
-                ask(s);
-            } else {
-                s.list(ListKind.COMPLETE, list());
-            }
-        });
+        loop.in(
+                lag[s.index()] / 4 + 1,
+                () -> {
+                    if (life != s.life()) {
+                        return;
+                    }
+                    if (down > 0 || deaf[s.index()] > 0) {
+                        ask(s);
+                    } else {
+                        s.list(ListKind.COMPLETE, list());
+                    }
+                });
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Door.java
+++ b/lab/src/main/java/sagefall/lab/model/Door.java
@@ -19,7 +19,7 @@
     String prefix();
 
     /** A client came while its process did not run. */
-    default void missed(Wish wish) { }
+    default void missed(Wish wish) {}
 
     /** A client's request; its answer comes by {@link Traffic#answer}. */
     void take(Call call, boolean repeat);
--- a/lab/src/main/java/sagefall/lab/model/Draws.java
+++ b/lab/src/main/java/sagefall/lab/model/Draws.java
@@ -4,8 +4,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random numbers of a day, as streams that have names. What one part of the model draws never shifts what
- * another draws, so two policies that play the same seed meet the same arrivals, work and faults.
+ * Random numbers of a day, as streams that have names. What one part of the model draws never
+ * shifts what another draws, so two policies that play the same seed meet the same arrivals, work
+ * and faults.
  */
 public final class Draws {
 
@@ -21,6 +22,7 @@
         for (int i = 0; i < name.length(); i++) {
             mixed = mixed * 1_000_003 + name.charAt(i);
         }
-        return RandomSource.XO_SHI_RO_256_PP.create(RandomSource.SPLIT_MIX_64.create(mixed).nextLong());
+        return RandomSource.XO_SHI_RO_256_PP.create(
+                RandomSource.SPLIT_MIX_64.create(mixed).nextLong());
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Facts.java
+++ b/lab/src/main/java/sagefall/lab/model/Facts.java
@@ -8,7 +8,7 @@
 /** The settings of a scenario as an instance is told them, in the words of the wire. */
 public final class Facts {
 
-    private Facts() { }
+    private Facts() {}
 
     private static long micros(double millis) {
         return (long) (1000 * millis);
@@ -17,12 +17,33 @@
     public static Map<String, Object> of(Scenario scenario) {
         Scenario.Service s = scenario.service();
         Map<String, Object> facts = new LinkedHashMap<>();
-        facts.put("classes", List.of(Map.of("name", "save", "effect", s.effect(), "group", s.group(),
-                "dedup_window_us", micros(s.windowMillis()), "aim_us", micros(s.aimMillis()),
-                "deadline_us", micros(s.deadlineMillis()), "worth", 1.0, "late_value", 0.0,
-                "streaming", false)));
-        facts.put("tenants", scenario.tenants().stream()
-                .map(t -> Map.of("name", t.name(), "share", t.share())).toList());
+        facts.put(
+                "classes",
+                List.of(
+                        Map.of(
+                                "name",
+                                "save",
+                                "effect",
+                                s.effect(),
+                                "group",
+                                s.group(),
+                                "dedup_window_us",
+                                micros(s.windowMillis()),
+                                "aim_us",
+                                micros(s.aimMillis()),
+                                "deadline_us",
+                                micros(s.deadlineMillis()),
+                                "worth",
+                                1.0,
+                                "late_value",
+                                0.0,
+                                "streaming",
+                                false)));
+        facts.put(
+                "tenants",
+                scenario.tenants().stream()
+                        .map(t -> Map.of("name", t.name(), "share", t.share()))
+                        .toList());
         facts.put("zones", scenario.fleet().zones());
         facts.put("models", scenario.kinds().stream().map(Scenario.Kind::name).toList());
         facts.put("over_share_worth", s.overShareWorth());
@@ -31,15 +52,42 @@
         facts.put("domain", Map.of("warm_keys", s.keyGain().high() > 0));
         facts.put("report", Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms")));
         facts.put("charges", Map.of("probe", 0.0088));
-        facts.put("policy_limits", Map.of("probing", true, "attempts_cap", (long) s.attempts(), "cancelling",
-                s.cancelling(),
-                "retry_after", s.retryAdvice(), "max_retry_after_us", 2_000_000L,
-                "conn_idle_us", (long) (1e6 * scenario.net().idleSeconds()),
-                "connect_timeout_us", micros(scenario.net().setupLimitMillis()), "open_cap", 100_000L));
-        facts.put("rules", Map.of("cold_from", s.coldFrom(), "cold_us", (long) (1e6 * s.coldSeconds()),
-                "fall_us", (long) (1e6 * s.fallSeconds()), "fall_multiple", s.fallMultiple(),
-                "drain_grace_us", micros(s.drainMillis()), "ask_every_us", 10_000_000L,
-                "grace_to_answer_us", micros(s.graceMillis())));
+        facts.put(
+                "policy_limits",
+                Map.of(
+                        "probing",
+                        true,
+                        "attempts_cap",
+                        (long) s.attempts(),
+                        "cancelling",
+                        s.cancelling(),
+                        "retry_after",
+                        s.retryAdvice(),
+                        "max_retry_after_us",
+                        2_000_000L,
+                        "conn_idle_us",
+                        (long) (1e6 * scenario.net().idleSeconds()),
+                        "connect_timeout_us",
+                        micros(scenario.net().setupLimitMillis()),
+                        "open_cap",
+                        100_000L));
+        facts.put(
+                "rules",
+                Map.of(
+                        "cold_from",
+                        s.coldFrom(),
+                        "cold_us",
+                        (long) (1e6 * s.coldSeconds()),
+                        "fall_us",
+                        (long) (1e6 * s.fallSeconds()),
+                        "fall_multiple",
+                        s.fallMultiple(),
+                        "drain_grace_us",
+                        micros(s.drainMillis()),
+                        "ask_every_us",
+                        10_000_000L,
+                        "grace_to_answer_us",
+                        micros(s.graceMillis())));
         facts.put("tick_us", micros(s.tickMillis()));
         return facts;
     }
--- a/lab/src/main/java/sagefall/lab/model/Fleet.java
+++ b/lab/src/main/java/sagefall/lab/model/Fleet.java
@@ -8,7 +8,9 @@
 import sagefall.lab.scenario.Range;
 import sagefall.lab.scenario.Scenario;
 
-/** Makes the servers of a day: ids that tell nothing, unlike speeds, zones of unlike size, cells. */
+/**
+ * Makes the servers of a day: ids that tell nothing, unlike speeds, zones of unlike size, cells.
+ */
 public final class Fleet {
 
     private final Scenario scenario;
@@ -20,7 +22,12 @@
     private final Set<Long> ids = new HashSet<>();
     private final List<SaveServer> first = new ArrayList<>();
 
-    public Fleet(Scenario scenario, Draws draws, Loop loop, double[] sharedSlow, SaveServer.Floor floor) {
+    public Fleet(
+            Scenario scenario,
+            Draws draws,
+            Loop loop,
+            double[] sharedSlow,
+            SaveServer.Floor floor) {
         this.scenario = scenario;
         this.draws = draws;
         this.loop = loop;
@@ -28,7 +35,8 @@
         this.floor = floor;
         random = draws.stream("fleet");
         int zones = scenario.fleet().zones().size();
-        double[] parts = Day.uneven(zones, scenario.fleet().serverSkew(), draws.stream("fleet.zones"));
+        double[] parts =
+                Day.uneven(zones, scenario.fleet().serverSkew(), draws.stream("fleet.zones"));
         int[] inZone = new int[zones];
         for (int i = 0; i < scenario.fleet().servers(); i++) {
             int zone = 0;
@@ -48,7 +56,8 @@
 
     /** Work that all servers together get done in a microsecond, warm and untroubled. */
     public double capacity() {
-        return first.stream().mapToDouble(s -> Math.min(s.make.slots(), s.make.cores()) * s.make.speed())
+        return first.stream()
+                .mapToDouble(s -> Math.min(s.make.slots(), s.make.cores()) * s.make.speed())
                 .sum();
     }
 
@@ -80,11 +89,20 @@
         Scenario.Service service = scenario.service();
         Scenario.Net net = scenario.net();
         int cores = k.cores();
-        return new SaveServer.Make(kind, cores, of(k.speed()), (int) Math.round(cores * of(k.slotsPerCore())),
-                (int) Math.round(cores * of(k.queuePerCore())), of(k.thrash()), of(k.thrashAt()),
-                of(k.coldFrom()), (long) (1e6 * of(k.coldSeconds())), k.warmBy().equals("work"),
-                        of(k.errors()),
-                (long) (1e6 * of(k.pauseEverySeconds())), (long) (1000 * of(k.pauseMillis())),
+        return new SaveServer.Make(
+                kind,
+                cores,
+                of(k.speed()),
+                (int) Math.round(cores * of(k.slotsPerCore())),
+                (int) Math.round(cores * of(k.queuePerCore())),
+                of(k.thrash()),
+                of(k.thrashAt()),
+                of(k.coldFrom()),
+                (long) (1e6 * of(k.coldSeconds())),
+                k.warmBy().equals("work"),
+                of(k.errors()),
+                (long) (1e6 * of(k.pauseEverySeconds())),
+                (long) (1000 * of(k.pauseMillis())),
                 (int) (cores * net.connectionsPerCore().draw(draws, "net.connections")),
                 net.tableTax().draw(draws, "net.table_tax"),
                 (int) (cores * service.keysPerCore().draw(draws, "service.keys")),
@@ -100,6 +118,7 @@
 
     /** A machine of the same kind in the same place, with another id. */
     public SaveServer replacement(SaveServer old) {
-        return new SaveServer(id(), old.zone, old.cell, make(old.make.kind()), loop, sharedSlow, floor);
+        return new SaveServer(
+                id(), old.zone, old.cell, make(old.make.kind()), loop, sharedSlow, floor);
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Job.java
+++ b/lab/src/main/java/sagefall/lab/model/Job.java
@@ -4,6 +4,7 @@
 public abstract class Job {
     /** What is left to do, in microseconds on a core of speed 1, and what there was. */
     public double left;
+
     public double work;
 
     /** Whether its sender knew the present process of the server as new. */
--- a/lab/src/main/java/sagefall/lab/model/Ledger.java
+++ b/lab/src/main/java/sagefall/lab/model/Ledger.java
@@ -5,8 +5,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the requests of a day were worth, what was earned, and by whose word the rest was lost. Seconds are
- * those of a request's arrival.
+ * What the requests of a day were worth, what was earned, and by whose word the rest was lost.
+ * Seconds are those of a request's arrival.
  */
 public final class Ledger {
 
@@ -34,17 +34,23 @@
     final int seconds;
     final int zones;
     final double[] overShareWorth;
+
     /** By second and zone of the sidecar. */
     final double[][] asked;
+
     final double[][] served;
     final Histogram[][] latency;
+
     /** Lost worth, by cause, and by cause and whether the tenant was beyond its share. */
     final Map<String, Sum> lost = new TreeMap<>();
+
     final Map<String, Sum> lostBeyond = new TreeMap<>();
     final Map<String, double[]> lostBySecond = new TreeMap<>();
     final Map<String, double[]> lostByZone = new TreeMap<>();
+
     /** Every refusal and failure, further tries included. */
     final Map<String, Long> answers = new TreeMap<>();
+
     final double[] tenantAsked;
     final double[] tenantServed;
     final Histogram all = new Histogram(LONGEST, 3);
--- a/lab/src/main/java/sagefall/lab/model/LoadFigures.java
+++ b/lab/src/main/java/sagefall/lab/model/LoadFigures.java
@@ -2,7 +2,10 @@
 
 import sagefall.LoadBalancer.LoadReport;
 
-/** A server's own word on its load: sums that run on, and a report that is made of them now and then. */
+/**
+ * A server's own word on its load: sums that run on, and a report that is made of them now and
+ * then.
+ */
 final class LoadFigures {
 
     private final int cores;
@@ -39,9 +42,15 @@
         if (report == null || micros >= everyMicros) {
             double requests = served - reportedServed;
             double service = requests == 0 ? 0 : (serviceMicros - reportedService) / requests;
-            report = new LoadReport(Double.NaN, Double.NaN,
-                    Math.min(1, (busyMicros - reportedBusy) / (Math.max(1, micros) * cores)), service / 1000,
-                    requests * 1e6 / Math.max(1, micros), Double.NaN);
+            report =
+                    new LoadReport(
+                            Double.NaN,
+                            Double.NaN,
+                            Math.min(
+                                    1, (busyMicros - reportedBusy) / (Math.max(1, micros) * cores)),
+                            service / 1000,
+                            requests * 1e6 / Math.max(1, micros),
+                            Double.NaN);
             reportedAt = now;
             reportedBusy = busyMicros;
             reportedServed = served;
--- a/lab/src/main/java/sagefall/lab/model/Loop.java
+++ b/lab/src/main/java/sagefall/lab/model/Loop.java
@@ -3,9 +3,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The clock of a day and what is still to come, in order of time and, at the same time, of its being
- * asked for: so one day has one course. Times are microseconds; the clock begins at a second, as a start
- * time of 0 means "long ago" to the module.
+ * The clock of a day and what is still to come, in order of time and, at the same time, of its
+ * being asked for: so one day has one course. Times are microseconds; the clock begins at a second,
+ * as a start time of 0 means "long ago" to the module.
  */
 public final class Loop {
 
--- a/lab/src/main/java/sagefall/lab/model/Network.java
+++ b/lab/src/main/java/sagefall/lab/model/Network.java
@@ -4,8 +4,9 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * The ways between zones: latency, jitter, and cuts in one or both directions. What meets a cut is lost and
- * not sent anew later; a real TCP would repeat it after the cut, mostly too late for its aim.
+ * The ways between zones: latency, jitter, and cuts in one or both directions. What meets a cut is
+ * lost and not sent anew later; a real TCP would repeat it after the cut, mostly too late for its
+ * aim.
  */
 public final class Network {
 
@@ -45,7 +46,9 @@
         return cuts[from][to] > 0;
     }
 
-    /** Begins or, with -1, ends a cut between a zone and all others, for what goes in, out, or both. */
+    /**
+     * Begins or, with -1, ends a cut between a zone and all others, for what goes in, out, or both.
+     */
     public void cut(int zone, boolean in, boolean out, int by) {
         for (int other = 0; other < cuts.length; other++) {
             if (other != zone) {
--- a/lab/src/main/java/sagefall/lab/model/Pauses.java
+++ b/lab/src/main/java/sagefall/lab/model/Pauses.java
@@ -6,25 +6,34 @@
 /** Something that stands still for a while, every so often, until a time. */
 public final class Pauses {
 
-    private Pauses() { }
+    private Pauses() {}
 
     /**
      * Begins them; all times in microseconds.
      *
      * @param change is given 1 where one begins and -1 where it ends
      */
-    public static void begin(Loop loop, UniformRandomProvider chances, long every, long micros, long until,
+    public static void begin(
+            Loop loop,
+            UniformRandomProvider chances,
+            long every,
+            long micros,
+            long until,
             IntConsumer change) {
         long next = loop.now() + (long) (every * (0.5 + chances.nextDouble()));
         if (micros <= 0 || next >= until) {
             return;
         }
-        loop.at(next, () -> {
-            change.accept(1);
-            loop.in(micros, () -> {
-                change.accept(-1);
-                begin(loop, chances, every, micros, until, change);
-            });
-        });
+        loop.at(
+                next,
+                () -> {
+                    change.accept(1);
+                    loop.in(
+                            micros,
+                            () -> {
+                                change.accept(-1);
+                                begin(loop, chances, every, micros, until, change);
+                            });
+                });
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Rules.java
+++ b/lab/src/main/java/sagefall/lab/model/Rules.java
@@ -9,8 +9,8 @@
 import sagefall.lab.model.Call.Attempt;
 
 /**
- * What must hold whatever happens, checked on each event. A breach is a defect of the policy, or of the
- * model; either way the day's figures count for nothing.
+ * What must hold whatever happens, checked on each event. A breach is a defect of the policy, or of
+ * the model; either way the day's figures count for nothing.
  */
 public final class Rules {
 
@@ -31,7 +31,7 @@
     }
 
     /** One breach, and how to see it again. */
-    public record Breach(Rule rule, String request, long server, int sidecar, double second) { }
+    public record Breach(Rule rule, String request, long server, int sidecar, double second) {}
 
     private static final int KEPT = 100;
 
@@ -62,7 +62,8 @@
     void breach(Rule rule, String request, long server, int sidecar) {
         count++;
         if (breaches.size() < KEPT) {
-            breaches.add(new Breach(rule, request, server, sidecar, (loop.now() - Loop.BEGIN) / 1e6));
+            breaches.add(
+                    new Breach(rule, request, server, sidecar, (loop.now() - Loop.BEGIN) / 1e6));
         }
     }
 
@@ -93,7 +94,8 @@
         if (first == null || rules.effect() == Effect.SAFE) {
             return true;
         }
-        return rules.effect() == Effect.KEYED && loop.now() - first.sentAt <= rules.dedupWindowMicros()
+        return rules.effect() == Effect.KEYED
+                && loop.now() - first.sentAt <= rules.dedupWindowMicros()
                 && switch (rules.group()) {
                     case ALL -> true;
                     case ZONE -> first.server.zone == server.zone;
@@ -113,13 +115,19 @@
     /** A refusal tells the client that to ask again is harmless. */
     void refused(Sidecar sidecar, Call call, String id) {
         named(sidecar, id);
-        if (call != null && !call.over && rules.effect() != Effect.SAFE && mayHaveRun(call) != null
+        if (call != null
+                && !call.over
+                && rules.effect() != Effect.SAFE
+                && mayHaveRun(call) != null
                 && !(rules.effect() == Effect.KEYED && rules.group() == Group.ALL)) {
             breach(Rule.EFFECT, id, mayHaveRun(call).server.id, sidecar.index());
         }
     }
 
-    /** A final answer names a request that this sidecar was given; one that has its answer is passed over. */
+    /**
+     * A final answer names a request that this sidecar was given; one that has its answer is passed
+     * over.
+     */
     void named(Sidecar sidecar, String id) {
         if (!id.startsWith(sidecar.prefix())) {
             breach(Rule.ONE_ANSWER, id, -1, sidecar.index());
--- a/lab/src/main/java/sagefall/lab/model/SaveServer.java
+++ b/lab/src/main/java/sagefall/lab/model/SaveServer.java
@@ -8,21 +8,41 @@
 import sagefall.LoadBalancer.LoadReport;
 
 /**
- * A save server: slots that work side by side, a bounded waiting room, and a capacity that depends on how
- * cold it is, how many requests and connections it holds, and what troubles it. Work that was taken is done
- * to its end, whatever its client does meanwhile.
+ * A save server: slots that work side by side, a bounded waiting room, and a capacity that depends
+ * on how cold it is, how many requests and connections it holds, and what troubles it. Work that
+ * was taken is done to its end, whatever its client does meanwhile.
  */
 public final class SaveServer {
 
     /** What its process does. */
-    public enum State { UP, DRAINING, SILENT, DEAD }
+    public enum State {
+        UP,
+        DRAINING,
+        SILENT,
+        DEAD
+    }
 
     /** What a server is made of. Speeds are relative to a core of 1. */
-    public record Make(int kind, int cores, double speed, int slots, int queue, double thrash,
+    public record Make(
+            int kind,
+            int cores,
+            double speed,
+            int slots,
+            int queue,
+            double thrash,
             double thrashAt,
-            double coldFrom, long coldMicros, boolean warmsByWork, double errors, long pauseEvery,
-            long pauseMicros, int connections, double tableTax, int keys, double keyGain, long keyMicros,
-            long reportMicros) { }
+            double coldFrom,
+            long coldMicros,
+            boolean warmsByWork,
+            double errors,
+            long pauseEvery,
+            long pauseMicros,
+            int connections,
+            double tableTax,
+            int keys,
+            double keyGain,
+            long keyMicros,
+            long reportMicros) {}
 
     /** What becomes of attempts at a server. */
     public interface Floor {
@@ -32,12 +52,19 @@
         /** The process ended under an attempt, and the other side hears of it. */
         void broken(Job job);
 
-        /** A cold server was sent more than it bears; told is the part from sidecars that knew it as new. */
+        /**
+         * A cold server was sent more than it bears; told is the part from sidecars that knew it as
+         * new.
+         */
         void fell(SaveServer server, double told);
     }
 
     private static final long COLD_STEP = 50_000;
-    /** Where work warms as well: part of what a warm server does in that time after which it is warm. */
+
+    /**
+     * Where work warms as well: part of what a warm server does in that time after which it is
+     * warm.
+     */
     private static final double WARM_WORK = 0.3;
 
     public final long id;
@@ -50,10 +77,13 @@
 
     public State state = State.UP;
     int epoch;
+
     /** Of its process; 0 means long ago. */
     public long startedAt;
+
     /** Whether its last end was told to the other side of its connections. */
     boolean endedSilently;
+
     public int connections;
     public double slow = 1;
     public double stolen;
@@ -72,7 +102,8 @@
     private ColdBudget budget;
     private double warmed;
 
-    public SaveServer(long id, int zone, int cell, Make make, Loop loop, double[] sharedSlow, Floor floor) {
+    public SaveServer(
+            long id, int zone, int cell, Make make, Loop loop, double[] sharedSlow, Floor floor) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
@@ -84,14 +115,15 @@
         advancedAt = loop.now();
         figures = new LoadFigures(make.cores, make.reportMicros, loop.now());
         rate = rate();
-        keys = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1;
-
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-                return size() > make.keys;
-            }
-        };
+        keys =
+                new LinkedHashMap<>(16, 0.75f, true) {
+                    private static final long serialVersionUID = 1;
+
+                    @Override
+                    protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
+                        return size() > make.keys;
+                    }
+                };
     }
 
     /** What it bears while it is cold; without one it bears anything. */
@@ -109,17 +141,25 @@
         double held = running.size() + waiting.size();
         double crowd = Math.max(0, held / make.cores - make.thrashAt);
         double table = 1 - make.tableTax * Math.min(1, connections / (double) make.connections);
-        return make.speed * warmth(loop.now() + COLD_STEP / 2) * (1 - stolen) * table
+        return make.speed
+                * warmth(loop.now() + COLD_STEP / 2)
+                * (1 - stolen)
+                * table
                 / (slow * sharedSlow[0] * (1 + make.thrash * crowd));
     }
 
-    /** From its cold share to 1, evenly in time or, if that is sooner, in the work that it has done. */
+    /**
+     * From its cold share to 1, evenly in time or, if that is sooner, in the work that it has done.
+     */
     public double warmth(long at) {
         if (startedAt == 0) {
             return 1;
         }
         double time = (at - startedAt) / (double) Math.max(1, make.coldMicros);
-        double work = make.warmsByWork ? warmed / (WARM_WORK * make.coldMicros * make.cores * make.speed) : 0;
+        double work =
+                make.warmsByWork
+                        ? warmed / (WARM_WORK * make.coldMicros * make.cores * make.speed)
+                        : 0;
         return Math.min(1, make.coldFrom + (1 - make.coldFrom) * Math.max(time, work));
     }
 
@@ -210,17 +250,19 @@
             micros = Math.min(micros, COLD_STEP);
         }
         if (micros < 1e15) {
-            loop.in((long) micros, () -> {
-                if (mine == plan) {
-                    complete();
-                }
-            });
+            loop.in(
+                    (long) micros,
+                    () -> {
+                        if (mine == plan) {
+                            complete();
+                        }
+                    });
         }
     }
 
     private void complete() {
         advance();
-        for (int i = 0; i < running.size();) {
+        for (int i = 0; i < running.size(); ) {
             Job a = running.get(i);
             if (a.left > 1e-6) {
                 i++;
--- a/lab/src/main/java/sagefall/lab/model/Sidecar.java
+++ b/lab/src/main/java/sagefall/lab/model/Sidecar.java
@@ -20,13 +20,14 @@
 import sagefall.lab.model.Call.Attempt;
 
 /**
- * The host of one instance of the module, as the real host and the simulator's are: it turns what happens
- * into events and actions into what happens, and decides nothing. It keeps the connections to servers.
+ * The host of one instance of the module, as the real host and the simulator's are: it turns what
+ * happens into events and actions into what happens, and decides nothing. It keeps the connections
+ * to servers.
  */
 public final class Sidecar implements Actions, Door, Subscriber {
 
     /** What this life of the sidecar has been told of a server; gone at 0 is not gone. */
-    record Told(long startMicros, long goneAt) { }
+    record Told(long startMicros, long goneAt) {}
 
     /** What a sidecar needs of the world round it. */
     interface World {
@@ -57,7 +58,11 @@
     }
 
     /** Final answers. */
-    public enum Answer { SERVED, REFUSED, FAILED }
+    public enum Answer {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** Idle connections to one server's process, the one used last on top. */
     private static final class Idle {
@@ -177,14 +182,23 @@
         if (kind != ListKind.CHANGES) {
             Map<Long, Server> gone = new HashMap<>(held);
             lines.forEach(line -> gone.remove(line.id()));
-            gone.keySet().forEach(id -> told.computeIfPresent(id, (i, t) -> t.goneAt != 0 ? t
-                    : new Told(t.startMicros, now)));
+            gone.keySet()
+                    .forEach(
+                            id ->
+                                    told.computeIfPresent(
+                                            id,
+                                            (i, t) ->
+                                                    t.goneAt != 0
+                                                            ? t
+                                                            : new Told(t.startMicros, now)));
             held.clear();
         }
         for (Server line : lines) {
             Told before = told.get(line.id());
-            long goneAt = line.phase() == Phase.READY ? 0 : before != null && before.goneAt != 0
-                    ? before.goneAt : now;
+            long goneAt =
+                    line.phase() == Phase.READY
+                            ? 0
+                            : before != null && before.goneAt != 0 ? before.goneAt : now;
             told.put(line.id(), new Told(line.startMicros(), goneAt));
             if (line.phase() == Phase.REMOVED) {
                 held.remove(line.id());
@@ -200,13 +214,17 @@
         Loop loop = world.loop();
         calls.put(call.id, call);
         int mine = life;
-        loop.at(call.deadline, () -> {
-            if (mine == life) {
-                deadline(call);
-            }
-        });
-        module.request(loop.now(), new Request(call.id, 0, call.wish.tenant, repeat, call.wish.key,
-                call.deadline, true));
+        loop.at(
+                call.deadline,
+                () -> {
+                    if (mine == life) {
+                        deadline(call);
+                    }
+                });
+        module.request(
+                loop.now(),
+                new Request(
+                        call.id, 0, call.wish.tenant, repeat, call.wish.key, call.deadline, true));
     }
 
     private void deadline(Call call) {
@@ -217,13 +235,16 @@
             }
         }
         int mine = life;
-        world.loop().in(world.graceMicros(), () -> {
-            if (mine == life && !call.over) {
-                world.rules().breach(Rules.Rule.ONE_ANSWER, call.id, -1, index);
-                leave(call);
-                world.answer(call, Answer.FAILED, null, 0);
-            }
-        });
+        world.loop()
+                .in(
+                        world.graceMicros(),
+                        () -> {
+                            if (mine == life && !call.over) {
+                                world.rules().breach(Rules.Rule.ONE_ANSWER, call.id, -1, index);
+                                leave(call);
+                                world.answer(call, Answer.FAILED, null, 0);
+                            }
+                        });
     }
 
     @Override
@@ -253,7 +274,9 @@
         long now = world.loop().now();
         boolean keep = result == Result.SERVED || result == Result.ERROR || result == Result.FULL;
         if (keep && a.epoch == a.server.epoch && a.server.state != SaveServer.State.DEAD) {
-            idle.computeIfAbsent(a.server.id, s -> new Idle()).since.push(new long[] {now, a.epoch});
+            idle.computeIfAbsent(a.server.id, s -> new Idle())
+                    .since
+                    .push(new long[] {now, a.epoch});
         } else {
             disconnect(a.server, a.epoch);
         }
@@ -262,8 +285,10 @@
             a.used = true;
             world.answer(call, Answer.SERVED, null, 0);
         }
-        module.outcome(now, new Outcome(call.id, a.number, a.server.id, result, now - a.sentAt, call.over,
-                report));
+        module.outcome(
+                now,
+                new Outcome(
+                        call.id, a.number, a.server.id, result, now - a.sentAt, call.over, report));
         forget(call);
     }
 
@@ -308,26 +333,30 @@
         a.fresh = true;
         Network net = world.network();
         long there = net.way(zone, server.zone);
-        if (net.cut(zone, server.zone) || net.cut(server.zone, zone)
+        if (net.cut(zone, server.zone)
+                || net.cut(server.zone, zone)
                 || server.state == SaveServer.State.SILENT) {
             loop.in(world.setupLimitMicros(), () -> end(a, Result.NO_CONNECTION, null));
             return;
         }
-        if (server.state == SaveServer.State.DEAD || server.connections >= server.make.connections()) {
+        if (server.state == SaveServer.State.DEAD
+                || server.connections >= server.make.connections()) {
             loop.in(2 * there, () -> end(a, Result.NO_CONNECTION, null));
             return;
         }
         a.epoch = server.epoch;
         server.connections++;
-        loop.in((long) (2 * there * world.setupTrips()), () -> {
-            if (a.result == null && a.life == life) {
-                if (loop.now() >= a.latestAt) {
-                    end(a, Result.NOT_SENT, null);
-                } else {
-                    world.carry(a);
-                }
-            }
-        });
+        loop.in(
+                (long) (2 * there * world.setupTrips()),
+                () -> {
+                    if (a.result == null && a.life == life) {
+                        if (loop.now() >= a.latestAt) {
+                            end(a, Result.NOT_SENT, null);
+                        } else {
+                            world.carry(a);
+                        }
+                    }
+                });
     }
 
     // ---- Actions
@@ -390,11 +419,14 @@
     public void timer(long atMicros, long token) {
         int mine = life;
         // Never within the event that is being answered.
-        world.loop().at(Math.max(atMicros, world.loop().now() + 1), () -> {
-            if (mine == life) {
-                module.timer(world.loop().now(), token);
-            }
-        });
+        world.loop()
+                .at(
+                        Math.max(atMicros, world.loop().now() + 1),
+                        () -> {
+                            if (mine == life) {
+                                module.timer(world.loop().now(), token);
+                            }
+                        });
     }
 
     @Override
@@ -409,11 +441,14 @@
     @Override
     public void subscribe() {
         int mine = life;
-        world.loop().in(1, () -> {
-            if (mine == life) {
-                list(ListKind.COMPLETE, new ArrayList<>(held.values()));
-            }
-        });
+        world.loop()
+                .in(
+                        1,
+                        () -> {
+                            if (mine == life) {
+                                list(ListKind.COMPLETE, new ArrayList<>(held.values()));
+                            }
+                        });
     }
 
     /** The module's own words, for whoever turns this logger on. */
--- a/lab/src/main/java/sagefall/lab/model/Traffic.java
+++ b/lab/src/main/java/sagefall/lab/model/Traffic.java
@@ -17,8 +17,8 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * The clients: open arrivals at rates that change, and what each client does with the answer it gets.
- * Arrivals wait for nothing, so two policies meet the same ones.
+ * The clients: open arrivals at rates that change, and what each client does with the answer it
+ * gets. Arrivals wait for nothing, so two policies meet the same ones.
  */
 public final class Traffic {
 
@@ -57,15 +57,26 @@
     private int made;
     private long ids;
 
-    /** What troubles change: all rates, those of zones and tenants, leavers, and clients that insist. */
+    /**
+     * What troubles change: all rates, those of zones and tenants, leavers, and clients that
+     * insist.
+     */
     public double burst = 1;
+
     public final double[] shift;
     public final double[] surge;
     public double leave;
     public int stubborn;
 
-    public Traffic(Scenario scenario, Draws draws, Loop loop, List<? extends Door> sidecars, Ledger ledger,
-            Network network, RequestClass rules, double capacity) {
+    public Traffic(
+            Scenario scenario,
+            Draws draws,
+            Loop loop,
+            List<? extends Door> sidecars,
+            Ledger ledger,
+            Network network,
+            RequestClass rules,
+            double capacity) {
         this.loop = loop;
         this.sidecars = sidecars;
         this.ledger = ledger;
@@ -73,8 +84,9 @@
         this.rules = rules;
         clients = scenario.clients();
         service = scenario.service();
-        repeatsAnything = rules.effect() == Effect.SAFE
-                || rules.effect() == Effect.KEYED && rules.group() == Group.ALL;
+        repeatsAnything =
+                rules.effect() == Effect.SAFE
+                        || rules.effect() == Effect.KEYED && rules.group() == Group.ALL;
         end = Loop.BEGIN + (long) (1e6 * scenario.seconds());
         tryMicros = rules.deadlineMicros() * clients.tryShare().draw(draws, "clients.try");
         waitMicros = 1000 * clients.waitMillis().draw(draws, "clients.wait");
@@ -91,15 +103,19 @@
         figures = draws.stream("figures");
         gauss = ZigguratSampler.NormalizedGaussian.of(figures);
         exponential = ZigguratSampler.Exponential.of(arrivals);
-        keys = RejectionInversionZipfSampler.of(figures, load.keys(), load.zipf().draw(draws, "load.zipf"));
+        keys =
+                RejectionInversionZipfSampler.of(
+                        figures, load.keys(), load.zipf().draw(draws, "load.zipf"));
         sidecarWeight = sidecarWeights(scenario, draws);
         List<Scenario.Tenant> tenants = scenario.tenants();
         tenantWeight = new double[tenants.size()];
         quota = new double[tenants.size()];
-        double quotas = service.quotaOfCapacity().draw(draws, "service.quota") * capacity / meanWork;
+        double quotas =
+                service.quotaOfCapacity().draw(draws, "service.quota") * capacity / meanWork;
         for (int t = 0; t < quota.length; t++) {
-            tenantWeight[t] = tenants.get(t).share()
-                    * tenants.get(t).usage().draw(draws, "tenant." + tenants.get(t).name());
+            tenantWeight[t] =
+                    tenants.get(t).share()
+                            * tenants.get(t).usage().draw(draws, "tenant." + tenants.get(t).name());
             quota[t] = quotas * tenants.get(t).share();
         }
         credit = quota.clone();
@@ -121,8 +137,11 @@
         UniformRandomProvider random = draws.stream("load.sidecars");
         ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
         int zones = scenario.fleet().zones().size();
-        double[] zone = Day.uneven(zones, scenario.load().zoneSkew().draw(draws, "load.zone_skew"),
-                draws.stream("load.zones"));
+        double[] zone =
+                Day.uneven(
+                        zones,
+                        scenario.load().zoneSkew().draw(draws, "load.zone_skew"),
+                        draws.stream("load.zones"));
         double cv = scenario.load().unlike().draw(draws, "load.unlike");
         double sigma = Math.sqrt(Math.log(1 + cv * cv));
         double[] weights = new double[scenario.fleet().sidecars()];
@@ -172,14 +191,19 @@
     private void next() {
         double wave = 1 + swing * Math.sin(2 * Math.PI * (loop.now() - Loop.BEGIN) / wavePeriod);
         double rate = perMicro * weight * burst * wave;
-        long at = rate <= 0 ? loop.now() + 1000 : loop.now() + (long) Math.ceil(exponential.sample() / rate);
+        long at =
+                rate <= 0
+                        ? loop.now() + 1000
+                        : loop.now() + (long) Math.ceil(exponential.sample() / rate);
         if (at < end) {
-            loop.at(at, () -> {
-                if (rate > 0) {
-                    arrive();
-                }
-                next();
-            });
+            loop.at(
+                    at,
+                    () -> {
+                        if (rate > 0) {
+                            arrive();
+                        }
+                        next();
+                    });
         }
     }
 
@@ -197,8 +221,17 @@
     private void arrive() {
         long now = loop.now();
         int tenant = whichTenant.sample();
-        Wish wish = new Wish(made++, now, now + rules.deadlineMicros(), keys.sample(), tenant, beyond(tenant),
-                work(), figures.nextDouble(), shift.length);
+        Wish wish =
+                new Wish(
+                        made++,
+                        now,
+                        now + rules.deadlineMicros(),
+                        keys.sample(),
+                        tenant,
+                        beyond(tenant),
+                        work(),
+                        figures.nextDouble(),
+                        shift.length);
         wish.sidecar = sidecars.get(whichSidecar.sample());
         ledger.asked(wish);
         tryOnce(wish);
@@ -228,15 +261,22 @@
             return;
         }
         long deadline = Math.min(wish.endsAt, loop.now() + (long) tryMicros);
-        Call call = new Call(sidecar.prefix() + String.format("%010x", ++ids), wish, loop.now(), deadline);
+        Call call =
+                new Call(
+                        sidecar.prefix() + String.format("%010x", ++ids),
+                        wish,
+                        loop.now(),
+                        deadline);
         double mine = (wish.luck * 7919 + wish.tries * 0.618) % 1;
         if (mine < leave) {
-            loop.in((long) (tryMicros * mine / Math.max(leave, 1e-9)), () -> {
-                if (!call.over) {
-                    sidecar.leave(call);
-                    lose(wish, "client left");
-                }
-            });
+            loop.in(
+                    (long) (tryMicros * mine / Math.max(leave, 1e-9)),
+                    () -> {
+                        if (!call.over) {
+                            sidecar.leave(call);
+                            lose(wish, "client left");
+                        }
+                    });
         }
         sidecar.take(call, wish.tries > 1 && clients.marksRetries());
     }
@@ -252,26 +292,34 @@
 
     /** The client of a call hears its final answer. */
     public void answer(Call call, Answer kind, Reason why, long retryMicros) {
-        answer(call, kind, why == null ? "unanswered"
-                : kind.name().toLowerCase(Locale.ROOT) + " " + why.name().toLowerCase(Locale.ROOT),
+        answer(
+                call,
+                kind,
+                why == null
+                        ? "unanswered"
+                        : kind.name().toLowerCase(Locale.ROOT)
+                                + " "
+                                + why.name().toLowerCase(Locale.ROOT),
                 retryMicros);
     }
 
     /** The same in words, where no more than a status is told. */
     public void answer(Call call, Answer kind, String word, long retryMicros) {
-        loop.in(network.clientWay(), () -> {
-            Wish wish = call.wish;
-            if (kind == Answer.SERVED) {
-                served(wish);
-                return;
-            }
-            ledger.answer(word);
-            if (kind == Answer.REFUSED || repeatsAnything) {
-                again(wish, retryMicros, word);
-            } else {
-                lose(wish, word);
-            }
-        });
+        loop.in(
+                network.clientWay(),
+                () -> {
+                    Wish wish = call.wish;
+                    if (kind == Answer.SERVED) {
+                        served(wish);
+                        return;
+                    }
+                    ledger.answer(word);
+                    if (kind == Answer.REFUSED || repeatsAnything) {
+                        again(wish, retryMicros, word);
+                    } else {
+                        lose(wish, word);
+                    }
+                });
     }
 
     private void served(Wish wish) {
@@ -307,7 +355,8 @@
             wait = Math.max(wait, retryMicros);
         }
         if (wish.tries > (insists ? stubborn : clients.retries())
-                || loop.now() + wait >= Math.min(wish.endsAt, wish.arrivedAt + rules.aimMicros() * 2)) {
+                || loop.now() + wait
+                        >= Math.min(wish.endsAt, wish.arrivedAt + rules.aimMicros() * 2)) {
             lose(wish, why);
             return;
         }
--- a/lab/src/main/java/sagefall/lab/model/Troubles.java
+++ b/lab/src/main/java/sagefall/lab/model/Troubles.java
@@ -11,7 +11,7 @@
 final class Troubles {
 
     /** One of them as it is drawn, for reports: seconds of the day. */
-    record Drawn(String what, double from, double to) { }
+    record Drawn(String what, double from, double to) {}
 
     private final Day day;
     private final Loop loop;
@@ -44,62 +44,124 @@
         long begin = Loop.BEGIN + (long) (1e6 * d.from());
         long micros = (long) (1e6 * d.seconds());
         long period = (long) (1e6 * d.every());
-        drawn.add(new Drawn(f.kind().name().toLowerCase(Locale.ROOT), d.from(),
-                Math.min(d.end(), daySeconds)));
+        drawn.add(
+                new Drawn(
+                        f.kind().name().toLowerCase(Locale.ROOT),
+                        d.from(),
+                        Math.min(d.end(), daySeconds)));
         switch (f.kind()) {
             case LOSE_ZONE -> spell(begin, micros, on -> lose(inZone(f.zone()), f.how(), on));
             case FLAP_ZONE -> {
                 for (long at = 0; at < micros; at += period) {
-                    spell(begin + at, (long) (period * part), on -> lose(inZone(f.zone()), f.how(), on));
+                    spell(
+                            begin + at,
+                            (long) (period * part),
+                            on -> lose(inZone(f.zone()), f.how(), on));
                 }
             }
-            case CUT_ZONE -> spell(begin, micros, on -> day.network().cut(f.zone(), !f.how().equals("out"),
-                    !f.how().equals("in"), on ? 1 : -1));
+            case CUT_ZONE ->
+                    spell(
+                            begin,
+                            micros,
+                            on ->
+                                    day.network()
+                                            .cut(
+                                                    f.zone(),
+                                                    !f.how().equals("out"),
+                                                    !f.how().equals("in"),
+                                                    on ? 1 : -1));
             case LOSE_SERVERS -> onSome(d, begin, micros, (s, on) -> lose(s, f.how(), on));
-            case SLOW -> onSome(d, begin, micros, (s, on) -> {
-                s.slow *= on ? size : 1 / size;
-                s.settle();
-            });
-            case SHARED_SLOW -> spell(begin, micros, on -> {
-                day.sharedSlow[0] *= on ? size : 1 / size;
-                day.servers().forEach(SaveServer::settle);
-            });
+            case SLOW ->
+                    onSome(
+                            d,
+                            begin,
+                            micros,
+                            (s, on) -> {
+                                s.slow *= on ? size : 1 / size;
+                                s.settle();
+                            });
+            case SHARED_SLOW ->
+                    spell(
+                            begin,
+                            micros,
+                            on -> {
+                                day.sharedSlow[0] *= on ? size : 1 / size;
+                                day.servers().forEach(SaveServer::settle);
+                            });
             case ERRORS -> onSome(d, begin, micros, (s, on) -> s.errors += on ? size : -size);
-            case PAUSES -> onSome(d, begin, micros, (s, on) -> {
-                if (on) {
-                    day.pauses(s, period, (long) (1000 * size), begin + micros);
-                }
-            });
-            case NEIGHBOUR -> onSome(d, begin, micros, (s, on) -> {
-                if (on) {
-                    neighbour(s, size, period, begin + micros, d.random().nextDouble());
-                }
-            });
+            case PAUSES ->
+                    onSome(
+                            d,
+                            begin,
+                            micros,
+                            (s, on) -> {
+                                if (on) {
+                                    day.pauses(s, period, (long) (1000 * size), begin + micros);
+                                }
+                            });
+            case NEIGHBOUR ->
+                    onSome(
+                            d,
+                            begin,
+                            micros,
+                            (s, on) -> {
+                                if (on) {
+                                    neighbour(
+                                            s,
+                                            size,
+                                            period,
+                                            begin + micros,
+                                            d.random().nextDouble());
+                                }
+                            });
             case BURST -> spell(begin, micros, on -> day.traffic().burst *= on ? size : 1 / size);
-            case SHIFT -> spell(begin, micros, on -> {
-                day.traffic().shift[f.zone()] *= on ? size : 1 / size;
-                day.traffic().reweigh();
-            });
-            case SURGE -> spell(begin, micros, on -> {
-                day.traffic().surge[f.tenant()] *= on ? size : 1 / size;
-                day.traffic().reweigh();
-            });
+            case SHIFT ->
+                    spell(
+                            begin,
+                            micros,
+                            on -> {
+                                day.traffic().shift[f.zone()] *= on ? size : 1 / size;
+                                day.traffic().reweigh();
+                            });
+            case SURGE ->
+                    spell(
+                            begin,
+                            micros,
+                            on -> {
+                                day.traffic().surge[f.tenant()] *= on ? size : 1 / size;
+                                day.traffic().reweigh();
+                            });
             case REPLACE -> {
                 List<SaveServer> some = d.some(day.first());
                 for (int i = 0; i < some.size(); i++) {
                     SaveServer s = some.get(i);
-                    loop.at(begin + micros * i / some.size(), () -> day.replace(s, f.how().equals("early")));
+                    loop.at(
+                            begin + micros * i / some.size(),
+                            () -> day.replace(s, f.how().equals("early")));
                 }
             }
-            case KILL_SIDECARS -> loop.at(begin, () -> d.some(day.sidecars().stream()
-                    .filter(s -> f.zone() < 0 || s.zone() == f.zone()).toList())
-                    .forEach(s -> day.kill(s, (long) (1e6 * size))));
+            case KILL_SIDECARS ->
+                    loop.at(
+                            begin,
+                            () ->
+                                    d.some(
+                                                    day.sidecars().stream()
+                                                            .filter(
+                                                                    s ->
+                                                                            f.zone() < 0
+                                                                                    || s.zone()
+                                                                                            == f
+                                                                                                    .zone())
+                                                            .toList())
+                                            .forEach(s -> day.kill(s, (long) (1e6 * size))));
             case RESTART_SIDECARS -> {
                 List<Sidecar> some = d.some(day.sidecars());
                 int steps = Math.min(10, some.size());
                 for (int i = 0; i < some.size(); i++) {
                     Sidecar s = some.get(i);
-                    loop.at(begin + micros * (i % steps) / steps, () -> day.restart(s, (long) (1e6 * size)));
+                    loop.at(
+                            begin + micros * (i % steps) / steps,
+                            () -> day.restart(s, (long) (1e6 * size)));
                 }
             }
             case DEAF -> {
@@ -107,12 +169,14 @@
                     spell(begin, micros, on -> day.discovery().deaf(s, on));
                 }
             }
-            case LATE_LISTS -> spell(begin, micros, on -> day.discovery().late *= on ? size : 1 / size);
+            case LATE_LISTS ->
+                    spell(begin, micros, on -> day.discovery().late *= on ? size : 1 / size);
             case DISCOVERY_DOWN -> spell(begin, micros, on -> day.discovery().down += on ? 1 : -1);
             case LOST_ANSWERS -> spell(begin, micros, on -> day.lostAnswers += on ? part : -part);
             case RESETS -> spell(begin, micros, on -> day.resets += on ? part : -part);
             case LEAVERS -> spell(begin, micros, on -> day.traffic().leave += on ? part : -part);
-            case STUBBORN -> spell(begin, micros, on -> day.traffic().stubborn = on ? (int) size : 0);
+            case STUBBORN ->
+                    spell(begin, micros, on -> day.traffic().stubborn = on ? (int) size : 0);
             default -> throw new IllegalStateException("fault " + f.kind());
         }
     }
@@ -145,8 +209,9 @@
         if (begins && (s.state == SaveServer.State.UP || s.state == SaveServer.State.DRAINING)) {
             s.end(how.equals("silent"));
             day.discovery().ended(s);
-        } else if (!begins && !day.gone(s) && (s.state == SaveServer.State.SILENT
-                || s.state == SaveServer.State.DEAD)) {
+        } else if (!begins
+                && !day.gone(s)
+                && (s.state == SaveServer.State.SILENT || s.state == SaveServer.State.DEAD)) {
             s.start();
             day.discovery().started(s);
         }
@@ -156,14 +221,18 @@
         if (loop.now() + period * phase >= end) {
             return;
         }
-        loop.in((long) (period * phase), () -> {
-            s.stolen = share;
-            s.settle();
-            loop.at(Math.min(end, loop.now() + period), () -> {
-                s.stolen = 0;
-                s.settle();
-                neighbour(s, share, period, end, 1);
-            });
-        });
+        loop.in(
+                (long) (period * phase),
+                () -> {
+                    s.stolen = share;
+                    s.settle();
+                    loop.at(
+                            Math.min(end, loop.now() + period),
+                            () -> {
+                                s.stolen = 0;
+                                s.settle();
+                                neighbour(s, share, period, end, 1);
+                            });
+                });
     }
 }
--- a/lab/src/main/java/sagefall/lab/policy/Baseline.java
+++ b/lab/src/main/java/sagefall/lab/policy/Baseline.java
@@ -10,8 +10,8 @@
 import sagefall.LoadBalancer;
 
 /**
- * What the textbook policies share: the list, one attempt at a time, another one only where nothing has run,
- * and an answer at once to what can't be sent. They differ in the pick alone.
+ * What the textbook policies share: the list, one attempt at a time, another one only where nothing
+ * has run, and an answer at once to what can't be sent. They differ in the pick alone.
  */
 abstract class Baseline implements LoadBalancer {
 
@@ -55,7 +55,7 @@
     abstract Known pick(long now, Request request, List<Known> ready);
 
     /** An answer of a server. */
-    void learn(long now, Known server, long micros, boolean served) { }
+    void learn(long now, Known server, long micros, boolean served) {}
 
     @Override
     public void servers(long now, ListKind kind, long revision, List<Server> list) {
@@ -75,8 +75,11 @@
             }
         }
         gone.forEach(server -> known.remove(server.id));
-        ready = known.values().stream().filter(s -> s.line.phase() == Phase.READY)
-                .sorted((a, b) -> Long.compare(a.id, b.id)).toList();
+        ready =
+                known.values().stream()
+                        .filter(s -> s.line.phase() == Phase.READY)
+                        .sorted((a, b) -> Long.compare(a.id, b.id))
+                        .toList();
     }
 
     @Override
@@ -132,17 +135,18 @@
     }
 
     @Override
-    public void buffers(long now, long mostBytes) { }
+    public void buffers(long now, long mostBytes) {}
 
     @Override
-    public void uploaded(long now, String requestId, long deadlineMicros) { }
+    public void uploaded(long now, String requestId, long deadlineMicros) {}
 
     @Override
-    public void replayLost(long now, String requestId) { }
+    public void replayLost(long now, String requestId) {}
 
     @Override
-    public void streamBegan(long now, String requestId, int attempt, long server, long elapsedMicros) { }
+    public void streamBegan(
+            long now, String requestId, int attempt, long server, long elapsedMicros) {}
 
     @Override
-    public void timer(long now, long token) { }
+    public void timer(long now, long token) {}
 }
--- a/lab/src/main/java/sagefall/lab/policy/Baselines.java
+++ b/lab/src/main/java/sagefall/lab/policy/Baselines.java
@@ -9,8 +9,8 @@
 import sagefall.LoadBalancer.Settings;
 
 /**
- * The textbook policies, and an oracle that sees the true state. Random gives a scenario its floor and the
- * oracle its top, which no policy that has to learn can be held to.
+ * The textbook policies, and an oracle that sees the true state. Random gives a scenario its floor
+ * and the oracle its top, which no policy that has to learn can be held to.
  */
 public final class Baselines {
 
@@ -18,14 +18,16 @@
         LoadBalancer make(Settings settings, Actions actions, Policy.Truth truth);
     }
 
-    private static final Map<String, Maker> ALL = new TreeMap<>(Map.of(
-            "random", (s, a, t) -> new RandomPick(s, a),
-            "round-robin", (s, a, t) -> new RoundRobin(s, a),
-            "least-in-flight", (s, a, t) -> new LeastInFlight(s, a),
-            "two-choices", (s, a, t) -> new TwoChoices(s, a),
-            "oracle", Oracle::new));
+    private static final Map<String, Maker> ALL =
+            new TreeMap<>(
+                    Map.of(
+                            "random", (s, a, t) -> new RandomPick(s, a),
+                            "round-robin", (s, a, t) -> new RoundRobin(s, a),
+                            "least-in-flight", (s, a, t) -> new LeastInFlight(s, a),
+                            "two-choices", (s, a, t) -> new TwoChoices(s, a),
+                            "oracle", Oracle::new));
 
-    private Baselines() { }
+    private Baselines() {}
 
     /** How they are called. */
     public static List<String> names() {
@@ -42,8 +44,8 @@
             }
 
             @Override
-            public LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions,
-                    Truth truth) {
+            public LoadBalancer create(
+                    Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
                 return maker.make(settings, actions, truth);
             }
         };
@@ -97,7 +99,9 @@
         }
     }
 
-    /** Two at random, the lower peak EWMA of latency x (1 + own in flight) wins; no tree, no limits. */
+    /**
+     * Two at random, the lower peak EWMA of latency x (1 + own in flight) wins; no tree, no limits.
+     */
     private static final class TwoChoices extends Baseline {
         private static final double DECAY = 5e6;
 
@@ -126,8 +130,8 @@
     }
 
     /**
-     * Sends to where the answer would come first by the true state, and refuses what would come too near to
-     * its aim: the rest is for the spread of the work, which even an oracle is not told.
+     * Sends to where the answer would come first by the true state, and refuses what would come too
+     * near to its aim: the rest is for the spread of the work, which even an oracle is not told.
      */
     private static final class Oracle extends Baseline {
         private static final double REACH = 0.5;
--- a/lab/src/main/java/sagefall/lab/policy/Mechanism.java
+++ b/lab/src/main/java/sagefall/lab/policy/Mechanism.java
@@ -7,19 +7,21 @@
 import java.util.Map;
 
 /**
- * Mechanisms of the module that can be switched off, each by values of its tunables that leave it without
- * effect. What one costs or earns is the difference that this makes.
+ * Mechanisms of the module that can be switched off, each by values of its tunables that leave it
+ * without effect. What one costs or earns is the difference that this makes.
  */
 public enum Mechanism {
     ADMISSION("refusing by chance where answers come late", "ADMIT_CUT=1"),
     ZONE_LIMIT("the limit on requests in flight in a zone", "ZoneLimit.LEAST=1e9"),
-    SERVER_LIMIT("the own limit on requests in flight at a server", "FIRST_LIMIT=1e9", "LIMIT_CUT=1"),
+    SERVER_LIMIT(
+            "the own limit on requests in flight at a server", "FIRST_LIMIT=1e9", "LIMIT_CUT=1"),
     EJECTION("leaving outliers alone for a while", "MAX_EJECTED=-1"),
     SLOW_START("sending cold servers less", "SLOW_START=1e9"),
     SPILL("leaving the node for one that is much cheaper", "SPILL=1e9"),
     SUBSETS("keeping to few servers", "KEEP=1000000"),
     RETRIES("further attempts", "RETRY_SAVED=0"),
-    CONNECTION_COST("preferring servers with an open connection", "NEW_CONNECTION=1", "SETUP_COST=0"),
+    CONNECTION_COST(
+            "preferring servers with an open connection", "NEW_CONNECTION=1", "SETUP_COST=0"),
     FAIR_SHARE("refusing first what is beyond a tenant's share", "SHARE_SLACK=1e9"),
     SHORT_HOLD("answering held requests before half of their time", "HOLD=1"),
     CELLS("cells of tenants", "CELL_PER_ZONE=1e9");
@@ -44,13 +46,25 @@
 
     Map<String, String> changes() {
         Map<String, String> map = new LinkedHashMap<>();
-        changes.forEach(c -> map.put(c.substring(0, c.indexOf('=')), c.substring(c.indexOf('=') + 1)));
+        changes.forEach(
+                c -> map.put(c.substring(0, c.indexOf('=')), c.substring(c.indexOf('=') + 1)));
         return map;
     }
 
     static Mechanism of(String word) throws PolicyException {
-        return Arrays.stream(values()).filter(m -> m.word().equals(word)).findFirst()
-                .orElseThrow(() -> new PolicyException("no mechanism '" + word + "', only "
-                        + String.join(", ", Arrays.stream(values()).map(Mechanism::word).toList())));
+        return Arrays.stream(values())
+                .filter(m -> m.word().equals(word))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new PolicyException(
+                                        "no mechanism '"
+                                                + word
+                                                + "', only "
+                                                + String.join(
+                                                        ", ",
+                                                        Arrays.stream(values())
+                                                                .map(Mechanism::word)
+                                                                .toList())));
     }
 }
--- a/lab/src/main/java/sagefall/lab/policy/ModulePolicy.java
+++ b/lab/src/main/java/sagefall/lab/policy/ModulePolicy.java
@@ -15,7 +15,8 @@
     }
 
     @Override
-    public LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+    public LoadBalancer create(
+            Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
         return new Choice(settings, actions);
     }
 }
--- a/lab/src/main/java/sagefall/lab/policy/Policies.java
+++ b/lab/src/main/java/sagefall/lab/policy/Policies.java
@@ -6,16 +6,17 @@
 
 /**
  * Policies by the names that the command line takes: a baseline; {@code module}; {@code
- * module:NAME=VALUE,...}
- * with changed tunables; {@code module-without:MECHANISM}; {@code sim:COMMAND}, another build's adapter.
+ * module:NAME=VALUE,...} with changed tunables; {@code module-without:MECHANISM}; {@code
+ * sim:COMMAND}, another build's adapter.
  */
 public final class Policies {
 
     /** One line for help. */
-    public static final String HELP = "module, module:TUNABLE=VALUE[,...], module-without:MECHANISM, "
-            + "sim:COMMAND, random, round-robin, least-in-flight, two-choices, oracle";
+    public static final String HELP =
+            "module, module:TUNABLE=VALUE[,...], module-without:MECHANISM, "
+                    + "sim:COMMAND, random, round-robin, least-in-flight, two-choices, oracle";
 
-    private Policies() { }
+    private Policies() {}
 
     /** The policy of that name; the root is where the policy files are found. */
     public static Policy of(String spec, Path root) throws PolicyException {
@@ -33,8 +34,10 @@
                 Map<String, String> changes = new LinkedHashMap<>();
                 for (String change : rest.split(",")) {
                     int equals = change.indexOf('=');
-                    if (equals < 1 || !change.substring(equals + 1).matches("-?[0-9.]+([eE]-?[0-9]+)?")) {
-                        throw new PolicyException(spec + ": '" + change + "' is not TUNABLE=NUMBER");
+                    if (equals < 1
+                            || !change.substring(equals + 1).matches("-?[0-9.]+([eE]-?[0-9]+)?")) {
+                        throw new PolicyException(
+                                spec + ": '" + change + "' is not TUNABLE=NUMBER");
                     }
                     changes.put(change.substring(0, equals), change.substring(equals + 1));
                 }
--- a/lab/src/main/java/sagefall/lab/policy/Policy.java
+++ b/lab/src/main/java/sagefall/lab/policy/Policy.java
@@ -11,8 +11,8 @@
     /** What only an oracle may look at. */
     interface Truth {
         /**
-         * Microseconds until a request that is sent now would be answered, without its own work's spread;
-         * infinity where it would not.
+         * Microseconds until a request that is sent now would be answered, without its own work's
+         * spread; infinity where it would not.
          */
         double answerMicros(long server, int fromZone);
     }
@@ -21,11 +21,11 @@
     String name();
 
     /**
-     * A fresh instance for one sidecar's life. The settings and the facts say the same; the latter as they
-     * stand on the wire.
+     * A fresh instance for one sidecar's life. The settings and the facts say the same; the latter
+     * as they stand on the wire.
      */
     LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions, Truth truth);
 
     @Override
-    default void close() { }
+    default void close() {}
 }
