--- a/lab/src/main/java/sagefall/lab/policy/PolicySource.java
+++ b/lab/src/main/java/sagefall/lab/policy/PolicySource.java
@@ -30,9 +30,9 @@
 import sagefall.LoadBalancer.Settings;
 
 /**
- * The module compiled anew from the policy files with some of its tunables changed. The tunables are
- * constants of the source, which the compiler folds, and so they stay: {@code run} pays nothing for being
- * tried with others, and what is tried is the module's own text.
+ * The module compiled anew from the policy files with some of its tunables changed. The tunables
+ * are constants of the source, which the compiler folds, and so they stay: {@code run} pays nothing
+ * for being tried with others, and what is tried is the module's own text.
  */
 final class PolicySource implements Policy {
 
@@ -61,8 +61,10 @@
     private static Map<String, String> read(Path root) throws IOException, PolicyException {
         Path deploy = root.resolve("deploy/balancer.toml");
         if (!Files.isReadable(deploy)) {
-            throw new PolicyException(root.toAbsolutePath().normalize()
-                    + ": no deploy/balancer.toml; run in the repository, or name it with --root");
+            throw new PolicyException(
+                    root.toAbsolutePath().normalize()
+                            + ": no deploy/balancer.toml; run in the repository, or name it with"
+                            + " --root");
         }
         Map<String, String> sources = new LinkedHashMap<>();
         for (JsonNode file : new TomlMapper().readTree(Files.readString(deploy)).path("policy")) {
@@ -73,24 +75,37 @@
         return sources;
     }
 
-    private void change(Map<String, String> sources, String tunable, String value) throws PolicyException {
+    private void change(Map<String, String> sources, String tunable, String value)
+            throws PolicyException {
         int dot = tunable.indexOf('.');
         String constant = tunable.substring(dot + 1);
-        Pattern declared = Pattern.compile("((?:private )?static final (?:double|int|long) [^;]*?\\b"
-                + Pattern.quote(constant) + "\\s*=\\s*)([^,;]+)");
+        Pattern declared =
+                Pattern.compile(
+                        "((?:private )?static final (?:double|int|long) [^;]*?\\b"
+                                + Pattern.quote(constant)
+                                + "\\s*=\\s*)([^,;]+)");
         List<String> in = new ArrayList<>();
         for (Map.Entry<String, String> source : sources.entrySet()) {
             Matcher found = declared.matcher(source.getValue());
             if ((dot < 0 || source.getKey().equals(tunable.substring(0, dot))) && found.find()) {
                 in.add(source.getKey());
-                source.setValue(source.getValue().substring(0, found.end(1)) + value
-                        + source.getValue().substring(found.end(2)));
+                source.setValue(
+                        source.getValue().substring(0, found.end(1))
+                                + value
+                                + source.getValue().substring(found.end(2)));
             }
         }
         if (in.size() != 1) {
-            throw new PolicyException(name + ": " + tunable + (in.isEmpty()
-                    ? " is no tunable of the policy files"
-                    : " stands in " + String.join(" and ", in) + "; write CLASS." + constant));
+            throw new PolicyException(
+                    name
+                            + ": "
+                            + tunable
+                            + (in.isEmpty()
+                                    ? " is no tunable of the policy files"
+                                    : " stands in "
+                                            + String.join(" and ", in)
+                                            + "; write CLASS."
+                                            + constant));
         }
     }
 
@@ -108,7 +123,8 @@
         }
     }
 
-    private Map<String, byte[]> compile(Map<String, String> sources) throws IOException, PolicyException {
+    private Map<String, byte[]> compile(Map<String, String> sources)
+            throws IOException, PolicyException {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler == null) {
             throw new PolicyException(name + ": changed tunables need a JDK, not only a runtime");
@@ -116,24 +132,40 @@
         Map<String, ByteArrayOutputStream> classes = new HashMap<>();
         StringWriter errors = new StringWriter();
         try (StandardJavaFileManager standard = compiler.getStandardFileManager(null, null, null)) {
-            JavaFileManager files = new ForwardingJavaFileManager<>(standard) {
-                @Override
-                public JavaFileObject getJavaFileForOutput(Location location, String className,
-                        JavaFileObject.Kind kind, FileObject sibling) {
-                    return new SimpleJavaFileObject(URI.create("mem:///" + className), kind) {
+            JavaFileManager files =
+                    new ForwardingJavaFileManager<>(standard) {
                         @Override
-                        public OutputStream openOutputStream() {
-                            return classes.computeIfAbsent(className, c -> new ByteArrayOutputStream());
+                        public JavaFileObject getJavaFileForOutput(
+                                Location location,
+                                String className,
+                                JavaFileObject.Kind kind,
+                                FileObject sibling) {
+                            return new SimpleJavaFileObject(
+                                    URI.create("mem:///" + className), kind) {
+                                @Override
+                                public OutputStream openOutputStream() {
+                                    return classes.computeIfAbsent(
+                                            className, c -> new ByteArrayOutputStream());
+                                }
+                            };
                         }
                     };
-                }
-            };
-            List<Source> units = sources.entrySet().stream().map(e -> new Source(e.getKey(), e.getValue()))
-                    .toList();
-            if (!compiler.getTask(errors, files, null, List.of("-proc:none", "-classpath", classPath()), null,
-                    units).call()) {
-                throw new PolicyException(name + ": does not compile: "
-                        + errors.toString().lines().findFirst().orElse(""));
+            List<Source> units =
+                    sources.entrySet().stream()
+                            .map(e -> new Source(e.getKey(), e.getValue()))
+                            .toList();
+            if (!compiler.getTask(
+                            errors,
+                            files,
+                            null,
+                            List.of("-proc:none", "-classpath", classPath()),
+                            null,
+                            units)
+                    .call()) {
+                throw new PolicyException(
+                        name
+                                + ": does not compile: "
+                                + errors.toString().lines().findFirst().orElse(""));
             }
         }
         Map<String, byte[]> bytes = new HashMap<>();
@@ -144,7 +176,12 @@
     /** Where the module's interface was loaded from: an archive, or a folder of classes. */
     private static String classPath() throws PolicyException {
         try {
-            return Path.of(LoadBalancer.class.getProtectionDomain().getCodeSource().getLocation().toURI())
+            return Path.of(
+                            LoadBalancer.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI())
                     .toString();
         } catch (URISyntaxException e) {
             throw new PolicyException("the sidecar's classes have no place: " + e.getMessage());
@@ -179,9 +216,11 @@
     }
 
     @Override
-    public LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+    public LoadBalancer create(
+            Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
         try {
-            return module.getConstructor(Settings.class, Actions.class).newInstance(settings, actions);
+            return module.getConstructor(Settings.class, Actions.class)
+                    .newInstance(settings, actions);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(name + ": " + e, e);
         }
--- a/lab/src/main/java/sagefall/lab/policy/WirePolicy.java
+++ b/lab/src/main/java/sagefall/lab/policy/WirePolicy.java
@@ -22,8 +22,9 @@
 import sagefall.LoadBalancer.Settings;
 
 /**
- * Another build, by its {@code sim} command: one process for a day, spoken to over the simulator's wire, one
- * event a batch. Older builds tell no reasons, so what they refuse counts as {@code too_late}.
+ * Another build, by its {@code sim} command: one process for a day, spoken to over the simulator's
+ * wire, one event a batch. Older builds tell no reasons, so what they refuse counts as {@code
+ * too_late}.
  */
 final class WirePolicy implements Policy {
 
@@ -38,13 +39,19 @@
     WirePolicy(String name, String command) throws PolicyException {
         this.name = name;
         try {
-            process = new ProcessBuilder("/bin/sh", "-c", command)
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+            process =
+                    new ProcessBuilder("/bin/sh", "-c", command)
+                            .redirectError(ProcessBuilder.Redirect.INHERIT)
+                            .start();
         } catch (IOException e) {
             throw new PolicyException(name + ": can't be started: " + e.getMessage());
         }
-        out = new BufferedWriter(new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
-        in = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        out =
+                new BufferedWriter(
+                        new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
+        in =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
     @Override
@@ -53,7 +60,8 @@
     }
 
     @Override
-    public LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+    public LoadBalancer create(
+            Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
         Instance instance = new Instance("sidecar_" + made++, actions);
         Map<String, Object> start = op("Start");
         start.put("salt", settings.seed());
@@ -96,8 +104,14 @@
         private void tell(long now, List<Map<String, Object>> messages) {
             clock = Math.max(clock, now);
             try {
-                out.write("{\"at_time_us\":" + clock + ",\"groups\":[{\"who\":\"" + who + "\",\"msgs\":"
-                        + JSON.writeValueAsString(messages) + "}]}\n");
+                out.write(
+                        "{\"at_time_us\":"
+                                + clock
+                                + ",\"groups\":[{\"who\":\""
+                                + who
+                                + "\",\"msgs\":"
+                                + JSON.writeValueAsString(messages)
+                                + "}]}\n");
                 out.flush();
                 String line = in.readLine();
                 if (line == null) {
@@ -116,18 +130,24 @@
         private void act(JsonNode action) {
             String ticket = action.path("ticket").asText();
             switch (action.path("op").asText()) {
-                case "Place" -> actions.send(ticket, action.path("server").asLong(),
-                        action.path("give_up_after_us").asLong(), Long.MAX_VALUE);
-                case "PushBack" -> actions.refuse(ticket, action.path("retry_in_us").asLong(),
-                        Reason.TOO_LATE);
+                case "Place" ->
+                        actions.send(
+                                ticket,
+                                action.path("server").asLong(),
+                                action.path("give_up_after_us").asLong(),
+                                Long.MAX_VALUE);
+                case "PushBack" ->
+                        actions.refuse(
+                                ticket, action.path("retry_in_us").asLong(), Reason.TOO_LATE);
                 case "ReportFailure" -> actions.fail(ticket, Reason.TOO_LATE);
                 case "DropAttempt" -> actions.cancel(ticket, action.path("go").asInt());
-                case "Defer" -> actions.timer(action.path("time_us").asLong(), action.path("handle")
-                        .asLong());
+                case "Defer" ->
+                        actions.timer(
+                                action.path("time_us").asLong(), action.path("handle").asLong());
                 case "LetGo" -> actions.closeIdle(action.path("server").asLong());
                 case "Subscribe" -> actions.subscribe();
                 // Older builds probe; the laboratory has no probes, and these bring nothing.
-                case "Inspect" -> { }
+                case "Inspect" -> {}
                 case "Print" -> actions.log(action.path("what").asText());
                 default -> throw new IllegalStateException(name + ": unknown action " + action);
             }
@@ -139,11 +159,13 @@
             for (Server s : list) {
                 Map<String, Object> row = new LinkedHashMap<>();
                 row.put("group", s.cell());
-                row.put("status", switch (s.phase()) {
-                    case READY -> "SERVING";
-                    case DRAINING -> "DRAINING";
-                    case REMOVED -> "DELETED";
-                });
+                row.put(
+                        "status",
+                        switch (s.phase()) {
+                            case READY -> "SERVING";
+                            case DRAINING -> "DRAINING";
+                            case REMOVED -> "DELETED";
+                        });
                 row.put("sku", s.kind());
                 row.put("server", s.id());
                 row.put("share", s.weight());
@@ -155,12 +177,14 @@
             pool.put("table", 0);
             pool.put("rows", rows);
             Map<String, Object> endpoints = op("Endpoints");
-            endpoints.put("how", switch (kind) {
-                case CHANGES -> "diff";
-                case COMPLETE -> "snapshot";
-                case CACHED -> "disk";
-                case FAILED -> "error";
-            });
+            endpoints.put(
+                    "how",
+                    switch (kind) {
+                        case CHANGES -> "diff";
+                        case COMPLETE -> "snapshot";
+                        case CACHED -> "disk";
+                        case FAILED -> "error";
+                    });
             endpoints.put("epoch", now);
             endpoints.put("table", 0);
             tell(now, List.of(pool, endpoints));
@@ -186,16 +210,18 @@
             response.put("server", o.server());
             response.put("cost_time_us", o.elapsedMicros());
             response.put("terminal", o.closed());
-            response.put("verdict", switch (o.result()) {
-                case SERVED -> "OK";
-                case ERROR -> "INTERNAL";
-                case FULL -> "RESOURCE_EXHAUSTED";
-                case TIMED_OUT -> "DEADLINE_EXCEEDED";
-                case NO_CONNECTION -> "UNAVAILABLE";
-                case BROKEN -> "ABORTED";
-                case CANCELLED -> "CANCELLED";
-                case NOT_SENT -> "TOO_LATE";
-            });
+            response.put(
+                    "verdict",
+                    switch (o.result()) {
+                        case SERVED -> "OK";
+                        case ERROR -> "INTERNAL";
+                        case FULL -> "RESOURCE_EXHAUSTED";
+                        case TIMED_OUT -> "DEADLINE_EXCEEDED";
+                        case NO_CONNECTION -> "UNAVAILABLE";
+                        case BROKEN -> "ABORTED";
+                        case CANCELLED -> "CANCELLED";
+                        case NOT_SENT -> "TOO_LATE";
+                    });
             response.put("go", o.attempt());
             if (o.report() != null) {
                 response.put("server_stats", stats(o.report()));
@@ -212,7 +238,8 @@
         }
 
         @Override
-        public void streamBegan(long now, String requestId, int attempt, long server, long elapsedMicros) {
+        public void streamBegan(
+                long now, String requestId, int attempt, long server, long elapsedMicros) {
             throw new UnsupportedOperationException("no class of the laboratory streams");
         }
 
@@ -231,12 +258,12 @@
         }
 
         @Override
-        public void buffers(long now, long mostBytes) { }
+        public void buffers(long now, long mostBytes) {}
 
         @Override
-        public void uploaded(long now, String requestId, long deadlineMicros) { }
+        public void uploaded(long now, String requestId, long deadlineMicros) {}
 
         @Override
-        public void replayLost(long now, String requestId) { }
+        public void replayLost(long now, String requestId) {}
     }
 }
--- a/lab/src/main/java/sagefall/lab/report/DayFiles.java
+++ b/lab/src/main/java/sagefall/lab/report/DayFiles.java
@@ -11,8 +11,8 @@
 import sagefall.lab.model.DayResult;
 
 /**
- * Writes each day as a line of JSON when it is done, so that an experiment that is broken off leaves
- * them.
+ * Writes each day as a line of JSON when it is done, so that an experiment that is broken off
+ * leaves them.
  */
 public final class DayFiles implements Plays.Listener {
 
@@ -30,7 +30,9 @@
     @Override
     public void done(DayResult result) {
         try {
-            Files.write(file, (JSON.writeValueAsString(result) + "\n").getBytes(StandardCharsets.UTF_8),
+            Files.write(
+                    file,
+                    (JSON.writeValueAsString(result) + "\n").getBytes(StandardCharsets.UTF_8),
                     StandardOpenOption.APPEND);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/lab/src/main/java/sagefall/lab/report/HeatMap.java
+++ b/lab/src/main/java/sagefall/lab/report/HeatMap.java
@@ -8,12 +8,14 @@
 import java.util.List;
 import javax.imageio.ImageIO;
 
-/** Rows of values over the seconds of a day, as a picture within the page: a cell for each second. */
+/**
+ * Rows of values over the seconds of a day, as a picture within the page: a cell for each second.
+ */
 final class HeatMap {
 
     private static final int DOWN = 0x111111;
 
-    private HeatMap() { }
+    private HeatMap() {}
 
     /**
      * @param rows by row and second; below 0 is drawn black: nothing is there
@@ -21,7 +23,12 @@
      * @param names of the rows, or of groups of them
      * @param sizes how many rows each name is for
      */
-    static String picture(String title, double[][] rows, double most, List<String> names, int[] sizes,
+    static String picture(
+            String title,
+            double[][] rows,
+            double most,
+            List<String> names,
+            int[] sizes,
             String legend) {
         int height = rows.length;
         int width = rows[0].length;
@@ -39,13 +46,25 @@
         }
         StringBuilder rowNames = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
-            rowNames.append("<span style='flex:").append(sizes[i]).append("'>").append(names.get(i))
+            rowNames.append("<span style='flex:")
+                    .append(sizes[i])
+                    .append("'>")
+                    .append(names.get(i))
                     .append("</span>");
         }
-        return "<figure><div class='title'>" + title + "</div><div class='heat'><div class='rows'>" + rowNames
-                + "</div><img alt='" + title + "' style='height:" + Math.min(420, Math.max(80, 20 * height))
-                + "px' src='data:image/png;base64," + Base64.getEncoder().encodeToString(png.toByteArray())
-                + "'></div><figcaption>" + legend + "</figcaption></figure>\n";
+        return "<figure><div class='title'>"
+                + title
+                + "</div><div class='heat'><div class='rows'>"
+                + rowNames
+                + "</div><img alt='"
+                + title
+                + "' style='height:"
+                + Math.min(420, Math.max(80, 20 * height))
+                + "px' src='data:image/png;base64,"
+                + Base64.getEncoder().encodeToString(png.toByteArray())
+                + "'></div><figcaption>"
+                + legend
+                + "</figcaption></figure>\n";
     }
 
     /** From white over yellow to red. */
--- a/lab/src/main/java/sagefall/lab/report/HtmlReport.java
+++ b/lab/src/main/java/sagefall/lab/report/HtmlReport.java
@@ -11,25 +11,33 @@
 import sagefall.lab.experiment.Paired;
 import sagefall.lab.model.DayResult;
 
-/** One page about some days that needs nothing else: no script, no style and no picture from outside. */
+/**
+ * One page about some days that needs nothing else: no script, no style and no picture from
+ * outside.
+ */
 public final class HtmlReport {
 
     private static final double AIM_SHOWN = 1200;
     private static final int CAUSES = 7;
     private static final double FULL = 12;
 
-    private static final String STYLE = """
-            body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:980px;padding:0 1em;color:#222}
-            h1{font-size:1.5em}h2{font-size:1.15em;margin-top:2em;border-top:1px solid #ddd;padding-top:1em}
+    private static final String STYLE =
+            """
+            body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:980px;padding:0 \
+            1em;color:#222}
+            h1{font-size:1.5em}h2{font-size:1.15em;margin-top:2em;border-top:1px solid #ddd;\
+            padding-top:1em}
             table{border-collapse:collapse;margin:.6em 0;font-variant-numeric:tabular-nums}
             td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #eee}
             td:first-child,th:first-child,td.t{text-align:left}th{font-weight:600;color:#555}
             figure{margin:1em 0}svg{width:100%;height:auto}.title{font:600 13px system-ui;fill:#222}
-            .grid{stroke:#e4e4e4}.tick{font:10px system-ui;fill:#666}.name{font:9px system-ui;fill:#944}
+            .grid{stroke:#e4e4e4}.tick{font:10px system-ui;fill:#666}.name{font:9px system-ui;\
+            fill:#944}
             .trouble{fill:#d55e00;fill-opacity:.07}.level{stroke:#999;stroke-dasharray:4 3}
             figcaption{font-size:12px;color:#555}figcaption span{margin-right:1.2em}
             figcaption i{display:inline-block;width:.8em;height:.8em;margin-right:.35em}
-            .heat{display:flex}.heat img{flex:1;min-width:0;image-rendering:pixelated;border:1px solid #ddd}
+            .heat{display:flex}.heat img{flex:1;min-width:0;image-rendering:pixelated;border:1px \
+            solid #ddd}
             .rows{display:flex;flex-direction:column;font-size:11px;
             padding-right:6px;width:46px;text-align:right}
             .rows span{display:flex;align-items:center;justify-content:flex-end}
@@ -38,7 +46,7 @@
 
     private final StringBuilder out = new StringBuilder();
 
-    private HtmlReport() { }
+    private HtmlReport() {}
 
     /** Days of one scenario by one policy; the first is shown second by second. */
     public static String of(List<DayResult> days) {
@@ -54,10 +62,12 @@
     public static String of(Comparison c) {
         HtmlReport report = new HtmlReport();
         report.begin(c.scenario() + ": A " + c.policyA() + ", B " + c.policyB());
-        report.add("<p>B less A on " + c.a().size()
-                + " seeds, with the bootstrap interval that holds 95 % of the "
-                + "means. Below: the worth that B kept from being lost by each cause, as a part of what "
-                        + "was asked.</p>");
+        report.add(
+                "<p>B less A on "
+                        + c.a().size()
+                        + " seeds, with the bootstrap interval that holds 95 % of the means. Below:"
+                        + " the worth that B kept from being lost by each cause, as a part of what"
+                        + " was asked.</p>");
         report.paired(c.figures());
         report.paired(new ArrayList<>(c.lost().values()));
         report.add("<h2>Days</h2>");
@@ -78,9 +88,14 @@
     }
 
     private void begin(String title) {
-        add("<!doctype html><html lang='en'><head><meta charset='utf-8'><title>" + text(title)
-                + "</title><style>"
-                + STYLE + "</style></head><body><h1>" + text(title) + "</h1>");
+        add(
+                "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>"
+                        + text(title)
+                        + "</title><style>"
+                        + STYLE
+                        + "</style></head><body><h1>"
+                        + text(title)
+                        + "</h1>");
     }
 
     private String end() {
@@ -88,9 +103,14 @@
     }
 
     private void row(String tag, String... cells) {
-        add("<tr>" + String.join("", Arrays.stream(cells).map(c -> "<" + tag + ">" + c + "</" + tag + ">")
-                .toList())
-                + "</tr>");
+        add(
+                "<tr>"
+                        + String.join(
+                                "",
+                                Arrays.stream(cells)
+                                        .map(c -> "<" + tag + ">" + c + "</" + tag + ">")
+                                        .toList())
+                        + "</tr>");
     }
 
     private static String f(double value) {
@@ -101,8 +121,13 @@
         add("<table>");
         row("th", "figure", "A", "B", "B - A", "interval", "");
         for (Paired p : figures) {
-            row("td", text(p.figure()), f(p.meanA()), f(p.meanB()), f(p.mean()), f(p.low()) + " to "
-                    + f(p.high()),
+            row(
+                    "td",
+                    text(p.figure()),
+                    f(p.meanA()),
+                    f(p.meanB()),
+                    f(p.mean()),
+                    f(p.low()) + " to " + f(p.high()),
                     p.verdict());
         }
         add("</table>");
@@ -110,16 +135,39 @@
 
     private void table(List<DayResult> days) {
         add("<table>");
-        row("th", "policy", "seed", "G", "served", "worst 10 s", "worst tenant", "price", "attempts",
+        row(
+                "th",
+                "policy",
+                "seed",
+                "G",
+                "served",
+                "worst 10 s",
+                "worst tenant",
+                "price",
+                "attempts",
                 "crossings",
-                "set-ups", "p50 ms", "p95 ms", "rules");
+                "set-ups",
+                "p50 ms",
+                "p95 ms",
+                "rules");
         for (DayResult r : days) {
-            row("td", text(r.policy()), String.valueOf(r.seed()), f(r.g()), f(r.served()),
+            row(
+                    "td",
+                    text(r.policy()),
+                    String.valueOf(r.seed()),
+                    f(r.g()),
+                    f(r.served()),
                     f(r.worstTenSeconds()),
-                    f(r.worstTenant()), f(r.price()), f(r.attemptsPerRequest()), f(r.crossingsPerRequest()),
-                    f(r.setupsPerRequest()), Svg.number(r.latency().p50()), Svg.number(r.latency().p95()),
-                    r.breachCount() == 0 ? "kept" : "<span class='bad'>" + r.breachCount()
-                            + " broken</span>");
+                    f(r.worstTenant()),
+                    f(r.price()),
+                    f(r.attemptsPerRequest()),
+                    f(r.crossingsPerRequest()),
+                    f(r.setupsPerRequest()),
+                    Svg.number(r.latency().p50()),
+                    Svg.number(r.latency().p95()),
+                    r.breachCount() == 0
+                            ? "kept"
+                            : "<span class='bad'>" + r.breachCount() + " broken</span>");
         }
         add("</table>");
     }
@@ -128,26 +176,57 @@
         add("<h2>" + text(r.policy()) + ", seed " + r.seed() + ", second by second</h2>");
         DayResult.Series s = r.series();
         int seconds = s.asked().length;
-        add(new Svg("Worth asked for and served in time, by the second of the first try", seconds,
-                1.1 * Arrays.stream(s.asked()).max().orElse(1), "worth/s").troubles(r.troubles())
-                .line(s.asked(), Svg.COLOURS.get(0)).line(s.served(), Svg.COLOURS.get(1))
-                .end(List.of("asked", "served")));
+        add(
+                new Svg(
+                                "Worth asked for and served in time, by the second of the first"
+                                        + " try",
+                                seconds,
+                                1.1 * Arrays.stream(s.asked()).max().orElse(1),
+                                "worth/s")
+                        .troubles(r.troubles())
+                        .line(s.asked(), Svg.COLOURS.get(0))
+                        .line(s.served(), Svg.COLOURS.get(1))
+                        .end(List.of("asked", "served")));
         Map<String, double[]> lost = causes(r);
-        double most = IntStream.range(0, seconds)
-                .mapToDouble(i -> lost.values().stream().mapToDouble(v -> v[i]).sum()).max().orElse(1);
-        add(new Svg("Worth lost, by cause", seconds, 1.1 * most, "worth/s").troubles(r.troubles()).stack(lost)
-                .end(new ArrayList<>(lost.keySet())));
+        double most =
+                IntStream.range(0, seconds)
+                        .mapToDouble(i -> lost.values().stream().mapToDouble(v -> v[i]).sum())
+                        .max()
+                        .orElse(1);
+        add(
+                new Svg("Worth lost, by cause", seconds, 1.1 * most, "worth/s")
+                        .troubles(r.troubles())
+                        .stack(lost)
+                        .end(new ArrayList<>(lost.keySet())));
         add(losses(r));
-        add(new Svg("Answers: time from a client's first try", seconds,
-                1.1 * Arrays.stream(s.p99()).max().orElse(1), "ms").troubles(r.troubles()).level(AIM_SHOWN,
-                        "1,200 ms")
-                .line(s.p50(), Svg.COLOURS.get(0)).line(s.p95(), Svg.COLOURS.get(1)).line(s.p99(),
-                        Svg.COLOURS.get(2))
-                .end(List.of("p50", "p95", "p99")));
-        add(HeatMap.picture("Worth lost by the zone of the sidecar", zoneLoss(s), 1, r.zones(), one(r),
-                "a cell is a second; white: all served, red: all lost"));
-        add(HeatMap.picture("95th percentile by the zone of the sidecar", transposed(s.zoneP95()), AIM_SHOWN,
-                r.zones(), one(r), "white: at once, red: 1,200 ms and more"));
+        add(
+                new Svg(
+                                "Answers: time from a client's first try",
+                                seconds,
+                                1.1 * Arrays.stream(s.p99()).max().orElse(1),
+                                "ms")
+                        .troubles(r.troubles())
+                        .level(AIM_SHOWN, "1,200 ms")
+                        .line(s.p50(), Svg.COLOURS.get(0))
+                        .line(s.p95(), Svg.COLOURS.get(1))
+                        .line(s.p99(), Svg.COLOURS.get(2))
+                        .end(List.of("p50", "p95", "p99")));
+        add(
+                HeatMap.picture(
+                        "Worth lost by the zone of the sidecar",
+                        zoneLoss(s),
+                        1,
+                        r.zones(),
+                        one(r),
+                        "a cell is a second; white: all served, red: all lost"));
+        add(
+                HeatMap.picture(
+                        "95th percentile by the zone of the sidecar",
+                        transposed(s.zoneP95()),
+                        AIM_SHOWN,
+                        r.zones(),
+                        one(r),
+                        "white: at once, red: 1,200 ms and more"));
         add(servers(r));
     }
 
@@ -162,10 +241,13 @@
         for (int i = 0; i < largest.size(); i++) {
             double[] values = r.series().lost().get(largest.get(i).getKey());
             String name = i < CAUSES ? largest.get(i).getKey() : "others";
-            layers.merge(name, values.clone(), (a, b) -> {
-                Arrays.setAll(a, k -> a[k] + b[k]);
-                return a;
-            });
+            layers.merge(
+                    name,
+                    values.clone(),
+                    (a, b) -> {
+                        Arrays.setAll(a, k -> a[k] + b[k]);
+                        return a;
+                    });
         }
         return layers;
     }
@@ -173,10 +255,15 @@
     private static String losses(DayResult r) {
         HtmlReport table = new HtmlReport();
         table.add("<table>");
-        table.row("th", "lost by", "part of the worth", "requests", "of it beyond a tenant's share");
+        table.row(
+                "th", "lost by", "part of the worth", "requests", "of it beyond a tenant's share");
         for (Map.Entry<String, Double> loss : r.losses()) {
             DayResult.Loss l = r.lost().get(loss.getKey());
-            table.row("td", text(loss.getKey()), f(loss.getValue()), String.valueOf(l.count()),
+            table.row(
+                    "td",
+                    text(loss.getKey()),
+                    f(loss.getValue()),
+                    String.valueOf(l.count()),
                     f(l.beyondShareWorth() / r.askedWorth()));
         }
         table.add("</table>");
@@ -205,7 +292,8 @@
 
     /** The servers of the day's beginning, zone by zone. */
     private static String servers(DayResult r) {
-        List<Integer> order = new ArrayList<>(IntStream.range(0, r.serverZones().size()).boxed().toList());
+        List<Integer> order =
+                new ArrayList<>(IntStream.range(0, r.serverZones().size()).boxed().toList());
         int[] sizes = new int[r.zones().size()];
         order.forEach(i -> sizes[r.serverZones().get(i)]++);
         order.sort((a, b) -> Integer.compare(r.serverZones().get(a), r.serverZones().get(b)));
@@ -215,8 +303,14 @@
                 rows[i][s] = r.heat().get(s)[order.get(i)];
             }
         }
-        return HeatMap.picture("Requests held a core, by server", rows, FULL, r.zones(), sizes,
-                "a row is a server of the day's beginning, zone by zone; white: idle, red: " + (int) FULL
-                + " a core and more, black: down, drained or replaced");
+        return HeatMap.picture(
+                "Requests held a core, by server",
+                rows,
+                FULL,
+                r.zones(),
+                sizes,
+                "a row is a server of the day's beginning, zone by zone; white: idle, red: "
+                        + (int) FULL
+                        + " a core and more, black: down, drained or replaced");
     }
 }
--- a/lab/src/main/java/sagefall/lab/report/SpeedPlot.java
+++ b/lab/src/main/java/sagefall/lab/report/SpeedPlot.java
@@ -7,7 +7,7 @@
 public final class SpeedPlot {
 
     /** A fleet of so many sidecars took so long. */
-    public record Point(int size, double seconds) { }
+    public record Point(int size, double seconds) {}
 
     private static final int WIDTH = 620;
     private static final int HEIGHT = 380;
@@ -46,24 +46,46 @@
         double scale = first.seconds / (first.size * Math.log(first.size));
         for (Point p : points) {
             measured.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(p.size), y(p.seconds)));
-            ideal.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(p.size),
-                    y(scale * p.size * Math.log(p.size))));
-            marks.append(String.format(Locale.ROOT, "<circle cx='%.1f' cy='%.1f' r='3'/>"
-                    + "<text x='%.1f' y='%.1f'>%.1f s</text><text x='%.1f' y='%d'>%d</text>%n", x(p.size),
-                    y(p.seconds), x(p.size) - 12, y(p.seconds) - 9, p.seconds, x(p.size) - 10, HEIGHT - EDGE
-                            + 20,
-                    p.size));
+            ideal.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%.1f,%.1f ",
+                            x(p.size),
+                            y(scale * p.size * Math.log(p.size))));
+            marks.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<circle cx='%.1f' cy='%.1f' r='3'/><text x='%.1f' y='%.1f'>%.1f"
+                                    + " s</text><text x='%.1f' y='%d'>%d</text>%n",
+                            x(p.size),
+                            y(p.seconds),
+                            x(p.size) - 12,
+                            y(p.seconds) - 9,
+                            p.seconds,
+                            x(p.size) - 10,
+                            HEIGHT - EDGE + 20,
+                            p.size));
         }
-        return "<svg xmlns='http://www.w3.org/2000/svg' viewBox='0 0 " + WIDTH + " " + HEIGHT
+        return "<svg xmlns='http://www.w3.org/2000/svg' viewBox='0 0 "
+                + WIDTH
+                + " "
+                + HEIGHT
                 + "' font-family='sans-serif' font-size='12'><rect width='100%' height='100%' "
-                        + "fill='white'/>\n"
-                + "<text x='" + EDGE
-                        + "' y='24'>seconds of one core for a day of 50 s, by sidecars (twice as many "
-                + "servers)</text>\n<polyline points='" + ideal.toString().trim()
+                + "fill='white'/>\n"
+                + "<text x='"
+                + EDGE
+                + "' y='24'>seconds of one core for a day of 50 s, by sidecars (twice as many "
+                + "servers)</text>\n<polyline points='"
+                + ideal.toString().trim()
                 + "' fill='none' stroke='#888' stroke-dasharray='5 4'/>\n<polyline points='"
-                + measured.toString().trim() + "' fill='none' stroke='#0072B2' stroke-width='2'/>\n" + marks
-                + "<text x='" + EDGE + "' y='" + (HEIGHT - 8)
-                        + "'>solid: measured; dashed: n log n from the first"
+                + measured.toString().trim()
+                + "' fill='none' stroke='#0072B2' stroke-width='2'/>\n"
+                + marks
+                + "<text x='"
+                + EDGE
+                + "' y='"
+                + (HEIGHT - 8)
+                + "'>solid: measured; dashed: n log n from the first"
                 + "</text></svg>\n";
     }
 }
--- a/lab/src/main/java/sagefall/lab/report/Svg.java
+++ b/lab/src/main/java/sagefall/lab/report/Svg.java
@@ -6,9 +6,9 @@
 import sagefall.lab.model.DayResult;
 
 /**
- * Charts over the seconds of a day, as SVG text. Drawn here and not by a plotting library: the charts stand
- * still, a reader can search their text and copy their values, and no library for the JDK writes them
- * without a window system or scripts from elsewhere.
+ * Charts over the seconds of a day, as SVG text. Drawn here and not by a plotting library: the
+ * charts stand still, a reader can search their text and copy their values, and no library for the
+ * JDK writes them without a window system or scripts from elsewhere.
  */
 final class Svg {
 
@@ -18,10 +18,12 @@
     private static final int RIGHT = 12;
     private static final int TOP = 28;
     private static final int BOTTOM = 26;
+
     /** Colours that the colour-blind tell apart. */
-    static final List<String> COLOURS = List.of("#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00",
-            "#56B4E9",
-            "#8C6D1F", "#555555");
+    static final List<String> COLOURS =
+            List.of(
+                    "#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#8C6D1F",
+                    "#555555");
 
     private final StringBuilder out = new StringBuilder();
     private final int seconds;
@@ -34,19 +36,24 @@
         add("<text x='%d' y='16' class='title'>%s, %s</text>", LEFT, title, unit);
         for (int i = 0; i <= 4; i++) {
             double value = this.most * i / 4;
-            add("<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='grid'/>", LEFT, WIDTH - RIGHT, y(value),
-                    y(value));
-            add("<text x='%d' y='%.1f' class='tick' text-anchor='end'>%s</text>", LEFT - 5, y(value) + 4,
-                    number(value));
+            add(
+                    "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='grid'/>",
+                    LEFT, WIDTH - RIGHT, y(value), y(value));
+            add(
+                    "<text x='%d' y='%.1f' class='tick' text-anchor='end'>%s</text>",
+                    LEFT - 5, y(value) + 4, number(value));
         }
         int step = Math.max(1, (int) Math.ceil(seconds / 10.0 / 5) * 5);
         for (int s = 0; s <= seconds; s += step) {
-            add("<text x='%.1f' y='%d' class='tick' text-anchor='middle'>%d s</text>", x(s), HEIGHT - 8, s);
+            add(
+                    "<text x='%.1f' y='%d' class='tick' text-anchor='middle'>%d s</text>",
+                    x(s), HEIGHT - 8, s);
         }
     }
 
     static String number(double value) {
-        return value >= 10 || value == Math.rint(value) ? String.format(Locale.ROOT, "%.0f", value)
+        return value >= 10 || value == Math.rint(value)
+                ? String.format(Locale.ROOT, "%.0f", value)
                 : String.format(Locale.ROOT, "%.2f", value);
     }
 
@@ -66,10 +73,12 @@
     Svg troubles(List<DayResult.Trouble> troubles) {
         int line = 0;
         for (DayResult.Trouble t : troubles) {
-            add("<rect x='%.1f' y='%d' width='%.1f' height='%d' class='trouble'/>", x(t.from()), TOP,
-                    Math.max(1, x(t.to()) - x(t.from())), HEIGHT - TOP - BOTTOM);
-            add("<text x='%.1f' y='%d' class='name'>%s</text>", x(t.from()) + 3, TOP + 10 + 10 * (line++ % 6),
-                    t.what().replace('_', ' '));
+            add(
+                    "<rect x='%.1f' y='%d' width='%.1f' height='%d' class='trouble'/>",
+                    x(t.from()), TOP, Math.max(1, x(t.to()) - x(t.from())), HEIGHT - TOP - BOTTOM);
+            add(
+                    "<text x='%.1f' y='%d' class='name'>%s</text>",
+                    x(t.from()) + 3, TOP + 10 + 10 * (line++ % 6), t.what().replace('_', ' '));
         }
         return this;
     }
@@ -79,17 +88,20 @@
         for (int s = 0; s < values.length; s++) {
             points.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), y(values[s])));
         }
-        add("<polyline points='%s' fill='none' stroke='%s' stroke-width='1.6'/>", points.toString().trim(),
-                colour);
+        add(
+                "<polyline points='%s' fill='none' stroke='%s' stroke-width='1.6'/>",
+                points.toString().trim(), colour);
         return this;
     }
 
     /** A level that does not change. */
     Svg level(double value, String name) {
-        add("<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='level'/>", LEFT, WIDTH - RIGHT, y(value),
-                y(value));
-        add("<text x='%d' y='%.1f' class='name' text-anchor='end'>%s</text>", WIDTH - RIGHT - 3,
-                y(value) - 3, name);
+        add(
+                "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='level'/>",
+                LEFT, WIDTH - RIGHT, y(value), y(value));
+        add(
+                "<text x='%d' y='%.1f' class='name' text-anchor='end'>%s</text>",
+                WIDTH - RIGHT - 3, y(value) - 3, name);
         return this;
     }
 
@@ -101,11 +113,17 @@
             for (int s = 0; s < seconds; s++) {
                 double value = layer.getValue()[s];
                 if (value > 0) {
-                    add("<rect x='%.1f' y='%.1f' width='%.1f' height='%.2f' fill='%s'><title>%s, second "
-                            + "%d: %s"
-                            + "</title></rect>", x(s) + 0.5, y(below[s] + value), x(1) - x(0) - 1,
-                            y(below[s]) - y(below[s] + value), COLOURS.get(colour % COLOURS.size()),
-                            layer.getKey(), s, number(value));
+                    add(
+                            "<rect x='%.1f' y='%.1f' width='%.1f' height='%.2f'"
+                                    + " fill='%s'><title>%s, second %d: %s</title></rect>",
+                            x(s) + 0.5,
+                            y(below[s] + value),
+                            x(1) - x(0) - 1,
+                            y(below[s]) - y(below[s] + value),
+                            COLOURS.get(colour % COLOURS.size()),
+                            layer.getKey(),
+                            s,
+                            number(value));
                 }
                 below[s] += value;
             }
@@ -118,9 +136,11 @@
     String end(List<String> names) {
         StringBuilder legend = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
-            legend.append("<span><i style='background:").append(COLOURS.get(i % COLOURS.size()))
+            legend.append("<span><i style='background:")
+                    .append(COLOURS.get(i % COLOURS.size()))
                     .append("'></i>")
-                    .append(names.get(i)).append("</span>");
+                    .append(names.get(i))
+                    .append("</span>");
         }
         return out + "</svg><figcaption>" + legend + "</figcaption></figure>\n";
     }
--- a/lab/src/main/java/sagefall/lab/rig/Application.java
+++ b/lab/src/main/java/sagefall/lab/rig/Application.java
@@ -25,18 +25,22 @@
 import java.util.function.Consumer;
 
 /**
- * The application beside one sidecar, as the protocol has it: one request at a time on a connection, more
- * connections when all are busy, and, where a connection that was in use before closes under a request with
- * no byte answered, the same request once more on a new one.
+ * The application beside one sidecar, as the protocol has it: one request at a time on a
+ * connection, more connections when all are busy, and, where a connection that was in use before
+ * closes under a request with no byte answered, the same request once more on a new one.
  */
 final class Application {
 
-    /** Status of an answer: a connection that was not accepted, and one that ended without an answer. */
+    /**
+     * Status of an answer: a connection that was not accepted, and one that ended without an
+     * answer.
+     */
     static final int UNREACHABLE = -1;
+
     static final int BROKEN = 0;
 
     /** What came; microseconds to come back in, 0 where none were told. */
-    record Reply(int status, long retryMicros, String body) { }
+    record Reply(int status, long retryMicros, String body) {}
 
     /** A request in hand. */
     static final class Exchange {
@@ -48,7 +52,8 @@
         private boolean again;
         private boolean over;
 
-        private Exchange(String path, Map<String, String> headers, byte[] body, Consumer<Reply> taker) {
+        private Exchange(
+                String path, Map<String, String> headers, byte[] body, Consumer<Reply> taker) {
             this.path = path;
             this.headers = headers;
             this.body = body;
@@ -75,28 +80,30 @@
     /** Sends a POST; the reply is given on the event loop, once. */
     Exchange post(String path, Map<String, String> headers, byte[] body, Consumer<Reply> taker) {
         Exchange exchange = new Exchange(path, headers, body, taker);
-        loop.execute(() -> {
-            Channel open = idle.pollFirst();
-            while (open != null && !open.isActive()) {
-                open = idle.pollFirst();
-            }
-            if (open == null) {
-                connect(exchange);
-            } else {
-                send(open, exchange);
-            }
-        });
+        loop.execute(
+                () -> {
+                    Channel open = idle.pollFirst();
+                    while (open != null && !open.isActive()) {
+                        open = idle.pollFirst();
+                    }
+                    if (open == null) {
+                        connect(exchange);
+                    } else {
+                        send(open, exchange);
+                    }
+                });
         return exchange;
     }
 
     /** The client leaves: it closes its connection and waits for nothing more. */
     void leave(Exchange exchange) {
-        loop.execute(() -> {
-            exchange.over = true;
-            if (exchange.channel != null) {
-                exchange.channel.close();
-            }
-        });
+        loop.execute(
+                () -> {
+                    exchange.over = true;
+                    if (exchange.channel != null) {
+                        exchange.channel.close();
+                    }
+                });
     }
 
     /** Closes what is idle. */
@@ -105,23 +112,35 @@
     }
 
     private void connect(Exchange exchange) {
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        Connection connection = new Connection();
-                        c.pipeline().addLast(connection.bytes, new HttpClientCodec(),
-                                new HttpObjectAggregator(64 * 1024), connection);
-                    }
-                }).connect(sidecar).addListener((ChannelFutureListener) f -> {
-                    if (!f.isSuccess()) {
-                        exchange.end(new Reply(UNREACHABLE, 0, ""));
-                    } else if (exchange.over) {
-                        f.channel().close();
-                    } else {
-                        send(f.channel(), exchange);
-                    }
-                });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel c) {
+                                Connection connection = new Connection();
+                                c.pipeline()
+                                        .addLast(
+                                                connection.bytes,
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(64 * 1024),
+                                                connection);
+                            }
+                        })
+                .connect(sidecar)
+                .addListener(
+                        (ChannelFutureListener)
+                                f -> {
+                                    if (!f.isSuccess()) {
+                                        exchange.end(new Reply(UNREACHABLE, 0, ""));
+                                    } else if (exchange.over) {
+                                        f.channel().close();
+                                    } else {
+                                        send(f.channel(), exchange);
+                                    }
+                                });
     }
 
     private void send(Channel channel, Exchange exchange) {
@@ -129,8 +148,12 @@
         connection.now = exchange;
         connection.answering = false;
         exchange.channel = channel;
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                exchange.path, Unpooled.wrappedBuffer(exchange.body));
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        HttpMethod.POST,
+                        exchange.path,
+                        Unpooled.wrappedBuffer(exchange.body));
         request.headers().set("Host", "sidecar").set("Content-Length", exchange.body.length);
         exchange.headers.forEach(request.headers()::set);
         channel.writeAndFlush(request);
@@ -140,14 +163,16 @@
         private Exchange now;
         private boolean used;
         private boolean answering;
+
         /** Sees that an answer has begun, before it can be read. */
-        private final ChannelInboundHandlerAdapter bytes = new ChannelInboundHandlerAdapter() {
-            @Override
-            public void channelRead(ChannelHandlerContext context, Object message) {
-                answering = true;
-                context.fireChannelRead(message);
-            }
-        };
+        private final ChannelInboundHandlerAdapter bytes =
+                new ChannelInboundHandlerAdapter() {
+                    @Override
+                    public void channelRead(ChannelHandlerContext context, Object message) {
+                        answering = true;
+                        context.fireChannelRead(message);
+                    }
+                };
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
@@ -164,8 +189,11 @@
                 context.close();
             }
             String retry = answer.headers().get("Retry-After", "0");
-            exchange.end(new Reply(answer.status().code(), (long) (1e6 * Double.parseDouble(retry)),
-                    answer.content().toString(StandardCharsets.US_ASCII)));
+            exchange.end(
+                    new Reply(
+                            answer.status().code(),
+                            (long) (1e6 * Double.parseDouble(retry)),
+                            answer.content().toString(StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/lab/src/main/java/sagefall/lab/rig/Checks.java
+++ b/lab/src/main/java/sagefall/lab/rig/Checks.java
@@ -13,9 +13,10 @@
 import sagefall.lab.rig.History.Entry;
 
 /**
- * What must hold whatever happens, judged from a history alone, so that it judges stand-ins and sidecars
- * alike. Times are those at which something was seen on a way or at a server, with room for how late this
- * machine ran; a play on a machine that stood still for longer proves nothing, and is said to be void.
+ * What must hold whatever happens, judged from a history alone, so that it judges stand-ins and
+ * sidecars alike. Times are those at which something was seen on a way or at a server, with room
+ * for how late this machine ran; a play on a machine that stood still for longer proves nothing,
+ * and is said to be void.
  */
 final class Checks {
 
@@ -46,14 +47,19 @@
     }
 
     /** A breach: of what, by whom, and nanoseconds of the history's clock. */
-    record Breach(Rule rule, String what, long at) { }
+    record Breach(Rule rule, String what, long at) {}
 
     /** Half a second after its time an answer is late but not lost; beyond that it is lost. */
     private static final long LATE = 500_000_000;
+
     /** On sockets every time limit is so much longer. */
     private static final long SLACK = 50_000_000;
-    /** How much later than the machine was seen to run a member may run: it waits for a core too. */
+
+    /**
+     * How much later than the machine was seen to run a member may run: it waits for a core too.
+     */
     private static final int STALLED = 4;
+
     private static final long ABOUT = 3_000_000_000L;
     private static final long VOID = 2_000_000_000;
     private static final double COLD_SLACK = 3;
@@ -78,10 +84,10 @@
     }
 
     /** How late the rig ran, or how long one sidecar waited for a core; who is -1 for the rig. */
-    private record Stall(long at, long nanos, int who) { }
+    private record Stall(long at, long nanos, int who) {}
 
     /** What one sidecar was told of one address. */
-    private record Told(long server, String state, long bootMillis, long at) { }
+    private record Told(long server, String state, long bootMillis, long at) {}
 
     private static final class Request {
         private Entry intent;
@@ -108,7 +114,7 @@
     private JsonNode play;
     private long end = Long.MAX_VALUE;
 
-    private Checks() { }
+    private Checks() {}
 
     /** All breaches of a history, in its order. */
     static List<Breach> of(List<Entry> history) {
@@ -133,8 +139,8 @@
 
     /** Whether the machine stood still for so long that no verdict on times would mean anything. */
     static boolean isVoid(List<Entry> history) {
-        return history.stream().anyMatch(e -> e.kind().equals("stall")
-                && 1_000_000 * e.number("ms") > VOID);
+        return history.stream()
+                .anyMatch(e -> e.kind().equals("stall") && 1_000_000 * e.number("ms") > VOID);
     }
 
     private void breach(Rule rule, long at, String format, Object... values) {
@@ -178,8 +184,10 @@
             case "effect" -> effects.computeIfAbsent(e.text("key"), k -> new ArrayList<>()).add(e);
             case "reply" -> {
                 if (e.number("status") == 503) {
-                    request(e).sends.stream().filter(s -> s.server == e.number("server") && !s.neverRan)
-                            .findFirst().ifPresent(s -> s.neverRan = true);
+                    request(e).sends.stream()
+                            .filter(s -> s.server == e.number("server") && !s.neverRan)
+                            .findFirst()
+                            .ifPresent(s -> s.neverRan = true);
                 } else if (e.number("status") == 200) {
                     request(e).served.add(e.number("server"));
                 }
@@ -190,7 +198,7 @@
             case "rest" -> rest(e);
             case "duty" -> duty(e);
             case "end" -> end = e.at();
-            default -> { }
+            default -> {}
         }
     }
 
@@ -204,7 +212,12 @@
         for (String figure : List.of("term", "written", "rev")) {
             long before = duty.getOrDefault(figure, 0L);
             if (e.number(figure) < before) {
-                breach(Rule.OWNER, e.at(), "the duty's %s went back from %d to %d", figure, before,
+                breach(
+                        Rule.OWNER,
+                        e.at(),
+                        "the duty's %s went back from %d to %d",
+                        figure,
+                        before,
                         e.number(figure));
             }
             duty.put(figure, Math.max(before, e.number(figure)));
@@ -212,7 +225,13 @@
         String owner = e.text("owner");
         String before = owner.isEmpty() ? owner : owners.putIfAbsent(e.number("term"), owner);
         if (before != null && !before.equals(owner)) {
-            breach(Rule.OWNER, e.at(), "term %d was %s's and %s's", e.number("term"), before, owner);
+            breach(
+                    Rule.OWNER,
+                    e.at(),
+                    "term %d was %s's and %s's",
+                    e.number("term"),
+                    before,
+                    owner);
         }
     }
 
@@ -231,20 +250,35 @@
             named.add(endpoint);
             Told was = mine.get(endpoint);
             long server = t.path("id").asLong();
-            boolean same = was != null && was.server == server && was.state.equals(state)
-                    && was.bootMillis == t.path("boot_ms").asLong();
+            boolean same =
+                    was != null
+                            && was.server == server
+                            && was.state.equals(state)
+                            && was.bootMillis == t.path("boot_ms").asLong();
             // Of two servers that had one address in turn, the one that serves has it.
-            boolean older = was != null && (stale || was.server != server && !state.equals("in_service")
-                    && was.state.equals("in_service"));
+            boolean older =
+                    was != null
+                            && (stale
+                                    || was.server != server
+                                            && !state.equals("in_service")
+                                            && was.state.equals("in_service"));
             if (!same && !older) {
-                long at = was != null && was.server == server && !was.state.equals("in_service")
-                        && !state.equals("in_service") ? was.at : e.at();
+                long at =
+                        was != null
+                                        && was.server == server
+                                        && !was.state.equals("in_service")
+                                        && !state.equals("in_service")
+                                ? was.at
+                                : e.at();
                 mine.put(endpoint, new Told(server, state, t.path("boot_ms").asLong(), at));
             }
         }
         if (e.line().path("all").asBoolean() && !stale) {
-            mine.replaceAll((endpoint, t) -> named.contains(endpoint) || !t.state.equals("in_service") ? t
-                    : new Told(t.server, "terminated", t.bootMillis, e.at()));
+            mine.replaceAll(
+                    (endpoint, t) ->
+                            named.contains(endpoint) || !t.state.equals("in_service")
+                                    ? t
+                                    : new Told(t.server, "terminated", t.bootMillis, e.at()));
         }
     }
 
@@ -253,21 +287,41 @@
         Told t = told.getOrDefault(who(e), Map.of()).get(e.text("to"));
         long server = t == null ? -1 : t.server;
         if (t == null) {
-            breach(Rule.LISTED, e.at(), "sidecar %d sent %s to %s, which no list of its named", who(e),
-                    e.text("id"), e.text("to"));
+            breach(
+                    Rule.LISTED,
+                    e.at(),
+                    "sidecar %d sent %s to %s, which no list of its named",
+                    who(e),
+                    e.text("id"),
+                    e.text("to"));
         } else if (!t.state.equals("in_service")) {
             long since = awake(who(e), t.at) + 1000 * play.path("drain_us").asLong();
             if (e.at() > since + slack(who(e), e.at())) {
-                breach(Rule.DRAIN, e.at(), "sidecar %d sent %s to server %d %d ms after it was told %s",
+                breach(
+                        Rule.DRAIN,
+                        e.at(),
+                        "sidecar %d sent %s to server %d %d ms after it was told %s",
                         who(e),
-                        e.text("id"), server, (e.at() - t.at) / 1_000_000, t.state);
+                        e.text("id"),
+                        server,
+                        (e.at() - t.at) / 1_000_000,
+                        t.state);
             }
         }
         if (r.sends.size() >= play.path("attempts").asInt(Integer.MAX_VALUE)) {
-            breach(Rule.ATTEMPTS, e.at(), "request %s was sent %d times", e.text("id"), r.sends.size() + 1);
+            breach(
+                    Rule.ATTEMPTS,
+                    e.at(),
+                    "request %s was sent %d times",
+                    e.text("id"),
+                    r.sends.size() + 1);
         }
         if (r.answer != null && e.at() > r.answer.at() + slack(who(e), e.at())) {
-            breach(Rule.ONE_ANSWER, e.at(), "request %s was sent after its final answer", e.text("id"));
+            breach(
+                    Rule.ONE_ANSWER,
+                    e.at(),
+                    "request %s was sent after its final answer",
+                    e.text("id"));
         }
         maySend(e, r, server);
         r.sends.add(new Send(e.at(), who(e), e.text("to"), server));
@@ -277,12 +331,22 @@
     private void maySend(Entry e, Request r, long server) {
         String effect = play.path("effect").asText("token");
         for (Send s : r.sends) {
-            boolean within = effect.equals("token") && (play.path("group").asText("zone").equals("all")
-                    || zones.get(s.server) != null && zones.get(s.server).equals(zones.get(server)))
-                    && e.at() - s.at <= 1000 * play.path("window_us").asLong() + slack(who(e), e.at());
+            boolean within =
+                    effect.equals("token")
+                            && (play.path("group").asText("zone").equals("all")
+                                    || zones.get(s.server) != null
+                                            && zones.get(s.server).equals(zones.get(server)))
+                            && e.at() - s.at
+                                    <= 1000 * play.path("window_us").asLong()
+                                            + slack(who(e), e.at());
             if (!s.neverRan && !effect.equals("pure") && !within) {
-                breach(Rule.EFFECT, e.at(), "request %s may have run at server %d and went to server %d",
-                        e.text("id"), s.server, server);
+                breach(
+                        Rule.EFFECT,
+                        e.at(),
+                        "request %s may have run at server %d and went to server %d",
+                        e.text("id"),
+                        s.server,
+                        server);
                 return;
             }
         }
@@ -306,7 +370,11 @@
         Request r = request(e);
         long id = e.number("server");
         if (r.intent == null) {
-            breach(Rule.STAND_IN, e.at(), "server %d was sent %s, which no client asked for", id,
+            breach(
+                    Rule.STAND_IN,
+                    e.at(),
+                    "server %d was sent %s, which no client asked for",
+                    id,
                     e.text("id"));
         }
         Entry start = cold.get(id);
@@ -326,12 +394,21 @@
             window.poll();
         }
         double work = window.size() * play.path("mean_work_us").asDouble();
-        double bears = play.path("fall_multiple").asDouble() * warmth
-                * start.line().path("capacity").asDouble() * span / 1000
-                + COLD_SLACK * play.path("mean_work_us").asDouble();
+        double bears =
+                play.path("fall_multiple").asDouble()
+                                * warmth
+                                * start.line().path("capacity").asDouble()
+                                * span
+                                / 1000
+                        + COLD_SLACK * play.path("mean_work_us").asDouble();
         long knew = window.stream().filter(a -> knew(a, id, start.at())).count();
         if (work > bears && knew >= KNEW * window.size()) {
-            breach(Rule.COLD, e.at(), "cold server %d was sent %d requests in its span", id, window.size());
+            breach(
+                    Rule.COLD,
+                    e.at(),
+                    "cold server %d was sent %d requests in its span",
+                    id,
+                    window.size());
             cold.remove(id);
         }
     }
@@ -350,14 +427,23 @@
     private void judgeEffects(List<Entry> all) {
         Entry first = all.get(0);
         for (Entry e : all.subList(1, all.size())) {
-            boolean within = e.number("zone") == first.number("zone")
-                    && e.at() - first.at() <= 1000 * play.path("window_us").asLong() + LATE
-                    + slack(who(e), e.at());
-            if (!within && !play.path("effect").asText("token").equals("pure")
+            boolean within =
+                    e.number("zone") == first.number("zone")
+                            && e.at() - first.at()
+                                    <= 1000 * play.path("window_us").asLong()
+                                            + LATE
+                                            + slack(who(e), e.at());
+            if (!within
+                    && !play.path("effect").asText("token").equals("pure")
                     && !play.path("group").asText("zone").equals("all")) {
-                breach(Rule.EFFECT, e.at(), "key %s ran in zone %d and, %d ms later, in zone %d",
+                breach(
+                        Rule.EFFECT,
+                        e.at(),
+                        "key %s ran in zone %d and, %d ms later, in zone %d",
                         e.text("key"),
-                        first.number("zone"), (e.at() - first.at()) / 1_000_000, e.number("zone"));
+                        first.number("zone"),
+                        (e.at() - first.at()) / 1_000_000,
+                        e.number("zone"));
             }
         }
     }
@@ -395,10 +481,15 @@
                 boolean killed = last(dead, who) == Long.MAX_VALUE;
                 boolean asked = last(ending, who) == Long.MAX_VALUE;
                 if (!killed && !asked || asked && !killed && e.number("status") != 0) {
-                    breach(Rule.CRASH, e.at(), "sidecar %d ended with status %d", who, e.number("status"));
+                    breach(
+                            Rule.CRASH,
+                            e.at(),
+                            "sidecar %d ended with status %d",
+                            who,
+                            e.number("status"));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -427,7 +518,8 @@
     }
 
     private static boolean within(Map<Integer, List<long[]>> spells, int who, long from, long to) {
-        return spells.getOrDefault(who, List.of()).stream().anyMatch(s -> s[0] <= to && s[1] >= from);
+        return spells.getOrDefault(who, List.of()).stream()
+                .anyMatch(s -> s[0] <= to && s[1] >= from);
     }
 
     private void rest(Entry e) {
@@ -439,8 +531,13 @@
         long descriptors = e.number("descriptors") - base.number("descriptors");
         long kib = e.number("rss_kib") - base.number("rss_kib");
         if (descriptors > MORE_DESCRIPTORS || kib > MORE_KIB) {
-            breach(Rule.REST, e.at(), "sidecar %d holds %d descriptors and %d KiB more at rest than before",
-                    who(e), descriptors, kib);
+            breach(
+                    Rule.REST,
+                    e.at(),
+                    "sidecar %d holds %d descriptors and %d KiB more at rest than before",
+                    who(e),
+                    descriptors,
+                    kib);
         }
     }
 
@@ -457,8 +554,12 @@
             if (within(dead, who, r.intent.at(), at) || r.answer == null && due > end) {
                 return;
             }
-            breach(within(ending, who, r.intent.at(), at) ? Rule.RESTART : Rule.ONE_ANSWER, at,
-                    "sidecar %d never answered %s", who, id);
+            breach(
+                    within(ending, who, r.intent.at(), at) ? Rule.RESTART : Rule.ONE_ANSWER,
+                    at,
+                    "sidecar %d never answered %s",
+                    who,
+                    id);
             return;
         }
         long status = r.answer.number("status");
@@ -471,18 +572,33 @@
         }
         long late = r.answer.at() - due - still(who, r.intent.at(), r.answer.at());
         if (late > LATE + slack(who, r.answer.at())) {
-            breach(Rule.ONE_ANSWER, r.answer.at(), "sidecar %d answered %s %d ms late", who, id,
+            breach(
+                    Rule.ONE_ANSWER,
+                    r.answer.at(),
+                    "sidecar %d answered %s %d ms late",
+                    who,
+                    id,
                     late / 1_000_000);
         }
         if (status == 200 && (r.served.isEmpty() || !r.answer.text("body").equals("done " + id))) {
-            breach(Rule.ONE_ANSWER, r.answer.at(), "sidecar %d served %s with what no server made for it",
+            breach(
+                    Rule.ONE_ANSWER,
+                    r.answer.at(),
+                    "sidecar %d served %s with what no server made for it",
                     who,
                     id);
         }
         boolean mayHaveRun = r.sends.stream().anyMatch(s -> !s.neverRan);
-        if ((status == 429 || status == 503) && mayHaveRun && !play.path("effect").asText("token")
-                .equals("pure") && !play.path("group").asText("zone").equals("all")) {
-            breach(Rule.EFFECT, r.answer.at(), "sidecar %d refused %s, which may have run", who, id);
+        if ((status == 429 || status == 503)
+                && mayHaveRun
+                && !play.path("effect").asText("token").equals("pure")
+                && !play.path("group").asText("zone").equals("all")) {
+            breach(
+                    Rule.EFFECT,
+                    r.answer.at(),
+                    "sidecar %d refused %s, which may have run",
+                    who,
+                    id);
         }
     }
 
--- a/lab/src/main/java/sagefall/lab/rig/Child.java
+++ b/lab/src/main/java/sagefall/lab/rig/Child.java
@@ -17,8 +17,15 @@
 /** A {@link Host} process, as the rig sees it: commands go in, and each is answered in turn. */
 final class Child {
 
-    private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-XX:-UsePerfData", "-Xshare:auto", "-Xmx96m", "-Xss512k", "-Dio.netty.allocator.type=unpooled");
+    private static final List<String> OPTIONS =
+            List.of(
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData",
+                    "-Xshare:auto",
+                    "-Xmx96m",
+                    "-Xss512k",
+                    "-Dio.netty.allocator.type=unpooled");
 
     private final Process process;
     private final OutputStream in;
@@ -28,10 +35,16 @@
     Child(Guard guard, Path history, Path log) throws IOException {
         List<String> command = new ArrayList<>(OPTIONS);
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), Host.class.getName(),
-                history.toString()));
-        process = new ProcessBuilder(command)
-                .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Host.class.getName(),
+                        history.toString()));
+        process =
+                new ProcessBuilder(command)
+                        .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
         guard.watch(process);
         in = process.getOutputStream();
         Thread reader = new Thread(this::read, "host " + process.pid());
@@ -44,9 +57,10 @@
     }
 
     private void read() {
-        try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
-            for (String line; (line = out.readLine()) != null;) {
+        try (BufferedReader out =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+            for (String line; (line = out.readLine()) != null; ) {
                 JsonNode answer = History.JSON.readTree(line);
                 CompletableFuture<JsonNode> future;
                 synchronized (asked) {
--- a/lab/src/main/java/sagefall/lab/rig/DatagramLink.java
+++ b/lab/src/main/java/sagefall/lab/rig/DatagramLink.java
@@ -13,8 +13,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The way of datagrams from one member to another, which may lose, double, delay and so reorder them. The
- * other side sees this way's address as the sender's.
+ * The way of datagrams from one member to another, which may lose, double, delay and so reorder
+ * them. The other side sees this way's address as the sender's.
  */
 final class DatagramLink implements AutoCloseable {
 
@@ -31,15 +31,24 @@
     private volatile InetSocketAddress target;
     private volatile Way way = Way.FREE;
 
-    DatagramLink(EventLoopGroup group, InetAddress at, DoubleSupplier chance) throws InterruptedException {
+    DatagramLink(EventLoopGroup group, InetAddress at, DoubleSupplier chance)
+            throws InterruptedException {
         this.chance = chance;
-        channel = new Bootstrap().group(group).channel(NioDatagramChannel.class)
-                .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-                    @Override
-                    protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                        pass(packet);
-                    }
-                }).bind(at, 0).sync().channel();
+        channel =
+                new Bootstrap()
+                        .group(group)
+                        .channel(NioDatagramChannel.class)
+                        .handler(
+                                new SimpleChannelInboundHandler<DatagramPacket>() {
+                                    @Override
+                                    protected void channelRead0(
+                                            ChannelHandlerContext context, DatagramPacket packet) {
+                                        pass(packet);
+                                    }
+                                })
+                        .bind(at, 0)
+                        .sync()
+                        .channel();
     }
 
     InetSocketAddress address() {
@@ -63,8 +72,11 @@
         int copies = chance.getAsDouble() < now.doubled ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             DatagramPacket copy = new DatagramPacket(packet.content().copy(), to);
-            channel.eventLoop().schedule(() -> channel.writeAndFlush(copy),
-                    (long) (now.delayMicros * chance.getAsDouble()), TimeUnit.MICROSECONDS);
+            channel.eventLoop()
+                    .schedule(
+                            () -> channel.writeAndFlush(copy),
+                            (long) (now.delayMicros * chance.getAsDouble()),
+                            TimeUnit.MICROSECONDS);
         }
     }
 
--- a/lab/src/main/java/sagefall/lab/rig/Drawing.java
+++ b/lab/src/main/java/sagefall/lab/rig/Drawing.java
@@ -10,29 +10,34 @@
 
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final double SECONDS = 22;
+
     /** Faults are over by then, so that the fleet is seen to come back. */
     private static final double QUIET = 16;
 
-    private Drawing() { }
+    private Drawing() {}
 
     /** A fleet of 12 sidecars and 24 servers, and two to four faults. */
     static String text(long seed) {
         UniformRandomProvider random = new Draws(seed).stream("campaign");
-        StringBuilder text = new StringBuilder(String.format("""
-                name = "campaign-%d"
-                about = "Drawn."
-                seconds = %.0f
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                """
+                                name = "campaign-%d"
+                                about = "Drawn."
+                                seconds = %.0f
 
-                [fleet]
-                sidecars = 12
-                servers = 24
-                zones = ["a", "b", "c"]
-                server_skew = 0
-                cell_servers = 4
+                                [fleet]
+                                sidecars = 12
+                                servers = 24
+                                zones = ["a", "b", "c"]
+                                server_skew = 0
+                                cell_servers = 4
 
-                [load]
-                use = [0.4, 0.7]
-                """, seed, SECONDS));
+                                [load]
+                                use = [0.4, 0.7]
+                                """,
+                                seed, SECONDS));
         int count = 2 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
             double at = 3 + 8 * random.nextDouble();
@@ -65,7 +70,8 @@
             case 12 -> "kind = \"reborn\"\n" + span + "part = 0.15\n" + ends;
             case 13 -> "kind = \"stop_sidecars\"\n" + span + part;
             case 14 -> "kind = \"cut_sidecars\"\n" + span + part + zone + ways;
-            case 15 -> "kind = \"flap_links\"\n" + span + part + zone + "every_s = [0.6, 2]\n" + ways;
+            case 15 ->
+                    "kind = \"flap_links\"\n" + span + part + zone + "every_s = [0.6, 2]\n" + ways;
             case 16 -> "kind = \"lost_answers\"\n" + span + "part = [0.01, 0.05]\n";
             default -> "kind = \"resets\"\n" + span + "part = [0.01, 0.05]\n";
         };
--- a/lab/src/main/java/sagefall/lab/rig/Figures.java
+++ b/lab/src/main/java/sagefall/lab/rig/Figures.java
@@ -10,20 +10,33 @@
 import sagefall.lab.rig.History.Entry;
 
 /**
- * What was served in a play, counted from its history by wishes of clients as the emulator counts: worth
- * answered within the aim, in the second of the first try.
+ * What was served in a play, counted from its history by wishes of clients as the emulator counts:
+ * worth answered within the aim, in the second of the first try.
  *
  * @param served part of the worth that was asked for
  * @param worstSecond the least part of any second
- * @param back seconds from the end of the last fault until 0.95 of the part served before the first one is
- *     served again for two seconds; negative where that never came
+ * @param back seconds from the end of the last fault until 0.95 of the part served before the first
+ *     one is served again for two seconds; negative where that never came
  * @param answers tries by what became of them
- * @param attempts sends to servers for each wish; {@code crossings}: those to another zone that arrived
+ * @param attempts sends to servers for each wish; {@code crossings}: those to another zone that
+ *     arrived
  * @param asked worth by second, and {@code got} what was served of it
  */
-record Figures(double served, double worstSecond, double back, double before, Map<String, Long> answers,
-        double p50Millis, double p95Millis, double p99Millis, double attempts, double crossings,
-        long requests, long stallMillis, double[] asked, double[] got) {
+record Figures(
+        double served,
+        double worstSecond,
+        double back,
+        double before,
+        Map<String, Long> answers,
+        double p50Millis,
+        double p95Millis,
+        double p99Millis,
+        double attempts,
+        double crossings,
+        long requests,
+        long stallMillis,
+        double[] asked,
+        double[] got) {
 
     private static final double ENOUGH = 0.95;
     private static final int STEADY = 2;
@@ -65,8 +78,13 @@
                 }
                 case "arrive" -> {
                     long who = sender.getOrDefault(e.text("id"), -1L);
-                    crossings += who >= 0 && zones.path((int) who).asLong() != serverZone.getOrDefault(
-                            e.number("server"), -1L) ? 1 : 0;
+                    crossings +=
+                            who >= 0
+                                            && zones.path((int) who).asLong()
+                                                    != serverZone.getOrDefault(
+                                                            e.number("server"), -1L)
+                                    ? 1
+                                    : 0;
                 }
                 case "begin" -> zero = e.at();
                 case "stall" -> stall = Math.max(stall, e.number("ms"));
@@ -94,7 +112,7 @@
                     }
                 }
                 case "left" -> answers.merge("left", 1L, Long::sum);
-                default -> { }
+                default -> {}
             }
         }
         double[] asked = new double[seconds];
@@ -109,18 +127,31 @@
             }
         }
         double before = part(asked, got, 1, (int) Math.min(seconds, Math.max(2, firstFault)));
-        return new Figures(part(asked, got, 0, seconds), worst(asked, got), back(asked, got, before,
-                lastFault),
-                before, answers, micros.getValueAtPercentile(50) / 1000.0,
-                micros.getValueAtPercentile(95) / 1000.0, micros.getValueAtPercentile(99) / 1000.0,
-                sends / (double) Math.max(1, wishes.size()), crossings / (double) Math.max(1, wishes.size()),
-                wishes.size(), stall, asked, got);
+        return new Figures(
+                part(asked, got, 0, seconds),
+                worst(asked, got),
+                back(asked, got, before, lastFault),
+                before,
+                answers,
+                micros.getValueAtPercentile(50) / 1000.0,
+                micros.getValueAtPercentile(95) / 1000.0,
+                micros.getValueAtPercentile(99) / 1000.0,
+                sends / (double) Math.max(1, wishes.size()),
+                crossings / (double) Math.max(1, wishes.size()),
+                wishes.size(),
+                stall,
+                asked,
+                got);
     }
 
     private static String word(long status) {
-        return status == 200 ? "served" : status == 429 || status == 503 ? "refused"
-                : status == Application.UNREACHABLE ? "unreachable"
-                : status == Application.BROKEN ? "unanswered" : "failed";
+        return status == 200
+                ? "served"
+                : status == 429 || status == 503
+                        ? "refused"
+                        : status == Application.UNREACHABLE
+                                ? "unreachable"
+                                : status == Application.BROKEN ? "unanswered" : "failed";
     }
 
     /** Of some seconds together. */
@@ -154,13 +185,22 @@
     /** Seconds and values that a page or a person reads. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
-        lines.add(String.format("%d wishes; served %.3f of the worth, worst second %.3f, before the "
-                + "first fault"
-                + " %.3f; %s", requests, served, worstSecond, before, back < 0
-                        ? "0.95 of that was not reached again" : String.format(
-                                "0.95 of that again %.1f s after the last", back)));
-        lines.add(String.format("tries %s; p50 %.0f ms, p99 %.0f ms; the rig ran at most %d ms late", answers,
-                p50Millis, p99Millis, stallMillis));
+        lines.add(
+                String.format(
+                        "%d wishes; served %.3f of the worth, worst second %.3f, before the "
+                                + "first fault"
+                                + " %.3f; %s",
+                        requests,
+                        served,
+                        worstSecond,
+                        before,
+                        back < 0
+                                ? "0.95 of that was not reached again"
+                                : String.format("0.95 of that again %.1f s after the last", back)));
+        lines.add(
+                String.format(
+                        "tries %s; p50 %.0f ms, p99 %.0f ms; the rig ran at most %d ms late",
+                        answers, p50Millis, p99Millis, stallMillis));
         return lines;
     }
 }
--- a/lab/src/main/java/sagefall/lab/rig/History.java
+++ b/lab/src/main/java/sagefall/lab/rig/History.java
@@ -19,16 +19,18 @@
 import java.util.stream.Stream;
 
 /**
- * What happened, one JSON object a line. Each process writes a file of its own, stamped by the machine's
- * monotonic clock, which all of them share; reading puts the files together in order of time.
+ * What happened, one JSON object a line. Each process writes a file of its own, stamped by the
+ * machine's monotonic clock, which all of them share; reading puts the files together in order of
+ * time.
  *
- * <p>A line is handed to the system in one write before what it tells can be seen, so that a process that is
- * killed leaves no effect behind that its file does not hold; that costs some microseconds a line.
+ * <p>A line is handed to the system in one write before what it tells can be seen, so that a
+ * process that is killed leaves no effect behind that its file does not hold; that costs some
+ * microseconds a line.
  */
 final class History implements Closeable {
 
     static final ObjectMapper JSON = new ObjectMapper();
-    static final TypeReference<Map<String, Object>> MAP = new TypeReference<>() { };
+    static final TypeReference<Map<String, Object>> MAP = new TypeReference<>() {};
 
     /** A line: nanoseconds of the monotonic clock, what it is, and all that it tells. */
     record Entry(long at, String kind, JsonNode line) {
@@ -68,7 +70,9 @@
         out.close();
     }
 
-    /** All that the files of a folder tell. A last line that was cut off by a kill is passed over. */
+    /**
+     * All that the files of a folder tell. A last line that was cut off by a kill is passed over.
+     */
     static List<Entry> read(Path folder) throws IOException {
         List<Entry> all = new ArrayList<>();
         List<Path> files;
--- a/lab/src/main/java/sagefall/lab/rig/Host.java
+++ b/lab/src/main/java/sagefall/lab/rig/Host.java
@@ -25,19 +25,22 @@
 import java.util.function.Supplier;
 
 /**
- * A process of stand-ins that the rig kills and stops: save servers by the emulator's own model, or a replica
- * of discovery. It takes commands, one JSON object a line, on standard input, answers each by a line on
- * standard output, and ends when standard input does, so that it never outlives the rig.
+ * A process of stand-ins that the rig kills and stops: save servers by the emulator's own model, or
+ * a replica of discovery. It takes commands, one JSON object a line, on standard input, answers
+ * each by a line on standard output, and ends when standard input does, so that it never outlives
+ * the rig.
  */
 public final class Host {
 
     private static final int MOST = 64 * 1024;
 
     private final History history;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Pace pace;
     private final Map<Long, RealServer> servers = new HashMap<>();
     private final Map<Integer, ListView> views = new HashMap<>();
+
     /** When a key ran in a zone, for what servers drop as a repeat. */
     private final Map<String, Long> ran = new HashMap<>();
 
@@ -52,15 +55,17 @@
     }
 
     private void serve() throws Exception {
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line; (line = in.readLine()) != null;) {
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        for (String line; (line = in.readLine()) != null; ) {
             JsonNode command = History.JSON.readTree(line);
             ObjectNode answer = History.JSON.createObjectNode();
             try {
-                pace.call(() -> {
-                    obey(command, answer);
-                    return null;
-                });
+                pace.call(
+                        () -> {
+                            obey(command, answer);
+                            return null;
+                        });
             } catch (Exception e) {
                 answer.put("error", String.valueOf(e.getCause() == null ? e : e.getCause()));
             }
@@ -85,7 +90,9 @@
                     ListView view = new ListView(who.asInt(), pace, history);
                     views.put(who.asInt(), view);
                     answer.withArray("ports")
-                            .add(((InetSocketAddress) listen(view::connection).localAddress()).getPort());
+                            .add(
+                                    ((InetSocketAddress) listen(view::connection).localAddress())
+                                            .getPort());
                 }
             }
             case "list" -> views.get(command.path("who").asInt()).put(command);
@@ -96,14 +103,24 @@
 
     /** On a port of the system's. */
     private Channel listen(Supplier<ChannelHandler> connection) throws InterruptedException {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST),
-                                connection.get());
-                    }
-                }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
+        return new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel c) {
+                                c.pipeline()
+                                        .addLast(
+                                                new HttpServerCodec(),
+                                                new HttpObjectAggregator(MOST),
+                                                connection.get());
+                            }
+                        })
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
+                .channel();
     }
 }
--- a/lab/src/main/java/sagefall/lab/rig/Link.java
+++ b/lab/src/main/java/sagefall/lab/rig/Link.java
@@ -30,9 +30,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * The way from one member to another: a relay on an address that only this pair uses, with what can go wrong
- * on a way. Bytes that meet a cut are held; when it ends, connections that had something to hold are reset,
- * as TCP's own sending anew would mostly come too late, and those that had nothing go on.
+ * The way from one member to another: a relay on an address that only this pair uses, with what can
+ * go wrong on a way. Bytes that meet a cut are held; when it ends, connections that had something
+ * to hold are reset, as TCP's own sending anew would mostly come too late, and those that had
+ * nothing go on.
  */
 final class Link implements AutoCloseable {
 
@@ -57,7 +58,8 @@
      * @param cutAt the connection is reset once so many bytes have passed; 0: never
      * @param halfCloseAt the sender's side is closed once so many bytes have passed; 0: never
      */
-    record Way(LongSupplier delay, double bytesPerSecond, boolean held, long cutAt, long halfCloseAt) {
+    record Way(
+            LongSupplier delay, double bytesPerSecond, boolean held, long cutAt, long halfCloseAt) {
         static final Way FREE = new Way(() -> 0, 0, false, 0, 0);
 
         Way held(boolean now) {
@@ -105,16 +107,24 @@
     }
 
     private Channel bind(InetSocketAddress at) throws InterruptedException {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.AUTO_READ, false).childOption(ChannelOption.TCP_NODELAY, true)
+        return new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        new Pipe(c).begin();
-                    }
-                }).bind(at).sync().channel();
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel c) {
+                                new Pipe(c).begin();
+                            }
+                        })
+                .bind(at)
+                .sync()
+                .channel();
     }
 
     InetSocketAddress address() {
@@ -126,7 +136,9 @@
         target = to;
     }
 
-    /** Both at once: what is held back, and then what meets new connections, or the other way round. */
+    /**
+     * Both at once: what is held back, and then what meets new connections, or the other way round.
+     */
     void be(Door now, Way newThere, Way newBack) {
         try {
             door(now);
@@ -144,11 +156,13 @@
         if (!listens && listening != null) {
             listening.close().sync();
             listening = null;
-            // Closed, it listens until its selector turns once more: who connects then would get through.
-            again(() -> {
-                bindable();
-                return null;
-            });
+            // Closed, it listens until its selector turns once more: who connects then would get
+            // through.
+            again(
+                    () -> {
+                        bindable();
+                        return null;
+                    });
         }
         if (now != Door.NEVER && plug != null) {
             plug.close();
@@ -246,25 +260,32 @@
                 reset();
                 return;
             }
-            new Bootstrap().group(client.eventLoop()).channel(NioSocketChannel.class)
-                    .option(ChannelOption.AUTO_READ, false).option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true).handler(down).connect(to)
-                    .addListener((ChannelFutureListener) f -> {
-                        if (!f.isSuccess()) {
-                            reset();
-                            return;
-                        }
-                        server = f.channel();
-                        server.closeFuture().addListener(c -> left(server));
-                        if (!client.isOpen()) {
-                            reset();
-                            return;
-                        }
-                        up.to = server;
-                        down.to = client;
-                        client.read();
-                        server.read();
-                    });
+            new Bootstrap()
+                    .group(client.eventLoop())
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .handler(down)
+                    .connect(to)
+                    .addListener(
+                            (ChannelFutureListener)
+                                    f -> {
+                                        if (!f.isSuccess()) {
+                                            reset();
+                                            return;
+                                        }
+                                        server = f.channel();
+                                        server.closeFuture().addListener(c -> left(server));
+                                        if (!client.isOpen()) {
+                                            reset();
+                                            return;
+                                        }
+                                        up.to = server;
+                                        down.to = client;
+                                        client.read();
+                                        server.read();
+                                    });
         }
 
         /** One side is gone: the other goes as soon as what was on its way has passed. */
@@ -279,11 +300,15 @@
 
         /** A fault has begun or ended. */
         void wake() {
-            client.eventLoop().execute(() -> {
-                if (met && door != Door.SILENT || up.mustReset() || down.mustReset()) {
-                    reset();
-                }
-            });
+            client.eventLoop()
+                    .execute(
+                            () -> {
+                                if (met && door != Door.SILENT
+                                        || up.mustReset()
+                                        || down.mustReset()) {
+                                    reset();
+                                }
+                            });
         }
 
         void reset() {
@@ -298,7 +323,10 @@
             down.drop();
         }
 
-        /** Looks for the id of a request that begins here: one request at a time passes on a connection. */
+        /**
+         * Looks for the id of a request that begins here: one request at a time passes on a
+         * connection.
+         */
         private void look(ByteBuf bytes) {
             if (tap == null || !between) {
                 return;
@@ -370,34 +398,39 @@
                 int count = bytes.readableBytes();
                 long limit = way.cutAt() > 0 ? way.cutAt() : way.halfCloseAt();
                 boolean last = limit > 0 && passed + count >= limit;
-                ByteBuf part = last ? bytes.readSlice((int) Math.max(0, limit - passed)).retain() : bytes;
+                ByteBuf part =
+                        last ? bytes.readSlice((int) Math.max(0, limit - passed)).retain() : bytes;
                 if (last) {
                     bytes.release();
                 }
                 passed += count;
                 long now = System.nanoTime();
-                long took = way.bytesPerSecond() > 0 ? (long) (1e9 * count / way.bytesPerSecond()) : 0;
+                long took =
+                        way.bytesPerSecond() > 0 ? (long) (1e9 * count / way.bytesPerSecond()) : 0;
                 lastDue = Math.max(lastDue, now + 1000 * way.delay().getAsLong()) + took;
-                Runnable pass = () -> {
-                    if (to == null || !to.isActive()) {
-                        part.release();
-                        return;
-                    }
-                    to.writeAndFlush(part).addListener(f -> {
-                        boolean full = queued >= MOST_QUEUED;
-                        queued -= count;
-                        if (last && way.cutAt() > 0) {
-                            reset();
-                        } else if (last) {
-                            ((DuplexChannel) to).shutdownOutput();
-                        } else if (full && queued < MOST_QUEUED) {
-                            from().read();
-                        }
-                        if (queued == 0 && !from().isOpen()) {
-                            reset();
-                        }
-                    });
-                };
+                Runnable pass =
+                        () -> {
+                            if (to == null || !to.isActive()) {
+                                part.release();
+                                return;
+                            }
+                            to.writeAndFlush(part)
+                                    .addListener(
+                                            f -> {
+                                                boolean full = queued >= MOST_QUEUED;
+                                                queued -= count;
+                                                if (last && way.cutAt() > 0) {
+                                                    reset();
+                                                } else if (last) {
+                                                    ((DuplexChannel) to).shutdownOutput();
+                                                } else if (full && queued < MOST_QUEUED) {
+                                                    from().read();
+                                                }
+                                                if (queued == 0 && !from().isOpen()) {
+                                                    reset();
+                                                }
+                                            });
+                        };
                 if (lastDue <= now && queued == count) {
                     pass.run();
                 } else {
@@ -419,15 +452,16 @@
                     heldEnd = true;
                     return;
                 }
-                Runnable end = () -> {
-                    if (to != null && to.isActive()) {
-                        ((DuplexChannel) to).shutdownOutput();
-                    }
-                    if (up.ended && down.ended) {
-                        client.close();
-                        server.close();
-                    }
-                };
+                Runnable end =
+                        () -> {
+                            if (to != null && to.isActive()) {
+                                ((DuplexChannel) to).shutdownOutput();
+                            }
+                            if (up.ended && down.ended) {
+                                client.close();
+                                server.close();
+                            }
+                        };
                 long wait = lastDue - System.nanoTime();
                 if (wait <= 0) {
                     end.run();
--- a/lab/src/main/java/sagefall/lab/rig/ListView.java
+++ b/lab/src/main/java/sagefall/lab/rig/ListView.java
@@ -23,12 +23,12 @@
 import java.util.Set;
 
 /**
- * What discovery's agent beside one sidecar holds, and tells: the whole list, or, to a watch, what is newer.
- * It outlives its sidecar, as agents do, and stays silent while discovery is down.
+ * What discovery's agent beside one sidecar holds, and tells: the whole list, or, to a watch, what
+ * is newer. It outlives its sidecar, as agents do, and stays silent while discovery is down.
  */
 final class ListView {
 
-    private record Line(JsonNode target, long revision) { }
+    private record Line(JsonNode target, long revision) {}
 
     private final int index;
     private final Pace pace;
@@ -36,8 +36,10 @@
     private final Map<String, Line> lines = new LinkedHashMap<>();
     private final Set<Watch> waiting = new HashSet<>();
     private long revision;
+
     /** What is older than this can only be told the whole list. */
     private long wholeSince;
+
     private boolean mute;
 
     ListView(int index, Pace pace, History history) {
@@ -53,7 +55,8 @@
             lines.clear();
             wholeSince = revision;
         }
-        command.path("targets").forEach(t -> lines.put(t.path("uid").asText(), new Line(t, revision)));
+        command.path("targets")
+                .forEach(t -> lines.put(t.path("uid").asText(), new Line(t, revision)));
         Set.copyOf(waiting).forEach(Watch::look);
     }
 
@@ -78,16 +81,20 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             Map<String, List<String>> query = new QueryStringDecoder(request.uri()).parameters();
             channel = context.channel();
-            pace.run(() -> {
-                whole = !query.containsKey("from");
-                from = whole ? -1 : Long.parseLong(query.get("from").get(0));
-                long hold = query.containsKey("hold_ms") ? Long.parseLong(query.get("hold_ms").get(0)) : 0;
-                until = pace.loop().now() + 1000 * hold;
-                asked = true;
-                waiting.add(this);
-                pace.loop().at(until, this::look);
-                look();
-            });
+            pace.run(
+                    () -> {
+                        whole = !query.containsKey("from");
+                        from = whole ? -1 : Long.parseLong(query.get("from").get(0));
+                        long hold =
+                                query.containsKey("hold_ms")
+                                        ? Long.parseLong(query.get("hold_ms").get(0))
+                                        : 0;
+                        until = pace.loop().now() + 1000 * hold;
+                        asked = true;
+                        waiting.add(this);
+                        pace.loop().at(until, this::look);
+                        look();
+                    });
         }
 
         private void look() {
@@ -108,14 +115,19 @@
                 }
             }
             ByteBuf content = Unpooled.copiedBuffer(list.toString(), StandardCharsets.UTF_8);
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    content);
+            FullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, content);
             answer.headers().set("Content-Length", content.readableBytes());
-            channel.writeAndFlush(answer).addListener(f -> {
-                if (f.isSuccess() && (whole || !targets.isEmpty())) {
-                    history.line("told", "who", index, "rev", revision, "all", whole, "targets", targets);
-                }
-            });
+            channel.writeAndFlush(answer)
+                    .addListener(
+                            f -> {
+                                if (f.isSuccess() && (whole || !targets.isEmpty())) {
+                                    history.line(
+                                            "told", "who", index, "rev", revision, "all", whole,
+                                            "targets", targets);
+                                }
+                            });
         }
 
         @Override
--- a/lab/src/main/java/sagefall/lab/rig/Owners.java
+++ b/lab/src/main/java/sagefall/lab/rig/Owners.java
@@ -8,7 +8,10 @@
 import sagefall.duties.FolderStore;
 import sagefall.duties.LeaseStore;
 
-/** Looks at who holds the duty of a play's sidecars, and at what counts of it, as any other process could. */
+/**
+ * Looks at who holds the duty of a play's sidecars, and at what counts of it, as any other process
+ * could.
+ */
 final class Owners {
 
     private static final long LOOK_NANOS = 5_000_000;
@@ -29,7 +32,8 @@
     int holder() throws IOException {
         var grant = store.status().grant();
         String owner = grant.owner();
-        return grant.leftNanos() <= 0 || owner.isEmpty() ? -1
+        return grant.leftNanos() <= 0 || owner.isEmpty()
+                ? -1
                 : Integer.parseInt(owner.substring(1, owner.indexOf('#')));
     }
 
@@ -42,10 +46,19 @@
                 Digest.Read digest = Digest.read(store);
                 long written = digest == null ? 0 : digest.term();
                 long revision = digest == null ? 0 : digest.kept().revision();
-                String now = status.grant().term() + status.grant().owner() + written + "," + revision;
+                String now =
+                        status.grant().term() + status.grant().owner() + written + "," + revision;
                 if (!Objects.equals(now, last)) {
-                    history.line("duty", "term", status.grant().term(), "owner", status.grant().owner(),
-                            "written", written, "rev", revision);
+                    history.line(
+                            "duty",
+                            "term",
+                            status.grant().term(),
+                            "owner",
+                            status.grant().owner(),
+                            "written",
+                            written,
+                            "rev",
+                            revision);
                 }
                 last = now;
             } catch (IOException e) {
--- a/lab/src/main/java/sagefall/lab/rig/Pace.java
+++ b/lab/src/main/java/sagefall/lab/rig/Pace.java
@@ -7,9 +7,9 @@
 import sagefall.lab.model.Loop;
 
 /**
- * Plays the model's clock at the pace of this machine's monotonic one, in one thread: so that the clients,
- * servers and discovery of the emulator serve real processes as they are. What comes from sockets enters by
- * {@link #run}.
+ * Plays the model's clock at the pace of this machine's monotonic one, in one thread: so that the
+ * clients, servers and discovery of the emulator serve real processes as they are. What comes from
+ * sockets enters by {@link #run}.
  */
 final class Pace implements AutoCloseable {
 
@@ -45,22 +45,25 @@
 
     /** In the thread of the model, at the time that it is then. */
     void run(Runnable task) {
-        thread.execute(() -> {
-            advance();
-            task.run();
-            advance();
-            arm();
-        });
+        thread.execute(
+                () -> {
+                    advance();
+                    task.run();
+                    advance();
+                    arm();
+                });
     }
 
     /** The same, and waits for what it brings. */
     <T> T call(Callable<T> task) throws Exception {
-        return thread.submit(() -> {
-            advance();
-            T result = task.call();
-            arm();
-            return result;
-        }).get();
+        return thread.submit(
+                        () -> {
+                            advance();
+                            T result = task.call();
+                            arm();
+                            return result;
+                        })
+                .get();
     }
 
     private void advance() {
@@ -80,15 +83,19 @@
         }
         armedFor = next;
         long due = zero + (next - Loop.BEGIN) * 1000;
-        armed = thread.schedule(() -> {
-            armedFor = Long.MAX_VALUE;
-            long late = System.nanoTime() - due;
-            if (late > STALL_NANOS) {
-                stalls.late(late);
-            }
-            advance();
-            arm();
-        }, due - System.nanoTime(), TimeUnit.NANOSECONDS);
+        armed =
+                thread.schedule(
+                        () -> {
+                            armedFor = Long.MAX_VALUE;
+                            long late = System.nanoTime() - due;
+                            if (late > STALL_NANOS) {
+                                stalls.late(late);
+                            }
+                            advance();
+                            arm();
+                        },
+                        due - System.nanoTime(),
+                        TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/lab/src/main/java/sagefall/lab/rig/Plan.java
+++ b/lab/src/main/java/sagefall/lab/rig/Plan.java
@@ -20,11 +20,22 @@
  * @param kept places of the faults that are played; null for all
  * @param builds checkouts that the sidecars are started from, in turn
  */
-record Plan(String file, String text, List<String> sets, long seed, List<Integer> kept, List<Path> builds) {
+record Plan(
+        String file,
+        String text,
+        List<String> sets,
+        long seed,
+        List<Integer> kept,
+        List<Path> builds) {
 
     /** A fleet that fits on one machine. */
-    static final List<String> SIZE = List.of("fleet.sidecars=12", "fleet.servers=24",
-            "fleet.zones=[\"a\",\"b\",\"c\"]", "fleet.cell_servers=4", "fleet.server_skew=0");
+    static final List<String> SIZE =
+            List.of(
+                    "fleet.sidecars=12",
+                    "fleet.servers=24",
+                    "fleet.zones=[\"a\",\"b\",\"c\"]",
+                    "fleet.cell_servers=4",
+                    "fleet.server_skew=0");
 
     /** The scenario, unless it has a fault that real processes can't play. */
     Scenario scenario() throws ScenarioException {
@@ -49,8 +60,12 @@
 
     /** Writes it so that {@link #read} has it again. */
     void write(Path to) throws IOException {
-        ObjectNode node = History.JSON.createObjectNode().put("file", file).put("text", text)
-                .put("seed", seed);
+        ObjectNode node =
+                History.JSON
+                        .createObjectNode()
+                        .put("file", file)
+                        .put("text", text)
+                        .put("seed", seed);
         node.set("sets", History.JSON.valueToTree(sets));
         node.set("kept", History.JSON.valueToTree(kept));
         node.set("builds", History.JSON.valueToTree(builds.stream().map(Path::toString).toList()));
@@ -65,8 +80,8 @@
         try {
             node = History.JSON.readTree(Files.readString(from));
         } catch (IOException e) {
-            throw new ScenarioException(from + ": not a plan: "
-                    + e.getMessage().lines().findFirst().orElse(""));
+            throw new ScenarioException(
+                    from + ": not a plan: " + e.getMessage().lines().findFirst().orElse(""));
         }
         if (!node.path("text").isTextual() || !node.path("seed").isIntegralNumber()) {
             throw new ScenarioException(from + ": not a plan: 'text' or 'seed' is missing");
@@ -77,7 +92,12 @@
         node.path("kept").forEach(k -> kept.add(k.asInt()));
         List<Path> builds = new ArrayList<>();
         node.path("builds").forEach(b -> builds.add(Path.of(b.asText())));
-        return new Plan(node.path("file").asText("plan"), node.path("text").asText(), sets,
-                node.path("seed").asLong(), node.path("kept").isArray() ? kept : null, builds);
+        return new Plan(
+                node.path("file").asText("plan"),
+                node.path("text").asText(),
+                sets,
+                node.path("seed").asLong(),
+                node.path("kept").isArray() ? kept : null,
+                builds);
     }
 }
--- a/lab/src/main/java/sagefall/lab/rig/Play.java
+++ b/lab/src/main/java/sagefall/lab/rig/Play.java
@@ -14,8 +14,14 @@
  * @param readySeconds from the first process's start until all were ready
  * @param folder where all of it is kept
  */
-record Play(Plan plan, Path folder, double readySeconds, List<Checks.Breach> breaches, boolean isVoid,
-        Figures figures, long zero) {
+record Play(
+        Plan plan,
+        Path folder,
+        double readySeconds,
+        List<Checks.Breach> breaches,
+        boolean isVoid,
+        Figures figures,
+        long zero) {
 
     private static final int SHOWN = 5;
 
@@ -32,9 +38,19 @@
     /** Judges a folder that a play has left. */
     static Play judge(Plan plan, Path folder, double ready) throws IOException {
         List<History.Entry> history = History.read(folder.resolve(Rig.HISTORY));
-        Play play = new Play(plan, folder, ready, Checks.of(history), Checks.isVoid(history),
-                Figures.of(history), history.stream().filter(e -> e.kind().equals("begin"))
-                        .mapToLong(History.Entry::at).findFirst().orElse(0));
+        Play play =
+                new Play(
+                        plan,
+                        folder,
+                        ready,
+                        Checks.of(history),
+                        Checks.isVoid(history),
+                        Figures.of(history),
+                        history.stream()
+                                .filter(e -> e.kind().equals("begin"))
+                                .mapToLong(History.Entry::at)
+                                .findFirst()
+                                .orElse(0));
         Files.writeString(folder.resolve("report.html"), RigPage.of(play, history));
         return play;
     }
@@ -53,11 +69,19 @@
             to.println("  VOID: this machine stood still for over 2 s, so times prove nothing");
             return;
         }
-        Checks.count(breaches).forEach((rule, count) -> {
-            to.printf("  BROKEN %s, %d times%n", rule, count);
-            breaches.stream().filter(b -> b.rule() == rule).limit(SHOWN).forEach(b -> to.printf(
-                    "    at %.3f s: %s%n", (b.at() - zero) / 1e9, b.what()));
-        });
+        Checks.count(breaches)
+                .forEach(
+                        (rule, count) -> {
+                            to.printf("  BROKEN %s, %d times%n", rule, count);
+                            breaches.stream()
+                                    .filter(b -> b.rule() == rule)
+                                    .limit(SHOWN)
+                                    .forEach(
+                                            b ->
+                                                    to.printf(
+                                                            "    at %.3f s: %s%n",
+                                                            (b.at() - zero) / 1e9, b.what()));
+                        });
         if (!breaches.isEmpty()) {
             to.println("  again by: " + again());
         }
--- a/lab/src/main/java/sagefall/lab/rig/Plug.java
+++ b/lab/src/main/java/sagefall/lab/rig/Plug.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * An address at which connections never come up: it listens with the shortest queue, fills that itself and
- * accepts nobody, so that the system drops what asks to connect, as a vanished machine would.
+ * An address at which connections never come up: it listens with the shortest queue, fills that
+ * itself and accepts nobody, so that the system drops what asks to connect, as a vanished machine
+ * would.
  */
 final class Plug implements AutoCloseable {
 
--- a/lab/src/main/java/sagefall/lab/rig/RealServer.java
+++ b/lab/src/main/java/sagefall/lab/rig/RealServer.java
@@ -27,8 +27,9 @@
 import sagefall.lab.model.SaveServer;
 
 /**
- * The emulator's save server on a real socket: what a request costs comes in its body, as the emulator's
- * requests bring it along, and slots, waiting room, cold start, thrash and reports are the emulator's.
+ * The emulator's save server on a real socket: what a request costs comes in its body, as the
+ * emulator's requests bring it along, and slots, waiting room, cold start, thrash and reports are
+ * the emulator's.
  */
 final class RealServer implements SaveServer.Floor {
 
@@ -45,7 +46,9 @@
             this.from = from;
         }
 
-        /** Whether senders knew is judged from the history; here all count, as a machine can't ask. */
+        /**
+         * Whether senders knew is judged from the history; here all count, as a machine can't ask.
+         */
         @Override
         protected boolean knowsStart(SaveServer server) {
             return true;
@@ -70,11 +73,20 @@
         this.history = history;
         this.ran = ran;
         long id = command.path("id").asLong();
-        model = new SaveServer(id, command.path("zone").asInt(), command.path("cell").asInt(),
-                History.JSON.treeToValue(command.path("make"), SaveServer.Make.class), pace.loop(),
-                new double[] {1}, this);
-        model.bears(new ColdBudget(command.path("fall_multiple").asDouble(),
-                command.path("fall_us").asLong(), command.path("mean_work_us").asDouble()));
+        model =
+                new SaveServer(
+                        id,
+                        command.path("zone").asInt(),
+                        command.path("cell").asInt(),
+                        History.JSON.treeToValue(command.path("make"), SaveServer.Make.class),
+                        pace.loop(),
+                        new double[] {1},
+                        this);
+        model.bears(
+                new ColdBudget(
+                        command.path("fall_multiple").asDouble(),
+                        command.path("fall_us").asLong(),
+                        command.path("mean_work_us").asDouble()));
         setupMicros = command.path("setup_us").asDouble();
         windowMicros = command.path("window_us").asLong();
         chances = new Draws(command.path("seed").asLong()).stream("server." + id);
@@ -89,9 +101,20 @@
             model.start();
         }
         SaveServer.Make m = model.make;
-        history.line("server", "server", model.id, "zone", model.zone, "what", cold ? "cold" : "warm",
-                "capacity", Math.min(m.cores(), m.slots()) * m.speed(), "cold_from", m.coldFrom(),
-                "cold_us", m.coldMicros());
+        history.line(
+                "server",
+                "server",
+                model.id,
+                "zone",
+                model.zone,
+                "what",
+                cold ? "cold" : "warm",
+                "capacity",
+                Math.min(m.cores(), m.slots()) * m.speed(),
+                "cold_from",
+                m.coldFrom(),
+                "cold_us",
+                m.coldMicros());
     }
 
     /** What troubles it from now on. */
@@ -121,15 +144,25 @@
     }
 
     /** In the thread of the model. */
-    private void take(Connection from, String id, String key, String subject, double work, boolean fresh) {
+    private void take(
+            Connection from, String id, String key, String subject, double work, boolean fresh) {
         Asked asked = new Asked(id, key, from);
         long now = pace.loop().now();
         Long before = ran.get(model.zone + " " + key);
         boolean repeat = before != null && now - before <= windowMicros;
-        asked.work = (repeat ? 0 : work * model.keyed(subject.hashCode())) + (fresh ? setupMicros : 0);
+        asked.work =
+                (repeat ? 0 : work * model.keyed(subject.hashCode())) + (fresh ? setupMicros : 0);
         asked.left = asked.work;
         boolean taken = model.state == SaveServer.State.UP && model.take(asked);
-        history.line("arrive", "id", id, "server", model.id, "taken", taken, "warmth",
+        history.line(
+                "arrive",
+                "id",
+                id,
+                "server",
+                model.id,
+                "taken",
+                taken,
+                "warmth",
                 model.warmth(now));
         if (model.state == SaveServer.State.DEAD) {
             from.reset();
@@ -147,7 +180,8 @@
     @Override
     public void done(Job job) {
         Asked asked = (Asked) job;
-        history.line("effect", "id", asked.id, "key", asked.key, "server", model.id, "zone", model.zone);
+        history.line(
+                "effect", "id", asked.id, "key", asked.key, "server", model.id, "zone", model.zone);
         if (asked.gone) {
             return;
         }
@@ -157,14 +191,22 @@
         } else if (luck >= resets + lost) {
             int status = luck > 1 - model.errors ? 500 : 200;
             history.line("reply", "id", asked.id, "server", model.id, "status", status);
-            asked.from.answer(asked, status, "Server-Load", report(), status == 200 ? "done " + asked.id
-                    : "");
+            asked.from.answer(
+                    asked,
+                    status,
+                    "Server-Load",
+                    report(),
+                    status == 200 ? "done " + asked.id : "");
         }
     }
 
     private String report() {
         LoadReport r = model.report();
-        return String.format(Locale.ROOT, "TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f", r.utilization(), r.rate(),
+        return String.format(
+                Locale.ROOT,
+                "TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f",
+                r.utilization(),
+                r.rate(),
                 r.latencyMillis());
     }
 
@@ -189,12 +231,14 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
-            pace.run(() -> {
-                connections.add(this);
-                if (++model.connections > model.make.connections() || model.state == SaveServer.State.DEAD) {
-                    reset();
-                }
-            });
+            pace.run(
+                    () -> {
+                        connections.add(this);
+                        if (++model.connections > model.make.connections()
+                                || model.state == SaveServer.State.DEAD) {
+                            reset();
+                        }
+                    });
         }
 
         @Override
@@ -214,7 +258,15 @@
             double work = Double.parseDouble(body.substring(5, body.indexOf('\n')));
             boolean first = fresh;
             fresh = false;
-            pace.run(() -> take(this, id, key, uri.substring(uri.lastIndexOf('/') + 1), work, first));
+            pace.run(
+                    () ->
+                            take(
+                                    this,
+                                    id,
+                                    key,
+                                    uri.substring(uri.lastIndexOf('/') + 1),
+                                    work,
+                                    first));
         }
 
         private void answer(Asked asked, int status, String name, String value, String text) {
@@ -222,8 +274,9 @@
                 inHand = null;
             }
             ByteBuf content = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(status), content);
+            FullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
             answer.headers().set("Content-Length", content.readableBytes());
             if (!name.isEmpty()) {
                 answer.headers().set(name, value);
@@ -238,15 +291,16 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            pace.run(() -> {
-                connections.remove(this);
-                model.connections = Math.max(0, model.connections - 1);
-                if (inHand != null) {
-                    inHand.gone = true;
-                    history.line("cancel", "id", inHand.id, "server", model.id);
-                    inHand = null;
-                }
-            });
+            pace.run(
+                    () -> {
+                        connections.remove(this);
+                        model.connections = Math.max(0, model.connections - 1);
+                        if (inHand != null) {
+                            inHand.gone = true;
+                            history.line("cancel", "id", inHand.id, "server", model.id);
+                            inHand = null;
+                        }
+                    });
         }
 
         @Override
--- a/lab/src/main/java/sagefall/lab/rig/Rig.java
+++ b/lab/src/main/java/sagefall/lab/rig/Rig.java
@@ -46,23 +46,26 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * One play of a plan by real processes: sidecars by the deploy file's {@code run}, save servers and replicas
- * of discovery in processes of their own, a relay on the way between any two of them, and the emulator's
- * clients, servers, discovery and draws at the pace of the machine's clock. What happens is written down;
- * {@link Checks} judge it from that alone.
+ * One play of a plan by real processes: sidecars by the deploy file's {@code run}, save servers and
+ * replicas of discovery in processes of their own, a relay on the way between any two of them, and
+ * the emulator's clients, servers, discovery and draws at the pace of the machine's clock. What
+ * happens is written down; {@link Checks} judge it from that alone.
  */
 final class Rig implements AutoCloseable {
 
     private static final int REPLICAS = 2;
     private static final int THREADS = 3;
     private static final long END_SECONDS = 30;
+
     /** After the last answer: so many times as long as idle connections are kept, at the most. */
     private static final double REST_PARTS = 4;
+
     private static final long LOOK_MILLIS = 50;
     private static final long STARVED_NANOS = 20_000_000;
 
     /** What goes into the folder of a play. */
     static final String PLAN = "plan.json";
+
     static final String SCHEDULE = "schedule.jsonl";
     static final String HISTORY = "history";
 
@@ -115,14 +118,20 @@
         int zones = scenario.fleet().zones().size();
         network = new Network(scenario.net(), draws, zones);
         setupMicros = scenario.net().setupMicros().draw(draws, "net.setup");
-        owners = scenario.fleet().leaseMillis() == 0 ? null
-                : new Owners(out.resolve("shared").toAbsolutePath());
+        owners =
+                scenario.fleet().leaseMillis() == 0
+                        ? null
+                        : new Owners(out.resolve("shared").toAbsolutePath());
         Map<String, Object> facts = Facts.of(scenario);
         facts.put("rank", 0L);
         facts.put("zone", 0L);
         requestClass = SettingsReader.read(0, facts).classes().get(0);
-        ledger = new Ledger((int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(),
-                scenario.service().overShareWorth());
+        ledger =
+                new Ledger(
+                        (int) Math.ceil(scenario.seconds()),
+                        zones,
+                        scenario.tenants().size(),
+                        scenario.service().overShareWorth());
         fleet = new Fleet(scenario, draws, pace.loop(), new double[] {1}, new Nothing());
         for (int i = 0; i < scenario.fleet().sidecars(); i++) {
             sidecars.add(sidecar(i, i % zones));
@@ -138,13 +147,13 @@
     /** Of servers' mirrors, which do no work. */
     private static final class Nothing implements SaveServer.Floor {
         @Override
-        public void done(Job job) { }
+        public void done(Job job) {}
 
         @Override
-        public void broken(Job job) { }
+        public void broken(Job job) {}
 
         @Override
-        public void fell(SaveServer server, double told) { }
+        public void fell(SaveServer server, double told) {}
     }
 
     private static Thread daemon(Runnable task) {
@@ -156,7 +165,8 @@
     // ---- The cast
 
     private static InetAddress address(int sidecar, int high, int low) throws UnknownHostException {
-        return InetAddress.getByAddress(new byte[] {127, (byte) (16 + sidecar), (byte) high, (byte) low});
+        return InetAddress.getByAddress(
+                new byte[] {127, (byte) (16 + sidecar), (byte) high, (byte) low});
     }
 
     private SidecarMember sidecar(int index, int zone) throws Exception {
@@ -167,17 +177,31 @@
         facts.put("rank", (long) index);
         facts.put("zone", (long) zone);
         Path root = plan.builds().get(index % plan.builds().size()).toAbsolutePath();
-        return new SidecarMember(this, index, zone, root, folder, listen,
-                new Application(group.next(), listen), way, facts);
+        return new SidecarMember(
+                this,
+                index,
+                zone,
+                root,
+                folder,
+                listen,
+                new Application(group.next(), listen),
+                way,
+                facts);
     }
 
     private ServerMember member(SaveServer s, int slot) throws Exception {
         List<ServerMember.Way> ways = new ArrayList<>();
         for (SidecarMember from : sidecars) {
             String[] text = new String[1];
-            Link link = new Link(group, address(from.index(), slot / 250, 1 + slot % 250),
-                    way(from.zone(), s.zone), way(s.zone, from.zone()),
-                    id -> history.line("send", "id", id, "who", from.index(), "to", text[0]));
+            Link link =
+                    new Link(
+                            group,
+                            address(from.index(), slot / 250, 1 + slot % 250),
+                            way(from.zone(), s.zone),
+                            way(s.zone, from.zone()),
+                            id ->
+                                    history.line(
+                                            "send", "id", id, "who", from.index(), "to", text[0]));
             text[0] = text(link.address());
             ways.add(new ServerMember.Way(link, this::change));
         }
@@ -215,16 +239,40 @@
     /** Starts all processes and waits until all are ready; how long that took, in seconds. */
     double start() throws Exception {
         long began = System.nanoTime();
-        history.line("play", "scenario", scenario.name(), "seed", plan.seed(), "seconds", scenario.seconds(),
-                "zones", scenario.fleet().zones(), "sidecars", sidecars.stream().map(SidecarMember::zone)
-                        .toList(), "servers", first.stream().map(m -> m.mirror.zone).toList(),
-                "effect", scenario.service().effect(), "group", scenario.service().group(),
-                "window_us", requestClass.dedupWindowMicros(), "aim_us", requestClass.aimMicros(),
-                "drain_us", 1000 * scenario.service().drainMillis(),
-                "attempts", scenario.service().attempts(),
-                "fall_multiple", scenario.service().fallMultiple(),
-                "fall_us", 1e6 * scenario.service().fallSeconds(), "mean_work_us", meanWork(),
-                "over_share_worth", scenario.service().overShareWorth());
+        history.line(
+                "play",
+                "scenario",
+                scenario.name(),
+                "seed",
+                plan.seed(),
+                "seconds",
+                scenario.seconds(),
+                "zones",
+                scenario.fleet().zones(),
+                "sidecars",
+                sidecars.stream().map(SidecarMember::zone).toList(),
+                "servers",
+                first.stream().map(m -> m.mirror.zone).toList(),
+                "effect",
+                scenario.service().effect(),
+                "group",
+                scenario.service().group(),
+                "window_us",
+                requestClass.dedupWindowMicros(),
+                "aim_us",
+                requestClass.aimMicros(),
+                "drain_us",
+                1000 * scenario.service().drainMillis(),
+                "attempts",
+                scenario.service().attempts(),
+                "fall_multiple",
+                scenario.service().fallMultiple(),
+                "fall_us",
+                1e6 * scenario.service().fallSeconds(),
+                "mean_work_us",
+                meanWork(),
+                "over_share_worth",
+                scenario.service().overShareWorth());
         discovery = new Discovery(scenario.listing(), draws, pace.loop(), sidecars);
         List<Future<?>> all = new ArrayList<>();
         for (int r = 0; r < REPLICAS; r++) {
@@ -233,14 +281,25 @@
             ObjectNode command = History.JSON.createObjectNode().put("do", "views");
             ArrayNode who = command.putArray("who");
             int number = r;
-            List<SidecarMember> mine = sidecars.stream().filter(s -> s.index() % REPLICAS == number).toList();
+            List<SidecarMember> mine =
+                    sidecars.stream().filter(s -> s.index() % REPLICAS == number).toList();
             mine.forEach(s -> who.add(s.index()));
-            all.add(child.ask(command).thenAccept(answer -> {
-                for (int i = 0; i < mine.size(); i++) {
-                    mine.get(i).discoveryLink().target(new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                            answer.path("ports").path(i).asInt()));
-                }
-            }));
+            all.add(
+                    child.ask(command)
+                            .thenAccept(
+                                    answer -> {
+                                        for (int i = 0; i < mine.size(); i++) {
+                                            mine.get(i)
+                                                    .discoveryLink()
+                                                    .target(
+                                                            new InetSocketAddress(
+                                                                    InetAddress
+                                                                            .getLoopbackAddress(),
+                                                                    answer.path("ports")
+                                                                            .path(i)
+                                                                            .asInt()));
+                                        }
+                                    }));
         }
         for (ServerProcess process : processes) {
             all.add(process.start(false));
@@ -254,10 +313,12 @@
         sidecars.forEach(s -> s.list(ListKind.COMPLETE, list));
         List<Future<?>> starts = new ArrayList<>();
         for (SidecarMember s : sidecars) {
-            starts.add(workers.submit(() -> {
-                s.start();
-                return null;
-            }));
+            starts.add(
+                    workers.submit(
+                            () -> {
+                                s.start();
+                                return null;
+                            }));
         }
         for (Future<?> ready : starts) {
             ready.get();
@@ -277,20 +338,39 @@
         if (owners != null) {
             workers.submit(() -> owners.watch(history));
         }
-        pace.call(() -> {
-            sidecars.forEach(SidecarMember::ready);
-            traffic = new Traffic(scenario, draws, pace.loop(), sidecars, ledger, network, requestClass,
-                    fleet.capacity());
-            for (ServerMember m : first) {
-                Pauses.begin(pace.loop(), draws.stream("pauses." + m.slot), m.mirror.make.pauseEvery(),
-                        m.mirror.make.pauseMicros(), endMicros(), by -> m.trouble(1, 0, by));
-            }
-            schedule.begin();
-            traffic.begin();
-            return null;
-        });
+        pace.call(
+                () -> {
+                    sidecars.forEach(SidecarMember::ready);
+                    traffic =
+                            new Traffic(
+                                    scenario,
+                                    draws,
+                                    pace.loop(),
+                                    sidecars,
+                                    ledger,
+                                    network,
+                                    requestClass,
+                                    fleet.capacity());
+                    for (ServerMember m : first) {
+                        Pauses.begin(
+                                pace.loop(),
+                                draws.stream("pauses." + m.slot),
+                                m.mirror.make.pauseEvery(),
+                                m.mirror.make.pauseMicros(),
+                                endMicros(),
+                                by -> m.trouble(1, 0, by));
+                    }
+                    schedule.begin();
+                    traffic.begin();
+                    return null;
+                });
         CompletableFuture<Void> over = new CompletableFuture<>();
-        pace.run(() -> pace.loop().at(Math.max(endMicros(), schedule.endMicros()), () -> settle(over)));
+        pace.run(
+                () ->
+                        pace.loop()
+                                .at(
+                                        Math.max(endMicros(), schedule.endMicros()),
+                                        () -> settle(over)));
         over.get();
         history.line("end");
         rest();
@@ -400,7 +480,10 @@
         return 1000 * scenario.service().workMillis().draw(draws, "service.work");
     }
 
-    /** A machine of the same kind, with another id, at addresses of its own or in the place of the old. */
+    /**
+     * A machine of the same kind, with another id, at addresses of its own or in the place of the
+     * old.
+     */
     ServerMember replacement(ServerMember old, boolean samePlace) throws Exception {
         SaveServer fresh = fleet.replacement(old.mirror);
         if (!samePlace) {
@@ -413,12 +496,19 @@
 
     /** The command that has a process serve it. */
     ObjectNode serving(ServerMember m) {
-        ObjectNode command = History.JSON.createObjectNode().put("do", "serve").put("id", m.id())
-                .put("zone", m.mirror.zone).put("cell", m.mirror.cell)
-                .put("fall_multiple", scenario.service().fallMultiple())
-                .put("fall_us", (long) (1e6 * scenario.service().fallSeconds()))
-                .put("mean_work_us", meanWork()).put("setup_us", setupMicros)
-                .put("window_us", requestClass.dedupWindowMicros()).put("seed", plan.seed());
+        ObjectNode command =
+                History.JSON
+                        .createObjectNode()
+                        .put("do", "serve")
+                        .put("id", m.id())
+                        .put("zone", m.mirror.zone)
+                        .put("cell", m.mirror.cell)
+                        .put("fall_multiple", scenario.service().fallMultiple())
+                        .put("fall_us", (long) (1e6 * scenario.service().fallSeconds()))
+                        .put("mean_work_us", meanWork())
+                        .put("setup_us", setupMicros)
+                        .put("window_us", requestClass.dedupWindowMicros())
+                        .put("seed", plan.seed());
         command.set("make", History.JSON.valueToTree(m.mirror.make));
         return command;
     }
@@ -426,15 +516,25 @@
     /** A server as discovery tells it to one sidecar, whose way to it is its own. */
     ObjectNode target(SidecarMember to, Server s) {
         ServerMember m = servers.get(s.id());
-        long boot = s.startMicros() == 0 ? 0 : System.currentTimeMillis()
-                - (pace.loop().now() - s.startMicros()) / 1000;
-        return History.JSON.createObjectNode().put("uid", String.format("s-%08x", s.id())).put("id", s.id())
+        long boot =
+                s.startMicros() == 0
+                        ? 0
+                        : System.currentTimeMillis() - (pace.loop().now() - s.startMicros()) / 1000;
+        return History.JSON
+                .createObjectNode()
+                .put("uid", String.format("s-%08x", s.id()))
+                .put("id", s.id())
                 .put("endpoint", text(m.ways.get(to.index()).link.address()))
                 .put("az", scenario.fleet().zones().get(s.zone()))
-                .put("model", scenario.kinds().get(s.kind()).name()).put("pod_group", s.cell())
-                .put("state", s.phase() == Phase.READY ? "in_service" : s.phase() == Phase.DRAINING
-                        ? "terminating" : "terminated")
-                .put("capacity_hint", s.weight()).put("boot_ms", boot);
+                .put("model", scenario.kinds().get(s.kind()).name())
+                .put("pod_group", s.cell())
+                .put(
+                        "state",
+                        s.phase() == Phase.READY
+                                ? "in_service"
+                                : s.phase() == Phase.DRAINING ? "terminating" : "terminated")
+                .put("capacity_hint", s.weight())
+                .put("boot_ms", boot);
     }
 
     String tenant(int place) {
@@ -453,7 +553,9 @@
 
     /** A process of stand-ins. */
     Child child(String name) throws IOException {
-        return new Child(guard, out.resolve(HISTORY).resolve(name + ".jsonl").toAbsolutePath(),
+        return new Child(
+                guard,
+                out.resolve(HISTORY).resolve(name + ".jsonl").toAbsolutePath(),
                 out.resolve("stand-ins.log"));
     }
 
@@ -464,13 +566,14 @@
 
     /** What blocks is done aside; if it fails, the play is void. */
     void aside(Callable<?> task) {
-        workers.submit(() -> {
-            try {
-                task.call();
-            } catch (Exception e) {
-                failure = e;
-            }
-        });
+        workers.submit(
+                () -> {
+                    try {
+                        task.call();
+                    } catch (Exception e) {
+                        failure = e;
+                    }
+                });
     }
 
     /** What must not fail within the model's thread. */
--- a/lab/src/main/java/sagefall/lab/rig/RigCommand.java
+++ b/lab/src/main/java/sagefall/lab/rig/RigCommand.java
@@ -25,32 +25,54 @@
 import sagefall.lab.scenario.ScenarioException;
 
 /** Many real processes with faults between them: docs/RIG.md. */
-@Command(name = "rig", mixinStandardHelpOptions = true,
+@Command(
+        name = "rig",
+        mixinStandardHelpOptions = true,
         description = "Plays faults between many real processes and judges what was seen.",
-        subcommands = {RigCommand.Run.class, RigCommand.Again.class, RigCommand.Check.class,
-                RigCommand.Campaign.class, RigCommand.Shrink.class, RigCommand.Agree.class,
-                RigCommand.Scenarios.class})
+        subcommands = {
+            RigCommand.Run.class,
+            RigCommand.Again.class,
+            RigCommand.Check.class,
+            RigCommand.Campaign.class,
+            RigCommand.Shrink.class,
+            RigCommand.Agree.class,
+            RigCommand.Scenarios.class
+        })
 public final class RigCommand {
 
     /** What all plays take. */
     static final class Options {
-        @Option(names = "--build", paramLabel = "DIR",
-                description = "a checkout, built, whose program the sidecars are; several go in turn")
+        @Option(
+                names = "--build",
+                paramLabel = "DIR",
+                description =
+                        "a checkout, built, whose program the sidecars are; several go in turn")
         private List<Path> builds = new ArrayList<>();
 
-        @Option(names = "--set", paramLabel = "NAME=VALUE",
+        @Option(
+                names = "--set",
+                paramLabel = "NAME=VALUE",
                 description = "a figure in the place of the scenario's, such as load.use=0.5")
         private List<String> sets = new ArrayList<>();
 
-        @Option(names = "--sidecars", paramLabel = "N", description = "how many, instead of the scenario's")
+        @Option(
+                names = "--sidecars",
+                paramLabel = "N",
+                description = "how many, instead of the scenario's")
         private Integer sidecars;
 
-        @Option(names = "--servers", paramLabel = "N", description = "how many, instead of the scenario's")
+        @Option(
+                names = "--servers",
+                paramLabel = "N",
+                description = "how many, instead of the scenario's")
         private Integer servers;
 
-        @Option(names = "--out", paramLabel = "DIR",
-                description = "where plays are kept; else only failed ones,"
-                + " in a folder of their own among the temporary ones")
+        @Option(
+                names = "--out",
+                paramLabel = "DIR",
+                description =
+                        "where plays are kept; else only failed ones,"
+                                + " in a folder of their own among the temporary ones")
         private Path out;
 
         List<Path> builds() {
@@ -77,8 +99,9 @@
         }
 
         Path folder(String name) throws IOException {
-            return out == null ? Files.createTempDirectory("rig-" + name + "-") : Files.createDirectories(
-                    out.resolve(name));
+            return out == null
+                    ? Files.createTempDirectory("rig-" + name + "-")
+                    : Files.createDirectories(out.resolve(name));
         }
 
         /** Plays it, and keeps its folder if that is wanted or it failed. */
@@ -98,7 +121,10 @@
         @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})")
         private long seed;
 
-        @Option(names = "--plays", defaultValue = "1", description = "from that seed on (${DEFAULT-VALUE})")
+        @Option(
+                names = "--plays",
+                defaultValue = "1",
+                description = "from that seed on (${DEFAULT-VALUE})")
         private int plays;
 
         List<Long> all() {
@@ -113,15 +139,15 @@
     /** One scenario. */
     @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario.")
     static final class Run implements Callable<Integer> {
-        @Parameters(arity = "1..*", paramLabel = "SCENARIO",
+        @Parameters(
+                arity = "1..*",
+                paramLabel = "SCENARIO",
                 description = "a shipped scenario, or a TOML file")
         private List<String> scenarios;
 
-        @Mixin
-        private Seeds seeds;
+        @Mixin private Seeds seeds;
 
-        @Mixin
-        private Options options;
+        @Mixin private Options options;
 
         @Override
         public Integer call() throws Exception {
@@ -141,7 +167,10 @@
     }
 
     /** A plan that a play has left. */
-    @Command(name = "again", mixinStandardHelpOptions = true, description = "Plays a kept plan again.")
+    @Command(
+            name = "again",
+            mixinStandardHelpOptions = true,
+            description = "Plays a kept plan again.")
     static final class Again implements Callable<Integer> {
         @Parameters(paramLabel = "PLAN", description = "plan.json of a kept play")
         private Path file;
@@ -149,8 +178,7 @@
         @Option(names = "--plays", defaultValue = "1")
         private int plays;
 
-        @Mixin
-        private Options options;
+        @Mixin private Options options;
 
         @Override
         public Integer call() throws Exception {
@@ -165,7 +193,10 @@
     }
 
     /** A history that a play has left. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Judges a kept play once more.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Judges a kept play once more.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "DIR", description = "the folder of a kept play")
         private Path folder;
@@ -179,17 +210,24 @@
     }
 
     /** Drawn schedules until the time is over. */
-    @Command(name = "campaign", mixinStandardHelpOptions = true,
+    @Command(
+            name = "campaign",
+            mixinStandardHelpOptions = true,
             description = "Draws schedules from a seed and plays them until the time is over.")
     static final class Campaign implements Callable<Integer> {
-        @Option(names = "--minutes", defaultValue = "30", description = "how long (${DEFAULT-VALUE})")
+        @Option(
+                names = "--minutes",
+                defaultValue = "30",
+                description = "how long (${DEFAULT-VALUE})")
         private double minutes;
 
-        @Option(names = "--seed", defaultValue = "1", description = "of the first; the next go on from it")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "of the first; the next go on from it")
         private long seed;
 
-        @Mixin
-        private Options options;
+        @Mixin private Options options;
 
         @Override
         public Integer call() throws Exception {
@@ -199,16 +237,34 @@
             int failed = 0;
             for (long s = seed; System.nanoTime() < until; s++) {
                 String text = Drawing.text(s);
-                Plan plan = new Plan("campaign-" + s + ".toml", text, options.sets, s, null,
-                        options.builds());
+                Plan plan =
+                        new Plan(
+                                "campaign-" + s + ".toml",
+                                text,
+                                options.sets,
+                                s,
+                                null,
+                                options.builds());
                 Play play = options.play(plan, "campaign-" + s);
-                plan.scenario().faults().forEach(f -> met.merge(f.kind().name().toLowerCase(Locale.ROOT), 1,
-                        Integer::sum));
+                plan.scenario()
+                        .faults()
+                        .forEach(
+                                f ->
+                                        met.merge(
+                                                f.kind().name().toLowerCase(Locale.ROOT),
+                                                1,
+                                                Integer::sum));
                 played++;
                 failed += play.broken() ? 1 : 0;
-                System.out.printf(Locale.ROOT, "seed %d: %s; served %.3f, worst second %.3f%s%n", s,
-                        plan.scenario().faults().stream().map(f -> f.kind().name().toLowerCase(Locale.ROOT))
-                                .toList(), play.figures().served(), play.figures().worstSecond(),
+                System.out.printf(
+                        Locale.ROOT,
+                        "seed %d: %s; served %.3f, worst second %.3f%s%n",
+                        s,
+                        plan.scenario().faults().stream()
+                                .map(f -> f.kind().name().toLowerCase(Locale.ROOT))
+                                .toList(),
+                        play.figures().served(),
+                        play.figures().worstSecond(),
                         play.isVoid() ? ", VOID" : play.broken() ? ", BROKEN" : "");
                 if (play.broken()) {
                     play.print(System.out);
@@ -220,7 +276,9 @@
     }
 
     /** The fewest faults that still fail. */
-    @Command(name = "shrink", mixinStandardHelpOptions = true,
+    @Command(
+            name = "shrink",
+            mixinStandardHelpOptions = true,
             description = "Cuts a failing plan to the fewest faults that still fail.")
     static final class Shrink implements Callable<Integer> {
         private static final int TRIES = 3;
@@ -228,15 +286,15 @@
         @Parameters(paramLabel = "PLAN", description = "plan.json of a kept play")
         private Path file;
 
-        @Mixin
-        private Options options;
+        @Mixin private Options options;
 
         @Override
         public Integer call() throws Exception {
             Plan plan = Plan.read(file);
             List<Integer> kept = plan.faults();
             int fails = fails(plan);
-            System.out.printf("all %d faults: broken in %d of %d plays%n", kept.size(), fails, TRIES);
+            System.out.printf(
+                    "all %d faults: broken in %d of %d plays%n", kept.size(), fails, TRIES);
             if (fails == 0) {
                 return 0;
             }
@@ -244,7 +302,8 @@
                 List<Integer> fewer = new ArrayList<>(kept);
                 fewer.remove(i);
                 int now = fails(plan.only(fewer));
-                System.out.printf("without fault %d: broken in %d of %d plays%n", kept.get(i), now, TRIES);
+                System.out.printf(
+                        "without fault %d: broken in %d of %d plays%n", kept.get(i), now, TRIES);
                 if (now >= fails) {
                     kept = fewer;
                     fails = now;
@@ -252,8 +311,9 @@
             }
             Path shrunk = file.resolveSibling("shrunk.json");
             plan.only(kept).write(shrunk);
-            System.out.printf("faults %s break it in %d of %d plays: ./sagefall rig again %s%n", kept, fails,
-                    TRIES, shrunk);
+            System.out.printf(
+                    "faults %s break it in %d of %d plays: ./sagefall rig again %s%n",
+                    kept, fails, TRIES, shrunk);
             return 1;
         }
 
@@ -269,22 +329,26 @@
     }
 
     /** The same days by the emulator and by real processes. */
-    @Command(name = "agree", mixinStandardHelpOptions = true,
+    @Command(
+            name = "agree",
+            mixinStandardHelpOptions = true,
             description = "Plays scenarios by the emulator and by real processes, side by side.")
     static final class Agree implements Callable<Integer> {
-        @Parameters(arity = "1..*", paramLabel = "SCENARIO", description = "ones that both can play")
+        @Parameters(
+                arity = "1..*",
+                paramLabel = "SCENARIO",
+                description = "ones that both can play")
         private List<String> scenarios;
 
-        @Mixin
-        private Seeds seeds;
+        @Mixin private Seeds seeds;
 
-        @Mixin
-        private Options options;
+        @Mixin private Options options;
 
         @Override
         public Integer call() throws Exception {
-            System.out.println("scenario, seed               served        attempts       crossings      "
-                    + "refused        failed         p50 ms       p95 ms");
+            System.out.println(
+                    "scenario, seed               served        attempts       crossings      "
+                            + "refused        failed         p50 ms       p95 ms");
             boolean broken = false;
             for (String name : scenarios) {
                 for (long s : seeds.all()) {
@@ -296,11 +360,26 @@
                     Play play = Play.of(plan, options.folder("agree-" + name + "-" + s));
                     Figures f = play.figures();
                     broken |= play.broken();
-                    System.out.printf(Locale.ROOT, "%-18s %3d  %.3f %.3f   %.3f %.3f   %.3f %.3f   %.4f %.4f"
-                            + "   %.4f %.4f   %4.0f %4.0f   %4.0f %4.0f%s%n", name, s, e.served(), f.served(),
-                            e.attemptsPerRequest(), f.attempts(), e.crossingsPerRequest(), f.crossings(),
-                            part(e, "refused"), part(f, "refused"), part(e, "failed"), part(f, "failed"),
-                            e.latency().p50(), f.p50Millis(), e.latency().p95(), f.p95Millis(),
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%-18s %3d  %.3f %.3f   %.3f %.3f   %.3f %.3f   %.4f %.4f"
+                                    + "   %.4f %.4f   %4.0f %4.0f   %4.0f %4.0f%s%n",
+                            name,
+                            s,
+                            e.served(),
+                            f.served(),
+                            e.attemptsPerRequest(),
+                            f.attempts(),
+                            e.crossingsPerRequest(),
+                            f.crossings(),
+                            part(e, "refused"),
+                            part(f, "refused"),
+                            part(e, "failed"),
+                            part(f, "failed"),
+                            e.latency().p50(),
+                            f.p50Millis(),
+                            e.latency().p95(),
+                            f.p95Millis(),
                             play.isVoid() ? "  VOID" : play.broken() ? "  BROKEN" : "");
                     if (!play.broken()) {
                         play.remove();
@@ -311,8 +390,11 @@
         }
 
         private static double part(DayResult r, String word) {
-            return r.answers().entrySet().stream().filter(a -> a.getKey().startsWith(word))
-                    .mapToLong(Map.Entry::getValue).sum() / (double) r.requests();
+            return r.answers().entrySet().stream()
+                            .filter(a -> a.getKey().startsWith(word))
+                            .mapToLong(Map.Entry::getValue)
+                            .sum()
+                    / (double) r.requests();
         }
 
         private static double part(Figures f, String word) {
@@ -321,9 +403,10 @@
     }
 
     /** What there is to play. */
-    @Command(name = "scenarios", mixinStandardHelpOptions = true,
-            description = "Lists what real processes can "
-            + "play.")
+    @Command(
+            name = "scenarios",
+            mixinStandardHelpOptions = true,
+            description = "Lists what real processes can " + "play.")
     static final class Scenarios implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/lab/src/main/java/sagefall/lab/rig/RigPage.java
+++ b/lab/src/main/java/sagefall/lab/rig/RigPage.java
@@ -17,17 +17,20 @@
     private static final int ROW = 16;
     private static final int BAND = 60;
     private static final int TOP = 34;
-    private static final String STYLE = """
+    private static final String STYLE =
+            """
             body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1120px;padding:0 1em}
             body{color:#222}
             h1{font-size:1.5em}h2{font-size:1.1em;margin-top:1.6em}svg{width:100%;height:auto}
-            .tick{font:10px system-ui;fill:#666}.grid{stroke:#e4e4e4}.row{font:10px system-ui;fill:#333}
+            .tick{font:10px system-ui;fill:#666}.grid{stroke:#e4e4e4}.row{font:10px system-ui;\
+            fill:#333}
             .fault{fill:#d55e00;fill-opacity:.09}.name{font:9px system-ui;fill:#944}.bad{color:#b00}
             .up{fill:#cfe3f3}.down{fill:#444}.stop{fill:#e69f00}.start{fill:#bbb}.cold{fill:#56b4e9}
             .drain{fill:#cc79a7}.served{fill:#009e73}.refused{fill:#e69f00}.lost{fill:#b00}
             .breach{stroke:#b00}
             code{background:#f4f4f4;padding:.1em .3em}.key span{margin-right:1.2em}
-            .key i{display:inline-block;width:.9em;height:.9em;margin-right:.35em;vertical-align:-1px}
+            .key i{display:inline-block;width:.9em;height:.9em;margin-right:.35em;\
+            vertical-align:-1px}
             """;
 
     private final StringBuilder out = new StringBuilder();
@@ -38,8 +41,12 @@
     private RigPage(Play play, List<Entry> history) {
         this.play = play;
         zero = play.zero();
-        double last = history.stream().filter(e -> e.kind().equals("answer") || e.kind().equals("process"))
-                .mapToDouble(e -> (e.at() - zero) / 1e9).max().orElse(1);
+        double last =
+                history.stream()
+                        .filter(e -> e.kind().equals("answer") || e.kind().equals("process"))
+                        .mapToDouble(e -> (e.at() - zero) / 1e9)
+                        .max()
+                        .orElse(1);
         seconds = Math.max(1, Math.min(last, play.figures().asked().length + 12));
     }
 
@@ -60,10 +67,17 @@
     }
 
     private void head(List<Entry> history) {
-        String title = history.stream().filter(e -> e.kind().equals("play")).findFirst()
-                .map(e -> e.text("scenario") + ", seed " + e.number("seed")).orElse("a play");
-        out.append("<!doctype html><html lang='en'><head><meta charset='utf-8'><title>").append(text(title))
-                .append("</title><style>").append(STYLE).append("</style></head><body>\n");
+        String title =
+                history.stream()
+                        .filter(e -> e.kind().equals("play"))
+                        .findFirst()
+                        .map(e -> e.text("scenario") + ", seed " + e.number("seed"))
+                        .orElse("a play");
+        out.append("<!doctype html><html lang='en'><head><meta charset='utf-8'><title>")
+                .append(text(title))
+                .append("</title><style>")
+                .append(STYLE)
+                .append("</style></head><body>\n");
         add("<h1>%s</h1>", text(title));
         play.figures().lines().forEach(line -> add("<p>%s</p>", text(line)));
         if (play.isVoid()) {
@@ -71,15 +85,29 @@
         } else if (play.breaches().isEmpty()) {
             add("<p>No rule was broken. Again by: <code>%s</code></p>", text(play.again()));
         } else {
-            add("<p class='bad'>%d breaches. Again by: <code>%s</code></p><ul>", play.breaches().size(),
-                    text(play.again()));
-            play.breaches().stream().limit(20).forEach(b -> add("<li class='bad'>%.3f s, %s: %s</li>",
-                    (b.at() - zero) / 1e9, b.rule(), text(b.what())));
+            add(
+                    "<p class='bad'>%d breaches. Again by: <code>%s</code></p><ul>",
+                    play.breaches().size(), text(play.again()));
+            play.breaches().stream()
+                    .limit(20)
+                    .forEach(
+                            b ->
+                                    add(
+                                            "<li class='bad'>%.3f s, %s: %s</li>",
+                                            (b.at() - zero) / 1e9, b.rule(), text(b.what())));
             add("</ul>");
         }
-        add("<p class='key'>%s</p>", key("up", "#cfe3f3") + key("starting", "#bbb") + key("cold", "#56b4e9")
-                + key("drains", "#cc79a7") + key("stands still", "#e69f00") + key("down", "#444")
-                + key("served", "#009e73") + key("refused", "#e69f00") + key("failed or unanswered", "#b00"));
+        add(
+                "<p class='key'>%s</p>",
+                key("up", "#cfe3f3")
+                        + key("starting", "#bbb")
+                        + key("cold", "#56b4e9")
+                        + key("drains", "#cc79a7")
+                        + key("stands still", "#e69f00")
+                        + key("down", "#444")
+                        + key("served", "#009e73")
+                        + key("refused", "#e69f00")
+                        + key("failed or unanswered", "#b00"));
     }
 
     private static String key(String name, String colour) {
@@ -99,29 +127,47 @@
         int height = TOP + BAND + 14 + rows.size() * ROW + 20;
         add("<svg viewBox='0 0 %d %d' role='img' aria-label='members over time'>", WIDTH, height);
         for (int s = 0; s <= seconds; s += 5) {
-            add("<line class='grid' x1='%.1f' x2='%.1f' y1='%d' y2='%d'/>", x(s), x(s), TOP, height - 18);
-            add("<text class='tick' x='%.1f' y='%d' text-anchor='middle'>%d s</text>", x(s), height - 6, s);
+            add(
+                    "<line class='grid' x1='%.1f' x2='%.1f' y1='%d' y2='%d'/>",
+                    x(s), x(s), TOP, height - 18);
+            add(
+                    "<text class='tick' x='%.1f' y='%d' text-anchor='middle'>%d s</text>",
+                    x(s), height - 6, s);
         }
         band(history);
         int y = TOP + BAND + 14;
         for (Map.Entry<String, List<String[]>> row : rows.entrySet()) {
-            add("<text class='row' x='%d' y='%d' text-anchor='end'>%s</text>", LEFT - 6, y + 11,
-                    row.getKey());
+            add(
+                    "<text class='row' x='%d' y='%d' text-anchor='end'>%s</text>",
+                    LEFT - 6, y + 11, row.getKey());
             for (String[] piece : row.getValue()) {
                 double from = Double.parseDouble(piece[1]);
                 double to = Double.parseDouble(piece[2]);
-                add("<rect class='%s' x='%.1f' y='%d' width='%.1f' height='%d'><title>%s: %s, %.2f to %.2f s"
-                        + "</title></rect>", piece[0], x(from), y + 2, Math.max(0.6, x(to) - x(from)),
+                add(
+                        "<rect class='%s' x='%.1f' y='%d' width='%.1f' height='%d'><title>%s: %s,"
+                                + " %.2f to %.2f s</title></rect>",
+                        piece[0],
+                        x(from),
+                        y + 2,
+                        Math.max(0.6, x(to) - x(from)),
                         ROW - 4,
-                        row.getKey(), piece[0], from, to);
+                        row.getKey(),
+                        piece[0],
+                        from,
+                        to);
             }
             y += ROW;
         }
         faults(history, height);
-        play.breaches().stream().limit(200).forEach(b -> add("<line class='breach' x1='%.1f' x2='%.1f' "
-                + "y1='%d' "
-                + "y2='%d'><title>%s</title></line>", x(b.at()), x(b.at()), TOP, height - 18,
-                text(b.what())));
+        play.breaches().stream()
+                .limit(200)
+                .forEach(
+                        b ->
+                                add(
+                                        "<line class='breach' x1='%.1f' x2='%.1f' "
+                                                + "y1='%d' "
+                                                + "y2='%d'><title>%s</title></line>",
+                                        x(b.at()), x(b.at()), TOP, height - 18, text(b.what())));
         add("</svg>");
     }
 
@@ -144,13 +190,23 @@
                 double high = BAND * sums[i][k] / all;
                 y -= high;
                 if (high > 0) {
-                    add("<rect class='%s' x='%.1f' y='%.1f' width='%.1f' height='%.1f'><title>%.1f s: %d %s"
-                            + "</title></rect>", names[k], x(i / 2.0), y,
-                            x((i + 1) / 2.0) - x(i / 2.0) - 0.4, high, i / 2.0, sums[i][k], names[k]);
+                    add(
+                            "<rect class='%s' x='%.1f' y='%.1f' width='%.1f'"
+                                    + " height='%.1f'><title>%.1f s: %d %s</title></rect>",
+                            names[k],
+                            x(i / 2.0),
+                            y,
+                            x((i + 1) / 2.0) - x(i / 2.0) - 0.4,
+                            high,
+                            i / 2.0,
+                            sums[i][k],
+                            names[k]);
                 }
             }
         }
-        add("<text class='row' x='%d' y='%d' text-anchor='end'>answers</text>", LEFT - 6, TOP + BAND / 2);
+        add(
+                "<text class='row' x='%d' y='%d' text-anchor='end'>answers</text>",
+                LEFT - 6, TOP + BAND / 2);
     }
 
     private void faults(List<Entry> history, int height) {
@@ -165,10 +221,15 @@
                 open.put(key, e);
             } else if (open.containsKey(key)) {
                 Entry from = open.remove(key);
-                add("<rect class='fault' x='%.1f' y='%d' width='%.1f' height='%d'/>", x(from.at()), TOP,
-                        Math.max(1, x(e.at()) - x(from.at())), height - 18 - TOP);
-                add("<text class='name' x='%.1f' y='%d'>%s</text>", x(from.at()) + 2, 10 + 10 * (line++ % 3),
-                        e.text("what").replace('_', ' '));
+                add(
+                        "<rect class='fault' x='%.1f' y='%d' width='%.1f' height='%d'/>",
+                        x(from.at()),
+                        TOP,
+                        Math.max(1, x(e.at()) - x(from.at())),
+                        height - 18 - TOP);
+                add(
+                        "<text class='name' x='%.1f' y='%d'>%s</text>",
+                        x(from.at()) + 2, 10 + 10 * (line++ % 3), e.text("what").replace('_', ' '));
             }
         }
     }
@@ -186,30 +247,37 @@
                 }
             }
             if (e.kind().equals("process") && e.line().has("who")) {
-                String next = switch (e.text("what")) {
-                    case "start" -> "start";
-                    case "ready", "cont" -> "up";
-                    case "kill", "exit", "stuck" -> "down";
-                    case "stop" -> "stop";
-                    case "term" -> "drain";
-                    default -> "up";
-                };
+                String next =
+                        switch (e.text("what")) {
+                            case "start" -> "start";
+                            case "ready", "cont" -> "up";
+                            case "kill", "exit", "stuck" -> "down";
+                            case "stop" -> "stop";
+                            case "term" -> "drain";
+                            default -> "up";
+                        };
                 turn(rows, state, since, "sidecar " + e.number("who"), next, e.at());
             } else if (e.kind().equals("server")) {
                 String name = String.format("server %08x", e.number("server"));
-                turn(rows, state, since, name, switch (e.text("what")) {
-                    case "cold" -> "cold";
-                    case "warm" -> "up";
-                    default -> "down";
-                }, e.at());
+                turn(
+                        rows,
+                        state,
+                        since,
+                        name,
+                        switch (e.text("what")) {
+                            case "cold" -> "cold";
+                            case "warm" -> "up";
+                            default -> "down";
+                        },
+                        e.at());
                 if (e.text("what").equals("cold")) {
                     long warm = e.at() + 1000 * e.number("cold_us");
                     since.put(name + " warm", (warm - zero) / 1e9);
                 }
             } else if (e.kind().equals("process") && e.text("what").equals("kill")) {
-                inProcess.getOrDefault(e.text("name"), List.of()).forEach(name -> turn(rows, state, since,
-                        name,
-                        "down", e.at()));
+                inProcess
+                        .getOrDefault(e.text("name"), List.of())
+                        .forEach(name -> turn(rows, state, since, name, "down", e.at()));
             } else if (e.kind().equals("host")) {
                 List<String> names = new ArrayList<>();
                 for (JsonNode id : e.line().path("servers")) {
@@ -223,8 +291,13 @@
         return rows;
     }
 
-    private void turn(Map<String, List<String[]>> rows, Map<String, String> state, Map<String, Double> since,
-            String name, String next, long at) {
+    private void turn(
+            Map<String, List<String[]>> rows,
+            Map<String, String> state,
+            Map<String, Double> since,
+            String name,
+            String next,
+            long at) {
         double now = (at - zero) / 1e9;
         String was = state.put(name, next);
         rows.computeIfAbsent(name, n -> new ArrayList<>());
@@ -234,7 +307,11 @@
         since.put(name, now);
     }
 
-    private void piece(Map<String, List<String[]>> rows, Map<String, Double> since, String name, String was,
+    private void piece(
+            Map<String, List<String[]>> rows,
+            Map<String, Double> since,
+            String name,
+            String was,
             double until) {
         double from = Math.max(0, since.get(name));
         double to = Math.min(seconds, until);
@@ -243,9 +320,16 @@
             return;
         }
         if (was.equals("cold") && warm != null && warm < to) {
-            rows.get(name).add(new String[] {"cold", String.valueOf(from), String.valueOf(Math.max(from,
-                    warm))});
-            rows.get(name).add(new String[] {"up", String.valueOf(Math.max(from, warm)), String.valueOf(to)});
+            rows.get(name)
+                    .add(
+                            new String[] {
+                                "cold", String.valueOf(from), String.valueOf(Math.max(from, warm))
+                            });
+            rows.get(name)
+                    .add(
+                            new String[] {
+                                "up", String.valueOf(Math.max(from, warm)), String.valueOf(to)
+                            });
         } else {
             rows.get(name).add(new String[] {was, String.valueOf(from), String.valueOf(to)});
         }
