--- a/lab/src/main/java/sagefall/lab/rig/Schedule.java
+++ b/lab/src/main/java/sagefall/lab/rig/Schedule.java
@@ -16,16 +16,20 @@
 import sagefall.lab.scenario.Fault;
 
 /**
- * What goes wrong in a play, with all figures and members drawn: the same seed gives the same lines to the
- * byte, and leaving one fault out changes no other. It brings them about on real processes and ways.
+ * What goes wrong in a play, with all figures and members drawn: the same seed gives the same lines
+ * to the byte, and leaving one fault out changes no other. It brings them about on real processes
+ * and ways.
  */
 final class Schedule {
 
     private static final long DUTY_MICROS = 100_000;
     private static final int TENTHS = 10;
 
-    private record Item(int place, Fault.Drawn drawn, List<ServerMember> servers,
-            List<SidecarMember> sidecars) { }
+    private record Item(
+            int place,
+            Fault.Drawn drawn,
+            List<ServerMember> servers,
+            List<SidecarMember> sidecars) {}
 
     private final Rig rig;
     private final List<Item> items = new ArrayList<>();
@@ -35,14 +39,26 @@
         for (int place : places) {
             Fault f = rig.scenario.faults().get(place);
             Fault.Drawn d = f.draw(rig.draws().stream("fault." + place), rig.scenario.seconds());
-            boolean zonal = f.kind() == Fault.Kind.KILL_SIDECARS || f.kind() == Fault.Kind.POWER_LOSS;
-            List<SidecarMember> from = zonal && f.zone() >= 0
-                    ? rig.sidecars().stream().filter(s -> s.zone() == f.zone()).toList() : rig.sidecars();
+            boolean zonal =
+                    f.kind() == Fault.Kind.KILL_SIDECARS || f.kind() == Fault.Kind.POWER_LOSS;
+            List<SidecarMember> from =
+                    zonal && f.zone() >= 0
+                            ? rig.sidecars().stream().filter(s -> s.zone() == f.zone()).toList()
+                            : rig.sidecars();
             switch (f.kind()) {
                 case LOSE_SERVERS, SLOW, ERRORS, PAUSES, REPLACE, REBORN, DRAIN ->
                         items.add(new Item(place, d, List.copyOf(d.some(rig.first())), List.of()));
-                case KILL_SIDECARS, RESTART_SIDECARS, DEAF, STOP_SIDECARS, SLOW_SIDECARS, CUT_SIDECARS,
-                        FLAP_LINKS, DELAY_LINKS, CUT_BYTES, POWER_LOSS, WRONG_CLOCK ->
+                case KILL_SIDECARS,
+                        RESTART_SIDECARS,
+                        DEAF,
+                        STOP_SIDECARS,
+                        SLOW_SIDECARS,
+                        CUT_SIDECARS,
+                        FLAP_LINKS,
+                        DELAY_LINKS,
+                        CUT_BYTES,
+                        POWER_LOSS,
+                        WRONG_CLOCK ->
                         items.add(new Item(place, d, List.of(), List.copyOf(d.some(from))));
                 default -> items.add(new Item(place, d, List.of(), List.of()));
             }
@@ -66,15 +82,26 @@
         List<String> lines = new ArrayList<>();
         for (Item i : items) {
             Fault f = i.drawn.fault();
-            ObjectNode line = History.JSON.createObjectNode().put("fault", i.place)
-                    .put("kind", name(f)).put("at_s", round(i.drawn.from()))
-                    .put("for_s", round(i.drawn.seconds())).put("zone", f.zone())
-                    .put("tenant", f.tenant()).put("part", round(i.drawn.part()))
-                    .put("size", round(i.drawn.size())).put("every_s", round(i.drawn.every()))
-                    .put("how", f.how());
-            line.set("servers", History.JSON.valueToTree(i.servers.stream().map(s -> s.slot).toList()));
-            line.set("sidecars", History.JSON.valueToTree(i.sidecars.stream().map(SidecarMember::index)
-                    .toList()));
+            ObjectNode line =
+                    History.JSON
+                            .createObjectNode()
+                            .put("fault", i.place)
+                            .put("kind", name(f))
+                            .put("at_s", round(i.drawn.from()))
+                            .put("for_s", round(i.drawn.seconds()))
+                            .put("zone", f.zone())
+                            .put("tenant", f.tenant())
+                            .put("part", round(i.drawn.part()))
+                            .put("size", round(i.drawn.size()))
+                            .put("every_s", round(i.drawn.every()))
+                            .put("how", f.how());
+            line.set(
+                    "servers",
+                    History.JSON.valueToTree(i.servers.stream().map(s -> s.slot).toList()));
+            line.set(
+                    "sidecars",
+                    History.JSON.valueToTree(
+                            i.sidecars.stream().map(SidecarMember::index).toList()));
             lines.add(line.toString());
         }
         return lines;
@@ -113,13 +140,27 @@
     /** True at its beginning, false at its end; both are written down. */
     private void spell(Item i, double from, double seconds, Change change) {
         for (boolean on : new boolean[] {true, false}) {
-            loop().at(micros(on ? from : from + seconds), () -> {
-                rig.history.line("fault", "place", i.place, "what", name(i.drawn.fault()), "on", on, "zone",
-                        i.drawn.fault().zone(), "how", i.drawn.fault().how(), "sidecars",
-                        i.sidecars.stream().map(SidecarMember::index).toList(), "servers",
-                        i.servers.stream().map(s -> s.slot).toList());
-                rig.unchecked(() -> change.now(on));
-            });
+            loop().at(
+                            micros(on ? from : from + seconds),
+                            () -> {
+                                rig.history.line(
+                                        "fault",
+                                        "place",
+                                        i.place,
+                                        "what",
+                                        name(i.drawn.fault()),
+                                        "on",
+                                        on,
+                                        "zone",
+                                        i.drawn.fault().zone(),
+                                        "how",
+                                        i.drawn.fault().how(),
+                                        "sidecars",
+                                        i.sidecars.stream().map(SidecarMember::index).toList(),
+                                        "servers",
+                                        i.servers.stream().map(s -> s.slot).toList());
+                                rig.unchecked(() -> change.now(on));
+                            });
         }
     }
 
@@ -140,67 +181,119 @@
             case FLAP_LINKS -> rounds(i, 0.5, on -> cut(i, on ? 1 : -1));
             case DELAY_LINKS -> spell(i, on -> ways(i, w -> w.moreMillis += on ? size : -size));
             case CUT_BYTES -> spell(i, on -> ways(i, w -> w.cutAt = on ? (long) size : 0));
-            case SLOW -> spell(i, on -> i.servers.forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
-            case SHARED_SLOW -> spell(i, on -> rig.servers().forEach(s -> s.trouble(on ? size : 1 / size, 0,
-                    0)));
-            case ERRORS -> spell(i, on -> i.servers.forEach(s -> s.trouble(1, on ? size : -size, 0)));
+            case SLOW ->
+                    spell(i, on -> i.servers.forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
+            case SHARED_SLOW ->
+                    spell(
+                            i,
+                            on ->
+                                    rig.servers()
+                                            .forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
+            case ERRORS ->
+                    spell(i, on -> i.servers.forEach(s -> s.trouble(1, on ? size : -size, 0)));
             case PAUSES -> pauses(i);
             case REPLACE -> replace(i);
-            case DRAIN -> spell(i, on -> i.servers.stream().filter(s -> !s.gone).forEach(s -> {
-                if (on) {
-                    rig.discovery().draining(s.mirror);
-                } else {
-                    drain(s);
-                }
-            }));
-            case WRONG_CLOCK -> spell(i, i.drawn.from(), 0, on ->
-                    i.sidecars.forEach(s -> s.finds(s.stale(), (long) (1000 * size))));
+            case DRAIN ->
+                    spell(
+                            i,
+                            on ->
+                                    i.servers.stream()
+                                            .filter(s -> !s.gone)
+                                            .forEach(
+                                                    s -> {
+                                                        if (on) {
+                                                            rig.discovery().draining(s.mirror);
+                                                        } else {
+                                                            drain(s);
+                                                        }
+                                                    }));
+            case WRONG_CLOCK ->
+                    spell(
+                            i,
+                            i.drawn.from(),
+                            0,
+                            on ->
+                                    i.sidecars.forEach(
+                                            s -> s.finds(s.stale(), (long) (1000 * size))));
             case BURST -> spell(i, on -> rig.traffic().burst *= on ? size : 1 / size);
-            case SHIFT -> spell(i, on -> {
-                rig.traffic().shift[f.zone()] *= on ? size : 1 / size;
-                rig.traffic().reweigh();
-            });
-            case SURGE -> spell(i, on -> {
-                rig.traffic().surge[f.tenant()] *= on ? size : 1 / size;
-                rig.traffic().reweigh();
-            });
-            case LEAVERS -> spell(i, on -> rig.traffic().leave += on ? i.drawn.part() : -i.drawn.part());
+            case SHIFT ->
+                    spell(
+                            i,
+                            on -> {
+                                rig.traffic().shift[f.zone()] *= on ? size : 1 / size;
+                                rig.traffic().reweigh();
+                            });
+            case SURGE ->
+                    spell(
+                            i,
+                            on -> {
+                                rig.traffic().surge[f.tenant()] *= on ? size : 1 / size;
+                                rig.traffic().reweigh();
+                            });
+            case LEAVERS ->
+                    spell(i, on -> rig.traffic().leave += on ? i.drawn.part() : -i.drawn.part());
             case STUBBORN -> spell(i, on -> rig.traffic().stubborn = on ? (int) size : 0);
             case LOST_ANSWERS -> spell(i, on -> all("lost", on ? i.drawn.part() : 0));
             case RESETS -> spell(i, on -> all("resets", on ? i.drawn.part() : 0));
-            case KILL_SIDECARS -> spell(i, i.drawn.from(), size, on -> i.sidecars.forEach(s -> {
-                if (on) {
-                    s.kill((long) (1e6 * size));
-                }
-            }));
+            case KILL_SIDECARS ->
+                    spell(
+                            i,
+                            i.drawn.from(),
+                            size,
+                            on ->
+                                    i.sidecars.forEach(
+                                            s -> {
+                                                if (on) {
+                                                    s.kill((long) (1e6 * size));
+                                                }
+                                            }));
             case POWER_LOSS -> spell(i, i.drawn.from(), size, on -> power(i, on));
             case RESTART_SIDECARS -> restarts(i);
-            case STOP_SIDECARS -> spell(i, on -> {
-                for (SidecarMember s : i.sidecars) {
-                    s.signal(on ? "STOP" : "CONT");
-                }
-            });
+            case STOP_SIDECARS ->
+                    spell(
+                            i,
+                            on -> {
+                                for (SidecarMember s : i.sidecars) {
+                                    s.signal(on ? "STOP" : "CONT");
+                                }
+                            });
             case SLOW_SIDECARS -> spell(i, on -> duty(i, on));
             case STOP_OWNER -> {
                 SidecarMember[] who = new SidecarMember[1];
-                spell(i, on -> {
-                    who[0] = on ? owner() : who[0];
-                    if (who[0] != null) {
-                        who[0].signal(on ? "STOP" : "CONT");
-                    }
-                });
+                spell(
+                        i,
+                        on -> {
+                            who[0] = on ? owner() : who[0];
+                            if (who[0] != null) {
+                                who[0].signal(on ? "STOP" : "CONT");
+                            }
+                        });
             }
-            case KILL_OWNER -> spell(i, i.drawn.from(), size, on -> {
-                if (on && owner() != null) {
-                    owner().kill((long) (1e6 * size));
-                }
-            });
+            case KILL_OWNER ->
+                    spell(
+                            i,
+                            i.drawn.from(),
+                            size,
+                            on -> {
+                                if (on && owner() != null) {
+                                    owner().kill((long) (1e6 * size));
+                                }
+                            });
             case LATE_LISTS -> spell(i, on -> rig.discovery().late *= on ? size : 1 / size);
-            case DISCOVERY_DOWN -> spell(i, on -> {
-                rig.discovery().down += on ? 1 : -1;
-                rig.replicas().forEach(r -> r.ask(History.JSON.createObjectNode().put("do", "mute")
-                        .put("on", on)));
-            });
+            case DISCOVERY_DOWN ->
+                    spell(
+                            i,
+                            on -> {
+                                rig.discovery().down += on ? 1 : -1;
+                                rig.replicas()
+                                        .forEach(
+                                                r ->
+                                                        r.ask(
+                                                                History.JSON
+                                                                        .createObjectNode()
+                                                                        .put("do", "mute")
+                                                                        .put("on", on)));
+                            });
             case DEAF -> spell(i, on -> i.sidecars.forEach(s -> rig.discovery().deaf(s, on)));
             default -> throw new IllegalStateException("fault " + f.kind());
         }
@@ -209,7 +302,11 @@
     /** On for a part of each round. */
     private void rounds(Item i, double part, Change change) {
         for (double at = 0; at < i.drawn.seconds(); at += i.drawn.every()) {
-            spell(i, i.drawn.from() + at, Math.min(i.drawn.every(), i.drawn.seconds() - at) * part, change);
+            spell(
+                    i,
+                    i.drawn.from() + at,
+                    Math.min(i.drawn.every(), i.drawn.seconds() - at) * part,
+                    change);
         }
     }
 
@@ -260,49 +357,79 @@
             long at = micros(i.drawn.from() + i.drawn.seconds() * n / i.servers.size());
             // Its ways are made before, as that takes the model's thread a while.
             rig.unchecked(() -> fresh.put(number, rig.replacement(old, false)));
-            loop().at(at, () -> {
-                ServerMember successor = fresh.get(number);
-                if (old.gone || old.process.down()) {
-                    return;
-                }
-                rig.history.line("fault", "place", i.place, "what", "replace", "on", true, "servers",
-                        List.of(old.slot), "sidecars", List.of());
-                ServerProcess host = zone(old.mirror.zone).get(0);
-                host.members.add(successor);
-                host.serve(successor, true).thenRun(() -> rig.pace.run(() -> {
-                    successor.mirror.start();
-                    rig.discovery().started(successor.mirror);
-                }));
-                rig.discovery().draining(old.mirror);
-                loop().in(early ? 0 : rig.discovery().settled(), () -> drain(old));
-            });
+            loop().at(
+                            at,
+                            () -> {
+                                ServerMember successor = fresh.get(number);
+                                if (old.gone || old.process.down()) {
+                                    return;
+                                }
+                                rig.history.line(
+                                        "fault",
+                                        "place",
+                                        i.place,
+                                        "what",
+                                        "replace",
+                                        "on",
+                                        true,
+                                        "servers",
+                                        List.of(old.slot),
+                                        "sidecars",
+                                        List.of());
+                                ServerProcess host = zone(old.mirror.zone).get(0);
+                                host.members.add(successor);
+                                host.serve(successor, true)
+                                        .thenRun(
+                                                () ->
+                                                        rig.pace.run(
+                                                                () -> {
+                                                                    successor.mirror.start();
+                                                                    rig.discovery()
+                                                                            .started(
+                                                                                    successor
+                                                                                            .mirror);
+                                                                }));
+                                rig.discovery().draining(old.mirror);
+                                loop().in(early ? 0 : rig.discovery().settled(), () -> drain(old));
+                            });
         }
     }
 
     private void drain(ServerMember old) {
         old.process.ask(old.state().put("drain", true));
-        loop().in(rig.requestClass().deadlineMicros(), () -> {
-            old.gone = true;
-            old.process.end(old);
-            old.down(false);
-            rig.discovery().ended(old.mirror);
-        });
+        loop().in(
+                        rig.requestClass().deadlineMicros(),
+                        () -> {
+                            old.gone = true;
+                            old.process.end(old);
+                            old.down(false);
+                            rig.discovery().ended(old.mirror);
+                        });
     }
 
     private void pauses(Item i) {
         UniformRandomProvider random = i.drawn.random();
-        spell(i, on -> {
-            if (on) {
-                i.servers.forEach(s -> Pauses.begin(loop(), random, (long) (1e6 * i.drawn.every()),
-                        (long) (1000 * i.drawn.size()), micros(i.drawn.from() + i.drawn.seconds()),
-                        by -> s.trouble(1, 0, by)));
-            }
-        });
+        spell(
+                i,
+                on -> {
+                    if (on) {
+                        i.servers.forEach(
+                                s ->
+                                        Pauses.begin(
+                                                loop(),
+                                                random,
+                                                (long) (1e6 * i.drawn.every()),
+                                                (long) (1000 * i.drawn.size()),
+                                                micros(i.drawn.from() + i.drawn.seconds()),
+                                                by -> s.trouble(1, 0, by)));
+                    }
+                });
     }
 
     private void all(String name, double value) {
-        rig.servers().stream().filter(s -> s.process != null).forEach(s -> s.process.ask(s.state()
-                .put(name, value)));
+        rig.servers().stream()
+                .filter(s -> s.process != null)
+                .forEach(s -> s.process.ask(s.state().put(name, value)));
     }
 
     // ---- Ways
@@ -320,10 +447,12 @@
 
     private void cut(Item i, int by) throws Exception {
         String how = i.drawn.fault().how();
-        ways(i, way -> {
-            way.cutThere += how.equals("out") ? 0 : by;
-            way.cutBack += how.equals("in") ? 0 : by;
-        });
+        ways(
+                i,
+                way -> {
+                    way.cutThere += how.equals("out") ? 0 : by;
+                    way.cutBack += how.equals("in") ? 0 : by;
+                });
     }
 
     /** Between a zone and all others, for what goes in, out or both. */
@@ -352,12 +481,13 @@
     }
 
     private void restarts(Item i) {
-        spell(i, on -> { });
+        spell(i, on -> {});
         int steps = Math.min(TENTHS, Math.max(1, i.sidecars.size()));
         for (int n = 0; n < i.sidecars.size(); n++) {
             SidecarMember s = i.sidecars.get(n);
-            loop().at(micros(i.drawn.from() + i.drawn.seconds() * (n % steps) / steps),
-                    () -> s.restart((long) (1e6 * i.drawn.size())));
+            loop().at(
+                            micros(i.drawn.from() + i.drawn.seconds() * (n % steps) / steps),
+                            () -> s.restart((long) (1e6 * i.drawn.size())));
         }
     }
 
--- a/lab/src/main/java/sagefall/lab/rig/ServerMember.java
+++ b/lab/src/main/java/sagefall/lab/rig/ServerMember.java
@@ -6,17 +6,24 @@
 import java.util.concurrent.Executor;
 import sagefall.lab.model.SaveServer;
 
-/** A save server as the rig knows it: what it is made of, where it runs, and the ways that lead to it. */
+/**
+ * A save server as the rig knows it: what it is made of, where it runs, and the ways that lead to
+ * it.
+ */
 final class ServerMember {
 
     /** What the emulator's discovery looks at; its work is done by the process. */
     final SaveServer mirror;
+
     /** Its place among the addresses; a server that is reborn takes over the place of another. */
     final int slot;
+
     final List<Way> ways;
     ServerProcess process;
+
     /** Replaced, reborn or fallen over: it does not come back. */
     boolean gone;
+
     private double slow = 1;
     private double errors;
     private int pauses;
@@ -35,7 +42,10 @@
 
         private final Executor order;
 
-        /** Changes are made one after another by {@code order}, as to close and to listen takes a while. */
+        /**
+         * Changes are made one after another by {@code order}, as to close and to listen takes a
+         * while.
+         */
         Way(Link link, Executor order) {
             this.link = link;
             this.order = order;
@@ -46,11 +56,15 @@
         /** Brings the link to what has been said of it. */
         void apply() {
             boolean cut = cutThere > 0 || cutBack > 0;
-            Link.Door door = refuse ? Link.Door.REFUSE : silent || cut ? Link.Door.NEVER : Link.Door.OPEN;
+            Link.Door door =
+                    refuse ? Link.Door.REFUSE : silent || cut ? Link.Door.NEVER : Link.Door.OPEN;
             long more = (long) (1000 * moreMillis);
-            Link.Way to = there.delayed(() -> there.delay().getAsLong() + more).cutAt(cutAt)
-                    .held(silent || cutThere > 0);
-            Link.Way from = back.delayed(() -> back.delay().getAsLong() + more).held(silent || cutBack > 0);
+            Link.Way to =
+                    there.delayed(() -> there.delay().getAsLong() + more)
+                            .cutAt(cutAt)
+                            .held(silent || cutThere > 0);
+            Link.Way from =
+                    back.delayed(() -> back.delay().getAsLong() + more).held(silent || cutBack > 0);
             order.execute(() -> link.be(door, to, from));
         }
     }
@@ -95,8 +109,13 @@
 
     /** What troubles it, as a command. */
     ObjectNode state() {
-        return History.JSON.createObjectNode().put("do", "set").put("id", id()).put("slow", slow)
-                .put("errors", Math.max(0, errors)).put("pauses", pauses);
+        return History.JSON
+                .createObjectNode()
+                .put("do", "set")
+                .put("id", id())
+                .put("slow", slow)
+                .put("errors", Math.max(0, errors))
+                .put("pauses", pauses);
     }
 
     /** The way from each of these sidecars. */
--- a/lab/src/main/java/sagefall/lab/rig/ServerProcess.java
+++ b/lab/src/main/java/sagefall/lab/rig/ServerProcess.java
@@ -18,6 +18,7 @@
     final List<ServerMember> members = new ArrayList<>();
     private Child child;
     private int life;
+
     /** Written by the thread of the model alone. */
     private volatile int downs;
 
@@ -31,7 +32,8 @@
     CompletableFuture<Void> start(boolean cold) throws IOException {
         child = rig.child(name + "-" + ++life);
         rig.history.line("process", "name", name, "what", "start", "pid", child.process().pid());
-        rig.history.line("host", "name", name, "servers", members.stream().map(ServerMember::id).toList());
+        rig.history.line(
+                "host", "name", name, "servers", members.stream().map(ServerMember::id).toList());
         List<CompletableFuture<?>> all = new ArrayList<>();
         members.stream().filter(m -> !m.gone).forEach(m -> all.add(serve(m, cold)));
         return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
@@ -41,12 +43,16 @@
     CompletableFuture<Void> serve(ServerMember m, boolean cold) {
         m.process = this;
         ObjectNode command = rig.serving(m).put("cold", cold);
-        return child.ask(command).thenAccept(answer -> {
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    answer.path("port").asInt());
-            m.ways.forEach(w -> w.link.target(at));
-            ask(m.state());
-        });
+        return child.ask(command)
+                .thenAccept(
+                        answer -> {
+                            InetSocketAddress at =
+                                    new InetSocketAddress(
+                                            InetAddress.getLoopbackAddress(),
+                                            answer.path("port").asInt());
+                            m.ways.forEach(w -> w.link.target(at));
+                            ask(m.state());
+                        });
     }
 
     void ask(ObjectNode command) {
@@ -81,18 +87,19 @@
         if (--downs > 0) {
             return;
         }
-        rig.aside(() -> {
-            try {
-                start(true).join();
-            } catch (CompletionException e) {
-                if (!down()) {
-                    throw e;
-                }
-                return null;
-            }
-            rig.pace.run(this::returned);
-            return null;
-        });
+        rig.aside(
+                () -> {
+                    try {
+                        start(true).join();
+                    } catch (CompletionException e) {
+                        if (!down()) {
+                            throw e;
+                        }
+                        return null;
+                    }
+                    rig.pace.run(this::returned);
+                    return null;
+                });
     }
 
     private void returned() {
--- a/lab/src/main/java/sagefall/lab/rig/SidecarMember.java
+++ b/lab/src/main/java/sagefall/lab/rig/SidecarMember.java
@@ -23,20 +23,23 @@
 import sagefall.lab.model.Wish;
 
 /**
- * A real sidecar: its process, the application beside it, and what discovery's agent on its machine holds.
- * It serves the emulator's clients and hears the emulator's discovery.
+ * A real sidecar: its process, the application beside it, and what discovery's agent on its machine
+ * holds. It serves the emulator's clients and hears the emulator's discovery.
  */
 final class SidecarMember implements Door, Subscriber {
 
     /** Wait for an answer beyond its time, so that one that comes late is seen to. */
     private static final long PATIENCE = 5_000_000;
+
     private static final int BODY = 300;
+
     /** Descriptors beyond the base that a sidecar at rest may hold, such as its watch. */
     private static final int FEW = 4;
+
     /** What was kept longer ago is old. */
     private static final long MAX_AGE = 60_000;
 
-    private record Open(Application.Exchange exchange, int life) { }
+    private record Open(Application.Exchange exchange, int life) {}
 
     private final Rig rig;
     private final int index;
@@ -60,8 +63,16 @@
     private boolean up;
     private boolean leaving;
 
-    SidecarMember(Rig rig, int index, int zone, Path root, Path folder, InetSocketAddress listen,
-            Application application, Link discovery, Map<String, Object> settings) {
+    SidecarMember(
+            Rig rig,
+            int index,
+            int zone,
+            Path root,
+            Path folder,
+            InetSocketAddress listen,
+            Application application,
+            Link discovery,
+            Map<String, Object> settings) {
         this.rig = rig;
         this.index = index;
         this.zone = zone;
@@ -112,7 +123,10 @@
 
     /** Starts it and waits until it is ready; not in the model's thread. */
     void start() throws IOException, InterruptedException {
-        String at = discovery.address().getAddress().getHostAddress() + ":" + discovery.address().getPort();
+        String at =
+                discovery.address().getAddress().getHostAddress()
+                        + ":"
+                        + discovery.address().getPort();
         ObjectNode known;
         synchronized (held) {
             known = list(true, held.values());
@@ -120,17 +134,59 @@
         firstKnown = firstKnown == null ? known : firstKnown;
         known = stale ? firstKnown : known;
         ending = false;
-        SidecarProcess p = new SidecarProcess(SidecarProcess.run(root), root, folder, listen,
-                SidecarProcess.config("n" + index, at, rig.salt(index, ++life),
-                        History.JSON.convertValue(known, History.MAP), settings), extensions());
+        SidecarProcess p =
+                new SidecarProcess(
+                        SidecarProcess.run(root),
+                        root,
+                        folder,
+                        listen,
+                        SidecarProcess.config(
+                                "n" + index,
+                                at,
+                                rig.salt(index, ++life),
+                                History.JSON.convertValue(known, History.MAP),
+                                settings),
+                        extensions());
         rig.guard.watch(p.process());
         process = p;
-        rig.history.line("process", "who", index, "what", "start", "pid", p.process().pid(), "build",
+        rig.history.line(
+                "process",
+                "who",
+                index,
+                "what",
+                "start",
+                "pid",
+                p.process().pid(),
+                "build",
                 root.toString());
-        rig.history.line("told", "who", index, "known", true, "stale", stale, "rev",
-                known.path("rev").asLong(), "all", true, "targets", known.path("targets"));
-        p.process().onExit().thenAccept(e -> rig.history.line("process", "who", index, "what", "exit",
-                "status", e.exitValue(), "asked", ending));
+        rig.history.line(
+                "told",
+                "who",
+                index,
+                "known",
+                true,
+                "stale",
+                stale,
+                "rev",
+                known.path("rev").asLong(),
+                "all",
+                true,
+                "targets",
+                known.path("targets"));
+        p.process()
+                .onExit()
+                .thenAccept(
+                        e ->
+                                rig.history.line(
+                                        "process",
+                                        "who",
+                                        index,
+                                        "what",
+                                        "exit",
+                                        "status",
+                                        e.exitValue(),
+                                        "asked",
+                                        ending));
         p.awaitReady();
         rig.history.line("process", "who", index, "what", "ready");
     }
@@ -139,12 +195,26 @@
         Map<String, Object> sections = new HashMap<>();
         String keeps = rig.scenario.fleet().keeps();
         if (!keeps.equals("off")) {
-            sections.put("recovery", Map.of("directory", folder.resolve("kept").toString(), "sync", keeps,
-                    "max_age_ms", MAX_AGE, "clock_offset_ms", clockOffsetMillis));
+            sections.put(
+                    "recovery",
+                    Map.of(
+                            "directory",
+                            folder.resolve("kept").toString(),
+                            "sync",
+                            keeps,
+                            "max_age_ms",
+                            MAX_AGE,
+                            "clock_offset_ms",
+                            clockOffsetMillis));
         }
         if (rig.owners() != null) {
-            sections.put("duties", Map.of("directory", rig.owners().folder().toString(), "lease_ms",
-                    rig.scenario.fleet().leaseMillis()));
+            sections.put(
+                    "duties",
+                    Map.of(
+                            "directory",
+                            rig.owners().folder().toString(),
+                            "lease_ms",
+                            rig.scenario.fleet().leaseMillis()));
         }
         return sections.isEmpty() ? null : sections;
     }
@@ -176,7 +246,15 @@
 
     void rest(String when) throws IOException {
         base = when.equals("before") ? process.descriptors() : base;
-        rig.history.line("rest", "who", index, "when", when, "descriptors", process.descriptors(), "rss_kib",
+        rig.history.line(
+                "rest",
+                "who",
+                index,
+                "when",
+                when,
+                "descriptors",
+                process.descriptors(),
+                "rss_kib",
                 process.status("VmRSS"));
     }
 
@@ -193,15 +271,23 @@
     }
 
     private void back(long downMicros) {
-        rig.pace.loop().in(downMicros, () -> rig.aside(() -> {
-            process.process().onExit().join();
-            start();
-            rig.pace.run(this::ready);
-            return null;
-        }));
+        rig.pace
+                .loop()
+                .in(
+                        downMicros,
+                        () ->
+                                rig.aside(
+                                        () -> {
+                                            process.process().onExit().join();
+                                            start();
+                                            rig.pace.run(this::ready);
+                                            return null;
+                                        }));
     }
 
-    /** A planned restart: SIGTERM, new connections for a while yet, then its application goes too. */
+    /**
+     * A planned restart: SIGTERM, new connections for a while yet, then its application goes too.
+     */
     void restart(long downMicros) {
         if (!up) {
             return;
@@ -210,10 +296,15 @@
         rig.history.line("process", "who", index, "what", "term");
         process.process().destroy();
         rig.pace.loop().in(300_000, () -> leaving = true);
-        process.process().onExit().thenRun(() -> rig.pace.run(() -> {
-            up = false;
-            back(downMicros);
-        }));
+        process.process()
+                .onExit()
+                .thenRun(
+                        () ->
+                                rig.pace.run(
+                                        () -> {
+                                            up = false;
+                                            back(downMicros);
+                                        }));
     }
 
     void signal(String name) throws IOException {
@@ -261,16 +352,37 @@
         Arrays.fill(body, (byte) '.');
         byte[] work = ("work=" + call.wish.work + "\n").getBytes(StandardCharsets.US_ASCII);
         System.arraycopy(work, 0, body, 0, work.length);
-        rig.history.line("intent", "id", call.id, "who", index, "key", key, "wish", call.wish.number,
-                "timeout_us", micros, "beyond", call.wish.beyondShare);
-        open.put(call.id, new Open(application.post("/save/" + Long.toHexString(call.wish.key), headers, body,
-                reply -> rig.pace.run(() -> replied(call, reply))), life));
-        loop.at(call.deadline + PATIENCE, () -> {
-            if (open.containsKey(call.id)) {
-                application.leave(open.get(call.id).exchange);
-                replied(call, new Application.Reply(Application.BROKEN, 0, "unanswered"));
-            }
-        });
+        rig.history.line(
+                "intent",
+                "id",
+                call.id,
+                "who",
+                index,
+                "key",
+                key,
+                "wish",
+                call.wish.number,
+                "timeout_us",
+                micros,
+                "beyond",
+                call.wish.beyondShare);
+        open.put(
+                call.id,
+                new Open(
+                        application.post(
+                                "/save/" + Long.toHexString(call.wish.key),
+                                headers,
+                                body,
+                                reply -> rig.pace.run(() -> replied(call, reply))),
+                        life));
+        loop.at(
+                call.deadline + PATIENCE,
+                () -> {
+                    if (open.containsKey(call.id)) {
+                        application.leave(open.get(call.id).exchange);
+                        replied(call, new Application.Reply(Application.BROKEN, 0, "unanswered"));
+                    }
+                });
     }
 
     @Override
@@ -284,8 +396,18 @@
             return;
         }
         boolean died = was.life != life || !up;
-        rig.history.line("answer", "id", call.id, "who", index, "status", reply.status(), "retry_us",
-                reply.retryMicros(), "body", reply.body());
+        rig.history.line(
+                "answer",
+                "id",
+                call.id,
+                "who",
+                index,
+                "status",
+                reply.status(),
+                "retry_us",
+                reply.retryMicros(),
+                "body",
+                reply.body());
         if (call.over) {
             return;
         }
@@ -300,8 +422,12 @@
         } else if (status == Application.BROKEN && died) {
             rig.traffic().dropped(call);
         } else {
-            rig.traffic().answer(call, Answer.FAILED, status == Application.BROKEN ? "unanswered" : "failed",
-                    0);
+            rig.traffic()
+                    .answer(
+                            call,
+                            Answer.FAILED,
+                            status == Application.BROKEN ? "unanswered" : "failed",
+                            0);
         }
     }
 
--- a/lab/src/main/java/sagefall/lab/scenario/BenchFigures.java
+++ b/lab/src/main/java/sagefall/lab/scenario/BenchFigures.java
@@ -15,10 +15,10 @@
 public record BenchFigures(List<Build> builds, List<Play> plays) {
 
     /** A build and the policy that stands for it; {@code $NAME} in it is a folder that is given. */
-    public record Build(String name, String policy) { }
+    public record Build(String name, String policy) {}
 
     /** G of a build on a day of the bench, and the scenario that is meant to be like the day. */
-    public record Play(String build, String scenario, String day, double g) { }
+    public record Play(String build, String scenario, String day, double g) {}
 
     /** Reads a file of builds and plays, as strictly as a scenario. */
     public static BenchFigures load(Path file) throws IOException, ScenarioException {
@@ -28,14 +28,19 @@
         Table all = Scenario.table(file.toString(), Files.readString(file), List.of());
         List<Build> builds = new ArrayList<>();
         for (Table t : all.tables("build")) {
-            builds.add(new Build(t.word("name", null, List.of()), t.word("policy", null, List.of())));
+            builds.add(
+                    new Build(t.word("name", null, List.of()), t.word("policy", null, List.of())));
             t.end();
         }
         List<String> names = builds.stream().map(Build::name).toList();
         List<Play> plays = new ArrayList<>();
         for (Table t : all.tables("play")) {
-            plays.add(new Play(t.word("build", null, names), t.word("scenario", null, Scenario.SHIPPED),
-                    t.word("day", null, List.of()), t.number("g", 0, -10, 1)));
+            plays.add(
+                    new Play(
+                            t.word("build", null, names),
+                            t.word("scenario", null, Scenario.SHIPPED),
+                            t.word("day", null, List.of()),
+                            t.number("g", 0, -10, 1)));
             t.end();
         }
         all.end();
--- a/lab/src/main/java/sagefall/lab/scenario/Fault.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Fault.java
@@ -10,8 +10,8 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * What goes wrong, and when. Figures that a kind has no use for can't be given, so a fault says nothing
- * that the model does not do.
+ * What goes wrong, and when. Figures that a kind has no use for can't be given, so a fault says
+ * nothing that the model does not do.
  *
  * @param from seconds from the first request on
  * @param seconds how long; of steps, over how long
@@ -23,8 +23,17 @@
  * @param how a word that the kind takes
  * @param place where it stands: file, line and name
  */
-public record Fault(Kind kind, Range from, Range seconds, int zone, int tenant, Range part, Range size,
-        Range every, String how, String place) {
+public record Fault(
+        Kind kind,
+        Range from,
+        Range seconds,
+        int zone,
+        int tenant,
+        Range part,
+        Range size,
+        Range every,
+        String how,
+        String place) {
 
     /** Who plays scenarios. */
     public enum Side {
@@ -65,9 +74,9 @@
         /** One tenant has so many times its usual traffic. */
         SURGE("for_s tenant size"),
         /**
-         * A part of the servers is drained and replaced by new ones, one after another. How: late, if they
-         * take
-         * work until all have heard, or early, if they turn it away from the beginning.
+         * A part of the servers is drained and replaced by new ones, one after another. How: late,
+         * if they take work until all have heard, or early, if they turn it away from the
+         * beginning.
          */
         REPLACE("for_s part how"),
         /**
@@ -92,31 +101,42 @@
         /** A part of the sidecars hears of no change of the list, and of all at the end. */
         DEAF("for_s part"),
         /**
-         * A part of the servers ends and comes back at the old addresses with new ids. How: silent or
-         * refuse.
+         * A part of the servers ends and comes back at the old addresses with new ids. How: silent
+         * or refuse.
          */
         REBORN("for_s part how", REAL),
         /** A part of the sidecars stands still (SIGSTOP) and goes on. */
         STOP_SIDECARS("for_s part", REAL),
         /** A part of the sidecars runs only that part of each tenth of a second. */
         SLOW_SIDECARS("for_s part size", REAL),
-        /** Nothing passes between a part of the sidecars and a zone's servers. How: both ways, in or out. */
+        /**
+         * Nothing passes between a part of the sidecars and a zone's servers. How: both ways, in or
+         * out.
+         */
         CUT_SIDECARS("for_s part zone how", REAL),
         /** The same, on for half of each round, again and again. */
         FLAP_LINKS("for_s part zone every_s how", REAL),
-        /** Ways between a part of the sidecars and a zone's servers take so many milliseconds more. */
+        /**
+         * Ways between a part of the sidecars and a zone's servers take so many milliseconds more.
+         */
         DELAY_LINKS("for_s part zone size", REAL),
-        /** Connections between a part of the sidecars and a zone's servers break after so many bytes. */
+        /**
+         * Connections between a part of the sidecars and a zone's servers break after so many
+         * bytes.
+         */
         CUT_BYTES("for_s part zone size", REAL),
         /**
-         * That part of the sidecars' whole machines, and a zone's servers, lose power and are back after so
-         * many seconds. How: fresh, if a sidecar's configuration has the list of the moment, or stale, if it
-         * has that of its first start.
+         * That part of the sidecars' whole machines, and a zone's servers, lose power and are back
+         * after so many seconds. How: fresh, if a sidecar's configuration has the list of the
+         * moment, or stale, if it has that of its first start.
          */
         POWER_LOSS("zone size part how", REAL),
         /** A part of the servers is said to drain and goes on taking what comes; then it ends. */
         DRAIN("for_s part", REAL),
-        /** From its next start on a part of the sidecars takes the wall clock to be so many seconds ahead. */
+        /**
+         * From its next start on a part of the sidecars takes the wall clock to be so many seconds
+         * ahead.
+         */
         WRONG_CLOCK("size part", REAL),
         /** Whoever holds the duty then stands still (SIGSTOP) and goes on. */
         STOP_OWNER("for_s", REAL),
@@ -155,17 +175,25 @@
         }
         Range from = t.range("at_s", Range.of(0), 0, day);
         Range seconds = t.range("for_s", Range.of(day), 0, day);
-        List<String> hows = switch (kind) {
-            case CUT_ZONE, CUT_SIDECARS, FLAP_LINKS -> List.of("both", "in", "out");
-            case REPLACE -> List.of("late", "early");
-            case POWER_LOSS -> List.of("fresh", "stale");
-            default -> List.of("silent", "refuse");
-        };
-        Fault fault = new Fault(kind, from, seconds, zone(t, kind, fleet), tenant(t, kind, tenants),
-                t.range("part", Range.of(0.1), 0, 1), t.range("size", Range.of(2), size(kind)[0],
-                        size(kind)[1]),
-                t.range("every_s", Range.of(2), 0.01, day), t.word("how", hows.get(0), hows),
-                t.place("kind"));
+        List<String> hows =
+                switch (kind) {
+                    case CUT_ZONE, CUT_SIDECARS, FLAP_LINKS -> List.of("both", "in", "out");
+                    case REPLACE -> List.of("late", "early");
+                    case POWER_LOSS -> List.of("fresh", "stale");
+                    default -> List.of("silent", "refuse");
+                };
+        Fault fault =
+                new Fault(
+                        kind,
+                        from,
+                        seconds,
+                        zone(t, kind, fleet),
+                        tenant(t, kind, tenants),
+                        t.range("part", Range.of(0.1), 0, 1),
+                        t.range("size", Range.of(2), size(kind)[0], size(kind)[1]),
+                        t.range("every_s", Range.of(2), 0.01, day),
+                        t.word("how", hows.get(0), hows),
+                        t.place("kind"));
         t.end();
         return fault;
     }
@@ -183,18 +211,20 @@
     }
 
     private static int zone(Table t, Kind kind, Scenario.Fleet fleet) throws ScenarioException {
-        if (!kind.names.contains("zone") || (kind == Kind.KILL_SIDECARS || kind == Kind.POWER_LOSS)
-                && !t.has("zone")) {
+        if (!kind.names.contains("zone")
+                || (kind == Kind.KILL_SIDECARS || kind == Kind.POWER_LOSS) && !t.has("zone")) {
             return -1;
         }
         int zone = fleet.zones().indexOf(t.word("zone", fleet.zones().get(0), List.of()));
         if (zone < 0) {
-            throw t.wrong("zone", "the fleet has no such zone, only " + String.join(", ", fleet.zones()));
+            throw t.wrong(
+                    "zone", "the fleet has no such zone, only " + String.join(", ", fleet.zones()));
         }
         return zone;
     }
 
-    private static int tenant(Table t, Kind kind, List<Scenario.Tenant> tenants) throws ScenarioException {
+    private static int tenant(Table t, Kind kind, List<Scenario.Tenant> tenants)
+            throws ScenarioException {
         if (!kind.names.contains("tenant")) {
             return -1;
         }
@@ -210,7 +240,13 @@
      * A fault with its figures drawn; times in seconds. What is still to be drawn comes from {@code
      * random}.
      */
-    public record Drawn(Fault fault, double from, double seconds, double part, double size, double every,
+    public record Drawn(
+            Fault fault,
+            double from,
+            double seconds,
+            double part,
+            double size,
+            double every,
             UniformRandomProvider random) {
 
         /** A part of all, by chance. */
@@ -222,15 +258,24 @@
 
         /** When the last of it is over. */
         public double end() {
-            return from + (fault.kind == Kind.KILL_SIDECARS || fault.kind == Kind.POWER_LOSS
-                    || fault.kind == Kind.KILL_OWNER ? size : seconds);
+            return from
+                    + (fault.kind == Kind.KILL_SIDECARS
+                                    || fault.kind == Kind.POWER_LOSS
+                                    || fault.kind == Kind.KILL_OWNER
+                            ? size
+                            : seconds);
         }
     }
 
     /** Its figures, from a stream of its own. */
     public Drawn draw(UniformRandomProvider random, double daySeconds) {
-        return new Drawn(this, from.at(random.nextDouble()),
-                Math.min(seconds.at(random.nextDouble()), daySeconds), part.at(random.nextDouble()),
-                size.at(random.nextDouble()), every.at(random.nextDouble()), random);
+        return new Drawn(
+                this,
+                from.at(random.nextDouble()),
+                Math.min(seconds.at(random.nextDouble()), daySeconds),
+                part.at(random.nextDouble()),
+                size.at(random.nextDouble()),
+                every.at(random.nextDouble()),
+                random);
     }
 }
--- a/lab/src/main/java/sagefall/lab/scenario/Lines.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Lines.java
@@ -8,12 +8,14 @@
 import java.util.regex.Pattern;
 
 /**
- * On which line of a TOML text each name stands. The parser keeps no places, and a message without one
- * is of little use in a file of a hundred lines. A name within an inline table is told by its table's line.
+ * On which line of a TOML text each name stands. The parser keeps no places, and a message without
+ * one is of little use in a file of a hundred lines. A name within an inline table is told by its
+ * table's line.
  */
 final class Lines {
 
-    private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
+    private static final Pattern HEADER =
+            Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
     private static final Pattern ENTRY = Pattern.compile("\\s*([A-Za-z0-9_.-]+)\\s*=.*");
 
     private final Map<String, Integer> numbers = new HashMap<>();
@@ -29,11 +31,14 @@
             Matcher entry = ENTRY.matcher(line);
             if (header.matches()) {
                 String name = header.group(2);
-                table = header.group(1).equals("[[")
-                        ? name + "[" + (counts.merge(name, 1, Integer::sum) - 1) + "]" : name;
+                table =
+                        header.group(1).equals("[[")
+                                ? name + "[" + (counts.merge(name, 1, Integer::sum) - 1) + "]"
+                                : name;
                 numbers.put(table, number);
             } else if (entry.matches()) {
-                numbers.put(table.isEmpty() ? entry.group(1) : table + "." + entry.group(1), number);
+                numbers.put(
+                        table.isEmpty() ? entry.group(1) : table + "." + entry.group(1), number);
             }
         }
     }
@@ -43,14 +48,17 @@
         overridden.add(path);
     }
 
-    /** Where a path such as {@code fault[2].zone} stands: the file and a line of it, or the command line. */
+    /**
+     * Where a path such as {@code fault[2].zone} stands: the file and a line of it, or the command
+     * line.
+     */
     String place(String file, String path) {
         return overridden.contains(path) ? "--set" : file + ":" + of(path);
     }
 
     /** The line of a path, or of the nearest table round it. */
     private int of(String path) {
-        for (String at = path; !at.isEmpty();) {
+        for (String at = path; !at.isEmpty(); ) {
             Integer number = numbers.get(at);
             if (number != null) {
                 return number;
--- a/lab/src/main/java/sagefall/lab/scenario/Range.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Range.java
@@ -10,7 +10,9 @@
         return new Range(value, value);
     }
 
-    /** The figure for a seed; the name keeps it apart from others that are drawn from the same seed. */
+    /**
+     * The figure for a seed; the name keeps it apart from others that are drawn from the same seed.
+     */
     public double draw(Draws draws, String name) {
         return low == high ? low : low + (high - low) * draws.stream(name).nextDouble();
     }
--- a/lab/src/main/java/sagefall/lab/scenario/Scenario.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Scenario.java
@@ -14,45 +14,86 @@
 import java.util.Locale;
 
 /**
- * A kind of day: a fleet, its load and what goes wrong, with figures left open as ranges that a seed draws.
- * A scenario and a seed give one day, and one day one result.
+ * A kind of day: a fleet, its load and what goes wrong, with figures left open as ranges that a
+ * seed draws. A scenario and a seed give one day, and one day one result.
  *
  * @param name what it is called
  * @param about one sentence
  * @param seconds how long requests arrive
  */
-public record Scenario(String name, String about, double seconds, Fleet fleet, Load load, Clients clients,
-        Net net, Listing listing, Service service, List<Kind> kinds, List<Tenant> tenants,
+public record Scenario(
+        String name,
+        String about,
+        double seconds,
+        Fleet fleet,
+        Load load,
+        Clients clients,
+        Net net,
+        Listing listing,
+        Service service,
+        List<Kind> kinds,
+        List<Tenant> tenants,
         List<Fault> faults) {
 
     /**
-     * Scenarios that come with the laboratory for real processes: those of the rig alone, and shared
-     * ones.
+     * Scenarios that come with the laboratory for real processes: those of the rig alone, and
+     * shared ones.
      */
-    public static final List<String> RIG = List.of("rig-calm", "rig-kill", "rig-restart", "rig-zone",
-            "rig-one-way", "rig-slow-servers", "rig-slow-sidecars", "rig-discovery", "rig-disagree",
+    public static final List<String> RIG =
+            List.of(
+                    "rig-calm",
+                    "rig-kill",
+                    "rig-restart",
+                    "rig-zone",
+                    "rig-one-way",
+                    "rig-slow-servers",
+                    "rig-slow-sidecars",
+                    "rig-discovery",
+                    "rig-disagree",
                     "rig-flap",
-            "rig-stop", "rig-reborn", "rig-blackout", "rig-second-loss",
-            "rig-owner");
+                    "rig-stop",
+                    "rig-reborn",
+                    "rig-blackout",
+                    "rig-second-loss",
+                    "rig-owner");
 
     /** A scenario's text, and what messages call it. */
-    public record Source(String file, String text) { }
+    public record Source(String file, String text) {}
 
     /** Scenarios that come with the laboratory. */
-    public static final List<String> SHIPPED = List.of("calm", "roll", "herd", "zone", "split", "join",
-            "overload", "slow", "flap", "blackout");
+    public static final List<String> SHIPPED =
+            List.of(
+                    "calm",
+                    "roll",
+                    "herd",
+                    "zone",
+                    "split",
+                    "join",
+                    "overload",
+                    "slow",
+                    "flap",
+                    "blackout");
 
     private static final double DAY = 3600;
 
     /**
      * @param cellServers servers that a cell holds
      * @param serverSkew how unevenly the zones share the servers, 0 to 1
-     * @param startSeconds from a sidecar's start until it is ready; real processes take what they take
-     * @param keeps whether real sidecars keep what they are told: off, or the section's word for how
+     * @param startSeconds from a sidecar's start until it is ready; real processes take what they
+     *     take
+     * @param keeps whether real sidecars keep what they are told: off, or the section's word for
+     *     how
      * @param leaseMillis of the duty that real sidecars stand for; 0: none
      */
-    public record Fleet(int sidecars, int servers, List<String> zones, double serverSkew, int cellServers,
-            Range startSeconds, String keeps, int leaseMillis) { }
+    public record Fleet(
+            int sidecars,
+            int servers,
+            List<String> zones,
+            double serverSkew,
+            int cellServers,
+            Range startSeconds,
+            String keeps,
+            int leaseMillis) {}
 
     /**
      * @param use offered work as a part of what all servers can do
@@ -60,7 +101,8 @@
      * @param zoneSkew how unevenly the zones share the traffic, 0 to 1
      * @param unlike coefficient of variation of the sidecars' traffic
      */
-    public record Load(Range use, Range swing, Range zoneSkew, Range unlike, int keys, Range zipf) { }
+    public record Load(
+            Range use, Range swing, Range zoneSkew, Range unlike, int keys, Range zipf) {}
 
     /**
      * @param retries most further tries of a client
@@ -69,13 +111,29 @@
      * @param honour part of the clients that heed when they are told to come back
      * @param leave part of the tries that their client leaves early
      */
-    public record Clients(int retries, Range tryShare, Range waitMillis, Range honour, Range leave,
-            boolean marksRetries) { }
+    public record Clients(
+            int retries,
+            Range tryShare,
+            Range waitMillis,
+            Range honour,
+            Range leave,
+            boolean marksRetries) {}
 
-    /** Times are one way. Idle seconds and the price of set-up are those of a connection to a server. */
-    public record Net(Range sameMillis, Range crossMillis, Range clientMillis, Range jitter,
-            Range setupTrips, Range setupMicros, double idleSeconds, double setupLimitMillis,
-            Range connectionsPerCore, Range tableTax) { }
+    /**
+     * Times are one way. Idle seconds and the price of set-up are those of a connection to a
+     * server.
+     */
+    public record Net(
+            Range sameMillis,
+            Range crossMillis,
+            Range clientMillis,
+            Range jitter,
+            Range setupTrips,
+            Range setupMicros,
+            double idleSeconds,
+            double setupLimitMillis,
+            Range connectionsPerCore,
+            Range tableTax) {}
 
     /**
      * What discovery knows, and when.
@@ -86,8 +144,12 @@
      * @param periodMillis between two lists that bring changes
      * @param spreadMillis by which sidecars hear of one list after another
      */
-    public record Listing(Range noticeSeconds, Range silentSeconds, Range addSeconds, Range periodMillis,
-            Range spreadMillis) { }
+    public record Listing(
+            Range noticeSeconds,
+            Range silentSeconds,
+            Range addSeconds,
+            Range periodMillis,
+            Range spreadMillis) {}
 
     /**
      * The class of requests, the rules and the prices.
@@ -97,33 +159,68 @@
      * @param keyGain part of the work that a key spares that the server met in the last seconds
      * @param reportMillis between two figures that a server reports
      */
-    public record Service(String effect, String group, double aimMillis, double deadlineMillis,
-            double windowMillis, int attempts, boolean cancelling, boolean retryAdvice, Range workMillis,
-            String distribution, Range spread, Range attemptNoise, Range keyGain, Range keySeconds,
-            Range keysPerCore, Range reportMillis, Range reportNoise, double overShareWorth,
-            Range quotaOfCapacity, double coldFrom, double coldSeconds, double fallMultiple,
-            double fallSeconds, double drainMillis, double graceMillis, double tickMillis) { }
+    public record Service(
+            String effect,
+            String group,
+            double aimMillis,
+            double deadlineMillis,
+            double windowMillis,
+            int attempts,
+            boolean cancelling,
+            boolean retryAdvice,
+            Range workMillis,
+            String distribution,
+            Range spread,
+            Range attemptNoise,
+            Range keyGain,
+            Range keySeconds,
+            Range keysPerCore,
+            Range reportMillis,
+            Range reportNoise,
+            double overShareWorth,
+            Range quotaOfCapacity,
+            double coldFrom,
+            double coldSeconds,
+            double fallMultiple,
+            double fallSeconds,
+            double drainMillis,
+            double graceMillis,
+            double tickMillis) {}
 
     /**
      * A kind of machine.
      *
      * @param queuePerCore places to wait for each core; what comes beyond is turned away unseen
-     * @param thrash part by which each request a core beyond {@code thrashAt} slows the machine down
+     * @param thrash part by which each request a core beyond {@code thrashAt} slows the machine
+     *     down
      * @param warmBy whether a cold start warms by time alone or by work done as well
      */
-    public record Kind(String name, double share, int cores, Range speed, Range slotsPerCore,
-            Range queuePerCore, Range thrash, Range thrashAt, Range coldFrom, Range coldSeconds,
-            String warmBy, Range pauseEverySeconds, Range pauseMillis, Range errors) { }
+    public record Kind(
+            String name,
+            double share,
+            int cores,
+            Range speed,
+            Range slotsPerCore,
+            Range queuePerCore,
+            Range thrash,
+            Range thrashAt,
+            Range coldFrom,
+            Range coldSeconds,
+            String warmBy,
+            Range pauseEverySeconds,
+            Range pauseMillis,
+            Range errors) {}
 
     /** A tenant: its share, and how much of it it uses. */
-    public record Tenant(String name, double share, Range usage) { }
+    public record Tenant(String name, double share, Range usage) {}
 
     /**
      * Reads a shipped scenario by its name, or a file by its path.
      *
      * @param sets figures in the place of the file's, as {@code fleet.servers=60}
      */
-    public static Scenario load(String nameOrFile, List<String> sets) throws IOException, ScenarioException {
+    public static Scenario load(String nameOrFile, List<String> sets)
+            throws IOException, ScenarioException {
         Source source = source(nameOrFile);
         return read(source.file, source.text, sets);
     }
@@ -133,14 +230,19 @@
         if (SHIPPED.contains(nameOrFile) || RIG.contains(nameOrFile)) {
             String resource = "/sagefall/lab/scenarios/" + nameOrFile + ".toml";
             try (InputStream in = Scenario.class.getResourceAsStream(resource)) {
-                return new Source(nameOrFile + ".toml", new String(in.readAllBytes(),
-                        StandardCharsets.UTF_8));
+                return new Source(
+                        nameOrFile + ".toml",
+                        new String(in.readAllBytes(), StandardCharsets.UTF_8));
             }
         }
         Path path = Path.of(nameOrFile);
         if (!Files.isReadable(path)) {
-            throw new ScenarioException(nameOrFile + ":1: no such file, and none of the shipped scenarios "
-                    + String.join(", ", SHIPPED) + ", " + String.join(", ", RIG));
+            throw new ScenarioException(
+                    nameOrFile
+                            + ":1: no such file, and none of the shipped scenarios "
+                            + String.join(", ", SHIPPED)
+                            + ", "
+                            + String.join(", ", RIG));
         }
         return new Source(nameOrFile, Files.readString(path));
     }
@@ -149,15 +251,20 @@
     public Scenario on(Fault.Side side) throws ScenarioException {
         for (Fault f : faults) {
             if (!f.kind().on(side)) {
-                throw new ScenarioException(f.place() + ": the " + side.name().toLowerCase(Locale.ROOT)
-                        + " can't play " + f.kind().name().toLowerCase(Locale.ROOT));
+                throw new ScenarioException(
+                        f.place()
+                                + ": the "
+                                + side.name().toLowerCase(Locale.ROOT)
+                                + " can't play "
+                                + f.kind().name().toLowerCase(Locale.ROOT));
             }
         }
         return this;
     }
 
     /** Reads a scenario from its text; the file's name goes into messages. */
-    public static Scenario read(String file, String text, List<String> sets) throws ScenarioException {
+    public static Scenario read(String file, String text, List<String> sets)
+            throws ScenarioException {
         return read(table(file, text, sets));
     }
 
@@ -175,8 +282,12 @@
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
-            throw new ScenarioException(file + ":" + line + ": not TOML: "
-                    + e.getOriginalMessage().replaceAll("\\s+", " "));
+            throw new ScenarioException(
+                    file
+                            + ":"
+                            + line
+                            + ": not TOML: "
+                            + e.getOriginalMessage().replaceAll("\\s+", " "));
         }
     }
 
@@ -188,13 +299,18 @@
         String[] path = set.substring(0, equals).trim().split("\\.");
         JsonNode table = tree;
         for (int i = 0; i + 1 < path.length; i++) {
-            table = table instanceof ObjectNode o && !o.has(path[i]) ? o.putObject(path[i])
-                    : table.path(path[i]);
+            table =
+                    table instanceof ObjectNode o && !o.has(path[i])
+                            ? o.putObject(path[i])
+                            : table.path(path[i]);
         }
         if (!(table instanceof ObjectNode owner)) {
-            throw new ScenarioException("--set: " + set.substring(0, equals) + " is not within a table");
+            throw new ScenarioException(
+                    "--set: " + set.substring(0, equals) + " is not within a table");
         }
-        owner.set(path[path.length - 1], parse("--set", "value = " + set.substring(equals + 1)).get("value"));
+        owner.set(
+                path[path.length - 1],
+                parse("--set", "value = " + set.substring(equals + 1)).get("value"));
         lines.override(set.substring(0, equals).trim());
     }
 
@@ -207,19 +323,35 @@
         for (Table t : all.tables("fault")) {
             faults.add(Fault.read(t, fleet, tenants, seconds));
         }
-        Scenario scenario = new Scenario(all.word("name", null, List.of()), all.word("about", "", List.of()),
-                seconds, fleet, load(all.table("load")), clients(all.table("clients")), net(all.table("net")),
-                listing(all.table("discovery")), service(all.table("service")), kinds, tenants, faults);
+        Scenario scenario =
+                new Scenario(
+                        all.word("name", null, List.of()),
+                        all.word("about", "", List.of()),
+                        seconds,
+                        fleet,
+                        load(all.table("load")),
+                        clients(all.table("clients")),
+                        net(all.table("net")),
+                        listing(all.table("discovery")),
+                        service(all.table("service")),
+                        kinds,
+                        tenants,
+                        faults);
         all.end();
         return scenario;
     }
 
     private static Fleet fleet(Table t) throws ScenarioException {
-        Fleet fleet = new Fleet(t.whole("sidecars", 100, 1, 10_000), t.whole("servers", 200, 1, 20_000),
-                t.words("zones", List.of("a", "b", "c", "d")), t.number("server_skew", 0.3, 0, 1),
-                t.whole("cell_servers", 8, 1, 1000), t.range("start_s", Range.of(0), 0, 60),
-                t.word("keeps", "off", List.of("off", "each", "snapshot")),
-                t.whole("lease_ms", 0, 0, 600_000));
+        Fleet fleet =
+                new Fleet(
+                        t.whole("sidecars", 100, 1, 10_000),
+                        t.whole("servers", 200, 1, 20_000),
+                        t.words("zones", List.of("a", "b", "c", "d")),
+                        t.number("server_skew", 0.3, 0, 1),
+                        t.whole("cell_servers", 8, 1, 1000),
+                        t.range("start_s", Range.of(0), 0, 60),
+                        t.word("keeps", "off", List.of("off", "each", "snapshot")),
+                        t.whole("lease_ms", 0, 0, 600_000));
         t.end();
         if (fleet.zones.size() > fleet.servers) {
             throw t.wrong("servers", "must be one for each zone at the least");
@@ -228,67 +360,92 @@
     }
 
     private static Load load(Table t) throws ScenarioException {
-        Load load = new Load(t.range("use", new Range(0.55, 0.75), 0, 10),
-                t.range("swing", new Range(0.05, 0.15), 0, 1), t.range("zone_skew", new Range(0.1, 0.4), 0,
-                        1),
-                t.range("unlike", new Range(0.6, 1.4), 0, 5), t.whole("keys", 1000, 1, 10_000_000),
-                t.range("zipf", new Range(0.9, 1.1), 0.01, 3));
+        Load load =
+                new Load(
+                        t.range("use", new Range(0.55, 0.75), 0, 10),
+                        t.range("swing", new Range(0.05, 0.15), 0, 1),
+                        t.range("zone_skew", new Range(0.1, 0.4), 0, 1),
+                        t.range("unlike", new Range(0.6, 1.4), 0, 5),
+                        t.whole("keys", 1000, 1, 10_000_000),
+                        t.range("zipf", new Range(0.9, 1.1), 0.01, 3));
         t.end();
         return load;
     }
 
     private static Clients clients(Table t) throws ScenarioException {
-        Clients clients = new Clients(t.whole("retries", 2, 0, 20),
-                t.range("try_share", new Range(0.48, 0.58), 0.01, 1),
-                t.range("wait_ms", new Range(60, 480), 0, 60_000),
-                t.range("honour", new Range(0.1, 0.3), 0, 1), t.range("leave", Range.of(0), 0, 1),
-                t.flag("marks_retries", true));
+        Clients clients =
+                new Clients(
+                        t.whole("retries", 2, 0, 20),
+                        t.range("try_share", new Range(0.48, 0.58), 0.01, 1),
+                        t.range("wait_ms", new Range(60, 480), 0, 60_000),
+                        t.range("honour", new Range(0.1, 0.3), 0, 1),
+                        t.range("leave", Range.of(0), 0, 1),
+                        t.flag("marks_retries", true));
         t.end();
         return clients;
     }
 
     private static Net net(Table t) throws ScenarioException {
-        Net net = new Net(t.range("same_ms", new Range(0.1, 0.35), 0, 10_000),
-                t.range("cross_ms", new Range(10, 20), 0, 10_000),
-                t.range("client_ms", new Range(0.03, 0.09), 0, 10_000),
-                t.range("jitter", new Range(0.07, 0.33), 0, 10),
-                t.range("setup_trips", new Range(2, 3), 0, 20),
-                t.range("setup_us", new Range(500, 1500), 0, 1e6), t.number("idle_s", 5, 0.01, DAY),
-                t.number("setup_limit_ms", 250, 1, 60_000),
-                t.range("connections_per_core", new Range(60, 150), 1, 1e6),
-                t.range("table_tax", new Range(0.16, 0.35), 0, 0.99));
+        Net net =
+                new Net(
+                        t.range("same_ms", new Range(0.1, 0.35), 0, 10_000),
+                        t.range("cross_ms", new Range(10, 20), 0, 10_000),
+                        t.range("client_ms", new Range(0.03, 0.09), 0, 10_000),
+                        t.range("jitter", new Range(0.07, 0.33), 0, 10),
+                        t.range("setup_trips", new Range(2, 3), 0, 20),
+                        t.range("setup_us", new Range(500, 1500), 0, 1e6),
+                        t.number("idle_s", 5, 0.01, DAY),
+                        t.number("setup_limit_ms", 250, 1, 60_000),
+                        t.range("connections_per_core", new Range(60, 150), 1, 1e6),
+                        t.range("table_tax", new Range(0.16, 0.35), 0, 0.99));
         t.end();
         return net;
     }
 
     private static Listing listing(Table t) throws ScenarioException {
-        Listing listing = new Listing(t.range("notice_s", new Range(1.3, 4.8), 0, DAY),
-                t.range("silent_s", new Range(4.2, 14), 0, DAY), t.range("add_s", new Range(0.3, 2.1), 0,
-                        DAY),
-                t.range("period_ms", new Range(340, 1400), 1, 1e6),
-                t.range("spread_ms", new Range(140, 460), 0, 1e6));
+        Listing listing =
+                new Listing(
+                        t.range("notice_s", new Range(1.3, 4.8), 0, DAY),
+                        t.range("silent_s", new Range(4.2, 14), 0, DAY),
+                        t.range("add_s", new Range(0.3, 2.1), 0, DAY),
+                        t.range("period_ms", new Range(340, 1400), 1, 1e6),
+                        t.range("spread_ms", new Range(140, 460), 0, 1e6));
         t.end();
         return listing;
     }
 
     private static Service service(Table t) throws ScenarioException {
-        Service service = new Service(t.word("effect", "token", List.of("pure", "token", "side_effect")),
-                t.word("group", "zone", List.of("all", "zone", "cell")), t.number("aim_ms", 1200, 1, 1e6),
-                t.number("deadline_ms", 2500, 1, 1e6), t.number("window_ms", 2500, 0, 1e6),
-                t.whole("attempts", 5, 1, 100), t.flag("cancelling", true), t.flag("retry_advice", true),
-                t.range("work_ms", new Range(97, 180), 0.001, 1e5),
-                t.word("distribution", "lognormal", List.of("lognormal", "exponential", "constant")),
-                t.range("spread", new Range(0.8, 1.2), 0, 10),
-                t.range("attempt_noise", new Range(0.1, 0.3), 0, 5),
-                t.range("key_gain", new Range(0.27, 0.69), 0, 1), t.range("key_s", new Range(2, 7.6), 0, DAY),
-                t.range("keys_per_core", new Range(11, 21), 0, 1e6),
-                t.range("report_ms", new Range(41, 430), 1, 1e6),
-                t.range("report_noise", new Range(0.05, 0.2), 0, 5), t.number("over_share_worth", 0.1, 0, 1),
-                t.range("quota_of_capacity", new Range(0.73, 0.87), 0.01, 10),
-                t.number("cold_from", 0.3, 0.01, 1), t.number("cold_s", 8.8, 0, DAY),
-                t.number("fall_multiple", 3, 1, 1e6), t.number("fall_s", 1, 0.01, DAY),
-                t.number("drain_ms", 500, 0, 1e6), t.number("grace_ms", 20, 0, 1e6),
-                t.number("tick_ms", 1, 0.001, 1000));
+        Service service =
+                new Service(
+                        t.word("effect", "token", List.of("pure", "token", "side_effect")),
+                        t.word("group", "zone", List.of("all", "zone", "cell")),
+                        t.number("aim_ms", 1200, 1, 1e6),
+                        t.number("deadline_ms", 2500, 1, 1e6),
+                        t.number("window_ms", 2500, 0, 1e6),
+                        t.whole("attempts", 5, 1, 100),
+                        t.flag("cancelling", true),
+                        t.flag("retry_advice", true),
+                        t.range("work_ms", new Range(97, 180), 0.001, 1e5),
+                        t.word(
+                                "distribution",
+                                "lognormal",
+                                List.of("lognormal", "exponential", "constant")),
+                        t.range("spread", new Range(0.8, 1.2), 0, 10),
+                        t.range("attempt_noise", new Range(0.1, 0.3), 0, 5),
+                        t.range("key_gain", new Range(0.27, 0.69), 0, 1),
+                        t.range("key_s", new Range(2, 7.6), 0, DAY),
+                        t.range("keys_per_core", new Range(11, 21), 0, 1e6),
+                        t.range("report_ms", new Range(41, 430), 1, 1e6),
+                        t.range("report_noise", new Range(0.05, 0.2), 0, 5),
+                        t.number("over_share_worth", 0.1, 0, 1),
+                        t.range("quota_of_capacity", new Range(0.73, 0.87), 0.01, 10),
+                        t.number("cold_from", 0.3, 0.01, 1),
+                        t.number("cold_s", 8.8, 0, DAY),
+                        t.number("fall_multiple", 3, 1, 1e6),
+                        t.number("fall_s", 1, 0.01, DAY),
+                        t.number("drain_ms", 500, 0, 1e6),
+                        t.number("grace_ms", 20, 0, 1e6),
+                        t.number("tick_ms", 1, 0.001, 1000));
         t.end();
         return service;
     }
@@ -296,18 +453,22 @@
     private static List<Kind> kinds(Table all) throws ScenarioException {
         List<Kind> kinds = new ArrayList<>();
         for (Table t : all.tables("kind")) {
-            kinds.add(new Kind(t.word("name", null, List.of()), t.number("share", 1, 0, 1e6),
-                    t.whole("cores", 1, 1, 1024), t.range("speed", Range.of(1), 0.001, 1000),
-                    t.range("slots_per_core", Range.of(1), 1, 1000),
-                    t.range("queue_per_core", new Range(11, 34), 0, 1e6),
-                    t.range("thrash", new Range(0.12, 0.25), 0, 100),
-                    t.range("thrash_at", new Range(8.6, 13), 0, 1e6),
-                    t.range("cold_from", new Range(0.32, 0.5), 0.01, 1),
-                    t.range("cold_s", new Range(4, 8.8), 0, DAY),
-                    t.word("warm_by", "work", List.of("time", "work")),
-                    t.range("pause_every_s", new Range(5, 11), 0.01, DAY),
-                    t.range("pause_ms", new Range(0, 250), 0, 60_000),
-                    t.range("errors", new Range(0, 0.002), 0, 1)));
+            kinds.add(
+                    new Kind(
+                            t.word("name", null, List.of()),
+                            t.number("share", 1, 0, 1e6),
+                            t.whole("cores", 1, 1, 1024),
+                            t.range("speed", Range.of(1), 0.001, 1000),
+                            t.range("slots_per_core", Range.of(1), 1, 1000),
+                            t.range("queue_per_core", new Range(11, 34), 0, 1e6),
+                            t.range("thrash", new Range(0.12, 0.25), 0, 100),
+                            t.range("thrash_at", new Range(8.6, 13), 0, 1e6),
+                            t.range("cold_from", new Range(0.32, 0.5), 0.01, 1),
+                            t.range("cold_s", new Range(4, 8.8), 0, DAY),
+                            t.word("warm_by", "work", List.of("time", "work")),
+                            t.range("pause_every_s", new Range(5, 11), 0.01, DAY),
+                            t.range("pause_ms", new Range(0, 250), 0, 60_000),
+                            t.range("errors", new Range(0, 0.002), 0, 1)));
             t.end();
         }
         if (!kinds.isEmpty()) {
@@ -315,24 +476,52 @@
         }
         Range thrash = new Range(0.12, 0.25);
         return List.of(
-                new Kind("single-fast", 0.42, 1, new Range(1.5, 2.1), Range.of(1), new Range(11, 34), thrash,
-                        new Range(8.6, 13), new Range(0.32, 0.54), new Range(3.2, 8.8), "work",
-                        new Range(4.5, 10), new Range(0, 230), new Range(0, 0.0005)),
-                new Kind("dual-slow", 0.58, 2, new Range(0.77, 1), Range.of(1), new Range(14, 34), thrash,
-                        new Range(8.6, 13), new Range(0.3, 0.48), new Range(5.2, 8.8), "work",
-                        new Range(5.8, 11), new Range(0, 270), new Range(0, 0.002)));
+                new Kind(
+                        "single-fast",
+                        0.42,
+                        1,
+                        new Range(1.5, 2.1),
+                        Range.of(1),
+                        new Range(11, 34),
+                        thrash,
+                        new Range(8.6, 13),
+                        new Range(0.32, 0.54),
+                        new Range(3.2, 8.8),
+                        "work",
+                        new Range(4.5, 10),
+                        new Range(0, 230),
+                        new Range(0, 0.0005)),
+                new Kind(
+                        "dual-slow",
+                        0.58,
+                        2,
+                        new Range(0.77, 1),
+                        Range.of(1),
+                        new Range(14, 34),
+                        thrash,
+                        new Range(8.6, 13),
+                        new Range(0.3, 0.48),
+                        new Range(5.2, 8.8),
+                        "work",
+                        new Range(5.8, 11),
+                        new Range(0, 270),
+                        new Range(0, 0.002)));
     }
 
     private static List<Tenant> tenants(Table all) throws ScenarioException {
         List<Tenant> tenants = new ArrayList<>();
         for (Table t : all.tables("tenant")) {
-            tenants.add(new Tenant(t.word("name", null, List.of()), t.number("share", 1, 0, 1),
-                    t.range("usage", Range.of(1), 0, 100)));
+            tenants.add(
+                    new Tenant(
+                            t.word("name", null, List.of()),
+                            t.number("share", 1, 0, 1),
+                            t.range("usage", Range.of(1), 0, 100)));
             t.end();
         }
         return tenants.isEmpty()
-                ? List.of(new Tenant("one", 0.5, new Range(0.6, 1.2)), new Tenant("two", 0.34, new Range(0.7,
-                        1.3)),
+                ? List.of(
+                        new Tenant("one", 0.5, new Range(0.6, 1.2)),
+                        new Tenant("two", 0.34, new Range(0.7, 1.3)),
                         new Tenant("three", 0.16, new Range(0.8, 1.3)))
                 : tenants;
     }
--- a/lab/src/main/java/sagefall/lab/scenario/Table.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Table.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * One table of a scenario, read strictly: scenarios are written by hand, so a name that nothing reads is a
- * mistake. Each {@link ScenarioException} tells file, line and name.
+ * One table of a scenario, read strictly: scenarios are written by hand, so a name that nothing
+ * reads is a mistake. Each {@link ScenarioException} tells file, line and name.
  */
 public final class Table {
 
@@ -52,26 +52,39 @@
     }
 
     /** A figure, or {@code [low, high]} for one that the seed draws, within two bounds. */
-    public Range range(String name, Range otherwise, double least, double most) throws ScenarioException {
+    public Range range(String name, Range otherwise, double least, double most)
+            throws ScenarioException {
         JsonNode value = get(name);
         if (value == null) {
             return otherwise;
         }
-        Range range = value.isNumber() ? Range.of(value.doubleValue())
-                : value.isArray() && value.size() == 2 && value.get(0).isNumber() && value.get(1).isNumber()
-                        ? new Range(value.get(0).doubleValue(), value.get(1).doubleValue()) : null;
+        Range range =
+                value.isNumber()
+                        ? Range.of(value.doubleValue())
+                        : value.isArray()
+                                        && value.size() == 2
+                                        && value.get(0).isNumber()
+                                        && value.get(1).isNumber()
+                                ? new Range(value.get(0).doubleValue(), value.get(1).doubleValue())
+                                : null;
         if (range == null) {
             throw wrong(name, "must be a number or [low, high]");
         }
         if (!(range.low() >= least && range.high() <= most && range.low() <= range.high())) {
-            throw wrong(name, "must lie from " + plain(least) + " to " + plain(most)
-                    + (range.low() > range.high() ? ", the lower bound first" : ""));
+            throw wrong(
+                    name,
+                    "must lie from "
+                            + plain(least)
+                            + " to "
+                            + plain(most)
+                            + (range.low() > range.high() ? ", the lower bound first" : ""));
         }
         return range;
     }
 
     /** A figure that no seed changes. */
-    public double number(String name, double otherwise, double least, double most) throws ScenarioException {
+    public double number(String name, double otherwise, double least, double most)
+            throws ScenarioException {
         Range range = range(name, Range.of(otherwise), least, most);
         if (range.low() != range.high()) {
             throw wrong(name, "must be one number");
@@ -98,7 +111,8 @@
     }
 
     /** One of some words; any text where none are given. */
-    public String word(String name, String otherwise, List<String> allowed) throws ScenarioException {
+    public String word(String name, String otherwise, List<String> allowed)
+            throws ScenarioException {
         JsonNode value = get(name);
         if (value != null && !value.isTextual()) {
             throw wrong(name, "must be a text");
@@ -123,7 +137,9 @@
         for (JsonNode one : value) {
             words.add(one.textValue());
         }
-        if (!value.isArray() || words.isEmpty() || words.contains(null)
+        if (!value.isArray()
+                || words.isEmpty()
+                || words.contains(null)
                 || new LinkedHashSet<>(words).size() < words.size()) {
             throw wrong(name, "must be a list of texts that differ");
         }
@@ -136,8 +152,11 @@
         if (value != null && !value.isObject()) {
             throw wrong(name, "must be a table");
         }
-        return new Table(file, lines, at(name), value == null ? JsonNodeFactory.instance.objectNode()
-                : value);
+        return new Table(
+                file,
+                lines,
+                at(name),
+                value == null ? JsonNodeFactory.instance.objectNode() : value);
     }
 
     /** A list of tables; empty where it is not given. */
@@ -161,7 +180,7 @@
 
     /** To be called when all has been read that means something. */
     public void end() throws ScenarioException {
-        for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
+        for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!read.contains(name)) {
                 throw wrong(name, "unknown name");
@@ -170,7 +189,8 @@
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? String.valueOf((long) value)
                 : String.valueOf(value);
     }
 }
--- a/lab/src/test/java/sagefall/lab/CommandTest.java
+++ b/lab/src/test/java/sagefall/lab/CommandTest.java
@@ -21,8 +21,7 @@
 
 class CommandTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private final StringWriter errors = new StringWriter();
 
@@ -35,25 +34,48 @@
     /** A comparison leaves a line for each day and a page that asks for nothing from elsewhere. */
     @Test
     void aComparisonLeavesDaysAndAPage() throws Exception {
-        assertEquals(0, lab("compare", "calm", "--a", "two-choices", "--b", "module", "--seeds", "1-2",
-                "--set",
-                "fleet.servers=12", "--set", "fleet.sidecars=4", "--set", "seconds=31", "--out",
-                folder.toString()), errors.toString());
+        assertEquals(
+                0,
+                lab(
+                        "compare",
+                        "calm",
+                        "--a",
+                        "two-choices",
+                        "--b",
+                        "module",
+                        "--seeds",
+                        "1-2",
+                        "--set",
+                        "fleet.servers=12",
+                        "--set",
+                        "fleet.sidecars=4",
+                        "--set",
+                        "seconds=31",
+                        "--out",
+                        folder.toString()),
+                errors.toString());
         assertEquals(4, Files.readAllLines(folder.resolve("days.jsonl")).size());
         String page = Files.readString(folder.resolve("report.html"));
-        assertTrue(page.contains("no verdict under 5 seeds") && page.contains("<svg"),
+        assertTrue(
+                page.contains("no verdict under 5 seeds") && page.contains("<svg"),
                 "the page lacks parts");
-        assertFalse(page.matches("(?s).*(src|href)=['\"](?!data:).*"), "the page asks for something");
+        assertFalse(
+                page.matches("(?s).*(src|href)=['\"](?!data:).*"), "the page asks for something");
     }
 
     /** A day that was cut off is compared over what both reached: here the first ten seconds. */
     @Test
     void windowsOfTheBenchAreCompared() throws Exception {
         Path report = folder.resolve("report.log");
-        String row = "%6d     %d     99.0    0.5      0.25   0.0   0.8   57.7   %d.0    1.00   1.00    0"
-                + "    0    5    0     0   1.34    8   %d.0%n";
-        Files.writeString(report, "G 0.5   whole day 0.9\n" + String.format(row, 0, 300, 300, 100)
-                + String.format(row, 5, 100, 700, 90) + String.format(row, 10, 100, 0, 0));
+        String row =
+                "%6d     %d     99.0    0.5      0.25   0.0   0.8   57.7   %d.0    1.00   1.00    0"
+                        + "    0    5    0     0   1.34    8   %d.0%n";
+        Files.writeString(
+                report,
+                "G 0.5   whole day 0.9\n"
+                        + String.format(row, 0, 300, 300, 100)
+                        + String.format(row, 5, 100, 700, 90)
+                        + String.format(row, 10, 100, 0, 0));
         PrintStream before = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         System.setOut(new PrintStream(printed, true));
@@ -62,23 +84,29 @@
         } finally {
             System.setOut(before);
         }
-        String last = printed.toString().lines().reduce((a, b) -> b).orElse("").replaceAll(" +", " ");
+        String last =
+                printed.toString().lines().reduce((a, b) -> b).orElse("").replaceAll(" +", " ");
         assertEquals("report.log 2 0.9750 0.975 at 0 s 0.500 0.250 0.000 400", last);
         assertEquals(2, lab("windows", folder.resolve("none").toString()));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = ';', value = {
-        "run;nowhere;nowhere:1: no such file, and none of the shipped scenarios",
-        "run;calm --set load.use=99;--set: load.use: must lie from 0 to 10",
-        "run;calm --set colour=1;--set: colour: unknown name",
-        "run;calm --policy best;best: no such policy",
-        "run;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
-        "compare;calm --b module:X=1;module:X=1: X is no tunable"
-    })
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "run;nowhere;nowhere:1: no such file, and none of the shipped scenarios",
+                "run;calm --set load.use=99;--set: load.use: must lie from 0 to 10",
+                "run;calm --set colour=1;--set: colour: unknown name",
+                "run;calm --policy best;best: no such policy",
+                "run;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
+                "compare;calm --b module:X=1;module:X=1: X is no tunable"
+            })
     void wrongInputCostsOneLineAndStatusTwo(String command, String options, String line) {
-        assertEquals(2, lab((command + " " + options + (options.contains("X=1") ? " --root .." : ""))
-                .split(" ")));
+        assertEquals(
+                2,
+                lab(
+                        (command + " " + options + (options.contains("X=1") ? " --root .." : ""))
+                                .split(" ")));
         assertTrue(errors.toString().startsWith("sagefall lab: " + line), errors.toString());
         assertEquals(1, errors.toString().lines().count());
     }
@@ -87,12 +115,25 @@
     @Test
     @Timeout(60)
     void whatIsDoneStaysReadableWhenItIsBrokenOff() throws Exception {
-        Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(),
-                "-cp", System.getProperty("java.class.path"), "sagefall.lab.Lab", "run", "flap", "--seeds",
-                        "1-9999",
-                "--set", "fleet.servers=12", "--set", "fleet.sidecars=4", "--out", folder.toString())
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        Process process =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "sagefall.lab.Lab",
+                                "run",
+                                "flap",
+                                "--seeds",
+                                "1-9999",
+                                "--set",
+                                "fleet.servers=12",
+                                "--set",
+                                "fleet.sidecars=4",
+                                "--out",
+                                folder.toString())
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         Path days = folder.resolve("days.jsonl");
         while (!Files.exists(days) || Files.readAllLines(days).size() < 3) {
             assertFalse(process.waitFor(20, TimeUnit.MILLISECONDS), "it has ended by itself");
--- a/lab/src/test/java/sagefall/lab/ShippedTest.java
+++ b/lab/src/test/java/sagefall/lab/ShippedTest.java
@@ -25,7 +25,7 @@
                 plays.add(new Play(Scenario.load(name, List.of()), 11, policy));
             }
         }
-        return new Plays(threads, Path.of(".."), null).all(plays, result -> { });
+        return new Plays(threads, Path.of(".."), null).all(plays, result -> {});
     }
 
     @Test
@@ -34,7 +34,10 @@
             assertEquals(List.of(), r.breaches(), r.scenario());
             assertTrue(r.served() > 0.4, r.scenario() + ": " + r.served());
             double lost = r.lost().values().stream().mapToDouble(DayResult.Loss::worth).sum();
-            assertEquals(r.askedWorth() * (1 - r.served()), lost, 1e-6 * r.askedWorth(),
+            assertEquals(
+                    r.askedWorth() * (1 - r.served()),
+                    lost,
+                    1e-6 * r.askedWorth(),
                     "each loss has a cause");
         }
     }
@@ -45,10 +48,13 @@
         for (long seed = 1; seed <= 8; seed++) {
             plays.add(new Play(Scenario.load("flap", List.of()), seed, "module"));
         }
-        List<String> one = new Plays(1, Path.of(".."), null).all(plays, r -> { }).stream()
-                .map(ShippedTest::figures).toList();
-        assertEquals(one, new Plays(8, Path.of(".."), null).all(plays, r -> { }).stream()
-                .map(ShippedTest::figures).toList());
+        List<String> one =
+                new Plays(1, Path.of(".."), null)
+                        .all(plays, r -> {}).stream().map(ShippedTest::figures).toList();
+        assertEquals(
+                one,
+                new Plays(8, Path.of(".."), null)
+                        .all(plays, r -> {}).stream().map(ShippedTest::figures).toList());
     }
 
     private static String figures(DayResult r) {
--- a/lab/src/test/java/sagefall/lab/experiment/PairedTest.java
+++ b/lab/src/test/java/sagefall/lab/experiment/PairedTest.java
@@ -25,8 +25,8 @@
     /** Of samples with a known mean nearly as many intervals hold it as they promise. */
     @Test
     void theIntervalHoldsTheMeanAboutAsOftenAsItSays() {
-        ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(new Draws(3)
-                .stream("t"));
+        ZigguratSampler.NormalizedGaussian normal =
+                ZigguratSampler.NormalizedGaussian.of(new Draws(3).stream("t"));
         int held = 0;
         for (int i = 0; i < 300; i++) {
             List<Double> sample = new ArrayList<>();
--- a/lab/src/test/java/sagefall/lab/load/SocketsTest.java
+++ b/lab/src/test/java/sagefall/lab/load/SocketsTest.java
@@ -10,7 +10,9 @@
 @Timeout(60)
 class SocketsTest {
 
-    /** Each request of an open loop ends up in one count, and a fault in the one that it belongs to. */
+    /**
+     * Each request of an open loop ends up in one count, and a fault in the one that it belongs to.
+     */
     @Test
     void everyRequestIsCountedOnce() throws Exception {
         StandIn server = new StandIn(0, "a", new StandIn.Service(4, 40, 1), new Directory());
@@ -34,13 +36,15 @@
         Directory directory = new Directory();
         directory.put("s-1", 1, "a", "in_service", 0);
         assertTrue(directory.watch(2, 1).contains("\"targets\":[]"));
-        CompletableFuture<String> watch = CompletableFuture.supplyAsync(() -> {
-            try {
-                return directory.watch(2, 60_000);
-            } catch (InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        CompletableFuture<String> watch =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return directory.watch(2, 60_000);
+                            } catch (InterruptedException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         directory.remove("s-1");
         assertEquals("{\"rev\":3,\"all\":true,\"targets\":[]}", watch.get());
     }
--- a/lab/src/test/java/sagefall/lab/model/InvariantsTest.java
+++ b/lab/src/test/java/sagefall/lab/model/InvariantsTest.java
@@ -30,7 +30,9 @@
 class InvariantsTest {
 
     private static Scenario scenario() throws Exception {
-        return Scenario.read("rules.toml", """
+        return Scenario.read(
+                "rules.toml",
+                """
                 name = "rules"
                 seconds = 12
                 [fleet]
@@ -48,7 +50,8 @@
                 for_s = 10
                 part = 0.2
                 size = 0.5
-                """, List.of());
+                """,
+                List.of());
     }
 
     /** An instance of random choice that a mutation comes before. */
@@ -66,7 +69,10 @@
             if (event.equals("servers")) {
                 for (Object line : (List<?>) arguments[2]) {
                     LoadBalancer.Server s = (LoadBalancer.Server) line;
-                    newest = s.startMicros() > 0 && s.phase() == LoadBalancer.Phase.READY ? s.id() : newest;
+                    newest =
+                            s.startMicros() > 0 && s.phase() == LoadBalancer.Phase.READY
+                                    ? s.id()
+                                    : newest;
                     oldest = s.phase() == LoadBalancer.Phase.DRAINING ? s.id() : oldest;
                 }
                 return false;
@@ -135,11 +141,16 @@
             }
 
             @Override
-            public LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions,
-                    Truth truth) {
-                return (LoadBalancer) Proxy.newProxyInstance(getClass().getClassLoader(),
-                        new Class<?>[] {LoadBalancer.class},
-                        new Mutant(rule, random.create(settings, facts, actions, truth), actions));
+            public LoadBalancer create(
+                    Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+                return (LoadBalancer)
+                        Proxy.newProxyInstance(
+                                getClass().getClassLoader(),
+                                new Class<?>[] {LoadBalancer.class},
+                                new Mutant(
+                                        rule,
+                                        random.create(settings, facts, actions, truth),
+                                        actions));
             }
         };
     }
@@ -148,14 +159,16 @@
     @EnumSource(Rule.class)
     void aMutantIsCaught(Rule rule) throws Exception {
         DayResult r = new Day(scenario(), 3, mutant(rule)).play();
-        assertTrue(r.breaches().stream().anyMatch(b -> b.rule() == rule), rule + " not among "
-                + r.breachCount());
+        assertTrue(
+                r.breaches().stream().anyMatch(b -> b.rule() == rule),
+                rule + " not among " + r.breachCount());
     }
 
     @Test
     void theModuleBreaksNoRule() throws Exception {
         for (long seed = 1; seed <= 4; seed++) {
-            assertEquals(List.of(), new Day(scenario(), seed, new ModulePolicy()).play().breaches());
+            assertEquals(
+                    List.of(), new Day(scenario(), seed, new ModulePolicy()).play().breaches());
         }
     }
 }
--- a/lab/src/test/java/sagefall/lab/model/KnownResultsTest.java
+++ b/lab/src/test/java/sagefall/lab/model/KnownResultsTest.java
@@ -21,8 +21,32 @@
     private final Sidecar nobody = new Sidecar(null, 0, 0);
 
     private SaveServer server(int cores, double coldFrom, long coldMicros) {
-        return new SaveServer(1, 0, 0, new SaveServer.Make(0, cores, 1, cores, 1_000_000, 0, 1e9, coldFrom,
-                coldMicros, false, 0, 1, 0, 100, 0, 0, 0, 0, 1000), loop, new double[] {1},
+        return new SaveServer(
+                1,
+                0,
+                0,
+                new SaveServer.Make(
+                        0,
+                        cores,
+                        1,
+                        cores,
+                        1_000_000,
+                        0,
+                        1e9,
+                        coldFrom,
+                        coldMicros,
+                        false,
+                        0,
+                        1,
+                        0,
+                        100,
+                        0,
+                        0,
+                        0,
+                        0,
+                        1000),
+                loop,
+                new double[] {1},
                 new SaveServer.Floor() {
                     @Override
                     public void done(Job job) {
@@ -31,10 +55,10 @@
                     }
 
                     @Override
-                    public void broken(Job job) { }
+                    public void broken(Job job) {}
 
                     @Override
-                    public void fell(SaveServer server, double told) { }
+                    public void fell(SaveServer server, double told) {}
                 });
     }
 
@@ -77,7 +101,10 @@
         assertEquals(expected, sum / count, 0.05 * expected);
     }
 
-    /** A cold server's work is the integral of its ramp: (from + 1) / 2 of the time it is cold, then all. */
+    /**
+     * A cold server's work is the integral of its ramp: (from + 1) / 2 of the time it is cold, then
+     * all.
+     */
     @Test
     void aColdStartDoesTheWorkOfItsRamp() {
         SaveServer server = server(1, 0.4, 8_000_000);
@@ -90,42 +117,50 @@
         assertEquals(9_000_000, doneAt.get(1) - started, 4);
     }
 
-    /** While a zone is cut off nothing is answered across the cut, and nothing within it is troubled. */
+    /**
+     * While a zone is cut off nothing is answered across the cut, and nothing within it is
+     * troubled.
+     */
     @Test
     void aCutLastsAsLongAsItIsSaidTo() throws Exception {
-        Scenario scenario = Scenario.read("cut.toml", """
-                name = "cut"
-                seconds = 12
-                [fleet]
-                sidecars = 2
-                servers = 6
-                zones = ["a", "b"]
-                server_skew = 0
-                [load]
-                use = 0.1
-                zone_skew = 0
-                unlike = 0
-                [clients]
-                retries = 0
-                [service]
-                attempts = 1
-                distribution = "constant"
-                work_ms = 5
-                [[kind]]
-                name = "one"
-                pause_ms = 0
-                errors = 0
-                [[fault]]
-                kind = "cut_zone"
-                zone = "b"
-                at_s = 4
-                for_s = 3
-                """, List.of());
+        Scenario scenario =
+                Scenario.read(
+                        "cut.toml",
+                        """
+                        name = "cut"
+                        seconds = 12
+                        [fleet]
+                        sidecars = 2
+                        servers = 6
+                        zones = ["a", "b"]
+                        server_skew = 0
+                        [load]
+                        use = 0.1
+                        zone_skew = 0
+                        unlike = 0
+                        [clients]
+                        retries = 0
+                        [service]
+                        attempts = 1
+                        distribution = "constant"
+                        work_ms = 5
+                        [[kind]]
+                        name = "one"
+                        pause_ms = 0
+                        errors = 0
+                        [[fault]]
+                        kind = "cut_zone"
+                        zone = "b"
+                        at_s = 4
+                        for_s = 3
+                        """,
+                        List.of());
         DayResult r = new Day(scenario, 1, sagefall.lab.policy.Baselines.of("random")).play();
         for (int second = 0; second < 12; second++) {
             double lost = 1 - r.series().served()[second] / r.series().asked()[second];
             boolean cut = second >= 4 && second < 7;
-            // Random choice sends half across; a request just before the cut may still be on its way.
+            // Random choice sends half across; a request just before the cut may still be on its
+            // way.
             assertEquals(cut ? 0.5 : 0, lost, cut ? 0.15 : 0.02, "second " + second);
         }
     }
--- a/lab/src/test/java/sagefall/lab/policy/PoliciesTest.java
+++ b/lab/src/test/java/sagefall/lab/policy/PoliciesTest.java
@@ -19,8 +19,9 @@
     private static final Path ROOT = Path.of("..");
 
     private static DayResult play(String policy) throws Exception {
-        Scenario scenario = Scenario.load("overload",
-                List.of("fleet.sidecars=40", "fleet.servers=20", "seconds=32"));
+        Scenario scenario =
+                Scenario.load(
+                        "overload", List.of("fleet.sidecars=40", "fleet.servers=20", "seconds=32"));
         try (Policy p = Policies.of(policy, ROOT)) {
             return new Day(scenario, 5, p).play();
         }
@@ -30,11 +31,16 @@
         return r.g() + " " + r.events() + " " + r.attemptsPerRequest() + " " + r.latency();
     }
 
-    /** The module compiled anew, or spoken to over the wire, is the module: the same day to the bit. */
+    /**
+     * The module compiled anew, or spoken to over the wire, is the module: the same day to the bit.
+     */
     @Test
     void theSameDecisionsByEveryWay() throws Exception {
-        String java = Path.of(System.getProperty("java.home"), "bin", "java") + " -cp '"
-                + System.getProperty("java.class.path") + "' sagefall.Main simhost";
+        String java =
+                Path.of(System.getProperty("java.home"), "bin", "java")
+                        + " -cp '"
+                        + System.getProperty("java.class.path")
+                        + "' sagefall.Main simhost";
         String module = figures(play("module"));
         assertEquals(module, figures(play("module:SPILL=1.5")));
         assertEquals(module, figures(play("sim:" + java)));
@@ -56,14 +62,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = ';', value = {
-        "module:SPIL=2; module:SPIL=2: SPIL is no tunable of the policy files",
-        "module:SPILL=x; module:SPILL=x: 'SPILL=x' is not TUNABLE=NUMBER",
-        "module-without:luck; no mechanism 'luck'",
-        "best; best: no such policy"
-    })
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "module:SPIL=2; module:SPIL=2: SPIL is no tunable of the policy files",
+                "module:SPILL=x; module:SPILL=x: 'SPILL=x' is not TUNABLE=NUMBER",
+                "module-without:luck; no mechanism 'luck'",
+                "best; best: no such policy"
+            })
     void whatIsNoPolicyCostsOneLine(String policy, String line) {
-        String message = assertThrows(PolicyException.class, () -> Policies.of(policy, ROOT)).getMessage();
+        String message =
+                assertThrows(PolicyException.class, () -> Policies.of(policy, ROOT)).getMessage();
         assertEquals(line, message.substring(0, Math.min(line.length(), message.length())));
     }
 }
--- a/lab/src/test/java/sagefall/lab/rig/LinkTest.java
+++ b/lab/src/test/java/sagefall/lab/rig/LinkTest.java
@@ -33,37 +33,50 @@
 @Timeout(120)
 class LinkTest {
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<String> sent = new CopyOnWriteArrayList<>();
     private final ServerSocket echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Link link = new Link(group, InetAddress.getByName("127.9.9.9"), Link.Way.FREE,
-            Link.Way.FREE,
-            sent::add);
+    private final Link link =
+            new Link(
+                    group,
+                    InetAddress.getByName("127.9.9.9"),
+                    Link.Way.FREE,
+                    Link.Way.FREE,
+                    sent::add);
 
     LinkTest() throws Exception {
         link.target((InetSocketAddress) echo.getLocalSocketAddress());
-        Thread thread = new Thread(() -> {
-            try {
-                while (true) {
-                    Socket s = echo.accept();
-                    s.setTcpNoDelay(true);
-                    Thread each = new Thread(() -> {
-                        try (s; InputStream in = s.getInputStream()) {
-                            byte[] buffer = new byte[4096];
-                            for (int n; (n = in.read(buffer)) > 0;) {
-                                s.getOutputStream().write(buffer, 0, n);
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    Socket s = echo.accept();
+                                    s.setTcpNoDelay(true);
+                                    Thread each =
+                                            new Thread(
+                                                    () -> {
+                                                        try (s;
+                                                                InputStream in =
+                                                                        s.getInputStream()) {
+                                                            byte[] buffer = new byte[4096];
+                                                            for (int n;
+                                                                    (n = in.read(buffer)) > 0; ) {
+                                                                s.getOutputStream()
+                                                                        .write(buffer, 0, n);
+                                                            }
+                                                        } catch (IOException e) {
+                                                            // Reset, as some tests want it.
+                                                        }
+                                                    });
+                                    each.setDaemon(true);
+                                    each.start();
+                                }
+                            } catch (IOException e) {
+                                // The test is over.
                             }
-                        } catch (IOException e) {
-                            // Reset, as some tests want it.
-                        }
-                    });
-                    each.setDaemon(true);
-                    each.start();
-                }
-            } catch (IOException e) {
-                // The test is over.
-            }
-        });
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -96,14 +109,16 @@
         try (Socket s = connect()) {
             assertArrayEquals(request, exchange(s, request));
             assertArrayEquals(request, exchange(s, request));
-            Thread writer = new Thread(() -> {
-                try {
-                    s.getOutputStream().write(big);
-                    s.shutdownOutput();
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            Thread writer =
+                    new Thread(
+                            () -> {
+                                try {
+                                    s.getOutputStream().write(big);
+                                    s.shutdownOutput();
+                                } catch (IOException e) {
+                                    throw new IllegalStateException(e);
+                                }
+                            });
             writer.start();
             assertArrayEquals(big, s.getInputStream().readAllBytes());
         }
@@ -143,10 +158,13 @@
         }
     }
 
-    /** One way is cut: what goes there is held; once it heals, whoever had something held is reset. */
+    /**
+     * One way is cut: what goes there is held; once it heals, whoever had something held is reset.
+     */
     @Test
     void aCutOfOneWayHoldsAndThenResets() throws Exception {
-        try (Socket busy = connect(); Socket idle = connect()) {
+        try (Socket busy = connect();
+                Socket idle = connect()) {
             exchange(busy, new byte[] {1});
             exchange(idle, new byte[] {1});
             link.ways(Link.Way.FREE.held(true), Link.Way.FREE);
@@ -190,8 +208,8 @@
     @Test
     void aWayCostsLittle() throws Exception {
         Histogram[] micros = {new Histogram(3), new Histogram(3)};
-        try (Socket relayed = connect(); Socket direct = new Socket(echo.getInetAddress(),
-                echo.getLocalPort())) {
+        try (Socket relayed = connect();
+                Socket direct = new Socket(echo.getInetAddress(), echo.getLocalPort())) {
             direct.setTcpNoDelay(true);
             byte[] request = new byte[400];
             for (int i = 0; i < 6000; i++) {
@@ -204,12 +222,20 @@
                 }
             }
         }
-        System.out.printf("a way costs %.0f us at the median, %.0f us at p99%n",
+        System.out.printf(
+                "a way costs %.0f us at the median, %.0f us at p99%n",
                 Arrays.stream(new double[] {50})
-                .map(p -> (micros[1].getValueAtPercentile(p) - micros[0].getValueAtPercentile(p)) / 2).sum(),
+                        .map(
+                                p ->
+                                        (micros[1].getValueAtPercentile(p)
+                                                        - micros[0].getValueAtPercentile(p))
+                                                / 2)
+                        .sum(),
                 (micros[1].getValueAtPercentile(99) - micros[0].getValueAtPercentile(99)) / 2.0);
-        // A machine whose cores are all busy lends them late: the figure is MEASURING's, the bound is ample.
-        assertTrue(micros[1].getValueAtPercentile(50) - micros[0].getValueAtPercentile(50) < 20_000);
+        // A machine whose cores are all busy lends them late: the figure is MEASURING's, the bound
+        // is ample.
+        assertTrue(
+                micros[1].getValueAtPercentile(50) - micros[0].getValueAtPercentile(50) < 20_000);
     }
 
     @Test
@@ -217,12 +243,16 @@
         var random = new Draws(4).stream("udp");
         try (DatagramSocket from = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket to = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramLink way = new DatagramLink(group, InetAddress.getByName("127.9.9.8"),
-                        random::nextDouble)) {
+                DatagramLink way =
+                        new DatagramLink(
+                                group, InetAddress.getByName("127.9.9.8"), random::nextDouble)) {
             to.setSoTimeout(5_000);
             way.target((InetSocketAddress) to.getLocalSocketAddress());
-            for (DatagramLink.Way w : List.of(DatagramLink.Way.FREE, new DatagramLink.Way(0, 1, 0),
-                    new DatagramLink.Way(0, 0, 20_000))) {
+            for (DatagramLink.Way w :
+                    List.of(
+                            DatagramLink.Way.FREE,
+                            new DatagramLink.Way(0, 1, 0),
+                            new DatagramLink.Way(0, 0, 20_000))) {
                 way.way(w);
                 int expected = w.doubled() == 1 ? 40 : 20;
                 for (byte i = 0; i < 20; i++) {
@@ -244,7 +274,9 @@
             way.way(new DatagramLink.Way(1, 0, 0));
             from.send(new DatagramPacket(new byte[1], 1, way.address()));
             to.setSoTimeout(300);
-            assertThrows(SocketTimeoutException.class, () -> to.receive(new DatagramPacket(new byte[9], 9)));
+            assertThrows(
+                    SocketTimeoutException.class,
+                    () -> to.receive(new DatagramPacket(new byte[9], 9)));
         }
     }
 }
--- a/lab/src/test/java/sagefall/lab/rig/RigTest.java
+++ b/lab/src/test/java/sagefall/lab/rig/RigTest.java
@@ -28,27 +28,35 @@
 import sagefall.lab.scenario.Scenario;
 import sagefall.lab.scenario.ScenarioException;
 
-/** Real sidecars, servers and discovery with faults between them; what is judged is written down first. */
+/**
+ * Real sidecars, servers and discovery with faults between them; what is judged is written down
+ * first.
+ */
 @Timeout(300)
 class RigTest {
 
     private static final Path ROOT = SidecarProcess.ROOT;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static Plan plan(String name, long seed, String... more) throws Exception {
         Scenario.Source source = Scenario.source(name);
-        List<String> sets = new ArrayList<>(List.of("fleet.sidecars=6", "fleet.servers=12",
-                "load.use=0.45"));
+        List<String> sets =
+                new ArrayList<>(List.of("fleet.sidecars=6", "fleet.servers=12", "load.use=0.45"));
         sets.addAll(List.of(more));
         return new Plan(source.file(), source.text(), sets, seed, null, List.of(ROOT));
     }
 
     /** The bounded set: what the campaign plays longer, larger and with more seeds. */
     @ParameterizedTest
-    @CsvSource({"rig-kill, 11", "rig-restart, 12", "rig-zone, 13", "rig-disagree, 15", "rig-stop, 16",
-        "rig-reborn, 17"})
+    @CsvSource({
+        "rig-kill, 11",
+        "rig-restart, 12",
+        "rig-zone, 13",
+        "rig-disagree, 15",
+        "rig-stop, 16",
+        "rig-reborn, 17"
+    })
     void noRuleBreaks(String scenario, long seed) throws Exception {
         Play play = Play.of(plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
@@ -59,8 +67,8 @@
     }
 
     /**
-     * All lose power, find old lists, and discovery is silent until later: what each kept keeps it from the
-     * servers that it had been told to leave, and tells the others.
+     * All lose power, find old lists, and discovery is silent until later: what each kept keeps it
+     * from the servers that it had been told to leave, and tells the others.
      */
     @Test
     void whatWasKeptOutlivesABlackout() throws Exception {
@@ -71,7 +79,9 @@
         for (int i = 0; i < 6; i++) {
             String log = Files.readString(folder.resolve("sidecar-" + i).resolve("log"));
             assertTrue(log.contains("recovery: epoch 1, nothing was kept"), log);
-            assertTrue(log.contains("recovery: epoch 2, kept: revision") && log.contains("old, taken"), log);
+            assertTrue(
+                    log.contains("recovery: epoch 2, kept: revision") && log.contains("old, taken"),
+                    log);
         }
     }
 
@@ -82,8 +92,12 @@
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         play.print(new PrintStream(printed, true));
         assertFalse(play.broken(), printed::toString);
-        long terms = History.read(folder.resolve(Rig.HISTORY)).stream().filter(e -> e.kind().equals("duty"))
-                .mapToLong(e -> e.number("term")).max().orElse(0);
+        long terms =
+                History.read(folder.resolve(Rig.HISTORY)).stream()
+                        .filter(e -> e.kind().equals("duty"))
+                        .mapToLong(e -> e.number("term"))
+                        .max()
+                        .orElse(0);
         assertTrue(terms >= 3, terms + " terms");
         StringBuilder logs = new StringBuilder();
         for (int i = 0; i < 6; i++) {
@@ -102,7 +116,8 @@
             rig.sidecars().get(1).process().onExit().join();
         }
         List<Checks.Breach> breaches = Checks.of(History.read(folder.resolve(Rig.HISTORY)));
-        assertEquals(List.of(Checks.Rule.CRASH), breaches.stream().map(Checks.Breach::rule).toList());
+        assertEquals(
+                List.of(Checks.Rule.CRASH), breaches.stream().map(Checks.Breach::rule).toList());
     }
 
     @Test
@@ -118,8 +133,9 @@
         // Leaving out one fault changes no other.
         new Rig(plan("rig-disagree", 7).only(List.of(0, 2)), folder.resolve("fewer")).close();
         List<String> all = Files.readAllLines(folder.resolve("p0").resolve(Rig.SCHEDULE));
-        assertEquals(List.of(all.get(0), all.get(2)), Files.readAllLines(folder.resolve("fewer")
-                .resolve(Rig.SCHEDULE)));
+        assertEquals(
+                List.of(all.get(0), all.get(2)),
+                Files.readAllLines(folder.resolve("fewer").resolve(Rig.SCHEDULE)));
     }
 
     @Test
@@ -134,8 +150,9 @@
     @Test
     void campaignsDrawWhatCanBePlayed() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
-            Scenario s = new Plan("drawn", Drawing.text(seed), List.of(), seed, null,
-                    List.of(ROOT)).scenario();
+            Scenario s =
+                    new Plan("drawn", Drawing.text(seed), List.of(), seed, null, List.of(ROOT))
+                            .scenario();
             assertTrue(s.faults().size() >= 2);
         }
         assertEquals(Drawing.text(5), Drawing.text(5));
@@ -144,10 +161,26 @@
     /** The rig is killed with everything running: nothing that it started is left. */
     @Test
     void nothingIsLeftBehind() throws Exception {
-        Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "-Dsagefall.root=" + ROOT, Lab.class.getName(),
-                "rig", "run", "rig-calm", "--sidecars", "2", "--servers", "3", "--out", folder.toString(),
-                "--set", "seconds=600").redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        Process rig =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "-Dsagefall.root=" + ROOT,
+                                Lab.class.getName(),
+                                "rig",
+                                "run",
+                                "rig-calm",
+                                "--sidecars",
+                                "2",
+                                "--servers",
+                                "3",
+                                "--out",
+                                folder.toString(),
+                                "--set",
+                                "seconds=600")
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         List<ProcessHandle> started = List.of();
         try (BufferedReader out = new BufferedReader(new InputStreamReader(rig.getInputStream()))) {
             assertTrue(out.readLine().contains("rig-calm"));
@@ -167,40 +200,51 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "run nope | nope:1: no such file",
-        "run rig-calm --set fleet.sidecar=3 | --set: fleet.sidecar: unknown name",
-        "run rig-calm --set load.use=20 | --set: load.use: must lie from 0 to 10",
-        "run rig-calm --build /nowhere | /nowhere: no checkout of sagefall",
-        "run flap --set seconds=many | --set:1: not TOML",
-        "run flap --set seconds=[1,2] | --set: seconds: must be one number",
-        "run OWN | OWN:3: fault[0].kind: the rig can't play neighbour",
-        "run BAD | BAD:4: fault[0].zone: the fleet has no such zone",
-        "again nope.json | nope.json: no such plan",
-        "again OWN | not a plan",
-        "shrink nope.json | nope.json: no such plan",
-        "dance | Unmatched argument",
-        "run | Missing required parameter",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "run nope | nope:1: no such file",
+                "run rig-calm --set fleet.sidecar=3 | --set: fleet.sidecar: unknown name",
+                "run rig-calm --set load.use=20 | --set: load.use: must lie from 0 to 10",
+                "run rig-calm --build /nowhere | /nowhere: no checkout of sagefall",
+                "run flap --set seconds=many | --set:1: not TOML",
+                "run flap --set seconds=[1,2] | --set: seconds: must be one number",
+                "run OWN | OWN:3: fault[0].kind: the rig can't play neighbour",
+                "run BAD | BAD:4: fault[0].zone: the fleet has no such zone",
+                "again nope.json | nope.json: no such plan",
+                "again OWN | not a plan",
+                "shrink nope.json | nope.json: no such plan",
+                "dance | Unmatched argument",
+                "run | Missing required parameter",
+            })
     void badInputIsOneLineAndStatusTwo(String arguments, String message) throws Exception {
         Path toml = folder.resolve("own.toml");
         Files.writeString(toml, "name = \"own\"\n[[fault]]\nkind = \"neighbour\"\n");
         Path bad = folder.resolve("bad.toml");
         Files.writeString(bad, "name = \"bad\"\n[[fault]]\nkind = \"lose_zone\"\nzone = \"z\"\n");
         StringWriter errors = new StringWriter();
-        String[] words = ("rig " + arguments.replace("OWN", toml.toString()).replace("BAD", bad.toString()))
-                .split(" ");
-        assertEquals(2, Lab.command().setErr(new PrintWriter(errors, true)).execute(words), errors::toString);
+        String[] words =
+                ("rig " + arguments.replace("OWN", toml.toString()).replace("BAD", bad.toString()))
+                        .split(" ");
+        assertEquals(
+                2,
+                Lab.command().setErr(new PrintWriter(errors, true)).execute(words),
+                errors::toString);
         String first = errors.toString().lines().findFirst().orElse("");
-        assertTrue(first.contains(message.replace("OWN", toml.toString()).replace("BAD", bad.toString())),
+        assertTrue(
+                first.contains(
+                        message.replace("OWN", toml.toString()).replace("BAD", bad.toString())),
                 errors::toString);
     }
 
     /** Each side says which faults it can't play. */
     @Test
     void theEmulatorCantStopProcesses() throws Exception {
-        assertEquals("rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
-                assertThrows(ScenarioException.class, () -> Scenario.load("rig-stop", List.of())
-                        .on(Fault.Side.EMULATOR)).getMessage());
+        assertEquals(
+                "rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
+                assertThrows(
+                                ScenarioException.class,
+                                () -> Scenario.load("rig-stop", List.of()).on(Fault.Side.EMULATOR))
+                        .getMessage());
     }
 }
--- a/lab/src/test/java/sagefall/lab/scenario/ScenarioTest.java
+++ b/lab/src/test/java/sagefall/lab/scenario/ScenarioTest.java
@@ -12,31 +12,44 @@
 
     /** What is wrong costs one line that names file, line and name. A bar stands for a new line. */
     @ParameterizedTest
-    @CsvSource(delimiter = ';', value = {
-        "name='x'|sedonds=3; f.toml:2: sedonds: unknown name",
-        "name='x'|[fleet]|servers='many'; f.toml:3: fleet.servers: must be a number or [low, high]",
-        "name='x'|[fleet]|servers=2.5; f.toml:3: fleet.servers: must be a whole number",
-        "name='x'|[load]|use=[0.9, 0.1]; f.toml:3: load.use: must lie from 0 to 10, the lower bound first",
-        "name='x'|[service]|effect='magic'; "
-            + "f.toml:3: service.effect: 'magic' is none of pure, token, side_effect",
-        "name='x'|[[fault]]|kind='lose_zone'|zone='z'; "
-            + "f.toml:4: fault[0].zone: the fleet has no such zone, only a, b, c, d",
-        "name='x'|[[fault]]|kind='slow'|[[fault]]|kind='surge'|tenant='me'; "
-            + "f.toml:6: fault[1].tenant: there is no such tenant, only one, two, three",
-        "name='x'|[[fault]]|kind='burst'|zone='a'; f.toml:4: fault[0].zone: means nothing to burst",
-        "name='x'|seconds=20|[[fault]]|kind='burst'|at_s=21; f.toml:5: fault[0].at_s: must lie from 0 to 20",
-        "name='x'|[fleet]|zones=['a','a']; f.toml:3: fleet.zones: must be a list of texts that differ",
-        "about='x'; f.toml:1: name: is missing"
-    })
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "name='x'|sedonds=3; f.toml:2: sedonds: unknown name",
+                "name='x'|[fleet]|servers='many'; f.toml:3: fleet.servers: must be a number or"
+                        + " [low, high]",
+                "name='x'|[fleet]|servers=2.5; f.toml:3: fleet.servers: must be a whole number",
+                "name='x'|[load]|use=[0.9, 0.1]; f.toml:3: load.use: must lie from 0 to 10, the"
+                        + " lower bound first",
+                "name='x'|[service]|effect='magic'; "
+                        + "f.toml:3: service.effect: 'magic' is none of pure, token, side_effect",
+                "name='x'|[[fault]]|kind='lose_zone'|zone='z'; "
+                        + "f.toml:4: fault[0].zone: the fleet has no such zone, only a, b, c, d",
+                "name='x'|[[fault]]|kind='slow'|[[fault]]|kind='surge'|tenant='me'; f.toml:6:"
+                        + " fault[1].tenant: there is no such tenant, only one, two, three",
+                "name='x'|[[fault]]|kind='burst'|zone='a'; f.toml:4: fault[0].zone: means nothing"
+                        + " to burst",
+                "name='x'|seconds=20|[[fault]]|kind='burst'|at_s=21; f.toml:5: fault[0].at_s: must"
+                        + " lie from 0 to 20",
+                "name='x'|[fleet]|zones=['a','a']; f.toml:3: fleet.zones: must be a list of texts"
+                        + " that differ",
+                "about='x'; f.toml:1: name: is missing"
+            })
     void whatIsWrongCostsOneLine(String text, String line) {
-        assertEquals(line, assertThrows(ScenarioException.class,
-                () -> Scenario.read("f.toml", text.replace('|', '\n'), List.of())).getMessage());
+        assertEquals(
+                line,
+                assertThrows(
+                                ScenarioException.class,
+                                () -> Scenario.read("f.toml", text.replace('|', '\n'), List.of()))
+                        .getMessage());
     }
 
     @Test
     void whatIsNoTomlIsToldWithItsLine() {
-        ScenarioException e = assertThrows(ScenarioException.class,
-                () -> Scenario.read("f.toml", "name='x'\n= 3\n", List.of()));
+        ScenarioException e =
+                assertThrows(
+                        ScenarioException.class,
+                        () -> Scenario.read("f.toml", "name='x'\n= 3\n", List.of()));
         assertEquals("f.toml:2: not TOML:", e.getMessage().substring(0, 19));
     }
 }
--- a/sidecar/src/main/java/sagefall/Admission.java
+++ b/sidecar/src/main/java/sagefall/Admission.java
@@ -2,19 +2,30 @@
 
 import java.util.Arrays;
 
-/** Admission by chance, since a quiet sidecar sees no queue, only late answers; beyond a share first. */
+/**
+ * Admission by chance, since a quiet sidecar sees no queue, only late answers; beyond a share
+ * first.
+ */
 final class Admission {
 
-    /** Admission by chance: the part of the aim that cuts it, the cut, the gain in time, the least. */
-    private static final double ADMIT_TARGET = 0.8, ADMIT_CUT = 0.7, ADMIT_GAIN = 0.25, ADMIT_LEAST = 0.1;
+    /**
+     * Admission by chance: the part of the aim that cuts it, the cut, the gain in time, the least.
+     */
+    private static final double ADMIT_TARGET = 0.8,
+            ADMIT_CUT = 0.7,
+            ADMIT_GAIN = 0.25,
+            ADMIT_LEAST = 0.1;
+
     /** Requests that a tenant may be ahead of its share before it counts as beyond. */
     private static final double SHARE_SLACK = 5;
 
     private final LoadBalancer.Settings settings;
     private final double aimMicros, totalShare, rateSpan;
     private final double[] tenantCredit;
+
     /** The part of the requests that is let in, from 0 to 1. */
     double admitted = 1;
+
     private double rate;
     private long startedAt, rateAt;
 
@@ -32,7 +43,10 @@
         if (startedAt == 0) startedAt = now;
     }
 
-    /** Whether a draw from 0 to 1 keeps a request out. It may refuse what a better server could serve. */
+    /**
+     * Whether a draw from 0 to 1 keeps a request out. It may refuse what a better server could
+     * serve.
+     */
     boolean refuses(Pending p, double draw) {
         return draw >= Math.pow(admitted, p.beyondShare ? 1 / settings.overShareWorth() : 1);
     }
--- a/sidecar/src/main/java/sagefall/Backend.java
+++ b/sidecar/src/main/java/sagefall/Backend.java
@@ -10,24 +10,34 @@
 
     final long id;
     LoadBalancer.Server line;
+
     /** Highest revision of the lists that named it; one that is behind it ends no drain. */
     long revision = Long.MIN_VALUE;
+
     boolean usable, listed;
+
     /** Place in this instance's own stable order of servers. */
     final long order;
+
     int cell, cells;
+
     /** Peak EWMA of latency in units of what is usual (NaN: no sample), and the plain EWMA. */
     double slowness = Double.NaN, pace = 1;
+
     long sampledAt;
     final ArrayDeque<Pending.Attempt> out = new ArrayDeque<>();
     int failures, backoff, suspects;
+
     /** Ejected while above 0: no request before that time, then one trial. */
     long openUntil;
+
     double limit = FIRST_LIMIT;
     long cutAt, pausedUntil, restUntil, reportedAt, suspectedAt;
     double use = Double.NaN;
+
     /** When its connection was last known to work, 0 if never; when a new one may be tried. */
     long usedAt, connectAt, returnedAt;
+
     int connectFailures;
     boolean opened, maybeDead;
 
@@ -37,9 +47,10 @@
     }
 
     /**
-     * An attempt hangs, and nothing has come from the server since that was seen. Once something has, it is
-     * the connection that fell silent, or that request, which says nothing of the next one on another. Harm:
-     * a server that is slow rather than silent is sent more, within its limit.
+     * An attempt hangs, and nothing has come from the server since that was seen. Once something
+     * has, it is the connection that fell silent, or that request, which says nothing of the next
+     * one on another. Harm: a server that is slow rather than silent is sent more, within its
+     * limit.
      */
     boolean silent() {
         return suspects > 0 && usedAt <= suspectedAt;
--- a/sidecar/src/main/java/sagefall/Choice.java
+++ b/sidecar/src/main/java/sagefall/Choice.java
@@ -9,19 +9,31 @@
 import sagefall.Pending.Attempt;
 
 /**
- * The balancer: a request's way from its arrival to its one answer. {@link LabelTree} and {@link Pick} say
- * where it goes, {@link Health} and {@link Belief} what is known of the servers, {@link Admission}, {@link
- * ZoneLimit} and {@link RetryBudget} how much is let in and sent again, {@link Waiting} who waits.
+ * The balancer: a request's way from its arrival to its one answer. {@link LabelTree} and {@link
+ * Pick} say where it goes, {@link Health} and {@link Belief} what is known of the servers, {@link
+ * Admission}, {@link ZoneLimit} and {@link RetryBudget} how much is let in and sent again, {@link
+ * Waiting} who waits.
  *
- * <p>Ordinary path: a request walks from the node {its zone, its tenant's cell} and takes the cheaper of two
- * ready servers by peak-EWMA latency x (1 + in-flight). Each exception says when it acts.
+ * <p>Ordinary path: a request walks from the node {its zone, its tenant's cell} and takes the
+ * cheaper of two ready servers by peak-EWMA latency x (1 + in-flight). Each exception says when it
+ * acts.
  */
 public final class Choice implements LoadBalancer {
 
-    /** List lines that discovery is taken to send all instances in the time within which each must ask. */
+    /**
+     * List lines that discovery is taken to send all instances in the time within which each must
+     * ask.
+     */
     private static final double LIST_LINES = 8000;
-    /** Microseconds: the mean until an agent, a service that failed is asked again; its latest first call. */
-    private static final double AGENT_WAIT = 100_000, SERVICE_WAIT = 400_000, FIRST_CALL = 3_000_000;
+
+    /**
+     * Microseconds: the mean until an agent, a service that failed is asked again; its latest first
+     * call.
+     */
+    private static final double AGENT_WAIT = 100_000,
+            SERVICE_WAIT = 400_000,
+            FIRST_CALL = 3_000_000;
+
     /** Kinds of timer, in the low bits of their tokens. */
     private static final int HELD = 0, ASK = 1, TIMER_KINDS = 2;
 
@@ -39,8 +51,10 @@
     private final Map<String, Pending> requests = new HashMap<>();
     private final Map<Long, Pending> timers = new HashMap<>();
     private long lastToken, sheddingLoggedAt;
+
     /** Buffers of the requests in hand that stream, and the bound on them. */
     private long buffered, mostBuffered = Long.MAX_VALUE;
+
     private int askFailures;
     private Belief belief = Belief.NONE;
 
@@ -68,17 +82,20 @@
     public void servers(long now, ListKind kind, long revision, List<Server> told) {
         List<Server> list = belief.told(kind, revision, told);
         if (settings.discoveryOnAsk() && kind == ListKind.CACHED) {
-            // All sidecars of a fleet may start at once, and discovery sends only so many lines a second.
+            // All sidecars of a fleet may start at once, and discovery sends only so many lines a
+            // second.
             double spread = Math.min(0.8, list.size() * (double) settings.replicas() / LIST_LINES);
             double most = Math.min(FIRST_CALL, spread * settings.rules().askEveryMicros());
             long wait = (long) most + 20 * settings.tickMicros();
             later(now + random.nextLong(1 + wait), ASK, null);
         }
         if (kind == ListKind.FAILED) {
-            // Keep the list; ask again soon: the rule on drains counts from when discovery can be reached.
+            // Keep the list; ask again soon: the rule on drains counts from when discovery can be
+            // reached.
             double wait = settings.discoveryOnAsk() ? SERVICE_WAIT : AGENT_WAIT;
             later(now + 1 + (long) (wait * (0.5 + random.nextDouble())), ASK, null);
-            if (askFailures++ == 0) actions.log("discovery failed: " + tree.ready.size() + " servers stay");
+            if (askFailures++ == 0)
+                actions.log("discovery failed: " + tree.ready.size() + " servers stay");
             return;
         }
         askFailures = 0;
@@ -87,7 +104,8 @@
         if (kind != ListKind.CHANGES) for (Backend b : backends.values()) b.listed = false;
         for (Server line : list) {
             Backend b = backends.get(line.id());
-            if (b == null || b.line.startMicros() != line.startMicros()) b = anew(now, line.id(), b);
+            if (b == null || b.line.startMicros() != line.startMicros())
+                b = anew(now, line.id(), b);
             boolean usable = line.phase() == Phase.READY && (b.usable || revision >= b.revision);
             b.revision = Math.max(b.revision, revision);
             changed |= usable != b.usable || b.line == null || b.line.zone() != line.zone();
@@ -95,7 +113,7 @@
             b.usable = usable;
             b.listed = line.phase() != Phase.REMOVED;
         }
-        for (var all = backends.values().iterator(); all.hasNext();) {
+        for (var all = backends.values().iterator(); all.hasNext(); ) {
             Backend b = all.next();
             if (b.listed) continue;
             changed |= b.usable;
@@ -122,7 +140,9 @@
 
     @Override
     public void request(long now, Request request) {
-        Pending p = new Pending(now, request, settings.classes(), Math.max(1, settings.tenants().size()));
+        Pending p =
+                new Pending(
+                        now, request, settings.classes(), Math.max(1, settings.tenants().size()));
         if (requests.putIfAbsent(request.id(), p) != null) return;
         buffered += request.bufferBytes();
         p.luck = random.nextLong();
@@ -151,7 +171,8 @@
         pump(now);
         if (!p.queued) return;
         if (health.anyZoneFull()) {
-            // The others have no server to offer: whoever waits would be late, and make others late.
+            // The others have no server to offer: whoever waits would be late, and make others
+            // late.
             end(now, p, Reason.ZONE_FULL);
             return;
         }
@@ -163,7 +184,7 @@
 
     /** Serves the queue while servers have room. */
     private void pump(long now) {
-        for (Pending next; (next = waiting.next()) != null;) {
+        for (Pending next; (next = waiting.next()) != null; ) {
             Backend server = pick.choose(now, next);
             if (server == null) return;
             waiting.remove(next);
@@ -173,10 +194,18 @@
 
     // ---- The gate: every attempt goes through here
 
-    /** The single place of sending. The checks repeat what the pick has seen, so no path can pass them by. */
+    /**
+     * The single place of sending. The checks repeat what the pick has seen, so no path can pass
+     * them by.
+     */
     private void send(long now, Pending p, Backend b) {
         long left = p.deadline - now;
-        if (p.over || p.streaming || p.spent || !b.usable || p.out > 0 || left <= 0
+        if (p.over
+                || p.streaming
+                || p.spent
+                || !b.usable
+                || p.out > 0
+                || left <= 0
                 || !p.mayRunOn(now, b, settings.tickMicros())
                 || p.attempts.size() >= Math.max(1, settings.limits().attempts())
                 || !p.attempts.isEmpty() && !budget.allows()) {
@@ -191,7 +220,8 @@
         }
         if (a.number > 0) budget.spent();
         long latest = p.lastSend(settings.tickMicros());
-        // Before a body's last byte a server has nothing to do: neither work in flight nor silence counts.
+        // Before a body's last byte a server has nothing to do: neither work in flight nor silence
+        // counts.
         if (!p.uploading) health.owed(now, a);
         p.attempts.add(a);
         p.out++;
@@ -201,7 +231,8 @@
     /** The single place where this instance ends a request. */
     private void end(long now, Pending p, Reason why) {
         if (p.mayRefuse()) {
-            double stay = settings.limits().retryAdvice() ? aimMicros * (1 + random.nextDouble()) / 4 : 0;
+            double stay =
+                    settings.limits().retryAdvice() ? aimMicros * (1 + random.nextDouble()) / 4 : 0;
             long most = settings.limits().maxRetryAdviceMicros();
             actions.refuse(p.request.id(), Math.min((long) stay, most), why);
         } else {
@@ -216,13 +247,15 @@
         p.over = true;
         waiting.remove(p);
         boolean cancel = settings.limits().cancelling();
-        for (Attempt a : p.attempts) if (cancel && a.result == null) actions.cancel(p.request.id(), a.number);
+        for (Attempt a : p.attempts)
+            if (cancel && a.result == null) actions.cancel(p.request.id(), a.number);
         forget(p);
     }
 
     /** A request is kept until the last of its attempts has ended. */
     private void forget(Pending p) {
-        if (p.over && p.out == 0 && requests.remove(p.request.id(), p)) buffered -= p.request.bufferBytes();
+        if (p.over && p.out == 0 && requests.remove(p.request.id(), p))
+            buffered -= p.request.bufferBytes();
     }
 
     // ---- What comes back
@@ -245,10 +278,15 @@
         pump(now);
     }
 
-    /** A further attempt, if effect, cap, retry budget, body and the time left allow it; else the end. */
+    /**
+     * A further attempt, if effect, cap, retry budget, body and the time left allow it; else the
+     * end.
+     */
     private void again(long now, Pending p) {
-        boolean sensible = now < waiting.lastUseful(p, requests.size()) && budget.allows() && !p.spent;
-        if (sensible && p.mayRepeat() && p.attempts.size() < settings.limits().attempts()) admit(now, p);
+        boolean sensible =
+                now < waiting.lastUseful(p, requests.size()) && budget.allows() && !p.spent;
+        if (sensible && p.mayRepeat() && p.attempts.size() < settings.limits().attempts())
+            admit(now, p);
         else end(now, p, whyNot(now, p));
     }
 
@@ -285,7 +323,8 @@
     }
 
     @Override
-    public void streamBegan(long now, String requestId, int attempt, long server, long elapsedMicros) {
+    public void streamBegan(
+            long now, String requestId, int attempt, long server, long elapsedMicros) {
         Pending p = requests.get(requestId);
         if (p == null || p.streaming || attempt < 0 || attempt >= p.attempts.size()) return;
         Attempt a = p.attempts.get(attempt);
--- a/sidecar/src/main/java/sagefall/Health.java
+++ b/sidecar/src/main/java/sagefall/Health.java
@@ -15,18 +15,31 @@
 
     /** Time constants in aims: of latency; of set-ups and the distrust of idle connections. */
     private static final double DECAY = 4, MEMORY = 30;
+
     /** Weight of one answer in what is usual for its class; in what is known of a kind or zone. */
     private static final double USUAL_WEIGHT = 0.03, POOL_WEIGHT = 0.1;
+
     /** What is usual before the first answer, in aims; weight of one set-up. */
     private static final double FIRST_GUESS = 0.3, SETUP_WEIGHT = 0.3;
-    /** Unanswered for so many times what is expected is silence; outliers: failures, doublings of an aim. */
+
+    /**
+     * Unanswered for so many times what is expected is silence; outliers: failures, doublings of an
+     * aim.
+     */
     private static final int HANGING = 4, FAILURES = 3, MAX_BACKOFF = 4;
-    /** Most of the ready servers that may be outliers; pace from which a server's silence is its own. */
+
+    /**
+     * Most of the ready servers that may be outliers; pace from which a server's silence is its
+     * own.
+     */
     private static final double MAX_EJECTED = 0.5, SLOW_PACE = 1.5;
+
     /** Own concurrency limit of a server: the part of the aim that cuts it, the cut, the least. */
     private static final double LIMIT_TARGET = 0.5, LIMIT_CUT = 0.7, LIMIT_LEAST = 0.2;
+
     /** What cuts it where aims are short: times what is usual, up to that part of the aim. */
     private static final double LIMIT_USUAL = 1.25, LIMIT_MOST = 0.6;
+
     /** Reported use from which a slow answer is taken for a queue. */
     private static final double BUSY = 0.5;
 
@@ -35,21 +48,30 @@
     private final SplittableRandom random;
     private final LabelTree tree;
     private final Admission admission;
+
     /** The mean over the classes of what an answer should take at most. */
     final double aimMicros;
+
     private final double[] usualMicros;
     private double[] kindPace = {}, zonePace = {};
     private final ZoneLimit[] zoneLimits;
     private final Set<Attempt> outstanding = new LinkedHashSet<>();
+
     /** Mean reported use, NaN where none is reported. */
     double meanUse = Double.NaN;
+
     /** When a new connection last showed what a set-up takes. */
     long setupAt;
+
     private double setupMicros;
     private long distrustedAt, idleTrust = Long.MAX_VALUE;
     private int ejected;
 
-    Health(Settings settings, LoadBalancer.Actions actions, SplittableRandom random, LabelTree tree,
+    Health(
+            Settings settings,
+            LoadBalancer.Actions actions,
+            SplittableRandom random,
+            LabelTree tree,
             Admission admission) {
         this.settings = settings;
         this.actions = actions;
@@ -57,9 +79,14 @@
         this.tree = tree;
         this.admission = admission;
         aimMicros = settings.aimMicros();
-        usualMicros = settings.classes().stream().mapToDouble(c -> c.timeMicros() * FIRST_GUESS).toArray();
-        zoneLimits = Stream.generate(ZoneLimit::new).limit(Math.max(1, settings.zones().size()))
-                .toArray(ZoneLimit[]::new);
+        usualMicros =
+                settings.classes().stream()
+                        .mapToDouble(c -> c.timeMicros() * FIRST_GUESS)
+                        .toArray();
+        zoneLimits =
+                Stream.generate(ZoneLimit::new)
+                        .limit(Math.max(1, settings.zones().size()))
+                        .toArray(ZoneLimit[]::new);
     }
 
     // ---- What is known
@@ -79,9 +106,13 @@
         return meanUse + (b.use - meanUse) * Math.exp(-(now - b.reportedAt) / (DECAY * aimMicros));
     }
 
-    /** A connection that was used a moment ago; one idle for longer than those that died is not trusted. */
+    /**
+     * A connection that was used a moment ago; one idle for longer than those that died is not
+     * trusted.
+     */
     boolean warm(long now, Backend b) {
-        return b.usedAt != 0 && now - b.usedAt < Math.min(trust(now), settings.limits().idleMicros());
+        return b.usedAt != 0
+                && now - b.usedAt < Math.min(trust(now), settings.limits().idleMicros());
     }
 
     double setup(long now) {
@@ -97,24 +128,31 @@
         return now - distrustedAt < MEMORY * aimMicros ? idleTrust : Long.MAX_VALUE;
     }
 
-    /** Peak EWMA, and at least the age of the oldest attempt: a hanging server never gives a sample. */
+    /**
+     * Peak EWMA, and at least the age of the oldest attempt: a hanging server never gives a sample.
+     */
     double slowness(long now, Backend b) {
         Attempt oldest = b.oldest();
-        return oldest == null ? known(now, b) : Math.max(known(now, b), (now - oldest.since) / oldest.usual);
+        return oldest == null
+                ? known(now, b)
+                : Math.max(known(now, b), (now - oldest.since) / oldest.usual);
     }
 
     /** Drifts to what is usual for kind and zone between samples, and starts there. */
     private double known(long now, Backend b) {
         double usual = pooled(kindPace, b.line.kind()) * pooled(zonePace, b.line.zone());
         if (Double.isNaN(b.slowness)) return usual;
-        return usual + (b.slowness - usual) * Math.exp(-(now - b.sampledAt) / (2 * DECAY * aimMicros));
+        return usual
+                + (b.slowness - usual) * Math.exp(-(now - b.sampledAt) / (2 * DECAY * aimMicros));
     }
 
     private static double pooled(double[] paces, int of) {
         return of >= 0 && of < paces.length ? paces[of] : 1;
     }
 
-    /** A server that came back before the list says so is as cold as one that the list calls new. */
+    /**
+     * A server that came back before the list says so is as cold as one that the list calls new.
+     */
     double coldShare(long now, Backend b) {
         long start = b.maybeDead ? now : Math.max(b.line.startMicros(), b.returnedAt);
         long cold = settings.rules().coldMicros();
@@ -170,22 +208,28 @@
                 admission.crowded();
                 b.usedAt = 0;
                 double wait = aimMicros * (1 << Math.min(b.connectFailures++, MAX_BACKOFF));
-                // A process that dies refuses connections for a while; broken ones come from any server.
+                // A process that dies refuses connections for a while; broken ones come from any
+                // server.
                 if (b.connectFailures > 1) b.maybeDead = true;
                 b.connectAt = now + (long) (wait * (0.75 + random.nextDouble() / 2));
             }
-            case CANCELLED, NOT_SENT -> { }
+            case CANCELLED, NOT_SENT -> {}
             default -> {
                 // A client that has no patience says nothing of the server.
-                if (o.result() == Result.TIMED_OUT && o.elapsedMicros() * 2 < HANGING * a.expected) return;
+                if (o.result() == Result.TIMED_OUT && o.elapsedMicros() * 2 < HANGING * a.expected)
+                    return;
                 if (o.result() == Result.TIMED_OUT) zoneLimit(b).crowded();
                 if (o.result() == Result.TIMED_OUT && !a.suspected) suspect(now, a, false);
-                if (known(now, b) * a.usual > LIMIT_TARGET * a.of.rules.aimMicros()) admission.crowded();
-                // What a connection that was idle did not bring may be its own fault; an error is a word.
+                if (known(now, b) * a.usual > LIMIT_TARGET * a.of.rules.aimMicros())
+                    admission.crowded();
+                // What a connection that was idle did not bring may be its own fault; an error is a
+                // word.
                 boolean word = o.result() == Result.ERROR;
-                if (!word && (a.idle > aimMicros / 4 || a.suspected && b.usedAt > b.suspectedAt)) return;
+                if (!word && (a.idle > aimMicros / 4 || a.suspected && b.usedAt > b.suspectedAt))
+                    return;
                 sample(now, b, Math.max(o.elapsedMicros(), aimMicros) / a.usual);
-                if (b.openUntil != 0 || ++b.failures >= FAILURES) eject(now, b, o.result().toString());
+                if (b.openUntil != 0 || ++b.failures >= FAILURES)
+                    eject(now, b, o.result().toString());
             }
         }
     }
@@ -198,7 +242,8 @@
         zoneLimit(b).answered(elapsed / (double) Math.max(1, a.of.rules.aimMicros()));
         // What is usual may have moved since it was sent.
         double factor = a.usual / usualMicros[c];
-        usualMicros[c] += USUAL_WEIGHT * (Math.min(elapsed / factor, 4 * usualMicros[c]) - usualMicros[c]);
+        usualMicros[c] +=
+                USUAL_WEIGHT * (Math.min(elapsed / factor, 4 * usualMicros[c]) - usualMicros[c]);
         // A slow set-up says nothing of the server.
         if (a.fresh && tree.sparse && elapsed > HANGING * a.usual) return;
         sample(now, b, elapsed / a.usual);
@@ -208,7 +253,10 @@
         limit(now, a, elapsed / factor);
     }
 
-    /** The end of a streamed answer, which took as long as its reader; that it broke is a failed attempt. */
+    /**
+     * The end of a streamed answer, which took as long as its reader; that it broke is a failed
+     * attempt.
+     */
     void streamed(long now, Attempt a, Outcome o) {
         Backend b = a.server;
         if (o.result() == Result.SERVED) {
@@ -216,7 +264,8 @@
             report(now, b, o.report());
         } else if (o.result() != Result.CANCELLED) {
             sample(now, b, aimMicros / a.usual);
-            if (b.openUntil != 0 || ++b.failures >= FAILURES) eject(now, b, "streams end as " + o.result());
+            if (b.openUntil != 0 || ++b.failures >= FAILURES)
+                eject(now, b, "streams end as " + o.result());
         }
     }
 
@@ -238,10 +287,14 @@
             close(b);
             actions.log("server " + b.id + " re-admitted");
         }
-        admission.answered(elapsed, a.of.rules.aimMicros() * a.usual / usualMicros[a.of.requestClass]);
+        admission.answered(
+                elapsed, a.of.rules.aimMicros() * a.usual / usualMicros[a.of.requestClass]);
     }
 
-    /** Looks at attempts without an answer for far longer than expected; the list is in order of sending. */
+    /**
+     * Looks at attempts without an answer for far longer than expected; the list is in order of
+     * sending.
+     */
     void watch(long now) {
         for (Attempt a : outstanding) {
             if (now - a.since < aimMicros / 2) break;
@@ -250,8 +303,8 @@
     }
 
     /**
-     * Silence. After an idle spell it is the connection that died: such spells are not trusted for a while,
-     * elsewhere either. Unless the server has answered others since, it is the server.
+     * Silence. After an idle spell it is the connection that died: such spells are not trusted for
+     * a while, elsewhere either. Unless the server has answered others since, it is the server.
      */
     private void suspect(long now, Attempt a, boolean out) {
         Backend b = a.server;
@@ -264,7 +317,10 @@
             idleTrust = Math.min(trust(now), a.idle) / 2;
             distrustedAt = now;
             b.usedAt = 0;
-            actions.log("idle connections are not trusted: no answer after " + a.idle / 1000 + " ms idle");
+            actions.log(
+                    "idle connections are not trusted: no answer after "
+                            + a.idle / 1000
+                            + " ms idle");
             return;
         }
         if (b.usedAt <= a.since) eject(now, b, "no answer for " + (now - a.since) / 1000 + " ms");
@@ -281,30 +337,40 @@
     /** Peak EWMA: up at once, down with time. */
     private void sample(long now, Backend b, double x) {
         boolean peak = Double.isNaN(b.slowness) || x > known(now, b);
-        b.slowness = peak ? x : x + (b.slowness - x) * Math.exp(-(now - b.sampledAt) / (DECAY * aimMicros));
+        b.slowness =
+                peak
+                        ? x
+                        : x
+                                + (b.slowness - x)
+                                        * Math.exp(-(now - b.sampledAt) / (DECAY * aimMicros));
         b.sampledAt = now;
     }
 
     /**
-     * Concurrency limit by AIMD against the aim: keeps queues where answers are still in time. While a server
-     * reports free cores it grows by a whole slot, as in a slow start, so that a restart or a burst is not
-     * answered by refusals. Harm: where reports come late a burst may queue for as long.
+     * Concurrency limit by AIMD against the aim: keeps queues where answers are still in time.
+     * While a server reports free cores it grows by a whole slot, as in a slow start, so that a
+     * restart or a burst is not answered by refusals. Harm: where reports come late a burst may
+     * queue for as long.
      */
     private void limit(long now, Attempt a, double elapsed) {
         Backend b = a.server;
-        // Many sidecars share few cores: one request of each may be too many; below one, rest between sends.
+        // Many sidecars share few cores: one request of each may be too many; below one, rest
+        // between sends.
         b.restUntil = now + (long) (elapsed * (1 / Math.min(1, b.limit) - 1));
         double aim = a.of.rules.aimMicros();
         double usual = LIMIT_USUAL * usualMicros[a.of.requestClass];
         if (elapsed > Math.min(Math.max(LIMIT_TARGET * aim, usual), LIMIT_MOST * aim)) {
-            // Who reports free cores has no queue; a large limit is cut all the same, as reports come late.
-            boolean queue = Double.isNaN(b.use) || use(now, b) > BUSY || b.limit > 2 * Backend.FIRST_LIMIT;
+            // Who reports free cores has no queue; a large limit is cut all the same, as reports
+            // come late.
+            boolean queue =
+                    Double.isNaN(b.use) || use(now, b) > BUSY || b.limit > 2 * Backend.FIRST_LIMIT;
             if (a.sentAt >= b.cutAt && queue) {
                 b.limit = Math.max(tree.sparse ? 1 : LIMIT_LEAST, b.limit * LIMIT_CUT);
                 b.cutAt = now;
             }
         } else if (b.out.size() + 1 >= b.limit / 2) {
-            boolean free = !Double.isNaN(b.use) && use(now, b) < BUSY && b.out.size() + 1 >= b.limit;
+            boolean free =
+                    !Double.isNaN(b.use) && use(now, b) < BUSY && b.out.size() + 1 >= b.limit;
             b.limit += b.limit < 1 ? b.limit / 4 : free ? 1 : 1 / b.limit;
         }
     }
--- a/sidecar/src/main/java/sagefall/Json.java
+++ b/sidecar/src/main/java/sagefall/Json.java
@@ -8,10 +8,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as plain maps and lists, and look-ups that fall back where a value is missing or of another type. */
+/**
+ * JSON as plain maps and lists, and look-ups that fall back where a value is missing or of another
+ * type.
+ */
 public final class Json {
 
-    private Json() { }
+    private Json() {}
 
     /** Reads the object that the parser stands at. */
     public static void readInto(JsonParser parser, Map<String, Object> into) throws IOException {
@@ -51,8 +54,10 @@
             }
             case VALUE_STRING -> parser.getText();
             // Past 64 bits it is not cut to another number but kept as a real one.
-            case VALUE_NUMBER_INT -> parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                    ? (Object) parser.getDoubleValue() : (Object) parser.getLongValue();
+            case VALUE_NUMBER_INT ->
+                    parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                            ? (Object) parser.getDoubleValue()
+                            : (Object) parser.getLongValue();
             case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
--- a/sidecar/src/main/java/sagefall/LabelTree.java
+++ b/sidecar/src/main/java/sagefall/LabelTree.java
@@ -10,10 +10,16 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** The subset tree: a node is the list of the ready servers that carry all its labels, zone and cell. */
+/**
+ * The subset tree: a node is the list of the ready servers that carry all its labels, zone and
+ * cell.
+ */
 final class LabelTree {
 
-    /** Servers that a cell is meant to hold in each zone, and how far a tenant's cells exceed its share. */
+    /**
+     * Servers that a cell is meant to hold in each zone, and how far a tenant's cells exceed its
+     * share.
+     */
     private static final double CELL_PER_ZONE = 4, OPEN_CELLS = 3;
 
     private final LoadBalancer.Settings settings;
@@ -21,8 +27,13 @@
     private List<List<Backend>> zoneNodes = List.of(), cellNodes = List.of();
     private List<List<List<Backend>>> zoneCellNodes = List.of();
     private int[][] tenantCells = new int[0][];
-    /** Many quiet sidecars for few servers: own in-flight and samples say little, connections cost much. */
+
+    /**
+     * Many quiet sidecars for few servers: own in-flight and samples say little, connections cost
+     * much.
+     */
     boolean sparse;
+
     private int home;
 
     LabelTree(LoadBalancer.Settings settings) {
@@ -32,13 +43,18 @@
     /** From the narrowest node to all ready servers. */
     List<List<Backend>> path(Pending p) {
         int cell = p.cell % cellNodes.size();
-        return List.of(zoneCellNodes.get(home).get(cell), cellNodes.get(cell), zoneNodes.get(home), ready);
+        return List.of(
+                zoneCellNodes.get(home).get(cell), cellNodes.get(cell), zoneNodes.get(home), ready);
     }
 
-    /** One of its tenant's cells: by its key where servers remember keys, by chance, or always the same. */
+    /**
+     * One of its tenant's cells: by its key where servers remember keys, by chance, or always the
+     * same.
+     */
     int cell(Pending p, SplittableRandom random) {
         int[] open = tenantCells.length == 0 ? new int[] {0} : tenantCells[p.tenant];
-        return byKey(p) ? first(p.request.key(), open)
+        return byKey(p)
+                ? first(p.request.key(), open)
                 : sparse ? first(settings.rank(), open) : open[random.nextInt(open.length)];
     }
 
@@ -47,12 +63,18 @@
         return settings.warmKeys() && p.request.key() >= 0;
     }
 
-    /** One pass makes a bitmap for each label value; a node is an intersection; the map has each id once. */
+    /**
+     * One pass makes a bitmap for each label value; a node is an intersection; the map has each id
+     * once.
+     */
     void rebuild(Collection<Backend> backends) {
         ready = new ArrayList<>();
         for (Backend b : backends) if (b.usable) ready.add(b);
         int zones = Math.max(1, settings.zones().size());
-        int cells = Math.max(ready.size() < 4 ? 1 : 2, (int) (0.5 + ready.size() / (CELL_PER_ZONE * zones)));
+        int cells =
+                Math.max(
+                        ready.size() < 4 ? 1 : 2,
+                        (int) (0.5 + ready.size() / (CELL_PER_ZONE * zones)));
         sparse = settings.replicas() > ready.size();
         if (sparse) ready.sort(Comparator.comparingLong(b -> b.order));
         List<BitSet> byZone = bitmaps(zones), byCell = bitmaps(cells);
@@ -65,11 +87,19 @@
         }
         cellNodes = byCell.stream().map(this::node).toList();
         zoneNodes = byZone.stream().map(this::node).toList();
-        zoneCellNodes = byZone.stream().map(zone -> byCell.stream().map(cell -> {
-            BitSet both = (BitSet) zone.clone();
-            both.and(cell);
-            return node(both);
-        }).toList()).toList();
+        zoneCellNodes =
+                byZone.stream()
+                        .map(
+                                zone ->
+                                        byCell.stream()
+                                                .map(
+                                                        cell -> {
+                                                            BitSet both = (BitSet) zone.clone();
+                                                            both.and(cell);
+                                                            return node(both);
+                                                        })
+                                                .toList())
+                        .toList();
 
         home = homeZone();
         tenantCells = new int[Math.max(1, settings.tenants().size())][];
@@ -86,14 +116,21 @@
 
     private List<Backend> node(BitSet bits) {
         List<Backend> members = new ArrayList<>(bits.cardinality());
-        for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) members.add(ready.get(i));
+        for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1))
+            members.add(ready.get(i));
         return members;
     }
 
-    /** Rendezvous hashing: the cells in the order of their hash with the id, so a new count moves few. */
+    /**
+     * Rendezvous hashing: the cells in the order of their hash with the id, so a new count moves
+     * few.
+     */
     private static int[] ranked(long id, int cells) {
-        return IntStream.range(0, cells).boxed().sorted(Comparator.comparingLong(c -> mix(id, c)))
-                .mapToInt(c -> c).toArray();
+        return IntStream.range(0, cells)
+                .boxed()
+                .sorted(Comparator.comparingLong(c -> mix(id, c)))
+                .mapToInt(c -> c)
+                .toArray();
     }
 
     /** The first of them, without ranking the rest. */
@@ -103,19 +140,26 @@
         return best;
     }
 
-    /** Weighted rendezvous hashing: one of these cells, in proportion to its servers in the home zone. */
+    /**
+     * Weighted rendezvous hashing: one of these cells, in proportion to its servers in the home
+     * zone.
+     */
     private int first(long id, int[] among) {
         int best = among[0];
         double bestScore = Double.NEGATIVE_INFINITY;
         for (int cell : among) {
-            double score = Math.log(uniform(id, cell)) / (zoneCellNodes.get(home).get(cell).size() + 0.01);
+            double score =
+                    Math.log(uniform(id, cell)) / (zoneCellNodes.get(home).get(cell).size() + 0.01);
             if (score > bestScore) best = cell;
             bestScore = Math.max(bestScore, score);
         }
         return best;
     }
 
-    /** The zone used: where the own has too few servers, some settle elsewhere. Harm: needless crossings. */
+    /**
+     * The zone used: where the own has too few servers, some settle elsewhere. Harm: needless
+     * crossings.
+     */
     private int homeZone() {
         double fair = ready.size() / (double) zoneNodes.size();
         int own = Math.min(Math.max(0, settings.zone()), zoneNodes.size() - 1);
--- a/sidecar/src/main/java/sagefall/LoadReports.java
+++ b/sidecar/src/main/java/sagefall/LoadReports.java
@@ -6,19 +6,26 @@
 import java.util.Objects;
 import sagefall.LoadBalancer.LoadReport;
 
-/** A server's word on its load, in the settings' names: as an object, or as the header of an answer. */
+/**
+ * A server's word on its load, in the settings' names: as an object, or as the header of an answer.
+ */
 public final class LoadReports {
 
     private static final String FORM = "TEXT ";
 
     private static final double MOST = 1e6;
 
-    private LoadReports() { }
+    private LoadReports() {}
 
     /** The report in an object; what it lacks is unknown. */
     public static LoadReport of(Map<?, ?> m) {
-        return new LoadReport(figure(m, "active"), figure(m, "waiting"), figure(m, "cpu"),
-                figure(m, "avg_ms"), figure(m, "rps"), figure(m, "err_rps"));
+        return new LoadReport(
+                figure(m, "active"),
+                figure(m, "waiting"),
+                figure(m, "cpu"),
+                figure(m, "avg_ms"),
+                figure(m, "rps"),
+                figure(m, "err_rps"));
     }
 
     private static double figure(Map<?, ?> m, String name) {
@@ -27,13 +34,17 @@
 
     /** The first of the headers that can be read; a broken one may stand before it. */
     public static LoadReport parse(List<String> headers) {
-        return headers.stream().map(LoadReports::parse).filter(Objects::nonNull).findFirst().orElse(null);
+        return headers.stream()
+                .map(LoadReports::parse)
+                .filter(Objects::nonNull)
+                .findFirst()
+                .orElse(null);
     }
 
     /**
-     * Reads {@code TEXT cpu=0.61, rps=140}; null where there is nothing to read. A server may be of another
-     * version or broken, so fields that are unknown, no numbers, below 0 or past belief are passed over: one
-     * of them in a mean would stay there.
+     * Reads {@code TEXT cpu=0.61, rps=140}; null where there is nothing to read. A server may be of
+     * another version or broken, so fields that are unknown, no numbers, below 0 or past belief are
+     * passed over: one of them in a mean would stay there.
      */
     public static LoadReport parse(String header) {
         if (header == null || !header.startsWith(FORM)) {
--- a/sidecar/src/main/java/sagefall/Main.java
+++ b/sidecar/src/main/java/sagefall/Main.java
@@ -6,7 +6,7 @@
 /** Chooses the host of the decision module: the sidecar, or the simulator's adapter. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         String mode = args.length == 1 ? args[0] : "";
--- a/sidecar/src/main/java/sagefall/Pending.java
+++ b/sidecar/src/main/java/sagefall/Pending.java
@@ -6,14 +6,18 @@
 import sagefall.LoadBalancer.Request;
 import sagefall.LoadBalancer.RequestClass;
 
-/** A request from its arrival until the last of its attempts has ended, and what its effect allows. */
+/**
+ * A request from its arrival until the last of its attempts has ended, and what its effect allows.
+ */
 final class Pending {
     final Request request;
     final RequestClass rules;
     final int requestClass, tenant;
     long arrivedAt, aimAt, deadline, luck;
+
     /** A body that is still coming; one that can't be sent again. */
     boolean uploading, spent;
+
     boolean over, streaming, queued, beyondShare;
     int cell, out;
     final List<Attempt> attempts = new ArrayList<>(2);
@@ -37,10 +41,15 @@
         final long sentAt, idle;
         final double usual, expected;
         final boolean fresh;
+
         /** From when its server owes an answer: its sending, or the last byte of an upload. */
         long since;
-        /** Counted as in flight; its answer has begun, and all has been learnt that its time tells. */
+
+        /**
+         * Counted as in flight; its answer has begun, and all has been learnt that its time tells.
+         */
         boolean suspected, counted, streams;
+
         LoadBalancer.Result result;
 
         Attempt(Pending of, Backend server, long now, double usual, boolean warm) {
@@ -78,7 +87,10 @@
         return first.sentAt + rules.dedupWindowMicros() - tickMicros;
     }
 
-    /** Rule on effects: whether an attempt of this request may go to this server; never to one twice. */
+    /**
+     * Rule on effects: whether an attempt of this request may go to this server; never to one
+     * twice.
+     */
     boolean mayRunOn(long now, Backend b, long tickMicros) {
         for (Attempt a : attempts) if (a.server == b) return false;
         Attempt first = mayHaveRun();
--- a/sidecar/src/main/java/sagefall/Pick.java
+++ b/sidecar/src/main/java/sagefall/Pick.java
@@ -4,29 +4,46 @@
 import java.util.SplittableRandom;
 import sagefall.LoadBalancer.Effect;
 
-/** The server for a request: the cheaper of two ready ones with room, from the narrowest node with some. */
-record Pick(LoadBalancer.Settings settings, SplittableRandom random, LabelTree tree, Health health,
+/**
+ * The server for a request: the cheaper of two ready ones with room, from the narrowest node with
+ * some.
+ */
+record Pick(
+        LoadBalancer.Settings settings,
+        SplittableRandom random,
+        LabelTree tree,
+        Health health,
         Admission admission) {
 
-    /** Deterministic subsetting: servers of a node that a sidecar keeps, beside what its rate asks for. */
+    /**
+     * Deterministic subsetting: servers of a node that a sidecar keeps, beside what its rate asks
+     * for.
+     */
     private static final int KEEP = 2;
+
     /** Servers with room that a pick looks at in a wide node, from a random place on. */
     private static final int LOOK = 32;
+
     /** Spill once a node's pick costs this many times the next node's. */
     private static final double SPILL = 1.5;
+
     /** Cost of a new connection while set-ups take no time; what a set-up of an aim adds. */
     private static final double NEW_CONNECTION = 1.25, SETUP_COST = 10;
+
     /** Part of its fair rate that a cold or half-open server is sent, before its cold share. */
     private static final double SLOW_START = 1;
 
-    /** Walks from the narrowest node; widens where one is empty, and spills where it is much dearer. */
+    /**
+     * Walks from the narrowest node; widens where one is empty, and spills where it is much dearer.
+     */
     Backend choose(long now, Pending p) {
         if (tree.ready.isEmpty()) return null;
         Backend best = null;
         double bestCost = 0;
         // While idle connections die, fewer servers keep each connection in use.
-        int keep = (health.trust(now) == Long.MAX_VALUE ? KEEP : 0)
-                + (int) Math.ceil(admission.rate(now) * health.usual(p));
+        int keep =
+                (health.trust(now) == Long.MAX_VALUE ? KEEP : 0)
+                        + (int) Math.ceil(admission.rate(now) * health.usual(p));
         if (!tree.sparse) keep = Integer.MAX_VALUE;
         for (List<Backend> node : tree.path(p)) {
             Backend pick = pick(now, p, node, keep, best != null);
@@ -41,10 +58,11 @@
     }
 
     /**
-     * The design's pick: two ready servers at random (reservoir sampling), the lower cost wins; by the key's
-     * hash where servers remember keys, the first unless much dearer; in a wider node the cheapest. One of
-     * many sidecars looks at the first of its own order only (deterministic subsetting), so that it keeps few
-     * connections; the next ones step in for the sick and full. Harm: fewer servers to choose from.
+     * The design's pick: two ready servers at random (reservoir sampling), the lower cost wins; by
+     * the key's hash where servers remember keys, the first unless much dearer; in a wider node the
+     * cheapest. One of many sidecars looks at the first of its own order only (deterministic
+     * subsetting), so that it keeps few connections; the next ones step in for the sick and full.
+     * Harm: fewer servers to choose from.
      */
     private Backend pick(long now, Pending p, List<Backend> node, int keep, boolean cheapest) {
         boolean keyed = !cheapest && tree.byKey(p);
@@ -56,8 +74,10 @@
         Backend first = null, second = null;
         for (int i = 0; i < node.size() && count < most; i++) {
             Backend b = node.get((from + i) % node.size());
-            // A cold server has its chance only where each of its node has the same to be looked at.
-            if (!hasRoom(now, p, b, most) || wide && i >= LOOK && health.coldShare(now, b) < 1) continue;
+            // A cold server has its chance only where each of its node has the same to be looked
+            // at.
+            if (!hasRoom(now, p, b, most) || wide && i >= LOOK && health.coldShare(now, b) < 1)
+                continue;
             if (!cheapest && (b.openUntil != 0 || health.coldShare(now, b) < 1)) return b;
             int slot = count < 2 ? count : random.nextInt(count + 1);
             count++;
@@ -78,7 +98,9 @@
             }
         }
         double bias = keyed ? SPILL : 1;
-        return second == null || cost(now, p, first) <= bias * cost(now, p, second) ? first : second;
+        return second == null || cost(now, p, first) <= bias * cost(now, p, second)
+                ? first
+                : second;
     }
 
     private static long rank(Pending p, Backend b) {
@@ -95,14 +117,17 @@
     }
 
     /**
-     * Where set-ups have taken too long lately, a new connection brings no answer in time. But only a set-up
-     * shows that they are short again, after a slow spell of this very process too: a server with nothing out
-     * is tried all the same, one of a crowd of sidecars once an aim. Harm: late answers where they are slow.
+     * Where set-ups have taken too long lately, a new connection brings no answer in time. But only
+     * a set-up shows that they are short again, after a slow spell of this very process too: a
+     * server with nothing out is tried all the same, one of a crowd of sidecars once an aim. Harm:
+     * late answers where they are slow.
      */
     private boolean connectable(long now, Pending p, Backend b) {
         if (health.warm(now, b)) return true;
-        boolean trial = b.out.isEmpty() && (!tree.sparse || now - health.setupAt > health.aimMicros);
-        return now >= b.connectAt && (trial || now + health.setup(now) + health.usual(p) <= p.aimAt);
+        boolean trial =
+                b.out.isEmpty() && (!tree.sparse || now - health.setupAt > health.aimMicros);
+        return now >= b.connectAt
+                && (trial || now + health.setup(now) + health.usual(p) <= p.aimAt);
     }
 
     /** Admission control of one server, slow start and half-open trials among it. */
@@ -112,15 +137,18 @@
         if (!connectable(now, p, b)) return false;
         if (b.openUntil != 0) return now >= b.openUntil && halfOpen(now, p, b);
         double cold = health.coldShare(now, b);
-        if (cold < 1 && (b.out.size() >= Math.max(1, b.limit * cold / 2) || !chance(p, b, cold, among))) {
+        if (cold < 1
+                && (b.out.size() >= Math.max(1, b.limit * cold / 2)
+                        || !chance(p, b, cold, among))) {
             return false;
         }
         return b.out.size() < b.limit && (tree.sparse || now >= b.restUntil);
     }
 
     /**
-     * Slow start as a sum over all instances: each request that walks to a node has one chance, by that share
-     * of what one of its servers is sent. Nothing is saved up, so no burst can come of it.
+     * Slow start as a sum over all instances: each request that walks to a node has one chance, by
+     * that share of what one of its servers is sent. Nothing is saved up, so no burst can come of
+     * it.
      */
     private boolean chance(Pending p, Backend b, double share, int among) {
         double part = SLOW_START * share * admission.admitted / Math.max(1, among);
--- a/sidecar/src/main/java/sagefall/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/RetryBudget.java
@@ -8,7 +8,10 @@
 
     private double tokens = RETRY_SAVED / 2;
 
-    /** A request has come; where little is let in, what fails is late, not sick: little is sent again. */
+    /**
+     * A request has come; where little is let in, what fails is late, not sick: little is sent
+     * again.
+     */
     void taken(double admitted) {
         tokens = Math.min(RETRY_SAVED * admitted, tokens + RETRY_SHARE * admitted);
     }
--- a/sidecar/src/main/java/sagefall/Section.java
+++ b/sidecar/src/main/java/sagefall/Section.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * One section of the file of extensions, read strictly: unlike the platform's settings it is written by
- * hand, so a name that nothing reads is a mistake and not a newer figure. Each {@link
+ * One section of the file of extensions, read strictly: unlike the platform's settings it is
+ * written by hand, so a name that nothing reads is a mistake and not a newer figure. Each {@link
  * IllegalArgumentException} is one plain line that names the place.
  */
 public final class Section {
--- a/sidecar/src/main/java/sagefall/SettingsReader.java
+++ b/sidecar/src/main/java/sagefall/SettingsReader.java
@@ -15,9 +15,12 @@
 /** The settings as the simulator and the sidecar's configuration both spell them. */
 public final class SettingsReader {
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
-    /** Turns the settings object into the module's; an {@link IllegalArgumentException} says what is off. */
+    /**
+     * Turns the settings object into the module's; an {@link IllegalArgumentException} says what is
+     * off.
+     */
     public static Settings read(long seed, Map<?, ?> f) {
         List<RequestClass> classes = new ArrayList<>();
         for (Object o : Json.array(f, "classes")) {
@@ -30,18 +33,34 @@
         }
         Map<?, ?> limits = Json.object(f, "policy_limits");
         Map<?, ?> rules = Json.object(f, "rules");
-        ReportSource reports = "answers".equals(Json.object(f, "report").get("source"))
-                ? ReportSource.ANSWERS : ReportSource.NONE;
-        return new Settings(seed, (int) Json.whole(f, "rank", 0), (int) Json.whole(f, "replicas_of_me", 1),
-                (int) Json.whole(f, "zone", 0), names(f, "zones"), classes, tenants,
+        ReportSource reports =
+                "answers".equals(Json.object(f, "report").get("source"))
+                        ? ReportSource.ANSWERS
+                        : ReportSource.NONE;
+        return new Settings(
+                seed,
+                (int) Json.whole(f, "rank", 0),
+                (int) Json.whole(f, "replicas_of_me", 1),
+                (int) Json.whole(f, "zone", 0),
+                names(f, "zones"),
+                classes,
+                tenants,
                 Json.real(f, "over_share_worth", 1),
-                new Limits((int) Json.whole(limits, "attempts_cap", 1), Json.flag(limits, "cancelling"),
-                        Json.flag(limits, "retry_after"), Json.whole(limits, "max_retry_after_us", 0),
+                new Limits(
+                        (int) Json.whole(limits, "attempts_cap", 1),
+                        Json.flag(limits, "cancelling"),
+                        Json.flag(limits, "retry_after"),
+                        Json.whole(limits, "max_retry_after_us", 0),
                         Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
                         (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE)),
-                new Rules(Json.real(rules, "cold_from", 1), Json.whole(rules, "cold_us", 0),
-                        Json.whole(rules, "fall_us", 0), Json.whole(rules, "ask_every_us", 0)),
-                reports, "ask".equals(f.get("discovery")), Json.flag(Json.object(f, "domain"), "warm_keys"),
+                new Rules(
+                        Json.real(rules, "cold_from", 1),
+                        Json.whole(rules, "cold_us", 0),
+                        Json.whole(rules, "fall_us", 0),
+                        Json.whole(rules, "ask_every_us", 0)),
+                reports,
+                "ask".equals(f.get("discovery")),
+                Json.flag(Json.object(f, "domain"), "warm_keys"),
                 Json.whole(f, "tick_us", 1000));
     }
 
@@ -62,21 +81,30 @@
     }
 
     private static RequestClass requestClass(Map<?, ?> c) {
-        Effect effect = switch (String.valueOf(c.get("effect"))) {
-            case "pure" -> Effect.SAFE;
-            case "token" -> Effect.KEYED;
-            case "side_effect" -> Effect.UNSAFE;
-            default -> throw new IllegalArgumentException(
-                    "settings: unknown effect '" + c.get("effect") + "'");
-        };
-        Group group = switch (String.valueOf(c.get("group"))) {
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
-            default -> Group.ALL;
-        };
-        return new RequestClass(String.valueOf(c.get("name")), effect, group,
-                Json.whole(c, "dedup_window_us", 0), Json.whole(c, "aim_us", 0),
+        Effect effect =
+                switch (String.valueOf(c.get("effect"))) {
+                    case "pure" -> Effect.SAFE;
+                    case "token" -> Effect.KEYED;
+                    case "side_effect" -> Effect.UNSAFE;
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "settings: unknown effect '" + c.get("effect") + "'");
+                };
+        Group group =
+                switch (String.valueOf(c.get("group"))) {
+                    case "zone" -> Group.ZONE;
+                    case "cell" -> Group.CELL;
+                    default -> Group.ALL;
+                };
+        return new RequestClass(
+                String.valueOf(c.get("name")),
+                effect,
+                group,
+                Json.whole(c, "dedup_window_us", 0),
+                Json.whole(c, "aim_us", 0),
                 Json.whole(c, "deadline_us", 0),
-                Json.real(c, "worth", 1), Json.real(c, "late_value", 0), Json.flag(c, "streaming"));
+                Json.real(c, "worth", 1),
+                Json.real(c, "late_value", 0),
+                Json.flag(c, "streaming"));
     }
 }
--- a/sidecar/src/main/java/sagefall/ZoneLimit.java
+++ b/sidecar/src/main/java/sagefall/ZoneLimit.java
@@ -1,27 +1,40 @@
 package sagefall;
 
 /**
- * A limit on this instance's requests in flight in one zone, moved by the answers of all of its servers
- * together: where a fleet is large, no instance sees enough of one server to find that server's limit. In
- * flight rather than by rate, as that rises at once when answers slow down. Both steps are parts of the
- * limit, so instances of unlike traffic give way alike. Harm: in a zone that is busy all over, some are
- * refused whom a lucky pick would have served.
+ * A limit on this instance's requests in flight in one zone, moved by the answers of all of its
+ * servers together: where a fleet is large, no instance sees enough of one server to find that
+ * server's limit. In flight rather than by rate, as that rises at once when answers slow down. Both
+ * steps are parts of the limit, so instances of unlike traffic give way alike. Harm: in a zone that
+ * is busy all over, some are refused whom a lucky pick would have served.
  */
 final class ZoneLimit {
 
-    /** An answer is slow from this part of its aim on: the rest is for the spread of service times. */
+    /**
+     * An answer is slow from this part of its aim on: the rest is for the spread of service times.
+     */
     private static final double SLOW = 0.5;
+
     /**
-     * Part of the limit that a slow answer of a busy zone takes, and that any other gives back: at rest a
-     * quarter of the answers is slow. Some twenty slow ones, which come in half a second, halve it.
+     * Part of the limit that a slow answer of a busy zone takes, and that any other gives back: at
+     * rest a quarter of the answers is slow. Some twenty slow ones, which come in half a second,
+     * halve it.
      */
     private static final double CUT = 0.03, GAIN = 0.01;
-    /** Mean reported use from which slow answers mean a crowd; below it some are sick, not all busy. */
+
+    /**
+     * Mean reported use from which slow answers mean a crowd; below it some are sick, not all busy.
+     */
     private static final double BUSY = 0.8;
-    /** The limit is cut from this many times what is usually in flight at the most, so that it binds. */
+
+    /**
+     * The limit is cut from this many times what is usually in flight at the most, so that it
+     * binds.
+     */
     private static final double SPAN = 2;
+
     /** Least limit: an instance that sends nothing learns nothing. */
     private static final double LEAST = 2;
+
     /** Weight of one answer in the mean use, of one send in what is usually in flight. */
     private static final double WEIGHT = 0.1;
 
--- a/sidecar/src/main/java/sagefall/duties/Digest.java
+++ b/sidecar/src/main/java/sagefall/duties/Digest.java
@@ -4,9 +4,10 @@
 import sagefall.recovery.Kept;
 
 /**
- * The duty of writing down, for all sidecars of a machine, what discovery told last: one that starts with
- * nothing kept of its own learns from it which servers to leave alone. It adds no server, as another's list
- * has another's addresses; and it never goes back to an older revision, whoever holds the duty.
+ * The duty of writing down, for all sidecars of a machine, what discovery told last: one that
+ * starts with nothing kept of its own learns from it which servers to leave alone. It adds no
+ * server, as another's list has another's addresses; and it never goes back to an older revision,
+ * whoever holds the duty.
  */
 public final class Digest implements Duty {
 
@@ -16,7 +17,7 @@
     private Kept.Change pending;
 
     /** What it holds, and the term under which it was written. */
-    public record Read(Kept kept, long term) { }
+    public record Read(Kept kept, long term) {}
 
     /** Takes over what discovery told; never waits. */
     public synchronized void told(Kept.Change change) {
--- a/sidecar/src/main/java/sagefall/duties/Duties.java
+++ b/sidecar/src/main/java/sagefall/duties/Duties.java
@@ -4,7 +4,8 @@
 import sagefall.Section;
 
 /**
- * The section {@code duties}: work that one sidecar of a machine does for all. Without it there is none.
+ * The section {@code duties}: work that one sidecar of a machine does for all. Without it there is
+ * none.
  *
  * @param directory a folder that all of them share; null: no duty is taken
  * @param leaseMillis how long a grant lasts that is not renewed
@@ -19,11 +20,15 @@
     /** Reads the section; what is wrong is told in one plain line. */
     public static Duties read(Section section) {
         String directory = section.text("directory", "");
-        if (directory.isEmpty() || directory.indexOf('\0') >= 0 || !Path.of(directory).isAbsolute()) {
+        if (directory.isEmpty()
+                || directory.indexOf('\0') >= 0
+                || !Path.of(directory).isAbsolute()) {
             throw section.wrong("directory", "must be the absolute path of a folder");
         }
-        Duties read = new Duties(Path.of(directory),
-                section.whole("lease_ms", LEASE_MILLIS, LEAST_MILLIS, MOST_MILLIS));
+        Duties read =
+                new Duties(
+                        Path.of(directory),
+                        section.whole("lease_ms", LEASE_MILLIS, LEAST_MILLIS, MOST_MILLIS));
         section.end();
         return read;
     }
--- a/sidecar/src/main/java/sagefall/duties/Duty.java
+++ b/sidecar/src/main/java/sagefall/duties/Duty.java
@@ -12,7 +12,8 @@
     boolean due();
 
     /**
-     * Does it under that term, by nothing but what the store has; ends within a fraction of the lease.
+     * Does it under that term, by nothing but what the store has; ends within a fraction of the
+     * lease.
      *
      * @return false if the store refused it, as there is a newer term
      */
