--- a/sidecar/src/main/java/sagefall/duties/FolderStore.java
+++ b/sidecar/src/main/java/sagefall/duties/FolderStore.java
@@ -22,21 +22,22 @@
 import sagefall.recovery.WholeFile;
 
 /**
- * A lease for the processes of one machine, in a folder that they share, without any lock: a process that is
- * stopped keeps nobody out, whatever it was about.
+ * A lease for the processes of one machine, in a folder that they share, without any lock: a
+ * process that is stopped keeps nobody out, whatever it was about.
  *
  * <ul>
- * <li>A term is a file, {@code term-N}, that only the first to name it gets (a hard link), and that only its
- * owner writes again. It is on the disk before anybody acts under it, so none comes twice.
- * <li>Who renews writes its own file and then looks for a newer term; who takes the next term makes its file
- * and then looks how long the one before lasts. So either the one sees the newer term and stops, or the other
- * sees what was renewed, and waits until that has ended.
- * <li>A value is a file for each term that wrote it; the one of the greatest term counts. An old owner that
- * wakes up late writes a file that nobody reads.
+ *   <li>A term is a file, {@code term-N}, that only the first to name it gets (a hard link), and
+ *       that only its owner writes again. It is on the disk before anybody acts under it, so none
+ *       comes twice.
+ *   <li>Who renews writes its own file and then looks for a newer term; who takes the next term
+ *       makes its file and then looks how long the one before lasts. So either the one sees the
+ *       newer term and stops, or the other sees what was renewed, and waits until that has ended.
+ *   <li>A value is a file for each term that wrote it; the one of the greatest term counts. An old
+ *       owner that wakes up late writes a file that nobody reads.
  * </ul>
  *
- * <p>Times are of the machine's monotonic clock, which all its processes share; a grant of before the
- * machine's last start has ended.
+ * <p>Times are of the machine's monotonic clock, which all its processes share; a grant of before
+ * the machine's last start has ended.
  */
 public final class FolderStore implements LeaseStore {
 
@@ -49,14 +50,18 @@
     private final Disk disk;
     private final LongSupplier nanos;
     private final String boot;
+
     /** Between two of this process's own files while they are written. */
     private final String word;
 
-    private record Term(long number, String owner, String boot, long untilNanos, long atMillis) { }
+    private record Term(long number, String owner, String boot, long untilNanos, long atMillis) {}
 
     /** Makes the folder where there is none. */
     public FolderStore(Path folder) throws IOException {
-        this(FolderDisk.shared(folder), System::nanoTime, boot(),
+        this(
+                FolderDisk.shared(folder),
+                System::nanoTime,
+                boot(),
                 String.valueOf(ProcessHandle.current().pid()));
     }
 
@@ -126,20 +131,33 @@
         if (left(before) > 0) {
             return grant(before);
         }
-        Term mine = new Term(before.number + 1, owner, boot, nanos.getAsLong() + leaseNanos,
-                System.currentTimeMillis());
+        Term mine =
+                new Term(
+                        before.number + 1,
+                        owner,
+                        boot,
+                        nanos.getAsLong() + leaseNanos,
+                        System.currentTimeMillis());
         if (!WholeFile.first(disk, TERM + mine.number, bytes(mine), word)) {
             return grant(newest());
         }
         Term again = before.number == 0 ? before : term(before.number);
         long wait = again == null ? 0 : Math.max(0, left(again));
         if (wait > 0) {
-            mine = new Term(mine.number, owner, boot, nanos.getAsLong() + wait + leaseNanos, mine.atMillis);
+            mine =
+                    new Term(
+                            mine.number,
+                            owner,
+                            boot,
+                            nanos.getAsLong() + wait + leaseNanos,
+                            mine.atMillis);
             WholeFile.write(disk, TERM + mine.number, bytes(mine), word);
         }
         tidy(TERM, mine.number);
         Term newest = newest();
-        return newest.number == mine.number ? new Grant(mine.number, owner, left(mine), wait) : grant(newest);
+        return newest.number == mine.number
+                ? new Grant(mine.number, owner, left(mine), wait)
+                : grant(newest);
     }
 
     @Override
@@ -148,8 +166,11 @@
         if (newest.number != term || !newest.owner.equals(owner) || !newest.boot.equals(boot)) {
             return grant(newest);
         }
-        WholeFile.write(disk, TERM + term, bytes(new Term(term, owner, boot, nanos.getAsLong() + leaseNanos,
-                newest.atMillis)), word);
+        WholeFile.write(
+                disk,
+                TERM + term,
+                bytes(new Term(term, owner, boot, nanos.getAsLong() + leaseNanos, newest.atMillis)),
+                word);
         return grant(newest());
     }
 
@@ -157,7 +178,8 @@
     public void release(String owner, long term) throws IOException {
         Term newest = newest();
         if (newest.number == term && newest.owner.equals(owner)) {
-            WholeFile.write(disk, TERM + term, bytes(new Term(term, "", boot, 0, newest.atMillis)), word);
+            WholeFile.write(
+                    disk, TERM + term, bytes(new Term(term, "", boot, 0, newest.atMillis)), word);
         }
     }
 
@@ -186,8 +208,8 @@
     }
 
     /**
-     * What is far behind the newest goes; an old owner may bring it back, and nobody reads it. So does what a
-     * process that has died was about to write.
+     * What is far behind the newest goes; an old owner may bring it back, and nobody reads it. So
+     * does what a process that has died was about to write.
      */
     private void tidy(String kind, long newest) throws IOException {
         for (String name : disk.names()) {
--- a/sidecar/src/main/java/sagefall/duties/Holder.java
+++ b/sidecar/src/main/java/sagefall/duties/Holder.java
@@ -6,13 +6,14 @@
 import sagefall.duties.Lease.Ask;
 
 /**
- * Runs a {@link Lease} against a store, and a duty while it is held, on a thread of its own. No request ever
- * waits for any of it.
+ * Runs a {@link Lease} against a store, and a duty while it is held, on a thread of its own. No
+ * request ever waits for any of it.
  */
 public final class Holder implements AutoCloseable {
 
     /** Longest that the end of the process waits for the lease to be given back. */
     private static final long END_MILLIS = 500;
+
     private static final long NANOS = 1_000_000;
 
     private final LeaseStore store;
@@ -30,7 +31,12 @@
      * @param owner a name that no other process has, nor had: the sidecar's, and its start
      * @param seed of the spread among those who find the lease free
      */
-    public Holder(LeaseStore store, String owner, Duty duty, long leaseMillis, long seed,
+    public Holder(
+            LeaseStore store,
+            String owner,
+            Duty duty,
+            long leaseMillis,
+            long seed,
             Consumer<String> log) {
         this.store = store;
         this.owner = owner;
@@ -74,8 +80,10 @@
             if (ask != Ask.NOTHING) {
                 Lease.Grant grant = ask(ask);
                 if (lease.answered(ask, sentAt, System.nanoTime(), grant, random.nextDouble())) {
-                    log.accept(lease.holds() ? "holds term " + lease.term()
-                            : "stops, term " + lease.term() + " is not its own any more");
+                    log.accept(
+                            lease.holds()
+                                    ? "holds term " + lease.term()
+                                    : "stops, term " + lease.term() + " is not its own any more");
                 }
             }
             if (duty.due() && lease.mayAct(System.nanoTime())) {
--- a/sidecar/src/main/java/sagefall/duties/Lease.java
+++ b/sidecar/src/main/java/sagefall/duties/Lease.java
@@ -1,18 +1,23 @@
 package sagefall.duties;
 
 /**
- * Decides when one process asks for a lease, renews it, and stops counting itself its holder. Pure: time and
- * chance come in, what to ask the store comes out, so that the thread that runs it, the model that explores
- * it and the emulator host the very same.
+ * Decides when one process asks for a lease, renews it, and stops counting itself its holder. Pure:
+ * time and chance come in, what to ask the store comes out, so that the thread that runs it, the
+ * model that explores it and the emulator host the very same.
  *
- * <p>The holder counts from the moment before it asked, and the store from a later one, on the same clock; so
- * it stops by {@code margin} before the lease can have ended there. Having been held up for longer than
- * {@code pause}, it does nothing until it has renewed.
+ * <p>The holder counts from the moment before it asked, and the store from a later one, on the same
+ * clock; so it stops by {@code margin} before the lease can have ended there. Having been held up
+ * for longer than {@code pause}, it does nothing until it has renewed.
  */
 public final class Lease {
 
     /** What to ask the store for. */
-    public enum Ask { NOTHING, READ, ACQUIRE, RENEW }
+    public enum Ask {
+        NOTHING,
+        READ,
+        ACQUIRE,
+        RENEW
+    }
 
     /**
      * All in nanoseconds.
@@ -25,8 +30,9 @@
     public record Terms(long lease, long margin, long pause, long poll) {
 
         /**
-         * What follows from a lease: a sixth for a turn that is late and an action under way, as much for a
-         * pause that need not be noticed, a third between renewals, so that one of two may fail.
+         * What follows from a lease: a sixth for a turn that is late and an action under way, as
+         * much for a pause that need not be noticed, a third between renewals, so that one of two
+         * may fail.
          */
         public static Terms of(long lease) {
             return new Terms(lease, lease / 6, lease / 6, Math.min(lease / 30, 100_000_000));
@@ -39,9 +45,10 @@
      * @param term of the newest grant
      * @param owner of it; empty once it was given back
      * @param leftNanos until it ends; 0 or less: nobody holds it
-     * @param waitNanos until who has just taken it may act, as the one before may have renewed meanwhile
+     * @param waitNanos until who has just taken it may act, as the one before may have renewed
+     *     meanwhile
      */
-    public record Grant(long term, String owner, long leftNanos, long waitNanos) { }
+    public record Grant(long term, String owner, long leftNanos, long waitNanos) {}
 
     private final Terms terms;
     private final String owner;
@@ -53,6 +60,7 @@
     private long askAt;
     private long seenAt;
     private boolean free;
+
     /** The store has a grant of this process's that it never heard of: an answer was lost. */
     private boolean unheard;
 
@@ -74,9 +82,16 @@
         return holds;
     }
 
-    /** Whether an action may begin. To be asked right before it; the store has the last word all the same. */
+    /**
+     * Whether an action may begin. To be asked right before it; the store has the last word all the
+     * same.
+     */
     public boolean mayAct(long now) {
-        return holds && !renewFirst && now >= actFrom && now < sureUntil && now - seenAt <= terms.pause;
+        return holds
+                && !renewFirst
+                && now >= actFrom
+                && now < sureUntil
+                && now - seenAt <= terms.pause;
     }
 
     /** When {@link #next} wants to be asked at the latest. */
@@ -112,8 +127,8 @@
      * The store has answered.
      *
      * @param sentAt when it was asked, by this process's clock
-     * @param draw from 0 to 1: spreads those who find it free, over a third of a lease where its holder
-     *     was lost and over one look where it was given back
+     * @param draw from 0 to 1: spreads those who find it free, over a third of a lease where its
+     *     holder was lost and over one look where it was given back
      * @return whether it was gained, or lost, by this
      */
     public boolean answered(Ask ask, long sentAt, long now, Grant grant, double draw) {
@@ -142,7 +157,9 @@
         return before != holds;
     }
 
-    /** The store did not answer, or not clearly: the holder tries again soon, and stops if it must. */
+    /**
+     * The store did not answer, or not clearly: the holder tries again soon, and stops if it must.
+     */
     public void failed(long now) {
         free = false;
         unheard = false;
--- a/sidecar/src/main/java/sagefall/duties/LeaseStore.java
+++ b/sidecar/src/main/java/sagefall/duties/LeaseStore.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * Where a lease lies: one holder at a time, each grant with a term that only grows; and what duties change,
- * each value with the term that it was written under, of which only the newest one counts. What fails may
- * have been done all the same.
+ * Where a lease lies: one holder at a time, each grant with a term that only grows; and what duties
+ * change, each value with the term that it was written under, of which only the newest one counts.
+ * What fails may have been done all the same.
  */
 public interface LeaseStore {
 
     /** A grant that was made: its term, to whom and when, in Unix time. */
-    record Past(long term, String owner, long atMillis) { }
+    record Past(long term, String owner, long atMillis) {}
 
     /** Who holds it, and the latest grants, the newest last. */
-    record Status(Lease.Grant grant, List<Past> past) { }
+    record Status(Lease.Grant grant, List<Past> past) {}
 
     /** A value and the term that it was written under. */
-    record Value(long term, byte[] body) { }
+    record Value(long term, byte[] body) {}
 
     Status status() throws IOException;
 
--- a/sidecar/src/main/java/sagefall/recovery/Disk.java
+++ b/sidecar/src/main/java/sagefall/recovery/Disk.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * All that keeping asks of a folder, so that a power loss at each of these calls can be played. What was
- * written counts as kept only once it was forced, and a name only once the folder was.
+ * All that keeping asks of a folder, so that a power loss at each of these calls can be played.
+ * What was written counts as kept only once it was forced, and a name only once the folder was.
  */
 public interface Disk extends Closeable {
 
@@ -21,7 +21,9 @@
     /** The names in the folder. */
     List<String> names() throws IOException;
 
-    /** Whether the folder still has a file of that name, which writing to an open one does not show. */
+    /**
+     * Whether the folder still has a file of that name, which writing to an open one does not show.
+     */
     boolean has(String name);
 
     /** A file's bytes; null where there is none. One that is longer than the bound is an error. */
--- a/sidecar/src/main/java/sagefall/recovery/FolderDisk.java
+++ b/sidecar/src/main/java/sagefall/recovery/FolderDisk.java
@@ -30,8 +30,9 @@
     /** Makes the folder where there is none; fails where another process holds it. */
     public static FolderDisk own(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel lock = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        FileChannel lock =
+                FileChannel.open(
+                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         boolean mine;
         try {
             mine = lock.tryLock() != null;
@@ -66,7 +67,8 @@
     public byte[] read(String name, long most) throws IOException {
         try (FileChannel in = FileChannel.open(folder.resolve(name), StandardOpenOption.READ)) {
             if (in.size() > most) {
-                throw new IOException(name + " holds " + in.size() + " bytes, over the bound of " + most);
+                throw new IOException(
+                        name + " holds " + in.size() + " bytes, over the bound of " + most);
             }
             ByteBuffer bytes = ByteBuffer.allocate((int) in.size());
             while (bytes.hasRemaining() && in.read(bytes) >= 0) {
@@ -80,12 +82,16 @@
 
     @Override
     public Out create(String name) throws IOException {
-        FileChannel out = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+        FileChannel out =
+                FileChannel.open(
+                        folder.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING);
         return new Out() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining();) {
+                for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining(); ) {
                     out.write(left);
                 }
             }
--- a/sidecar/src/main/java/sagefall/recovery/Journal.java
+++ b/sidecar/src/main/java/sagefall/recovery/Journal.java
@@ -7,13 +7,15 @@
 import java.util.function.Consumer;
 
 /**
- * Snapshot and write-ahead log of what is kept. A snapshot is written aside, forced, renamed, and the folder
- * forced; the log that belongs to it bears its generation in its name, so that neither can be read with
- * another's. Each record has its length, its CRC32C, and how far the log had been forced when it was written:
- * a bad record that a later one says was forced is damage, any other is a tail that a power loss tore. A tail
- * is cut; damage, a newer format, another's files and ones over the bound are put aside and nothing is kept.
+ * Snapshot and write-ahead log of what is kept. A snapshot is written aside, forced, renamed, and
+ * the folder forced; the log that belongs to it bears its generation in its name, so that neither
+ * can be read with another's. Each record has its length, its CRC32C, and how far the log had been
+ * forced when it was written: a bad record that a later one says was forced is damage, any other is
+ * a tail that a power loss tore. A tail is cut; damage, a newer format, another's files and ones
+ * over the bound are put aside and nothing is kept.
  *
- * <p>Each start writes a snapshot with the next epoch, so that nothing is ever appended to an old log.
+ * <p>Each start writes a snapshot with the next epoch, so that nothing is ever appended to an old
+ * log.
  */
 final class Journal implements Closeable {
 
@@ -30,6 +32,7 @@
     private Disk.Out log;
     private long written;
     private long forced;
+
     /** What the files hold is not known to be whole: only a snapshot may follow. */
     private boolean broken;
 
@@ -39,8 +42,11 @@
         this.forceEach = forceEach;
     }
 
-    /** What is put aside and why is told in one line; the epoch is on the disk once this returns. */
-    static Journal open(Disk disk, String name, long maxBytes, boolean forceEach, Consumer<String> say)
+    /**
+     * What is put aside and why is told in one line; the epoch is on the disk once this returns.
+     */
+    static Journal open(
+            Disk disk, String name, long maxBytes, boolean forceEach, Consumer<String> say)
             throws IOException {
         Journal journal = new Journal(disk, maxBytes, forceEach);
         Kept kept = Kept.nothing(name);
@@ -96,7 +102,8 @@
     void snapshot() throws IOException {
         byte[] body = state.bytes(generation + 1);
         if (MAGIC.length + HEAD + body.length > maxBytes) {
-            throw new IOException("what is to be kept, " + body.length + " bytes, is over the bound");
+            throw new IOException(
+                    "what is to be kept, " + body.length + " bytes, is over the bound");
         }
         broken = true;
         closeLog();
@@ -207,7 +214,8 @@
             }
             Kept now = kept;
             int at = MAGIC.length;
-            for (byte[] body; at < bytes.length && (body = WholeFile.body(bytes, at)) != null;
+            for (byte[] body;
+                    at < bytes.length && (body = WholeFile.body(bytes, at)) != null;
                     at += HEAD + body.length) {
                 try {
                     now = now.with(Kept.change(Kept.values(body)));
@@ -223,15 +231,17 @@
         }
 
         /**
-         * Whether any whole record after the bad one says that it had been forced. Bytes made to look like
-         * many records would take for ever: past a bound they count as damage.
+         * Whether any whole record after the bad one says that it had been forced. Bytes made to
+         * look like many records would take for ever: past a bound they count as damage.
          */
         private static boolean forcedLater(byte[] bytes, int bad) {
             long left = MOST_SUMMED;
             for (int at = bad + 1; at <= bytes.length - HEAD && left > 0; at++) {
                 ByteBuffer head = ByteBuffer.wrap(bytes, at, HEAD);
                 int length = head.getInt();
-                if (length > 0 && length <= bytes.length - at - HEAD && head.getLong(at + 8) > bad) {
+                if (length > 0
+                        && length <= bytes.length - at - HEAD
+                        && head.getLong(at + 8) > bad) {
                     left -= length;
                     if (WholeFile.body(bytes, at) != null) {
                         return true;
--- a/sidecar/src/main/java/sagefall/recovery/Keeper.java
+++ b/sidecar/src/main/java/sagefall/recovery/Keeper.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps what discovery tells, on a thread of its own. What comes while the disk is busy is merged into one
- * change, so a stalled or full disk costs bounded memory and no request any time; once it takes writes again
- * all is written anew.
+ * Keeps what discovery tells, on a thread of its own. What comes while the disk is busy is merged
+ * into one change, so a stalled or full disk costs bounded memory and no request any time; once it
+ * takes writes again all is written anew.
  */
 public final class Keeper implements AutoCloseable {
 
@@ -20,6 +20,7 @@
     }
 
     private static final long RETRY_MILLIS = 1_000;
+
     /** Longest that the end of the process waits for the last change. */
     private static final long END_MILLIS = 500;
 
@@ -30,7 +31,9 @@
     private Kept.Change pending;
     private boolean closed;
 
-    /** Opens the folder and goes on keeping, on a thread of its own; nothing here waits for a disk. */
+    /**
+     * Opens the folder and goes on keeping, on a thread of its own; nothing here waits for a disk.
+     */
     public Keeper(Recovery section, String name, Consumer<String> log) {
         this(section, name, log, () -> FolderDisk.own(section.directory()));
     }
@@ -43,7 +46,10 @@
         thread.start();
     }
 
-    /** What earlier lives kept, with the epoch of this one; null where there is none, or not in time. */
+    /**
+     * What earlier lives kept, with the epoch of this one; null where there is none, or not in
+     * time.
+     */
     public Kept opened(long millis) throws InterruptedException {
         try {
             return opened.get(millis, TimeUnit.MILLISECONDS);
@@ -56,7 +62,9 @@
         }
     }
 
-    /** Whether what was kept then still tells how things are, and not only what to stay away from. */
+    /**
+     * Whether what was kept then still tells how things are, and not only what to stay away from.
+     */
     public boolean fresh(Kept kept) {
         long age = section.wallMillis() - kept.atMillis();
         return kept.revision() > 0 && age >= 0 && age <= section.maxAgeMillis();
@@ -92,7 +100,9 @@
     private void run(String name, Opening opening) {
         Journal journal;
         try {
-            journal = Journal.open(opening.open(), name, section.maxBytes(), section.forceEach(), log);
+            journal =
+                    Journal.open(
+                            opening.open(), name, section.maxBytes(), section.forceEach(), log);
         } catch (IOException | RuntimeException e) {
             opened.completeExceptionally(e);
             return;
--- a/sidecar/src/main/java/sagefall/recovery/Kept.java
+++ b/sidecar/src/main/java/sagefall/recovery/Kept.java
@@ -15,9 +15,9 @@
 import sagefall.LoadBalancer.Phase;
 
 /**
- * What a sidecar keeps over its restarts: whose it is, how often it has started, and the servers as discovery
- * last told them, those that are gone among them. Not kept are requests in hand: a crash proves nothing about
- * what has run, so none may be sent again by a later life.
+ * What a sidecar keeps over its restarts: whose it is, how often it has started, and the servers as
+ * discovery last told them, those that are gone among them. Not kept are requests in hand: a crash
+ * proves nothing about what has run, so none may be sent again by a later life.
  *
  * @param name the sidecar's
  * @param epoch grows with each start
@@ -35,18 +35,38 @@
      * @param startMicros its process's start in Unix time, 0 if that is long ago
      * @param toldMillis when it was first told to drain or be gone; 0 while it is in service
      */
-    public record Line(long id, String address, String zone, String kind, int cell, Phase phase,
-            long startMicros, double weight, long toldMillis) {
+    public record Line(
+            long id,
+            String address,
+            String zone,
+            String kind,
+            int cell,
+            Phase phase,
+            long startMicros,
+            double weight,
+            long toldMillis) {
 
         private Line since(Line before, long now) {
             boolean leaves = phase != Phase.READY;
-            boolean left = before != null && before.phase != Phase.READY && before.startMicros == startMicros;
-            return new Line(id, address, zone, kind, cell, phase, startMicros, weight,
+            boolean left =
+                    before != null
+                            && before.phase != Phase.READY
+                            && before.startMicros == startMicros;
+            return new Line(
+                    id,
+                    address,
+                    zone,
+                    kind,
+                    cell,
+                    phase,
+                    startMicros,
+                    weight,
                     !leaves ? 0 : left ? before.toldMillis : now);
         }
 
         private Line gone() {
-            return new Line(id, address, zone, kind, cell, Phase.REMOVED, startMicros, weight, toldMillis);
+            return new Line(
+                    id, address, zone, kind, cell, Phase.REMOVED, startMicros, weight, toldMillis);
         }
     }
 
@@ -66,6 +86,7 @@
 
     /** Servers that are gone and still known as such, the latest of them. */
     static final int MOST_GONE = 1024;
+
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** Nothing at all. */
@@ -81,8 +102,11 @@
     public Kept with(Change change) {
         Map<Long, Line> next = new LinkedHashMap<>(lines);
         if (change.all) {
-            next.replaceAll((id, line) -> change.lines.containsKey(id) ? line
-                    : line.gone().since(line, change.atMillis));
+            next.replaceAll(
+                    (id, line) ->
+                            change.lines.containsKey(id)
+                                    ? line
+                                    : line.gone().since(line, change.atMillis));
         }
         change.lines.forEach((id, line) -> next.put(id, line.since(next.get(id), change.atMillis)));
         List<Line> gone = new ArrayList<>(next.values());
@@ -117,7 +141,8 @@
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator to, long revision, long atMillis, Collection<Line> lines)
+    private static void write(
+            JsonGenerator to, long revision, long atMillis, Collection<Line> lines)
             throws IOException {
         to.writeNumberField("revision", revision);
         to.writeNumberField("at_ms", atMillis);
@@ -148,7 +173,11 @@
 
     /** Reads the whole again. */
     public static Kept kept(Map<?, ?> m) throws IOException {
-        return new Kept(text(m, "name"), number(m, "epoch"), number(m, "revision"), number(m, "at_ms"),
+        return new Kept(
+                text(m, "name"),
+                number(m, "epoch"),
+                number(m, "revision"),
+                number(m, "at_ms"),
                 lines(m));
     }
 
@@ -166,9 +195,18 @@
             if (phase < 0 || phase >= Phase.values().length) {
                 throw new IOException("an unknown phase, " + phase);
             }
-            lines.put(number(s, "id"), new Line(number(s, "id"), text(s, "address"), text(s, "zone"),
-                    text(s, "kind"), (int) number(s, "cell"), Phase.values()[(int) phase],
-                    number(s, "start_us"), Json.real(s, "weight", 1), number(s, "told_ms")));
+            lines.put(
+                    number(s, "id"),
+                    new Line(
+                            number(s, "id"),
+                            text(s, "address"),
+                            text(s, "zone"),
+                            text(s, "kind"),
+                            (int) number(s, "cell"),
+                            Phase.values()[(int) phase],
+                            number(s, "start_us"),
+                            Json.real(s, "weight", 1),
+                            number(s, "told_ms")));
         }
         return lines;
     }
--- a/sidecar/src/main/java/sagefall/recovery/Recovery.java
+++ b/sidecar/src/main/java/sagefall/recovery/Recovery.java
@@ -4,8 +4,9 @@
 import sagefall.Section;
 
 /**
- * The section {@code recovery}: where a sidecar keeps what it was told, so that a start after a crash or a
- * power loss does not begin with an old list alone. Without the section no file is touched.
+ * The section {@code recovery}: where a sidecar keeps what it was told, so that a start after a
+ * crash or a power loss does not begin with an old list alone. Without the section no file is
+ * touched.
  *
  * @param directory a folder of this sidecar's own; null: nothing is kept
  * @param maxBytes bound on the files that are read and written, in bytes
@@ -13,29 +14,40 @@
  * @param forceEach whether each change is forced to the disk, or only snapshots and the epoch
  * @param clockOffsetMillis what the wall clock is set off by, for trials of clocks that are wrong
  */
-public record Recovery(Path directory, long maxBytes, long maxAgeMillis, boolean forceEach,
+public record Recovery(
+        Path directory,
+        long maxBytes,
+        long maxAgeMillis,
+        boolean forceEach,
         long clockOffsetMillis) {
 
     /** Without the section. */
     public static final Recovery OFF = new Recovery(null, 0, 0, false, 0);
 
-    private static final long BYTES = 4 * 1024 * 1024, LEAST_BYTES = 64 * 1024, MOST_BYTES = 1L << 30;
+    private static final long BYTES = 4 * 1024 * 1024,
+            LEAST_BYTES = 64 * 1024,
+            MOST_BYTES = 1L << 30;
     private static final long AGE_MILLIS = 3_600_000, MOST_AGE_MILLIS = 30L * 24 * 3_600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
     public static Recovery read(Section section) {
         String directory = section.text("directory", "");
-        if (directory.isEmpty() || directory.indexOf('\0') >= 0 || !Path.of(directory).isAbsolute()) {
+        if (directory.isEmpty()
+                || directory.indexOf('\0') >= 0
+                || !Path.of(directory).isAbsolute()) {
             throw section.wrong("directory", "must be the absolute path of a folder");
         }
         String sync = section.text("sync", "each");
         if (!sync.equals("each") && !sync.equals("snapshot")) {
             throw section.wrong("sync", "must be 'each' or 'snapshot'");
         }
-        Recovery read = new Recovery(Path.of(directory),
-                section.whole("max_bytes", BYTES, LEAST_BYTES, MOST_BYTES),
-                section.whole("max_age_ms", AGE_MILLIS, 0, MOST_AGE_MILLIS), sync.equals("each"),
-                section.whole("clock_offset_ms", 0, -MOST_AGE_MILLIS, MOST_AGE_MILLIS));
+        Recovery read =
+                new Recovery(
+                        Path.of(directory),
+                        section.whole("max_bytes", BYTES, LEAST_BYTES, MOST_BYTES),
+                        section.whole("max_age_ms", AGE_MILLIS, 0, MOST_AGE_MILLIS),
+                        sync.equals("each"),
+                        section.whole("clock_offset_ms", 0, -MOST_AGE_MILLIS, MOST_AGE_MILLIS));
         section.end();
         return read;
     }
--- a/sidecar/src/main/java/sagefall/recovery/WholeFile.java
+++ b/sidecar/src/main/java/sagefall/recovery/WholeFile.java
@@ -6,18 +6,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * A small file that is replaced as a whole: eight bytes of format and version, then one record. It is written
- * aside, forced and renamed, and the folder forced, so a power loss leaves the old one or the new one.
+ * A small file that is replaced as a whole: eight bytes of format and version, then one record. It
+ * is written aside, forced and renamed, and the folder forced, so a power loss leaves the old one
+ * or the new one.
  */
 public final class WholeFile {
 
     /** What it begins with; the last byte is the version of the format. */
     static final byte[] MAGIC = {'S', 'F', 'K', 'E', 'P', 'T', 0, 1};
+
     /** Before a record's body: its length, its CRC32C, a number of the writer's. */
     static final int HEAD = 16;
+
     private static final String NEXT = ".next";
 
-    private WholeFile() { }
+    private WholeFile() {}
 
     /** Once this returns the file is on the disk. */
     public static void write(Disk disk, String name, byte[] body) throws IOException {
@@ -31,8 +34,12 @@
         disk.forceNames();
     }
 
-    /** Writes a file that nobody has yet; whether it was the first. Once this returns it is on the disk. */
-    public static boolean first(Disk disk, String name, byte[] body, String word) throws IOException {
+    /**
+     * Writes a file that nobody has yet; whether it was the first. Once this returns it is on the
+     * disk.
+     */
+    public static boolean first(Disk disk, String name, byte[] body, String word)
+            throws IOException {
         aside(disk, name + NEXT + word, body);
         boolean mine = disk.link(name + NEXT + word, name);
         disk.delete(name + NEXT + word);
@@ -48,7 +55,9 @@
         }
     }
 
-    /** The body; null where there is no such file. What is wrong with it is told in one plain line. */
+    /**
+     * The body; null where there is no such file. What is wrong with it is told in one plain line.
+     */
     public static byte[] read(Disk disk, String name, long most) throws IOException {
         byte[] bytes = disk.read(name, most);
         if (bytes == null) {
@@ -68,8 +77,8 @@
             throw new IOException(name + " is damaged");
         }
         if (bytes[last] != MAGIC[last]) {
-            throw new IOException(name + " has format " + bytes[last] + ", this program knows "
-                    + MAGIC[last]);
+            throw new IOException(
+                    name + " has format " + bytes[last] + ", this program knows " + MAGIC[last]);
         }
     }
 
@@ -87,8 +96,11 @@
         ByteBuffer head = ByteBuffer.wrap(bytes, at, HEAD);
         int length = head.getInt();
         int sum = head.getInt();
-        return length < 0 || length > bytes.length - at - HEAD || sum(bytes, at + 8, 8 + length) != sum
-                ? null : Arrays.copyOfRange(bytes, at + HEAD, at + HEAD + length);
+        return length < 0
+                        || length > bytes.length - at - HEAD
+                        || sum(bytes, at + 8, 8 + length) != sum
+                ? null
+                : Arrays.copyOfRange(bytes, at + HEAD, at + HEAD + length);
     }
 
     private static int sum(byte[] bytes, int from, int length) {
--- a/sidecar/src/main/java/sagefall/sidecar/Addresses.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Addresses.java
@@ -5,15 +5,19 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code address:port}. There is no DNS, and a look-up would block the loop: literals only. */
+/**
+ * Reads {@code address:port}. There is no DNS, and a look-up would block the loop: literals only.
+ */
 final class Addresses {
 
-    private Addresses() { }
+    private Addresses() {}
 
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] address = colon < 0 ? null
-                : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        byte[] address =
+                colon < 0
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         int port = -1;
         try {
             port = Integer.parseInt(text.substring(colon + 1));
--- a/sidecar/src/main/java/sagefall/sidecar/Call.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Call.java
@@ -43,13 +43,13 @@
         }
 
         /** What came in one go has come. */
-        default void flush() { }
+        default void flush() {}
 
         /** The last part has come; told once the client has taken all. */
-        default void end(HttpHeaders trailers, Runnable taken) { }
+        default void end(HttpHeaders trailers, Runnable taken) {}
 
         /** Ends an answer that has begun so that the client can tell that it is not whole. */
-        default void breakOff() { }
+        default void breakOff() {}
     }
 
     final Request request;
@@ -57,29 +57,46 @@
     final String uri;
     final HttpHeaders headers;
     final byte[] body;
+
     /** The body where it passes through as it arrives, else null. */
     final Upload upload;
+
     /** Largest answer that passes through as it arrives; 0 where it is collected. */
     final long mostStreamed;
+
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(2);
+
     /** Attempts that have not ended. */
     int out;
+
     /** Nothing is owed any more: it has its one answer, or the client has left. */
     boolean over;
+
     /** How a server failed the body before it had come whole, in its own words. */
     Refusal refusal;
+
     /** The one whose answer has begun to pass through. */
     Attempt streaming;
+
     /** The server's word on its load that came with it. */
     LoadReport report;
+
     /** Until when the client waits; of an upload it is moved when the last byte has come. */
     long deadlineMicros;
+
     /** When its deadline acts, while it is held by {@link Deadlines}. */
     long dueMicros;
 
-    Call(Request request, HttpMethod method, String uri, HttpHeaders headers, byte[] body, Upload upload,
-            long mostStreamed, Client client) {
+    Call(
+            Request request,
+            HttpMethod method,
+            String uri,
+            HttpHeaders headers,
+            byte[] body,
+            Upload upload,
+            long mostStreamed,
+            Client client) {
         this.request = request;
         deadlineMicros = request.deadlineMicros();
         this.upload = upload;
@@ -92,22 +109,28 @@
     }
 
     /** A server's answer to a body that it does not want. */
-    record Refusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) { }
+    record Refusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 
     /** One sending of a request to a server. */
     static final class Attempt {
         final Call call;
         final int number;
         final long server;
+
         /** From when its time counts: its sending, of an upload the last byte of it. */
         long since;
+
         long giveUpAt;
+
         /** From when on its first byte may not go out any more. */
         long latestAt = Long.MAX_VALUE;
+
         /** How long the module waits for it; 0 for as long as the client does. */
         long patienceMicros;
+
         /** The last byte of the request has left, so from here on it may have run. */
         boolean written;
+
         Result result;
         Future<?> timeout;
 
--- a/sidecar/src/main/java/sagefall/sidecar/ClientServer.java
+++ b/sidecar/src/main/java/sagefall/sidecar/ClientServer.java
@@ -51,7 +51,10 @@
 import sagefall.streaming.Streaming;
 import sagefall.streaming.Upload;
 
-/** The listening side: reads clients' requests, writes their answers, and closes down without losing any. */
+/**
+ * The listening side: reads clients' requests, writes their answers, and closes down without losing
+ * any.
+ */
 final class ClientServer {
 
     /** What stands behind the connections. */
@@ -62,7 +65,9 @@
         /** A request to be answered through its client, by an exception at the latest. */
         void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest;
 
-        /** Largest body of this request that passes through as it arrives; 0 where it is collected. */
+        /**
+         * Largest body of this request that passes through as it arrives; 0 where it is collected.
+         */
         default long uploads(HttpRequest head) {
             return 0;
         }
@@ -74,35 +79,49 @@
         }
 
         /** The server of this request takes or brings nothing any more. */
-        default void stalled(Call.Client client) { }
+        default void stalled(Call.Client client) {}
 
         /** The client of this request has closed its connection. */
         void left(Call.Client client);
     }
 
     private static final int BACKLOG = 1_024;
+
     /** Most connections taken in one turn of the loop. */
     private static final int ACCEPTS = 64;
+
     /** From the connection, or from a later request's first byte, to its last one. */
     private static final long REQUEST_MILLIS = 2_000;
+
     /** Without a request in hand, since the last answer. */
     private static final long IDLE_MILLIS = 5_000;
+
     /** The same where connections are many. */
     private static final long SURPLUS_MILLIS = 200;
+
     /** An answer that the client does not take in this time is given up. */
     private static final long WRITE_MILLIS = 5_000;
+
     /**
-     * A rejected client may go on sending for so long, or be quiet for so long: closing with bytes unread
-     * resets the connection, and the client could lose the answer.
+     * A rejected client may go on sending for so long, or be quiet for so long: closing with bytes
+     * unread resets the connection, and the client could lose the answer.
      */
     private static final long LINGER_MILLIS = 5_000;
+
     private static final long LINGER_QUIET_MILLIS = 300;
+
     /** How long new connections go on coming after the end was announced. */
     private static final long ACCEPT_MILLIS = 400;
+
     /** The same at the most, whoever goes on coming. */
     private static final long LAST_ACCEPT_MILLIS = 1_500;
-    /** A new connection has this long to bring its request; as long nothing new may come before the end. */
+
+    /**
+     * A new connection has this long to bring its request; as long nothing new may come before the
+     * end.
+     */
     private static final long QUIET_MILLIS = 100;
+
     private static final long SWEEP_MILLIS = 25;
 
     private final EventLoop loop;
@@ -111,8 +130,11 @@
     private final int most;
     private final Consumer<String> log;
     private final Set<Connection> connections = new LinkedHashSet<>();
+
     /** How many connections are accepted in one turn of the loop. */
-    private final ServerChannelRecvByteBufAllocator accepts = new ServerChannelRecvByteBufAllocator();
+    private final ServerChannelRecvByteBufAllocator accepts =
+            new ServerChannelRecvByteBufAllocator();
+
     private Channel listening;
     private boolean ending;
     private long endedAt;
@@ -130,22 +152,32 @@
     }
 
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, accepts)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        Connection connection = new Connection(c);
-                        if (streaming.isOn()) {
-                            c.config().setRecvByteBufAllocator(Link.smallReads());
-                        }
-                        c.pipeline().addLast(new Gate(connection), connection.decoder,
-                                new HttpResponseEncoder(), new Aggregator(connection), connection);
-                    }
-                }).bind(address);
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, accepts)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel c) {
+                                        Connection connection = new Connection(c);
+                                        if (streaming.isOn()) {
+                                            c.config().setRecvByteBufAllocator(Link.smallReads());
+                                        }
+                                        c.pipeline()
+                                                .addLast(
+                                                        new Gate(connection),
+                                                        connection.decoder,
+                                                        new HttpResponseEncoder(),
+                                                        new Aggregator(connection),
+                                                        connection);
+                                    }
+                                })
+                        .bind(address);
         listening = bound.channel();
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
         return bound;
@@ -173,8 +205,9 @@
     }
 
     /**
-     * Goes on accepting while clients still connect, then ends each connection after its answer. Idle ones
-     * are closed before the listening socket, so that a request that crosses the closing can come again.
+     * Goes on accepting while clients still connect, then ends each connection after its answer.
+     * Idle ones are closed before the listening socket, so that a request that crosses the closing
+     * can come again.
      */
     void end(Runnable ended) {
         if (listening == null) {
@@ -182,17 +215,22 @@
             return;
         }
         endedAt = System.nanoTime();
-        loop.schedule(() -> {
-            ending = true;
-            endQuiet(ended);
-        }, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    ending = true;
+                    endQuiet(ended);
+                },
+                ACCEPT_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void endQuiet(Runnable ended) {
         if (millisSince(endedAt) >= streaming.drainMillis()) {
             List.copyOf(connections).forEach(Connection::cutShort);
         }
-        List.copyOf(connections).stream().filter(c -> c.age() > QUIET_MILLIS).forEach(Connection::halfClose);
+        List.copyOf(connections).stream()
+                .filter(c -> c.age() > QUIET_MILLIS)
+                .forEach(Connection::halfClose);
         if (listening.isOpen() && quiet()) {
             // What waits to be accepted would be reset with the socket.
             listening.config().setAutoRead(true);
@@ -218,7 +256,10 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    /** One look at all connections in place of timers for each, of which a flood would leave thousands. */
+    /**
+     * One look at all connections in place of timers for each, of which a flood would leave
+     * thousands.
+     */
     private void sweep() {
         for (Connection c : List.copyOf(connections)) {
             c.checkTimes();
@@ -228,10 +269,11 @@
     }
 
     /**
-     * Past half of the bound what has been idle for a while goes, longest first. Some clients ask once and
-     * keep their connection; clients may hold only so many in all, and those that still have something to
-     * ask then find none, though the sidecar and its servers have little to do. Against leaks of connections
-     * in clients and floods of them too. Harm: a client that asks less often connects anew.
+     * Past half of the bound what has been idle for a while goes, longest first. Some clients ask
+     * once and keep their connection; clients may hold only so many in all, and those that still
+     * have something to ask then find none, though the sidecar and its servers have little to do.
+     * Against leaks of connections in clients and floods of them too. Harm: a client that asks less
+     * often connects anew.
      */
     private void closeSurplus() {
         long surplus = connections.size() - most / 2;
@@ -239,22 +281,25 @@
             surplus -= connections.stream().filter(c -> c.state == State.LINGERING).count();
         }
         if (surplus > 0) {
-            connections.stream().filter(c -> c.idleMillis() > SURPLUS_MILLIS)
-                    .sorted(Comparator.comparingLong(Connection::idleMillis).reversed()).limit(surplus)
-                    .toList().forEach(Connection::halfClose);
+            connections.stream()
+                    .filter(c -> c.idleMillis() > SURPLUS_MILLIS)
+                    .sorted(Comparator.comparingLong(Connection::idleMillis).reversed())
+                    .limit(surplus)
+                    .toList()
+                    .forEach(Connection::halfClose);
         }
     }
 
     /**
-     * Past the bound a connection that waits for nothing makes room: one that was rejected, one that said
-     * nothing at all, or else the one that was answered the longest time ago. Where all are busy, new ones
-     * wait to be accepted.
+     * Past the bound a connection that waits for nothing makes room: one that was rejected, one
+     * that said nothing at all, or else the one that was answered the longest time ago. Where all
+     * are busy, new ones wait to be accepted.
      *
-     * <p>Up to the bound all that wait are accepted at once. One in each turn of the loop was too few where
-     * turns are long (a cold runtime, no CPU left, a pause): requests then spent their time in the kernel's
-     * queue, unseen by the module, which neither refused them nor knew how old they were, and each client
-     * that gave up came back behind the others. Harm: a burst gets its descriptors at once, so the bound has
-     * to be kept here, not by the pace.
+     * <p>Up to the bound all that wait are accepted at once. One in each turn of the loop was too
+     * few where turns are long (a cold runtime, no CPU left, a pause): requests then spent their
+     * time in the kernel's queue, unseen by the module, which neither refused them nor knew how old
+     * they were, and each client that gave up came back behind the others. Harm: a burst gets its
+     * descriptors at once, so the bound has to be kept here, not by the pace.
      */
     private void makeRoom() {
         Connection victim = null;
@@ -310,7 +355,8 @@
     }
 
     /**
-     * Collects whole requests, but for a body that passes through; ends the connection after one too large.
+     * Collects whole requests, but for a body that passes through; ends the connection after one
+     * too large.
      */
     private static final class Aggregator extends HttpObjectAggregator {
         private final Connection connection;
@@ -324,22 +370,25 @@
         @Override
         public boolean acceptInboundMessage(Object message) throws Exception {
             if (message instanceof HttpRequest head) {
-                passing = !(message instanceof FullHttpRequest) && connection.mostUploaded(head) > 0;
+                passing =
+                        !(message instanceof FullHttpRequest) && connection.mostUploaded(head) > 0;
             }
             return !passing && super.acceptInboundMessage(message);
         }
 
         @Override
-        protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
+        protected void handleOversizedMessage(
+                ChannelHandlerContext context, HttpMessage oversized) {
             connection.reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
         }
     }
 
     /**
-     * What a client's connection is about. Bytes: RESTING and ANSWERING go over to READING; in IN_HAND, but
-     * for an upload, they are one request too many; in LINGERING, and ANSWERING for the last time, they are
-     * thrown away. The client's end closes it in each. SIGTERM, a long rest and want of room end it where it
-     * rests, after a last look for bytes; a sweep bounds the time of each of the others.
+     * What a client's connection is about. Bytes: RESTING and ANSWERING go over to READING; in
+     * IN_HAND, but for an upload, they are one request too many; in LINGERING, and ANSWERING for
+     * the last time, they are thrown away. The client's end closes it in each. SIGTERM, a long rest
+     * and want of room end it where it rests, after a last look for bytes; a sweep bounds the time
+     * of each of the others.
      */
     private enum State {
         /** Nothing of a request has come since it was accepted or answered. */
@@ -355,28 +404,41 @@
     }
 
     /**
-     * A client's connection; it carries one request at a time. A request is taken once all that came with it
-     * has been read: bytes behind it mean that its end is not where it says, or that it is not alone.
+     * A client's connection; it carries one request at a time. A request is taken once all that
+     * came with it has been read: bytes behind it mean that its end is not where it says, or that
+     * it is not alone.
      */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
         private final Decoder decoder = new Decoder();
+
         /** Since when it may have waited to be accepted, and in which turn it was. */
         private final long waitedSince = turns.since();
+
         private final long acceptedIn = turns.number();
         private final long openedAt = System.nanoTime();
+
         /** Waits for the answer to the request in hand. */
         private Exchange client;
+
         private FullHttpRequest whole;
-        /** The end of a body that passes through, until it is seen that nothing stands behind it. */
+
+        /**
+         * The end of a body that passes through, until it is seen that nothing stands behind it.
+         */
         private LastHttpContent last;
+
         private boolean more;
         private State state = State.RESTING;
+
         /** When the state began; of the first request's, when the connection was accepted. */
         private long since = openedAt;
+
         private long heardAt;
+
         /** It has carried a request, and is to end behind the answer that is being written. */
         private boolean used;
+
         private boolean ends;
 
         Connection(Channel channel) {
@@ -418,7 +480,8 @@
             turns.since();
             heardAt = System.nanoTime();
             if (state == State.IN_HAND && !client.uploading()) {
-                // Clients send one request at a time. What comes behind can't be told from a wrong length of
+                // Clients send one request at a time. What comes behind can't be told from a wrong
+                // length of
                 // the one in hand, which so is no request either.
                 reject(HttpResponseStatus.BAD_REQUEST, "more than one request");
             }
@@ -438,7 +501,9 @@
             }
         }
 
-        /** Since its last answer, if it waits for nothing and nothing of a request has come; else 0. */
+        /**
+         * Since its last answer, if it waits for nothing and nothing of a request has come; else 0.
+         */
         private long idleMillis() {
             return state == State.RESTING && used ? millisSince(since) : 0;
         }
@@ -446,7 +511,8 @@
         private void checkTimes() {
             switch (state) {
                 case IN_HAND -> {
-                    // One whose client was found gone is in hand until its connection's end is told.
+                    // One whose client was found gone is in hand until its connection's end is
+                    // told.
                     if (client != null) {
                         client.checkStalls();
                     }
@@ -458,7 +524,9 @@
                 }
                 case READING -> {
                     if (millisSince(since) > REQUEST_MILLIS) {
-                        reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole in time");
+                        reject(
+                                HttpResponseStatus.REQUEST_TIMEOUT,
+                                "the request did not come whole in time");
                     }
                 }
                 default -> {
@@ -484,9 +552,9 @@
         }
 
         /**
-         * Ends a connection that rests, as HTTP/1.1 asks (RFC 9112, 9.6): says so, then reads until the
-         * client has closed too. A request that crosses this is not taken, and its client can tell; a close
-         * over its unread bytes would be a reset.
+         * Ends a connection that rests, as HTTP/1.1 asks (RFC 9112, 9.6): says so, then reads until
+         * the client has closed too. A request that crosses this is not taken, and its client can
+         * tell; a close over its unread bytes would be a reset.
          */
         private void halfClose() {
             if (stillRests()) {
@@ -500,7 +568,10 @@
             ((SocketChannel) channel).shutdownOutput();
         }
 
-        /** Ends it at once, since its descriptor is wanted, but where a request has come; whether it has. */
+        /**
+         * Ends it at once, since its descriptor is wanted, but where a request has come; whether it
+         * has.
+         */
         private boolean evict() {
             boolean quiet = state == State.LINGERING || stillRests();
             if (quiet) {
@@ -509,10 +580,16 @@
             return quiet || !channel.isActive();
         }
 
-        /** How well this connection can be spared, by its kind and then by time; 0 where it can't. */
+        /**
+         * How well this connection can be spared, by its kind and then by time; 0 where it can't.
+         */
         private double evictionRank() {
-            int kind = age() <= QUIET_MILLIS ? 0 : state == State.LINGERING ? 3
-                    : state != State.RESTING ? 0 : used ? 1 : 2;
+            int kind =
+                    age() <= QUIET_MILLIS
+                            ? 0
+                            : state == State.LINGERING
+                                    ? 3
+                                    : state != State.RESTING ? 0 : used ? 1 : 2;
             return kind == 0 ? 0 : kind + 1 - 1 / (1.0 + millisSince(since));
         }
 
@@ -528,14 +605,19 @@
         }
 
         /**
-         * Largest body that passes through; 0 for one that is small or not known to be allowed, or no
-         * request.
+         * Largest body that passes through; 0 for one that is small or not known to be allowed, or
+         * no request.
          */
         private long mostUploaded(HttpRequest head) {
-            long most = deaf() || client != null || whole != null || head.decoderResult().isFailure() ? 0
-                    : service.uploads(head);
+            long most =
+                    deaf() || client != null || whole != null || head.decoderResult().isFailure()
+                            ? 0
+                            : service.uploads(head);
             long length = HttpUtil.getContentLength(head, -1L);
-            boolean small = length >= 0 ? length <= Link.MAX_BODY : !HttpUtil.isTransferEncodingChunked(head);
+            boolean small =
+                    length >= 0
+                            ? length <= Link.MAX_BODY
+                            : !HttpUtil.isTransferEncodingChunked(head);
             return small || length > most ? 0 : most;
         }
 
@@ -603,7 +685,10 @@
             context.fireChannelReadComplete();
         }
 
-        /** Its last byte goes on only when nothing stands behind it: until then no server can have run it. */
+        /**
+         * Its last byte goes on only when nothing stands behind it: until then no server can have
+         * run it.
+         */
         private void uploaded() {
             LastHttpContent end = last;
             last = null;
@@ -628,8 +713,11 @@
             }
             begin(new Exchange(http));
             if (http.decoderResult().isSuccess() && http.uri().equals("/healthz")) {
-                client.answer(service.ready() ? HttpResponseStatus.OK
-                        : HttpResponseStatus.SERVICE_UNAVAILABLE, new DefaultHttpHeaders(),
+                client.answer(
+                        service.ready()
+                                ? HttpResponseStatus.OK
+                                : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        new DefaultHttpHeaders(),
                         Unpooled.EMPTY_BUFFER);
                 return;
             }
@@ -647,7 +735,10 @@
             enter(State.IN_HAND);
         }
 
-        /** Answers what is no request and ends the connection; what still comes on it is thrown away. */
+        /**
+         * Answers what is no request and ends the connection; what still comes on it is thrown
+         * away.
+         */
         private void reject(HttpResponseStatus status, String why) {
             if (deaf()) {
                 return;
@@ -660,7 +751,9 @@
             giveUp();
             channel.config().setAutoRead(true);
             client = new Exchange(null);
-            client.answer(status, new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "text/plain"),
+            client.answer(
+                    status,
+                    new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "text/plain"),
                     Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8));
         }
 
@@ -679,7 +772,9 @@
                 reject(HttpResponseStatus.BAD_REQUEST, "not HTTP");
             } else if (client != null) {
                 log.accept("client connection: " + cause);
-                client.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, new DefaultHttpHeaders(),
+                client.answer(
+                        HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                        new DefaultHttpHeaders(),
                         Unpooled.EMPTY_BUFFER);
                 context.close();
             } else {
@@ -700,20 +795,30 @@
         private final class Exchange implements Call.Client {
             private final boolean keep;
             private final boolean knowsChunks;
-            /** What is read in the turn behind the accepting one may have come with the connection. */
-            private final long cameAt = turns.number() <= acceptedIn + 1 ? waitedSince : turns.since();
+
+            /**
+             * What is read in the turn behind the accepting one may have come with the connection.
+             */
+            private final long cameAt =
+                    turns.number() <= acceptedIn + 1 ? waitedSince : turns.since();
+
             /**
-             * The end of the answer is that of the connection, so only a reset tells that it is not whole.
+             * The end of the answer is that of the connection, so only a reset tells that it is not
+             * whole.
              */
             private boolean endsByClose;
+
             /**
-             * The body of the request, if it passes through, and whether its client waits to be asked for
-             * it.
+             * The body of the request, if it passes through, and whether its client waits to be
+             * asked for it.
              */
             private Upload upload;
+
             private boolean continues;
+
             /** Of an answer that passes through, from its beginning on. */
             private Streaming bounds;
+
             private Flow flow;
 
             /** Without a request that can be read there is nothing to keep the connection for. */
@@ -731,15 +836,19 @@
                 channel.config().setAutoRead(on || client != this);
                 if (on && continues && client == this) {
                     continues = false;
-                    channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                    channel.writeAndFlush(
+                            new DefaultFullHttpResponse(
+                                    HttpVersion.HTTP_1_1,
+                                    HttpResponseStatus.CONTINUE,
+                                    Unpooled.EMPTY_BUFFER));
                 }
             }
 
             private void checkStalls() {
                 if (uploading() && upload.bringsNothing()) {
                     reject(HttpResponseStatus.REQUEST_TIMEOUT, "the body stopped coming");
-                } else if (upload != null && upload.takesNothing() || flow != null && flow.bringsNothing()) {
+                } else if (upload != null && upload.takesNothing()
+                        || flow != null && flow.bringsNothing()) {
                     service.stalled(this);
                 } else if (flow != null && flow.takesNothing()) {
                     reset();
@@ -764,14 +873,16 @@
             }
 
             @Override
-            public void begin(HttpHeaders headers, long length, Streaming limits, Flow.Source source) {
+            public void begin(
+                    HttpHeaders headers, long length, Streaming limits, Flow.Source source) {
                 if (client != this) {
                     return;
                 }
                 bounds = limits;
                 flow = new Flow(limits, buffers, source);
-                HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                        headers);
+                HttpResponse head =
+                        new DefaultHttpResponse(
+                                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers);
                 endsByClose = length < 0 && !knowsChunks;
                 if (length < 0 && knowsChunks) {
                     head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -806,15 +917,20 @@
                 }
                 flow.finished();
                 channel.writeAndFlush(new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers))
-                        .addListener(f -> {
-                            if (f.isSuccess() && client == this) {
-                                client = null;
-                                ends = !keep || endsByClose || ending || !listening.config().isAutoRead();
-                                enter(State.ANSWERING);
-                                taken.run();
-                                written(true);
-                            }
-                        });
+                        .addListener(
+                                f -> {
+                                    if (f.isSuccess() && client == this) {
+                                        client = null;
+                                        ends =
+                                                !keep
+                                                        || endsByClose
+                                                        || ending
+                                                        || !listening.config().isAutoRead();
+                                        enter(State.ANSWERING);
+                                        taken.run();
+                                        written(true);
+                                    }
+                                });
             }
 
             @Override
@@ -847,14 +963,20 @@
                     return;
                 }
                 client = null;
-                // While others wait to be accepted, a connection that stays open and idle shuts them out. And
+                // While others wait to be accepted, a connection that stays open and idle shuts
+                // them out. And
                 // where a body has not come whole, what follows is the rest of it.
                 ends = !keep || ending || !listening.config().isAutoRead() || uploading();
                 if (upload != null) {
                     channel.config().setAutoRead(true);
                 }
-                FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content,
-                        headers, new DefaultHttpHeaders());
+                FullHttpResponse response =
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                status,
+                                content,
+                                headers,
+                                new DefaultHttpHeaders());
                 HttpUtil.setContentLength(response, content.readableBytes());
                 if (ends) {
                     response.headers().set(HttpHeaderNames.CONNECTION, "close");
--- a/sidecar/src/main/java/sagefall/sidecar/Clock.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Clock.java
@@ -4,8 +4,9 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Unix time in microseconds, read from the wall clock once and carried on by the monotonic one: start times
- * from discovery and deadlines can be compared with it, and a step of the wall clock moves neither.
+ * Unix time in microseconds, read from the wall clock once and carried on by the monotonic one:
+ * start times from discovery and deadlines can be compared with it, and a step of the wall clock
+ * moves neither.
  */
 final class Clock {
 
--- a/sidecar/src/main/java/sagefall/sidecar/Config.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Config.java
@@ -12,15 +12,24 @@
 import sagefall.SettingsReader;
 
 /** What one sidecar is told at its start. */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, int sockets,
-        Settings settings, long connectMicros, ServerList known,
-        ServerList.Reader lists, Extensions extensions) {
+record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        int sockets,
+        Settings settings,
+        long connectMicros,
+        ServerList known,
+        ServerList.Reader lists,
+        Extensions extensions) {
 
     /**
-     * Descriptors beside the clients' and servers' connections: the runtime, its files and the event loop
-     * hold 11; discovery's connection, a second one while it moves, and the configuration read again make 14.
+     * Descriptors beside the clients' and servers' connections: the runtime, its files and the
+     * event loop hold 11; discovery's connection, a second one while it moves, and the
+     * configuration read again make 14.
      */
     private static final int OWN_DESCRIPTORS = 24;
+
     private static final int LEAST_DESCRIPTORS = 128;
 
     /** Reads the file that {@code LB_CONFIG} names; the exception's message is one plain line. */
@@ -33,7 +42,10 @@
         return plain.with(Extensions.read(environment, plain.settings.classes()));
     }
 
-    /** Reads the file of a running sidecar, which is newer than what the environment says of discovery. */
+    /**
+     * Reads the file of a running sidecar, which is newer than what the environment says of
+     * discovery.
+     */
     static Config reread(Map<String, String> environment) throws IOException {
         Map<String, String> others = new HashMap<>(environment);
         others.remove("LB_DISCOVERY");
@@ -41,17 +53,41 @@
     }
 
     private Config with(Extensions others) {
-        return new Config(name, listen, discovery, sockets, settings, connectMicros, known, lists,
-                others);
+        return new Config(
+                name, listen, discovery, sockets, settings, connectMicros, known, lists, others);
     }
 
-    /** The same with other servers, which nothing has to be asked for, other descriptors, no extensions. */
+    /**
+     * The same with other servers, which nothing has to be asked for, other descriptors, no
+     * extensions.
+     */
     Config with(int otherSockets, ServerList servers) {
         Settings s = settings;
-        Settings pushed = new Settings(s.seed(), s.rank(), s.replicas(), s.zone(), s.zones(), s.classes(),
-                s.tenants(), s.overShareWorth(), s.limits(), s.rules(), s.reports(), false,
-                s.warmKeys(), s.tickMicros());
-        return new Config(name, listen, discovery, otherSockets, pushed, connectMicros, servers, lists,
+        Settings pushed =
+                new Settings(
+                        s.seed(),
+                        s.rank(),
+                        s.replicas(),
+                        s.zone(),
+                        s.zones(),
+                        s.classes(),
+                        s.tenants(),
+                        s.overShareWorth(),
+                        s.limits(),
+                        s.rules(),
+                        s.reports(),
+                        false,
+                        s.warmKeys(),
+                        s.tickMicros());
+        return new Config(
+                name,
+                listen,
+                discovery,
+                otherSockets,
+                pushed,
+                connectMicros,
+                servers,
+                lists,
                 Extensions.NONE);
     }
 
@@ -60,37 +96,68 @@
             throw new IOException("'settings' is missing");
         }
         Map<?, ?> limits = Json.object(facts, "policy_limits");
-        ServerList.Reader lists = new ServerList.Reader(SettingsReader.names(facts, "zones"),
-                SettingsReader.names(facts, "models"));
-        ServerList known = c.get("known") instanceof Map<?, ?> m ? lists.read(m)
-                : new ServerList(0, true, List.of());
+        ServerList.Reader lists =
+                new ServerList.Reader(
+                        SettingsReader.names(facts, "zones"),
+                        SettingsReader.names(facts, "models"));
+        ServerList known =
+                c.get("known") instanceof Map<?, ?> m
+                        ? lists.read(m)
+                        : new ServerList(0, true, List.of());
         int sockets = (int) Math.min(65_536, Json.whole(Json.object(c, "limits"), "sockets", 1024));
         if (sockets < LEAST_DESCRIPTORS) {
             throw new IOException("'sockets' must be " + LEAST_DESCRIPTORS + " or more");
         }
         String name = text(c, "name", environment.get("LB_NAME"));
         InetSocketAddress listen = Addresses.parse(text(c, "listen", environment.get("LB_LISTEN")));
-        InetSocketAddress discovery = Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY")));
+        InetSocketAddress discovery =
+                Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY")));
         Settings settings = within(SettingsReader.read(seed(c), facts), sockets);
-        return new Config(name, listen, discovery, sockets, settings,
-                Json.whole(limits, "connect_timeout_us", 250_000), known, lists, Extensions.NONE);
+        return new Config(
+                name,
+                listen,
+                discovery,
+                sockets,
+                settings,
+                Json.whole(limits, "connect_timeout_us", 250_000),
+                known,
+                lists,
+                Extensions.NONE);
     }
 
     /**
-     * The module is told what really holds. Servers close what has been idle for the site's time, and a
-     * request written to such a connection is lost: the pool closes well before. And each request in hand
-     * keeps a client's connection busy, of which clients have a third of the descriptors at most: where all
-     * are busy their next requests are lost whatever they are worth, so a part stays free for the next ones.
-     * On sockets a refusal may always say when to come back: the setting speaks of the simulator's wire.
+     * The module is told what really holds. Servers close what has been idle for the site's time,
+     * and a request written to such a connection is lost: the pool closes well before. And each
+     * request in hand keeps a client's connection busy, of which clients have a third of the
+     * descriptors at most: where all are busy their next requests are lost whatever they are worth,
+     * so a part stays free for the next ones. On sockets a refusal may always say when to come
+     * back: the setting speaks of the simulator's wire.
      */
     private static Settings within(Settings s, int sockets) {
         Limits l = s.limits();
-        Limits kept = new Limits(l.attempts(), l.cancelling(), true,
-                l.maxRetryAdviceMicros(), l.idleMicros() / 3 * 2,
-                Math.min(l.open(), sockets / 3 / 8 * 7));
-        return new Settings(s.seed(), s.rank(), s.replicas(), s.zone(), s.zones(), s.classes(), s.tenants(),
-                s.overShareWorth(), kept, s.rules(), s.reports(), s.discoveryOnAsk(),
-                s.warmKeys(), s.tickMicros());
+        Limits kept =
+                new Limits(
+                        l.attempts(),
+                        l.cancelling(),
+                        true,
+                        l.maxRetryAdviceMicros(),
+                        l.idleMicros() / 3 * 2,
+                        Math.min(l.open(), sockets / 3 / 8 * 7));
+        return new Settings(
+                s.seed(),
+                s.rank(),
+                s.replicas(),
+                s.zone(),
+                s.zones(),
+                s.classes(),
+                s.tenants(),
+                s.overShareWorth(),
+                kept,
+                s.rules(),
+                s.reports(),
+                s.discoveryOnAsk(),
+                s.warmKeys(),
+                s.tickMicros());
     }
 
     private static String text(Map<?, ?> c, String name, String first) throws IOException {
@@ -112,9 +179,10 @@
     }
 
     /**
-     * Connections to servers: four ninths of what is left. Clients hold a third of all descriptors for
-     * requests, each of which may be out at a server, so the servers' part is that third and a few idle ones
-     * more; what remains for clients is that third and as many again as idle or unfit ones may take.
+     * Connections to servers: four ninths of what is left. Clients hold a third of all descriptors
+     * for requests, each of which may be out at a server, so the servers' part is that third and a
+     * few idle ones more; what remains for clients is that third and as many again as idle or unfit
+     * ones may take.
      */
     int serverConnections() {
         return serverConnections(sockets);
--- a/sidecar/src/main/java/sagefall/sidecar/Deadlines.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Deadlines.java
@@ -8,17 +8,20 @@
 import java.util.function.Consumer;
 
 /**
- * Requests in hand by the time at which their clients must have an answer. The loop takes timers behind all
- * that a turn has read, so where a turn is long the nearest deadline is looked at before each event too. One
- * timer for all, since nearly all requests are answered before theirs would act.
+ * Requests in hand by the time at which their clients must have an answer. The loop takes timers
+ * behind all that a turn has read, so where a turn is long the nearest deadline is looked at before
+ * each event too. One timer for all, since nearly all requests are answered before theirs would
+ * act.
  */
 final class Deadlines {
 
     private final EventLoop loop;
     private final Clock clock;
     private final Consumer<Call> overdue;
-    private final TreeSet<Call> calls = new TreeSet<>(
-            Comparator.comparingLong((Call c) -> c.dueMicros).thenComparing(c -> c.request.id()));
+    private final TreeSet<Call> calls =
+            new TreeSet<>(
+                    Comparator.comparingLong((Call c) -> c.dueMicros)
+                            .thenComparing(c -> c.request.id()));
     private Future<?> timer;
     private long timerAt;
 
@@ -55,7 +58,9 @@
                 timer.cancel(false);
             }
             timerAt = first;
-            timer = loop.schedule(this::wake, Math.max(0, first - clock.micros()), TimeUnit.MICROSECONDS);
+            timer =
+                    loop.schedule(
+                            this::wake, Math.max(0, first - clock.micros()), TimeUnit.MICROSECONDS);
         }
     }
 
--- a/sidecar/src/main/java/sagefall/sidecar/Discovery.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Discovery.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * Watches the list of servers. Once asked, the watch goes on by itself; when it fails it stops, and it is the
- * module that asks again.
+ * Watches the list of servers. Once asked, the watch goes on by itself; when it fails it stops, and
+ * it is the module that asks again.
  */
 final class Discovery {
 
@@ -31,24 +31,27 @@
     }
 
     /**
-     * How long discovery may wait for news, and how long after that its answer may take; then the call is
-     * taken for lost. What a lost call would have brought counts as told 6 s after the peer fell silent, or
-     * 2 s after the wait, if that is later. The worst is a watch that falls silent as it is asked:
+     * How long discovery may wait for news, and how long after that its answer may take; then the
+     * call is taken for lost. What a lost call would have brought counts as told 6 s after the peer
+     * fell silent, or 2 s after the wait, if that is later. The worst is a watch that falls silent
+     * as it is asked:
      *
      * <ul>
-     * <li>an agent on the own machine answers at once: it is noticed after 3 + 0.5 s; the module asks again
-     *     within 0.15 s, and that call may be lost once more, 0.5 s: list at 4.3 s;
-     * <li>a shared service answers in turn, up to 1.75 s late: it is noticed after 1 + 1.75 s; the module
-     *     asks again within 0.6 s, and that call may be lost once more, 1.75 s: the third is asked at 5.7 s.
+     *   <li>an agent on the own machine answers at once: it is noticed after 3 + 0.5 s; the module
+     *       asks again within 0.15 s, and that call may be lost once more, 0.5 s: list at 4.3 s;
+     *   <li>a shared service answers in turn, up to 1.75 s late: it is noticed after 1 + 1.75 s;
+     *       the module asks again within 0.6 s, and that call may be lost once more, 1.75 s: the
+     *       third is asked at 5.7 s.
      * </ul>
      *
-     * <p>However often calls have failed before, a change counts as told 6 s after discovery had it and could
-     * be reached. The call that is out then need not wait, and may be lost, as may the next: from an agent
-     * the list is there after 2 (0.5 + 0.15) s and an answer, from a service after 2 (1.75 + 0.6) s and an
-     * answer. After SIGHUP, where a change counts after 4 s, the new address is asked at once, and one call
-     * may be lost: 1.75 + 0.6 s and an answer.
+     * <p>However often calls have failed before, a change counts as told 6 s after discovery had it
+     * and could be reached. The call that is out then need not wait, and may be lost, as may the
+     * next: from an agent the list is there after 2 (0.5 + 0.15) s and an answer, from a service
+     * after 2 (1.75 + 0.6) s and an answer. After SIGHUP, where a change counts after 4 s, the new
+     * address is asked at once, and one call may be lost: 1.75 + 0.6 s and an answer.
      *
-     * <p>A watch that goes on costs the service nothing, so a shorter wait costs only the sidecar's own time.
+     * <p>A watch that goes on costs the service nothing, so a shorter wait costs only the sidecar's
+     * own time.
      */
     record Timeouts(long holdMillis, long answerMillis) {
         static final Timeouts WITH_AGENT = new Timeouts(3_000, 500);
@@ -60,15 +63,23 @@
     }
 
     /**
-     * The wait of a first call, and of the first one after a failure: the answer is due at once, so a peer
-     * that is still silent is seen soon, and not as late as one in a watch.
+     * The wait of a first call, and of the first one after a failure: the answer is due at once, so
+     * a peer that is still silent is seen soon, and not as late as one in a watch.
      */
     private static final long NO_HOLD_MILLIS = 1;
+
     private static final String PATH = "/v1/servers";
     private static final long CONNECT_MICROS = 1_000_000;
-    /** Largest list: over a thousand servers with long names, indented; held only while it is read. */
+
+    /**
+     * Largest list: over a thousand servers with long names, indented; held only while it is read.
+     */
     private static final int MAX_LIST = 4 * 1024 * 1024;
-    /** Pause after an answer without news that came early; a watch goes on for 200 ms after an answer. */
+
+    /**
+     * Pause after an answer without news that came early; a watch goes on for 200 ms after an
+     * answer.
+     */
     private static final long EARLY_MILLIS = 100;
 
     private final EventLoop loop;
@@ -79,16 +90,24 @@
 
     private InetSocketAddress address;
     private Peer peer;
-    /** It has been asked once; before that nothing is, as the first list has to come from elsewhere. */
+
+    /**
+     * It has been asked once; before that nothing is, as the first list has to come from elsewhere.
+     */
     private boolean begun;
+
     private boolean watching;
     private boolean closed;
+
     /** The next answer must be the whole list: the revision of another service says nothing. */
     private boolean whole;
+
     /** The last call was answered, so the next one may wait. */
     private boolean answering;
+
     /** An answer is being told; its link is not to be read meanwhile. */
     private boolean telling;
+
     private String lastFailure;
     private long revision;
     private long askedAt;
@@ -96,8 +115,14 @@
     private Future<?> silence;
     private Future<?> pause;
 
-    Discovery(EventLoop loop, InetSocketAddress address, ServerList.Reader reader, long revision,
-            Listener listener, Consumer<String> log, Timeouts timeouts) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            ServerList.Reader reader,
+            long revision,
+            Listener listener,
+            Consumer<String> log,
+            Timeouts timeouts) {
         this.loop = loop;
         this.address = address;
         this.reader = reader;
@@ -155,8 +180,11 @@
         }
         askedAt = System.nanoTime();
         holdMillis = answering ? timeouts.holdMillis : NO_HOLD_MILLIS;
-        silence = loop.schedule(() -> fail("no answer"),
-                (whole ? 0 : holdMillis) + timeouts.answerMillis, TimeUnit.MILLISECONDS);
+        silence =
+                loop.schedule(
+                        () -> fail("no answer"),
+                        (whole ? 0 : holdMillis) + timeouts.answerMillis,
+                        TimeUnit.MILLISECONDS);
         if (peer == null) {
             peer = new Peer();
         } else if (peer.up) {
@@ -187,8 +215,11 @@
         if (!HttpUtil.isKeepAlive(answer)) {
             drop();
         }
-        boolean early = answering && list.entries().isEmpty()
-                && System.nanoTime() - askedAt < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
+        boolean early =
+                answering
+                        && list.entries().isEmpty()
+                        && System.nanoTime() - askedAt
+                                < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
         answering = true;
         if (early) {
             pause = loop.schedule(this::ask, EARLY_MILLIS, TimeUnit.MILLISECONDS);
@@ -230,9 +261,12 @@
         private boolean up;
 
         private void send() {
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    whole ? PATH : PATH + "?from=" + revision + "&hold_ms=" + holdMillis,
-                    Unpooled.EMPTY_BUFFER);
+            FullHttpRequest request =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1,
+                            HttpMethod.GET,
+                            whole ? PATH : PATH + "?from=" + revision + "&hold_ms=" + holdMillis,
+                            Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
             link.send(request);
         }
@@ -246,7 +280,7 @@
         }
 
         @Override
-        public void written() { }
+        public void written() {}
 
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
--- a/sidecar/src/main/java/sagefall/sidecar/Headers.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Headers.java
@@ -18,15 +18,32 @@
     static final String LOAD = "Server-Load";
     static final String NOT_STARTED = "Not-Started";
 
-    private static final List<CharSequence> ONE_HOP = List.of(HttpHeaderNames.CONNECTION,
-            "Keep-Alive", HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION,
-            HttpHeaderNames.TE, HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING,
-            HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT);
+    private static final List<CharSequence> ONE_HOP =
+            List.of(
+                    HttpHeaderNames.CONNECTION,
+                    "Keep-Alive",
+                    HttpHeaderNames.PROXY_AUTHENTICATE,
+                    HttpHeaderNames.PROXY_AUTHORIZATION,
+                    HttpHeaderNames.TE,
+                    HttpHeaderNames.TRAILER,
+                    HttpHeaderNames.TRANSFER_ENCODING,
+                    HttpHeaderNames.UPGRADE,
+                    HttpHeaderNames.EXPECT);
 
-    private static final List<CharSequence> NOT_BEHIND = List.of(REQUEST_ID, TENANT, TIMEOUT, IDEMPOTENCY_KEY,
-            RETRY, HINT, LOAD, NOT_STARTED, HttpHeaderNames.CONTENT_LENGTH, HttpHeaderNames.HOST);
+    private static final List<CharSequence> NOT_BEHIND =
+            List.of(
+                    REQUEST_ID,
+                    TENANT,
+                    TIMEOUT,
+                    IDEMPOTENCY_KEY,
+                    RETRY,
+                    HINT,
+                    LOAD,
+                    NOT_STARTED,
+                    HttpHeaderNames.CONTENT_LENGTH,
+                    HttpHeaderNames.HOST);
 
-    private Headers() { }
+    private Headers() {}
 
     /** A copy without what concerns one connection only. */
     static HttpHeaders endToEnd(HttpHeaders headers) {
@@ -35,7 +52,9 @@
         return copy;
     }
 
-    /** Trailers that go on: none that the protocol or the framing gives a meaning ahead of the body. */
+    /**
+     * Trailers that go on: none that the protocol or the framing gives a meaning ahead of the body.
+     */
     static HttpHeaders trailers(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
             return EmptyHttpHeaders.INSTANCE;
--- a/sidecar/src/main/java/sagefall/sidecar/Ids.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Ids.java
@@ -3,7 +3,7 @@
 /** Numbers for texts, the same in every sidecar and after every restart. */
 final class Ids {
 
-    private Ids() { }
+    private Ids() {}
 
     /** FNV-1a in 64 bits without the sign: server ids and keys must agree between sidecars. */
     static long of(String text) {
--- a/sidecar/src/main/java/sagefall/sidecar/JsonFile.java
+++ b/sidecar/src/main/java/sagefall/sidecar/JsonFile.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import sagefall.Json;
 
-/** A file that holds one JSON object; whatever is wrong with it is told in one plain line that names it. */
+/**
+ * A file that holds one JSON object; whatever is wrong with it is told in one plain line that names
+ * it.
+ */
 final class JsonFile {
 
     /** Makes something of the object. */
@@ -18,7 +21,7 @@
         T of(Map<String, Object> object) throws IOException;
     }
 
-    private JsonFile() { }
+    private JsonFile() {}
 
     static <T> T read(String file, JsonFactory json, Reading<T> reading) throws IOException {
         try (JsonParser parser = json.createParser(Files.readAllBytes(Path.of(file)))) {
--- a/sidecar/src/main/java/sagefall/sidecar/Link.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Link.java
@@ -41,9 +41,9 @@
 /**
  * One outgoing HTTP/1.1 connection. It collects whole answers, and tells of its end exactly once.
  *
- * <p>An answer belongs to a request only if nothing else was on its way when the request was written. So an
- * answer is told when all that came with it has been read, with word on whether anything was left over; and a
- * byte that nobody asked for ends the connection.
+ * <p>An answer belongs to a request only if nothing else was on its way when the request was
+ * written. So an answer is told when all that came with it has been read, with word on whether
+ * anything was left over; and a byte that nobody asked for ends the connection.
  */
 final class Link {
 
@@ -58,13 +58,13 @@
         void written();
 
         /**
-         * A whole answer; the link keeps the reference and releases it on return. Where more came than the
-         * answer (not clean), the connection is of no further use.
+         * A whole answer; the link keeps the reference and releases it on return. Where more came
+         * than the answer (not clean), the connection is of no further use.
          */
         void answered(FullHttpResponse answer, boolean clean);
 
         /** An answer of status 200 that passes through has begun; its end is bounded. */
-        default void began(HttpResponse head) { }
+        default void began(HttpResponse head) {}
 
         /** A part of it, which the owner takes over. */
         default void part(ByteBuf part) {
@@ -72,10 +72,10 @@
         }
 
         /** All that came in one go has been told. */
-        default void flush() { }
+        default void flush() {}
 
         /** It has come whole. */
-        default void finished(HttpHeaders trailers, boolean clean) { }
+        default void finished(HttpHeaders trailers, boolean clean) {}
 
         /** Never came up, broke, or was closed by either side. */
         void closed();
@@ -84,13 +84,19 @@
     private final Channel channel;
     private final Owner owner;
     private final Decoder decoder = new Decoder();
+
     /** A request has been sent and its answer not been told. */
     private boolean asked;
+
     /** Largest answer that passes through as it arrives; 0 where it is collected. */
     private long mostStreamed;
+
     private boolean down;
 
-    /** Shows whether it holds a part of a further message, and takes no line of a head without a colon. */
+    /**
+     * Shows whether it holds a part of a further message, and takes no line of a head without a
+     * colon.
+     */
     private static final class Decoder extends HttpResponseDecoder {
         private boolean begun;
 
@@ -109,7 +115,9 @@
             return !begun && actualReadableBytes() == 0;
         }
 
-        /** In answers, though not in requests, a name may end with a space, and the colon may lack. */
+        /**
+         * In answers, though not in requests, a name may end with a space, and the colon may lack.
+         */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (start + length >= line.length || line[start + length] != ':') {
@@ -123,36 +131,59 @@
         this(loop, to, maxBody, connectMicros, false, owner);
     }
 
-    /** One that streams may pass over is read in small pieces, so that few bytes come past a watermark. */
-    Link(EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, boolean streams,
+    /**
+     * One that streams may pass over is read in small pieces, so that few bytes come past a
+     * watermark.
+     */
+    Link(
+            EventLoop loop,
+            InetSocketAddress to,
+            int maxBody,
+            long connectMicros,
+            boolean streams,
             Owner owner) {
         this.owner = owner;
         Bootstrap bootstrap = new Bootstrap();
         if (streams) {
             bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, smallReads());
         }
-        ChannelFuture connecting = bootstrap.group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                // Else an end that the server said and a reset would look alike.
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectMicros / 1000))
-                .handler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new Gate(), decoder, new HttpRequestEncoder(),
-                                new Aggregator(maxBody), new Answers());
-                    }
-                }).connect(to);
+        ChannelFuture connecting =
+                bootstrap
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        // Else an end that the server said and a reset would look alike.
+                        .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.max(1, connectMicros / 1000))
+                        .handler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel c) {
+                                        c.pipeline()
+                                                .addLast(
+                                                        new Gate(),
+                                                        decoder,
+                                                        new HttpRequestEncoder(),
+                                                        new Aggregator(maxBody),
+                                                        new Answers());
+                                    }
+                                })
+                        .connect(to);
         channel = connecting.channel();
-        // Without a free descriptor there is no channel at all, and the failure comes on another thread. The
-        // end is told by a task of its own, so never inside a call that asked for the link or closed it.
-        connecting.addListener(f -> {
-            if (!f.isSuccess()) {
-                later(loop, this::down);
-            } else if (!down) {
-                owner.opened();
-            }
-        });
+        // Without a free descriptor there is no channel at all, and the failure comes on another
+        // thread. The
+        // end is told by a task of its own, so never inside a call that asked for the link or
+        // closed it.
+        connecting.addListener(
+                f -> {
+                    if (!f.isSuccess()) {
+                        later(loop, this::down);
+                    } else if (!down) {
+                        owner.opened();
+                    }
+                });
         channel.closeFuture().addListener(f -> later(loop, this::down));
     }
 
@@ -167,8 +198,9 @@
     }
 
     /**
-     * Whether it is up and clean, seen with all that has come so far: bytes or an end that still wait in the
-     * socket would be taken for the next answer. Not to be called from what this link tells.
+     * Whether it is up and clean, seen with all that has come so far: bytes or an end that still
+     * wait in the socket would be taken for the next answer. Not to be called from what this link
+     * tells.
      */
     boolean usable() {
         if (!asked) {
@@ -197,24 +229,31 @@
     void send(FullHttpRequest request, long mostStreamed) {
         asked = true;
         this.mostStreamed = mostStreamed;
-        channel.writeAndFlush(request).addListener(f -> {
-            if (f.isSuccess()) {
-                owner.written();
-            } else {
-                channel.close();
-            }
-        });
+        channel.writeAndFlush(request)
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                owner.written();
+                            } else {
+                                channel.close();
+                            }
+                        });
     }
 
-    /** Sends the head of a request whose body passes through; who sends the body tells that it is written. */
+    /**
+     * Sends the head of a request whose body passes through; who sends the body tells that it is
+     * written.
+     */
     Channel begin(HttpRequest head, long mostStreamed) {
         asked = true;
         this.mostStreamed = mostStreamed;
-        channel.write(head).addListener(f -> {
-            if (!f.isSuccess()) {
-                channel.close();
-            }
-        });
+        channel.write(head)
+                .addListener(
+                        f -> {
+                            if (!f.isSuccess()) {
+                                channel.close();
+                            }
+                        });
         return channel;
     }
 
@@ -258,8 +297,10 @@
         @Override
         public boolean acceptInboundMessage(Object message) throws Exception {
             if (message instanceof HttpResponse head) {
-                passing = mostStreamed > 0 && head.status().equals(HttpResponseStatus.OK)
-                        && !(message instanceof FullHttpResponse);
+                passing =
+                        mostStreamed > 0
+                                && head.status().equals(HttpResponseStatus.OK)
+                                && !(message instanceof FullHttpResponse);
             }
             return !passing && super.acceptInboundMessage(message);
         }
@@ -268,8 +309,13 @@
     private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
         /** Whole, and told once all is read that came with it. */
         private FullHttpResponse whole;
-        /** The answer that passes through: what it may still bring, and its trailers once it is whole. */
+
+        /**
+         * The answer that passes through: what it may still bring, and its trailers once it is
+         * whole.
+         */
         private boolean passing;
+
         private long left;
         private HttpHeaders trailers;
         private boolean more;
@@ -285,16 +331,21 @@
             }
         }
 
-        /** Only an answer whose end is told can be known to be whole; one that is too long is none. */
+        /**
+         * Only an answer whose end is told can be known to be whole; one that is too long is none.
+         */
         private void begin(ChannelHandlerContext context, HttpResponse head) {
             HttpHeaders headers = head.headers();
             List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-            boolean chunked = codings.size() == 1
-                    && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).trim());
+            boolean chunked =
+                    codings.size() == 1
+                            && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
+                                    codings.get(0).trim());
             long length = HttpUtil.getContentLength(head, -1L);
             if (whole != null || passing || trailers != null) {
                 more = true;
-            } else if (head.decoderResult().isFailure() || length > mostStreamed
+            } else if (head.decoderResult().isFailure()
+                    || length > mostStreamed
                     || (codings.isEmpty() ? length < 0 : !chunked || length >= 0)) {
                 context.close();
             } else {
@@ -337,10 +388,13 @@
                     && !answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
                 // One or more of them may go ahead of the answer.
                 return;
-            } else if (answer.decoderResult().isFailure() || !channel.isActive()
+            } else if (answer.decoderResult().isFailure()
+                    || !channel.isActive()
                     || answer.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                // A body that only the end of the connection bounds is whole where the server has said that
-                // end (RFC 9112, 6.3); on a closed channel, as after a reset, that is not known. After a
+                // A body that only the end of the connection bounds is whole where the server has
+                // said that
+                // end (RFC 9112, 6.3); on a closed channel, as after a reset, that is not known.
+                // After a
                 // change of protocol no answer comes.
                 context.close();
             } else {
@@ -372,11 +426,16 @@
         }
 
         private boolean clean() {
-            return !more && decoder.isEmpty() && channel.isActive()
+            return !more
+                    && decoder.isEmpty()
+                    && channel.isActive()
                     && !((SocketChannel) channel).isInputShutdown();
         }
 
-        /** The server has said that nothing more comes; an answer that this end makes whole has been told. */
+        /**
+         * The server has said that nothing more comes; an answer that this end makes whole has been
+         * told.
+         */
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
--- a/sidecar/src/main/java/sagefall/sidecar/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/sidecar/RequestReader.java
@@ -28,8 +28,12 @@
         }
     }
 
-    /** The client's time runs from when it sent; this much is kept for the way here and back, at most. */
+    /**
+     * The client's time runs from when it sent; this much is kept for the way here and back, at
+     * most.
+     */
     private static final long MARGIN_MICROS = 20_000;
+
     private static final int MARGIN_PART = 10;
     private static final int MAX_ID = 128;
     private static final long MAX_NUMBER = 1_000_000_000;
@@ -49,10 +53,16 @@
     }
 
     /**
-     * The body is what came with the request, or, where that is null, what passes through as it arrives. The
-     * deadline counts from when the client may have sent it.
+     * The body is what came with the request, or, where that is null, what passes through as it
+     * arrives. The deadline counts from when the client may have sent it.
      */
-    Call read(long now, HttpRequest http, byte[] body, Upload upload, Streaming streaming, Call.Client client)
+    Call read(
+            long now,
+            HttpRequest http,
+            byte[] body,
+            Upload upload,
+            Streaming streaming,
+            Call.Client client)
             throws BadRequest {
         if (http.decoderResult().isFailure()) {
             throw new BadRequest("not HTTP");
@@ -74,13 +84,26 @@
         long timeout = number(headers, Headers.TIMEOUT, 1) * 1000;
         long waited = client.waitedMicros();
         long deadline = now - waited + timeout - Math.min(MARGIN_MICROS, timeout / MARGIN_PART);
-        long key = slash < 0 || slash == path.length() - 1 ? -1
-                : Ids.of(path.substring(path.lastIndexOf('/') + 1));
+        long key =
+                slash < 0 || slash == path.length() - 1
+                        ? -1
+                        : Ids.of(path.substring(path.lastIndexOf('/') + 1));
         boolean repeat = headers.contains(Headers.RETRY, "1", false);
         long streamed = streaming.bounds(known.name()).answerBytes();
-        Request request = new Request(id, classes.get(known.name()), tenant(headers), repeat, key, deadline,
-                write, upload != null, streaming.hold(upload != null, streamed > 0), waited);
-        return new Call(request, http.method(), http.uri(), headers, body, upload, streamed, client);
+        Request request =
+                new Request(
+                        id,
+                        classes.get(known.name()),
+                        tenant(headers),
+                        repeat,
+                        key,
+                        deadline,
+                        write,
+                        upload != null,
+                        streaming.hold(upload != null, streamed > 0),
+                        waited);
+        return new Call(
+                request, http.method(), http.uri(), headers, body, upload, streamed, client);
     }
 
     /** The class that a path names, or null. */
@@ -91,11 +114,15 @@
         return number == null ? null : settings.classes().get(number);
     }
 
-    /** The decoder refuses lengths that are odd, repeated or beside a coding; other codings it lets pass. */
+    /**
+     * The decoder refuses lengths that are odd, repeated or beside a coding; other codings it lets
+     * pass.
+     */
     private static void checkFraming(HttpRequest http) throws BadRequest {
         List<String> codings = http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = codings.size() == 1
-                && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
+        boolean chunked =
+                codings.size() == 1
+                        && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
         if (!codings.isEmpty() && !chunked) {
             throw new BadRequest("unknown " + HttpHeaderNames.TRANSFER_ENCODING);
         }
@@ -111,8 +138,12 @@
         return path.startsWith("/") ? path.substring(1) : "";
     }
 
-    /** The method and the key say what the client takes the class for; it must be what the settings say. */
-    private static void checkMethod(HttpRequest http, Effect effect, boolean body) throws BadRequest {
+    /**
+     * The method and the key say what the client takes the class for; it must be what the settings
+     * say.
+     */
+    private static void checkMethod(HttpRequest http, Effect effect, boolean body)
+            throws BadRequest {
         List<String> keys = http.headers().getAll(Headers.IDEMPOTENCY_KEY);
         HttpMethod wanted = effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(wanted)) {
--- a/sidecar/src/main/java/sagefall/sidecar/ServerList.java
+++ b/sidecar/src/main/java/sagefall/sidecar/ServerList.java
@@ -16,7 +16,7 @@
 /** Servers in discovery's form: the whole list, or what has changed. */
 record ServerList(long revision, boolean complete, List<Entry> entries) {
 
-    record Entry(Server server, InetSocketAddress address) { }
+    record Entry(Server server, InetSocketAddress address) {}
 
     List<Server> servers() {
         return entries.stream().map(Entry::server).toList();
@@ -25,16 +25,31 @@
     /** In a few words, for a log. */
     String told() {
         long out = entries.stream().filter(e -> e.server().phase() != Phase.READY).count();
-        return "revision " + revision + " with " + (entries.size() - out) + " servers in service and " + out
+        return "revision "
+                + revision
+                + " with "
+                + (entries.size() - out)
+                + " servers in service and "
+                + out
                 + " not";
     }
 
-    /** All servers of both, of each the younger process, as this list has it where both have the same. */
+    /**
+     * All servers of both, of each the younger process, as this list has it where both have the
+     * same.
+     */
     ServerList with(ServerList other) {
         Map<Long, Entry> all = new LinkedHashMap<>();
         other.entries.forEach(e -> all.put(e.server().id(), e));
-        entries.forEach(e -> all.merge(e.server().id(), e, (theirs, mine) ->
-                theirs.server().startMicros() > mine.server().startMicros() ? theirs : mine));
+        entries.forEach(
+                e ->
+                        all.merge(
+                                e.server().id(),
+                                e,
+                                (theirs, mine) ->
+                                        theirs.server().startMicros() > mine.server().startMicros()
+                                                ? theirs
+                                                : mine));
         return new ServerList(Math.max(revision, other.revision), true, List.copyOf(all.values()));
     }
 
@@ -51,7 +66,8 @@
 
         /** All or nothing: a list that is wrong in one place is not trusted in another. */
         ServerList read(Map<?, ?> m) throws IOException {
-            if (!(m.get("rev") instanceof Long revision) || !(m.get("all") instanceof Boolean complete)
+            if (!(m.get("rev") instanceof Long revision)
+                    || !(m.get("all") instanceof Boolean complete)
                     || !(m.get("targets") instanceof List<?> targets)) {
                 throw new IOException("a list without 'rev', 'all' or 'targets'");
             }
@@ -67,8 +83,18 @@
             Map<Long, Kept.Line> lines = new LinkedHashMap<>();
             for (Entry e : list.entries) {
                 Server s = e.server();
-                lines.put(s.id(), new Kept.Line(s.id(), Addresses.text(e.address()), name(zones, s.zone()),
-                        name(models, s.kind()), s.cell(), s.phase(), s.startMicros(), s.weight(), 0));
+                lines.put(
+                        s.id(),
+                        new Kept.Line(
+                                s.id(),
+                                Addresses.text(e.address()),
+                                name(zones, s.zone()),
+                                name(models, s.kind()),
+                                s.cell(),
+                                s.phase(),
+                                s.startMicros(),
+                                s.weight(),
+                                0));
             }
             return new Kept.Change(list.complete, list.revision, atMillis, lines);
         }
@@ -81,27 +107,43 @@
         ServerList kept(Kept kept) {
             List<Entry> entries = new ArrayList<>();
             for (Kept.Line line : kept.lines().values()) {
-                entries.add(new Entry(new Server(line.id(), zones.indexOf(line.zone()),
-                        models.indexOf(line.kind()), line.cell(), line.phase(), line.startMicros(),
-                        line.weight()), Addresses.parse(line.address())));
+                entries.add(
+                        new Entry(
+                                new Server(
+                                        line.id(),
+                                        zones.indexOf(line.zone()),
+                                        models.indexOf(line.kind()),
+                                        line.cell(),
+                                        line.phase(),
+                                        line.startMicros(),
+                                        line.weight()),
+                                Addresses.parse(line.address())));
             }
             return new ServerList(kept.revision(), true, entries);
         }
 
         private Entry entry(Object target) throws IOException {
-            if (!(target instanceof Map<?, ?> m) || !(m.get("uid") instanceof String uid)
+            if (!(target instanceof Map<?, ?> m)
+                    || !(m.get("uid") instanceof String uid)
                     || !(m.get("endpoint") instanceof String endpoint)) {
                 throw new IOException("a target without 'uid' or 'endpoint'");
             }
-            Phase phase = switch (String.valueOf(m.get("state"))) {
-                case "in_service" -> Phase.READY;
-                case "terminating" -> Phase.DRAINING;
-                case "terminated" -> Phase.REMOVED;
-                default -> throw new IOException("unknown state '" + m.get("state") + "'");
-            };
-            Server server = new Server(Ids.of(uid), zones.indexOf(m.get("az")),
-                    models.indexOf(m.get("model")), (int) Json.whole(m, "pod_group", 0), phase,
-                    Json.whole(m, "boot_ms", 0) * 1000, Json.real(m, "capacity_hint", 1));
+            Phase phase =
+                    switch (String.valueOf(m.get("state"))) {
+                        case "in_service" -> Phase.READY;
+                        case "terminating" -> Phase.DRAINING;
+                        case "terminated" -> Phase.REMOVED;
+                        default -> throw new IOException("unknown state '" + m.get("state") + "'");
+                    };
+            Server server =
+                    new Server(
+                            Ids.of(uid),
+                            zones.indexOf(m.get("az")),
+                            models.indexOf(m.get("model")),
+                            (int) Json.whole(m, "pod_group", 0),
+                            phase,
+                            Json.whole(m, "boot_ms", 0) * 1000,
+                            Json.real(m, "capacity_hint", 1));
             try {
                 return new Entry(server, Addresses.parse(endpoint));
             } catch (IllegalArgumentException e) {
--- a/sidecar/src/main/java/sagefall/sidecar/ServerPool.java
+++ b/sidecar/src/main/java/sagefall/sidecar/ServerPool.java
@@ -35,28 +35,32 @@
 import sagefall.streaming.Flow;
 
 /**
- * Connections to the servers and the attempts on them. A connection carries one attempt at a time; nothing is
- * ever sent a second time by the pool itself.
+ * Connections to the servers and the attempts on them. A connection carries one attempt at a time;
+ * nothing is ever sent a second time by the pool itself.
  */
 final class ServerPool {
 
-    /** How an attempt ended; the answer is there only when a server gave one, and only during the call. */
+    /**
+     * How an attempt ended; the answer is there only when a server gave one, and only during the
+     * call.
+     */
     interface Listener {
         void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer);
 
         /**
-         * The last look before its first byte: takes in what has come and not been read yet, lists too.
-         * Whether anybody still waits for it.
+         * The last look before its first byte: takes in what has come and not been read yet, lists
+         * too. Whether anybody still waits for it.
          */
         default boolean wanted(Attempt attempt) {
             return true;
         }
 
         /** The last byte of an upload has left. */
-        default void written(Attempt attempt) { }
+        default void written(Attempt attempt) {}
 
         /** An answer that passes through has begun; reading it can be stopped and let on. */
-        default void began(Attempt attempt, HttpResponse head, LoadReport report, Flow.Source source) { }
+        default void began(
+                Attempt attempt, HttpResponse head, LoadReport report, Flow.Source source) {}
 
         /** A part of it, which the listener takes over. */
         default void part(Attempt attempt, ByteBuf part) {
@@ -64,13 +68,16 @@
         }
 
         /** All that came in one go has been told. */
-        default void flush(Attempt attempt) { }
+        default void flush(Attempt attempt) {}
 
         /** It has come whole. */
-        default void finished(Attempt attempt, HttpHeaders trailers) { }
+        default void finished(Attempt attempt, HttpHeaders trailers) {}
     }
 
-    /** A second copy of an answer may come this much later, so for as long a connection is not used again. */
+    /**
+     * A second copy of an answer may come this much later, so for as long a connection is not used
+     * again.
+     */
     static final long SETTLE_MICROS = 20_000;
 
     private final EventLoop loop;
@@ -88,12 +95,19 @@
     private static final class Node {
         final InetSocketAddress address;
         Server line;
+
         /** It drains or is gone. */
         boolean leaving;
-        /** Not on the list any more: nothing new goes to it, and it is forgotten with its connections. */
+
+        /**
+         * Not on the list any more: nothing new goes to it, and it is forgotten with its
+         * connections.
+         */
         boolean gone;
+
         /** Connections of any state. */
         int connections;
+
         /** The most recently used last. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
@@ -103,7 +117,8 @@
         }
 
         boolean isFor(ServerList.Entry entry) {
-            return entry.address().equals(address) && entry.server().startMicros() == line.startMicros();
+            return entry.address().equals(address)
+                    && entry.server().startMicros() == line.startMicros();
         }
     }
 
@@ -119,7 +134,10 @@
         loop.scheduleWithFixedDelay(this::closeStale, sweep, sweep, TimeUnit.MICROSECONDS);
     }
 
-    /** From now on answers may pass through; what was opened for whole ones is not used again for them. */
+    /**
+     * From now on answers may pass through; what was opened for whole ones is not used again for
+     * them.
+     */
     void streams(boolean next) {
         if (streams != next) {
             streams = next;
@@ -183,7 +201,8 @@
         }
         Connection connection = pollSettled(node);
         if (connection == null && open >= most && !closeOldestIdle()) {
-            // The bound keeps descriptors for clients; past it the attempt never leaves this process.
+            // The bound keeps descriptors for clients; past it the attempt never leaves this
+            // process.
             end(attempt, Result.NO_CONNECTION, null, null);
             return;
         }
@@ -195,10 +214,12 @@
         }
     }
 
-    /** The connection used last of those that have been quiet for long enough, if it is still clean. */
+    /**
+     * The connection used last of those that have been quiet for long enough, if it is still clean.
+     */
     private Connection pollSettled(Node node) {
         long now = clock.micros();
-        for (var latest = node.idle.descendingIterator(); latest.hasNext();) {
+        for (var latest = node.idle.descendingIterator(); latest.hasNext(); ) {
             Connection c = latest.next();
             if (now - c.idleSince >= SETTLE_MICROS) {
                 latest.remove();
@@ -232,7 +253,7 @@
     }
 
     private static void closeIdle(Node node) {
-        for (Connection c; (c = node.idle.poll()) != null;) {
+        for (Connection c; (c = node.idle.poll()) != null; ) {
             c.link.close();
         }
     }
@@ -298,9 +319,10 @@
         }
 
         /**
-         * The last look before the first byte: a connection may have outlived the decision that asked for it,
-         * and by now the request be over, its client gone, its time or its window used up, or the server on
-         * its way out. How long ago that was told is not known where the loop is late, so no grace is used.
+         * The last look before the first byte: a connection may have outlived the decision that
+         * asked for it, and by now the request be over, its client gone, its time or its window
+         * used up, or the server on its way out. How long ago that was told is not known where the
+         * loop is late, so no grace is used.
          */
         void write() {
             Attempt asked = attempt;
@@ -355,8 +377,13 @@
             if (call.body.length > 0 || !call.method.equals(HttpMethod.GET)) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, call.body.length);
             }
-            return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method, call.uri,
-                    Unpooled.wrappedBuffer(call.body), headers, new DefaultHttpHeaders());
+            return new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    call.method,
+                    call.uri,
+                    Unpooled.wrappedBuffer(call.body),
+                    headers,
+                    new DefaultHttpHeaders());
         }
 
         /** Becomes idle, or closes where it will not be used again. */
@@ -385,8 +412,8 @@
         }
 
         /**
-         * What may throw comes before the attempt is let go: then the end of the connection ends it. An
-         * answer that is there before the request was written is none.
+         * What may throw comes before the attempt is let go: then the end of the connection ends
+         * it. An answer that is there before the request was written is none.
          */
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
@@ -407,7 +434,10 @@
             end(done, result, report, answer);
         }
 
-        /** A server may turn away or fail an upload that it has not got whole; it can't have served it. */
+        /**
+         * A server may turn away or fail an upload that it has not got whole; it can't have served
+         * it.
+         */
         private boolean refusesUpload(FullHttpResponse answer) {
             return attempt.call.upload != null && answer.status().code() >= 400;
         }
@@ -420,12 +450,16 @@
             }
             Attempt taker = attempt;
             keepAlive = HttpUtil.isKeepAlive(head);
-            listener.began(taker, head, LoadReports.parse(head.headers().getAll(Headers.LOAD)), on -> {
-                // Once the answer is whole the connection may be another's.
-                if (attempt == taker) {
-                    link.read(on);
-                }
-            });
+            listener.began(
+                    taker,
+                    head,
+                    LoadReports.parse(head.headers().getAll(Headers.LOAD)),
+                    on -> {
+                        // Once the answer is whole the connection may be another's.
+                        if (attempt == taker) {
+                            link.read(on);
+                        }
+                    });
         }
 
         @Override
@@ -467,8 +501,9 @@
             if (status == HttpResponseStatus.OK.code()) {
                 return Result.SERVED;
             }
-            boolean turnedAway = (status == 503 || status == 504)
-                    && "1".equals(answer.headers().get(Headers.NOT_STARTED));
+            boolean turnedAway =
+                    (status == 503 || status == 504)
+                            && "1".equals(answer.headers().get(Headers.NOT_STARTED));
             return turnedAway ? Result.FULL : Result.ERROR;
         }
 
--- a/sidecar/src/main/java/sagefall/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/sagefall/sidecar/Sidecar.java
@@ -56,26 +56,39 @@
 import sagefall.streaming.Upload;
 
 /**
- * The real host of the module: it turns what happens on sockets into the module's events and the module's
- * actions into what happens on sockets, and decides nothing. All of it runs on one event loop.
+ * The real host of the module: it turns what happens on sockets into the module's events and the
+ * module's actions into what happens on sockets, and decides nothing. All of it runs on one event
+ * loop.
  */
-public final class Sidecar implements Actions, ClientServer.Service, ServerPool.Listener, Discovery.Listener {
+public final class Sidecar
+        implements Actions, ClientServer.Service, ServerPool.Listener, Discovery.Listener {
 
     /** The module ends its requests at their deadline; past this much more the sidecar does. */
     private static final long OVERDUE_MICROS = 5_000;
+
     /** Answers that tell a client that asking again is harmless: only the module may say so. */
     private static final Set<HttpResponseStatus> REFUSALS =
             Set.of(HttpResponseStatus.TOO_MANY_REQUESTS, HttpResponseStatus.SERVICE_UNAVAILABLE);
+
     /**
-     * Requests of the warm-up, and the time since the start at which it ends all the same, so that a restart
-     * is ready within 10 s: with a seventh of a core it then comes to a third of them, which cost the most.
-     * A bound of its own of 1.5 s left such a process cold, and its clients' requests unread for a second.
+     * Requests of the warm-up, and the time since the start at which it ends all the same, so that
+     * a restart is ready within 10 s: with a seventh of a core it then comes to a third of them,
+     * which cost the most. A bound of its own of 1.5 s left such a process cold, and its clients'
+     * requests unread for a second.
      */
     private static final int WARM_UP_REQUESTS = 250;
+
     private static final long WARM_UP_UNTIL_MILLIS = 6_000;
-    /** After the warm-up, beside which the folder was read: a disk that is stalled keeps nobody longer. */
+
+    /**
+     * After the warm-up, beside which the folder was read: a disk that is stalled keeps nobody
+     * longer.
+     */
     private static final long OPENED_MILLIS = 250;
-    /** From one look at what discovery has written to the next, beside those that the loop takes. */
+
+    /**
+     * From one look at what discovery has written to the next, beside those that the loop takes.
+     */
     private static final long LOOK_MICROS = 20_000;
 
     private final EventLoop loop;
@@ -89,8 +102,10 @@
     private final Turns turns;
     private final Deadlines deadlines;
     private final Config config;
+
     /** What streams, as the file of extensions said last. */
     private Streaming streaming;
+
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<Call.Client, Call> waiting = new HashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
@@ -101,12 +116,14 @@
     private Holder holder;
     private boolean inModule;
     private long lookedAt;
+
     /** To be done once discovery has said a first word, or is seen not to. */
     private Runnable opening;
+
     private boolean stopping;
 
     /** Something to tell the module, and the request that it is about, if any. */
-    private record Event(Call about, Told told) { }
+    private record Event(Call about, Told told) {}
 
     private interface Told {
         void tell(long nowMicros);
@@ -117,7 +134,11 @@
     }
 
     /** With another module. */
-    Sidecar(EventLoop loop, Turns turns, Config config, PrintStream log,
+    Sidecar(
+            EventLoop loop,
+            Turns turns,
+            Config config,
+            PrintStream log,
             BiFunction<Settings, Actions, LoadBalancer> modules) {
         this.loop = loop;
         this.turns = turns;
@@ -127,8 +148,15 @@
         module = modules.apply(config.settings(), this);
         reader = new RequestReader(config.settings());
         pool = new ServerPool(loop, clock, config, this);
-        discovery = new Discovery(loop, config.discovery(), config.lists(), config.known().revision(), this,
-                this::log, Discovery.Timeouts.of(config.settings().discoveryOnAsk()));
+        discovery =
+                new Discovery(
+                        loop,
+                        config.discovery(),
+                        config.lists(),
+                        config.known().revision(),
+                        this,
+                        this::log,
+                        Discovery.Timeouts.of(config.settings().discoveryOnAsk()));
         clients = new ClientServer(loop, turns, this, config.clientConnections(), this::log);
         extend(config.extensions());
     }
@@ -138,7 +166,12 @@
         streaming = extensions.streaming();
         pool.streams(streaming.isOn());
         clients.streams(streaming);
-        tell(null, now -> module.buffers(now, streaming.isOn() ? streaming.bufferedBytes() : Long.MAX_VALUE));
+        tell(
+                null,
+                now ->
+                        module.buffers(
+                                now,
+                                streaming.isOn() ? streaming.bufferedBytes() : Long.MAX_VALUE));
     }
 
     /** Runs a sidecar until it is told to end; the exit status. */
@@ -157,21 +190,25 @@
         try {
             Sidecar sidecar = loop.submit(() -> new Sidecar(loop, turns, config, log)).get();
             // One after the other, so that the last file read is the last one taken over.
-            ExecutorService reading = Executors.newSingleThreadExecutor(
-                    new DefaultThreadFactory("reading", true));
+            ExecutorService reading =
+                    Executors.newSingleThreadExecutor(new DefaultThreadFactory("reading", true));
             Hangup.handle(() -> reading.execute(() -> sidecar.reload(environment)));
-            Thread end = new Thread(() -> {
-                loop.execute(() -> sidecar.stop(ended::countDown));
-                awaitQuietly(ended);
-                sidecar.keptAll();
-                // The runtime would report the signal as its exit status.
-                Runtime.getRuntime().halt(0);
-            });
+            Thread end =
+                    new Thread(
+                            () -> {
+                                loop.execute(() -> sidecar.stop(ended::countDown));
+                                awaitQuietly(ended);
+                                sidecar.keptAll();
+                                // The runtime would report the signal as its exit status.
+                                Runtime.getRuntime().halt(0);
+                            });
             Runtime.getRuntime().addShutdownHook(end);
             Recovery recovery = config.extensions().recovery();
-            Keeper keeper = recovery.isOn() ? new Keeper(recovery, config.name(), sidecar::log) : null;
+            Keeper keeper =
+                    recovery.isOn() ? new Keeper(recovery, config.name(), sidecar::log) : null;
             long read = millisSince(began);
-            int played = WarmUp.run(config, WARM_UP_REQUESTS, Math.max(0, WARM_UP_UNTIL_MILLIS - read));
+            int played =
+                    WarmUp.run(config, WARM_UP_REQUESTS, Math.max(0, WARM_UP_UNTIL_MILLIS - read));
             long warm = millisSince(began);
             if (keeper != null) {
                 Kept kept = keeper.opened(OPENED_MILLIS);
@@ -182,8 +219,16 @@
             }
             try {
                 sidecar.start().get();
-                sidecar.log("start: settings read after " + read + " ms, warm-up of " + played
-                        + " requests over after " + warm + " ms, open after " + millisSince(began) + " ms");
+                sidecar.log(
+                        "start: settings read after "
+                                + read
+                                + " ms, warm-up of "
+                                + played
+                                + " requests over after "
+                                + warm
+                                + " ms, open after "
+                                + millisSince(began)
+                                + " ms");
             } catch (ExecutionException e) {
                 Runtime.getRuntime().removeShutdownHook(end);
                 throw e;
@@ -207,38 +252,45 @@
     }
 
     /**
-     * Reads the configuration again, off the loop, and goes over to the address of discovery in it, which
-     * goes before what the environment said at the start. A file that is wrong anywhere changes nothing.
+     * Reads the configuration again, off the loop, and goes over to the address of discovery in it,
+     * which goes before what the environment said at the start. A file that is wrong anywhere
+     * changes nothing.
      */
     void reload(Map<String, String> environment) {
         try {
             Config next = Config.reread(environment);
-            loop.execute(() -> {
-                discovery.move(next.discovery());
-                extend(next.extensions());
-            });
+            loop.execute(
+                    () -> {
+                        discovery.move(next.discovery());
+                        extend(next.extensions());
+                    });
         } catch (IOException | RuntimeException e) {
             log.println(plain(e) + "; the old configuration stays");
         }
     }
 
-    /** Reads what the sidecars of this machine have in common and stands for writing it; not on the loop. */
+    /**
+     * Reads what the sidecars of this machine have in common and stands for writing it; not on the
+     * loop.
+     */
     private void takeDuties() throws InterruptedException {
         Duties duties = config.extensions().duties();
         AtomicReference<Digest.Read> read = new AtomicReference<>();
-        CompletableFuture<LeaseStore> opening = CompletableFuture.supplyAsync(() -> {
-            try {
-                LeaseStore store = new FolderStore(duties.directory());
-                try {
-                    read.set(Digest.read(store));
-                } catch (IOException e) {
-                    log("duties: the digest is left out: " + plain(e));
-                }
-                return store;
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        });
+        CompletableFuture<LeaseStore> opening =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                LeaseStore store = new FolderStore(duties.directory());
+                                try {
+                                    read.set(Digest.read(store));
+                                } catch (IOException e) {
+                                    log("duties: the digest is left out: " + plain(e));
+                                }
+                                return store;
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                        });
         LeaseStore store;
         try {
             store = opening.get(OPENED_MILLIS, TimeUnit.MILLISECONDS);
@@ -248,8 +300,14 @@
         }
         Digest duty = new Digest();
         String owner = config.name() + "#" + ProcessHandle.current().pid() + "#" + clock.micros();
-        Holder of = new Holder(store, owner, duty, duties.leaseMillis(),
-                config.settings().seed() ^ config.settings().rank(), this::log);
+        Holder of =
+                new Holder(
+                        store,
+                        owner,
+                        duty,
+                        duties.leaseMillis(),
+                        config.settings().seed() ^ config.settings().rank(),
+                        this::log);
         loop.submit(() -> serveAll(read.get(), duty, of)).sync();
     }
 
@@ -277,13 +335,24 @@
         if (kept != null && kept.revision() > 0) {
             ServerList last = config.lists().kept(kept);
             boolean fresh = keeper.fresh(kept);
-            log("recovery: epoch " + kept.epoch() + ", kept: " + last.told() + ", "
-                    + (keeper.wallMillis() - kept.atMillis()) / 1000 + " s old, "
-                    + (fresh && last.revision() > known.revision() ? "taken" : "restricts only")
-                    + "; known: " + known.told());
+            log(
+                    "recovery: epoch "
+                            + kept.epoch()
+                            + ", kept: "
+                            + last.told()
+                            + ", "
+                            + (keeper.wallMillis() - kept.atMillis()) / 1000
+                            + " s old, "
+                            + (fresh && last.revision() > known.revision()
+                                    ? "taken"
+                                    : "restricts only")
+                            + "; known: "
+                            + known.told());
             pool.update(last.with(known));
             tell(null, now -> module.kept(now, last.revision(), fresh, last.servers()));
-            tell(null, now -> module.servers(now, ListKind.CACHED, known.revision(), known.servers()));
+            tell(
+                    null,
+                    now -> module.servers(now, ListKind.CACHED, known.revision(), known.servers()));
             // It may be behind what was kept, so its changes alone would not do.
             discovery.whole();
             if (known.revision() >= last.revision()) {
@@ -291,11 +360,20 @@
             }
         } else {
             if (kept != null) {
-                log("recovery: epoch " + kept.epoch() + ", nothing was kept; known: " + known.told());
+                log(
+                        "recovery: epoch "
+                                + kept.epoch()
+                                + ", nothing was kept; known: "
+                                + known.told());
             }
             if (newcomers != null && newcomers.kept().revision() > known.revision()) {
                 ServerList last = config.lists().kept(newcomers.kept());
-                log("recovery: digest of term " + newcomers.term() + ": " + last.told() + ", restricts only");
+                log(
+                        "recovery: digest of term "
+                                + newcomers.term()
+                                + ": "
+                                + last.told()
+                                + ", restricts only");
                 tell(null, now -> module.kept(now, last.revision(), false, last.servers()));
                 discovery.whole();
             }
@@ -319,38 +397,49 @@
         kept = before;
     }
 
-    /** What the machine's sidecars have in common, and the duty of writing it; before the first list. */
+    /**
+     * What the machine's sidecars have in common, and the duty of writing it; before the first
+     * list.
+     */
     void serveAll(Digest.Read before, Digest duty, Holder of) {
         newcomers = before;
         digest = duty;
         holder = of;
     }
 
-    /** Hands the module its first list and opens the door; gives the address once clients can connect. */
+    /**
+     * Hands the module its first list and opens the door; gives the address once clients can
+     * connect.
+     */
     CompletableFuture<InetSocketAddress> start() {
         CompletableFuture<InetSocketAddress> started = new CompletableFuture<>();
-        loop.execute(() -> {
-            open();
-            if (config.settings().discoveryOnAsk()) {
-                listen(started);
-            } else {
-                // Pushed lists wait at an agent, which answers a watch; the module asks for nothing then.
-                // What it has counts as told from the first moment, so it is heard before any request.
-                opening = () -> listen(started);
-                discovery.subscribe();
-            }
-        });
+        loop.execute(
+                () -> {
+                    open();
+                    if (config.settings().discoveryOnAsk()) {
+                        listen(started);
+                    } else {
+                        // Pushed lists wait at an agent, which answers a watch; the module asks for
+                        // nothing then.
+                        // What it has counts as told from the first moment, so it is heard before
+                        // any request.
+                        opening = () -> listen(started);
+                        discovery.subscribe();
+                    }
+                });
         return started;
     }
 
     private void listen(CompletableFuture<InetSocketAddress> started) {
-        clients.listen(config.listen()).addListener(f -> {
-            if (f.isSuccess()) {
-                started.complete(clients.address());
-            } else {
-                started.completeExceptionally(f.cause());
-            }
-        });
+        clients.listen(config.listen())
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                started.complete(clients.address());
+                            } else {
+                                started.completeExceptionally(f.cause());
+                            }
+                        });
     }
 
     private void heard() {
@@ -367,22 +456,28 @@
             return;
         }
         stopping = true;
-        clients.end(() -> {
-            discovery.close();
-            pool.close();
-            if (clients.buffers().most() > 0) {
-                log("streams held " + clients.buffers().most() + " bytes at the most, "
-                        + clients.buffers().held() + " at the end");
-            }
-            ended.run();
-        });
+        clients.end(
+                () -> {
+                    discovery.close();
+                    pool.close();
+                    if (clients.buffers().most() > 0) {
+                        log(
+                                "streams held "
+                                        + clients.buffers().most()
+                                        + " bytes at the most, "
+                                        + clients.buffers().held()
+                                        + " at the end");
+                    }
+                    ended.run();
+                });
     }
 
     // ---- Events for the module
 
     /**
-     * Tells the module, now or right after what it is being told: what an action brings about at once must
-     * not reach the module inside the very call that asked for it. An exception costs its own request only.
+     * Tells the module, now or right after what it is being told: what an action brings about at
+     * once must not reach the module inside the very call that asked for it. An exception costs its
+     * own request only.
      */
     private void tell(Call about, Told told) {
         if (!inModule) {
@@ -394,7 +489,7 @@
         }
         inModule = true;
         try {
-            for (Event e; (e = events.pollFirst()) != null;) {
+            for (Event e; (e = events.pollFirst()) != null; ) {
                 tell(e);
             }
         } finally {
@@ -403,8 +498,9 @@
     }
 
     /**
-     * A list that is there counts as told, also where the loop is late and a request, an answer or a timer
-     * would have its turn first: so it is read before the module decides. What is overdue comes first too.
+     * A list that is there counts as told, also where the loop is late and a request, an answer or
+     * a timer would have its turn first: so it is read before the module decides. What is overdue
+     * comes first too.
      */
     private void look() {
         turns.since();
@@ -459,7 +555,9 @@
     @Override
     public void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest {
         long now = clock.micros();
-        Call call = reader.read(now, http, ByteBufUtil.getBytes(http.content()), null, streaming, client);
+        Call call =
+                reader.read(
+                        now, http, ByteBufUtil.getBytes(http.content()), null, streaming, client);
         keep(call, client);
         expire(call);
         tell(call, at -> module.request(at, call.request));
@@ -476,7 +574,9 @@
         deadlines.set(call, call.deadlineMicros + OVERDUE_MICROS);
     }
 
-    /** The loop is late, else its attempts had ended at its deadline and the module had answered it. */
+    /**
+     * The loop is late, else its attempts had ended at its deadline and the module had answered it.
+     */
     private void overdue(Call call) {
         List.copyOf(call.attempts).forEach(a -> stopWaiting(a, Result.TIMED_OUT));
         abort(call, HttpResponseStatus.GATEWAY_TIMEOUT);
@@ -491,25 +591,34 @@
     }
 
     @Override
-    public void take(HttpRequest head, Upload upload, Call.Client client) throws RequestReader.BadRequest {
+    public void take(HttpRequest head, Upload upload, Call.Client client)
+            throws RequestReader.BadRequest {
         long now = clock.micros();
         Call call = reader.read(now, head, null, upload, streaming, client);
         keep(call, client);
-        upload.listen(new Upload.Listener() {
-            /** The client's time runs from its last byte, as for a request that is taken whole. */
-            @Override
-            public void whole() {
-                long at = clock.micros();
-                call.deadlineMicros = at + call.request.deadlineMicros() - now;
-                expire(call);
-                tell(call, when -> module.uploaded(when, call.request.id(), call.deadlineMicros));
-            }
-
-            @Override
-            public void replayLost() {
-                tell(call, at -> module.replayLost(at, call.request.id()));
-            }
-        });
+        upload.listen(
+                new Upload.Listener() {
+                    /**
+                     * The client's time runs from its last byte, as for a request that is taken
+                     * whole.
+                     */
+                    @Override
+                    public void whole() {
+                        long at = clock.micros();
+                        call.deadlineMicros = at + call.request.deadlineMicros() - now;
+                        expire(call);
+                        tell(
+                                call,
+                                when ->
+                                        module.uploaded(
+                                                when, call.request.id(), call.deadlineMicros));
+                    }
+
+                    @Override
+                    public void replayLost() {
+                        tell(call, at -> module.replayLost(at, call.request.id()));
+                    }
+                });
         tell(call, at -> module.request(at, call.request));
     }
 
@@ -522,8 +631,11 @@
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
-        attempt.timeout = loop.schedule(() -> stopWaiting(attempt, Result.TIMED_OUT),
-                attempt.giveUpAt - now, TimeUnit.MICROSECONDS);
+        attempt.timeout =
+                loop.schedule(
+                        () -> stopWaiting(attempt, Result.TIMED_OUT),
+                        attempt.giveUpAt - now,
+                        TimeUnit.MICROSECONDS);
     }
 
     /** The server takes or brings nothing any more. */
@@ -534,7 +646,11 @@
             for (Attempt attempt : List.copyOf(call.attempts)) {
                 if (attempt.result == null) {
                     pool.abandon(attempt);
-                    ended(attempt, attempt.written ? Result.TIMED_OUT : Result.NO_CONNECTION, null, null);
+                    ended(
+                            attempt,
+                            attempt.written ? Result.TIMED_OUT : Result.NO_CONNECTION,
+                            null,
+                            null);
                 }
             }
         }
@@ -551,8 +667,15 @@
         deadlines.remove(call);
         call.streaming = attempt;
         call.report = report;
-        tell(call, now -> module.streamBegan(now, call.request.id(), attempt.number, attempt.server,
-                now - attempt.since));
+        tell(
+                call,
+                now ->
+                        module.streamBegan(
+                                now,
+                                call.request.id(),
+                                attempt.number,
+                                attempt.server,
+                                now - attempt.since));
         HttpHeaders headers = Headers.endToEnd(head.headers());
         headers.remove(Headers.LOAD);
         call.client.begin(headers, HttpUtil.getContentLength(head, -1L), streaming, source);
@@ -599,8 +722,19 @@
                 call.client.breakOff();
             }
         }
-        tell(call, now -> module.outcome(now, new Outcome(call.request.id(), attempt.number, attempt.server,
-                result, now - attempt.since, true, call.report)));
+        tell(
+                call,
+                now ->
+                        module.outcome(
+                                now,
+                                new Outcome(
+                                        call.request.id(),
+                                        attempt.number,
+                                        attempt.server,
+                                        result,
+                                        now - attempt.since,
+                                        true,
+                                        call.report)));
         forget(call);
     }
 
@@ -610,7 +744,8 @@
         if (call != null) {
             over(call);
             tell(null, now -> module.clientLeft(now, call.request.id()));
-            // Whether or not attempts may be called off: what passes through has nowhere to go any more.
+            // Whether or not attempts may be called off: what passes through has nowhere to go any
+            // more.
             if (call.streaming != null) {
                 stopWaiting(call.streaming, Result.CANCELLED);
             } else if (call.upload != null) {
@@ -631,8 +766,11 @@
             attempt.timeout.cancel(false);
         }
         if (result == Result.ERROR && !attempt.written && !REFUSALS.contains(answer.status())) {
-            call.refusal = new Call.Refusal(answer.status(), Headers.endToEnd(answer.headers()),
-                    ByteBufUtil.getBytes(answer.content()));
+            call.refusal =
+                    new Call.Refusal(
+                            answer.status(),
+                            Headers.endToEnd(answer.headers()),
+                            ByteBufUtil.getBytes(answer.content()));
         }
         call.out--;
         if (result == Result.SERVED && !call.over) {
@@ -642,8 +780,19 @@
             over(call);
             client.answer(HttpResponseStatus.OK, headers, answer.content().retain());
         }
-        tell(call, now -> module.outcome(now, new Outcome(call.request.id(), attempt.number, attempt.server,
-                result, now - attempt.since, call.over, report)));
+        tell(
+                call,
+                now ->
+                        module.outcome(
+                                now,
+                                new Outcome(
+                                        call.request.id(),
+                                        attempt.number,
+                                        attempt.server,
+                                        result,
+                                        now - attempt.since,
+                                        call.over,
+                                        report)));
         forget(call);
     }
 
@@ -663,18 +812,24 @@
         call.attempts.add(attempt);
         call.out++;
         if (call.upload == null || call.upload.whole()) {
-            attempt.timeout = loop.schedule(() -> stopWaiting(attempt, Result.TIMED_OUT), giveUpAt - now,
-                    TimeUnit.MICROSECONDS);
+            attempt.timeout =
+                    loop.schedule(
+                            () -> stopWaiting(attempt, Result.TIMED_OUT),
+                            giveUpAt - now,
+                            TimeUnit.MICROSECONDS);
         }
         pool.start(attempt);
     }
 
     private static long giveUpAt(Call call, long now, long patienceMicros) {
-        return patienceMicros == 0 ? call.deadlineMicros
+        return patienceMicros == 0
+                ? call.deadlineMicros
                 : Math.min(call.deadlineMicros, now + patienceMicros);
     }
 
-    /** Until its last byte is written an attempt can't have run, and the module is told that proof. */
+    /**
+     * Until its last byte is written an attempt can't have run, and the module is told that proof.
+     */
     private void stopWaiting(Attempt attempt, Result otherwise) {
         if (attempt.result == null) {
             pool.abandon(attempt);
@@ -694,7 +849,8 @@
     public void refuse(String requestId, long retryAfterMicros, Reason why) {
         HttpHeaders headers = new DefaultHttpHeaders();
         if (retryAfterMicros > 0) {
-            headers.set(HttpHeaderNames.RETRY_AFTER,
+            headers.set(
+                    HttpHeaderNames.RETRY_AFTER,
                     String.valueOf(Math.max(1, retryAfterMicros / 1000) / 1000.0));
         }
         answer(calls.get(requestId), HttpResponseStatus.SERVICE_UNAVAILABLE, headers);
@@ -705,19 +861,27 @@
         Call call = calls.get(requestId);
         if (call != null && call.refusal != null) {
             call.refusal.headers().remove(Headers.LOAD);
-            answer(call, call.refusal.status(), call.refusal.headers(),
+            answer(
+                    call,
+                    call.refusal.status(),
+                    call.refusal.headers(),
                     Unpooled.wrappedBuffer(call.refusal.content()));
             return;
         }
-        boolean late = call != null && call.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
-        answer(call, late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+        boolean late =
+                call != null && call.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
+        answer(
+                call,
+                late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
                 new DefaultHttpHeaders());
     }
 
     @Override
     public void timer(long atMicros, long token) {
-        loop.schedule(() -> tell(null, now -> module.timer(now, token)),
-                Math.max(0, atMicros - clock.micros()), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> tell(null, now -> module.timer(now, token)),
+                Math.max(0, atMicros - clock.micros()),
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -741,7 +905,8 @@
         answer(call, status, headers, Unpooled.EMPTY_BUFFER);
     }
 
-    private void answer(Call call, HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+    private void answer(
+            Call call, HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
         if (call != null && !call.over) {
             over(call);
             call.client.answer(status, headers, content);
--- a/sidecar/src/main/java/sagefall/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/sagefall/sidecar/WarmUp.java
@@ -29,15 +29,17 @@
 import sagefall.LoadBalancer.Settings;
 
 /**
- * Made-up requests before the first real one: a sidecar of its own, whose only servers are this very class
- * behind the address that it will listen on, serves clients that are this class too. Nothing of it outlasts
- * the warm-up but the code that the runtime has compiled, and nothing leaves the process.
+ * Made-up requests before the first real one: a sidecar of its own, whose only servers are this
+ * very class behind the address that it will listen on, serves clients that are this class too.
+ * Nothing of it outlasts the warm-up but the code that the runtime has compiled, and nothing leaves
+ * the process.
  *
- * <p>Without it a sidecar is open to all of its clients while each of their requests costs tens of times its
- * usual CPU time and the compiler takes half of what there is; what then waits is late, is asked for again,
- * and keeps the process busy for seconds. That holds for whatever is scarce at the start, be it the share of
- * a core or a busy neighbour. Harm: the time that it takes is added to the time that a restart takes, so it
- * has an end by the clock as well as by count; meanwhile {@code /healthz} answers 503.
+ * <p>Without it a sidecar is open to all of its clients while each of their requests costs tens of
+ * times its usual CPU time and the compiler takes half of what there is; what then waits is late,
+ * is asked for again, and keeps the process busy for seconds. That holds for whatever is scarce at
+ * the start, be it the share of a core or a busy neighbour. Harm: the time that it takes is added
+ * to the time that a restart takes, so it has an end by the clock as well as by count; meanwhile
+ * {@code /healthz} answers 503.
  */
 final class WarmUp implements ClientServer.Service {
 
@@ -45,18 +47,25 @@
     private static final int CLIENTS = 4;
     private static final int SOCKETS = 128;
     private static final int BODY = 256;
+
     /** Each so many requests there is one that is refused, since its time is up. */
     private static final int REFUSED = 8;
+
     private static final long TURN_MILLIS = 1;
-    private static final HttpHeaders LOAD = new DefaultHttpHeaders()
-            .set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
+    private static final HttpHeaders LOAD =
+            new DefaultHttpHeaders().set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
 
     private final EventLoop loop;
     private final Turns turns;
     private final Config config;
     private final String prefix;
-    /** Ids that the sidecar has been asked for: what comes again under one of them comes from the sidecar. */
+
+    /**
+     * Ids that the sidecar has been asked for: what comes again under one of them comes from the
+     * sidecar.
+     */
     private final Set<String> asked = new HashSet<>();
+
     private final CountDownLatch ended = new CountDownLatch(1);
     private final int requests;
     private final ClientServer stage;
@@ -71,7 +80,7 @@
         this.config = config;
         this.requests = requests;
         prefix = Long.toHexString(new SplittableRandom(config.settings().seed()).nextLong()) + "-";
-        stage = new ClientServer(loop, turns, this, SOCKETS, line -> { });
+        stage = new ClientServer(loop, turns, this, SOCKETS, line -> {});
     }
 
     /** Goes through so many requests, or as many as there is time for; how many were answered. */
@@ -93,18 +102,20 @@
     }
 
     private void open() {
-        stage.listen(config.listen()).addListener(bound -> {
-            if (bound.isSuccess()) {
-                begin(stage.address());
-            } else {
-                ended.countDown();
-            }
-        });
+        stage.listen(config.listen())
+                .addListener(
+                        bound -> {
+                            if (bound.isSuccess()) {
+                                begin(stage.address());
+                            } else {
+                                ended.countDown();
+                            }
+                        });
     }
 
     /**
-     * The kernel lets go of the address only when the selector, in a later turn of the loop, has let go of
-     * the listening socket.
+     * The kernel lets go of the address only when the selector, in a later turn of the loop, has
+     * let go of the listening socket.
      */
     private void close(Runnable closed) {
         over = true;
@@ -115,7 +126,9 @@
         List<ServerList.Entry> servers = new ArrayList<>();
         int zones = Math.max(1, config.settings().zones().size());
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new ServerList.Entry(new Server(i, i % zones, 0, 0, Phase.READY, 0, 1), address));
+            servers.add(
+                    new ServerList.Entry(
+                            new Server(i, i % zones, 0, 0, Phase.READY, 0, 1), address));
         }
         Config own = config.with(SOCKETS, new ServerList(0, true, servers));
         sidecar = new Sidecar(loop, turns, own, new PrintStream(OutputStream.nullOutputStream()));
@@ -134,8 +147,12 @@
     public void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest {
         String id = String.valueOf(http.headers().get(Headers.REQUEST_ID));
         if (!id.startsWith(prefix)) {
-            // Nobody should ask before the sidecar is ready; it can't serve yet, and has no word on a retry.
-            client.answer(HttpResponseStatus.BAD_GATEWAY, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+            // Nobody should ask before the sidecar is ready; it can't serve yet, and has no word on
+            // a retry.
+            client.answer(
+                    HttpResponseStatus.BAD_GATEWAY,
+                    new DefaultHttpHeaders(),
+                    Unpooled.EMPTY_BUFFER);
         } else if (asked.add(id)) {
             sidecar.take(http, client);
         } else {
@@ -154,15 +171,22 @@
         RequestClass c = settings.classes().get(number % settings.classes().size());
         boolean safe = c.effect() == Effect.SAFE;
         ByteBuf body = Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]);
-        FullHttpRequest next = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/" + c.name() + "/" + number, body);
+        FullHttpRequest next =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        safe ? HttpMethod.GET : HttpMethod.POST,
+                        "/" + c.name() + "/" + number,
+                        body);
         long millis = number % REFUSED == REFUSED - 1 ? 1 : c.deadlineMicros() / 1000;
-        next.headers().set(HttpHeaderNames.HOST, "warm-up")
+        next.headers()
+                .set(HttpHeaderNames.HOST, "warm-up")
                 .set(Headers.REQUEST_ID, prefix + number)
                 .set(Headers.TIMEOUT, Math.max(1, millis));
         if (!settings.tenants().isEmpty()) {
-            next.headers().set(Headers.TENANT,
-                    settings.tenants().get(number % settings.tenants().size()).name());
+            next.headers()
+                    .set(
+                            Headers.TENANT,
+                            settings.tenants().get(number % settings.tenants().size()).name());
         }
         if (c.effect() == Effect.KEYED) {
             next.headers().set(Headers.IDEMPOTENCY_KEY, prefix + number);
@@ -189,7 +213,7 @@
         }
 
         @Override
-        public void written() { }
+        public void written() {}
 
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
@@ -202,6 +226,6 @@
         }
 
         @Override
-        public void closed() { }
+        public void closed() {}
     }
 }
--- a/sidecar/src/main/java/sagefall/simhost/Fields.java
+++ b/sidecar/src/main/java/sagefall/simhost/Fields.java
@@ -31,8 +31,12 @@
 
     private WireException bad(String name, String want) {
         Object op = values.get("op");
-        return new WireException((op instanceof String s ? s : "event") + ": '" + name + "' "
-                + (values.get(name) == null ? "is missing" : "must be " + want));
+        return new WireException(
+                (op instanceof String s ? s : "event")
+                        + ": '"
+                        + name
+                        + "' "
+                        + (values.get(name) == null ? "is missing" : "must be " + want));
     }
 
     String text(String name) throws WireException {
@@ -84,13 +88,25 @@
     }
 
     Request request() throws WireException {
-        return new Request(text("ticket"), (int) number("type"), (int) number("client_group", 0),
-                flag("repeat"), number("target_key", -1), number("drop_dead_us"), flag("mutates"));
+        return new Request(
+                text("ticket"),
+                (int) number("type"),
+                (int) number("client_group", 0),
+                flag("repeat"),
+                number("target_key", -1),
+                number("drop_dead_us"),
+                flag("mutates"));
     }
 
     Outcome outcome() throws WireException {
-        return new Outcome(text("ticket"), (int) number("go"), number("server"), result(),
-                number("cost_time_us"), flag("terminal"), report());
+        return new Outcome(
+                text("ticket"),
+                (int) number("go"),
+                number("server"),
+                result(),
+                number("cost_time_us"),
+                flag("terminal"),
+                report());
     }
 
     LoadReport report() {
@@ -109,15 +125,24 @@
             if (!(row instanceof Map<?, ?> m) || !(m.get("server") instanceof Long id)) {
                 throw new WireException("Pool: an entry without a 'server'");
             }
-            Phase phase = switch (String.valueOf(m.get("status"))) {
-                case "SERVING" -> Phase.READY;
-                case "DRAINING" -> Phase.DRAINING;
-                case "DELETED" -> Phase.REMOVED;
-                default -> throw new WireException("Pool: unknown status '" + m.get("status") + "'");
-            };
-            servers.add(new Server(id, (int) Json.whole(m, "failure_domain", 0),
-                    (int) Json.whole(m, "sku", 0), (int) Json.whole(m, "group", 0), phase,
-                    Json.whole(m, "start_time_us", 0), Json.real(m, "share", 1)));
+            Phase phase =
+                    switch (String.valueOf(m.get("status"))) {
+                        case "SERVING" -> Phase.READY;
+                        case "DRAINING" -> Phase.DRAINING;
+                        case "DELETED" -> Phase.REMOVED;
+                        default ->
+                                throw new WireException(
+                                        "Pool: unknown status '" + m.get("status") + "'");
+                    };
+            servers.add(
+                    new Server(
+                            id,
+                            (int) Json.whole(m, "failure_domain", 0),
+                            (int) Json.whole(m, "sku", 0),
+                            (int) Json.whole(m, "group", 0),
+                            phase,
+                            Json.whole(m, "start_time_us", 0),
+                            Json.real(m, "share", 1)));
         }
         return servers;
     }
--- a/sidecar/src/main/java/sagefall/simhost/Replies.java
+++ b/sidecar/src/main/java/sagefall/simhost/Replies.java
@@ -75,23 +75,27 @@
 
     @Override
     public void send(String requestId, long server, long timeoutMicros, long latestMicros) {
-        action("Place", () -> {
-            out.writeStringField("ticket", requestId);
-            out.writeNumberField("server", server);
-            if (timeoutMicros != 0) {
-                out.writeNumberField("give_up_after_us", timeoutMicros);
-            }
-        });
+        action(
+                "Place",
+                () -> {
+                    out.writeStringField("ticket", requestId);
+                    out.writeNumberField("server", server);
+                    if (timeoutMicros != 0) {
+                        out.writeNumberField("give_up_after_us", timeoutMicros);
+                    }
+                });
     }
 
     @Override
     public void refuse(String requestId, long retryAfterMicros, Reason why) {
-        action("PushBack", () -> {
-            out.writeStringField("ticket", requestId);
-            if (retryAfterMicros > 0) {
-                out.writeNumberField("retry_in_us", retryAfterMicros);
-            }
-        });
+        action(
+                "PushBack",
+                () -> {
+                    out.writeStringField("ticket", requestId);
+                    if (retryAfterMicros > 0) {
+                        out.writeNumberField("retry_in_us", retryAfterMicros);
+                    }
+                });
     }
 
     @Override
@@ -101,18 +105,22 @@
 
     @Override
     public void cancel(String requestId, int attempt) {
-        action("DropAttempt", () -> {
-            out.writeStringField("ticket", requestId);
-            out.writeNumberField("go", attempt);
-        });
+        action(
+                "DropAttempt",
+                () -> {
+                    out.writeStringField("ticket", requestId);
+                    out.writeNumberField("go", attempt);
+                });
     }
 
     @Override
     public void timer(long atMicros, long token) {
-        action("Defer", () -> {
-            out.writeNumberField("time_us", atMicros);
-            out.writeNumberField("handle", token);
-        });
+        action(
+                "Defer",
+                () -> {
+                    out.writeNumberField("time_us", atMicros);
+                    out.writeNumberField("handle", token);
+                });
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/simhost/SimHost.java
+++ b/sidecar/src/main/java/sagefall/simhost/SimHost.java
@@ -19,7 +19,8 @@
 import sagefall.LoadBalancer.Server;
 
 /**
- * Hosts one {@link Choice} for each sidecar and speaks the simulator's wire. It translates and never decides.
+ * Hosts one {@link Choice} for each sidecar and speaks the simulator's wire. It translates and
+ * never decides.
  */
 public final class SimHost {
 
@@ -70,7 +71,8 @@
         } catch (IOException e) {
             errors.println("sagefall: " + oneLine(String.valueOf(e.getMessage())));
         } catch (IllegalArgumentException e) {
-            errors.println("sagefall: bad settings or event: " + oneLine(String.valueOf(e.getMessage())));
+            errors.println(
+                    "sagefall: bad settings or event: " + oneLine(String.valueOf(e.getMessage())));
         }
         errors.flush();
         return 1;
@@ -98,7 +100,10 @@
                 expect(value, JsonToken.START_ARRAY, "'groups' must be an array");
                 grouped = true;
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    expect(parser.currentToken(), JsonToken.START_OBJECT, "a group must be an object");
+                    expect(
+                            parser.currentToken(),
+                            JsonToken.START_OBJECT,
+                            "a group must be an object");
                     group(parser, now, replies);
                 }
             } else {
@@ -106,17 +111,20 @@
             }
         }
         if (now < 0 || !grouped) {
-            throw new WireException("batch: '" + (now < 0 ? "at_time_us" : "groups") + "' is missing");
+            throw new WireException(
+                    "batch: '" + (now < 0 ? "at_time_us" : "groups") + "' is missing");
         }
     }
 
-    private static void expect(JsonToken token, JsonToken wanted, String message) throws WireException {
+    private static void expect(JsonToken token, JsonToken wanted, String message)
+            throws WireException {
         if (token != wanted) {
             throw new WireException(message);
         }
     }
 
-    private void group(JsonParser parser, long now, Replies replies) throws IOException, WireException {
+    private void group(JsonParser parser, long now, Replies replies)
+            throws IOException, WireException {
         String who = null;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -127,13 +135,17 @@
                 replies.instance(who);
             } else if (name.equals("msgs")) {
                 if (who == null) {
-                    // Pools belong to the process, so a group that holds nothing else may come without a
+                    // Pools belong to the process, so a group that holds nothing else may come
+                    // without a
                     // name.
                     replies.instance("");
                 }
                 expect(value, JsonToken.START_ARRAY, "group: 'msgs' must be an array");
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    expect(parser.currentToken(), JsonToken.START_OBJECT, "an event must be an object");
+                    expect(
+                            parser.currentToken(),
+                            JsonToken.START_OBJECT,
+                            "an event must be an object");
                     fields.read(parser);
                     event(now, who, replies);
                 }
@@ -169,18 +181,25 @@
                 ListKind kind = fields.listKind();
                 List<Server> list = kind == ListKind.FAILED ? List.of() : lists.get(table());
                 if (list == null) {
-                    throw new WireException("Endpoints: no Pool of number " + fields.number("table"));
+                    throw new WireException(
+                            "Endpoints: no Pool of number " + fields.number("table"));
                 }
                 balancer.servers(now, kind, list);
             }
             case "Call" -> balancer.request(now, fields.request());
-            case "Established" -> balancer.streamBegan(now, fields.text("ticket"), (int) fields.number("go"),
-                    fields.number("server"), fields.number("cost_time_us"));
+            case "Established" ->
+                    balancer.streamBegan(
+                            now,
+                            fields.text("ticket"),
+                            (int) fields.number("go"),
+                            fields.number("server"),
+                            fields.number("cost_time_us"));
             case "Response" -> balancer.outcome(now, fields.outcome());
             case "ClientLeft" -> balancer.clientLeft(now, fields.text("ticket"));
             case "DeadlineHit" -> balancer.timer(now, fields.number("handle"));
-            // The module neither probes nor writes to its peers; what comes of either tells it nothing.
-            case "CheckResult", "Peer" -> { }
+            // The module neither probes nor writes to its peers; what comes of either tells it
+            // nothing.
+            case "CheckResult", "Peer" -> {}
             default -> throw new WireException("unknown op '" + op + "'");
         }
     }
--- a/sidecar/src/main/java/sagefall/streaming/Flow.java
+++ b/sidecar/src/main/java/sagefall/streaming/Flow.java
@@ -4,9 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Flow control of one direction of a stream: what has come from one side and has not been taken by the other
- * is counted, and past the high watermark the side that brings is not read until the count is at the low
- * one. So a slow taker slows the bringer down and the process holds a window, however long the body is.
+ * Flow control of one direction of a stream: what has come from one side and has not been taken by
+ * the other is counted, and past the high watermark the side that brings is not read until the
+ * count is at the low one. So a slow taker slows the bringer down and the process holds a window,
+ * however long the body is.
  */
 public final class Flow {
 
@@ -16,7 +17,10 @@
         void read(boolean on);
     }
 
-    /** What a part costs beside its bytes: a peer that brings single bytes must not get a window of them. */
+    /**
+     * What a part costs beside its bytes: a peer that brings single bytes must not get a window of
+     * them.
+     */
     private static final int PART_BYTES = 256;
 
     private final Streaming bounds;
@@ -26,8 +30,12 @@
     private boolean held;
     private boolean reading = true;
     private boolean finished;
-    /** When the source last brought something or was let on, and when the taker last took something. */
+
+    /**
+     * When the source last brought something or was let on, and when the taker last took something.
+     */
     private long broughtAt = System.nanoTime();
+
     private long takenAt = broughtAt;
 
     public Flow(Streaming bounds, Buffers buffers, Source source) {
@@ -42,8 +50,8 @@
     }
 
     /**
-     * The same bytes without a much larger buffer behind them: a small part of a read would keep all of it.
-     * Takes the part over.
+     * The same bytes without a much larger buffer behind them: a small part of a read would keep
+     * all of it. Takes the part over.
      */
     public static ByteBuf tight(ByteBuf part) {
         int behind = part.unwrap() == null ? part.capacity() : part.unwrap().capacity();
@@ -89,7 +97,8 @@
         if (finished) {
             return;
         }
-        boolean room = reading ? waiting < bounds.highWatermark() : waiting <= bounds.lowWatermark();
+        boolean room =
+                reading ? waiting < bounds.highWatermark() : waiting <= bounds.lowWatermark();
         boolean next = !held && room;
         if (next != reading) {
             reading = next;
--- a/sidecar/src/main/java/sagefall/streaming/Streaming.java
+++ b/sidecar/src/main/java/sagefall/streaming/Streaming.java
@@ -7,14 +7,23 @@
 import sagefall.Section;
 
 /**
- * The section {@code streaming}: which bodies pass through as they arrive, and what they may hold meanwhile.
- * A class that it does not name is passed on whole.
+ * The section {@code streaming}: which bodies pass through as they arrive, and what they may hold
+ * meanwhile. A class that it does not name is passed on whole.
  */
-public record Streaming(Map<String, Bounds> classes, int highWatermark, int lowWatermark,
-        long readStallMillis, long writeStallMillis, int replayBytes, long bufferedBytes, long drainMillis) {
+public record Streaming(
+        Map<String, Bounds> classes,
+        int highWatermark,
+        int lowWatermark,
+        long readStallMillis,
+        long writeStallMillis,
+        int replayBytes,
+        long bufferedBytes,
+        long drainMillis) {
 
-    /** Largest bodies of a class; a bound of 0 leaves that direction to the path for whole messages. */
-    public record Bounds(long requestBytes, long answerBytes) { }
+    /**
+     * Largest bodies of a class; a bound of 0 leaves that direction to the path for whole messages.
+     */
+    public record Bounds(long requestBytes, long answerBytes) {}
 
     /** Without the section nothing streams. */
     public static final Streaming OFF = new Streaming(Map.of(), 0, 0, 0, 0, 0, 0, 0);
@@ -34,14 +43,22 @@
         Map<String, Bounds> classes = new LinkedHashMap<>();
         boolean uploads = false;
         for (String name : named.names()) {
-            RequestClass known = settings.stream().filter(c -> c.name().equals(name)).findFirst()
-                    .orElseThrow(() -> named.wrong(name, "the settings have no such class"));
+            RequestClass known =
+                    settings.stream()
+                            .filter(c -> c.name().equals(name))
+                            .findFirst()
+                            .orElseThrow(
+                                    () -> named.wrong(name, "the settings have no such class"));
             Section one = named.section(name);
-            Bounds bounds = new Bounds(one.whole("max_request_bytes", 0, 0, MOST_BYTES),
-                    one.whole("max_answer_bytes", 0, 0, MOST_BYTES));
+            Bounds bounds =
+                    new Bounds(
+                            one.whole("max_request_bytes", 0, 0, MOST_BYTES),
+                            one.whole("max_answer_bytes", 0, 0, MOST_BYTES));
             one.end();
             if (bounds.answerBytes > 0 && !known.streaming()) {
-                throw one.wrong("max_answer_bytes", "the settings do not let this class stream its answers");
+                throw one.wrong(
+                        "max_answer_bytes",
+                        "the settings do not let this class stream its answers");
             }
             uploads |= bounds.requestBytes > 0;
             classes.put(name, bounds);
@@ -49,18 +66,24 @@
         int high = (int) section.whole("high_watermark_bytes", WATERMARK, 1, MOST_WATERMARK);
         int low = (int) section.whole("low_watermark_bytes", high / 2, 0, MOST_WATERMARK);
         if (low >= high) {
-            throw section.wrong("low_watermark_bytes", "must be below high_watermark_bytes, " + high);
+            throw section.wrong(
+                    "low_watermark_bytes", "must be below high_watermark_bytes, " + high);
         }
-        Streaming read = new Streaming(Map.copyOf(classes), high, low,
-                section.whole("read_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
-                section.whole("write_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
-                (int) section.whole("replay_bytes", REPLAY, 0, MOST_WATERMARK),
-                section.whole("max_buffered_bytes", BUFFERED, 0, MOST_BYTES),
-                section.whole("drain_ms", DRAIN_MILLIS, 0, MOST_MILLIS));
+        Streaming read =
+                new Streaming(
+                        Map.copyOf(classes),
+                        high,
+                        low,
+                        section.whole("read_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
+                        section.whole("write_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
+                        (int) section.whole("replay_bytes", REPLAY, 0, MOST_WATERMARK),
+                        section.whole("max_buffered_bytes", BUFFERED, 0, MOST_BYTES),
+                        section.whole("drain_ms", DRAIN_MILLIS, 0, MOST_MILLIS));
         section.end();
         long window = read.hold(uploads, !uploads);
         if (read.bufferedBytes < window) {
-            throw section.wrong("max_buffered_bytes", "must be at least one stream's window, " + window);
+            throw section.wrong(
+                    "max_buffered_bytes", "must be at least one stream's window, " + window);
         }
         return read;
     }
@@ -74,8 +97,9 @@
     }
 
     /**
-     * What a request may hold at once. In each direction that is the high watermark, the read that passes it,
-     * and one that is being taken apart; an upload also keeps what may have to be sent again.
+     * What a request may hold at once. In each direction that is the high watermark, the read that
+     * passes it, and one that is being taken apart; an upload also keeps what may have to be sent
+     * again.
      */
     public long hold(boolean upload, boolean answer) {
         long window = highWatermark + 2L * READ_BYTES;
--- a/sidecar/src/main/java/sagefall/streaming/Upload.java
+++ b/sidecar/src/main/java/sagefall/streaming/Upload.java
@@ -9,9 +9,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * The body of a request on its way from a client to a server. Its beginning is kept, up to the replay
- * buffer, so that another server can be sent all of it while no more than that has gone out; past it the
- * body can only go where it is going. The client is read only while a server takes.
+ * The body of a request on its way from a client to a server. Its beginning is kept, up to the
+ * replay buffer, so that another server can be sent all of it while no more than that has gone out;
+ * past it the body can only go where it is going. The client is read only while a server takes.
  */
 public final class Upload {
 
@@ -94,7 +94,9 @@
         }
     }
 
-    /** Sends all that has come, and what still comes, to a server; told when the last byte has left. */
+    /**
+     * Sends all that has come, and what still comes, to a server; told when the last byte has left.
+     */
     public void attach(Channel next, Runnable lastWritten) {
         taker = next;
         written = lastWritten;
@@ -139,27 +141,33 @@
     private void write(ByteBuf part) {
         int weight = Flow.weight(part);
         Channel to = taker;
-        to.write(new DefaultHttpContent(part)).addListener(f -> {
-            flow.taken(weight);
-            if (!f.isSuccess()) {
-                to.close();
-            }
-        });
+        to.write(new DefaultHttpContent(part))
+                .addListener(
+                        f -> {
+                            flow.taken(weight);
+                            if (!f.isSuccess()) {
+                                to.close();
+                            }
+                        });
         flow.brought(weight);
     }
 
     private void writeLast() {
         Channel to = taker;
         Runnable done = written;
-        LastHttpContent last = trailers.isEmpty() ? LastHttpContent.EMPTY_LAST_CONTENT
-                : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
-        to.writeAndFlush(last).addListener(f -> {
-            if (f.isSuccess()) {
-                done.run();
-            } else {
-                to.close();
-            }
-        });
+        LastHttpContent last =
+                trailers.isEmpty()
+                        ? LastHttpContent.EMPTY_LAST_CONTENT
+                        : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
+        to.writeAndFlush(last)
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                done.run();
+                            } else {
+                                to.close();
+                            }
+                        });
     }
 
     private void loseReplay() {
--- a/sidecar/src/test/java/sagefall/BeliefTest.java
+++ b/sidecar/src/test/java/sagefall/BeliefTest.java
@@ -19,44 +19,70 @@
     private static List<Server> list(String text) {
         List<Server> list = new ArrayList<>();
         for (String s : text.isBlank() ? new String[0] : text.trim().split(" ")) {
-            Phase phase = switch (s.charAt(1)) {
-                case 'R' -> Phase.READY;
-                case 'D' -> Phase.DRAINING;
-                default -> Phase.REMOVED;
-            };
+            Phase phase =
+                    switch (s.charAt(1)) {
+                        case 'R' -> Phase.READY;
+                        case 'D' -> Phase.DRAINING;
+                        default -> Phase.REMOVED;
+                    };
             list.add(new Server(s.charAt(0) - '0', 0, 0, 0, phase, s.charAt(2) - '0', 1));
         }
         return list;
     }
 
     private static String text(List<Server> list) {
-        return String.join(" ", list.stream().map(s -> s.id() + s.phase().name().substring(0, 1)
-                .replace("R", s.phase() == Phase.REMOVED ? "G" : "R") + s.startMicros()).toList());
+        return String.join(
+                " ",
+                list.stream()
+                        .map(
+                                s ->
+                                        s.id()
+                                                + s.phase()
+                                                        .name()
+                                                        .substring(0, 1)
+                                                        .replace(
+                                                                "R",
+                                                                s.phase() == Phase.REMOVED
+                                                                        ? "G"
+                                                                        : "R")
+                                                + s.startMicros())
+                        .toList());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        // kept: revision, fresh, list | kind, revision and list told | believed
-        "5 | true  | 1R0 2D0 3G0 | CACHED   | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0",
-        "5 | true  | 1R0 2D0     | CACHED   | 5 | 1R0 2R0         | 1R0 2R0",
-        "5 | true  | 1R0 2D0     | CACHED   | 6 | 2R0             | 2R0",
-        // What is old adds nothing and takes back nothing.
-        "5 | false | 1R0 2D0 3G0 5R0 | CACHED | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
-        // Discovery from an older copy of itself: what was told to drain stays so.
-        "5 | true  | 1R0 2D0 3G0 | COMPLETE | 3 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
-        "5 | true  | 1R0 2D0     | CHANGES  | 4 | 2R0             | 2D0",
-        "5 | true  | 1R0 2D0     | COMPLETE | 5 | 1R0 2R0         | 1R0 2R0",
-        // Another process at the old id is not the one that was to drain; one that is older is.
-        "5 | true  | 1R0 2D3     | COMPLETE | 3 | 1R0 2R4         | 1R0 2R4",
-        "5 | true  | 1R7 2D3     | COMPLETE | 3 | 1R0 2R0         | 1R7 2D3",
-    })
-    void theNewerWordIsBelievedAndNoneIsTakenBack(long revision, boolean fresh, String kept, ListKind kind,
-            long told, String list, String believed) {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                // kept: revision, fresh, list | kind, revision and list told | believed
+                "5 | true  | 1R0 2D0 3G0 | CACHED   | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0",
+                "5 | true  | 1R0 2D0     | CACHED   | 5 | 1R0 2R0         | 1R0 2R0",
+                "5 | true  | 1R0 2D0     | CACHED   | 6 | 2R0             | 2R0",
+                // What is old adds nothing and takes back nothing.
+                "5 | false | 1R0 2D0 3G0 5R0 | CACHED | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
+                // Discovery from an older copy of itself: what was told to drain stays so.
+                "5 | true  | 1R0 2D0 3G0 | COMPLETE | 3 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
+                "5 | true  | 1R0 2D0     | CHANGES  | 4 | 2R0             | 2D0",
+                "5 | true  | 1R0 2D0     | COMPLETE | 5 | 1R0 2R0         | 1R0 2R0",
+                // Another process at the old id is not the one that was to drain; one that is older
+                // is.
+                "5 | true  | 1R0 2D3     | COMPLETE | 3 | 1R0 2R4         | 1R0 2R4",
+                "5 | true  | 1R7 2D3     | COMPLETE | 3 | 1R0 2R0         | 1R7 2D3",
+            })
+    void theNewerWordIsBelievedAndNoneIsTakenBack(
+            long revision,
+            boolean fresh,
+            String kept,
+            ListKind kind,
+            long told,
+            String list,
+            String believed) {
         Belief belief = Belief.of(revision, fresh, list(kept));
         assertEquals(believed.trim(), text(belief.told(kind, told, list(list))));
     }
 
-    /** Through the module: nothing goes to a server that an earlier life was told to leave alone. */
+    /**
+     * Through the module: nothing goes to a server that an earlier life was told to leave alone.
+     */
     @ParameterizedTest
     @CsvSource({"true, 4, 0", "true, 5, 30", "false, 4, 0"})
     void nothingIsSentToWhatWasToDrain(boolean fresh, long revision, int sent) {
