--- a/sidecar/src/test/java/sagefall/CrowdTest.java
+++ b/sidecar/src/test/java/sagefall/CrowdTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import org.junit.jupiter.api.Test;
 import sagefall.LoadBalancer.Effect;
 import sagefall.LoadBalancer.Group;
 import sagefall.LoadBalancer.Limits;
@@ -18,9 +19,11 @@
 import sagefall.LoadBalancer.ReportSource;
 import sagefall.LoadBalancer.Result;
 import sagefall.LoadBalancer.Settings;
-import org.junit.jupiter.api.Test;
 
-/** A fleet of instances that share nothing, on servers that queue what they are sent and forget nothing. */
+/**
+ * A fleet of instances that share nothing, on servers that queue what they are sent and forget
+ * nothing.
+ */
 class CrowdTest {
 
     private static final int SIDECARS = 14;
@@ -28,21 +31,38 @@
     private static final long WORK = 40_000;
     private static final long AIM = 200_000;
 
-    private record Event(long at, int instance, Outcome outcome) { }
+    private record Event(long at, int instance, Outcome outcome) {}
 
     private final List<Recorder> fleet = new ArrayList<>();
-    private final PriorityQueue<Event> answers = new PriorityQueue<>(Comparator.comparingLong(Event::at));
+    private final PriorityQueue<Event> answers =
+            new PriorityQueue<>(Comparator.comparingLong(Event::at));
+
     /** When each server will have done all that it was sent. */
     private final Map<Long, ArrayDeque<Long>> queues = new HashMap<>();
+
     private int inTime;
 
     private void open() {
         Settings s = Recorder.settings(Effect.KEYED, Group.ZONE);
         for (int i = 0; i < SIDECARS; i++) {
-            fleet.add(new Recorder(new Settings(1000 + i, i, SIDECARS, i % 2, s.zones(), s.classes(),
-                    s.tenants(), s.overShareWorth(),
-                    new Limits(4, true, true, 1_000_000, 60_000_000, 10_000), s.rules(),
-                    ReportSource.ANSWERS, false, false, 1000), SERVERS));
+            fleet.add(
+                    new Recorder(
+                            new Settings(
+                                    1000 + i,
+                                    i,
+                                    SIDECARS,
+                                    i % 2,
+                                    s.zones(),
+                                    s.classes(),
+                                    s.tenants(),
+                                    s.overShareWorth(),
+                                    new Limits(4, true, true, 1_000_000, 60_000_000, 10_000),
+                                    s.rules(),
+                                    ReportSource.ANSWERS,
+                                    false,
+                                    false,
+                                    1000),
+                            SERVERS));
         }
     }
 
@@ -72,9 +92,18 @@
             queue.addLast(end);
             double use = Math.min(1, queue.size() / 2.0);
             long took = Math.min(end - s.at(), 1_000_000);
-            answers.add(new Event(s.at() + took, instance, new Outcome(s.request(), 0, s.server(),
-                    end - s.at() > took ? Result.TIMED_OUT : Result.SERVED, took, end - s.at() <= took,
-                    new LoadReport(Double.NaN, Double.NaN, use, 40, 25, 0))));
+            answers.add(
+                    new Event(
+                            s.at() + took,
+                            instance,
+                            new Outcome(
+                                    s.request(),
+                                    0,
+                                    s.server(),
+                                    end - s.at() > took ? Result.TIMED_OUT : Result.SERVED,
+                                    took,
+                                    end - s.at() <= took,
+                                    new LoadReport(Double.NaN, Double.NaN, use, 40, 25, 0))));
         }
     }
 
@@ -85,14 +114,18 @@
             int before = r.sent.size();
             r.now = e.at();
             r.choice.outcome(e.at(), e.outcome());
-            inTime += e.outcome().result() == Result.SERVED && e.outcome().elapsedMicros() <= AIM ? 1 : 0;
+            inTime +=
+                    e.outcome().result() == Result.SERVED && e.outcome().elapsedMicros() <= AIM
+                            ? 1
+                            : 0;
             sent(e.instance(), before);
         }
     }
 
     /**
-     * Half of a fleet's servers had gone: each of the others saw a request a second from each sidecar, far
-     * under any limit of its own, so all queued up to the deadline and hardly an answer was in time.
+     * Half of a fleet's servers had gone: each of the others saw a request a second from each
+     * sidecar, far under any limit of its own, so all queued up to the deadline and hardly an
+     * answer was in time.
      */
     @Test
     void aFleetAskedForTwiceItsCapacityStillAnswersMostOfThatInTime() {
@@ -101,7 +134,8 @@
         play(1_000_000, 6_000_000, capacity / 2);
         play(6_000_000, 9_000_000, 2 * capacity);
         int served = play(9_000_000, 14_000_000, 2 * capacity);
-        assertTrue(served > 0.6 * 5 * capacity, served + " in time of " + 5 * capacity + " possible");
+        assertTrue(
+                served > 0.6 * 5 * capacity, served + " in time of " + 5 * capacity + " possible");
     }
 
     @Test
@@ -115,11 +149,18 @@
             r.request("at once " + i);
         }
         assertTrue(r.refused.size() > refused + 20, "refused " + (r.refused.size() - refused));
-        assertEquals(100, r.refused.size() - refused
-                + r.sent.stream().filter(s -> s.request().startsWith("at once")).count(), "none is held");
+        assertEquals(
+                100,
+                r.refused.size()
+                        - refused
+                        + r.sent.stream().filter(s -> s.request().startsWith("at once")).count(),
+                "none is held");
     }
 
-    /** The part of the aim was taken in whole numbers, so only what was past all of it counted as slow. */
+    /**
+     * The part of the aim was taken in whole numbers, so only what was past all of it counted as
+     * slow.
+     */
     @Test
     void answersPastHalfOfTheirAimFromABusyZoneShrinkItsLimit() {
         open();
@@ -129,8 +170,16 @@
             r.request("a" + i);
             Recorder.Sent last = r.sent.get(r.sent.size() - 1);
             r.now += AIM * 6 / 10;
-            r.choice.outcome(r.now, new Outcome(last.request(), 0, last.server(), Result.SERVED, AIM * 6 / 10,
-                    true, busy));
+            r.choice.outcome(
+                    r.now,
+                    new Outcome(
+                            last.request(),
+                            0,
+                            last.server(),
+                            Result.SERVED,
+                            AIM * 6 / 10,
+                            true,
+                            busy));
         }
         for (int i = 0; i < 40; i++) {
             r.request("b" + i);
@@ -152,12 +201,28 @@
             assertEquals(sent + 1, r.sent.size());
             boolean bad = last.server() == 1;
             before += bad && i >= 1000 ? 1 : 0;
-            r.choice.outcome(r.now, new Outcome(last.request(), 0, last.server(),
-                    bad && i >= 1000 ? Result.ERROR : Result.SERVED, 1000, !bad || i < 1000, null));
+            r.choice.outcome(
+                    r.now,
+                    new Outcome(
+                            last.request(),
+                            0,
+                            last.server(),
+                            bad && i >= 1000 ? Result.ERROR : Result.SERVED,
+                            1000,
+                            !bad || i < 1000,
+                            null));
             if (bad && i >= 1000 && r.sent.size() > sent + 1) {
                 Recorder.Sent again = r.sent.get(r.sent.size() - 1);
-                r.choice.outcome(r.now, new Outcome(again.request(), 1, again.server(), Result.SERVED, 1000,
-                        true, null));
+                r.choice.outcome(
+                        r.now,
+                        new Outcome(
+                                again.request(),
+                                1,
+                                again.server(),
+                                Result.SERVED,
+                                1000,
+                                true,
+                                null));
             }
         }
         assertTrue(before > 0 && before < 30, "errors met: " + before);
--- a/sidecar/src/test/java/sagefall/FleetTest.java
+++ b/sidecar/src/test/java/sagefall/FleetTest.java
@@ -7,6 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.junit.jupiter.api.Test;
 import sagefall.LoadBalancer.Effect;
 import sagefall.LoadBalancer.Group;
 import sagefall.LoadBalancer.Limits;
@@ -15,22 +16,37 @@
 import sagefall.LoadBalancer.Result;
 import sagefall.LoadBalancer.Rules;
 import sagefall.LoadBalancer.Settings;
-import org.junit.jupiter.api.Test;
 
 /** What hundreds of quiet sidecars change: each test names the failure that it stands for. */
 class FleetTest {
 
     private static Settings fleet(int rank, int replicas, Rules rules, boolean warmKeys) {
         Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        return new Settings(1000 + rank, rank, replicas, 0, s.zones(), s.classes(), s.tenants(),
-                s.overShareWorth(), s.limits(), rules, s.reports(), false, warmKeys, 1000);
+        return new Settings(
+                1000 + rank,
+                rank,
+                replicas,
+                0,
+                s.zones(),
+                s.classes(),
+                s.tenants(),
+                s.overShareWorth(),
+                s.limits(),
+                rules,
+                s.reports(),
+                false,
+                warmKeys,
+                1000);
     }
 
     private static Rules plain() {
         return new Rules(0.2, 10_000_000, 2_000_000, 10_000_000);
     }
 
-    /** 400 instances with a request each second: what all send a cold server is its share, in any second. */
+    /**
+     * 400 instances with a request each second: what all send a cold server is its share, in any
+     * second.
+     */
     @Test
     void manyQuietInstancesDoNotBurstAColdServer() {
         List<Recorder> all = new ArrayList<>();
@@ -53,8 +69,11 @@
                 cold += r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
                 r.answer(0, Result.SERVED, 10_000, true);
             }
-            // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of it and up.
-            assertTrue(cold <= 2.5 * 40 * (0.2 + 0.08 * (second + 1)), "second " + second + ": " + cold);
+            // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of
+            // it and up.
+            assertTrue(
+                    cold <= 2.5 * 40 * (0.2 + 0.08 * (second + 1)),
+                    "second " + second + ": " + cold);
             total += cold;
         }
         assertTrue(total > 10, "a cold server must get some: " + total);
@@ -73,7 +92,10 @@
         assertTrue(servers <= 12, servers + " servers of 60");
     }
 
-    /** Dead idle connections: silence after an idle spell closes the connection, and long spells end. */
+    /**
+     * Dead idle connections: silence after an idle spell closes the connection, and long spells
+     * end.
+     */
     @Test
     void silenceAfterAnIdleSpellIsADeadConnection() {
         Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
@@ -86,15 +108,24 @@
         long server = r.sent.get(r.sent.size() - 1).server();
         r.now += 900_000;
         r.request("next");
-        assertTrue(r.actions.stream().anyMatch(a -> a.startsWith("log idle connections are not trusted")));
-        assertTrue(r.actions.stream().noneMatch(a -> a.startsWith("log server " + server + " ejected")));
+        assertTrue(
+                r.actions.stream()
+                        .anyMatch(a -> a.startsWith("log idle connections are not trusted")));
+        assertTrue(
+                r.actions.stream()
+                        .noneMatch(a -> a.startsWith("log server " + server + " ejected")));
         r.answer(0, Result.SERVED, 20_000, true);
         r.now += 5_000_000;
         r.request("later");
-        assertTrue(r.actions.stream().anyMatch(a -> a.startsWith("close ")), "the idle connection stays");
+        assertTrue(
+                r.actions.stream().anyMatch(a -> a.startsWith("close ")),
+                "the idle connection stays");
     }
 
-    /** A server that refuses new connections is not sick: no ejection, and it is left alone for a while. */
+    /**
+     * A server that refuses new connections is not sick: no ejection, and it is left alone for a
+     * while.
+     */
     @Test
     void refusedConnectionIsNotAnOutlier() {
         Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
@@ -102,7 +133,9 @@
             r.request("r" + i);
             int last = r.sent.size();
             r.answer(0, Result.NO_CONNECTION, 1000, false);
-            assertTrue(r.sent.size() == last || r.sent.get(last).server() != r.sent.get(last - 1).server());
+            assertTrue(
+                    r.sent.size() == last
+                            || r.sent.get(last).server() != r.sent.get(last - 1).server());
         }
         assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
     }
@@ -118,7 +151,10 @@
         assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
     }
 
-    /** Keys that servers remember go to the same server from every sidecar of a zone with the same cells. */
+    /**
+     * Keys that servers remember go to the same server from every sidecar of a zone with the same
+     * cells.
+     */
     @Test
     void keysMeetTheSameServer() {
         Set<Long> servers = new HashSet<>();
@@ -136,7 +172,9 @@
         Recorder r = new Recorder(fleet(0, 3, plain(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100 + round;
-            r.choice.servers(r.now, ListKind.COMPLETE,
+            r.choice.servers(
+                    r.now,
+                    ListKind.COMPLETE,
                     List.of(Recorder.server(id, 0, 0), Recorder.server(1, 0, 0)));
             r.request("r" + round);
             assertTrue(Set.of(id, 1L).contains(r.sent.get(r.sent.size() - 1).server()));
@@ -144,13 +182,30 @@
         }
     }
 
-    /** A pick looks at few servers of a wide node, but at as many as it takes to find one with room. */
+    /**
+     * A pick looks at few servers of a wide node, but at as many as it takes to find one with room.
+     */
     @Test
     void theOnlyServerWithRoomOfManyIsFound() {
         Settings s = fleet(0, 3, plain(), false);
-        Recorder r = new Recorder(new Settings(s.seed(), 0, 3, 0, s.zones(), s.classes(), s.tenants(),
-                s.overShareWorth(), new Limits(4, true, true, 1_000_000, 60_000_000, 10_000), s.rules(),
-                s.reports(), false, false, 1000), 200);
+        Recorder r =
+                new Recorder(
+                        new Settings(
+                                s.seed(),
+                                0,
+                                3,
+                                0,
+                                s.zones(),
+                                s.classes(),
+                                s.tenants(),
+                                s.overShareWorth(),
+                                new Limits(4, true, true, 1_000_000, 60_000_000, 10_000),
+                                s.rules(),
+                                s.reports(),
+                                false,
+                                false,
+                                1000),
+                        200);
         for (int i = 0; i < 900; i++) {
             r.request("out" + i);
         }
@@ -158,8 +213,10 @@
         assertTrue(full < 900, "all were sent, so no server was full");
         for (int i = 0; i < 20; i++) {
             Recorder.Sent sent = r.sent.get(i);
-            r.choice.outcome(r.now, new LoadBalancer.Outcome(sent.request(), 0, sent.server(),
-                    Result.CANCELLED, 1000, true, null));
+            r.choice.outcome(
+                    r.now,
+                    new LoadBalancer.Outcome(
+                            sent.request(), 0, sent.server(), Result.CANCELLED, 1000, true, null));
             assertEquals(full + i + 1, r.sent.size());
             assertEquals(sent.server(), r.sent.get(full + i).server());
         }
--- a/sidecar/src/test/java/sagefall/Recorder.java
+++ b/sidecar/src/test/java/sagefall/Recorder.java
@@ -30,7 +30,7 @@
     final Choice choice;
     long now = 1_000_000;
 
-    record Sent(String request, long server, long at, long latest) { }
+    record Sent(String request, long server, long at, long latest) {}
 
     Recorder(Settings settings, int servers) {
         choice = new Choice(settings, this);
@@ -46,11 +46,22 @@
     }
 
     static Settings settings(Effect effect, Group group) {
-        return new Settings(7, 0, 3, 0, List.of("a", "b"),
-                List.of(new RequestClass("c", effect, group, 500_000, 200_000, 1_000_000, 1, 0, false)),
-                List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)), 0.2,
+        return new Settings(
+                7,
+                0,
+                3,
+                0,
+                List.of("a", "b"),
+                List.of(
+                        new RequestClass(
+                                "c", effect, group, 500_000, 200_000, 1_000_000, 1, 0, false)),
+                List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)),
+                0.2,
                 new Limits(4, true, true, 1_000_000, 60_000_000, 100),
-                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000), ReportSource.NONE, false, false,
+                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000),
+                ReportSource.NONE,
+                false,
+                false,
                 1000);
     }
 
@@ -62,7 +73,9 @@
     void answer(int attempt, Result result, long elapsed, boolean closed) {
         Sent last = sent.get(sent.size() - 1);
         now += elapsed;
-        choice.outcome(now, new Outcome(last.request, attempt, last.server, result, elapsed, closed, null));
+        choice.outcome(
+                now,
+                new Outcome(last.request, attempt, last.server, result, elapsed, closed, null));
     }
 
     void fireTimers() {
--- a/sidecar/src/test/java/sagefall/RulesTest.java
+++ b/sidecar/src/test/java/sagefall/RulesTest.java
@@ -13,6 +13,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
 import sagefall.LoadBalancer.Effect;
 import sagefall.LoadBalancer.Group;
 import sagefall.LoadBalancer.ListKind;
@@ -26,11 +31,6 @@
 import sagefall.LoadBalancer.Result;
 import sagefall.LoadBalancer.Server;
 import sagefall.LoadBalancer.Settings;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
 
 class RulesTest {
 
@@ -85,16 +85,31 @@
     }
 
     /**
-     * A change counts as told 6 s after discovery had it and could be reached: who has it is asked again
-     * soon, however often that has failed, but not by all sidecars at once.
+     * A change counts as told 6 s after discovery had it and could be reached: who has it is asked
+     * again soon, however often that has failed, but not by all sidecars at once.
      */
     @ParameterizedTest
     @CsvSource({"false, 50000, 150001", "true, 200000, 600001"})
     void discoveryIsAskedAgainSoon(boolean onAsk, long least, long most) {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        Recorder r = new Recorder(new Settings(s.seed(), s.rank(), s.replicas(), s.zone(), s.zones(),
-                s.classes(), s.tenants(), s.overShareWorth(), s.limits(), s.rules(), s.reports(), onAsk,
-                s.warmKeys(), s.tickMicros()), 4);
+        Recorder r =
+                new Recorder(
+                        new Settings(
+                                s.seed(),
+                                s.rank(),
+                                s.replicas(),
+                                s.zone(),
+                                s.zones(),
+                                s.classes(),
+                                s.tenants(),
+                                s.overShareWorth(),
+                                s.limits(),
+                                s.rules(),
+                                s.reports(),
+                                onAsk,
+                                s.warmKeys(),
+                                s.tickMicros()),
+                        4);
         Set<Long> waits = new HashSet<>();
         for (int i = 0; i < 50; i++) {
             r.timers.clear();
@@ -113,8 +128,10 @@
     void waitingForTheHostCountsForTheAim(long waited) {
         Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 0);
         long since = r.now;
-        r.choice.request(r.now, new Request("x", 0, 0, false, -1, since + 1_000_000 - waited, false, false, 0,
-                waited));
+        r.choice.request(
+                r.now,
+                new Request(
+                        "x", 0, 0, false, -1, since + 1_000_000 - waited, false, false, 0, waited));
         while (r.refused.isEmpty()) {
             r.fireTimers();
         }
@@ -122,7 +139,10 @@
         assertTrue(Math.abs(held - (140_000 - waited)) < 15_000, "held for " + held);
     }
 
-    /** All of a fleet may start at once, but each has asked for the first time before it counts as told. */
+    /**
+     * All of a fleet may start at once, but each has asked for the first time before it counts as
+     * told.
+     */
     @Test
     void firstCallOfALargeFleetIsSpreadAndSoon() {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
@@ -132,9 +152,24 @@
         }
         long last = 0;
         for (int rank = 0; rank < 100; rank++) {
-            Recorder r = new Recorder(new Settings(rank, rank, 1024, s.zone(), s.zones(), s.classes(),
-                    s.tenants(), s.overShareWorth(), s.limits(), s.rules(), s.reports(), true, s.warmKeys(),
-                    s.tickMicros()), 4);
+            Recorder r =
+                    new Recorder(
+                            new Settings(
+                                    rank,
+                                    rank,
+                                    1024,
+                                    s.zone(),
+                                    s.zones(),
+                                    s.classes(),
+                                    s.tenants(),
+                                    s.overShareWorth(),
+                                    s.limits(),
+                                    s.rules(),
+                                    s.reports(),
+                                    true,
+                                    s.warmKeys(),
+                                    s.tickMicros()),
+                            4);
             r.timers.clear();
             r.choice.servers(r.now, ListKind.CACHED, servers);
             last = Math.max(last, r.timers.get(0)[0] - r.now);
@@ -158,8 +193,22 @@
     @Test
     void pastTheMostInHandTheOldestHeldIsRefused() {
         Settings one = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Settings alike = new Settings(one.seed(), 0, 3, 0, one.zones(), one.classes(), List.of(), 1,
-                one.limits(), one.rules(), one.reports(), false, false, 1000);
+        Settings alike =
+                new Settings(
+                        one.seed(),
+                        0,
+                        3,
+                        0,
+                        one.zones(),
+                        one.classes(),
+                        List.of(),
+                        1,
+                        one.limits(),
+                        one.rules(),
+                        one.reports(),
+                        false,
+                        false,
+                        1000);
         Recorder r = new Recorder(alike, 0);
         for (int i = 0; i < 103; i++) {
             r.request("x" + i);
@@ -182,7 +231,9 @@
         assertEquals(1, r.refused.size());
     }
 
-    /** Incident i0f9bed: an arrival whose time is already up was held for a probe and got no answer. */
+    /**
+     * Incident i0f9bed: an arrival whose time is already up was held for a probe and got no answer.
+     */
     @Test
     void arrivalAtItsDeadlineIsAnsweredAtOnce() {
         Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
@@ -191,7 +242,10 @@
         assertTrue(r.sent.isEmpty());
     }
 
-    /** Incidents i6f3083 and i5bba91: deep queues from the first second turned the servers slow for good. */
+    /**
+     * Incidents i6f3083 and i5bba91: deep queues from the first second turned the servers slow for
+     * good.
+     */
     @Test
     void unansweredServersAreNotFilled() {
         Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
@@ -201,7 +255,9 @@
         assertEquals(12, r.sent.size());
     }
 
-    /** Incident i80c828: one request from each of many sidecars kept crowded servers slow for good. */
+    /**
+     * Incident i80c828: one request from each of many sidecars kept crowded servers slow for good.
+     */
     @Test
     void crowdedServersAreLeftAloneForAWhile() {
         Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 3);
@@ -237,15 +293,40 @@
         return r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
     }
 
-    /** Held to their end, requests kept the connections that clients needed for those still in time. */
+    /**
+     * Held to their end, requests kept the connections that clients needed for those still in time.
+     */
     @Test
     void whereManyAreInHandTheHeldAreRefusedBeforeHalfOfTheirTime() {
         Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Recorder r = new Recorder(new Settings(s.seed(), s.rank(), s.replicas(), s.zone(), s.zones(),
-                List.of(new RequestClass("c", Effect.UNSAFE, Group.ALL, 0, 200_000, 1_000_000, 1, 0.5,
-                        false)),
-                s.tenants(), s.overShareWorth(), s.limits(), s.rules(), s.reports(),
-                s.discoveryOnAsk(), s.warmKeys(), s.tickMicros()), 4);
+        Recorder r =
+                new Recorder(
+                        new Settings(
+                                s.seed(),
+                                s.rank(),
+                                s.replicas(),
+                                s.zone(),
+                                s.zones(),
+                                List.of(
+                                        new RequestClass(
+                                                "c",
+                                                Effect.UNSAFE,
+                                                Group.ALL,
+                                                0,
+                                                200_000,
+                                                1_000_000,
+                                                1,
+                                                0.5,
+                                                false)),
+                                s.tenants(),
+                                s.overShareWorth(),
+                                s.limits(),
+                                s.rules(),
+                                s.reports(),
+                                s.discoveryOnAsk(),
+                                s.warmKeys(),
+                                s.tickMicros()),
+                        4);
         long arrived = r.now;
         for (int i = 0; i < 100; i++) {
             r.request("r" + i);
@@ -273,21 +354,48 @@
         assertTrue(after >= 0.6 * before, after + " after it, " + before + " before");
     }
 
-    /** After a start the first answers are slow for other reasons; idle servers were sent next to nothing. */
+    /**
+     * After a start the first answers are slow for other reasons; idle servers were sent next to
+     * nothing.
+     */
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
     void slowAnswersCutTheLimitOfBusyServersOnly(double use, boolean kept) {
         Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Recorder r = new Recorder(new Settings(s.seed(), s.rank(), s.replicas(), s.zone(), s.zones(),
-                s.classes(), s.tenants(), s.overShareWorth(), s.limits(), s.rules(),
-                ReportSource.ANSWERS, s.discoveryOnAsk(), s.warmKeys(), s.tickMicros()), 4);
-        LoadReport report = new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
+        Recorder r =
+                new Recorder(
+                        new Settings(
+                                s.seed(),
+                                s.rank(),
+                                s.replicas(),
+                                s.zone(),
+                                s.zones(),
+                                s.classes(),
+                                s.tenants(),
+                                s.overShareWorth(),
+                                s.limits(),
+                                s.rules(),
+                                ReportSource.ANSWERS,
+                                s.discoveryOnAsk(),
+                                s.warmKeys(),
+                                s.tickMicros()),
+                        4);
+        LoadReport report =
+                new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
         for (int i = 0; i < 40; i++) {
             r.request("a" + i);
             Recorder.Sent last = r.sent.get(r.sent.size() - 1);
             r.now += 150_000;
-            r.choice.outcome(r.now, new Outcome(last.request(), 0, last.server(), Result.SERVED, 150_000,
-                    true, report));
+            r.choice.outcome(
+                    r.now,
+                    new Outcome(
+                            last.request(),
+                            0,
+                            last.server(),
+                            Result.SERVED,
+                            150_000,
+                            true,
+                            report));
         }
         int before = r.sent.size();
         for (int i = 0; i < 100; i++) {
@@ -328,13 +436,33 @@
     @Test
     void impossibleSettingsAreNamed() {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        String message = assertThrows(IllegalArgumentException.class,
-                () -> new Settings(s.seed(), 0, 1, 0, s.zones(), List.of(), s.tenants(), 1, s.limits(),
-                        s.rules(), s.reports(), false, false, 1000)).getMessage();
+        String message =
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new Settings(
+                                                s.seed(),
+                                                0,
+                                                1,
+                                                0,
+                                                s.zones(),
+                                                List.of(),
+                                                s.tenants(),
+                                                1,
+                                                s.limits(),
+                                                s.rules(),
+                                                s.reports(),
+                                                false,
+                                                false,
+                                                1000))
+                        .getMessage();
         assertTrue(message.contains("classes"), message);
     }
 
-    /** A random run of legal events: one final answer each, nothing after it, effects and drains kept. */
+    /**
+     * A random run of legal events: one final answer each, nothing after it, effects and drains
+     * kept.
+     */
     @ParameterizedTest
     @EnumSource(Effect.class)
     void randomEventsKeepTheRules(Effect effect) {
@@ -346,7 +474,7 @@
         Map<Long, Boolean> draining = new HashMap<>();
         int seen = 0;
         Result[] results = Result.values();
-        record Out(String request, int attempt, long server, long at) { }
+        record Out(String request, int attempt, long server, long at) {}
         List<Out> out = new java.util.ArrayList<>();
         for (int step = 0; step < 6000; step++) {
             r.now += random.nextInt(4000);
@@ -363,15 +491,32 @@
                     mayHaveRun.put(o.request, true);
                 }
                 over.put(o.request, closed);
-                r.choice.outcome(r.now, new Outcome(o.request, o.attempt, o.server, result, r.now - o.at,
-                        closed,
-                        null));
+                r.choice.outcome(
+                        r.now,
+                        new Outcome(
+                                o.request,
+                                o.attempt,
+                                o.server,
+                                result,
+                                r.now - o.at,
+                                closed,
+                                null));
             } else if (random.nextInt(40) == 0) {
                 long id = 1 + random.nextInt(7);
                 boolean drain = random.nextBoolean();
                 draining.put(id, drain);
-                r.choice.servers(r.now, ListKind.CHANGES, List.of(new Server(id, (int) (id - 1) % 2, 0,
-                        (int) id % 3, drain ? Phase.DRAINING : Phase.READY, 0, 1)));
+                r.choice.servers(
+                        r.now,
+                        ListKind.CHANGES,
+                        List.of(
+                                new Server(
+                                        id,
+                                        (int) (id - 1) % 2,
+                                        0,
+                                        (int) id % 3,
+                                        drain ? Phase.DRAINING : Phase.READY,
+                                        0,
+                                        1)));
             }
             for (long[] t : List.copyOf(r.timers)) {
                 if (t[0] <= r.now) {
@@ -383,18 +528,25 @@
                 String[] a = r.actions.get(seen).split(" ");
                 if (a[0].equals("send")) {
                     assertFalse(over.get(a[1]), "sent after the end");
-                    assertFalse(draining.getOrDefault(Long.parseLong(a[2]), false),
+                    assertFalse(
+                            draining.getOrDefault(Long.parseLong(a[2]), false),
                             "sent to a draining server");
-                    assertTrue(effect != Effect.UNSAFE || !mayHaveRun.getOrDefault(a[1], false),
+                    assertTrue(
+                            effect != Effect.UNSAFE || !mayHaveRun.getOrDefault(a[1], false),
                             "sent twice");
                     int n = attempts.merge(a[1], 1, Integer::sum) - 1;
                     assertTrue(n < 4);
-                    assertTrue(effect == Effect.SAFE || out.stream().noneMatch(o -> o.request.equals(a[1])));
+                    assertTrue(
+                            effect == Effect.SAFE
+                                    || out.stream().noneMatch(o -> o.request.equals(a[1])));
                     out.add(new Out(a[1], n, Long.parseLong(a[2]), r.now));
                 } else if (a[0].equals("refuse") || a[0].equals("fail")) {
                     assertFalse(over.put(a[1], true), "a second final answer");
-                    assertTrue(a[0].equals("fail") || effect == Effect.SAFE
-                            || !mayHaveRun.getOrDefault(a[1], false), "refused what may have run");
+                    assertTrue(
+                            a[0].equals("fail")
+                                    || effect == Effect.SAFE
+                                    || !mayHaveRun.getOrDefault(a[1], false),
+                            "refused what may have run");
                 }
             }
         }
@@ -407,7 +559,8 @@
         Recorder b = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 6);
         for (int i = 0; i < 200; i++) {
             for (Recorder r : List.of(a, b)) {
-                r.choice.request(r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, false));
+                r.choice.request(
+                        r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, false));
                 r.answer(0, i % 9 == 0 ? Result.FULL : Result.SERVED, 3000 + i, i % 9 != 0);
             }
         }
@@ -418,7 +571,9 @@
     @ParameterizedTest
     @CsvSource({"UNSAFE, ERROR, EFFECT", "KEYED, FULL, ATTEMPTS", "KEYED, CANCELLED, WAITED"})
     void theEndOfARequestTellsWhy(Effect effect, Result each, Reason why) {
-        Recorder r = new Recorder(Recorder.settings(effect, Group.ALL), each == Result.CANCELLED ? 0 : 8);
+        Recorder r =
+                new Recorder(
+                        Recorder.settings(effect, Group.ALL), each == Result.CANCELLED ? 0 : 8);
         r.request("a");
         for (int n = 0; n < 8 && r.reasons.isEmpty(); n++) {
             if (r.sent.size() > n) {
--- a/sidecar/src/test/java/sagefall/StreamsTest.java
+++ b/sidecar/src/test/java/sagefall/StreamsTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.LoadBalancer.Effect;
 import sagefall.LoadBalancer.Group;
 import sagefall.LoadBalancer.Request;
 import sagefall.LoadBalancer.Result;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 
 /** What the module decides of requests whose bodies pass through as they arrive. */
 class StreamsTest {
@@ -22,8 +22,8 @@
     }
 
     private static void upload(Recorder r, String id, long buffer) {
-        r.choice.request(r.now, new Request(id, 0, 0, false, -1, r.now + 1_000_000, true, true, buffer,
-                0));
+        r.choice.request(
+                r.now, new Request(id, 0, 0, false, -1, r.now + 1_000_000, true, true, buffer, 0));
     }
 
     private static void begin(Recorder r, long elapsed) {
@@ -37,8 +37,8 @@
     }
 
     /**
-     * A stream of a minute is the work of a beginning that took 50 ms: its server is neither slow nor
-     * silent.
+     * A stream of a minute is the work of a beginning that took 50 ms: its server is neither slow
+     * nor silent.
      */
     @Test
     void lengthOfAStreamSaysNothingOfItsServer() {
@@ -51,8 +51,10 @@
         r.now += MINUTE;
         for (int i = 0; i < 20; i++) {
             Recorder.Sent s = r.sent.get(i);
-            r.choice.outcome(r.now, new LoadBalancer.Outcome(s.request(), 0, s.server(), Result.SERVED,
-                    MINUTE, true, null));
+            r.choice.outcome(
+                    r.now,
+                    new LoadBalancer.Outcome(
+                            s.request(), 0, s.server(), Result.SERVED, MINUTE, true, null));
         }
         r.request("next");
         assertEquals(21, r.sent.size());
@@ -71,15 +73,25 @@
             assertEquals(sent, r.sent.size());
         }
         long broken = r.sent.stream().filter(s -> s.server() % 2 == 1).count();
-        assertTrue(broken > 0 && broken < 10, broken + " of 40 streams went to the half that breaks them");
+        assertTrue(
+                broken > 0 && broken < 10,
+                broken + " of 40 streams went to the half that breaks them");
         assertTrue(r.refused.isEmpty() && r.failed.isEmpty());
     }
 
-    /** While the replay buffer holds all that was sent, a proof of not having run lets it go out again. */
+    /**
+     * While the replay buffer holds all that was sent, a proof of not having run lets it go out
+     * again.
+     */
     @ParameterizedTest
-    @CsvSource({"false, FULL, true, false", "true, FULL, false, true", "true, NO_CONNECTION, false, true",
-        "true, ERROR, false, false"})
-    void bodyThatIsNotKeptIsNotSentAgain(boolean lost, Result result, boolean again, boolean refused) {
+    @CsvSource({
+        "false, FULL, true, false",
+        "true, FULL, false, true",
+        "true, NO_CONNECTION, false, true",
+        "true, ERROR, false, false"
+    })
+    void bodyThatIsNotKeptIsNotSentAgain(
+            boolean lost, Result result, boolean again, boolean refused) {
         Recorder r = recorder(Effect.UNSAFE, 4);
         upload(r, "u", 1);
         if (lost) {
@@ -101,7 +113,10 @@
         assertTrue(!ejected(r), r.actions.toString());
     }
 
-    /** A body on its way is no work yet, so many may come at once; what has come whole fills the server. */
+    /**
+     * A body on its way is no work yet, so many may come at once; what has come whole fills the
+     * server.
+     */
     @Test
     void uploadsCountAsWorkFromTheirLastByte() {
         Recorder r = recorder(Effect.UNSAFE, 1);
@@ -147,8 +162,9 @@
         r.choice.streamBegan(r.now, "b", 0, b.server(), 1000);
         upload(r, "d", 1);
         assertEquals(List.of("c", "d"), r.refused);
-        r.choice.outcome(r.now, new LoadBalancer.Outcome("b", 0, b.server(), Result.BROKEN, 1000, true,
-                null));
+        r.choice.outcome(
+                r.now,
+                new LoadBalancer.Outcome("b", 0, b.server(), Result.BROKEN, 1000, true, null));
         upload(r, "e", 200);
         assertEquals(List.of("c", "d"), r.refused);
         // A request that its client has left holds its buffer while its attempt is out.
--- a/sidecar/src/test/java/sagefall/duties/HolderTest.java
+++ b/sidecar/src/test/java/sagefall/duties/HolderTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes that stand for one duty; its owner is stopped past its lease and woken, killed, and told to
- * end, again and again. What they did is judged from what anybody reads.
+ * Real processes that stand for one duty; its owner is stopped past its lease and woken, killed,
+ * and told to end, again and again. What they did is judged from what anybody reads.
  */
 @Timeout(600)
 class HolderTest {
@@ -32,41 +32,58 @@
     /** Stands for it until it is told to end. */
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
-        Duty duty = new Duty() {
-            private long count;
+        Duty duty =
+                new Duty() {
+                    private long count;
 
-            @Override
-            public String name() {
-                return "test";
-            }
+                    @Override
+                    public String name() {
+                        return "test";
+                    }
 
-            @Override
-            public boolean due() {
-                return true;
-            }
+                    @Override
+                    public boolean due() {
+                        return true;
+                    }
 
-            @Override
-            public boolean act(LeaseStore store, long term) throws IOException {
-                String line = term + " " + args[1] + " " + ++count;
-                return store.publish(term, ACTIONS, line.getBytes(StandardCharsets.US_ASCII));
-            }
-        };
-        Holder holder = new Holder(new FolderStore(folder), args[1], duty, LEASE_MILLIS, args[1].hashCode(),
-                System.out::println);
+                    @Override
+                    public boolean act(LeaseStore store, long term) throws IOException {
+                        String line = term + " " + args[1] + " " + ++count;
+                        return store.publish(
+                                term, ACTIONS, line.getBytes(StandardCharsets.US_ASCII));
+                    }
+                };
+        Holder holder =
+                new Holder(
+                        new FolderStore(folder),
+                        args[1],
+                        duty,
+                        LEASE_MILLIS,
+                        args[1].hashCode(),
+                        System.out::println);
         Runtime.getRuntime().addShutdownHook(new Thread(holder::close));
         Thread.currentThread().join();
     }
 
     private static Process start(Path folder, String owner) throws IOException {
-        return new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), HolderTest.class.getName(), folder.toString(), owner)
-                .redirectErrorStream(true).redirectOutput(folder.resolveSibling(owner + ".log").toFile())
+        return new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        HolderTest.class.getName(),
+                        folder.toString(),
+                        owner)
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolveSibling(owner + ".log").toFile())
                 .start();
     }
 
     private static void signal(String name, Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start()
-                .waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** Who holds a term after that one; looks until there is somebody. */
@@ -98,8 +115,13 @@
         try {
             while (processes.size() < 3) {
                 String owner = "p" + ++started;
-                processes.put(owner, start(folder.toFile().isDirectory() ? folder
-                        : Files.createDirectories(folder), owner));
+                processes.put(
+                        owner,
+                        start(
+                                folder.toFile().isDirectory()
+                                        ? folder
+                                        : Files.createDirectories(folder),
+                                owner));
             }
             FolderStore store = new FolderStore(folder);
             LeaseStore.Status now = after(store, 0, seen);
@@ -109,11 +131,13 @@
                 Path log = parent.resolve(owner + ".log");
                 awaitLine(process, log, "holds term " + now.grant().term() + "\n", store, seen);
                 long began = System.nanoTime();
-                String fault = List.of("STOP", "KILL", "TERM").get(round < 3 ? round : random.nextInt(3));
+                String fault =
+                        List.of("STOP", "KILL", "TERM").get(round < 3 ? round : random.nextInt(3));
                 signal(fault, process);
                 LeaseStore.Status next = after(store, now.grant().term(), seen);
-                System.out.printf("%s: next holder after %d ms of a lease of %d%n", fault,
-                        (System.nanoTime() - began) / 1_000_000, LEASE_MILLIS);
+                System.out.printf(
+                        "%s: next holder after %d ms of a lease of %d%n",
+                        fault, (System.nanoTime() - began) / 1_000_000, LEASE_MILLIS);
                 if (fault.equals("STOP")) {
                     signal("CONT", process);
                     // Whatever it does late is looked for until it says that it has stopped.
@@ -139,7 +163,9 @@
             long next = Long.parseLong(words[0]);
             assertEquals(words[1], owners.computeIfAbsent(next, t -> words[1]), action);
             assertTrue(next >= term, action + " after term " + term);
-            assertTrue(next > term || Long.parseLong(words[2]) >= count, action + " after action " + count);
+            assertTrue(
+                    next > term || Long.parseLong(words[2]) >= count,
+                    action + " after action " + count);
             term = next;
             count = Long.parseLong(words[2]);
         }
@@ -147,8 +173,9 @@
         assertTrue(owners.size() > 1, seen.size() + " actions of " + owners);
     }
 
-    private static void awaitLine(Process process, Path log, String line, FolderStore store,
-            List<String> seen) throws Exception {
+    private static void awaitLine(
+            Process process, Path log, String line, FolderStore store, List<String> seen)
+            throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         while (!Files.readString(log).contains(line)) {
             assertTrue(process.isAlive() && System.nanoTime() < until, () -> line + " never came");
--- a/sidecar/src/test/java/sagefall/duties/LeaseTest.java
+++ b/sidecar/src/test/java/sagefall/duties/LeaseTest.java
@@ -24,8 +24,9 @@
 import sagefall.recovery.LossyDisk;
 
 /**
- * The lease and the store that run, hosted by a model of three processes whose every step may be late, whose
- * answers may be lost, and which die: whatever the order, no older term changes anything after a newer one.
+ * The lease and the store that run, hosted by a model of three processes whose every step may be
+ * late, whose answers may be lost, and which die: whatever the order, no older term changes
+ * anything after a newer one.
  */
 @Timeout(300)
 class LeaseTest {
@@ -41,9 +42,15 @@
         Ask asked = Ask.NOTHING;
         long sentAt;
         Grant answer;
-        /** Until then nothing that it asks arrives; until then it stands still, whatever it was about. */
+
+        /**
+         * Until then nothing that it asks arrives; until then it stands still, whatever it was
+         * about.
+         */
         long cutUntil;
+
         long stoppedUntil;
+
         /** The term of an action that has begun and not yet reached what it changes; 0: none. */
         long acting;
     }
@@ -55,18 +62,25 @@
         final Process[] processes = {new Process(), new Process(), new Process()};
         final LossyDisk disk = new LossyDisk(Long.MAX_VALUE, 1);
         final Set<Process> busy = new HashSet<>();
+
         /** Between any two calls of a process at its files others may take steps. */
-        final Disk turns = (Disk) Proxy.newProxyInstance(Disk.class.getClassLoader(),
-                new Class<?>[] {Disk.class}, (proxy, method, values) -> {
-                    if (World.this.busy.size() < 3 && World.this.random.nextInt(4) == 0) {
-                        step();
-                    }
-                    try {
-                        return method.invoke(World.this.disk, values);
-                    } catch (InvocationTargetException e) {
-                        throw e.getCause();
-                    }
-                });
+        final Disk turns =
+                (Disk)
+                        Proxy.newProxyInstance(
+                                Disk.class.getClassLoader(),
+                                new Class<?>[] {Disk.class},
+                                (proxy, method, values) -> {
+                                    if (World.this.busy.size() < 3
+                                            && World.this.random.nextInt(4) == 0) {
+                                        step();
+                                    }
+                                    try {
+                                        return method.invoke(World.this.disk, values);
+                                    } catch (InvocationTargetException e) {
+                                        throw e.getCause();
+                                    }
+                                });
+
         final FolderStore store = new FolderStore(disk, () -> World.this.now, "b", "w");
         long now;
         long accepted;
@@ -95,8 +109,12 @@
 
         void step() throws IOException {
             // Mostly small steps, now and then long ones.
-            now += random.nextInt(4) > 0 ? random.nextInt(40) : random.nextInt(100) > 0 ? random.nextInt(400)
-                    : random.nextInt((int) (2 * LEASE));
+            now +=
+                    random.nextInt(4) > 0
+                            ? random.nextInt(40)
+                            : random.nextInt(100) > 0
+                                    ? random.nextInt(400)
+                                    : random.nextInt((int) (2 * LEASE));
             Process p = processes[random.nextInt(processes.length)];
             if (!busy.add(p)) {
                 return;
@@ -135,11 +153,12 @@
                 p.lease.failed(now);
                 p.asked = Ask.NOTHING;
             } else if (p.answer == null) {
-                p.answer = switch (p.asked) {
-                    case ACQUIRE -> p.store.acquire(p.owner, LEASE);
-                    case RENEW -> p.store.renew(p.owner, p.lease.term(), LEASE);
-                    default -> p.store.status().grant();
-                };
+                p.answer =
+                        switch (p.asked) {
+                            case ACQUIRE -> p.store.acquire(p.owner, LEASE);
+                            case RENEW -> p.store.renew(p.owner, p.lease.term(), LEASE);
+                            default -> p.store.status().grant();
+                        };
             } else {
                 if (random.nextInt(20) == 0) {
                     p.lease.failed(now);
@@ -158,8 +177,15 @@
             }
             for (Process other : processes) {
                 if (other != p && other.lease.mayAct(now)) {
-                    broken = p.owner + " with term " + p.lease.term() + " and " + other.owner + " with term "
-                            + other.lease.term() + " may act at one moment";
+                    broken =
+                            p.owner
+                                    + " with term "
+                                    + p.lease.term()
+                                    + " and "
+                                    + other.owner
+                                    + " with term "
+                                    + other.lease.term()
+                                    + " may act at one moment";
                 }
             }
             if (p.acting == 0 && random.nextInt(3) == 0) {
@@ -197,10 +223,12 @@
     void noOlderTermActsAfterANewerOne(long seed) throws IOException {
         World world = new World(seed, Terms.of(LEASE), true);
         assertNull(play(world, STEPS));
-        assertTrue(world.acts > STEPS / 200 && world.newTerms > STEPS / 10_000,
+        assertTrue(
+                world.acts > STEPS / 200 && world.newTerms > STEPS / 10_000,
                 world.acts + " acts, " + world.newTerms + " terms");
         assertTrue(world.refused > 0, "no late owner was ever refused");
-        assertEquals(world.accepted, world.store.read("x").term(), "what counts is the newest term's");
+        assertEquals(
+                world.accepted, world.store.read("x").term(), "what counts is the newest term's");
     }
 
     /** What keeps it safe is found missing. */
@@ -210,7 +238,8 @@
         Terms late = new Terms(LEASE, -LEASE / 2, whole.pause(), whole.poll());
         assertNotNull(play(new World(1, late, true), STEPS), "no margin");
         Terms blind = new Terms(LEASE, whole.margin(), 100 * LEASE, whole.poll());
-        assertNull(play(new World(1, blind, true), STEPS), "a pause alone is what the margin covers");
+        assertNull(
+                play(new World(1, blind, true), STEPS), "a pause alone is what the margin covers");
         assertNotNull(play(new World(1, whole, false), STEPS), "no token check");
     }
 
@@ -229,10 +258,14 @@
                     p.lease.lost(world.now);
                     Ask ask = p.lease.next(world.now);
                     if (ask != Ask.NOTHING) {
-                        Grant grant = ask == Ask.ACQUIRE ? p.store.acquire(p.owner, LEASE)
-                                : ask == Ask.RENEW ? p.store.renew(p.owner, p.lease.term(), LEASE)
-                                : p.store.status().grant();
-                        p.lease.answered(ask, world.now, world.now, grant, world.random.nextDouble());
+                        Grant grant =
+                                ask == Ask.ACQUIRE
+                                        ? p.store.acquire(p.owner, LEASE)
+                                        : ask == Ask.RENEW
+                                                ? p.store.renew(p.owner, p.lease.term(), LEASE)
+                                                : p.store.status().grant();
+                        p.lease.answered(
+                                ask, world.now, world.now, grant, world.random.nextDouble());
                     }
                     held |= p.lease.mayAct(world.now);
                 }
@@ -253,7 +286,8 @@
                     FolderStore store = new FolderStore(mine, () -> 0, "boot" + boot, "w");
                     try {
                         Grant grant = store.acquire("o" + boot, LEASE);
-                        assertEquals("o" + boot, grant.owner(), "a grant of before the loss has ended");
+                        assertEquals(
+                                "o" + boot, grant.owner(), "a grant of before the loss has ended");
                         assertTrue(grant.term() > held, "term " + grant.term() + " after " + held);
                         held = grant.term();
                         store.renew("o" + boot, held, LEASE);
--- a/sidecar/src/test/java/sagefall/recovery/JournalTest.java
+++ b/sidecar/src/test/java/sagefall/recovery/JournalTest.java
@@ -31,8 +31,10 @@
 class JournalTest {
 
     private static final long NEVER = Long.MAX_VALUE;
+
     /** More than a life makes. */
     private static final int CALLS = 40;
+
     private static final int BOUND = 64 * 1024;
 
     private final List<String> said = new ArrayList<>();
@@ -60,6 +62,7 @@
     private static final class Seen {
         final Map<Long, Kept> states = new HashMap<>();
         long epoch;
+
         /** Its append has returned: it must not be lost any more. */
         long sure;
     }
@@ -69,7 +72,9 @@
         Kept found = journal.state();
         assertTrue(found.epoch() > seen.epoch, "epoch " + found.epoch() + " after " + seen.epoch);
         seen.epoch = found.epoch();
-        assertTrue(found.revision() >= seen.sure, "revision " + found.revision() + " after " + seen.sure);
+        assertTrue(
+                found.revision() >= seen.sure,
+                "revision " + found.revision() + " after " + seen.sure);
         if (found.revision() > 0) {
             assertEquals(seen.states.get(found.revision()).lines(), found.lines());
         }
@@ -83,9 +88,9 @@
     }
 
     /**
-     * The power goes at every single call of a life, and at some call of the next one, with twenty outcomes
-     * each for what was not forced: what is then read is one whole earlier state, nothing that was relied on
-     * is lost, and no epoch comes twice.
+     * The power goes at every single call of a life, and at some call of the next one, with twenty
+     * outcomes each for what was not forced: what is then read is one whole earlier state, nothing
+     * that was relied on is lost, and no epoch comes twice.
      */
     @Test
     void powerLossAtEveryCallLeavesOneWholeState() throws IOException {
@@ -124,18 +129,23 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        // file, byte from its beginning or, below 0, its end, what it becomes | revision read | said
-        "log-1 | -1 | x | 6 | the last",
-        "log-1 | 60 | x | 0 | put aside, nothing is kept: log-1 is damaged at byte 8",
-        "log-1 | 7 | 2 | 0 | put aside, nothing is kept: log-1 has format 2, this program knows 1",
-        "log-1 | 0 | x | 0 | put aside, nothing is kept: log-1 is damaged",
-        "state | 7 | 2 | 0 | put aside, nothing is kept: state has format 2, this program knows 1",
-        "state | 30 | x | 0 | put aside, nothing is kept: state is damaged",
-        "state | 0 | x | 0 | put aside, nothing is kept: state is damaged",
-    })
-    void damageIsPutAsideAndATornTailIsCut(String file, int at, String becomes, long revision, String line)
-            throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                // file, byte from its beginning or, below 0, its end, what it becomes | revision
+                // read | said
+                "log-1 | -1 | x | 6 | the last",
+                "log-1 | 60 | x | 0 | put aside, nothing is kept: log-1 is damaged at byte 8",
+                "log-1 | 7 | 2 | 0 | put aside, nothing is kept: log-1 has format 2, this program"
+                        + " knows 1",
+                "log-1 | 0 | x | 0 | put aside, nothing is kept: log-1 is damaged",
+                "state | 7 | 2 | 0 | put aside, nothing is kept: state has format 2, this program"
+                        + " knows 1",
+                "state | 30 | x | 0 | put aside, nothing is kept: state is damaged",
+                "state | 0 | x | 0 | put aside, nothing is kept: state is damaged",
+            })
+    void damageIsPutAsideAndATornTailIsCut(
+            String file, int at, String becomes, long revision, String line) throws IOException {
         LossyDisk disk = written();
         byte[] bytes = disk.get(file);
         int place = at < 0 ? bytes.length + at : at;
@@ -176,8 +186,11 @@
                 for (int n = random.nextInt(4); n > 0; n--) {
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                 }
-                disk.put(name, random.nextInt(8) == 0
-                        ? Arrays.copyOf(bytes, random.nextInt(bytes.length + 40)) : bytes);
+                disk.put(
+                        name,
+                        random.nextInt(8) == 0
+                                ? Arrays.copyOf(bytes, random.nextInt(bytes.length + 40))
+                                : bytes);
             }
             Kept read = again(disk);
             assertTrue(List.of(0L, 5L, 6L, 7L).contains(read.revision()));
@@ -207,8 +220,13 @@
         assertEquals(9000, kept.lines().get(2L).toldMillis());
         assertEquals(Phase.READY, kept.lines().get(1L).phase());
         for (int i = 0; i < 3000; i++) {
-            kept = kept.with(new Kept.Change(false, 10 + i, 10_000 + i,
-                    Map.of(100L + i, line(100 + i, Phase.REMOVED))));
+            kept =
+                    kept.with(
+                            new Kept.Change(
+                                    false,
+                                    10 + i,
+                                    10_000 + i,
+                                    Map.of(100L + i, line(100 + i, Phase.REMOVED))));
         }
         assertEquals(Kept.MOST_GONE + 1, kept.lines().size());
         assertTrue(kept.lines().containsKey(3099L));
@@ -226,14 +244,19 @@
         CountDownLatch stalled = new CountDownLatch(1);
         LossyDisk disk = new LossyDisk(NEVER, 1);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (Keeper keeper = new Keeper(section(folder), "n1", lines::add, () -> {
-            try {
-                stalled.await();
-            } catch (InterruptedException e) {
-                throw new IOException(e);
-            }
-            return disk;
-        })) {
+        try (Keeper keeper =
+                new Keeper(
+                        section(folder),
+                        "n1",
+                        lines::add,
+                        () -> {
+                            try {
+                                stalled.await();
+                            } catch (InterruptedException e) {
+                                throw new IOException(e);
+                            }
+                            return disk;
+                        })) {
             assertNull(keeper.opened(1));
             assertTrue(lines.take().contains("the folder does not answer"));
             keeper.told(change(true, 5));
@@ -243,7 +266,8 @@
         }
         Kept read = again(disk);
         assertEquals(7, read.revision());
-        assertEquals(List.of(Phase.DRAINING, Phase.DRAINING),
+        assertEquals(
+                List.of(Phase.DRAINING, Phase.DRAINING),
                 List.of(read.lines().get(3L).phase(), read.lines().get(4L).phase()));
     }
 
@@ -264,7 +288,9 @@
         assertEquals(6, again(disk).revision());
     }
 
-    /** The folder goes while files of it are open: said once, and taken up again when it is back. */
+    /**
+     * The folder goes while files of it are open: said once, and taken up again when it is back.
+     */
     @Test
     void aFolderThatGoesIsToldAndTakenUpAgain(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("kept");
@@ -277,7 +303,8 @@
             }
             Files.move(folder, parent.resolve("away"));
             keeper.told(change(false, 6, 3));
-            assertTrue(lines.poll(60, TimeUnit.SECONDS).contains("can't keep what discovery tells"));
+            assertTrue(
+                    lines.poll(60, TimeUnit.SECONDS).contains("can't keep what discovery tells"));
             Files.createDirectory(folder);
             assertTrue(lines.poll(60, TimeUnit.SECONDS).contains("keeping again"));
         }
@@ -300,10 +327,15 @@
     /** A clock that was set back or far on makes what is kept old. */
     @ParameterizedTest
     @CsvSource({"0, true", "-120000, false", "120000, false"})
-    void aClockThatIsWrongMakesItOld(long offset, boolean fresh, @TempDir Path folder) throws Exception {
-        try (Keeper keeper = new Keeper(new Recovery(folder, BOUND, 60_000, true, offset), "n1", s -> { })) {
-            Kept kept = Kept.nothing("n1").with(new Kept.Change(true, 5, System.currentTimeMillis() - 1000,
-                    Map.of()));
+    void aClockThatIsWrongMakesItOld(long offset, boolean fresh, @TempDir Path folder)
+            throws Exception {
+        try (Keeper keeper =
+                new Keeper(new Recovery(folder, BOUND, 60_000, true, offset), "n1", s -> {})) {
+            Kept kept =
+                    Kept.nothing("n1")
+                            .with(
+                                    new Kept.Change(
+                                            true, 5, System.currentTimeMillis() - 1000, Map.of()));
             assertEquals(fresh, keeper.fresh(kept));
         }
     }
--- a/sidecar/src/test/java/sagefall/recovery/KillTest.java
+++ b/sidecar/src/test/java/sagefall/recovery/KillTest.java
@@ -20,8 +20,13 @@
 
     /** Tells the epoch and revision that it found, then each revision once it is kept. */
     public static void main(String[] args) throws IOException {
-        Journal journal = Journal.open(FolderDisk.own(Path.of(args[0])), "n1", BOUND, true,
-                line -> System.out.println("said " + line));
+        Journal journal =
+                Journal.open(
+                        FolderDisk.own(Path.of(args[0])),
+                        "n1",
+                        BOUND,
+                        true,
+                        line -> System.out.println("said " + line));
         System.out.println("epoch " + journal.state().epoch());
         System.out.println("found " + journal.state().revision());
         while (true) {
@@ -37,17 +42,26 @@
         long epoch = 0;
         long kept = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            Process process = new ProcessBuilder(
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("java.class.path"), KillTest.class.getName(), folder.toString())
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+            Process process =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    KillTest.class.getName(),
+                                    folder.toString())
+                            .redirectError(ProcessBuilder.Redirect.INHERIT)
+                            .start();
             int left = 2 + random.nextInt(400);
-            try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-                for (String line; (line = out.readLine()) != null;) {
+            try (BufferedReader out =
+                    new BufferedReader(new InputStreamReader(process.getInputStream()))) {
+                for (String line; (line = out.readLine()) != null; ) {
                     String[] words = line.split(" ", 2);
                     // A line that the kill cut says nothing.
-                    long value = words.length < 2 || !words[1].matches("[0-9]+") ? -1
-                            : Long.parseLong(words[1]);
+                    long value =
+                            words.length < 2 || !words[1].matches("[0-9]+")
+                                    ? -1
+                                    : Long.parseLong(words[1]);
                     switch (words[0]) {
                         case "epoch" -> {
                             assertTrue(value > epoch, "epoch " + value + " after " + epoch);
@@ -61,7 +75,8 @@
                         default -> assertTrue(!line.contains("put aside"), line);
                     }
                     if (--left == 0) {
-                        // What it wrote is still to be read: not by the object that has its streams.
+                        // What it wrote is still to be read: not by the object that has its
+                        // streams.
                         process.toHandle().destroyForcibly();
                     }
                 }
--- a/sidecar/src/test/java/sagefall/recovery/LossyDisk.java
+++ b/sidecar/src/test/java/sagefall/recovery/LossyDisk.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory that loses power at a given call. What was not forced by then is there, lost, or cut
- * anywhere, of each file and each name on its own.
+ * A folder in memory that loses power at a given call. What was not forced by then is there, lost,
+ * or cut anywhere, of each file and each name on its own.
  */
 public final class LossyDisk implements Disk {
 
@@ -29,6 +29,7 @@
     private final SplittableRandom random;
     private long left;
     int calls;
+
     /** Bytes that still fit; what is written past it fails. */
     long room = Long.MAX_VALUE;
 
@@ -56,23 +57,24 @@
                 }
             }
         }
-        found.forEach((name, content) -> {
-            byte[] bytes = content.written.toByteArray();
-            int unforced = bytes.length - content.forced;
-            int kept = content.forced + (unforced == 0 ? 0 : random.nextInt(unforced + 1));
-            Content left = new Content();
-            left.written.write(bytes, 0, kept);
-            // Pages reach the disk in any order: what is there may hold a hole.
-            if (random.nextInt(3) == 0 && kept > content.forced) {
-                byte[] holes = left.written.toByteArray();
-                holes[content.forced + random.nextInt(kept - content.forced)] ^= 0x5a;
-                left.written.reset();
-                left.written.write(holes, 0, kept);
-            }
-            left.forced = kept;
-            next.names.put(name, left);
-            next.forcedNames.put(name, left);
-        });
+        found.forEach(
+                (name, content) -> {
+                    byte[] bytes = content.written.toByteArray();
+                    int unforced = bytes.length - content.forced;
+                    int kept = content.forced + (unforced == 0 ? 0 : random.nextInt(unforced + 1));
+                    Content left = new Content();
+                    left.written.write(bytes, 0, kept);
+                    // Pages reach the disk in any order: what is there may hold a hole.
+                    if (random.nextInt(3) == 0 && kept > content.forced) {
+                        byte[] holes = left.written.toByteArray();
+                        holes[content.forced + random.nextInt(kept - content.forced)] ^= 0x5a;
+                        left.written.reset();
+                        left.written.write(holes, 0, kept);
+                    }
+                    left.forced = kept;
+                    next.names.put(name, left);
+                    next.forcedNames.put(name, left);
+                });
         return next;
     }
 
@@ -123,7 +125,8 @@
             @Override
             public void write(byte[] bytes) throws IOException {
                 // The power may go in the middle of it.
-                content.written.write(bytes, 0, left <= 0 ? random.nextInt(bytes.length + 1) : bytes.length);
+                content.written.write(
+                        bytes, 0, left <= 0 ? random.nextInt(bytes.length + 1) : bytes.length);
                 call();
                 room -= bytes.length;
                 if (room < 0) {
@@ -138,7 +141,7 @@
             }
 
             @Override
-            public void close() { }
+            public void close() {}
         };
     }
 
@@ -168,5 +171,5 @@
     }
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/sidecar/src/test/java/sagefall/recovery/RecoveryTest.java
+++ b/sidecar/src/test/java/sagefall/recovery/RecoveryTest.java
@@ -14,28 +14,38 @@
 class RecoveryTest {
 
     private static Recovery read(String quoted) throws Exception {
-        return Recovery.read(new Section("extensions.recovery",
-                Json.document(new JsonFactory().createParser(quoted.replace('\'', '"')))));
+        return Recovery.read(
+                new Section(
+                        "extensions.recovery",
+                        Json.document(new JsonFactory().createParser(quoted.replace('\'', '"')))));
     }
 
     @Test
     void defaultsAreThoseOfTheReadme() throws Exception {
-        assertEquals(new Recovery(Path.of("/a"), 4 * 1024 * 1024, 3_600_000, true, 0),
+        assertEquals(
+                new Recovery(Path.of("/a"), 4 * 1024 * 1024, 3_600_000, true, 0),
                 read("{'directory':'/a'}"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{} | extensions.recovery.directory: must be the absolute path of a folder",
-        "{'directory':'kept'} | extensions.recovery.directory: must be the absolute path of a folder",
-        "{'directory':7} | extensions.recovery.directory: must be a text",
-        "{'directory':'/a','sync':'never'} | extensions.recovery.sync: must be 'each' or 'snapshot'",
-        "{'directory':'/a','max_bytes':10} | extensions.recovery.max_bytes: must be a whole number from",
-        "{'directory':'/a','max_age_ms':-1} | extensions.recovery.max_age_ms: must be a whole number from 0",
-        "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown name",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{} | extensions.recovery.directory: must be the absolute path of a folder",
+                "{'directory':'kept'} | extensions.recovery.directory: must be the absolute path of"
+                        + " a folder",
+                "{'directory':7} | extensions.recovery.directory: must be a text",
+                "{'directory':'/a','sync':'never'} | extensions.recovery.sync: must be 'each' or"
+                        + " 'snapshot'",
+                "{'directory':'/a','max_bytes':10} | extensions.recovery.max_bytes: must be a whole"
+                        + " number from",
+                "{'directory':'/a','max_age_ms':-1} | extensions.recovery.max_age_ms: must be a"
+                        + " whole number from 0",
+                "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown name",
+            })
     void whatIsWrongIsOneLine(String quoted, String line) {
-        String message = assertThrows(IllegalArgumentException.class, () -> read(quoted)).getMessage();
+        String message =
+                assertThrows(IllegalArgumentException.class, () -> read(quoted)).getMessage();
         assertEquals(line, message.substring(0, line.length()));
     }
 }
--- a/sidecar/src/test/java/sagefall/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/ConfigTest.java
@@ -10,10 +10,12 @@
 /** What the limits that a sidecar is told turn into. */
 class ConfigTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    /** Clients may hold a third of the descriptors for requests; each of these may be out at a server. */
+    /**
+     * Clients may hold a third of the descriptors for requests; each of these may be out at a
+     * server.
+     */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
     void eachRequestOfAThirdOfTheDescriptorsFindsAConnection(int sockets) throws Exception {
@@ -21,8 +23,11 @@
             Config config = harness.config();
             assertTrue(config.serverConnections() >= sockets / 3, "servers");
             assertTrue(config.clientConnections() >= sockets / 3, "clients");
-            assertTrue(config.settings().limits().open() < sockets / 3, "some are left for the next request");
-            assertTrue(config.serverConnections() + config.clientConnections() + 16 <= sockets, "all");
+            assertTrue(
+                    config.settings().limits().open() < sockets / 3,
+                    "some are left for the next request");
+            assertTrue(
+                    config.serverConnections() + config.clientConnections() + 16 <= sockets, "all");
         }
     }
 }
--- a/sidecar/src/test/java/sagefall/sidecar/CrossingTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/CrossingTest.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import sagefall.Choice;
-import sagefall.LoadBalancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.Choice;
+import sagefall.LoadBalancer;
 
 /** What comes in the very moment in which something else happens; each test forces its order. */
 class CrossingTest extends OnSockets {
@@ -71,15 +71,27 @@
         Harness harness = harness();
         Listed listed = new Listed();
         Config config = harness.config();
-        Discovery discovery = harness.loop.submit(() -> new Discovery(harness.loop, config.discovery(),
-                config.lists(), 1, listed, line -> { }, new Discovery.Timeouts(400, 200))).get();
+        Discovery discovery =
+                harness.loop
+                        .submit(
+                                () ->
+                                        new Discovery(
+                                                harness.loop,
+                                                config.discovery(),
+                                                config.lists(),
+                                                1,
+                                                listed,
+                                                line -> {},
+                                                new Discovery.Timeouts(400, 200)))
+                        .get();
         for (int round = 0; round < 2; round++) {
             harness.loop.execute(discovery::subscribe);
             Stub.Seen first = harness.discovery.take();
             assertEquals("GET /v1/servers?from=1&hold_ms=1 HTTP/1.1", first.request().first());
             first.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
             assertEquals("list 1", listed.next());
-            assertEquals("GET /v1/servers?from=1&hold_ms=400 HTTP/1.1",
+            assertEquals(
+                    "GET /v1/servers?from=1&hold_ms=400 HTTP/1.1",
                     harness.discovery.take().request().first());
             assertEquals("no answer", listed.next());
             harness.discovery.awaitEnd();
@@ -87,7 +99,9 @@
         harness.loop.submit(discovery::close).get();
     }
 
-    /** Noticing, the back-off, a further call that is lost and the next one end before the 6 s do. */
+    /**
+     * Noticing, the back-off, a further call that is lost and the next one end before the 6 s do.
+     */
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
     void silenceOfDiscoveryIsOverBeforeItsWordCountsAsTold(boolean onAsk, long backOff) {
@@ -96,7 +110,9 @@
         assertTrue(asked + ANSWER_MILLIS < 6_000, asked + " ms");
     }
 
-    /** What an agent has counts as told from the first moment, so clients come after its first word. */
+    /**
+     * What an agent has counts as told from the first moment, so clients come after its first word.
+     */
     @Test
     void agentIsHeardBeforeTheFirstRequest() throws Exception {
         Stub leaving = server(Stub.serves("leaving"));
@@ -118,7 +134,10 @@
         assertEquals("known", harness.client().search(2_000).answer().body());
     }
 
-    /** A replica that is behind, as after SIGHUP, turned a server ready again that was told to drain. */
+    /**
+     * A replica that is behind, as after SIGHUP, turned a server ready again that was told to
+     * drain.
+     */
     @Test
     void listThatIsBehindEndsNoDrain() throws Exception {
         Stub leaving = server(Stub.serves("leaving"));
@@ -135,7 +154,9 @@
         assertEquals("leaving", harness.client().search(2_000).answer().body());
     }
 
-    /** SIGHUP before the start was over: the first list, which may be old, came behind discovery's. */
+    /**
+     * SIGHUP before the start was over: the first list, which may be old, came behind discovery's.
+     */
     @Test
     void hangupDuringTheStartWaitsForTheFirstList() throws Exception {
         Stub leaving = server(Stub.serves("leaving"));
@@ -143,15 +164,26 @@
         Stub next = server(Stub.SILENT);
         Harness harness = harness(leaving, staying).pushed();
         Config config = harness.config();
-        harness.sidecar = harness.loop.submit(() -> new Sidecar(harness.loop, harness.turns, config,
-                new PrintStream(harness.log, true))).get();
-        Files.writeString(harness.file, Files.readString(harness.file)
-                .replace(":" + harness.discovery.port(), ":" + next.port()));
+        harness.sidecar =
+                harness.loop
+                        .submit(
+                                () ->
+                                        new Sidecar(
+                                                harness.loop,
+                                                harness.turns,
+                                                config,
+                                                new PrintStream(harness.log, true)))
+                        .get();
+        Files.writeString(
+                harness.file,
+                Files.readString(harness.file)
+                        .replace(":" + harness.discovery.port(), ":" + next.port()));
         harness.sidecar.reload(harness.environment());
         // A connection that the loop has begun by then is accepted before this one.
-        harness.loop.submit(() -> { }).get();
-        harness.loop.submit(() -> { }).get();
-        try (Harness.Client own = new Harness.Client(new InetSocketAddress("127.0.0.1", next.port()))) {
+        harness.loop.submit(() -> {}).get();
+        harness.loop.submit(() -> {}).get();
+        try (Harness.Client own =
+                new Harness.Client(new InetSocketAddress("127.0.0.1", next.port()))) {
             own.raw("GET /own HTTP/1.1\r\n\r\n");
             assertEquals("GET /own HTTP/1.1", next.take().request().first());
         }
@@ -217,15 +249,20 @@
 
     private static Scripted scripted(Harness harness) throws Exception {
         AtomicReference<Scripted> module = new AtomicReference<>();
-        CompletableFuture<InetSocketAddress> started = harness.begin((settings, actions) -> {
-            module.set(new Scripted(actions));
-            return module.get();
-        });
+        CompletableFuture<InetSocketAddress> started =
+                harness.begin(
+                        (settings, actions) -> {
+                            module.set(new Scripted(actions));
+                            return module.get();
+                        });
         assertEquals("list of 1", module.get().next());
         answerFirst(harness);
-        // A process that is still cold may give its call up before it reads the answer; it is then asked to
+        // A process that is still cold may give its call up before it reads the answer; it is then
+        // asked to
         // ask again, as a module would.
-        for (String next = module.get().next(); !next.equals("list of 0"); next = module.get().next()) {
+        for (String next = module.get().next();
+                !next.equals("list of 0");
+                next = module.get().next()) {
             assertEquals("discovery failed", next);
             harness.loop.execute(harness.sidecar::subscribe);
             answerFirst(harness);
@@ -243,8 +280,11 @@
     }
 
     private static void take(Sidecar sidecar) {
-        FullHttpRequest http = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/search/k");
-        http.headers().set(Headers.REQUEST_ID, "crossing").set(Headers.TENANT, "acme")
+        FullHttpRequest http =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/search/k");
+        http.headers()
+                .set(Headers.REQUEST_ID, "crossing")
+                .set(Headers.TENANT, "acme")
                 .set(Headers.TIMEOUT, "5000");
         try {
             sidecar.take(http, (status, headers, content) -> content.release());
@@ -259,13 +299,15 @@
         Harness harness = harness(server(Stub.SILENT)).pushed();
         Scripted module = scripted(harness);
         Stub.Seen watch = harness.discovery.take();
-        harness.whileStalled(() -> {
-            watch.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
-            return null;
-        }, () -> {
-            stall(25);
-            take(harness.sidecar);
-        });
+        harness.whileStalled(
+                () -> {
+                    watch.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
+                    return null;
+                },
+                () -> {
+                    stall(25);
+                    take(harness.sidecar);
+                });
         assertEquals("list of 0", module.next());
         assertEquals("crossing", module.next());
     }
@@ -273,7 +315,9 @@
     // ---- Clients that leave
 
     private enum Leaving {
-        CLOSES, RESETS, ENDS_SENDING;
+        CLOSES,
+        RESETS,
+        ENDS_SENDING;
 
         void by(Socket socket) throws IOException {
             if (this == ENDS_SENDING) {
@@ -285,12 +329,17 @@
         }
     }
 
-    /** Until a connection that has brought an answer is used again, so that a request goes out at once. */
+    /**
+     * Until a connection that has brought an answer is used again, so that a request goes out at
+     * once.
+     */
     private static void settle(Harness harness) throws Exception {
-        harness.loop.schedule(() -> { }, 2 * ServerPool.SETTLE_MICROS, TimeUnit.MICROSECONDS).get();
+        harness.loop.schedule(() -> {}, 2 * ServerPool.SETTLE_MICROS, TimeUnit.MICROSECONDS).get();
     }
 
-    /** Bytes and end of a request came together, or the end before it was accepted: it was sent on. */
+    /**
+     * Bytes and end of a request came together, or the end before it was accepted: it was sent on.
+     */
     @ParameterizedTest
     @EnumSource
     void requestWhoseClientHasLeftIsNotSentOn(Leaving leaving) throws Exception {
@@ -298,19 +347,25 @@
         Harness harness = harness(server).start();
         assertEquals("ok", harness.client().book("warm", 5_000).answer().body());
         settle(harness);
-        harness.whileStalled(() -> {
-            for (int i = 0; i < 20; i++) {
-                leaving.by(harness.client().book("left", 5_000).socket);
-            }
-            return null;
-        }, () -> { });
+        harness.whileStalled(
+                () -> {
+                    for (int i = 0; i < 20; i++) {
+                        leaving.by(harness.client().book("left", 5_000).socket);
+                    }
+                    return null;
+                },
+                () -> {});
         // Accepted after them, and so read after them.
         assertEquals("ok", harness.client().book("stays", 5_000).answer().body());
-        assertEquals(List.of("warm", "stays"),
+        assertEquals(
+                List.of("warm", "stays"),
                 server.seen.stream().map(seen -> seen.request().body()).toList());
     }
 
-    /** The same for one that was held while the loop was slow: its client is looked at before it goes out. */
+    /**
+     * The same for one that was held while the loop was slow: its client is looked at before it
+     * goes out.
+     */
     @ParameterizedTest
     @EnumSource
     void heldRequestWhoseClientLeavesDuringAStallIsNotSentOn(Leaving leaving) throws Exception {
@@ -325,10 +380,12 @@
         settle(harness);
         Harness.Client client = harness.client().book("left", 20_000);
         String id = module.next();
-        harness.whileStalled(() -> {
-            leaving.by(client.socket);
-            return null;
-        }, () -> module.send(id, server));
+        harness.whileStalled(
+                () -> {
+                    leaving.by(client.socket);
+                    return null;
+                },
+                () -> module.send(id, server));
         assertEquals("NOT_SENT", module.next());
         assertEquals(1, server.seen.size());
     }
@@ -339,8 +396,10 @@
     void furtherAttemptIsNotBegunForAClientThatHasLeft(Leaving leaving) throws Exception {
         Stub server = server(Stub.SILENT);
         Harness harness = harness(server).pushed();
-        Files.writeString(harness.file, Files.readString(harness.file).replace("\"cancelling\":true",
-                "\"cancelling\":false"));
+        Files.writeString(
+                harness.file,
+                Files.readString(harness.file)
+                        .replace("\"cancelling\":true", "\"cancelling\":false"));
         Scripted module = scripted(harness);
         // Two connections that are up, so that the further attempt would go out at once.
         List<Stub.Seen> warm = new ArrayList<>();
@@ -359,12 +418,15 @@
         String id = module.nextButLists();
         harness.loop.execute(() -> module.send(id, server));
         Stub.Seen first = server.take();
-        harness.whileStalled(() -> {
-            first.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
-            leaving.by(client.socket);
-            return null;
-        }, () -> module.send(id, server));
-        assertEquals(Set.of("FULL", "NOT_SENT"), Set.of(module.nextButLists(), module.nextButLists()));
+        harness.whileStalled(
+                () -> {
+                    first.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
+                    leaving.by(client.socket);
+                    return null;
+                },
+                () -> module.send(id, server));
+        assertEquals(
+                Set.of("FULL", "NOT_SENT"), Set.of(module.nextButLists(), module.nextButLists()));
         assertTrue(server.seen.isEmpty());
     }
 
@@ -375,10 +437,12 @@
     @ValueSource(ints = {0, 5, Link.MAX_BODY})
     void answerWithoutALengthEndsWithTheConnection(int length) throws Exception {
         String body = "x".repeat(length);
-        Stub server = server(seen -> {
-            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
-            seen.socket().close();
-        });
+        Stub server =
+                server(
+                        seen -> {
+                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
+                            seen.socket().close();
+                        });
         Harness harness = harness(server).start();
         for (int i = 0; i < 2; i++) {
             Http.Message answer = harness.client().book("x", 5_000).answer();
@@ -392,15 +456,17 @@
     @ValueSource(ints = {0, 5, Link.MAX_BODY})
     void resetIsNoEnd(int length) throws Exception {
         BlockingQueue<Stub.Seen> written = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> {
-            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
-            written.add(seen);
-        });
+        Stub server =
+                server(
+                        seen -> {
+                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
+                            written.add(seen);
+                        });
         Harness harness = harness(server).start();
         Harness.Client client = harness.client().book("x", 5_000);
         Stub.Seen seen = written.poll(10, TimeUnit.SECONDS);
         // What was written is read in this turn or an earlier one, so the reset comes behind it.
-        harness.loop.submit(() -> { }).get();
+        harness.loop.submit(() -> {}).get();
         seen.socket().setSoLinger(true, 0);
         seen.socket().close();
         assertEquals(502, client.answer().status());
@@ -409,10 +475,12 @@
 
     @Test
     void answerWithoutALengthIsBoundedToo() throws Exception {
-        Stub server = server(seen -> {
-            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(Link.MAX_BODY + 1));
-            seen.socket().close();
-        });
+        Stub server =
+                server(
+                        seen -> {
+                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(Link.MAX_BODY + 1));
+                            seen.socket().close();
+                        });
         assertEquals(502, harness(server).start().client().book("x", 5_000).answer().status());
     }
 
@@ -437,20 +505,27 @@
     }
 
     /**
-     * Lets peers act in the moment between a turn's reading and the end of accepting: both that act and that
-     * end are due when a long turn is over, and so stand one behind the other in the next.
+     * Lets peers act in the moment between a turn's reading and the end of accepting: both that act
+     * and that end are due when a long turn is over, and so stand one behind the other in the next.
      */
-    private static CountDownLatch stopAndCross(Harness harness, Callable<?> peers) throws Exception {
+    private static CountDownLatch stopAndCross(Harness harness, Callable<?> peers)
+            throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        harness.loop.submit(() -> {
-            harness.sidecar.stop(ended::countDown);
-            harness.loop.schedule(peers, 380, TimeUnit.MILLISECONDS);
-            stall(450);
-        }).get();
+        harness.loop
+                .submit(
+                        () -> {
+                            harness.sidecar.stop(ended::countDown);
+                            harness.loop.schedule(peers, 380, TimeUnit.MILLISECONDS);
+                            stall(450);
+                        })
+                .get();
         return ended;
     }
 
-    /** A request was in the socket already when its connection, quiet until then, was closed for the end. */
+    /**
+     * A request was in the socket already when its connection, quiet until then, was closed for the
+     * end.
+     */
     @Test
     void requestThatHasComeBeforeTheEndIsAnswered() throws Exception {
         Stub server = server(Stub.serves("ok"));
@@ -489,12 +564,15 @@
         Stub server = server(Stub.serves("ok"));
         Harness harness = harness(server).start();
         BlockingQueue<Harness.Client> late = new LinkedBlockingQueue<>();
-        CountDownLatch ended = stopAndCross(harness, () -> {
-            for (int i = 0; i < 5; i++) {
-                late.add(harness.client().search(5_000));
-            }
-            return null;
-        });
+        CountDownLatch ended =
+                stopAndCross(
+                        harness,
+                        () -> {
+                            for (int i = 0; i < 5; i++) {
+                                late.add(harness.client().search(5_000));
+                            }
+                            return null;
+                        });
         for (int i = 0; i < 5; i++) {
             try (Harness.Client client = late.poll(10, TimeUnit.SECONDS)) {
                 assertEquals("ok", client.answer().body());
--- a/sidecar/src/test/java/sagefall/sidecar/Harness.java
+++ b/sidecar/src/test/java/sagefall/sidecar/Harness.java
@@ -20,34 +20,45 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.stream.Stream;
+import org.junit.jupiter.api.Assertions;
 import sagefall.Choice;
 import sagefall.LoadBalancer;
 import sagefall.LoadBalancer.Actions;
 import sagefall.LoadBalancer.Settings;
-import org.junit.jupiter.api.Assertions;
 
-/** A sidecar on free loopback ports between scripted servers, a scripted discovery and raw clients. */
+/**
+ * A sidecar on free loopback ports between scripted servers, a scripted discovery and raw clients.
+ */
 final class Harness implements AutoCloseable {
 
     static final String NOTHING_NEW = "{'rev':1,'all':false,'targets':[]}";
 
-    private static final String SETTINGS = "{'classes':["
-            + "{'name':'search','effect':'pure','aim_us':400000,'deadline_us':3000000,'worth':1,"
-            + "'late_value':0.5},"
-            + "{'name':'hold','effect':'token','aim_us':400000,'deadline_us':3000000,'worth':1,"
-            + "'late_value':0.5,'dedup_window_us':3000000},"
-            + "{'name':'book','effect':'side_effect','aim_us':400000,'deadline_us':3000000,'worth':1,"
-            + "'late_value':0.5},"
-            + "{'name':'export','effect':'pure','aim_us':400000,'deadline_us':3000000,'worth':1,"
-            + "'late_value':0.5,'streaming':true},"
-            + "{'name':'append','effect':'side_effect','aim_us':400000,'deadline_us':3000000,'worth':1,"
-            + "'late_value':0.5}],"
-            + "'tenants':[{'name':'acme','share':1}],'zones':['a'],'models':['m'],'zone':0,'discovery':'ask',"
-            + "'policy_limits':{'attempts_cap':4,'cancelling':true,'retry_after':false,"
-            + "'max_retry_after_us':2000000,'conn_idle_us':15000000,'connect_timeout_us':CONNECT},"
-            + "'report':{'source':'answers','names':['cpu','rps','err_rps']},"
-            + "'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,'cold_us':1000000,"
-            + "'fall_us':1000000},'tick_us':1000}";
+    private static final String SETTINGS =
+            "{'classes':["
+                    + "{'name':'search','effect':'pure','aim_us':400000,'deadline_us':3000000,"
+                    + "'worth':1,"
+                    + "'late_value':0.5},"
+                    + "{'name':'hold','effect':'token','aim_us':400000,'deadline_us':3000000,"
+                    + "'worth':1,"
+                    + "'late_value':0.5,'dedup_window_us':3000000},"
+                    + "{'name':'book','effect':'side_effect','aim_us':400000,"
+                    + "'deadline_us':3000000,'worth':1,"
+                    + "'late_value':0.5},"
+                    + "{'name':'export','effect':'pure','aim_us':400000,'deadline_us':3000000,"
+                    + "'worth':1,"
+                    + "'late_value':0.5,'streaming':true},"
+                    + "{'name':'append','effect':'side_effect','aim_us':400000,"
+                    + "'deadline_us':3000000,'worth':1,"
+                    + "'late_value':0.5}],"
+                    + "'tenants':[{'name':'acme','share':1}],'zones':['a'],'models':['m'],"
+                    + "'zone':0,'discovery':'ask',"
+                    + "'policy_limits':{'attempts_cap':4,'cancelling':true,'retry_after':false,"
+                    + "'max_retry_after_us':2000000,'conn_idle_us':15000000,"
+                    + "'connect_timeout_us':CONNECT},"
+                    + "'report':{'source':'answers','names':['cpu','rps','err_rps']},"
+                    + "'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,"
+                    + "'cold_us':1000000,"
+                    + "'fall_us':1000000},'tick_us':1000}";
 
     final Stub discovery;
     final EventLoop loop;
@@ -70,14 +81,23 @@
 
     Harness(Path folder, long connectMicros, int sockets, List<Integer> ports) throws Exception {
         // The first answer says what is known already; the watch that goes on then hears nothing.
-        discovery = new Stub(seen -> { });
+        discovery = new Stub(seen -> {});
         loop = group.next();
         file = folder.resolve("config.json");
         extensions = folder.resolve("extensions.json");
-        Files.writeString(file, json(("{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:"
-                + discovery.port() + "','seed':'8c1f30d27a5be964','limits':{'sockets':" + sockets
-                + "},'known':" + list(1, true, "in_service", ports) + ",'settings':" + SETTINGS + "}")
-                .replace("CONNECT", String.valueOf(connectMicros))));
+        Files.writeString(
+                file,
+                json(
+                        ("{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:"
+                                        + discovery.port()
+                                        + "','seed':'8c1f30d27a5be964','limits':{'sockets':"
+                                        + sockets
+                                        + "},'known':"
+                                        + list(1, true, "in_service", ports)
+                                        + ",'settings':"
+                                        + SETTINGS
+                                        + "}")
+                                .replace("CONNECT", String.valueOf(connectMicros))));
     }
 
     static String json(String quoted) {
@@ -91,10 +111,22 @@
     static String list(int revision, boolean all, String state, List<Integer> ports) {
         List<String> targets = new ArrayList<>();
         for (int port : ports) {
-            targets.add("{'uid':'s-" + port + "','endpoint':'127.0.0.1:" + port
-                    + "','az':'a','model':'m','pod_group':0,'state':'" + state + "','boot_ms':0}");
+            targets.add(
+                    "{'uid':'s-"
+                            + port
+                            + "','endpoint':'127.0.0.1:"
+                            + port
+                            + "','az':'a','model':'m','pod_group':0,'state':'"
+                            + state
+                            + "','boot_ms':0}");
         }
-        return "{'rev':" + revision + ",'all':" + all + ",'targets':[" + String.join(",", targets) + "]}";
+        return "{'rev':"
+                + revision
+                + ",'all':"
+                + all
+                + ",'targets':["
+                + String.join(",", targets)
+                + "]}";
     }
 
     Config config() throws IOException {
@@ -125,25 +157,38 @@
     CompletableFuture<InetSocketAddress> begin(BiFunction<Settings, Actions, LoadBalancer> modules)
             throws Exception {
         Config config = config();
-        sidecar = loop.submit(() -> new Sidecar(loop, turns, config, new PrintStream(log, true), modules))
-                .get();
+        sidecar =
+                loop.submit(
+                                () ->
+                                        new Sidecar(
+                                                loop,
+                                                turns,
+                                                config,
+                                                new PrintStream(log, true),
+                                                modules))
+                        .get();
         return sidecar.start();
     }
 
     /** Lists are pushed, so wait at an agent of the own machine. */
     Harness pushed() throws IOException {
-        Files.writeString(file, Files.readString(file).replace("\"discovery\":\"ask\"",
-                "\"discovery\":\"push\""));
+        Files.writeString(
+                file,
+                Files.readString(file).replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
         return this;
     }
 
-    /** Answers calls for what is newer with this list, until the sidecar has taken it and asks from there. */
+    /**
+     * Answers calls for what is newer with this list, until the sidecar has taken it and asks from
+     * there.
+     */
     void tell(int revision, String list) throws InterruptedException {
         tell(discovery, revision, list);
     }
 
     static void tell(Stub discovery, int revision, String list) throws InterruptedException {
-        for (Stub.Seen call = discovery.take(); !call.request().first().contains("from=" + revision + "&");
+        for (Stub.Seen call = discovery.take();
+                !call.request().first().contains("from=" + revision + "&");
                 call = discovery.take()) {
             try {
                 call.reply("200 OK", "", json(list));
@@ -153,16 +198,21 @@
         }
     }
 
-    /** Keeps the loop from everything until this and what the peers do meanwhile is done, and then acts. */
+    /**
+     * Keeps the loop from everything until this and what the peers do meanwhile is done, and then
+     * acts.
+     */
     void whileStalled(Callable<?> peers, Runnable act) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        var acted = loop.submit(() -> {
-            stalled.countDown();
-            done.await();
-            act.run();
-            return null;
-        });
+        var acted =
+                loop.submit(
+                        () -> {
+                            stalled.countDown();
+                            done.await();
+                            act.run();
+                            return null;
+                        });
         stalled.await();
         try {
             peers.call();
@@ -207,10 +257,19 @@
             return String.format("%016x", ++ids);
         }
 
-        static String head(String method, String path, long timeoutMillis, String more, int length) {
-            return method + " " + path + " HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: " + id()
-                    + "\r\nTenant: acme\r\nRequest-Timeout-Ms: " + timeoutMillis + "\r\n" + more
-                    + (length > 0 ? "Content-Length: " + length + "\r\n" : "") + "\r\n";
+        static String head(
+                String method, String path, long timeoutMillis, String more, int length) {
+            return method
+                    + " "
+                    + path
+                    + " HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: "
+                    + id()
+                    + "\r\nTenant: acme\r\nRequest-Timeout-Ms: "
+                    + timeoutMillis
+                    + "\r\n"
+                    + more
+                    + (length > 0 ? "Content-Length: " + length + "\r\n" : "")
+                    + "\r\n";
         }
 
         Client raw(String text) throws IOException {
--- a/sidecar/src/test/java/sagefall/sidecar/Http.java
+++ b/sidecar/src/test/java/sagefall/sidecar/Http.java
@@ -10,7 +10,7 @@
 /** Just enough HTTP/1.1 to look at the bytes that the sidecar writes. */
 final class Http {
 
-    private Http() { }
+    private Http() {}
 
     record Message(String first, Map<String, String> headers, String body) {
         int status() {
@@ -25,7 +25,7 @@
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; !(line = String.valueOf(line(in))).isEmpty();) {
+        for (String line; !(line = String.valueOf(line(in))).isEmpty(); ) {
             int colon = line.indexOf(':');
             if (colon < 0) {
                 throw new EOFException("ended within the head");
@@ -42,7 +42,7 @@
 
     private static String line(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int c; (c = in.read()) != '\n';) {
+        for (int c; (c = in.read()) != '\n'; ) {
             if (c < 0) {
                 return null;
             }
--- a/sidecar/src/test/java/sagefall/sidecar/LateLoopTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/LateLoopTest.java
@@ -9,18 +9,26 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import sagefall.LoadBalancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import sagefall.LoadBalancer;
 
-/** Requests of a loop that comes to them late, since there is too little of a core or too much to do. */
+/**
+ * Requests of a loop that comes to them late, since there is too little of a core or too much to
+ * do.
+ */
 class LateLoopTest extends OnSockets {
 
     /** Where a request waits while the loop is busy. */
-    private enum Place { ON_A_RESTING_CONNECTION, TO_BE_ACCEPTED }
+    private enum Place {
+        ON_A_RESTING_CONNECTION,
+        TO_BE_ACCEPTED
+    }
 
-    /** Its time counted from its reading, so it was answered as much too late as it had been unread. */
+    /**
+     * Its time counted from its reading, so it was answered as much too late as it had been unread.
+     */
     @ParameterizedTest
     @EnumSource
     void timeRunsFromTheLastByteAndNotFromItsReading(Place place) throws Exception {
@@ -33,13 +41,15 @@
         }
         server.script(Stub.SILENT);
         long[] sentAt = new long[1];
-        harness.whileStalled(() -> {
-            if (place == Place.TO_BE_ACCEPTED) {
-                client.set(harness.client());
-            }
-            sentAt[0] = System.nanoTime();
-            return client.get().search(2_000);
-        }, () -> spin(sentAt[0], 1_500));
+        harness.whileStalled(
+                () -> {
+                    if (place == Place.TO_BE_ACCEPTED) {
+                        client.set(harness.client());
+                    }
+                    sentAt[0] = System.nanoTime();
+                    return client.get().search(2_000);
+                },
+                () -> spin(sentAt[0], 1_500));
         client.get().answer();
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt[0]);
         assertTrue(took < 2_500, took + " ms");
@@ -59,7 +69,9 @@
         assertTrue(told > 1_800, told + " ms");
     }
 
-    /** Each holds the loop until the nearest deadline is over; the second then waits for its answer. */
+    /**
+     * Each holds the loop until the nearest deadline is over; the second then waits for its answer.
+     */
     private static final class Slow extends QuietModule {
         final Set<String> asked = new HashSet<>();
         final CountDownLatch first = new CountDownLatch(1);
@@ -85,7 +97,10 @@
         }
     }
 
-    /** The loop takes timers behind all that a turn has read, so a deadline waited for a crowd's requests. */
+    /**
+     * The loop takes timers behind all that a turn has read, so a deadline waited for a crowd's
+     * requests.
+     */
     @Test
     void deadlineComesBeforeTheNextRequestOfTheSameTurn() throws Exception {
         Slow module = new Slow();
@@ -97,15 +112,17 @@
         }
         Harness.Client client = harness.client().search(500);
         assertTrue(module.first.await(10, TimeUnit.SECONDS));
-        harness.whileStalled(() -> {
-            for (Harness.Client other : others) {
-                other.search(20_000);
-            }
-            return null;
-        }, () -> { });
+        harness.whileStalled(
+                () -> {
+                    for (Harness.Client other : others) {
+                        other.search(20_000);
+                    }
+                    return null;
+                },
+                () -> {});
         assertEquals(504, client.answer().status());
         module.answered.countDown();
-        harness.loop.submit(() -> { }).get(10, TimeUnit.SECONDS);
+        harness.loop.submit(() -> {}).get(10, TimeUnit.SECONDS);
         assertEquals(3, module.asked.size());
         assertTrue(module.inTime);
     }
--- a/sidecar/src/test/java/sagefall/sidecar/OnSockets.java
+++ b/sidecar/src/test/java/sagefall/sidecar/OnSockets.java
@@ -12,8 +12,7 @@
 @Timeout(60)
 abstract class OnSockets {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final List<AutoCloseable> open = new ArrayList<>();
 
     @AfterEach
--- a/sidecar/src/test/java/sagefall/sidecar/ProcessTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/ProcessTest.java
@@ -29,13 +29,13 @@
 @Timeout(60)
 class ProcessTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     /** With so many descriptors. */
     private static ProcessBuilder bounded(int descriptors, ProcessBuilder program) {
-        List<String> command = new ArrayList<>(
-                List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
         command.addAll(program.command());
         return program.command(command);
     }
@@ -44,7 +44,8 @@
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         List<String> command = new ArrayList<>(List.of(java, "-XX:TieredStopAtLevel=1"));
         command.addAll(List.of(options));
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "sagefall.Main", "serve"));
+        command.addAll(
+                List.of("-cp", System.getProperty("java.class.path"), "sagefall.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("LB_CONFIG", config.toString());
         builder.environment().put("LB_LISTEN", listen);
@@ -53,11 +54,13 @@
     }
 
     /** A client begins to send once the program says that it is ready. */
-    private static Harness.Client connect(InetSocketAddress address, Process process) throws Exception {
+    private static Harness.Client connect(InetSocketAddress address, Process process)
+            throws Exception {
         while (true) {
             try {
                 Harness.Client client = new Harness.Client(address);
-                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status() == 200) {
+                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status()
+                        == 200) {
                     return client;
                 }
                 client.close();
@@ -77,13 +80,16 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try (Harness.Client client = connect(address, process)) {
                 client.book("x", 20_000);
                 Stub.Seen held = server.take();
                 signal(process, signals.split(" "));
-                assertTrue(!process.waitFor(600, TimeUnit.MILLISECONDS), "ended with a request in hand");
+                assertTrue(
+                        !process.waitFor(600, TimeUnit.MILLISECONDS),
+                        "ended with a request in hand");
                 held.reply("200 OK", "", "done");
                 assertEquals("done", client.answer().body());
                 client.assertClosed();
@@ -96,8 +102,10 @@
     }
 
     private static void signal(Process process, String... signals) throws Exception {
-        String each = Stream.of(signals).map(s -> "kill -" + s + " " + process.pid())
-                .collect(Collectors.joining(" && "));
+        String each =
+                Stream.of(signals)
+                        .map(s -> "kill -" + s + " " + process.pid())
+                        .collect(Collectors.joining(" && "));
         assertEquals(0, new ProcessBuilder("sh", "-c", each).start().waitFor());
     }
 
@@ -108,7 +116,8 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server).pushed()) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server).pushed()) {
             Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try {
                 harness.discovery.take();
@@ -123,13 +132,19 @@
 
     /** The memory that the deploy file's {@code run} allows. */
     private static String[] limitsOfRun() throws IOException {
-        String run = Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
-                .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
-        return Stream.of(run.split(" ")).filter(o -> o.matches("-X(mx|ss).*|-XX:(Max|Reserved).*"))
+        String run =
+                Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("run = "))
+                        .findFirst()
+                        .orElseThrow();
+        return Stream.of(run.split(" "))
+                .filter(o -> o.matches("-X(mx|ss).*|-XX:(Max|Reserved).*"))
                 .toArray(String[]::new);
     }
 
-    /** Names as long as a domain's may be, indented: over 1 MiB, more than a list might have before. */
+    /**
+     * Names as long as a domain's may be, indented: over 1 MiB, more than a list might have before.
+     */
     @Test
     void fleetOf1024IsKnownWithinTheLimitsOfRun() throws Exception {
         InetSocketAddress address;
@@ -137,26 +152,38 @@
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
         String zone = "a".repeat(253);
-        try (Stub old = new Stub(Stub.HANG_UP); Stub server = new Stub(Stub.serves("of the list"));
+        try (Stub old = new Stub(Stub.HANG_UP);
+                Stub server = new Stub(Stub.serves("of the list"));
                 Harness harness = new Harness(folder, old)) {
-            Files.writeString(harness.file, Files.readString(harness.file).replace("\"a\"", '"' + zone + '"')
-                    .replace("\"tick_us\"", "\"replicas_of_me\":1024,\"tick_us\""));
+            Files.writeString(
+                    harness.file,
+                    Files.readString(harness.file)
+                            .replace("\"a\"", '"' + zone + '"')
+                            .replace("\"tick_us\"", "\"replicas_of_me\":1024,\"tick_us\""));
             String[] limits = limitsOfRun();
             assertTrue(limits.length >= 3, String.join(" ", limits));
-            Process process = program(harness.file, "127.0.0.1:" + address.getPort(), limits).start();
+            Process process =
+                    program(harness.file, "127.0.0.1:" + address.getPort(), limits).start();
             try (Harness.Client client = connect(address, process)) {
-                String list = IntStream.range(0, 1024).mapToObj(i -> """
-                        {
-                                "uid": "%0253d",
-                                "endpoint": "127.0.0.1:%d",
-                                "az": "%s",
-                                "model": "%253s",
-                                "pod_group": %d,
-                                "state": "in_service",
-                                "capacity_hint": 1.0,
-                                "boot_ms": 0
-                        }""".formatted(i, server.port(), zone, "m", i).indent(16))
-                        .collect(Collectors.joining(", "));
+                String list =
+                        IntStream.range(0, 1024)
+                                .mapToObj(
+                                        i ->
+                                                """
+                                                {
+                                                        "uid": "%0253d",
+                                                        "endpoint": "127.0.0.1:%d",
+                                                        "az": "%s",
+                                                        "model": "%253s",
+                                                        "pod_group": %d,
+                                                        "state": "in_service",
+                                                        "capacity_hint": 1.0,
+                                                        "boot_ms": 0
+                                                }\
+                                                """
+                                                        .formatted(i, server.port(), zone, "m", i)
+                                                        .indent(16))
+                                .collect(Collectors.joining(", "));
                 String whole = "{\"rev\": 2, \"all\": true, \"targets\": [" + list + "]}";
                 assertTrue(whole.length() > 1024 * 1024, whole.length() + " bytes");
                 harness.tell(2, whole);
@@ -177,11 +204,13 @@
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
         List<Harness.Client> idle = new ArrayList<>();
-        try (Stub leaving = new Stub(Stub.serves("leaving")); Stub staying = new Stub(Stub.serves("staying"));
+        try (Stub leaving = new Stub(Stub.serves("leaving"));
+                Stub staying = new Stub(Stub.serves("staying"));
                 Harness harness = new Harness(folder, 250_000, 256, leaving, staying).pushed()) {
             // The class path of a test is of many files, each of which is open.
-            Process process = bounded(256 + 64, program(harness.file, "127.0.0.1:" + address.getPort()))
-                    .start();
+            Process process =
+                    bounded(256 + 64, program(harness.file, "127.0.0.1:" + address.getPort()))
+                            .start();
             connect(address, process).close();
             try {
                 for (int round = 0; round < 3; round++) {
@@ -207,14 +236,17 @@
         }
     }
 
-    /** SIGHUP: the file's discovery goes before the environment's, and a wrong file changes nothing. */
+    /**
+     * SIGHUP: the file's discovery goes before the environment's, and a wrong file changes nothing.
+     */
     @Test
     void hangupGoesOverToTheNewDiscovery() throws Exception {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        try (Stub server = new Stub(Stub.serves("ok")); Stub next = new Stub(Stub.SILENT);
+        try (Stub server = new Stub(Stub.serves("ok"));
+                Stub next = new Stub(Stub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.environment().put("LB_DISCOVERY", "127.0.0.1:" + harness.discovery.port());
@@ -225,7 +257,8 @@
                 Files.writeString(harness.file, text.substring(0, text.length() / 2));
                 signal(process, "HUP");
                 assertEquals(200, client.search(2_000).answer().status());
-                Files.writeString(harness.file,
+                Files.writeString(
+                        harness.file,
                         text.replace(":" + harness.discovery.port(), ":" + next.port()));
                 signal(process, "HUP");
                 Stub.Seen asked = next.take();
@@ -239,7 +272,8 @@
                 // And back again.
                 Files.writeString(harness.file, text);
                 signal(process, "HUP");
-                assertEquals("GET /v1/servers HTTP/1.1", harness.discovery.take().request().first());
+                assertEquals(
+                        "GET /v1/servers HTTP/1.1", harness.discovery.take().request().first());
             } finally {
                 process.destroyForcibly();
             }
@@ -247,19 +281,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "'' | not a JSON object",
-        "[] | not a JSON object",
-        "{'a': | not JSON",
-        "{'seed':'1'} | 'settings' is missing",
-        "{'name':'n','seed':'1','listen':'localhost:80','settings':{}} | not an address",
-        "{'name':'n','seed':'x','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','settings':{}} | 'seed'",
-        "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','settings':{}} | classes",
-        "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','limits':{'sockets':9},"
-                + "'settings':{}} | 'sockets'",
-        "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','known':{'rev':1},"
-                + "'settings':{}} | a list without",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "'' | not a JSON object",
+                "[] | not a JSON object",
+                "{'a': | not JSON",
+                "{'seed':'1'} | 'settings' is missing",
+                "{'name':'n','seed':'1','listen':'localhost:80','settings':{}} | not an address",
+                "{'name':'n','seed':'x','listen':'127.0.0.1:0','discovery':'127.0.0.1:1',"
+                        + "'settings':{}}"
+                        + " | 'seed'",
+                "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1',"
+                        + "'settings':{}}"
+                        + " | classes",
+                "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1',"
+                        + "'limits':{'sockets':9},'settings':{}}"
+                        + " | 'sockets'",
+                "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1',"
+                        + "'known':{'rev':1},'settings':{}}"
+                        + " | a list without",
+            })
     void badConfigurationIsOnePlainLine(String text, String message) throws Exception {
         Path file = folder.resolve("bad.json");
         Files.writeString(file, Harness.json(text.equals("''") ? "" : text));
@@ -267,28 +309,39 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{'streamin':{}} | extensions.streamin: unknown name",
-        "{'streaming':7} | extensions.streaming: must be an object",
-        "{'streaming':{'classes':{'export':{}},'x':1}} | extensions.streaming.x: unknown name",
-        "{'streaming':{'classes':{'export':{'x':1}}}} | extensions.streaming.classes.export.x: unknown name",
-        "{'streaming':{'classes':{'nope':{}}}} | classes.nope: the settings have no such",
-        "{'streaming':{'classes':{'book':{'max_answer_bytes':1}}}} | max_answer_bytes: the settings do not",
-        "{'streaming':{'high_watermark_bytes':100,'low_watermark_bytes':100}} | must be below high",
-        "{'streaming':{'max_buffered_bytes':40000}} | one stream's window, ",
-        "{'streaming':{'max_buffered_bytes':-1}} | max_buffered_bytes: must be a whole number",
-        "{'streaming':{'max_buffered_bytes':99999999999999999999}} | must be a whole number",
-        "{'streaming':{'replay_bytes':3000000000}} | replay_bytes: must be a whole number",
-        "{'streaming':{'read_stall_ms':0}} | read_stall_ms: must be a whole number",
-        "{'streaming':{'drain_ms':1.5}} | drain_ms: must be a whole number",
-        "{'streaming':{},'streaming':{}} | not JSON",
-        "[] | not a JSON object",
-    })
-    void badExtensionsAreOnePlainLineAndTheOldOnesStay(String text, String message) throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{'streamin':{}} | extensions.streamin: unknown name",
+                "{'streaming':7} | extensions.streaming: must be an object",
+                "{'streaming':{'classes':{'export':{}},'x':1}} | extensions.streaming.x: unknown"
+                        + " name",
+                "{'streaming':{'classes':{'export':{'x':1}}}} |"
+                        + " extensions.streaming.classes.export.x: unknown name",
+                "{'streaming':{'classes':{'nope':{}}}} | classes.nope: the settings have no such",
+                "{'streaming':{'classes':{'book':{'max_answer_bytes':1}}}} | max_answer_bytes: the"
+                        + " settings do not",
+                "{'streaming':{'high_watermark_bytes':100,'low_watermark_bytes':100}} | must be"
+                        + " below high",
+                "{'streaming':{'max_buffered_bytes':40000}} | one stream's window, ",
+                "{'streaming':{'max_buffered_bytes':-1}} | max_buffered_bytes: must be a whole"
+                        + " number",
+                "{'streaming':{'max_buffered_bytes':99999999999999999999}} | must be a whole"
+                        + " number",
+                "{'streaming':{'replay_bytes':3000000000}} | replay_bytes: must be a whole number",
+                "{'streaming':{'read_stall_ms':0}} | read_stall_ms: must be a whole number",
+                "{'streaming':{'drain_ms':1.5}} | drain_ms: must be a whole number",
+                "{'streaming':{},'streaming':{}} | not JSON",
+                "[] | not a JSON object",
+            })
+    void badExtensionsAreOnePlainLineAndTheOldOnesStay(String text, String message)
+            throws Exception {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             harness.extended(text);
             assertOneLine(harness.environment(), message);
-            harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}").start();
+            harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}")
+                    .start();
             harness.extended(text).sidecar.reload(harness.environment());
             String log = harness.log.toString(StandardCharsets.UTF_8);
             assertTrue(log.contains(message) && log.contains("the old configuration stays"), log);
@@ -299,21 +352,29 @@
             harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
             harness.sidecar.reload(harness.environment());
             Harness.Client taken = harness.client();
-            taken.raw(Harness.Client.head("POST", "/book/k1", 2_000, "", 70_001)).raw("x".repeat(70_001));
+            taken.raw(Harness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
+                    .raw("x".repeat(70_001));
             assertEquals(70_001, server.take().request().body().length());
         }
     }
 
     private static int big(Harness harness, int length) throws Exception {
-        return harness.client().raw(Harness.Client.head("POST", "/book/k1", 2_000, "", length)).answer()
+        return harness.client()
+                .raw(Harness.Client.head("POST", "/book/k1", 2_000, "", length))
+                .answer()
                 .status();
     }
 
     @Test
     void missingExtensionsAreOnePlainLine() throws Exception {
         try (Harness harness = new Harness(folder, new Stub[0])) {
-            assertOneLine(Map.of("LB_CONFIG", harness.file.toString(), "LB_EXTENSIONS",
-                    folder.resolve("none").toString()), "none: can't be read");
+            assertOneLine(
+                    Map.of(
+                            "LB_CONFIG",
+                            harness.file.toString(),
+                            "LB_EXTENSIONS",
+                            folder.resolve("none").toString()),
+                    "none: can't be read");
         }
     }
 
--- a/sidecar/src/test/java/sagefall/sidecar/RoughTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/RoughTest.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
-import sagefall.LoadBalancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.LoadBalancer;
 
 /** Servers that say more than was asked, and clients that say what can't be meant. */
 class RoughTest extends OnSockets {
@@ -53,7 +53,9 @@
         }
     }
 
-    /** A second copy or noise right behind an answer was taken for the answer to the next request. */
+    /**
+     * A second copy or noise right behind an answer was taken for the answer to the next request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
     void whatComesBehindAnAnswerIsNoAnswer(String behind) throws Exception {
@@ -81,30 +83,42 @@
 
     @Test
     void answersAheadAreNotTheAnswer() throws Exception {
-        Stub server = server(seen -> {
-            seen.raw("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 102 On it\r\n\r\n");
-            seen.reply("200 OK", "Server-Load: {\r\nServer-Load: TEXT cpu=0.5\r\n", "ok");
-        });
+        Stub server =
+                server(
+                        seen -> {
+                            seen.raw(
+                                    "HTTP/1.1 103 Early\r\n"
+                                            + "Link: x\r\n\r\n"
+                                            + "HTTP/1.1 102 On it\r\n\r\n");
+                            seen.reply(
+                                    "200 OK",
+                                    "Server-Load: {\r\nServer-Load: TEXT cpu=0.5\r\n",
+                                    "ok");
+                        });
         assertEquals("ok", sidecar(server).client().book("x", 2_000).answer().body());
     }
 
     /** Nothing of these reaches a server: the end of such a request is not where it says. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Content-Length: 1\r\n\r\nxx",
-        "Content-Length: 1\r\n\r\nxPOST /book/k HTTP/1.1\r\n",
-        "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
-        "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx",
-        "Content-Length: 1, 1\r\n\r\nx",
-        "Content-Length: -1\r\n\r\n",
-        "Content-Length: +1\r\n\r\nx",
-        "Content-Length: 99999999999999999999\r\n\r\n",
-        "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /book/k HTTP/1.1\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
-        "Transfer-Encoding: identity\r\n\r\n",
-        "no colon\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "Content-Length: 1\r\n\r\nxx",
+                "Content-Length: 1\r\n\r\nxPOST /book/k HTTP/1.1\r\n",
+                "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
+                "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx",
+                "Content-Length: 1, 1\r\n\r\nx",
+                "Content-Length: -1\r\n\r\n",
+                "Content-Length: +1\r\n\r\nx",
+                "Content-Length: 99999999999999999999\r\n\r\n",
+                "Content-Length: 1\r\n"
+                        + "Transfer-Encoding: chunked\r\n\r\n"
+                        + "0\r\n\r\n"
+                        + "POST /book/k HTTP/1.1\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+                "Transfer-Encoding: identity\r\n\r\n",
+                "no colon\r\n\r\n",
+            })
     void requestWithoutAClearEndIsRejected(String rest) throws Exception {
         Stub server = server(Stub.serves("ok"));
         Harness.Client client = sidecar(server).client();
@@ -128,8 +142,12 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "GET /search/k HTTP/1.1\r\nHost: a\r\n",
-        "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
+    @ValueSource(
+            strings = {
+                "",
+                "GET /search/k HTTP/1.1\r\nHost: a\r\n",
+                "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
+            })
     void clientThatDoesNotSendAWholeRequestIsCutOff(String part) throws Exception {
         Harness.Client client = sidecar(server(Stub.SILENT)).client().raw(part);
         long since = System.nanoTime();
@@ -140,7 +158,9 @@
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
     }
 
-    /** The answer was lost to a reset where the connection was closed with bytes of the body unread. */
+    /**
+     * The answer was lost to a reset where the connection was closed with bytes of the body unread.
+     */
     @Test
     void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
         Harness.Client client = sidecar(server(Stub.SILENT)).client();
@@ -168,25 +188,31 @@
     }
 
     /**
-     * With one connection accepted in each turn of a slow loop, clients' time ran out in the kernel's queue.
-     * The task is due in each turn, so it counts them, and makes each long enough for the clients to read.
+     * With one connection accepted in each turn of a slow loop, clients' time ran out in the
+     * kernel's queue. The task is due in each turn, so it counts them, and makes each long enough
+     * for the clients to read.
      */
     @Test
     void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
         Harness harness = sidecar(server(Stub.serves("ok")));
         AtomicInteger turns = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
-        harness.loop.execute(() -> {
-            try {
-                connected.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            harness.loop.scheduleWithFixedDelay(() -> {
-                turns.incrementAndGet();
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
-            }, 0, 1, TimeUnit.NANOSECONDS);
-        });
+        harness.loop.execute(
+                () -> {
+                    try {
+                        connected.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                    harness.loop.scheduleWithFixedDelay(
+                            () -> {
+                                turns.incrementAndGet();
+                                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
+                            },
+                            0,
+                            1,
+                            TimeUnit.NANOSECONDS);
+                });
         List<Harness.Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             clients.add(harness.client().raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
@@ -198,7 +224,10 @@
         assertTrue(turns.get() < 40, turns + " turns");
     }
 
-    /** Clients that ask once and stay used up what clients may hold, until the usual idle time was over. */
+    /**
+     * Clients that ask once and stay used up what clients may hold, until the usual idle time was
+     * over.
+     */
     @Test
     void idleClientsPastHalfOfTheBoundAreClosedSoon() throws Exception {
         Harness harness = opened(new Harness(folder, 250_000, 128, server(Stub.serves("ok"))));
@@ -219,13 +248,18 @@
         }
     }
 
-    /** Three times the bound of clients that send much and go, by an end or a reset, leave nothing behind. */
+    /**
+     * Three times the bound of clients that send much and go, by an end or a reset, leave nothing
+     * behind.
+     */
     @Test
     void clientsThatSendMuchAndGoLeaveNothingBehind() throws Exception {
-        Harness harness = opened(new Harness(folder, 250_000, 128, server(Stub.serves("ok")))).start();
+        Harness harness =
+                opened(new Harness(folder, 250_000, 128, server(Stub.serves("ok")))).start();
         int bound = harness.config().clientConnections();
         Harness.Client kept = harness.client();
-        String much = Harness.Client.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
+        String much =
+                Harness.Client.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
         for (int i = 0; i < 3 * bound; i++) {
             Harness.Client flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
@@ -247,12 +281,14 @@
     @Test
     void errorInTheModuleIsAnsweredToo() throws Exception {
         Harness harness = harness();
-        harness.start((settings, actions) -> new QuietModule() {
-            @Override
-            public void request(long nowMicros, LoadBalancer.Request request) {
-                throw new StackOverflowError();
-            }
-        });
+        harness.start(
+                (settings, actions) ->
+                        new QuietModule() {
+                            @Override
+                            public void request(long nowMicros, LoadBalancer.Request request) {
+                                throw new StackOverflowError();
+                            }
+                        });
         assertEquals(500, harness.client().search(2_000).answer().status());
         assertEquals(500, harness.client().search(2_000).answer().status());
     }
@@ -267,11 +303,12 @@
         }
         String list = Harness.json(Harness.list(2, true, "in_service", many.toArray(new Stub[0])));
         assertTrue(list.length() > Link.MAX_BODY);
-        harness.discovery.script(seen -> {
-            if (seen.request().first().contains("from=1&")) {
-                seen.reply("200 OK", "", list);
-            }
-        });
+        harness.discovery.script(
+                seen -> {
+                    if (seen.request().first().contains("from=1&")) {
+                        seen.reply("200 OK", "", list);
+                    }
+                });
         harness.start();
         harness.discovery.take();
         harness.discovery.take();
--- a/sidecar/src/test/java/sagefall/sidecar/ServerPoolTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/ServerPoolTest.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.LoadBalancer.LoadReport;
 import sagefall.LoadBalancer.Request;
 import sagefall.LoadBalancer.Result;
 import sagefall.sidecar.Call.Attempt;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
 
 /** The pool alone: what the module's own limits would keep a whole sidecar from reaching. */
 class ServerPoolTest extends OnSockets {
@@ -41,7 +41,10 @@
     private void start(int sockets, Stub... servers) throws Exception {
         harness = opened(new Harness(folder, CONNECT_MICROS, sockets, servers));
         Config config = harness.config();
-        pool = harness.loop.submit(() -> new ServerPool(harness.loop, clock, config, this::ended)).get();
+        pool =
+                harness.loop
+                        .submit(() -> new ServerPool(harness.loop, clock, config, this::ended))
+                        .get();
         update(Harness.list(1, true, "in_service", servers));
     }
 
@@ -53,17 +56,29 @@
 
     private void update(String list) throws Exception {
         Config config = harness.config();
-        harness.loop.submit(() -> {
-            pool.update(config.lists().read(Harness.json(list).getBytes()));
-            return null;
-        }).get();
+        harness.loop
+                .submit(
+                        () -> {
+                            pool.update(config.lists().read(Harness.json(list).getBytes()));
+                            return null;
+                        })
+                .get();
     }
 
     private Attempt send(int port) throws Exception {
         long now = clock.micros();
-        Request request = new Request(Harness.Client.id(), 0, 0, false, -1, now + 60_000_000, false);
-        Call call = new Call(request, HttpMethod.GET, "/search", new DefaultHttpHeaders(), new byte[0],
-                null, 0, null);
+        Request request =
+                new Request(Harness.Client.id(), 0, 0, false, -1, now + 60_000_000, false);
+        Call call =
+                new Call(
+                        request,
+                        HttpMethod.GET,
+                        "/search",
+                        new DefaultHttpHeaders(),
+                        new byte[0],
+                        null,
+                        0,
+                        null);
         Attempt attempt = new Attempt(call, Ids.of("s-" + port), now, request.deadlineMicros());
         harness.loop.submit(() -> pool.start(attempt)).get();
         return attempt;
@@ -111,8 +126,12 @@
 
     @Test
     void outcomesAreToldApart() throws Exception {
-        Stub server = server(Stub.answers("200 OK",
-                "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n", "ok"));
+        Stub server =
+                server(
+                        Stub.answers(
+                                "200 OK",
+                                "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n",
+                                "ok"));
         start(1024, server);
         send(server.port());
         assertEquals(Result.SERVED, result());
@@ -198,12 +217,24 @@
     }
 
     private String jammedList(int revision, String state, Jammed jammed) {
-        return Harness.list(revision, true, state).replace("[]", "[{'uid':'s-" + jammed.socket.getLocalPort()
-                + "','endpoint':'127.0.0.1:" + jammed.socket.getLocalPort() + "','state':'" + state + "'}]");
+        return Harness.list(revision, true, state)
+                .replace(
+                        "[]",
+                        "[{'uid':'s-"
+                                + jammed.socket.getLocalPort()
+                                + "','endpoint':'127.0.0.1:"
+                                + jammed.socket.getLocalPort()
+                                + "','state':'"
+                                + state
+                                + "'}]");
     }
 
     /** What makes a decision out of date while its connection comes up. */
-    private enum Meanwhile { THE_SERVER_DRAINS, THE_WINDOW_ENDS, THE_REQUEST_IS_OVER }
+    private enum Meanwhile {
+        THE_SERVER_DRAINS,
+        THE_WINDOW_ENDS,
+        THE_REQUEST_IS_OVER
+    }
 
     @ParameterizedTest
     @EnumSource
@@ -224,7 +255,10 @@
         assertEquals(-1, up.getInputStream().read());
     }
 
-    /** On a connection that rested nothing goes out either, and what was begun before goes on to its end. */
+    /**
+     * On a connection that rested nothing goes out either, and what was begun before goes on to its
+     * end.
+     */
     @Test
     void whatWasBegunBeforeTheDrainEnds() throws Exception {
         Stub server = server(Stub.SILENT);
--- a/sidecar/src/test/java/sagefall/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/SidecarTest.java
@@ -12,18 +12,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.concurrent.locks.LockSupport;
-import sagefall.LoadBalancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sagefall.LoadBalancer;
 
 /** The whole sidecar between real sockets. */
 class SidecarTest extends OnSockets {
 
     @Test
     void answerIsPassedOnUnchanged() throws Exception {
-        Stub server = server(Stub.answers("200 OK",
-                "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n", "\u00ff\0b"));
+        Stub server =
+                server(
+                        Stub.answers(
+                                "200 OK",
+                                "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n",
+                                "\u00ff\0b"));
         Http.Message answer = sidecar(server).client().book("slot=7", 2_000).answer();
         assertEquals(200, answer.status());
         assertEquals("\u00ff\0b", answer.body());
@@ -45,33 +49,78 @@
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
-    /** Each of these may have run, so an unsafe request fails and is never sent again, by anyone. */
+    /**
+     * Each of these may have run, so an unsafe request fails and is never sent again, by anyone.
+     */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "HTTP/1.1 500 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
-        "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
-        "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\nNot-Started: 1\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nshort | true",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n5\\r\\nshort\\r\\n | true",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 65537\\r\\n\\r\\n | false",
-        "no HTTP at all\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nno colon\\r\\nContent-Length: 2\\r\\n\\r\\nok | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\nContent-Length: 3\\r\\n\\r\\nok | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: -1\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\nContent-Length: 2\\r\\n\\r\\n0\\r\\n"
-                + "\\r\\n | false",
-        "HTTP/1.1 101 Other\\r\\nUpgrade: x\\r\\n\\r\\nHTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n"
-                + "\\r\\n | false",
-        "'' | true",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "HTTP/1.1 500 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
+                "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
+                "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\nNot-Started: 1\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nshort | true",
+                "HTTP/1.1 200 OK\\r"
+                        + "\\n"
+                        + "Transfer-Encoding: chunked\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + "5\\r"
+                        + "\\n"
+                        + "short\\r"
+                        + "\\n"
+                        + " | true",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 65537\\r\\n\\r\\n | false",
+                "no HTTP at all\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nno colon\\r\\nContent-Length: 2\\r\\n\\r\\nok | false",
+                "HTTP/1.1 200 OK\\r"
+                        + "\\n"
+                        + "Content-Length: 2\\r"
+                        + "\\n"
+                        + "Content-Length: 3\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + "ok | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: -1\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r"
+                        + "\\n"
+                        + "Transfer-Encoding: chunked\\r"
+                        + "\\n"
+                        + "Content-Length: 2\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + "0\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + " | false",
+                "HTTP/1.1 101 Other\\r"
+                        + "\\n"
+                        + "Upgrade: x\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + "HTTP/1.1 200 OK\\r"
+                        + "\\n"
+                        + "Content-Length: 0\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + " | false",
+                "'' | true",
+            })
     void unsafeThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
-        Stub.Script script = seen -> {
-            seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
-            if (hangUp) {
-                seen.socket().close();
-            }
-        };
+        Stub.Script script =
+                seen -> {
+                    seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
+                    if (hangUp) {
+                        seen.socket().close();
+                    }
+                };
         Stub one = server(script);
         Stub two = server(script);
         Http.Message answer = sidecar(one, two).client().book("x", 1_000).answer();
@@ -84,11 +133,12 @@
         for (String status : List.of("503 Full", "504 Over")) {
             Stub one = server(Stub.answers(status, "Not-Started: 1\r\n", ""));
             Stub two = server(Stub.answers(status, "Not-Started: 1\r\n", ""));
-            Stub.Script once = seen -> {
-                one.script(Stub.serves("second"));
-                two.script(Stub.serves("second"));
-                seen.reply(status, "Not-Started: 1\r\n", "");
-            };
+            Stub.Script once =
+                    seen -> {
+                        one.script(Stub.serves("second"));
+                        two.script(Stub.serves("second"));
+                        seen.reply(status, "Not-Started: 1\r\n", "");
+                    };
             one.script(once);
             two.script(once);
             assertEquals("second", sidecar(one, two).client().book("x", 2_000).answer().body());
@@ -129,15 +179,20 @@
         server.awaitEnd();
     }
 
-    /** Answers that meet the deadline from both sides: one answer each, and always to its own request. */
+    /**
+     * Answers that meet the deadline from both sides: one answer each, and always to its own
+     * request.
+     */
     @Test
     void oneAnswerWhenOutcomesRace() throws Exception {
-        Stub server = server(seen -> {
-            int late = seen.request().headers().get("Request-Id").hashCode() % 12;
-            seen.socket().setTcpNoDelay(true);
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + late));
-            seen.reply("200 OK", "", seen.request().headers().get("Request-Id"));
-        });
+        Stub server =
+                server(
+                        seen -> {
+                            int late = seen.request().headers().get("Request-Id").hashCode() % 12;
+                            seen.socket().setTcpNoDelay(true);
+                            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + late));
+                            seen.reply("200 OK", "", seen.request().headers().get("Request-Id"));
+                        });
         Harness harness = sidecar(server);
         Harness.Client client = harness.client();
         for (int i = 0; i < 30; i++) {
@@ -166,7 +221,10 @@
         assertEquals(1, server.accepted.get());
     }
 
-    /** A server may end an idle connection at any time; what is written to it afterwards would be lost. */
+    /**
+     * A server may end an idle connection at any time; what is written to it afterwards would be
+     * lost.
+     */
     @Test
     void idleConnectionThatEndedIsNotUsed() throws Exception {
         Stub server = server(seen -> seen.reply("200 OK", "", "ok"));
@@ -190,20 +248,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "nonsense | 400",
-        "GET /nosuch/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: x;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: -5 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 1e3 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Request-Id: b;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "GET /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "POST /hold/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9;Content-Length: 0 | 400",
-        "POST /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9;Content-Length: 65537 | 413",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "nonsense | 400",
+                "GET /nosuch/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: x;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: -5 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 1e3 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Request-Id: b;Tenant:"
+                        + " acme;Request-Timeout-Ms: 9 | 400",
+                "GET /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "POST /hold/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms:"
+                        + " 9;Content-Length: 0 | 400",
+                "POST /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms:"
+                        + " 9;Content-Length: 65537 | 413",
+            })
     void badRequestReachesNoServer(String text, int status) throws Exception {
         Stub server = server(Stub.serves("ok"));
         Harness harness = sidecar(server);
@@ -234,27 +297,33 @@
         assertEquals(200, harness.client().raw(health).answer().status());
     }
 
-    /** An exception costs one request its result, never its answer, and no other request anything. */
+    /**
+     * An exception costs one request its result, never its answer, and no other request anything.
+     */
     @Test
     void exceptionInTheModuleIsAnsweredAndLogged() throws Exception {
         Stub server = server(Stub.serves("ok"));
         Harness harness = harness(server);
-        harness.start((settings, actions) -> new QuietModule() {
-            private boolean thrown;
-
-            @Override
-            public void request(long nowMicros, LoadBalancer.Request request) {
-                if (!thrown) {
-                    thrown = true;
-                    throw new IllegalStateException("probe");
-                }
-                actions.refuse(request.id(), 0, LoadBalancer.Reason.ADMISSION);
-            }
-        });
+        harness.start(
+                (settings, actions) ->
+                        new QuietModule() {
+                            private boolean thrown;
+
+                            @Override
+                            public void request(long nowMicros, LoadBalancer.Request request) {
+                                if (!thrown) {
+                                    thrown = true;
+                                    throw new IllegalStateException("probe");
+                                }
+                                actions.refuse(request.id(), 0, LoadBalancer.Reason.ADMISSION);
+                            }
+                        });
         Harness.Client client = harness.client();
         assertEquals(500, client.search(2_000).answer().status());
         assertEquals(503, client.search(2_000).answer().status());
-        assertTrue(harness.log.toString().contains("IllegalStateException: probe"), harness.log.toString());
+        assertTrue(
+                harness.log.toString().contains("IllegalStateException: probe"),
+                harness.log.toString());
     }
 
     /** What an action brings about at once reaches the module after the call that asked for it. */
@@ -262,20 +331,22 @@
     void moduleIsNotEnteredAgainFromItsOwnAction() throws Exception {
         Harness harness = harness();
         List<String> order = new ArrayList<>();
-        harness.start((settings, actions) -> new QuietModule() {
-            @Override
-            public void request(long nowMicros, LoadBalancer.Request request) {
-                order.add("request");
-                actions.send(request.id(), 1, 0, Long.MAX_VALUE);
-                order.add("sent to a server that no list names");
-            }
-
-            @Override
-            public void outcome(long nowMicros, LoadBalancer.Outcome outcome) {
-                order.add(outcome.result().toString());
-                actions.fail(outcome.requestId(), LoadBalancer.Reason.ATTEMPTS);
-            }
-        });
+        harness.start(
+                (settings, actions) ->
+                        new QuietModule() {
+                            @Override
+                            public void request(long nowMicros, LoadBalancer.Request request) {
+                                order.add("request");
+                                actions.send(request.id(), 1, 0, Long.MAX_VALUE);
+                                order.add("sent to a server that no list names");
+                            }
+
+                            @Override
+                            public void outcome(long nowMicros, LoadBalancer.Outcome outcome) {
+                                order.add(outcome.result().toString());
+                                actions.fail(outcome.requestId(), LoadBalancer.Reason.ATTEMPTS);
+                            }
+                        });
         assertEquals(502, harness.client().search(2_000).answer().status());
         assertEquals(List.of("request", "sent to a server that no list names", "NOT_SENT"), order);
     }
@@ -301,31 +372,37 @@
     void forgottenRequestIsAnsweredAndTheModuleTold() throws Exception {
         Harness harness = harness();
         var left = new LinkedBlockingQueue<String>();
-        harness.start((settings, actions) -> new QuietModule() {
-            @Override
-            public void clientLeft(long nowMicros, String requestId) {
-                left.add(requestId);
-            }
-        });
+        harness.start(
+                (settings, actions) ->
+                        new QuietModule() {
+                            @Override
+                            public void clientLeft(long nowMicros, String requestId) {
+                                left.add(requestId);
+                            }
+                        });
         assertEquals(504, harness.client().search(200).answer().status());
         assertEquals(16, left.poll(10, TimeUnit.SECONDS).length());
     }
 
-    /** Where all are busy a new client waits, and the next connection that is answered makes way for it. */
+    /**
+     * Where all are busy a new client waits, and the next connection that is answered makes way for
+     * it.
+     */
     @Test
     void clientPastTheBoundIsAcceptedAfterAnAnswer() throws Exception {
         Harness harness = opened(new Harness(folder, 250_000, 128));
         var inHand = new LinkedBlockingQueue<String>();
         var actions = new AtomicReference<LoadBalancer.Actions>();
-        harness.start((settings, does) -> {
-            actions.set(does);
-            return new QuietModule() {
-                @Override
-                public void request(long nowMicros, LoadBalancer.Request request) {
-                    inHand.add(request.id());
-                }
-            };
-        });
+        harness.start(
+                (settings, does) -> {
+                    actions.set(does);
+                    return new QuietModule() {
+                        @Override
+                        public void request(long nowMicros, LoadBalancer.Request request) {
+                            inHand.add(request.id());
+                        }
+                    };
+                });
         int bound = harness.config().clientConnections();
         List<Harness.Client> clients = new ArrayList<>();
         String first = null;
@@ -371,7 +448,9 @@
         }
     }
 
-    /** A watch that fails in any way keeps the old list, and is asked for again until it answers. */
+    /**
+     * A watch that fails in any way keeps the old list, and is asked for again until it answers.
+     */
     @Test
     void watchIsRestored() throws Exception {
         Stub old = server(Stub.serves("old"));
@@ -394,18 +473,28 @@
         Harness harness = harness();
         var address = Addresses.parse("127.0.0.1:" + silent.port());
         var failures = new LinkedBlockingQueue<String>();
-        Discovery.Listener listener = new Discovery.Listener() {
-            @Override
-            public void listed(ServerList list) { }
-
-            @Override
-            public void failed(String why) {
-                failures.add(why);
-            }
-        };
+        Discovery.Listener listener =
+                new Discovery.Listener() {
+                    @Override
+                    public void listed(ServerList list) {}
+
+                    @Override
+                    public void failed(String why) {
+                        failures.add(why);
+                    }
+                };
         Config config = harness.config();
-        harness.loop.execute(() -> new Discovery(harness.loop, address, config.lists(), 1, listener,
-                line -> { }, new Discovery.Timeouts(50, 50)).subscribe());
+        harness.loop.execute(
+                () ->
+                        new Discovery(
+                                        harness.loop,
+                                        address,
+                                        config.lists(),
+                                        1,
+                                        listener,
+                                        line -> {},
+                                        new Discovery.Timeouts(50, 50))
+                                .subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
         silent.awaitEnd();
     }
--- a/sidecar/src/test/java/sagefall/sidecar/SlowSpellTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/SlowSpellTest.java
@@ -12,24 +12,27 @@
 @Timeout(60)
 class SlowSpellTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     /**
-     * Slow first answers looked like slow set-ups. Then no connection was made any more to a server that had
-     * none, such as those of a release, and only one could have shown that set-ups were short again.
+     * Slow first answers looked like slow set-ups. Then no connection was made any more to a server
+     * that had none, such as those of a release, and only one could have shown that set-ups were
+     * short again.
      */
     @Test
     void slowSetUpsDoNotForbidTheNextOne() throws Exception {
-        Stub.Script slow = seen -> {
-            try {
-                Thread.sleep(800);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            seen.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
-        };
-        try (Stub one = new Stub(slow); Stub two = new Stub(slow); Stub next = new Stub(Stub.serves("ok"));
+        Stub.Script slow =
+                seen -> {
+                    try {
+                        Thread.sleep(800);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                    seen.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
+                };
+        try (Stub one = new Stub(slow);
+                Stub two = new Stub(slow);
+                Stub next = new Stub(Stub.serves("ok"));
                 Harness harness = new Harness(folder, one, two).start()) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, harness.client().search(3_000).answer().status());
@@ -39,10 +42,13 @@
         }
     }
 
-    /** All of a dead peer's traffic came at once, and was refused beside servers with free cores. */
+    /**
+     * All of a dead peer's traffic came at once, and was refused beside servers with free cores.
+     */
     @Test
     void limitGrowsFastWhileCoresAreFree() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server).start()) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server).start()) {
             for (int i = 0; i < 40; i++) {
                 harness.client().search(20_000);
             }
@@ -58,13 +64,14 @@
     /** A connection that fell silent kept its server out until the deadline of what was on it. */
     @Test
     void silentConnectionDoesNotKeepOutAServerThatAnswers() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server).start()) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server).start()) {
             harness.client().search(20_000);
             server.take();
-            harness.loop.schedule(() -> { }, 200, TimeUnit.MILLISECONDS).get();
+            harness.loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).get();
             Harness.Client other = harness.client().search(20_000);
             Stub.Seen answering = server.take();
-            harness.loop.schedule(() -> { }, 400, TimeUnit.MILLISECONDS).get();
+            harness.loop.schedule(() -> {}, 400, TimeUnit.MILLISECONDS).get();
             Harness.Client next = harness.client().search(20_000);
             // Taken by now, since requests on it and on this one are read in turn.
             assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
--- a/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
@@ -19,7 +19,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import sagefall.streaming.Streaming;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -28,19 +27,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.streaming.Streaming;
 
-/** Bodies that pass through as they arrive, between real sockets; what the tests wait for are events. */
+/**
+ * Bodies that pass through as they arrive, between real sockets; what the tests wait for are
+ * events.
+ */
 @Timeout(60)
 class StreamingTest {
 
-    private static final String ON = "{'streaming':{'classes':{'export':{'max_answer_bytes':100000000},"
-            + "'append':{'max_request_bytes':100000000}}MORE}}";
+    private static final String ON =
+            "{'streaming':{'classes':{'export':{'max_answer_bytes':100000000},"
+                    + "'append':{'max_request_bytes':100000000}}MORE}}";
     private static final int BIG = 3_000_000;
-    private static final String ROOM_FOR_ONE = ",'high_watermark_bytes':1000,'replay_bytes':0,"
-            + "'max_buffered_bytes':" + (1000 + 2 * Streaming.READ_BYTES);
+    private static final String ROOM_FOR_ONE =
+            ",'high_watermark_bytes':1000,'replay_bytes':0,"
+                    + "'max_buffered_bytes':"
+                    + (1000 + 2 * Streaming.READ_BYTES);
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private Wire.Server server;
     private Harness harness;
     private Wire client;
@@ -97,8 +102,10 @@
     void answerPassesOnAsItArrivesAndItsConnectionIsUsedAgain() throws Exception {
         start("");
         Wire to = export(client);
-        to.raw("HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.2\r\nContent-Type: text/x\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\n").chunk("first");
+        to.raw(
+                        "HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.2\r\nContent-Type: text/x\r\n"
+                                + "Transfer-Encoding: chunked\r\n\r\n")
+                .chunk("first");
         Map<String, String> head = client.head();
         assertEquals("HTTP/1.1 200 OK", head.get(""));
         assertEquals("text/x", head.get("Content-Type"));
@@ -136,9 +143,12 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
-        "Content-Length: 5\r\n\r\nabc",
-        "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nno size\r\n"})
+    @ValueSource(
+            strings = {
+                "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
+                "Content-Length: 5\r\n\r\nabc",
+                "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nno size\r\n"
+            })
     void serverThatDiesMidAnswerIsSeenByTheClient(String text) throws Exception {
         start("");
         Wire to = export(client);
@@ -157,7 +167,9 @@
     @Test
     void oldClientSeesABreakToo() throws Exception {
         start("");
-        client.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0).replace("HTTP/1.1", "HTTP/1.0"));
+        client.raw(
+                Harness.Client.head("GET", "/export/k1", 2_000, "", 0)
+                        .replace("HTTP/1.1", "HTTP/1.0"));
         Wire to = answering();
         to.raw(CHUNKED).chunk("abc");
         assertNull(client.head().get("Transfer-Encoding"));
@@ -171,8 +183,10 @@
     @ValueSource(booleans = {true, false})
     void clientThatLeavesMidAnswerFreesTheServerAndItsBuffers(boolean cancelling) throws Exception {
         harness = new Harness(folder, 250_000, 1024, List.of(server.port()));
-        Files.writeString(harness.file, Files.readString(harness.file)
-                .replace("\"cancelling\":true", "\"cancelling\":" + cancelling));
+        Files.writeString(
+                harness.file,
+                Files.readString(harness.file)
+                        .replace("\"cancelling\":true", "\"cancelling\":" + cancelling));
         harness.extended(ON.replace("MORE", ROOM_FOR_ONE)).start();
         for (int i = 0; i < 3; i++) {
             try (Wire one = Wire.to(harness.address)) {
@@ -212,11 +226,13 @@
         start(",'write_stall_ms':100,'high_watermark_bytes':5000");
         Wire to = export(client);
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
-        assertThrows(IOException.class, () -> {
-            for (int i = 0; i < 90; i++) {
-                to.raw(new byte[1_000_000]);
-            }
-        });
+        assertThrows(
+                IOException.class,
+                () -> {
+                    for (int i = 0; i < 90; i++) {
+                        to.raw(new byte[1_000_000]);
+                    }
+                });
         client.head();
         assertThrows(IOException.class, () -> client.bytes(90_000_000));
         assertBounded();
@@ -226,8 +242,9 @@
     private void assertBounded() throws Exception {
         client.close();
         assertTrue(harness.stop().await(10, TimeUnit.SECONDS));
-        Matcher held = Pattern.compile("streams held (\\d+) bytes at the most, 0 at the end").matcher(
-                harness.log.toString());
+        Matcher held =
+                Pattern.compile("streams held (\\d+) bytes at the most, 0 at the end")
+                        .matcher(harness.log.toString());
         assertTrue(held.find(), harness.log.toString());
         long most = Long.parseLong(held.group(1));
         assertTrue(most >= 5000 && most < 5000 + 2 * Streaming.READ_BYTES, "held " + most);
@@ -259,19 +276,26 @@
 
     /** Of these no byte reaches the client; the first of a class that does not stream. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "book | Content-Length: 3000000000",
-        "export | Content-Length: 3000000000",
-        "export | Content-Length: 2\\r\\nTransfer-Encoding: chunked",
-        "export | Content-Length: 2\\r\\nContent-Length: 3",
-        "export | Transfer-Encoding: gzip, chunked",
-        "export | Content-Type: text/x",
-        "export | Content-Length: -1",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "book | Content-Length: 3000000000",
+                "export | Content-Length: 3000000000",
+                "export | Content-Length: 2\\r\\nTransfer-Encoding: chunked",
+                "export | Content-Length: 2\\r\\nContent-Length: 3",
+                "export | Transfer-Encoding: gzip, chunked",
+                "export | Content-Type: text/x",
+                "export | Content-Length: -1",
+            })
     void answerWithoutABoundedEndIsNone(String requestClass, String header) throws Exception {
         start("");
-        client.raw(Harness.Client.head(requestClass.equals("book") ? "POST" : "GET",
-                "/" + requestClass + "/k1", 600, "", 0));
+        client.raw(
+                Harness.Client.head(
+                        requestClass.equals("book") ? "POST" : "GET",
+                        "/" + requestClass + "/k1",
+                        600,
+                        "",
+                        0));
         Wire to = answering();
         to.raw("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
         to.awaitEnd();
@@ -296,7 +320,10 @@
     void wordsAheadOfTheAnswerAreNotTheAnswer() throws Exception {
         start("");
         Wire to = export(client);
-        to.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n").raw(CHUNKED).chunk("abc").raw("0\r\n\r\n");
+        to.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+                .raw(CHUNKED)
+                .chunk("abc")
+                .raw("0\r\n\r\n");
         assertEquals("HTTP/1.1 200 OK", client.head().get(""));
         assertEquals("abc", new String(client.chunks()));
     }
@@ -321,11 +348,25 @@
         to.raw(CHUNKED).chunk("abc");
         client.head();
         for (String state : List.of("terminating", "terminated")) {
-            harness.loop.submit(() -> {
-                harness.sidecar.listed(harness.config().lists().read(
-                        Harness.json(Harness.list(2, false, state, List.of(server.port()))).getBytes()));
-                return null;
-            }).get();
+            harness.loop
+                    .submit(
+                            () -> {
+                                harness.sidecar.listed(
+                                        harness.config()
+                                                .lists()
+                                                .read(
+                                                        Harness.json(
+                                                                        Harness.list(
+                                                                                2,
+                                                                                false,
+                                                                                state,
+                                                                                List.of(
+                                                                                        server
+                                                                                                .port())))
+                                                                .getBytes()));
+                                return null;
+                            })
+                    .get();
             to.chunk(state);
         }
         to.raw("0\r\n\r\n");
@@ -364,17 +405,21 @@
         start(",'high_watermark_bytes':5000");
         Wire to = export(client);
         byte[] body = noise(BIG);
-        Thread writing = new Thread(() -> {
-            try {
-                to.raw("HTTP/1.1 200 OK\r\nContent-Length: " + BIG + "\r\n\r\n").raw(body);
-            } catch (IOException e) {
-                // The client sees too little.
-            }
-        });
+        Thread writing =
+                new Thread(
+                        () -> {
+                            try {
+                                to.raw("HTTP/1.1 200 OK\r\nContent-Length: " + BIG + "\r\n\r\n")
+                                        .raw(body);
+                            } catch (IOException e) {
+                                // The client sees too little.
+                            }
+                        });
         writing.start();
         client.head();
         for (int at = 0; at < BIG; at += BIG / 300) {
-            assertArrayEquals(Arrays.copyOfRange(body, at, at + BIG / 300), client.bytes(BIG / 300));
+            assertArrayEquals(
+                    Arrays.copyOfRange(body, at, at + BIG / 300), client.bytes(BIG / 300));
         }
         writing.join();
     }
@@ -458,7 +503,10 @@
         }
     }
 
-    /** Past the replay buffer it never goes out again; it has not run, so it may be refused, at once. */
+    /**
+     * Past the replay buffer it never goes out again; it has not run, so it may be refused, at
+     * once.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whatIsNotKeptIsRefusedAtOnce(boolean dies) throws Exception {
@@ -494,7 +542,9 @@
         assertTrue(server.none());
     }
 
-    /** A server begins a request with its last byte: an answer of 200 before it is no answer to it. */
+    /**
+     * A server begins a request with its last byte: an answer of 200 before it is no answer to it.
+     */
     @Test
     void answerBeforeTheBodyIsWholeIsNone() throws Exception {
         start(",'replay_bytes':4");
@@ -520,15 +570,17 @@
         start(",'write_stall_ms':100,'replay_bytes':4,'high_watermark_bytes':5000");
         client.raw(append("Content-Length: 90000000"));
         Wire to = answering();
-        Thread writing = new Thread(() -> {
-            try {
-                for (int i = 0; i < 90; i++) {
-                    client.raw(new byte[1_000_000]);
-                }
-            } catch (IOException e) {
-                // Closed after the answer.
-            }
-        });
+        Thread writing =
+                new Thread(
+                        () -> {
+                            try {
+                                for (int i = 0; i < 90; i++) {
+                                    client.raw(new byte[1_000_000]);
+                                }
+                            } catch (IOException e) {
+                                // Closed after the answer.
+                            }
+                        });
         writing.start();
         assertEquals("HTTP/1.1 503 Service Unavailable", client.head().get(""));
         to.awaitEnd();
@@ -538,31 +590,51 @@
 
     /** Nothing hidden is passed on: the server never sees the end of such a body. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "Content-Length: 70000 | 0 | GET /export/k2 HTTP/1.1\\r\\n\\r\\n | 400",
-        "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\n0\\r\\n\\r\\n | GET / HTTP/1.1\\r\\n\\r\\n | 400",
-        "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\nzz\\r\\n | '' | 400",
-        "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\n-1\\r\\n | '' | 400",
-        "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\nffffffffffffffffff\\r\\n | '' | 400",
-        "Content-Length: 70000\\r\\nTransfer-Encoding: chunked | 0\\r\\n\\r\\n | '' | 413",
-        "Content-Length: 200000000 | '' | '' | 413",
-        "Transfer-Encoding: gzip, chunked | 3\\r\\nabc\\r\\n0\\r\\n\\r\\n | '' | 400",
-    })
-    void spoiltBodyEndsInAnError(String framing, String body, String behind, int status) throws Exception {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "Content-Length: 70000 | 0 | GET /export/k2 HTTP/1.1\\r\\n\\r\\n | 400",
+                "Transfer-Encoding: chunked | 3\\r"
+                        + "\\n"
+                        + "abc\\r"
+                        + "\\n"
+                        + "0\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + " | GET / HTTP/1.1\\r"
+                        + "\\n"
+                        + "\\r"
+                        + "\\n"
+                        + " | 400",
+                "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\nzz\\r\\n | '' | 400",
+                "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\n-1\\r\\n | '' | 400",
+                "Transfer-Encoding: chunked | 3\\r\\nabc\\r\\nffffffffffffffffff\\r\\n | '' | 400",
+                "Content-Length: 70000\\r\\nTransfer-Encoding: chunked | 0\\r\\n\\r\\n | '' | 413",
+                "Content-Length: 200000000 | '' | '' | 413",
+                "Transfer-Encoding: gzip, chunked | 3\\r\\nabc\\r\\n0\\r\\n\\r\\n | '' | 400",
+            })
+    void spoiltBodyEndsInAnError(String framing, String body, String behind, int status)
+            throws Exception {
         start("");
         String text = body.equals("0") ? "x".repeat(70_000) : body.replace("\\r\\n", "\r\n");
-        client.raw(append(framing.replace("\\r\\n", "\r\n")) + text + behind.replace("\\r\\n", "\r\n"));
+        client.raw(
+                append(framing.replace("\\r\\n", "\r\n"))
+                        + text
+                        + behind.replace("\\r\\n", "\r\n"));
         String first = client.head().get("");
         assertTrue(first.startsWith("HTTP/1.1 " + status), first);
         if (!server.none()) {
             Wire to = answering();
-            assertThrows(IOException.class, () -> {
-                if (body.equals("0")) {
-                    to.bytes(70_000);
-                } else {
-                    to.chunks();
-                }
-            });
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        if (body.equals("0")) {
+                            to.bytes(70_000);
+                        } else {
+                            to.chunks();
+                        }
+                    });
         }
     }
 
@@ -572,13 +644,15 @@
         client.raw(append("Transfer-Encoding: chunked")).chunk("abc").raw("0\r\n");
         Wire to = answering();
         to.chunk();
-        assertThrows(IOException.class, () -> {
-            for (int i = 0; i < 10_000; i++) {
-                client.raw("A" + i + ": " + "x".repeat(100) + "\r\n");
-            }
-            client.awaitEnd();
-            throw new IOException("ended");
-        });
+        assertThrows(
+                IOException.class,
+                () -> {
+                    for (int i = 0; i < 10_000; i++) {
+                        client.raw("A" + i + ": " + "x".repeat(100) + "\r\n");
+                    }
+                    client.awaitEnd();
+                    throw new IOException("ended");
+                });
         assertThrows(IOException.class, to::chunks);
     }
 
@@ -629,13 +703,15 @@
     void bigUploadArrivesWholeAtASlowServer() throws Exception {
         start(",'high_watermark_bytes':5000");
         byte[] body = noise(BIG);
-        Thread writing = new Thread(() -> {
-            try {
-                client.raw(append("Content-Length: " + BIG)).raw(body);
-            } catch (IOException e) {
-                // The server sees too little.
-            }
-        });
+        Thread writing =
+                new Thread(
+                        () -> {
+                            try {
+                                client.raw(append("Content-Length: " + BIG)).raw(body);
+                            } catch (IOException e) {
+                                // The server sees too little.
+                            }
+                        });
         writing.start();
         Wire to = answering();
         for (int at = 0; at < BIG; at += BIG / 300) {
@@ -653,7 +729,9 @@
         harness.start();
         client = Wire.to(harness.address);
         Wire to = export(client);
-        to.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk("abc").raw("0\r\n\r\n");
+        to.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .chunk("abc")
+                .raw("0\r\n\r\n");
         assertEquals("3", client.head().get("Content-Length"));
         assertEquals("abc", client.text(3));
         client.raw(append("Content-Length: 70000"));
--- a/sidecar/src/test/java/sagefall/sidecar/Stub.java
+++ b/sidecar/src/test/java/sagefall/sidecar/Stub.java
@@ -21,8 +21,15 @@
     /** A request as it came, and the connection that it came on. */
     record Seen(Http.Message request, Socket socket) {
         void reply(String status, String headers, String body) throws IOException {
-            raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
-                    + body);
+            raw(
+                    "HTTP/1.1 "
+                            + status
+                            + "\r\n"
+                            + headers
+                            + "Content-Length: "
+                            + body.length()
+                            + "\r\n\r\n"
+                            + body);
         }
 
         void raw(String text) throws IOException {
@@ -36,12 +43,14 @@
         void on(Seen seen) throws IOException;
     }
 
-    static final Script SILENT = seen -> { };
+    static final Script SILENT = seen -> {};
     static final Script HANG_UP = seen -> seen.socket().close();
 
     final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+
     /** One entry for each connection that has ended. */
     final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+
     final AtomicInteger accepted = new AtomicInteger();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket listening;
@@ -103,7 +112,7 @@
     private void talk(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (Http.Message m; (m = Http.read(in)) != null;) {
+            for (Http.Message m; (m = Http.read(in)) != null; ) {
                 Seen next = new Seen(m, socket);
                 // Whoever hears of this request may change the script for the next one.
                 Script mine = script;
@@ -117,7 +126,10 @@
         }
     }
 
-    /** Once this returns, connections are refused: while the accepting thread is in, some still come up. */
+    /**
+     * Once this returns, connections are refused: while the accepting thread is in, some still come
+     * up.
+     */
     @Override
     public void close() throws IOException {
         listening.close();
--- a/sidecar/src/test/java/sagefall/sidecar/WarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/WarmUpTest.java
@@ -19,11 +19,11 @@
 
     private static final int REQUESTS = 50;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static Config at(Harness harness, int port) throws IOException {
-        return Config.read(Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN", "127.0.0.1:" + port));
+        return Config.read(
+                Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN", "127.0.0.1:" + port));
     }
 
     private static int freePort() throws IOException {
@@ -35,7 +35,8 @@
     /** Again and again: the address was still in use at times when the warm-up had ended. */
     @Test
     void allIsAnsweredAndNothingLeavesTheProcess() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             Config config = at(harness, freePort());
             for (int i = 0; i < 5; i++) {
                 assertTrue(WarmUp.run(config, REQUESTS, 20_000) >= REQUESTS);
@@ -49,7 +50,8 @@
 
     @Test
     void itEndsByTheClockToo() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             long since = System.nanoTime();
             WarmUp.run(at(harness, freePort()), Integer.MAX_VALUE, 100);
             assertTrue(System.nanoTime() - since < 5_000_000_000L);
@@ -59,15 +61,18 @@
     /** Its own servers' answers are nothing that a client could have asked for. */
     @Test
     void clientsAreNotServedByIt() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             Config config = at(harness, freePort());
-            var running = CompletableFuture.supplyAsync(() -> {
-                try {
-                    return WarmUp.run(config, Integer.MAX_VALUE, 2_000);
-                } catch (InterruptedException e) {
-                    return -1;
-                }
-            });
+            var running =
+                    CompletableFuture.supplyAsync(
+                            () -> {
+                                try {
+                                    return WarmUp.run(config, Integer.MAX_VALUE, 2_000);
+                                } catch (InterruptedException e) {
+                                    return -1;
+                                }
+                            });
             try (Harness.Client client = connect(config.listen())) {
                 client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.answer().status());
