--- a/sidecar/src/test/java/sagefall/sidecar/Wire.java
+++ b/sidecar/src/test/java/sagefall/sidecar/Wire.java
@@ -17,7 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Assertions;
 
-/** One end of a connection whose bytes a test brings and takes one by one: bodies are not read ahead. */
+/**
+ * One end of a connection whose bytes a test brings and takes one by one: bodies are not read
+ * ahead.
+ */
 final class Wire implements AutoCloseable {
 
     final Socket socket;
@@ -48,7 +51,7 @@
 
     String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int c; (c = in.read()) != '\n';) {
+        for (int c; (c = in.read()) != '\n'; ) {
             if (c < 0) {
                 throw new EOFException("ended within a line: " + line);
             }
@@ -69,8 +72,10 @@
 
     private Map<String, String> fields() throws IOException {
         Map<String, String> fields = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; !(line = line()).isEmpty();) {
-            fields.put(line.substring(0, line.indexOf(':')), line.substring(line.indexOf(':') + 1).trim());
+        for (String line; !(line = line()).isEmpty(); ) {
+            fields.put(
+                    line.substring(0, line.indexOf(':')),
+                    line.substring(line.indexOf(':') + 1).trim());
         }
         return fields;
     }
@@ -100,7 +105,7 @@
     /** What still comes up to the last chunk. */
     byte[] chunks() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (byte[] chunk; (chunk = chunk()) != null;) {
+        for (byte[] chunk; (chunk = chunk()) != null; ) {
             all.write(chunk);
         }
         return all.toByteArray();
@@ -135,7 +140,8 @@
 
     /** A peer whose connections are handed to the test. */
     static final class Server implements AutoCloseable {
-        private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final ServerSocket listening =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final BlockingQueue<Wire> came;
 
         Server() throws IOException {
@@ -145,15 +151,18 @@
         /** One of several whose connections come to the same place. */
         Server(BlockingQueue<Wire> came) throws IOException {
             this.came = came;
-            Thread accepting = new Thread(() -> {
-                try {
-                    while (true) {
-                        came.add(new Wire(listening.accept()));
-                    }
-                } catch (IOException e) {
-                    // Closed: the test is over.
-                }
-            }, "wire");
+            Thread accepting =
+                    new Thread(
+                            () -> {
+                                try {
+                                    while (true) {
+                                        came.add(new Wire(listening.accept()));
+                                    }
+                                } catch (IOException e) {
+                                    // Closed: the test is over.
+                                }
+                            },
+                            "wire");
             accepting.setDaemon(true);
             accepting.start();
         }
--- a/sidecar/src/test/java/sagefall/simhost/SimHostTest.java
+++ b/sidecar/src/test/java/sagefall/simhost/SimHostTest.java
@@ -13,15 +13,21 @@
 
 class SimHostTest {
 
-    private static final String FACTS = "{'classes':[{'name':'c','effect':'pure','aim_us':200000,"
-            + "'deadline_us':1000000,'worth':1,'new_key':[1,{'x':null}]}],'zones':['a'],'zone':0,"
-            + "'policy_limits':{'attempts_cap':3,'cancelling':true},'rules':{'cold_from':0.3,"
-            + "'cold_us':1000000,"
-            + "'fall_us':1000000},'discovery':'push','unknown':{'deep':[1.5]}}";
-    private static final String START = "{'at_time_us':10,'groups':[{'who':'sidecar_0','msgs':[{'op':'Start',"
-            + "'salt':5,'facts':" + FACTS + "},{'op':'Pool','table':3,'rows':[{'server':9,"
-            + "'status':'SERVING'}]},"
-            + "{'op':'Endpoints','how':'disk','epoch':1,'table':3}]}]}\n";
+    private static final String FACTS =
+            "{'classes':[{'name':'c','effect':'pure','aim_us':200000,"
+                    + "'deadline_us':1000000,'worth':1,'new_key':[1,{'x':null}]}],'zones':['a'],"
+                    + "'zone':0,"
+                    + "'policy_limits':{'attempts_cap':3,'cancelling':true},"
+                    + "'rules':{'cold_from':0.3,"
+                    + "'cold_us':1000000,"
+                    + "'fall_us':1000000},'discovery':'push','unknown':{'deep':[1.5]}}";
+    private static final String START =
+            "{'at_time_us':10,'groups':[{'who':'sidecar_0','msgs':[{'op':'Start',"
+                    + "'salt':5,'facts':"
+                    + FACTS
+                    + "},{'op':'Pool','table':3,'rows':[{'server':9,"
+                    + "'status':'SERVING'}]},"
+                    + "{'op':'Endpoints','how':'disk','epoch':1,'table':3}]}]}\n";
 
     private int status;
     private String errors;
@@ -30,7 +36,8 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         byte[] bytes = input.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-        status = new SimHost().run(new ByteArrayInputStream(bytes), out, new PrintStream(err, true));
+        status =
+                new SimHost().run(new ByteArrayInputStream(bytes), out, new PrintStream(err, true));
         errors = err.toString(StandardCharsets.UTF_8);
         return out.toString(StandardCharsets.UTF_8).replace('"', '\'');
     }
@@ -41,18 +48,28 @@
 
     @Test
     void oneReplyForEachBatch() {
-        assertEquals("{'groups':[]}\n{'groups':[]}\n", run("{'at_time_us':1,'groups':[]}\n"
-                + "{'at_time_us':2,'groups':[]}\n"));
+        assertEquals(
+                "{'groups':[]}\n{'groups':[]}\n",
+                run("{'at_time_us':1,'groups':[]}\n" + "{'at_time_us':2,'groups':[]}\n"));
         assertEquals(0, status);
     }
 
     @Test
     void requestIsPlacedAndAnswered() {
-        String out = run(START + batch(20, "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}")
-                + batch(30, "{'op':'Response','ticket':'ab','server':9,'go':0,"
-            + "'cost_time_us':10,'verdict':'OK',"
-                        + "'terminal':true},{'op':'ClientLeft','ticket':'ab'},{'op':'Peer',"
-            + "'by':1,'octets':''}"));
+        String out =
+                run(
+                        START
+                                + batch(
+                                        20,
+                                        "{'op':'Call','ticket':'ab','type':0,"
+                                                + "'drop_dead_us':900000}")
+                                + batch(
+                                        30,
+                                        "{'op':'Response','ticket':'ab','server':9,'go':0,"
+                                                + "'cost_time_us':10,'verdict':'OK',"
+                                                + "'terminal':true},{'op':'ClientLeft',"
+                                                + "'ticket':'ab'},{'op':'Peer',"
+                                                + "'by':1,'octets':''}"));
         String[] lines = out.split("\n");
         assertEquals(3, lines.length);
         assertTrue(lines[1].contains("{'op':'Place','ticket':'ab','server':9"), lines[1]);
@@ -61,30 +78,51 @@
 
     @Test
     void poolNumbersAreReplacedWithinABatch() {
-        String out = run(START + batch(20, "{'op':'Pool','table':3,'rows':[{'server':7,'status':'SERVING'}]},"
-                + "{'op':'Endpoints','how':'snapshot','epoch':2,'table':3},"
-                + "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}"));
+        String out =
+                run(
+                        START
+                                + batch(
+                                        20,
+                                        "{'op':'Pool','table':3,'rows':[{'server':7,"
+                                                + "'status':'SERVING'}]},"
+                                                + "{'op':'Endpoints','how':'snapshot','epoch':2,"
+                                                + "'table':3},"
+                                                + "{'op':'Call','ticket':'ab','type':0,"
+                                                + "'drop_dead_us':900000}"));
         assertTrue(out.contains("'server':7"), out);
     }
 
     @Test
     void instanceMayRestartInOneBatch() {
-        run(START + batch(20, "{'op':'PowerOff'},{'op':'Start','salt':6,'facts':" + FACTS + "},"
-                + "{'op':'Endpoints','how':'disk','epoch':1,'table':3},"
-                + "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}"));
+        run(
+                START
+                        + batch(
+                                20,
+                                "{'op':'PowerOff'},{'op':'Start','salt':6,'facts':"
+                                        + FACTS
+                                        + "},{'op':'Endpoints','how':'disk','epoch':1,'table':3},"
+                                        + "{'op':'Call','ticket':'ab','type':0,"
+                                        + "'drop_dead_us':900000}"));
         assertEquals(0, status, errors);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "nonsense | not JSON",
-        "[] | a batch must be a JSON object",
-        "{'groups':[]} | at_time_us",
-        "{'at_time_us':5} | groups",
-        "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'PowerOff'}]}]} | unknown instance",
-        "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1}]}]} | 'facts' is missing",
-        "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1,'facts':{}}]}]} | classes",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "nonsense | not JSON",
+                "[] | a batch must be a JSON object",
+                "{'groups':[]} | at_time_us",
+                "{'at_time_us':5} | groups",
+                "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'PowerOff'}]}]} | unknown"
+                        + " instance",
+                "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1}]}]} | 'facts'"
+                        + " is missing",
+                "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1,"
+                        + "'facts':{}}]}]}"
+                        + " | classes",
+            })
     void badInputEndsWithOneClearLine(String input, String message) {
         String out = run(input);
         assertEquals(1, status);
--- a/sidecar/src/test/java/sagefall/streaming/FlowTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowTest.java
@@ -53,7 +53,10 @@
         assertFalse(flow.bringsNothing());
     }
 
-    /** Whatever the order of bringing and taking, what waits stays within the watermark and one part. */
+    /**
+     * Whatever the order of bringing and taking, what waits stays within the watermark and one
+     * part.
+     */
     @Test
     void whatWaitsIsBounded() {
         Random random = new Random(3);
