--- a/lab/src/main/java/sagefall/lab/model/Troubles.java
+++ b/lab/src/main/java/sagefall/lab/model/Troubles.java
@@ -141,19 +141,7 @@
                 }
             }
             case KILL_SIDECARS ->
-                    loop.at(
-                            begin,
-                            () ->
-                                    d.some(
-                                                    day.sidecars().stream()
-                                                            .filter(
-                                                                    s ->
-                                                                            f.zone() < 0
-                                                                                    || s.zone()
-                                                                                            == f
-                                                                                                    .zone())
-                                                            .toList())
-                                            .forEach(s -> day.kill(s, (long) (1e6 * size))));
+                    loop.at(begin, () -> killSidecars(d, f.zone(), (long) (1e6 * size)));
             case RESTART_SIDECARS -> {
                 List<Sidecar> some = d.some(day.sidecars());
                 int steps = Math.min(10, some.size());
@@ -182,6 +170,13 @@
     }
 
     /** True at its beginning, false at its end. */
+    /** Kills a drawn part of the sidecars of a zone, or of all zones where it is negative. */
+    private void killSidecars(Fault.Drawn d, int zone, long downMicros) {
+        List<Sidecar> candidates =
+                day.sidecars().stream().filter(s -> zone < 0 || s.zone() == zone).toList();
+        d.some(candidates).forEach(s -> day.kill(s, downMicros));
+    }
+
     private void spell(long begin, long micros, Consumer<Boolean> change) {
         loop.at(begin, () -> change.accept(true));
         loop.at(begin + micros, () -> change.accept(false));
--- a/lab/src/main/java/sagefall/lab/rig/Schedule.java
+++ b/lab/src/main/java/sagefall/lab/rig/Schedule.java
@@ -379,22 +379,18 @@
                                 ServerProcess host = zone(old.mirror.zone).get(0);
                                 host.members.add(successor);
                                 host.serve(successor, true)
-                                        .thenRun(
-                                                () ->
-                                                        rig.pace.run(
-                                                                () -> {
-                                                                    successor.mirror.start();
-                                                                    rig.discovery()
-                                                                            .started(
-                                                                                    successor
-                                                                                            .mirror);
-                                                                }));
+                                        .thenRun(() -> rig.pace.run(() -> startMember(successor)));
                                 rig.discovery().draining(old.mirror);
                                 loop().in(early ? 0 : rig.discovery().settled(), () -> drain(old));
                             });
         }
     }
 
+    private void startMember(ServerMember successor) {
+        successor.mirror.start();
+        rig.discovery().started(successor.mirror);
+    }
+
     private void drain(ServerMember old) {
         old.process.ask(old.state().put("drain", true));
         loop().in(
--- a/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
@@ -348,22 +348,12 @@
         to.raw(CHUNKED).chunk("abc");
         client.head();
         for (String state : List.of("terminating", "terminated")) {
+            String list = Harness.json(Harness.list(2, false, state, List.of(server.port())));
             harness.loop
                     .submit(
                             () -> {
                                 harness.sidecar.listed(
-                                        harness.config()
-                                                .lists()
-                                                .read(
-                                                        Harness.json(
-                                                                        Harness.list(
-                                                                                2,
-                                                                                false,
-                                                                                state,
-                                                                                List.of(
-                                                                                        server
-                                                                                                .port())))
-                                                                .getBytes()));
+                                        harness.config().lists().read(list.getBytes()));
                                 return null;
                             })
                     .get();
