--- /dev/null
+++ b/sidecar/src/test/java/sagefall/duties/StoredDataCompatibilityTest.java
@@ -0,0 +1,119 @@
+package sagefall.duties;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.URISyntaxException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sagefall.LoadBalancer.Phase;
+import sagefall.recovery.FolderDisk;
+import sagefall.recovery.Kept;
+
+/**
+ * A folder of the section {@code duties} that the build of commit 732727c wrote is read as it was then, and
+ * what is written now has the same bytes. How the folder was made is in its README.
+ */
+class StoredDataCompatibilityTest {
+
+    private static final String RESOURCES = "/stored-data/duties";
+    private static final String BOOT = "boot-of-the-test";
+    private static final String OWNER_2 = "n2#102#2000000";
+    private static final String OWNER_3 = "n3#103#3000000";
+    private static final String OWNER_4 = "n4#104#4000000";
+    private static final long SECOND = 1_000_000_000L;
+    private static final long LEASE = 3 * SECOND;
+    private static final long RENEWED_AT = 5_100_000_000L;
+    private static final long TERM_1_AT_MILLIS = 1_796_233_634_156L;
+    private static final long TERM_2_AT_MILLIS = 1_796_233_634_332L;
+    private static final long TERM_3_AT_MILLIS = 1_796_233_634_342L;
+    private static final long ENDS_AT = RENEWED_AT + LEASE;
+
+    private static final Kept DIGEST = new Kept("digest", 0, 7, 1_700_000_007_000L, Map.of(
+            1L, new Kept.Line(1, "10.0.0.1:8080", "a", "large", 0, Phase.READY, 1_699_000_000_000_001L, 1,
+                    0),
+            2L, new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1, Phase.DRAINING, 0, 0.5,
+                    1_700_000_007_000L),
+            3L, new Kept.Line(3, "10.0.1.3:8080", "b", "large", 0, Phase.REMOVED, 1_699_000_000_000_003L, 1,
+                    1_700_000_007_000L)));
+
+    @TempDir
+    private Path folder;
+    private long now = RENEWED_AT;
+
+    private static Path stored() throws URISyntaxException {
+        return Path.of(StoredDataCompatibilityTest.class.getResource(RESOURCES).toURI());
+    }
+
+    @BeforeEach
+    void copy() throws IOException, URISyntaxException {
+        try (Stream<Path> files = Files.list(stored())) {
+            for (Path file : files.toList()) {
+                Files.copy(file, folder.resolve(file.getFileName()));
+            }
+        }
+    }
+
+    private FolderStore store(String boot) throws IOException {
+        return new FolderStore(FolderDisk.shared(folder), () -> now, boot, "1");
+    }
+
+    /** Term 1 was given back, so it names no owner any more; term 2 ran out; term 3 is held. */
+    @Test
+    void termsAndOwnersAreRead() throws IOException {
+        LeaseStore.Status status = store(BOOT).status();
+        assertEquals(new Lease.Grant(3, OWNER_3, LEASE, 0), status.grant());
+        assertEquals(List.of(new LeaseStore.Past(1, "", TERM_1_AT_MILLIS),
+                new LeaseStore.Past(2, OWNER_2, TERM_2_AT_MILLIS),
+                new LeaseStore.Past(3, OWNER_3, TERM_3_AT_MILLIS)), status.past());
+    }
+
+    @Test
+    void digestOfTheGreatestTermIsRead() throws IOException {
+        assertEquals(new Digest.Read(DIGEST, 2), Digest.read(store(BOOT)));
+    }
+
+    @Test
+    void heldTermKeepsOthersOutUntilItEnds() throws IOException {
+        now = ENDS_AT - 1;
+        assertEquals(new Lease.Grant(3, OWNER_3, 1, 0), store(BOOT).acquire(OWNER_4, LEASE));
+        now = ENDS_AT;
+        assertEquals(new Lease.Grant(4, OWNER_4, LEASE, 0), store(BOOT).acquire(OWNER_4, LEASE));
+    }
+
+    @Test
+    void termOfAnEarlierBootHasEnded() throws IOException {
+        assertEquals(new Lease.Grant(3, OWNER_3, 0, 0), store("later-boot").status().grant());
+        assertEquals(new Lease.Grant(4, OWNER_4, LEASE, 0), store("later-boot").acquire(OWNER_4, LEASE));
+    }
+
+    @Test
+    void onlyTheNewestTermPublishes() throws IOException {
+        byte[] body = DIGEST.bytes(2);
+        assertFalse(store(BOOT).publish(2, "digest", body));
+        assertTrue(store(BOOT).publish(3, "digest", body));
+        assertEquals(new Digest.Read(DIGEST, 3), Digest.read(store(BOOT)));
+    }
+
+    @Test
+    void renewedTermIsWrittenWithTheSameBytes() throws IOException, URISyntaxException {
+        assertEquals(new Lease.Grant(3, OWNER_3, LEASE, 0), store(BOOT).renew(OWNER_3, 3, LEASE));
+        assertArrayEquals(Files.readAllBytes(stored().resolve("term-3")),
+                Files.readAllBytes(folder.resolve("term-3")));
+    }
+
+    @Test
+    void digestIsWrittenWithTheSameBytes() throws IOException {
+        LeaseStore.Value value = store(BOOT).read("digest");
+        assertArrayEquals(value.body(), Kept.kept(Kept.values(value.body())).bytes(value.term()));
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/sagefall/recovery/StoredDataCompatibilityTest.java
@@ -0,0 +1,172 @@
+package sagefall.recovery;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.net.URISyntaxException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sagefall.LoadBalancer.Phase;
+
+/**
+ * Folders of the section {@code recovery} that the build of commit 732727c wrote are read as they were then,
+ * and what is written now has the same bytes. How the folders were made is in their README.
+ */
+class StoredDataCompatibilityTest {
+
+    private static final String RESOURCES = "/stored-data/recovery/";
+    private static final String SIDECAR = "n1";
+    private static final int MAX_BYTES = 64 * 1024;
+    private static final String SNAPSHOT = "state";
+    private static final String LOG = "log-2";
+    private static final long GENERATION = 2;
+
+    private static final Kept.Line DRAINING_3 = new Kept.Line(3, "10.0.1.3:8080", "b", "large", 0,
+            Phase.DRAINING, 1_699_000_000_000_003L, 1, 1_700_000_006_000L);
+    private static final Kept.Line REMOVED_3 = new Kept.Line(3, "10.0.1.3:8080", "b", "large", 0,
+            Phase.REMOVED, 1_699_000_000_000_003L, 1, 1_700_000_006_000L);
+    private static final Kept.Line READY_1 = new Kept.Line(1, "10.0.0.1:8080", "a", "large", 0,
+            Phase.READY, 1_699_000_000_000_001L, 1, 0);
+    private static final Kept.Line READY_2 = new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1,
+            Phase.READY, 0, 0.5, 0);
+    private static final Kept.Line DRAINING_2 = new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1,
+            Phase.DRAINING, 0, 0.5, 1_700_000_007_000L);
+    private static final Kept.Line READY_4 = new Kept.Line(4, "[fd00::4]:8080", "c", "large", 2,
+            Phase.READY, 1_699_000_000_000_004L, 2, 0);
+    private static final Kept.Line REMOVED_4 = new Kept.Line(4, "[fd00::4]:8080", "c", "large", 2,
+            Phase.REMOVED, 1_699_000_000_000_004L, 2, 1_700_000_009_000L);
+    private static final Kept.Line READY_5 = new Kept.Line(5, "10.0.2.5:8080", "c", "small", 0,
+            Phase.READY, 1_700_000_006_500_000L, 0.25, 0);
+
+    @TempDir
+    private Path folder;
+    private final List<String> messages = new ArrayList<>();
+
+    private static Path stored(String name) throws URISyntaxException {
+        return Path.of(StoredDataCompatibilityTest.class.getResource(RESOURCES + name).toURI());
+    }
+
+    private void copy(String name) throws IOException, URISyntaxException {
+        try (Stream<Path> files = Files.list(stored(name))) {
+            for (Path file : files.toList()) {
+                Files.copy(file, folder.resolve(file.getFileName()));
+            }
+        }
+    }
+
+    private Kept open(String sidecar) throws IOException {
+        try (Journal journal = Journal.open(FolderDisk.own(folder), sidecar, MAX_BYTES, true,
+                messages::add)) {
+            return journal.state();
+        }
+    }
+
+    private List<String> names() throws IOException {
+        try (Stream<Path> files = Files.list(folder)) {
+            return files.map(file -> file.getFileName().toString()).sorted().toList();
+        }
+    }
+
+    private static Map<Long, Kept.Line> byId(Kept.Line... lines) {
+        return Arrays.stream(lines).collect(Collectors.toMap(Kept.Line::id, Function.identity()));
+    }
+
+    /** The epoch is that of the next start, 3. */
+    @Test
+    void intactFolderIsReadWhole() throws Exception {
+        copy("intact");
+        assertEquals(new Kept("n1", 3, 9, 1_700_000_009_000L,
+                byId(READY_1, DRAINING_2, REMOVED_3, REMOVED_4, READY_5)), open(SIDECAR));
+        assertEquals(List.of(), messages);
+        assertEquals(List.of("lock", "state"), names());
+    }
+
+    @Test
+    void tornLogTailIsLeftOut() throws Exception {
+        copy("torn-log-tail");
+        assertEquals(new Kept("n1", 3, 8, 1_700_000_008_000L,
+                byId(READY_1, DRAINING_2, REMOVED_3, READY_4, READY_5)), open(SIDECAR));
+        assertEquals(List.of("the last 154 bytes were not whole and are left out"), messages);
+        assertEquals(List.of("lock", "state"), names());
+    }
+
+    @Test
+    void damagedSnapshotIsPutAsideAndNothingIsKept() throws Exception {
+        copy("damaged-snapshot");
+        assertEquals(new Kept("n1", 1, 0, 0, Map.of()), open(SIDECAR));
+        assertEquals(List.of("put aside, nothing is kept: state is damaged"), messages);
+        assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
+        assertArrayEquals(Files.readAllBytes(stored("damaged-snapshot/" + SNAPSHOT)),
+                Files.readAllBytes(folder.resolve("aside-state")));
+        assertArrayEquals(Files.readAllBytes(stored("damaged-snapshot/" + LOG)),
+                Files.readAllBytes(folder.resolve("aside-log")));
+    }
+
+    @Test
+    void folderOfAnotherSidecarIsPutAside() throws Exception {
+        copy("intact");
+        assertEquals(new Kept("n2", 1, 0, 0, Map.of()), open("n2"));
+        assertEquals(List.of("put aside, nothing is kept: state belongs to the sidecar 'n1'"), messages);
+        assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
+    }
+
+    @Test
+    void snapshotAloneIsReadAndWrittenWithTheSameBytes() throws Exception {
+        copy("intact");
+        try (Disk disk = FolderDisk.own(folder)) {
+            byte[] body = WholeFile.read(disk, SNAPSHOT, MAX_BYTES);
+            Kept kept = Kept.kept(Kept.values(body));
+            assertEquals(new Kept("n1", 2, 6, 1_700_000_006_000L,
+                    byId(READY_1, READY_2, DRAINING_3, READY_4)), kept);
+            assertEquals(GENERATION, Kept.number(Kept.values(body), "generation"));
+            WholeFile.write(disk, SNAPSHOT, kept.bytes(GENERATION));
+        }
+        assertArrayEquals(Files.readAllBytes(stored("intact/" + SNAPSHOT)),
+                Files.readAllBytes(folder.resolve(SNAPSHOT)));
+    }
+
+    /** The two runs of the README once more, in an empty folder. */
+    @Test
+    void sameChangesAreWrittenWithTheSameBytes() throws Exception {
+        try (Journal first = Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
+            first.append(change(true, 5, READY_1, READY_2, at(Phase.READY, DRAINING_3), READY_4));
+            first.append(change(false, 6, at(Phase.DRAINING, DRAINING_3)));
+        }
+        try (Journal second = Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true,
+                messages::add)) {
+            second.append(change(false, 7, at(Phase.DRAINING, READY_2), READY_5));
+            second.append(change(true, 8, READY_1, at(Phase.DRAINING, READY_2), READY_4, READY_5));
+            second.append(change(false, 9, at(Phase.REMOVED, READY_4)));
+        }
+        assertEquals(List.of(), messages);
+        assertEquals(List.of("lock", LOG, SNAPSHOT), names());
+        for (String name : List.of(LOG, SNAPSHOT)) {
+            assertArrayEquals(Files.readAllBytes(stored("intact/" + name)),
+                    Files.readAllBytes(folder.resolve(name)), name);
+        }
+    }
+
+    private static Kept.Line at(Phase phase, Kept.Line line) {
+        return new Kept.Line(line.id(), line.address(), line.zone(), line.kind(), line.cell(), phase,
+                line.startMicros(), line.weight(), 0);
+    }
+
+    private static Kept.Change change(boolean all, long revision, Kept.Line... lines) {
+        Map<Long, Kept.Line> byId = new LinkedHashMap<>();
+        for (Kept.Line line : lines) {
+            byId.put(line.id(), line);
+        }
+        return new Kept.Change(all, revision, 1_700_000_000_000L + 1_000 * revision, byId);
+    }
+}
