--- /dev/null
+++ b/lab/src/test/java/sagefall/lab/model/GoldenFiguresTest.java
@@ -0,0 +1,114 @@
+package sagefall.lab.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sagefall.lab.experiment.Plays;
+import sagefall.lab.scenario.Fault;
+import sagefall.lab.scenario.Scenario;
+
+/**
+ * The emulator's figures of the shipped scenarios, to the last digit, as the build of commit 732727c gave
+ * them. By default one seed of three scenarios is played; all days are played by
+ *
+ * <pre>
+ * mvn -B -ntp verify -pl lab -am -Dtest=GoldenFiguresTest -Dsurefire.failIfNoSpecifiedTests=false \
+ *     -Dgolden.figures=all
+ * </pre>
+ *
+ * <p>{@code -Dgolden.threads=N} sets how many days are played at a time.
+ */
+class GoldenFiguresTest {
+
+    private static final String RESOURCE = "/golden-figures.tsv";
+    private static final String HEADER = "scenario\tseed\tg\tserved\trequests";
+    private static final String POLICY = "module";
+    private static final boolean ALL = "all".equals(System.getProperty("golden.figures"));
+    private static final int THREADS = Integer.getInteger("golden.threads",
+            Math.max(1, Runtime.getRuntime().availableProcessors() / 2));
+    private static final int DAYS = 40;
+    private static final List<String> DEFAULT_SCENARIOS = List.of("calm", "roll", "herd");
+    private static final long DEFAULT_SEED = 1;
+
+    /** One line of the resource; figures are kept as text so that no digit is lost. */
+    private record Golden(String scenario, long seed, String g, String served, String requests) {
+
+        static Golden parse(String line) {
+            String[] fields = line.split("\t", -1);
+            assertEquals(HEADER.split("\t").length, fields.length, line);
+            return new Golden(fields[0], Long.parseLong(fields[1]), fields[2], fields[3], fields[4]);
+        }
+
+        static Golden of(DayResult result) {
+            return new Golden(result.scenario(), result.seed(), String.valueOf(result.g()),
+                    String.valueOf(result.served()), String.valueOf(result.requests()));
+        }
+
+        boolean isDefault() {
+            return DEFAULT_SCENARIOS.contains(scenario) && seed == DEFAULT_SEED;
+        }
+
+        List<String> mismatches(Golden actual) {
+            List<String> mismatches = new ArrayList<>();
+            compare("scenario", scenario, actual.scenario, mismatches);
+            compare("seed", String.valueOf(seed), String.valueOf(actual.seed), mismatches);
+            compare("g", g, actual.g, mismatches);
+            compare("served", served, actual.served, mismatches);
+            compare("requests", requests, actual.requests, mismatches);
+            return mismatches;
+        }
+
+        private void compare(String field, String expected, String actual, List<String> mismatches) {
+            if (!expected.equals(actual)) {
+                mismatches.add(scenario + " seed " + seed + " " + field + ": expected " + expected + ", was "
+                        + actual);
+            }
+        }
+    }
+
+    private static List<Golden> read() throws IOException {
+        try (BufferedReader reader = new BufferedReader(new InputStreamReader(
+                GoldenFiguresTest.class.getResourceAsStream(RESOURCE), StandardCharsets.UTF_8))) {
+            assertEquals(HEADER, reader.readLine());
+            return reader.lines().map(Golden::parse).toList();
+        }
+    }
+
+    @Test
+    void resourceNamesEachShippedDayOnce() throws IOException {
+        List<String> expected = new ArrayList<>();
+        for (String scenario : Scenario.SHIPPED) {
+            for (int seed = 1; seed <= DAYS / Scenario.SHIPPED.size(); seed++) {
+                expected.add(scenario + " " + seed);
+            }
+        }
+        assertEquals(expected, read().stream().map(day -> day.scenario + " " + day.seed).toList());
+    }
+
+    @Test
+    void figuresAreTheSameToTheLastDigit() throws Exception {
+        List<Golden> days = read().stream().filter(day -> ALL || day.isDefault()).toList();
+        assertFalse(days.isEmpty());
+        List<Plays.Play> plays = new ArrayList<>();
+        for (Golden day : days) {
+            Scenario scenario = Scenario.load(day.scenario, List.of()).on(Fault.Side.EMULATOR);
+            plays.add(new Plays.Play(scenario, day.seed, POLICY));
+        }
+        List<DayResult> results = new Plays(THREADS, Path.of("."), null).all(plays, result -> { });
+        List<String> mismatches = new ArrayList<>();
+        for (int i = 0; i < days.size(); i++) {
+            mismatches.addAll(days.get(i).mismatches(Golden.of(results.get(i))));
+        }
+        assertEquals(days.size(), results.size());
+        assertEquals(List.of(), mismatches, () -> String.join("\n", mismatches));
+        System.out.println("golden figures: " + days.size() + " days are the same");
+    }
+}
