--- /dev/null
+++ b/lab/src/test/java/sagefall/lab/command/DutiesWordsTest.java
@@ -0,0 +1,77 @@
+package sagefall.lab.command;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import picocli.CommandLine;
+import sagefall.duties.Digest;
+import sagefall.duties.FolderStore;
+import sagefall.recovery.Kept;
+
+/** What {@code sagefall duties} prints of a folder whose first term was given back. */
+class DutiesWordsTest {
+
+    private static final long LONG_LEASE = 3_600_000_000_000L;
+    private static final Instant TOLD_AT = Instant.parse("2026-01-02T03:04:05Z");
+
+    @TempDir
+    private Path folder;
+    private final StringWriter out = new StringWriter();
+    private FolderStore store;
+
+    @BeforeEach
+    void write() throws IOException {
+        store = new FolderStore(folder);
+        store.acquire("n1", LONG_LEASE);
+        Digest digest = new Digest();
+        digest.told(new Kept.Change(true, 7, TOLD_AT.toEpochMilli(), Map.of()));
+        digest.act(store, 1);
+        store.release("n1", 1);
+        store.acquire("n2", LONG_LEASE);
+    }
+
+    private List<String> duties(String command) {
+        CommandLine duties = new CommandLine(new DutiesCommand());
+        duties.setOut(new PrintWriter(out));
+        assertEquals(0, duties.execute(command, folder.toString()));
+        return out.toString().lines().toList();
+    }
+
+    @Test
+    void status() {
+        List<String> lines = duties("status");
+        assertEquals("term 2, held by n2 for MILLIS ms more",
+                lines.get(0).replaceFirst("for [0-9]+ ms", "for MILLIS ms"));
+        assertEquals("digest of term 1, revision 7 of 2026-01-02T03:04:05Z, 0 servers", lines.get(1));
+        assertEquals(2, lines.size());
+    }
+
+    @Test
+    void statusOfNobody() throws IOException {
+        store.release("n2", 2);
+        assertEquals("term 2, held by nobody", duties("status").get(0));
+    }
+
+    @Test
+    void history() throws IOException {
+        Instant first = Instant.ofEpochMilli(store.status().past().get(0).atMillis());
+        Instant second = Instant.ofEpochMilli(store.status().past().get(1).atMillis());
+        assertEquals(List.of("term 1 from " + first + " on, given back", "term 2 from " + second + " on, n2"),
+                duties("history"));
+    }
+
+    @Test
+    void release() throws IOException {
+        assertEquals(List.of("term 2 has ended"), duties("release"));
+        assertEquals("", store.status().grant().owner());
+    }
+}
--- /dev/null
+++ b/lab/src/test/java/sagefall/lab/rig/RuleWordsTest.java
@@ -0,0 +1,18 @@
+package sagefall.lab.rig;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The words of a play's checks, written as they are to its page and after {@code BROKEN}. */
+class RuleWordsTest {
+
+    @Test
+    void rules() {
+        assertEquals(List.of("ONE_ANSWER", "RESTART", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS",
+                "CRASH", "REST", "OWNER", "STAND_IN"),
+                Arrays.stream(Checks.Rule.values()).map(String::valueOf).toList());
+    }
+}
