--- a/lab/src/test/java/sagefall/lab/command/DutiesWordsTest.java
+++ b/lab/src/test/java/sagefall/lab/command/DutiesWordsTest.java
@@ -23,8 +23,7 @@
     private static final long LONG_LEASE = 3_600_000_000_000L;
     private static final Instant TOLD_AT = Instant.parse("2026-01-02T03:04:05Z");
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final StringWriter out = new StringWriter();
     private FolderStore store;
 
@@ -49,9 +48,11 @@
     @Test
     void status() {
         List<String> lines = duties("status");
-        assertEquals("term 2, held by n2 for MILLIS ms more",
+        assertEquals(
+                "term 2, held by n2 for MILLIS ms more",
                 lines.get(0).replaceFirst("for [0-9]+ ms", "for MILLIS ms"));
-        assertEquals("digest of term 1, revision 7 of 2026-01-02T03:04:05Z, 0 servers", lines.get(1));
+        assertEquals(
+                "digest of term 1, revision 7 of 2026-01-02T03:04:05Z, 0 servers", lines.get(1));
         assertEquals(2, lines.size());
     }
 
@@ -65,7 +66,10 @@
     void history() throws IOException {
         Instant first = Instant.ofEpochMilli(store.status().past().get(0).atMillis());
         Instant second = Instant.ofEpochMilli(store.status().past().get(1).atMillis());
-        assertEquals(List.of("term 1 from " + first + " on, given back", "term 2 from " + second + " on, n2"),
+        assertEquals(
+                List.of(
+                        "term 1 from " + first + " on, given back",
+                        "term 2 from " + second + " on, n2"),
                 duties("history"));
     }
 
--- a/lab/src/test/java/sagefall/lab/model/DayWordsTest.java
+++ b/lab/src/test/java/sagefall/lab/model/DayWordsTest.java
@@ -22,8 +22,9 @@
 class DayWordsTest {
 
     private static final long SECOND = 1_000_000;
-    private static final RequestClass UNSAFE = new RequestClass("unsafe", Effect.UNSAFE, Group.ALL, 0, SECOND,
-            2 * SECOND, 1, 0, false);
+    private static final RequestClass UNSAFE =
+            new RequestClass(
+                    "unsafe", Effect.UNSAFE, Group.ALL, 0, SECOND, 2 * SECOND, 1, 0, false);
 
     private static final class OneSidecar implements Door {
         @Override
@@ -68,11 +69,21 @@
         Loop loop = new Loop();
         Draws draws = new Draws(1);
         int zones = scenario.fleet().zones().size();
-        Ledger ledger = new Ledger((int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(), 1);
+        Ledger ledger =
+                new Ledger(
+                        (int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(), 1);
         Door sidecar = new OneSidecar();
         List<Door> sidecars = Collections.nCopies(scenario.fleet().sidecars(), sidecar);
-        Traffic traffic = new Traffic(scenario, draws, loop, sidecars, ledger,
-                new Network(scenario.net(), draws, zones), UNSAFE, 1);
+        Traffic traffic =
+                new Traffic(
+                        scenario,
+                        draws,
+                        loop,
+                        sidecars,
+                        ledger,
+                        new Network(scenario.net(), draws, zones),
+                        UNSAFE,
+                        1);
         Wish wish = new Wish(0, Loop.BEGIN, Loop.BEGIN, 0, 0, false, 1, 1, zones);
         wish.sidecar = sidecar;
         Call call = new Call("0000000000000000", wish, Loop.BEGIN, Loop.BEGIN + SECOND);
@@ -104,7 +115,8 @@
         "FAILED, RETRY_BUDGET, failed retry_budget",
         "FAILED, , unanswered"
     })
-    void answersAndCausesOfLoss(Sidecar.Answer answer, Reason reason, String word) throws Exception {
+    void answersAndCausesOfLoss(Sidecar.Answer answer, Reason reason, String word)
+            throws Exception {
         Ledger ledger = answered(answer, reason);
         assertEquals(Map.of(word, 1L), ledger.answers);
         assertEquals(List.of(word), List.copyOf(ledger.lost.keySet()));
@@ -112,19 +124,32 @@
 
     @Test
     void theTableHasAllAnswersAndReasons() {
-        assertEquals(List.of("SERVED", "REFUSED", "FAILED"),
+        assertEquals(
+                List.of("SERVED", "REFUSED", "FAILED"),
                 Arrays.stream(Sidecar.Answer.values()).map(Enum::name).toList());
-        assertEquals(List.of("ADMISSION", "ZONE_FULL", "WAITED", "IN_HAND", "BUFFERS", "TOO_LATE", "EFFECT",
-                "ATTEMPTS", "RETRY_BUDGET"), Arrays.stream(Reason.values()).map(Enum::name).toList());
+        assertEquals(
+                List.of(
+                        "ADMISSION",
+                        "ZONE_FULL",
+                        "WAITED",
+                        "IN_HAND",
+                        "BUFFERS",
+                        "TOO_LATE",
+                        "EFFECT",
+                        "ATTEMPTS",
+                        "RETRY_BUDGET"),
+                Arrays.stream(Reason.values()).map(Enum::name).toList());
     }
 
     @Test
     void faultsOfADay() throws Exception {
-        Scenario scenario = Scenario.load("calm", List.of("fleet.servers=12", "fleet.sidecars=4",
-                "seconds=31"));
+        Scenario scenario =
+                Scenario.load(
+                        "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
         try (Policy policy = Policies.of("module", Path.of("."))) {
             DayResult result = new Day(scenario, 1, policy).play();
-            assertEquals(List.of("burst", "shift"),
+            assertEquals(
+                    List.of("burst", "shift"),
                     result.troubles().stream().map(DayResult.Trouble::what).toList());
         }
     }
@@ -132,7 +157,8 @@
     /** Written as they are, to {@code days.jsonl} and after {@code BROKEN}. */
     @Test
     void rules() {
-        assertEquals(List.of("ONE_ANSWER", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS"),
+        assertEquals(
+                List.of("ONE_ANSWER", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS"),
                 Arrays.stream(Rules.Rule.values()).map(String::valueOf).toList());
     }
 }
--- a/lab/src/test/java/sagefall/lab/model/GoldenFiguresTest.java
+++ b/lab/src/test/java/sagefall/lab/model/GoldenFiguresTest.java
@@ -16,8 +16,8 @@
 import sagefall.lab.scenario.Scenario;
 
 /**
- * The emulator's figures of the shipped scenarios, to the last digit, as the build of commit 732727c gave
- * them. By default one seed of three scenarios is played; all days are played by
+ * The emulator's figures of the shipped scenarios, to the last digit, as the build of commit
+ * 732727c gave them. By default one seed of three scenarios is played; all days are played by
  *
  * <pre>
  * mvn -B -ntp verify -pl lab -am -Dtest=GoldenFiguresTest -Dsurefire.failIfNoSpecifiedTests=false \
@@ -32,8 +32,9 @@
     private static final String HEADER = "scenario\tseed\tg\tserved\trequests";
     private static final String POLICY = "module";
     private static final boolean ALL = "all".equals(System.getProperty("golden.figures"));
-    private static final int THREADS = Integer.getInteger("golden.threads",
-            Math.max(1, Runtime.getRuntime().availableProcessors() / 2));
+    private static final int THREADS =
+            Integer.getInteger(
+                    "golden.threads", Math.max(1, Runtime.getRuntime().availableProcessors() / 2));
     private static final int DAYS = 40;
     private static final List<String> DEFAULT_SCENARIOS = List.of("calm", "roll", "herd");
     private static final long DEFAULT_SEED = 1;
@@ -44,12 +45,17 @@
         static Golden parse(String line) {
             String[] fields = line.split("\t", -1);
             assertEquals(HEADER.split("\t").length, fields.length, line);
-            return new Golden(fields[0], Long.parseLong(fields[1]), fields[2], fields[3], fields[4]);
+            return new Golden(
+                    fields[0], Long.parseLong(fields[1]), fields[2], fields[3], fields[4]);
         }
 
         static Golden of(DayResult result) {
-            return new Golden(result.scenario(), result.seed(), String.valueOf(result.g()),
-                    String.valueOf(result.served()), String.valueOf(result.requests()));
+            return new Golden(
+                    result.scenario(),
+                    result.seed(),
+                    String.valueOf(result.g()),
+                    String.valueOf(result.served()),
+                    String.valueOf(result.requests()));
         }
 
         boolean isDefault() {
@@ -66,17 +72,29 @@
             return mismatches;
         }
 
-        private void compare(String field, String expected, String actual, List<String> mismatches) {
+        private void compare(
+                String field, String expected, String actual, List<String> mismatches) {
             if (!expected.equals(actual)) {
-                mismatches.add(scenario + " seed " + seed + " " + field + ": expected " + expected + ", was "
-                        + actual);
+                mismatches.add(
+                        scenario
+                                + " seed "
+                                + seed
+                                + " "
+                                + field
+                                + ": expected "
+                                + expected
+                                + ", was "
+                                + actual);
             }
         }
     }
 
     private static List<Golden> read() throws IOException {
-        try (BufferedReader reader = new BufferedReader(new InputStreamReader(
-                GoldenFiguresTest.class.getResourceAsStream(RESOURCE), StandardCharsets.UTF_8))) {
+        try (BufferedReader reader =
+                new BufferedReader(
+                        new InputStreamReader(
+                                GoldenFiguresTest.class.getResourceAsStream(RESOURCE),
+                                StandardCharsets.UTF_8))) {
             assertEquals(HEADER, reader.readLine());
             return reader.lines().map(Golden::parse).toList();
         }
@@ -102,7 +120,7 @@
             Scenario scenario = Scenario.load(day.scenario, List.of()).on(Fault.Side.EMULATOR);
             plays.add(new Plays.Play(scenario, day.seed, POLICY));
         }
-        List<DayResult> results = new Plays(THREADS, Path.of("."), null).all(plays, result -> { });
+        List<DayResult> results = new Plays(THREADS, Path.of("."), null).all(plays, result -> {});
         List<String> mismatches = new ArrayList<>();
         for (int i = 0; i < days.size(); i++) {
             mismatches.addAll(days.get(i).mismatches(Golden.of(results.get(i))));
--- a/lab/src/test/java/sagefall/lab/policy/MechanismWordsTest.java
+++ b/lab/src/test/java/sagefall/lab/policy/MechanismWordsTest.java
@@ -10,9 +10,20 @@
 /** The words by which mechanisms are named on the command line and in tables. */
 class MechanismWordsTest {
 
-    private static final List<String> WORDS = List.of("admission", "zone-limit", "server-limit", "ejection",
-            "slow-start", "spill", "subsets", "retries", "connection-cost", "fair-share", "short-hold",
-            "cells");
+    private static final List<String> WORDS =
+            List.of(
+                    "admission",
+                    "zone-limit",
+                    "server-limit",
+                    "ejection",
+                    "slow-start",
+                    "spill",
+                    "subsets",
+                    "retries",
+                    "connection-cost",
+                    "fair-share",
+                    "short-hold",
+                    "cells");
 
     @Test
     void wordOfEachMechanism() throws PolicyException {
@@ -24,7 +35,8 @@
 
     @Test
     void unknownWordIsToldAllWords() {
-        assertEquals("no mechanism 'zone_limit', only " + String.join(", ", WORDS),
+        assertEquals(
+                "no mechanism 'zone_limit', only " + String.join(", ", WORDS),
                 assertThrows(PolicyException.class, () -> Mechanism.of("zone_limit")).getMessage());
     }
 }
--- a/lab/src/test/java/sagefall/lab/rig/RuleWordsTest.java
+++ b/lab/src/test/java/sagefall/lab/rig/RuleWordsTest.java
@@ -11,8 +11,19 @@
 
     @Test
     void rules() {
-        assertEquals(List.of("ONE_ANSWER", "RESTART", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS",
-                "CRASH", "REST", "OWNER", "STAND_IN"),
+        assertEquals(
+                List.of(
+                        "ONE_ANSWER",
+                        "RESTART",
+                        "EFFECT",
+                        "DRAIN",
+                        "COLD",
+                        "LISTED",
+                        "ATTEMPTS",
+                        "CRASH",
+                        "REST",
+                        "OWNER",
+                        "STAND_IN"),
                 Arrays.stream(Checks.Rule.values()).map(String::valueOf).toList());
     }
 }
--- a/lab/src/test/java/sagefall/lab/scenario/FaultWordsTest.java
+++ b/lab/src/test/java/sagefall/lab/scenario/FaultWordsTest.java
@@ -13,15 +13,18 @@
 /** The words of scenario files and of messages about them that come from names of enums. */
 class FaultWordsTest {
 
-    private static final String ALL_KINDS = "lose_zone, flap_zone, cut_zone, lose_servers, slow, "
-            + "shared_slow, errors, pauses, neighbour, "
-            + "burst, shift, surge, replace, kill_sidecars, restart_sidecars, "
-            + "late_lists, discovery_down, lost_answers, resets, leavers, stubborn, deaf, reborn, "
-            + "stop_sidecars, slow_sidecars, cut_sidecars, flap_links, delay_links, cut_bytes, power_loss, "
-            + "drain, wrong_clock, stop_owner, kill_owner";
+    private static final String ALL_KINDS =
+            "lose_zone, flap_zone, cut_zone, lose_servers, slow, "
+                    + "shared_slow, errors, pauses, neighbour, "
+                    + "burst, shift, surge, replace, kill_sidecars, restart_sidecars, "
+                    + "late_lists, discovery_down, lost_answers, resets, leavers, stubborn, deaf, reborn, "
+                    + "stop_sidecars, slow_sidecars, cut_sidecars, flap_links, delay_links, cut_bytes, power_loss, "
+                    + "drain, wrong_clock, stop_owner, kill_owner";
 
     private static Scenario read(String kind, String more) throws ScenarioException {
-        return Scenario.read("f.toml", "name='x'\nabout='x'\n[[fault]]\nkind='" + kind + "'\n" + more,
+        return Scenario.read(
+                "f.toml",
+                "name='x'\nabout='x'\n[[fault]]\nkind='" + kind + "'\n" + more,
                 List.of());
     }
 
@@ -39,57 +42,115 @@
         List<String> words = List.of(ALL_KINDS.split(", "));
         assertEquals(Fault.Kind.values().length, words.size());
         for (int i = 0; i < words.size(); i++) {
-            assertSame(Fault.Kind.values()[i], read(words.get(i), "").faults().get(0).kind(), words.get(i));
+            assertSame(
+                    Fault.Kind.values()[i],
+                    read(words.get(i), "").faults().get(0).kind(),
+                    words.get(i));
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"lose_zone", "flap_zone", "cut_zone", "lose_servers", "slow", "shared_slow",
-        "errors", "pauses", "neighbour", "burst", "shift", "replace", "kill_sidecars", "restart_sidecars",
-        "late_lists", "discovery_down", "lost_answers", "resets", "leavers", "stubborn", "deaf", "reborn",
-        "stop_sidecars", "slow_sidecars", "cut_sidecars", "flap_links", "delay_links", "cut_bytes",
-        "power_loss", "drain", "wrong_clock", "stop_owner", "kill_owner"})
+    @ValueSource(
+            strings = {
+                "lose_zone",
+                "flap_zone",
+                "cut_zone",
+                "lose_servers",
+                "slow",
+                "shared_slow",
+                "errors",
+                "pauses",
+                "neighbour",
+                "burst",
+                "shift",
+                "replace",
+                "kill_sidecars",
+                "restart_sidecars",
+                "late_lists",
+                "discovery_down",
+                "lost_answers",
+                "resets",
+                "leavers",
+                "stubborn",
+                "deaf",
+                "reborn",
+                "stop_sidecars",
+                "slow_sidecars",
+                "cut_sidecars",
+                "flap_links",
+                "delay_links",
+                "cut_bytes",
+                "power_loss",
+                "drain",
+                "wrong_clock",
+                "stop_owner",
+                "kill_owner"
+            })
     void nameThatTheKindDoesNotTake(String kind) {
-        assertEquals("f.toml:5: fault[0].tenant: means nothing to " + kind, messageOf(kind, "tenant='x'\n"));
+        assertEquals(
+                "f.toml:5: fault[0].tenant: means nothing to " + kind,
+                messageOf(kind, "tenant='x'\n"));
     }
 
     @Test
     void surgeTakesNoZone() {
-        assertEquals("f.toml:5: fault[0].zone: means nothing to surge", messageOf("surge", "zone='a'\n"));
+        assertEquals(
+                "f.toml:5: fault[0].zone: means nothing to surge",
+                messageOf("surge", "zone='a'\n"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"reborn", "stop_sidecars", "slow_sidecars", "cut_sidecars", "flap_links",
-        "delay_links", "cut_bytes", "power_loss", "drain", "wrong_clock", "stop_owner", "kill_owner"})
+    @ValueSource(
+            strings = {
+                "reborn",
+                "stop_sidecars",
+                "slow_sidecars",
+                "cut_sidecars",
+                "flap_links",
+                "delay_links",
+                "cut_bytes",
+                "power_loss",
+                "drain",
+                "wrong_clock",
+                "stop_owner",
+                "kill_owner"
+            })
     void kindsThatTheEmulatorCannotPlay(String kind) throws ScenarioException {
         Scenario scenario = read(kind, "");
         assertSame(scenario, scenario.on(Fault.Side.RIG));
-        assertEquals("f.toml:4: fault[0].kind: the emulator can't play " + kind,
-                assertThrows(ScenarioException.class, () -> scenario.on(Fault.Side.EMULATOR)).getMessage());
+        assertEquals(
+                "f.toml:4: fault[0].kind: the emulator can't play " + kind,
+                assertThrows(ScenarioException.class, () -> scenario.on(Fault.Side.EMULATOR))
+                        .getMessage());
     }
 
     @Test
     void kindThatTheRigCannotPlay() throws ScenarioException {
         Scenario scenario = read("neighbour", "");
         assertSame(scenario, scenario.on(Fault.Side.EMULATOR));
-        assertEquals("f.toml:4: fault[0].kind: the rig can't play neighbour",
-                assertThrows(ScenarioException.class, () -> scenario.on(Fault.Side.RIG)).getMessage());
+        assertEquals(
+                "f.toml:4: fault[0].kind: the rig can't play neighbour",
+                assertThrows(ScenarioException.class, () -> scenario.on(Fault.Side.RIG))
+                        .getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "cut_zone | both, in, out",
-        "cut_sidecars | both, in, out",
-        "flap_links | both, in, out",
-        "replace | late, early",
-        "power_loss | fresh, stale",
-        "lose_zone | silent, refuse",
-        "flap_zone | silent, refuse",
-        "lose_servers | silent, refuse",
-        "reborn | silent, refuse"
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "cut_zone | both, in, out",
+                "cut_sidecars | both, in, out",
+                "flap_links | both, in, out",
+                "replace | late, early",
+                "power_loss | fresh, stale",
+                "lose_zone | silent, refuse",
+                "flap_zone | silent, refuse",
+                "lose_servers | silent, refuse",
+                "reborn | silent, refuse"
+            })
     void wordsOfHow(String kind, String words) throws ScenarioException {
-        assertEquals("f.toml:5: fault[0].how: 'x' is none of " + words, messageOf(kind, "how='x'\n"));
+        assertEquals(
+                "f.toml:5: fault[0].how: 'x' is none of " + words, messageOf(kind, "how='x'\n"));
         for (String word : words.split(", ")) {
             assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).how());
         }
--- a/sidecar/src/test/java/sagefall/duties/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/duties/StoredDataCompatibilityTest.java
@@ -20,8 +20,8 @@
 import sagefall.recovery.Kept;
 
 /**
- * A folder of the section {@code duties} that the build of commit 732727c wrote is read as it was then, and
- * what is written now has the same bytes. How the folder was made is in its README.
+ * A folder of the section {@code duties} that the build of commit 732727c wrote is read as it was
+ * then, and what is written now has the same bytes. How the folder was made is in its README.
  */
 class StoredDataCompatibilityTest {
 
@@ -38,16 +38,48 @@
     private static final long TERM_3_AT_MILLIS = 1_796_233_634_342L;
     private static final long ENDS_AT = RENEWED_AT + LEASE;
 
-    private static final Kept DIGEST = new Kept("digest", 0, 7, 1_700_000_007_000L, Map.of(
-            1L, new Kept.Line(1, "10.0.0.1:8080", "a", "large", 0, Phase.READY, 1_699_000_000_000_001L, 1,
-                    0),
-            2L, new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1, Phase.DRAINING, 0, 0.5,
-                    1_700_000_007_000L),
-            3L, new Kept.Line(3, "10.0.1.3:8080", "b", "large", 0, Phase.REMOVED, 1_699_000_000_000_003L, 1,
-                    1_700_000_007_000L)));
-
-    @TempDir
-    private Path folder;
+    private static final Kept DIGEST =
+            new Kept(
+                    "digest",
+                    0,
+                    7,
+                    1_700_000_007_000L,
+                    Map.of(
+                            1L,
+                                    new Kept.Line(
+                                            1,
+                                            "10.0.0.1:8080",
+                                            "a",
+                                            "large",
+                                            0,
+                                            Phase.READY,
+                                            1_699_000_000_000_001L,
+                                            1,
+                                            0),
+                            2L,
+                                    new Kept.Line(
+                                            2,
+                                            "10.0.0.2:8080",
+                                            "a",
+                                            "small",
+                                            1,
+                                            Phase.DRAINING,
+                                            0,
+                                            0.5,
+                                            1_700_000_007_000L),
+                            3L,
+                                    new Kept.Line(
+                                            3,
+                                            "10.0.1.3:8080",
+                                            "b",
+                                            "large",
+                                            0,
+                                            Phase.REMOVED,
+                                            1_699_000_000_000_003L,
+                                            1,
+                                            1_700_000_007_000L)));
+
+    @TempDir private Path folder;
     private long now = RENEWED_AT;
 
     private static Path stored() throws URISyntaxException {
@@ -72,9 +104,12 @@
     void termsAndOwnersAreRead() throws IOException {
         LeaseStore.Status status = store(BOOT).status();
         assertEquals(new Lease.Grant(3, OWNER_3, LEASE, 0), status.grant());
-        assertEquals(List.of(new LeaseStore.Past(1, "", TERM_1_AT_MILLIS),
-                new LeaseStore.Past(2, OWNER_2, TERM_2_AT_MILLIS),
-                new LeaseStore.Past(3, OWNER_3, TERM_3_AT_MILLIS)), status.past());
+        assertEquals(
+                List.of(
+                        new LeaseStore.Past(1, "", TERM_1_AT_MILLIS),
+                        new LeaseStore.Past(2, OWNER_2, TERM_2_AT_MILLIS),
+                        new LeaseStore.Past(3, OWNER_3, TERM_3_AT_MILLIS)),
+                status.past());
     }
 
     @Test
@@ -93,7 +128,8 @@
     @Test
     void termOfAnEarlierBootHasEnded() throws IOException {
         assertEquals(new Lease.Grant(3, OWNER_3, 0, 0), store("later-boot").status().grant());
-        assertEquals(new Lease.Grant(4, OWNER_4, LEASE, 0), store("later-boot").acquire(OWNER_4, LEASE));
+        assertEquals(
+                new Lease.Grant(4, OWNER_4, LEASE, 0), store("later-boot").acquire(OWNER_4, LEASE));
     }
 
     @Test
@@ -107,7 +143,8 @@
     @Test
     void renewedTermIsWrittenWithTheSameBytes() throws IOException, URISyntaxException {
         assertEquals(new Lease.Grant(3, OWNER_3, LEASE, 0), store(BOOT).renew(OWNER_3, 3, LEASE));
-        assertArrayEquals(Files.readAllBytes(stored().resolve("term-3")),
+        assertArrayEquals(
+                Files.readAllBytes(stored().resolve("term-3")),
                 Files.readAllBytes(folder.resolve("term-3")));
     }
 
--- a/sidecar/src/test/java/sagefall/recovery/KeptWordsTest.java
+++ b/sidecar/src/test/java/sagefall/recovery/KeptWordsTest.java
@@ -15,8 +15,25 @@
 class KeptWordsTest {
 
     private static Map<String, Object> server(long phase) {
-        return Map.of("id", 4L, "address", "10.0.0.4:80", "zone", "a", "kind", "m", "cell", 2L, "phase",
-                phase, "start_us", 5L, "weight", 0.5, "told_ms", 6L);
+        return Map.of(
+                "id",
+                4L,
+                "address",
+                "10.0.0.4:80",
+                "zone",
+                "a",
+                "kind",
+                "m",
+                "cell",
+                2L,
+                "phase",
+                phase,
+                "start_us",
+                5L,
+                "weight",
+                0.5,
+                "told_ms",
+                6L);
     }
 
     private static Map<Long, Kept.Line> lines(Phase phase) {
@@ -27,8 +44,20 @@
     @CsvSource({"READY, 0", "DRAINING, 1", "REMOVED, 2"})
     void snapshot(Phase phase, long number) throws IOException {
         Kept kept = new Kept("n1", 1, 2, 3, lines(phase));
-        Map<String, Object> values = Map.of("name", "n1", "generation", 9L, "epoch", 1L, "revision", 2L,
-                "at_ms", 3L, "servers", List.of(server(number)));
+        Map<String, Object> values =
+                Map.of(
+                        "name",
+                        "n1",
+                        "generation",
+                        9L,
+                        "epoch",
+                        1L,
+                        "revision",
+                        2L,
+                        "at_ms",
+                        3L,
+                        "servers",
+                        List.of(server(number)));
         assertEquals(values, Kept.values(kept.bytes(9)));
         assertEquals(kept, Kept.kept(values));
     }
@@ -37,8 +66,16 @@
     @CsvSource({"READY, 0", "DRAINING, 1", "REMOVED, 2"})
     void change(Phase phase, long number) throws IOException {
         Kept.Change change = new Kept.Change(true, 2, 3, lines(phase));
-        Map<String, Object> values = Map.of("all", true, "revision", 2L, "at_ms", 3L, "servers",
-                List.of(server(number)));
+        Map<String, Object> values =
+                Map.of(
+                        "all",
+                        true,
+                        "revision",
+                        2L,
+                        "at_ms",
+                        3L,
+                        "servers",
+                        List.of(server(number)));
         assertEquals(values, Kept.values(Kept.bytes(change)));
         assertEquals(change, Kept.change(values));
     }
@@ -46,9 +83,18 @@
     @ParameterizedTest
     @CsvSource({"-1", "3"})
     void unknownPhase(long number) {
-        Map<String, Object> values = Map.of("all", true, "revision", 2L, "at_ms", 3L, "servers",
-                List.of(server(number)));
-        assertEquals("an unknown phase, " + number,
+        Map<String, Object> values =
+                Map.of(
+                        "all",
+                        true,
+                        "revision",
+                        2L,
+                        "at_ms",
+                        3L,
+                        "servers",
+                        List.of(server(number)));
+        assertEquals(
+                "an unknown phase, " + number,
                 assertThrows(IOException.class, () -> Kept.change(values)).getMessage());
     }
 
--- a/sidecar/src/test/java/sagefall/recovery/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/recovery/StoredDataCompatibilityTest.java
@@ -20,8 +20,9 @@
 import sagefall.LoadBalancer.Phase;
 
 /**
- * Folders of the section {@code recovery} that the build of commit 732727c wrote are read as they were then,
- * and what is written now has the same bytes. How the folders were made is in their README.
+ * Folders of the section {@code recovery} that the build of commit 732727c wrote are read as they
+ * were then, and what is written now has the same bytes. How the folders were made is in their
+ * README.
  */
 class StoredDataCompatibilityTest {
 
@@ -32,25 +33,79 @@
     private static final String LOG = "log-2";
     private static final long GENERATION = 2;
 
-    private static final Kept.Line DRAINING_3 = new Kept.Line(3, "10.0.1.3:8080", "b", "large", 0,
-            Phase.DRAINING, 1_699_000_000_000_003L, 1, 1_700_000_006_000L);
-    private static final Kept.Line REMOVED_3 = new Kept.Line(3, "10.0.1.3:8080", "b", "large", 0,
-            Phase.REMOVED, 1_699_000_000_000_003L, 1, 1_700_000_006_000L);
-    private static final Kept.Line READY_1 = new Kept.Line(1, "10.0.0.1:8080", "a", "large", 0,
-            Phase.READY, 1_699_000_000_000_001L, 1, 0);
-    private static final Kept.Line READY_2 = new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1,
-            Phase.READY, 0, 0.5, 0);
-    private static final Kept.Line DRAINING_2 = new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1,
-            Phase.DRAINING, 0, 0.5, 1_700_000_007_000L);
-    private static final Kept.Line READY_4 = new Kept.Line(4, "[fd00::4]:8080", "c", "large", 2,
-            Phase.READY, 1_699_000_000_000_004L, 2, 0);
-    private static final Kept.Line REMOVED_4 = new Kept.Line(4, "[fd00::4]:8080", "c", "large", 2,
-            Phase.REMOVED, 1_699_000_000_000_004L, 2, 1_700_000_009_000L);
-    private static final Kept.Line READY_5 = new Kept.Line(5, "10.0.2.5:8080", "c", "small", 0,
-            Phase.READY, 1_700_000_006_500_000L, 0.25, 0);
-
-    @TempDir
-    private Path folder;
+    private static final Kept.Line DRAINING_3 =
+            new Kept.Line(
+                    3,
+                    "10.0.1.3:8080",
+                    "b",
+                    "large",
+                    0,
+                    Phase.DRAINING,
+                    1_699_000_000_000_003L,
+                    1,
+                    1_700_000_006_000L);
+    private static final Kept.Line REMOVED_3 =
+            new Kept.Line(
+                    3,
+                    "10.0.1.3:8080",
+                    "b",
+                    "large",
+                    0,
+                    Phase.REMOVED,
+                    1_699_000_000_000_003L,
+                    1,
+                    1_700_000_006_000L);
+    private static final Kept.Line READY_1 =
+            new Kept.Line(
+                    1, "10.0.0.1:8080", "a", "large", 0, Phase.READY, 1_699_000_000_000_001L, 1, 0);
+    private static final Kept.Line READY_2 =
+            new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1, Phase.READY, 0, 0.5, 0);
+    private static final Kept.Line DRAINING_2 =
+            new Kept.Line(
+                    2,
+                    "10.0.0.2:8080",
+                    "a",
+                    "small",
+                    1,
+                    Phase.DRAINING,
+                    0,
+                    0.5,
+                    1_700_000_007_000L);
+    private static final Kept.Line READY_4 =
+            new Kept.Line(
+                    4,
+                    "[fd00::4]:8080",
+                    "c",
+                    "large",
+                    2,
+                    Phase.READY,
+                    1_699_000_000_000_004L,
+                    2,
+                    0);
+    private static final Kept.Line REMOVED_4 =
+            new Kept.Line(
+                    4,
+                    "[fd00::4]:8080",
+                    "c",
+                    "large",
+                    2,
+                    Phase.REMOVED,
+                    1_699_000_000_000_004L,
+                    2,
+                    1_700_000_009_000L);
+    private static final Kept.Line READY_5 =
+            new Kept.Line(
+                    5,
+                    "10.0.2.5:8080",
+                    "c",
+                    "small",
+                    0,
+                    Phase.READY,
+                    1_700_000_006_500_000L,
+                    0.25,
+                    0);
+
+    @TempDir private Path folder;
     private final List<String> messages = new ArrayList<>();
 
     private static Path stored(String name) throws URISyntaxException {
@@ -66,8 +121,8 @@
     }
 
     private Kept open(String sidecar) throws IOException {
-        try (Journal journal = Journal.open(FolderDisk.own(folder), sidecar, MAX_BYTES, true,
-                messages::add)) {
+        try (Journal journal =
+                Journal.open(FolderDisk.own(folder), sidecar, MAX_BYTES, true, messages::add)) {
             return journal.state();
         }
     }
@@ -86,8 +141,14 @@
     @Test
     void intactFolderIsReadWhole() throws Exception {
         copy("intact");
-        assertEquals(new Kept("n1", 3, 9, 1_700_000_009_000L,
-                byId(READY_1, DRAINING_2, REMOVED_3, REMOVED_4, READY_5)), open(SIDECAR));
+        assertEquals(
+                new Kept(
+                        "n1",
+                        3,
+                        9,
+                        1_700_000_009_000L,
+                        byId(READY_1, DRAINING_2, REMOVED_3, REMOVED_4, READY_5)),
+                open(SIDECAR));
         assertEquals(List.of(), messages);
         assertEquals(List.of("lock", "state"), names());
     }
@@ -95,8 +156,14 @@
     @Test
     void tornLogTailIsLeftOut() throws Exception {
         copy("torn-log-tail");
-        assertEquals(new Kept("n1", 3, 8, 1_700_000_008_000L,
-                byId(READY_1, DRAINING_2, REMOVED_3, READY_4, READY_5)), open(SIDECAR));
+        assertEquals(
+                new Kept(
+                        "n1",
+                        3,
+                        8,
+                        1_700_000_008_000L,
+                        byId(READY_1, DRAINING_2, REMOVED_3, READY_4, READY_5)),
+                open(SIDECAR));
         assertEquals(List.of("the last 154 bytes were not whole and are left out"), messages);
         assertEquals(List.of("lock", "state"), names());
     }
@@ -107,9 +174,11 @@
         assertEquals(new Kept("n1", 1, 0, 0, Map.of()), open(SIDECAR));
         assertEquals(List.of("put aside, nothing is kept: state is damaged"), messages);
         assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
-        assertArrayEquals(Files.readAllBytes(stored("damaged-snapshot/" + SNAPSHOT)),
+        assertArrayEquals(
+                Files.readAllBytes(stored("damaged-snapshot/" + SNAPSHOT)),
                 Files.readAllBytes(folder.resolve("aside-state")));
-        assertArrayEquals(Files.readAllBytes(stored("damaged-snapshot/" + LOG)),
+        assertArrayEquals(
+                Files.readAllBytes(stored("damaged-snapshot/" + LOG)),
                 Files.readAllBytes(folder.resolve("aside-log")));
     }
 
@@ -117,7 +186,8 @@
     void folderOfAnotherSidecarIsPutAside() throws Exception {
         copy("intact");
         assertEquals(new Kept("n2", 1, 0, 0, Map.of()), open("n2"));
-        assertEquals(List.of("put aside, nothing is kept: state belongs to the sidecar 'n1'"), messages);
+        assertEquals(
+                List.of("put aside, nothing is kept: state belongs to the sidecar 'n1'"), messages);
         assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
     }
 
@@ -127,24 +197,32 @@
         try (Disk disk = FolderDisk.own(folder)) {
             byte[] body = WholeFile.read(disk, SNAPSHOT, MAX_BYTES);
             Kept kept = Kept.kept(Kept.values(body));
-            assertEquals(new Kept("n1", 2, 6, 1_700_000_006_000L,
-                    byId(READY_1, READY_2, DRAINING_3, READY_4)), kept);
+            assertEquals(
+                    new Kept(
+                            "n1",
+                            2,
+                            6,
+                            1_700_000_006_000L,
+                            byId(READY_1, READY_2, DRAINING_3, READY_4)),
+                    kept);
             assertEquals(GENERATION, Kept.number(Kept.values(body), "generation"));
             WholeFile.write(disk, SNAPSHOT, kept.bytes(GENERATION));
         }
-        assertArrayEquals(Files.readAllBytes(stored("intact/" + SNAPSHOT)),
+        assertArrayEquals(
+                Files.readAllBytes(stored("intact/" + SNAPSHOT)),
                 Files.readAllBytes(folder.resolve(SNAPSHOT)));
     }
 
     /** The two runs of the README once more, in an empty folder. */
     @Test
     void sameChangesAreWrittenWithTheSameBytes() throws Exception {
-        try (Journal first = Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
+        try (Journal first =
+                Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
             first.append(change(true, 5, READY_1, READY_2, at(Phase.READY, DRAINING_3), READY_4));
             first.append(change(false, 6, at(Phase.DRAINING, DRAINING_3)));
         }
-        try (Journal second = Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true,
-                messages::add)) {
+        try (Journal second =
+                Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
             second.append(change(false, 7, at(Phase.DRAINING, READY_2), READY_5));
             second.append(change(true, 8, READY_1, at(Phase.DRAINING, READY_2), READY_4, READY_5));
             second.append(change(false, 9, at(Phase.REMOVED, READY_4)));
@@ -152,14 +230,24 @@
         assertEquals(List.of(), messages);
         assertEquals(List.of("lock", LOG, SNAPSHOT), names());
         for (String name : List.of(LOG, SNAPSHOT)) {
-            assertArrayEquals(Files.readAllBytes(stored("intact/" + name)),
-                    Files.readAllBytes(folder.resolve(name)), name);
+            assertArrayEquals(
+                    Files.readAllBytes(stored("intact/" + name)),
+                    Files.readAllBytes(folder.resolve(name)),
+                    name);
         }
     }
 
     private static Kept.Line at(Phase phase, Kept.Line line) {
-        return new Kept.Line(line.id(), line.address(), line.zone(), line.kind(), line.cell(), phase,
-                line.startMicros(), line.weight(), 0);
+        return new Kept.Line(
+                line.id(),
+                line.address(),
+                line.zone(),
+                line.kind(),
+                line.cell(),
+                phase,
+                line.startMicros(),
+                line.weight(),
+                0);
     }
 
     private static Kept.Change change(boolean all, long revision, Kept.Line... lines) {
