--- a/lab/src/main/java/sagefall/lab/command/Setting.java
+++ b/lab/src/main/java/sagefall/lab/command/Setting.java
@@ -73,12 +73,12 @@
 
     List<Long> seeds() throws PolicyException {
         List<Long> all = new ArrayList<>();
-        for (String part : seeds.split(",")) {
+        for (String part : seeds.split(",", 0)) {
             if (!part.matches("\\d{1,18}(-\\d{1,18})?")) {
                 throw new PolicyException(
                         "--seeds: '" + part + "' is neither a number nor FROM-TO");
             }
-            String[] ends = part.split("-");
+            String[] ends = part.split("-", 0);
             for (long s = Long.parseLong(ends[0]);
                     s <= Long.parseLong(ends[ends.length - 1]);
                     s++) {
@@ -91,6 +91,8 @@
         return all;
     }
 
+    // On Java 17 the console is null where the output is no terminal.
+    @SuppressWarnings("SystemConsoleNull")
     Plays plays() {
         int cores = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
         return new Plays(cores, root, System.console() == null ? null : System.err);
--- a/lab/src/main/java/sagefall/lab/command/Sweep.java
+++ b/lab/src/main/java/sagefall/lab/command/Sweep.java
@@ -44,7 +44,7 @@
         }
         String name = vary.substring(0, vary.indexOf('='));
         boolean tunable = name.substring(name.indexOf('.') + 1).matches("[A-Z0-9_]+");
-        String[] values = vary.substring(vary.indexOf('=') + 1).split(",");
+        String[] values = vary.substring(vary.indexOf('=') + 1).split(",", 0);
         List<Plays.Play> plays = new ArrayList<>();
         for (String value : values) {
             for (long seed : setting.seeds()) {
--- a/lab/src/main/java/sagefall/lab/command/Windows.java
+++ b/lab/src/main/java/sagefall/lab/command/Windows.java
@@ -102,7 +102,7 @@
         for (String line : Files.readAllLines(file)) {
             Matcher m = ROW.matcher(line);
             if (m.matches()) {
-                String[] words = m.group(3).trim().split("\\s+");
+                String[] words = m.group(3).trim().split("\\s+", 0);
                 double[] columns = new double[words.length];
                 for (int i = 0; i < columns.length; i++) {
                     columns[i] = Double.parseDouble(words[i]);
--- a/lab/src/main/java/sagefall/lab/load/StandIn.java
+++ b/lab/src/main/java/sagefall/lab/load/StandIn.java
@@ -162,7 +162,7 @@
             InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * 1024);
             OutputStream out = socket.getOutputStream();
             for (Map<String, String> head; (head = head(in)) != null; ) {
-                String[] first = head.get("").split(" ");
+                String[] first = head.get("").split(" ", 0);
                 String[] path = first[1].split("/");
                 if (first[1].startsWith("/v1/servers")) {
                     long hold = query(first[1], "hold_ms");
@@ -199,6 +199,8 @@
     }
 
     /** One request in a slot; whether its connection may go on. */
+    // NONE is told by identity: a service with the same figures does report.
+    @SuppressWarnings("ReferenceEquality")
     private boolean work(Socket socket, OutputStream out, String sum)
             throws IOException, InterruptedException {
         if (held.incrementAndGet() > (long) service.slots + service.queue) {
--- a/lab/src/main/java/sagefall/lab/model/Sidecar.java
+++ b/lab/src/main/java/sagefall/lab/model/Sidecar.java
@@ -313,7 +313,7 @@
         }
         while (!mine.since.isEmpty()) {
             long[] connection = mine.since.pop();
-            if (connection[1] == server.epoch && server.state != SaveServer.State.DEAD
+            if ((connection[1] == server.epoch && server.state != SaveServer.State.DEAD)
                     || server.endedSilently) {
                 return connection;
             }
--- a/lab/src/main/java/sagefall/lab/model/Traffic.java
+++ b/lab/src/main/java/sagefall/lab/model/Traffic.java
@@ -86,7 +86,7 @@
         service = scenario.service();
         repeatsAnything =
                 rules.effect() == Effect.SAFE
-                        || rules.effect() == Effect.KEYED && rules.group() == Group.ALL;
+                        || (rules.effect() == Effect.KEYED && rules.group() == Group.ALL);
         end = Loop.BEGIN + (long) (1e6 * scenario.seconds());
         tryMicros = rules.deadlineMicros() * clients.tryShare().draw(draws, "clients.try");
         waitMicros = 1000 * clients.waitMillis().draw(draws, "clients.wait");
@@ -352,7 +352,7 @@
         boolean insists = stubborn > 0;
         double wait = insists ? 0 : waitMicros;
         if (!insists && wish.luck < honour) {
-            wait = Math.max(wait, retryMicros);
+            wait = Math.max(wait, (double) retryMicros);
         }
         if (wish.tries > (insists ? stubborn : clients.retries())
                 || loop.now() + wait
--- a/lab/src/main/java/sagefall/lab/policy/Baselines.java
+++ b/lab/src/main/java/sagefall/lab/policy/Baselines.java
@@ -122,7 +122,7 @@
 
         @Override
         void learn(long now, Known s, long micros, boolean served) {
-            double x = served ? micros : Math.max(micros, 1e6);
+            double x = served ? micros : Math.max((double) micros, 1e6);
             boolean peak = Double.isNaN(s.latency) || x > s.latency;
             s.latency = peak ? x : x + (s.latency - x) * Math.exp(-(now - s.sampledAt) / DECAY);
             s.sampledAt = now;
--- a/lab/src/main/java/sagefall/lab/policy/Policies.java
+++ b/lab/src/main/java/sagefall/lab/policy/Policies.java
@@ -29,25 +29,23 @@
         int colon = spec.indexOf(':');
         String kind = colon < 0 ? spec : spec.substring(0, colon);
         String rest = spec.substring(colon + 1);
-        switch (kind) {
-            case "module":
-                Map<String, String> changes = new LinkedHashMap<>();
-                for (String change : rest.split(",")) {
-                    int equals = change.indexOf('=');
-                    if (equals < 1
-                            || !change.substring(equals + 1).matches("-?[0-9.]+([eE]-?[0-9]+)?")) {
-                        throw new PolicyException(
-                                spec + ": '" + change + "' is not TUNABLE=NUMBER");
-                    }
-                    changes.put(change.substring(0, equals), change.substring(equals + 1));
-                }
-                return new PolicySource(spec, root, changes);
-            case "module-without":
-                return new PolicySource(spec, root, Mechanism.of(rest).changes());
-            case "sim":
-                return new WirePolicy(spec, rest);
-            default:
-                throw new PolicyException(spec + ": no such policy; there are " + HELP);
+        return switch (kind) {
+            case "module" -> new PolicySource(spec, root, changes(spec, rest));
+            case "module-without" -> new PolicySource(spec, root, Mechanism.of(rest).changes());
+            case "sim" -> new WirePolicy(spec, rest);
+            default -> throw new PolicyException(spec + ": no such policy; there are " + HELP);
+        };
+    }
+
+    private static Map<String, String> changes(String spec, String list) throws PolicyException {
+        Map<String, String> changes = new LinkedHashMap<>();
+        for (String change : list.split(",", 0)) {
+            int equals = change.indexOf('=');
+            if (equals < 1 || !change.substring(equals + 1).matches("-?[0-9.]+([eE]-?[0-9]+)?")) {
+                throw new PolicyException(spec + ": '" + change + "' is not TUNABLE=NUMBER");
+            }
+            changes.put(change.substring(0, equals), change.substring(equals + 1));
         }
+        return changes;
     }
 }
--- a/lab/src/main/java/sagefall/lab/report/HeatMap.java
+++ b/lab/src/main/java/sagefall/lab/report/HeatMap.java
@@ -71,6 +71,7 @@
     private static int colour(double part) {
         int green = (int) (part < 0.5 ? 250 - 100 * part : 200 * 2 * (1 - part));
         int blue = (int) (235 * Math.max(0, 1 - 2 * part));
-        return 0xff0000 - (int) (0x38 * Math.max(0, part - 0.5) * 2) * 0x10000 | green << 8 | blue;
+        int lessRed = (int) (0x38 * Math.max(0, part - 0.5) * 2);
+        return (0xff0000 - lessRed * 0x10000) | green << 8 | blue;
     }
 }
--- a/lab/src/main/java/sagefall/lab/rig/Checks.java
+++ b/lab/src/main/java/sagefall/lab/rig/Checks.java
@@ -143,6 +143,8 @@
                 .anyMatch(e -> e.kind().equals("stall") && 1_000_000 * e.number("ms") > VOID);
     }
 
+    // The annotation asked for would be a dependency of its own, for one private method.
+    @SuppressWarnings("AnnotateFormatMethod")
     private void breach(Rule rule, long at, String format, Object... values) {
         breaches.add(new Breach(rule, String.format(format, values), at));
     }
@@ -259,9 +261,9 @@
             boolean older =
                     was != null
                             && (stale
-                                    || was.server != server
+                                    || (was.server != server
                                             && !state.equals("in_service")
-                                            && was.state.equals("in_service"));
+                                            && was.state.equals("in_service")));
             if (!same && !older) {
                 long at =
                         was != null
@@ -334,8 +336,8 @@
             boolean within =
                     effect.equals("token")
                             && (play.path("group").asText("zone").equals("all")
-                                    || zones.get(s.server) != null
-                                            && zones.get(s.server).equals(zones.get(server)))
+                                    || (zones.get(s.server) != null
+                                            && zones.get(s.server).equals(zones.get(server))))
                             && e.at() - s.at
                                     <= 1000 * play.path("window_us").asLong()
                                             + slack(who(e), e.at());
@@ -480,7 +482,7 @@
             case "exit" -> {
                 boolean killed = last(dead, who) == Long.MAX_VALUE;
                 boolean asked = last(ending, who) == Long.MAX_VALUE;
-                if (!killed && !asked || asked && !killed && e.number("status") != 0) {
+                if ((!killed && !asked) || (asked && !killed && e.number("status") != 0)) {
                     breach(
                             Rule.CRASH,
                             e.at(),
@@ -551,7 +553,7 @@
         long due = r.intent.at() + 1000 * r.intent.number("timeout_us");
         if (r.answer == null || r.answer.number("status") == Application.BROKEN) {
             long at = r.answer == null ? due : r.answer.at();
-            if (within(dead, who, r.intent.at(), at) || r.answer == null && due > end) {
+            if (within(dead, who, r.intent.at(), at) || (r.answer == null && due > end)) {
                 return;
             }
             breach(
--- a/lab/src/main/java/sagefall/lab/rig/History.java
+++ b/lab/src/main/java/sagefall/lab/rig/History.java
@@ -89,7 +89,7 @@
     /** The lines of a text, in its order. */
     static List<Entry> parse(String text) throws IOException {
         List<Entry> all = new ArrayList<>();
-        String[] lines = text.split("\n");
+        String[] lines = text.split("\n", 0);
         for (int i = 0; i < lines.length; i++) {
             if (lines[i].isBlank()) {
                 continue;
--- a/lab/src/main/java/sagefall/lab/rig/Link.java
+++ b/lab/src/main/java/sagefall/lab/rig/Link.java
@@ -303,7 +303,7 @@
             client.eventLoop()
                     .execute(
                             () -> {
-                                if (met && door != Door.SILENT
+                                if ((met && door != Door.SILENT)
                                         || up.mustReset()
                                         || down.mustReset()) {
                                     reset();
--- a/lab/src/main/java/sagefall/lab/rig/ListView.java
+++ b/lab/src/main/java/sagefall/lab/rig/ListView.java
@@ -99,7 +99,7 @@
 
         private void look() {
             boolean ended = pace.loop().now() >= until;
-            if (!asked || mute || revision <= from && !ended) {
+            if (!asked || mute || (revision <= from && !ended)) {
                 return;
             }
             asked = false;
--- a/lab/src/main/java/sagefall/lab/rig/ServerProcess.java
+++ b/lab/src/main/java/sagefall/lab/rig/ServerProcess.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
+import java.util.concurrent.atomic.AtomicInteger;
 
 /** A process with one save server in it, or with those of a zone that only ever end together. */
 final class ServerProcess {
@@ -20,7 +21,7 @@
     private int life;
 
     /** Written by the thread of the model alone. */
-    private volatile int downs;
+    private final AtomicInteger downs = new AtomicInteger();
 
     ServerProcess(Rig rig, String name, int zone) {
         this.rig = rig;
@@ -68,7 +69,7 @@
 
     /** SIGKILL, with how its address answers from now on. */
     void kill(boolean silently) {
-        if (downs++ > 0) {
+        if (downs.getAndIncrement() > 0) {
             return;
         }
         rig.history.line("process", "name", name, "what", "kill");
@@ -84,7 +85,7 @@
 
     /** A new process, cold. */
     void again() {
-        if (--downs > 0) {
+        if (downs.decrementAndGet() > 0) {
             return;
         }
         rig.aside(
@@ -103,7 +104,7 @@
     }
 
     private void returned() {
-        if (downs > 0) {
+        if (downs.get() > 0) {
             return;
         }
         for (ServerMember m : members) {
@@ -116,7 +117,7 @@
     }
 
     boolean down() {
-        return downs > 0;
+        return downs.get() > 0;
     }
 
     void stop() {
--- a/lab/src/main/java/sagefall/lab/rig/Starving.java
+++ b/lab/src/main/java/sagefall/lab/rig/Starving.java
@@ -23,7 +23,7 @@
         try (DirectoryStream<Path> tasks =
                 Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : tasks) {
-                String[] figures = Files.readString(task.resolve("schedstat")).trim().split(" ");
+                String[] figures = Files.readString(task.resolve("schedstat")).trim().split(" ", 0);
                 long now = Long.parseLong(figures[1]);
                 Long before = waited.put(task.toString(), now);
                 most = Math.max(most, before == null ? 0 : now - before);
--- a/lab/src/main/java/sagefall/lab/scenario/Fault.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Fault.java
@@ -212,7 +212,7 @@
 
     private static int zone(Table t, Kind kind, Scenario.Fleet fleet) throws ScenarioException {
         if (!kind.names.contains("zone")
-                || (kind == Kind.KILL_SIDECARS || kind == Kind.POWER_LOSS) && !t.has("zone")) {
+                || ((kind == Kind.KILL_SIDECARS || kind == Kind.POWER_LOSS) && !t.has("zone"))) {
             return -1;
         }
         int zone = fleet.zones().indexOf(t.word("zone", fleet.zones().get(0), List.of()));
--- a/lab/src/main/java/sagefall/lab/scenario/Scenario.java
+++ b/lab/src/main/java/sagefall/lab/scenario/Scenario.java
@@ -77,6 +77,8 @@
     private static final double DAY = 3600;
 
     /**
+     * The sidecars and servers, and how they are spread over the zones.
+     *
      * @param cellServers servers that a cell holds
      * @param serverSkew how unevenly the zones share the servers, 0 to 1
      * @param startSeconds from a sidecar's start until it is ready; real processes take what they
@@ -96,6 +98,8 @@
             int leaseMillis) {}
 
     /**
+     * The offered traffic.
+     *
      * @param use offered work as a part of what all servers can do
      * @param swing a wave of that part of the mean
      * @param zoneSkew how unevenly the zones share the traffic, 0 to 1
@@ -105,6 +109,8 @@
             Range use, Range swing, Range zoneSkew, Range unlike, int keys, Range zipf) {}
 
     /**
+     * How clients try again and give up.
+     *
      * @param retries most further tries of a client
      * @param tryShare part of the whole deadline after which a client gives a try up
      * @param waitMillis wait before a further try
@@ -296,7 +302,7 @@
         if (equals < 1) {
             throw new ScenarioException("--set: '" + set + "' is not NAME=VALUE");
         }
-        String[] path = set.substring(0, equals).trim().split("\\.");
+        String[] path = set.substring(0, equals).trim().split("\\.", 0);
         JsonNode table = tree;
         for (int i = 0; i + 1 < path.length; i++) {
             table =
--- a/lab/src/test/java/sagefall/lab/CommandTest.java
+++ b/lab/src/test/java/sagefall/lab/CommandTest.java
@@ -1,5 +1,6 @@
 package sagefall.lab;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -85,7 +86,11 @@
             System.setOut(before);
         }
         String last =
-                printed.toString().lines().reduce((a, b) -> b).orElse("").replaceAll(" +", " ");
+                printed.toString(UTF_8)
+                        .lines()
+                        .reduce((a, b) -> b)
+                        .orElse("")
+                        .replaceAll(" +", " ");
         assertEquals("report.log 2 0.9750 0.975 at 0 s 0.500 0.250 0.000 400", last);
         assertEquals(2, lab("windows", folder.resolve("none").toString()));
     }
--- a/lab/src/test/java/sagefall/lab/model/KnownResultsTest.java
+++ b/lab/src/test/java/sagefall/lab/model/KnownResultsTest.java
@@ -113,8 +113,8 @@
         take(server, 0.7 * 8_000_000);
         take(server, 1_000_000);
         loop.runUntil(started + 20_000_000);
-        assertEquals(8_000_000, doneAt.get(0) - started, 2);
-        assertEquals(9_000_000, doneAt.get(1) - started, 4);
+        assertEquals(8_000_000.0, (double) (doneAt.get(0) - started), 2);
+        assertEquals(9_000_000.0, (double) (doneAt.get(1) - started), 4);
     }
 
     /**
--- a/lab/src/test/java/sagefall/lab/rig/ChecksTest.java
+++ b/lab/src/test/java/sagefall/lab/rig/ChecksTest.java
@@ -30,8 +30,8 @@
      */
     private static List<History.Entry> history(String text) throws Exception {
         StringBuilder lines = new StringBuilder();
-        for (String line : text.replace("; ", "\n").split("\n")) {
-            String[] words = line.trim().split(" +");
+        for (String line : text.replace("; ", "\n").split("\n", 0)) {
+            String[] words = line.trim().split(" +", 0);
             var node =
                     History.JSON
                             .createObjectNode()
@@ -41,8 +41,8 @@
                 String value = words[i + 1].replace('_', ' ');
                 if (words[i].equals("targets")) {
                     var targets = node.putArray("targets");
-                    for (String target : words[i + 1].split(",")) {
-                        String[] t = target.split(":");
+                    for (String target : words[i + 1].split(",", 0)) {
+                        String[] t = target.split(":", 0);
                         targets.addObject()
                                 .put("endpoint", t[0])
                                 .put("id", Long.parseLong(t[1]))
--- a/lab/src/test/java/sagefall/lab/rig/LinkTest.java
+++ b/lab/src/test/java/sagefall/lab/rig/LinkTest.java
@@ -1,5 +1,6 @@
 package sagefall.lab.rig;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -103,7 +104,7 @@
 
     @Test
     void bytesPassAndRequestsAreSeenOnceEach() throws Exception {
-        byte[] request = "POST /save/1 HTTP/1.1\r\nRequest-ID: 17ab\r\n\r\nx".getBytes();
+        byte[] request = "POST /save/1 HTTP/1.1\r\nRequest-ID: 17ab\r\n\r\nx".getBytes(UTF_8);
         byte[] big = new byte[1_000_000];
         new Random(3).nextBytes(big);
         try (Socket s = connect()) {
@@ -229,7 +230,7 @@
                                 p ->
                                         (micros[1].getValueAtPercentile(p)
                                                         - micros[0].getValueAtPercentile(p))
-                                                / 2)
+                                                / 2.0)
                         .sum(),
                 (micros[1].getValueAtPercentile(99) - micros[0].getValueAtPercentile(99)) / 2.0);
         // A machine whose cores are all busy lends them late: the figure is MEASURING's, the bound
--- a/lab/src/test/java/sagefall/lab/rig/RigTest.java
+++ b/lab/src/test/java/sagefall/lab/rig/RigTest.java
@@ -1,5 +1,6 @@
 package sagefall.lab.rig;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -129,7 +130,7 @@
             lines[i] = Files.readAllBytes(mine.resolve(Rig.SCHEDULE));
         }
         assertArrayEquals(lines[0], lines[1]);
-        assertFalse(new String(lines[0]).equals(new String(lines[2])));
+        assertFalse(new String(lines[0], UTF_8).equals(new String(lines[2], UTF_8)));
         // Leaving out one fault changes no other.
         new Rig(plan("rig-disagree", 7).only(List.of(0, 2)), folder.resolve("fewer")).close();
         List<String> all = Files.readAllLines(folder.resolve("p0").resolve(Rig.SCHEDULE));
@@ -182,7 +183,8 @@
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
                         .start();
         List<ProcessHandle> started = List.of();
-        try (BufferedReader out = new BufferedReader(new InputStreamReader(rig.getInputStream()))) {
+        try (BufferedReader out =
+                new BufferedReader(new InputStreamReader(rig.getInputStream(), UTF_8))) {
             assertTrue(out.readLine().contains("rig-calm"));
             Path history = folder.resolve("rig-calm-1").resolve(Rig.HISTORY).resolve("rig.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"begin\"")) {
--- a/sidecar/src/main/java/sagefall/Admission.java
+++ b/sidecar/src/main/java/sagefall/Admission.java
@@ -70,7 +70,7 @@
 
     /** Requests a microsecond that this instance takes and admits. */
     double rate(long now) {
-        double seen = 1 - Math.exp(-Math.max(aimMicros, now - startedAt) / rateSpan);
+        double seen = 1 - Math.exp(-Math.max(aimMicros, (double) (now - startedAt)) / rateSpan);
         return rate * Math.exp(-(now - rateAt) / rateSpan) / seen;
     }
 
--- a/sidecar/src/main/java/sagefall/Choice.java
+++ b/sidecar/src/main/java/sagefall/Choice.java
@@ -104,8 +104,7 @@
         if (kind != ListKind.CHANGES) for (Backend b : backends.values()) b.listed = false;
         for (Server line : list) {
             Backend b = backends.get(line.id());
-            if (b == null || b.line.startMicros() != line.startMicros())
-                b = anew(now, line.id(), b);
+            if (b == null || b.line.startMicros() != line.startMicros()) b = anew(line.id(), b);
             boolean usable = line.phase() == Phase.READY && (b.usable || revision >= b.revision);
             b.revision = Math.max(b.revision, revision);
             changed |= usable != b.usable || b.line == null || b.line.zone() != line.zone();
@@ -126,7 +125,7 @@
     }
 
     /** A new id or start time is a new process: nothing learned of an old one holds. */
-    private Backend anew(long now, long id, Backend old) {
+    private Backend anew(long id, Backend old) {
         if (old != null) {
             health.close(old);
             old.usable = false;
@@ -151,16 +150,16 @@
         budget.taken(admission.admitted);
         admission.taken(now);
         health.watch(now);
-        if (requests.size() > settings.limits().open()) end(now, waiting.least(p), Reason.IN_HAND);
+        if (requests.size() > settings.limits().open()) end(waiting.least(p), Reason.IN_HAND);
         if (p.over) return;
         if (request.bufferBytes() > 0 && buffered > mostBuffered) {
             // Those that stream already go on; a new one is told at once when to come back.
-            end(now, p, Reason.BUFFERS);
+            end(p, Reason.BUFFERS);
         } else if (request.deadlineMicros() - now <= aimMicros / 20 + 2 * settings.tickMicros()) {
             // No time is left for a timer (incident i0f9bed: an arrival at its own deadline).
-            end(now, p, Reason.TOO_LATE);
+            end(p, Reason.TOO_LATE);
         } else if (tree.sparse && admission.refuses(p, random.nextDouble())) {
-            end(now, p, Reason.ADMISSION);
+            end(p, Reason.ADMISSION);
         } else admit(now, p);
     }
 
@@ -173,7 +172,7 @@
         if (health.anyZoneFull()) {
             // The others have no server to offer: whoever waits would be late, and make others
             // late.
-            end(now, p, Reason.ZONE_FULL);
+            end(p, Reason.ZONE_FULL);
             return;
         }
         later(waiting.lookAgain(now, p, requests.size()), HELD, p);
@@ -208,8 +207,8 @@
                 || left <= 0
                 || !p.mayRunOn(now, b, settings.tickMicros())
                 || p.attempts.size() >= Math.max(1, settings.limits().attempts())
-                || !p.attempts.isEmpty() && !budget.allows()) {
-            if (!p.over && p.out == 0) end(now, p, whyNot(now, p));
+                || (!p.attempts.isEmpty() && !budget.allows())) {
+            if (!p.over && p.out == 0) end(p, whyNot(now, p));
             return;
         }
         Attempt a = new Attempt(p, b, now, health.usual(p), health.warm(now, b));
@@ -229,7 +228,7 @@
     }
 
     /** The single place where this instance ends a request. */
-    private void end(long now, Pending p, Reason why) {
+    private void end(Pending p, Reason why) {
         if (p.mayRefuse()) {
             double stay =
                     settings.limits().retryAdvice() ? aimMicros * (1 + random.nextDouble()) / 4 : 0;
@@ -287,7 +286,7 @@
                 now < waiting.lastUseful(p, requests.size()) && budget.allows() && !p.spent;
         if (sensible && p.mayRepeat() && p.attempts.size() < settings.limits().attempts())
             admit(now, p);
-        else end(now, p, whyNot(now, p));
+        else end(p, whyNot(now, p));
     }
 
     /** What keeps a request from a further attempt. */
@@ -355,7 +354,7 @@
         if (p == null || p.over || p.streaming) return;
         boolean waited = now >= waiting.lastUseful(p, requests.size());
         if (p.queued && (waited || health.anyZoneFull())) {
-            end(now, p, waited ? Reason.WAITED : Reason.ZONE_FULL);
+            end(p, waited ? Reason.WAITED : Reason.ZONE_FULL);
         } else if (p.queued) {
             later(waiting.lookAgain(now, p, requests.size()), HELD, p);
             pump(now);
--- a/sidecar/src/main/java/sagefall/Health.java
+++ b/sidecar/src/main/java/sagefall/Health.java
@@ -204,7 +204,7 @@
             }
             case NO_CONNECTION -> {
                 // At its limit, slow to set up, or down: only new connections stay away.
-                setUp(now, 2 * o.elapsedMicros());
+                setUp(now, (double) (2 * o.elapsedMicros()));
                 admission.crowded();
                 b.usedAt = 0;
                 double wait = aimMicros * (1 << Math.min(b.connectFailures++, MAX_BACKOFF));
@@ -225,9 +225,9 @@
                 // What a connection that was idle did not bring may be its own fault; an error is a
                 // word.
                 boolean word = o.result() == Result.ERROR;
-                if (!word && (a.idle > aimMicros / 4 || a.suspected && b.usedAt > b.suspectedAt))
+                if (!word && (a.idle > aimMicros / 4 || (a.suspected && b.usedAt > b.suspectedAt)))
                     return;
-                sample(now, b, Math.max(o.elapsedMicros(), aimMicros) / a.usual);
+                sample(now, b, Math.max((double) o.elapsedMicros(), aimMicros) / a.usual);
                 if (b.openUntil != 0 || ++b.failures >= FAILURES)
                     eject(now, b, o.result().toString());
             }
@@ -392,7 +392,8 @@
     // ---- Outlier ejection
 
     void eject(long now, Backend b, String why) {
-        if (!b.usable || b.openUntil == 0 && ejected + 1 > MAX_EJECTED * tree.ready.size()) return;
+        if (!b.usable || (b.openUntil == 0 && ejected + 1 > MAX_EJECTED * tree.ready.size()))
+            return;
         if (b.openUntil == 0) {
             ejected++;
             actions.log("server " + b.id + " ejected: " + why);
--- a/sidecar/src/main/java/sagefall/Json.java
+++ b/sidecar/src/main/java/sagefall/Json.java
@@ -59,8 +59,8 @@
                             ? (Object) parser.getDoubleValue()
                             : (Object) parser.getLongValue();
             case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             default -> null;
         };
     }
--- a/sidecar/src/main/java/sagefall/LoadReports.java
+++ b/sidecar/src/main/java/sagefall/LoadReports.java
@@ -51,7 +51,7 @@
             return null;
         }
         Map<String, Double> fields = new HashMap<>();
-        for (String field : header.substring(FORM.length()).split(",")) {
+        for (String field : header.substring(FORM.length()).split(",", 0)) {
             int equals = field.indexOf('=');
             double value = equals < 0 ? Double.NaN : number(field.substring(equals + 1).trim());
             if (value >= 0 && value <= MOST) {
--- a/sidecar/src/main/java/sagefall/Pick.java
+++ b/sidecar/src/main/java/sagefall/Pick.java
@@ -48,7 +48,7 @@
         for (List<Backend> node : tree.path(p)) {
             Backend pick = pick(now, p, node, keep, best != null);
             if (pick == null || pick == best) continue;
-            double cost = cost(now, p, pick);
+            double cost = cost(now, pick);
             if (best == null || bestCost > cost * SPILL) {
                 best = pick;
                 bestCost = cost;
@@ -76,13 +76,13 @@
             Backend b = node.get((from + i) % node.size());
             // A cold server has its chance only where each of its node has the same to be looked
             // at.
-            if (!hasRoom(now, p, b, most) || wide && i >= LOOK && health.coldShare(now, b) < 1)
+            if (!hasRoom(now, p, b, most) || (wide && i >= LOOK && health.coldShare(now, b) < 1))
                 continue;
             if (!cheapest && (b.openUntil != 0 || health.coldShare(now, b) < 1)) return b;
             int slot = count < 2 ? count : random.nextInt(count + 1);
             count++;
             if (cheapest) {
-                double cost = cost(now, p, b);
+                double cost = cost(now, b);
                 if (first == null || cost < least) {
                     first = b;
                     least = cost;
@@ -98,16 +98,14 @@
             }
         }
         double bias = keyed ? SPILL : 1;
-        return second == null || cost(now, p, first) <= bias * cost(now, p, second)
-                ? first
-                : second;
+        return second == null || cost(now, first) <= bias * cost(now, second) ? first : second;
     }
 
     private static long rank(Pending p, Backend b) {
         return LabelTree.mix(p.request.key(), b.id);
     }
 
-    private double cost(long now, Pending p, Backend b) {
+    private double cost(long now, Backend b) {
         double cost = health.slowness(now, b) * (1 + b.out.size());
         if (!Double.isNaN(health.meanUse)) cost /= 1.1 - Math.min(1, health.use(now, b));
         if (tree.sparse && !health.warm(now, b)) {
@@ -160,7 +158,7 @@
         if (b.out.size() > 0) health.eject(now, b, "still no answer");
         if (now < b.openUntil) return false;
         boolean safe = p.rules.effect() == Effect.SAFE;
-        if (!p.attempts.isEmpty() || !safe && settings.anySafe()) return false;
+        if (!p.attempts.isEmpty() || (!safe && settings.anySafe())) return false;
         return chance(p, b, settings.rules().coldFrom() / b.backoff, 1);
     }
 }
--- a/sidecar/src/main/java/sagefall/duties/Digest.java
+++ b/sidecar/src/main/java/sagefall/duties/Digest.java
@@ -46,7 +46,7 @@
     public boolean act(LeaseStore store, long term) throws IOException {
         Kept next = next();
         Read before = read(store);
-        return before != null && before.kept.revision() > next.revision()
+        return (before != null && before.kept.revision() > next.revision())
                 || store.publish(term, FILE, next.bytes(term));
     }
 
--- a/sidecar/src/main/java/sagefall/duties/Lease.java
+++ b/sidecar/src/main/java/sagefall/duties/Lease.java
@@ -114,7 +114,7 @@
 
     /** What to ask now; each answer, or that there was none, has to be told. */
     public Ask next(long now) {
-        if (holds && renewFirst || unheard) {
+        if ((holds && renewFirst) || unheard) {
             return Ask.RENEW;
         }
         if (now < askAt) {
--- a/sidecar/src/main/java/sagefall/recovery/FolderDisk.java
+++ b/sidecar/src/main/java/sagefall/recovery/FolderDisk.java
@@ -72,8 +72,9 @@
             }
             ByteBuffer bytes = ByteBuffer.allocate((int) in.size());
             while (bytes.hasRemaining() && in.read(bytes) >= 0) {
-                continue;
+                // The condition reads.
             }
+
             return Arrays.copyOf(bytes.array(), bytes.position());
         } catch (NoSuchFileException e) {
             return null;
--- a/sidecar/src/main/java/sagefall/recovery/Journal.java
+++ b/sidecar/src/main/java/sagefall/recovery/Journal.java
@@ -76,7 +76,7 @@
         state = state.with(change);
         byte[] body = Kept.bytes(change);
         boolean lost = log != null && !disk.has(LOG + generation);
-        if (broken || lost || log != null && written + HEAD + body.length > maxBytes / 2) {
+        if (broken || lost || (log != null && written + HEAD + body.length > maxBytes / 2)) {
             snapshot();
             return;
         }
@@ -226,7 +226,7 @@
             if (at < bytes.length && forcedLater(bytes, at)) {
                 throw new Unreadable(name + " is damaged at byte " + at, false);
             }
-            cut = bytes.length - at;
+            cut = (long) bytes.length - at;
             return now;
         }
 
--- a/sidecar/src/main/java/sagefall/recovery/Keeper.java
+++ b/sidecar/src/main/java/sagefall/recovery/Keeper.java
@@ -81,6 +81,9 @@
         notifyAll();
     }
 
+    // After a failure any wake-up, also a spurious one, may end the wait: the retry only comes
+    // sooner.
+    @SuppressWarnings("WaitNotInLoop")
     private synchronized Kept.Change next(boolean failed) throws InterruptedException {
         while (pending == null && !closed && !failed) {
             wait();
--- a/sidecar/src/main/java/sagefall/recovery/Kept.java
+++ b/sidecar/src/main/java/sagefall/recovery/Kept.java
@@ -141,6 +141,8 @@
         return out.toByteArray();
     }
 
+    // The format holds the phase as its ordinal.
+    @SuppressWarnings("EnumOrdinal")
     private static void write(
             JsonGenerator to, long revision, long atMillis, Collection<Line> lines)
             throws IOException {
@@ -185,6 +187,8 @@
         return new Change(Json.flag(m, "all"), number(m, "revision"), number(m, "at_ms"), lines(m));
     }
 
+    // The format holds the phase as its ordinal.
+    @SuppressWarnings("EnumOrdinal")
     private static Map<Long, Line> lines(Map<?, ?> m) throws IOException {
         Map<Long, Line> lines = new LinkedHashMap<>();
         for (Object o : Json.array(m, "servers")) {
--- a/sidecar/src/main/java/sagefall/sidecar/ClientServer.java
+++ b/sidecar/src/main/java/sagefall/sidecar/ClientServer.java
@@ -276,7 +276,7 @@
      * often connects anew.
      */
     private void closeSurplus() {
-        long surplus = connections.size() - most / 2;
+        long surplus = (long) connections.size() - most / 2;
         if (surplus > 0) {
             surplus -= connections.stream().filter(c -> c.state == State.LINGERING).count();
         }
@@ -456,7 +456,7 @@
 
         /** Nothing that comes counts any more. */
         private boolean deaf() {
-            return state == State.LINGERING || state == State.ANSWERING && ends;
+            return state == State.LINGERING || (state == State.ANSWERING && ends);
         }
 
         @Override
@@ -487,7 +487,7 @@
             }
             if (state == State.RESTING && !used) {
                 state = State.READING;
-            } else if (state == State.RESTING || state == State.ANSWERING && !ends) {
+            } else if (state == State.RESTING || (state == State.ANSWERING && !ends)) {
                 enter(State.READING);
             }
             return !deaf();
@@ -847,8 +847,8 @@
             private void checkStalls() {
                 if (uploading() && upload.bringsNothing()) {
                     reject(HttpResponseStatus.REQUEST_TIMEOUT, "the body stopped coming");
-                } else if (upload != null && upload.takesNothing()
-                        || flow != null && flow.bringsNothing()) {
+                } else if ((upload != null && upload.takesNothing())
+                        || (flow != null && flow.bringsNothing())) {
                     service.stalled(this);
                 } else if (flow != null && flow.takesNothing()) {
                     reset();
--- a/sidecar/src/main/java/sagefall/sidecar/ServerPool.java
+++ b/sidecar/src/main/java/sagefall/sidecar/ServerPool.java
@@ -417,7 +417,7 @@
          */
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
-            if (attempt == null || !attempt.written && !refusesUpload(answer)) {
+            if (attempt == null || (!attempt.written && !refusesUpload(answer))) {
                 link.close();
                 return;
             }
--- a/sidecar/src/test/java/sagefall/FleetTest.java
+++ b/sidecar/src/test/java/sagefall/FleetTest.java
@@ -66,7 +66,7 @@
                 int before = r.sent.size();
                 r.now += 900_000;
                 r.request("cold" + second);
-                cold += r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
+                cold += (int) r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
                 r.answer(0, Result.SERVED, 10_000, true);
             }
             // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of
@@ -171,7 +171,7 @@
     void whatLeftTheListIsNotUsed() {
         Recorder r = new Recorder(fleet(0, 3, plain(), false), 6);
         for (int round = 0; round < 50; round++) {
-            long id = 100 + round;
+            long id = 100L + round;
             r.choice.servers(
                     r.now,
                     ListKind.COMPLETE,
--- a/sidecar/src/test/java/sagefall/RulesTest.java
+++ b/sidecar/src/test/java/sagefall/RulesTest.java
@@ -502,7 +502,7 @@
                                 closed,
                                 null));
             } else if (random.nextInt(40) == 0) {
-                long id = 1 + random.nextInt(7);
+                long id = 1L + random.nextInt(7);
                 boolean drain = random.nextBoolean();
                 draining.put(id, drain);
                 r.choice.servers(
@@ -525,7 +525,7 @@
                 }
             }
             for (; seen < r.actions.size(); seen++) {
-                String[] a = r.actions.get(seen).split(" ");
+                String[] a = r.actions.get(seen).split(" ", 0);
                 if (a[0].equals("send")) {
                     assertFalse(over.get(a[1]), "sent after the end");
                     assertFalse(
--- a/sidecar/src/test/java/sagefall/duties/HolderTest.java
+++ b/sidecar/src/test/java/sagefall/duties/HolderTest.java
@@ -159,7 +159,7 @@
         long term = 0;
         long count = 0;
         for (String action : seen) {
-            String[] words = action.split(" ");
+            String[] words = action.split(" ", 0);
             long next = Long.parseLong(words[0]);
             assertEquals(words[1], owners.computeIfAbsent(next, t -> words[1]), action);
             assertTrue(next >= term, action + " after term " + term);
--- a/sidecar/src/test/java/sagefall/duties/LeaseTest.java
+++ b/sidecar/src/test/java/sagefall/duties/LeaseTest.java
@@ -35,7 +35,7 @@
     private static final int STEPS = Integer.getInteger("steps", 100_000);
 
     /** One process: between any two of its steps any time may pass, which is what a pause is. */
-    private static final class Process {
+    private static final class Candidate {
         String owner;
         FolderStore store;
         Lease lease;
@@ -59,9 +59,9 @@
         final SplittableRandom random;
         final Terms terms;
         final boolean fenced;
-        final Process[] processes = {new Process(), new Process(), new Process()};
+        final Candidate[] processes = {new Candidate(), new Candidate(), new Candidate()};
         final LossyDisk disk = new LossyDisk(Long.MAX_VALUE, 1);
-        final Set<Process> busy = new HashSet<>();
+        final Set<Candidate> busy = new HashSet<>();
 
         /** Between any two calls of a process at its files others may take steps. */
         final Disk turns =
@@ -94,12 +94,12 @@
             random = new SplittableRandom(seed);
             this.terms = terms;
             this.fenced = fenced;
-            for (Process p : processes) {
+            for (Candidate p : processes) {
                 start(p);
             }
         }
 
-        void start(Process p) {
+        void start(Candidate p) {
             p.owner = "p" + ++starts;
             p.store = new FolderStore(turns, () -> now, "b", p.owner);
             p.lease = new Lease(terms, p.owner, now);
@@ -115,7 +115,7 @@
                             : random.nextInt(100) > 0
                                     ? random.nextInt(400)
                                     : random.nextInt((int) (2 * LEASE));
-            Process p = processes[random.nextInt(processes.length)];
+            Candidate p = processes[random.nextInt(processes.length)];
             if (!busy.add(p)) {
                 return;
             }
@@ -126,7 +126,7 @@
             }
         }
 
-        private void step(Process p) throws IOException {
+        private void step(Candidate p) throws IOException {
             if (random.nextInt(4000) == 0) {
                 start(p);
                 return;
@@ -171,11 +171,11 @@
         }
 
         /** No two may act at one moment. */
-        void look(Process p) {
+        void look(Candidate p) {
             if (!p.lease.mayAct(now)) {
                 return;
             }
-            for (Process other : processes) {
+            for (Candidate other : processes) {
                 if (other != p && other.lease.mayAct(now)) {
                     broken =
                             p.owner
@@ -193,7 +193,7 @@
             }
         }
 
-        void act(Process p) throws IOException {
+        void act(Candidate p) throws IOException {
             long term = p.acting;
             p.acting = 0;
             long before = accepted;
@@ -254,7 +254,7 @@
             boolean held = false;
             while (!held && world.now < until) {
                 world.now += 200;
-                for (Process p : world.processes) {
+                for (Candidate p : world.processes) {
                     p.lease.lost(world.now);
                     Ask ask = p.lease.next(world.now);
                     if (ask != Ask.NOTHING) {
--- a/sidecar/src/test/java/sagefall/recovery/KillTest.java
+++ b/sidecar/src/test/java/sagefall/recovery/KillTest.java
@@ -1,5 +1,6 @@
 package sagefall.recovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
@@ -54,7 +55,7 @@
                             .start();
             int left = 2 + random.nextInt(400);
             try (BufferedReader out =
-                    new BufferedReader(new InputStreamReader(process.getInputStream()))) {
+                    new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8))) {
                 for (String line; (line = out.readLine()) != null; ) {
                     String[] words = line.split(" ", 2);
                     // A line that the kill cut says nothing.
--- a/sidecar/src/test/java/sagefall/sidecar/CrossingTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/CrossingTest.java
@@ -10,6 +10,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -183,7 +184,8 @@
         harness.loop.submit(() -> {}).get();
         harness.loop.submit(() -> {}).get();
         try (Harness.Client own =
-                new Harness.Client(new InetSocketAddress("127.0.0.1", next.port()))) {
+                new Harness.Client(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port()))) {
             own.raw("GET /own HTTP/1.1\r\n\r\n");
             assertEquals("GET /own HTTP/1.1", next.take().request().first());
         }
@@ -425,8 +427,9 @@
                     return null;
                 },
                 () -> module.send(id, server));
-        assertEquals(
-                Set.of("FULL", "NOT_SENT"), Set.of(module.nextButLists(), module.nextButLists()));
+        String earlier = module.nextButLists();
+        String later = module.nextButLists();
+        assertEquals(Set.of("FULL", "NOT_SENT"), Set.of(earlier, later));
         assertTrue(server.seen.isEmpty());
     }
 
--- a/sidecar/src/test/java/sagefall/sidecar/Http.java
+++ b/sidecar/src/test/java/sagefall/sidecar/Http.java
@@ -14,7 +14,7 @@
 
     record Message(String first, Map<String, String> headers, String body) {
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(first.split(" ", 0)[1]);
         }
     }
 
@@ -25,7 +25,9 @@
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; !(line = String.valueOf(line(in))).isEmpty(); ) {
+        for (String line = String.valueOf(line(in));
+                !line.isEmpty();
+                line = String.valueOf(line(in))) {
             int colon = line.indexOf(':');
             if (colon < 0) {
                 throw new EOFException("ended within the head");
--- a/sidecar/src/test/java/sagefall/sidecar/ProcessTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/ProcessTest.java
@@ -6,6 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -78,7 +79,7 @@
     void terminationAnswersWhatIsInHandAndExitsWithZero(String signals) throws Exception {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         try (Stub server = new Stub(Stub.SILENT);
                 Harness harness = new Harness(folder, server)) {
@@ -114,7 +115,7 @@
     void terminationBeforeTheFirstListEndsAtOnce() throws Exception {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         try (Stub server = new Stub(Stub.SILENT);
                 Harness harness = new Harness(folder, server).pushed()) {
@@ -149,7 +150,7 @@
     void fleetOf1024IsKnownWithinTheLimitsOfRun() throws Exception {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         String zone = "a".repeat(253);
         try (Stub old = new Stub(Stub.HANG_UP);
@@ -201,7 +202,7 @@
     void idleClientsWhileDiscoveryIsDownKeepNeitherItNorRequestsOut() throws Exception {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         List<Harness.Client> idle = new ArrayList<>();
         try (Stub leaving = new Stub(Stub.serves("leaving"));
@@ -243,7 +244,7 @@
     void hangupGoesOverToTheNewDiscovery() throws Exception {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         try (Stub server = new Stub(Stub.serves("ok"));
                 Stub next = new Stub(Stub.SILENT);
--- a/sidecar/src/test/java/sagefall/sidecar/ServerPoolTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/ServerPoolTest.java
@@ -1,5 +1,6 @@
 package sagefall.sidecar;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -59,7 +60,7 @@
         harness.loop
                 .submit(
                         () -> {
-                            pool.update(config.lists().read(Harness.json(list).getBytes()));
+                            pool.update(config.lists().read(Harness.json(list).getBytes(UTF_8)));
                             return null;
                         })
                 .get();
--- a/sidecar/src/test/java/sagefall/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/SidecarTest.java
@@ -1,5 +1,6 @@
 package sagefall.sidecar;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -322,8 +323,8 @@
         assertEquals(500, client.search(2_000).answer().status());
         assertEquals(503, client.search(2_000).answer().status());
         assertTrue(
-                harness.log.toString().contains("IllegalStateException: probe"),
-                harness.log.toString());
+                harness.log.toString(UTF_8).contains("IllegalStateException: probe"),
+                harness.log.toString(UTF_8));
     }
 
     /** What an action brings about at once reaches the module after the call that asked for it. */
--- a/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
+++ b/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
@@ -1,5 +1,6 @@
 package sagefall.sidecar;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -110,9 +111,9 @@
         assertEquals("HTTP/1.1 200 OK", head.get(""));
         assertEquals("text/x", head.get("Content-Type"));
         assertNull(head.get("Server-Load"));
-        assertEquals("first", new String(client.chunk()));
+        assertEquals("first", new String(client.chunk(), UTF_8));
         to.chunk("second").raw("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
-        assertEquals("second", new String(client.chunks()));
+        assertEquals("second", new String(client.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), client.trailers());
         // A second answer on both connections, of a known length.
         TimeUnit.MICROSECONDS.sleep(ServerPool.SETTLE_MICROS);
@@ -132,14 +133,14 @@
         Wire to = answering();
         to.raw(CHUNKED).chunk("a");
         client.head();
-        assertEquals("a", new String(client.chunk()));
+        assertEquals("a", new String(client.chunk(), UTF_8));
         try (Wire other = Wire.to(harness.address)) {
             other.raw(Harness.Client.head("GET", "/search/k1", 400, "", 0));
             answering();
             assertTrue(other.head().get("").startsWith("HTTP/1.1 50"));
         }
         to.chunk("b").raw("0\r\n\r\n");
-        assertEquals("b", new String(client.chunks()));
+        assertEquals("b", new String(client.chunks(), UTF_8));
     }
 
     @ParameterizedTest
@@ -157,7 +158,7 @@
         if (head.containsKey("Content-Length")) {
             assertEquals("abc", client.text(3));
         } else {
-            assertEquals("abc", new String(client.chunk()));
+            assertEquals("abc", new String(client.chunk(), UTF_8));
         }
         to.close();
         assertThrows(IOException.class, () -> client.bytes(1));
@@ -212,7 +213,7 @@
             assertNotNull(refused.get("Retry-After"));
             assertTrue(server.none());
             to.raw("0\r\n\r\n");
-            assertEquals("abc", new String(client.chunks()));
+            assertEquals("abc", new String(client.chunks(), UTF_8));
             // There is room again.
             client.trailers();
             client.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
@@ -244,8 +245,8 @@
         assertTrue(harness.stop().await(10, TimeUnit.SECONDS));
         Matcher held =
                 Pattern.compile("streams held (\\d+) bytes at the most, 0 at the end")
-                        .matcher(harness.log.toString());
-        assertTrue(held.find(), harness.log.toString());
+                        .matcher(harness.log.toString(UTF_8));
+        assertTrue(held.find(), harness.log.toString(UTF_8));
         long most = Long.parseLong(held.group(1));
         assertTrue(most >= 5000 && most < 5000 + 2 * Streaming.READ_BYTES, "held " + most);
     }
@@ -325,7 +326,7 @@
                 .chunk("abc")
                 .raw("0\r\n\r\n");
         assertEquals("HTTP/1.1 200 OK", client.head().get(""));
-        assertEquals("abc", new String(client.chunks()));
+        assertEquals("abc", new String(client.chunks(), UTF_8));
     }
 
     @Test
@@ -353,14 +354,14 @@
                     .submit(
                             () -> {
                                 harness.sidecar.listed(
-                                        harness.config().lists().read(list.getBytes()));
+                                        harness.config().lists().read(list.getBytes(UTF_8)));
                                 return null;
                             })
                     .get();
             to.chunk(state);
         }
         to.raw("0\r\n\r\n");
-        assertEquals("abcterminatingterminated", new String(client.chunks()));
+        assertEquals("abcterminatingterminated", new String(client.chunks(), UTF_8));
         to.awaitEnd();
     }
 
@@ -374,7 +375,7 @@
         client.chunk();
         assertFalse(ended.await(600, TimeUnit.MILLISECONDS), "ended with a stream in hand");
         to.chunk("d").raw("0\r\n\r\n");
-        assertEquals("d", new String(client.chunks()));
+        assertEquals("d", new String(client.chunks(), UTF_8));
         assertTrue(ended.await(10, TimeUnit.SECONDS));
     }
 
@@ -423,9 +424,9 @@
         Wire to = server.take();
         Map<String, String> head = to.head();
         assertEquals("chunked", head.get("Transfer-Encoding"));
-        assertEquals("first", new String(to.chunk()));
+        assertEquals("first", new String(to.chunk(), UTF_8));
         client.chunk("second").raw("0\r\nCheck: sum\r\nRequest-Id: other\r\n\r\n");
-        assertEquals("second", new String(to.chunks()));
+        assertEquals("second", new String(to.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), to.trailers());
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         client.head();
@@ -484,9 +485,9 @@
             to.raw("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
             to.awaitEnd();
             Wire next = answering();
-            assertEquals("first", new String(next.chunk()));
+            assertEquals("first", new String(next.chunk(), UTF_8));
             client.chunk("second").raw("0\r\n\r\n");
-            assertEquals("second", new String(next.chunks()));
+            assertEquals("second", new String(next.chunks(), UTF_8));
             next.trailers();
             next.raw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             assertEquals("HTTP/1.1 200 OK", client.head().get(""));
--- a/sidecar/src/test/java/sagefall/sidecar/Wire.java
+++ b/sidecar/src/test/java/sagefall/sidecar/Wire.java
@@ -72,7 +72,7 @@
 
     private Map<String, String> fields() throws IOException {
         Map<String, String> fields = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; !(line = line()).isEmpty(); ) {
+        for (String line = line(); !line.isEmpty(); line = line()) {
             fields.put(
                     line.substring(0, line.indexOf(':')),
                     line.substring(line.indexOf(':') + 1).trim());
@@ -124,8 +124,9 @@
     void awaitEnd() {
         try {
             while (in.read() >= 0) {
-                continue;
+                // The condition reads.
             }
+
         } catch (java.net.SocketTimeoutException e) {
             Assertions.fail("the connection did not end");
         } catch (IOException e) {
--- a/sidecar/src/test/java/sagefall/simhost/SimHostTest.java
+++ b/sidecar/src/test/java/sagefall/simhost/SimHostTest.java
@@ -70,7 +70,7 @@
                                                 + "'terminal':true},{'op':'ClientLeft',"
                                                 + "'ticket':'ab'},{'op':'Peer',"
                                                 + "'by':1,'octets':''}"));
-        String[] lines = out.split("\n");
+        String[] lines = out.split("\n", 0);
         assertEquals(3, lines.length);
         assertTrue(lines[1].contains("{'op':'Place','ticket':'ab','server':9"), lines[1]);
         assertEquals("{'groups':[]}", lines[2]);
