--- a/sidecar/src/main/java/sagefall/Admission.java
+++ b/sidecar/src/main/java/sagefall/Admission.java
@@ -8,26 +8,33 @@
  */
 final class Admission {
 
-    /**
-     * Admission by chance: the part of the aim that cuts it, the cut, the gain in time, the least.
-     */
-    private static final double ADMIT_TARGET = 0.8,
-            ADMIT_CUT = 0.7,
-            ADMIT_GAIN = 0.25,
-            ADMIT_LEAST = 0.1;
+    /** Admission by chance: the part of the aim that cuts it. */
+    private static final double ADMIT_TARGET = 0.8;
+
+    /** Admission by chance: the cut. */
+    private static final double ADMIT_CUT = 0.7;
+
+    /** Admission by chance: the gain in time. */
+    private static final double ADMIT_GAIN = 0.25;
+
+    /** Admission by chance: the least. */
+    private static final double ADMIT_LEAST = 0.1;
 
     /** Requests that a tenant may be ahead of its share before it counts as beyond. */
     private static final double SHARE_SLACK = 5;
 
     private final LoadBalancer.Settings settings;
-    private final double aimMicros, totalShare, rateSpan;
+    private final double aimMicros;
+    private final double totalShare;
+    private final double rateSpan;
     private final double[] tenantCredit;
 
     /** The part of the requests that is let in, from 0 to 1. */
     double admitted = 1;
 
     private double rate;
-    private long startedAt, rateAt;
+    private long startedAt;
+    private long rateAt;
 
     Admission(LoadBalancer.Settings settings) {
         this.settings = settings;
--- a/sidecar/src/main/java/sagefall/Backend.java
+++ b/sidecar/src/main/java/sagefall/Backend.java
@@ -14,32 +14,49 @@
     /** Highest revision of the lists that named it; one that is behind it ends no drain. */
     long revision = Long.MIN_VALUE;
 
-    boolean usable, listed;
+    boolean usable;
+    boolean listed;
 
     /** Place in this instance's own stable order of servers. */
     final long order;
 
-    int cell, cells;
+    int cell;
+    int cells;
 
-    /** Peak EWMA of latency in units of what is usual (NaN: no sample), and the plain EWMA. */
-    double slowness = Double.NaN, pace = 1;
+    /** Peak EWMA of latency in units of what is usual (NaN: no sample). */
+    double slowness = Double.NaN;
+
+    /** Plain EWMA of latency in units of what is usual. */
+    double pace = 1;
 
     long sampledAt;
     final ArrayDeque<Pending.Attempt> out = new ArrayDeque<>();
-    int failures, backoff, suspects;
+    int failures;
+    int backoff;
+    int suspects;
 
     /** Ejected while above 0: no request before that time, then one trial. */
     long openUntil;
 
     double limit = FIRST_LIMIT;
-    long cutAt, pausedUntil, restUntil, reportedAt, suspectedAt;
+    long cutAt;
+    long pausedUntil;
+    long restUntil;
+    long reportedAt;
+    long suspectedAt;
     double use = Double.NaN;
 
-    /** When its connection was last known to work, 0 if never; when a new one may be tried. */
-    long usedAt, connectAt, returnedAt;
+    /** When its connection was last known to work, 0 if never. */
+    long usedAt;
+
+    /** When a new connection may be tried. */
+    long connectAt;
+
+    long returnedAt;
 
     int connectFailures;
-    boolean opened, maybeDead;
+    boolean opened;
+    boolean maybeDead;
 
     Backend(long id, int rank) {
         this.id = id;
--- a/sidecar/src/main/java/sagefall/Choice.java
+++ b/sidecar/src/main/java/sagefall/Choice.java
@@ -26,16 +26,23 @@
      */
     private static final double LIST_LINES = 8000;
 
-    /**
-     * Microseconds: the mean until an agent, a service that failed is asked again; its latest first
-     * call.
-     */
-    private static final double AGENT_WAIT = 100_000,
-            SERVICE_WAIT = 400_000,
-            FIRST_CALL = 3_000_000;
+    /** Mean time until an agent is asked again, in microseconds. */
+    private static final double AGENT_WAIT = 100_000;
+
+    /** Mean time until a service that failed is asked again, in microseconds. */
+    private static final double SERVICE_WAIT = 400_000;
+
+    /** Latest first call of a service, in microseconds. */
+    private static final double FIRST_CALL = 3_000_000;
 
-    /** Kinds of timer, in the low bits of their tokens. */
-    private static final int HELD = 0, ASK = 1, TIMER_KINDS = 2;
+    /** Kind of the timer of a held request, in the low bits of its token. */
+    private static final int HELD = 0;
+
+    /** Kind of the timer for the next call of discovery, in the low bits of its token. */
+    private static final int ASK = 1;
+
+    /** Number of kinds of timer. */
+    private static final int TIMER_KINDS = 2;
 
     private final Settings settings;
     private final Actions actions;
@@ -50,10 +57,14 @@
     private final Map<Long, Backend> backends = new LinkedHashMap<>();
     private final Map<String, Pending> requests = new HashMap<>();
     private final Map<Long, Pending> timers = new HashMap<>();
-    private long lastToken, sheddingLoggedAt;
+    private long lastToken;
+    private long sheddingLoggedAt;
+
+    /** Buffers of the requests in hand that stream. */
+    private long buffered;
 
-    /** Buffers of the requests in hand that stream, and the bound on them. */
-    private long buffered, mostBuffered = Long.MAX_VALUE;
+    /** The bound on the buffers of the requests in hand that stream. */
+    private long mostBuffered = Long.MAX_VALUE;
 
     private int askFailures;
     private Belief belief = Belief.NONE;
--- a/sidecar/src/main/java/sagefall/Health.java
+++ b/sidecar/src/main/java/sagefall/Health.java
@@ -13,32 +13,53 @@
 /** What answers, failures and silence tell of servers and zones; who is left alone for a while. */
 final class Health {
 
-    /** Time constants in aims: of latency; of set-ups and the distrust of idle connections. */
-    private static final double DECAY = 4, MEMORY = 30;
+    /** Time constant of latency, in aims. */
+    private static final double DECAY = 4;
 
-    /** Weight of one answer in what is usual for its class; in what is known of a kind or zone. */
-    private static final double USUAL_WEIGHT = 0.03, POOL_WEIGHT = 0.1;
+    /** Time constant of set-ups and of the distrust of idle connections, in aims. */
+    private static final double MEMORY = 30;
 
-    /** What is usual before the first answer, in aims; weight of one set-up. */
-    private static final double FIRST_GUESS = 0.3, SETUP_WEIGHT = 0.3;
+    /** Weight of one answer in what is usual for its class. */
+    private static final double USUAL_WEIGHT = 0.03;
 
-    /**
-     * Unanswered for so many times what is expected is silence; outliers: failures, doublings of an
-     * aim.
-     */
-    private static final int HANGING = 4, FAILURES = 3, MAX_BACKOFF = 4;
+    /** Weight of one answer in what is known of a kind or zone. */
+    private static final double POOL_WEIGHT = 0.1;
 
-    /**
-     * Most of the ready servers that may be outliers; pace from which a server's silence is its
-     * own.
-     */
-    private static final double MAX_EJECTED = 0.5, SLOW_PACE = 1.5;
+    /** What is usual before the first answer, in aims. */
+    private static final double FIRST_GUESS = 0.3;
+
+    /** Weight of one set-up. */
+    private static final double SETUP_WEIGHT = 0.3;
+
+    /** Unanswered for so many times what is expected is silence. */
+    private static final int HANGING = 4;
+
+    /** Failures that make a server an outlier. */
+    private static final int FAILURES = 3;
+
+    /** Most doublings of an aim in an outlier's backoff. */
+    private static final int MAX_BACKOFF = 4;
+
+    /** Most of the ready servers that may be outliers. */
+    private static final double MAX_EJECTED = 0.5;
+
+    /** Pace from which a server's silence is its own. */
+    private static final double SLOW_PACE = 1.5;
+
+    /** Own concurrency limit of a server: the part of the aim that cuts it. */
+    private static final double LIMIT_TARGET = 0.5;
+
+    /** Own concurrency limit of a server: the cut. */
+    private static final double LIMIT_CUT = 0.7;
+
+    /** Own concurrency limit of a server: the least. */
+    private static final double LIMIT_LEAST = 0.2;
 
-    /** Own concurrency limit of a server: the part of the aim that cuts it, the cut, the least. */
-    private static final double LIMIT_TARGET = 0.5, LIMIT_CUT = 0.7, LIMIT_LEAST = 0.2;
+    /** What cuts the limit where aims are short: times what is usual. */
+    private static final double LIMIT_USUAL = 1.25;
 
-    /** What cuts it where aims are short: times what is usual, up to that part of the aim. */
-    private static final double LIMIT_USUAL = 1.25, LIMIT_MOST = 0.6;
+    /** What cuts the limit where aims are short: up to that part of the aim. */
+    private static final double LIMIT_MOST = 0.6;
 
     /** Reported use from which a slow answer is taken for a queue. */
     private static final double BUSY = 0.5;
@@ -53,7 +74,8 @@
     final double aimMicros;
 
     private final double[] usualMicros;
-    private double[] kindPace = {}, zonePace = {};
+    private double[] kindPace = {};
+    private double[] zonePace = {};
     private final ZoneLimit[] zoneLimits;
     private final Set<Attempt> outstanding = new LinkedHashSet<>();
 
@@ -64,7 +86,8 @@
     long setupAt;
 
     private double setupMicros;
-    private long distrustedAt, idleTrust = Long.MAX_VALUE;
+    private long distrustedAt;
+    private long idleTrust = Long.MAX_VALUE;
     private int ejected;
 
     Health(
--- a/sidecar/src/main/java/sagefall/LabelTree.java
+++ b/sidecar/src/main/java/sagefall/LabelTree.java
@@ -16,15 +16,16 @@
  */
 final class LabelTree {
 
-    /**
-     * Servers that a cell is meant to hold in each zone, and how far a tenant's cells exceed its
-     * share.
-     */
-    private static final double CELL_PER_ZONE = 4, OPEN_CELLS = 3;
+    /** Servers that a cell is meant to hold in each zone. */
+    private static final double CELL_PER_ZONE = 4;
+
+    /** How far a tenant's cells exceed its share. */
+    private static final double OPEN_CELLS = 3;
 
     private final LoadBalancer.Settings settings;
     List<Backend> ready = List.of();
-    private List<List<Backend>> zoneNodes = List.of(), cellNodes = List.of();
+    private List<List<Backend>> zoneNodes = List.of();
+    private List<List<Backend>> cellNodes = List.of();
     private List<List<List<Backend>>> zoneCellNodes = List.of();
     private int[][] tenantCells = new int[0][];
 
@@ -77,7 +78,8 @@
                         (int) (0.5 + ready.size() / (CELL_PER_ZONE * zones)));
         sparse = settings.replicas() > ready.size();
         if (sparse) ready.sort(Comparator.comparingLong(b -> b.order));
-        List<BitSet> byZone = bitmaps(zones), byCell = bitmaps(cells);
+        List<BitSet> byZone = bitmaps(zones);
+        List<BitSet> byCell = bitmaps(cells);
         for (int i = 0; i < ready.size(); i++) {
             Backend b = ready.get(i);
             if (b.cells != cells) b.cell = nearest(b.id, cells);
--- a/sidecar/src/main/java/sagefall/Pending.java
+++ b/sidecar/src/main/java/sagefall/Pending.java
@@ -12,14 +12,25 @@
 final class Pending {
     final Request request;
     final RequestClass rules;
-    final int requestClass, tenant;
-    long arrivedAt, aimAt, deadline, luck;
+    final int requestClass;
+    final int tenant;
+    long arrivedAt;
+    long aimAt;
+    long deadline;
+    long luck;
 
-    /** A body that is still coming; one that can't be sent again. */
-    boolean uploading, spent;
+    /** Whether its body is still coming. */
+    boolean uploading;
 
-    boolean over, streaming, queued, beyondShare;
-    int cell, out;
+    /** Whether its body can't be sent again. */
+    boolean spent;
+
+    boolean over;
+    boolean streaming;
+    boolean queued;
+    boolean beyondShare;
+    int cell;
+    int out;
     final List<Attempt> attempts = new ArrayList<>(2);
 
     Pending(long now, Request request, List<RequestClass> classes, int tenants) {
@@ -38,17 +49,22 @@
         final Pending of;
         final Backend server;
         final int number;
-        final long sentAt, idle;
-        final double usual, expected;
+        final long sentAt;
+        final long idle;
+        final double usual;
+        final double expected;
         final boolean fresh;
 
         /** From when its server owes an answer: its sending, or the last byte of an upload. */
         long since;
 
-        /**
-         * Counted as in flight; its answer has begun, and all has been learnt that its time tells.
-         */
-        boolean suspected, counted, streams;
+        boolean suspected;
+
+        /** Counted as in flight. */
+        boolean counted;
+
+        /** Its answer has begun, and all has been learnt that its time tells. */
+        boolean streams;
 
         LoadBalancer.Result result;
 
--- a/sidecar/src/main/java/sagefall/Pick.java
+++ b/sidecar/src/main/java/sagefall/Pick.java
@@ -27,8 +27,11 @@
     /** Spill once a node's pick costs this many times the next node's. */
     private static final double SPILL = 1.5;
 
-    /** Cost of a new connection while set-ups take no time; what a set-up of an aim adds. */
-    private static final double NEW_CONNECTION = 1.25, SETUP_COST = 10;
+    /** Cost of a new connection while set-ups take no time. */
+    private static final double NEW_CONNECTION = 1.25;
+
+    /** What a set-up that takes an aim adds to the cost of a new connection. */
+    private static final double SETUP_COST = 10;
 
     /** Part of its fair rate that a cold or half-open server is sent, before its cold share. */
     private static final double SLOW_START = 1;
@@ -71,7 +74,8 @@
         int from = wide ? random.nextInt(node.size()) : 0;
         int count = 0;
         double least = 0;
-        Backend first = null, second = null;
+        Backend first = null;
+        Backend second = null;
         for (int i = 0; i < node.size() && count < most; i++) {
             Backend b = node.get((from + i) % node.size());
             // A cold server has its chance only where each of its node has the same to be looked
--- a/sidecar/src/main/java/sagefall/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/RetryBudget.java
@@ -3,8 +3,11 @@
 /** Further attempts as a part of first tries, so that failures can't multiply the load. */
 final class RetryBudget {
 
-    /** Further attempts that a first try earns; how many are saved. */
-    private static final double RETRY_SHARE = 0.15, RETRY_SAVED = 10;
+    /** Further attempts that a first try earns. */
+    private static final double RETRY_SHARE = 0.15;
+
+    /** How many further attempts are saved. */
+    private static final double RETRY_SAVED = 10;
 
     private double tokens = RETRY_SAVED / 2;
 
--- a/sidecar/src/main/java/sagefall/Waiting.java
+++ b/sidecar/src/main/java/sagefall/Waiting.java
@@ -9,11 +9,11 @@
 record Waiting(
         LoadBalancer.Settings settings, Admission admission, Health health, List<Pending> held) {
 
-    /**
-     * Part of its time for which a request is held at most; part of an aim after which it is looked
-     * at.
-     */
-    private static final double HOLD = 0.45, LOOK = 0.125;
+    /** Part of its time for which a request is held at most. */
+    private static final double HOLD = 0.45;
+
+    /** Part of an aim after which a held request is looked at. */
+    private static final double LOOK = 0.125;
 
     void add(Pending p) {
         p.queued = true;
--- a/sidecar/src/main/java/sagefall/ZoneLimit.java
+++ b/sidecar/src/main/java/sagefall/ZoneLimit.java
@@ -15,11 +15,15 @@
     private static final double SLOW = 0.5;
 
     /**
-     * Part of the limit that a slow answer of a busy zone takes, and that any other gives back: at
-     * rest a quarter of the answers is slow. Some twenty slow ones, which come in half a second,
-     * halve it.
+     * Part of the limit that a slow answer of a busy zone takes. Some twenty slow ones, which come
+     * in half a second, halve it.
      */
-    private static final double CUT = 0.03, GAIN = 0.01;
+    private static final double CUT = 0.03;
+
+    /**
+     * Part of the limit that any other answer gives back: at rest a quarter of the answers is slow.
+     */
+    private static final double GAIN = 0.01;
 
     /**
      * Mean reported use from which slow answers mean a crowd; below it some are sick, not all busy.
--- a/sidecar/src/main/java/sagefall/duties/Digest.java
+++ b/sidecar/src/main/java/sagefall/duties/Digest.java
@@ -11,7 +11,8 @@
  */
 public final class Digest implements Duty {
 
-    private static final String FILE = "digest", OWNER = "digest";
+    private static final String FILE = "digest";
+    private static final String OWNER = "digest";
 
     private Kept state = Kept.nothing(OWNER);
     private Kept.Change pending;
--- a/sidecar/src/main/java/sagefall/duties/Duties.java
+++ b/sidecar/src/main/java/sagefall/duties/Duties.java
@@ -15,7 +15,9 @@
     /** Without the section. */
     public static final Duties OFF = new Duties(null, 0);
 
-    private static final long LEASE_MILLIS = 3_000, LEAST_MILLIS = 600, MOST_MILLIS = 600_000;
+    private static final long LEASE_MILLIS = 3_000;
+    private static final long LEAST_MILLIS = 600;
+    private static final long MOST_MILLIS = 600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
     public static Duties read(Section section) {
--- a/sidecar/src/main/java/sagefall/duties/FolderStore.java
+++ b/sidecar/src/main/java/sagefall/duties/FolderStore.java
@@ -42,7 +42,8 @@
 public final class FolderStore implements LeaseStore {
 
     private static final String TERM = "term-";
-    private static final int MOST = 4 * 1024 * 1024, MOST_PAST = 32;
+    private static final int MOST = 4 * 1024 * 1024;
+    private static final int MOST_PAST = 32;
     private static final Pattern LEFT = Pattern.compile(".+\\.next-([0-9]{1,18})");
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
     private static final CBORFactory CBOR = new CBORFactory();
--- a/sidecar/src/main/java/sagefall/recovery/Journal.java
+++ b/sidecar/src/main/java/sagefall/recovery/Journal.java
@@ -19,7 +19,9 @@
  */
 final class Journal implements Closeable {
 
-    static final String STATE = "state", LOG = "log-", ASIDE = "aside-";
+    static final String STATE = "state";
+    static final String LOG = "log-";
+    static final String ASIDE = "aside-";
     private static final byte[] MAGIC = WholeFile.MAGIC;
     private static final int HEAD = WholeFile.HEAD;
     private static final long MOST_SUMMED = 64 * 1024 * 1024;
--- a/sidecar/src/main/java/sagefall/recovery/Recovery.java
+++ b/sidecar/src/main/java/sagefall/recovery/Recovery.java
@@ -24,10 +24,11 @@
     /** Without the section. */
     public static final Recovery OFF = new Recovery(null, 0, 0, false, 0);
 
-    private static final long BYTES = 4 * 1024 * 1024,
-            LEAST_BYTES = 64 * 1024,
-            MOST_BYTES = 1L << 30;
-    private static final long AGE_MILLIS = 3_600_000, MOST_AGE_MILLIS = 30L * 24 * 3_600_000;
+    private static final long BYTES = 4 * 1024 * 1024;
+    private static final long LEAST_BYTES = 64 * 1024;
+    private static final long MOST_BYTES = 1L << 30;
+    private static final long AGE_MILLIS = 3_600_000;
+    private static final long MOST_AGE_MILLIS = 30L * 24 * 3_600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
     public static Recovery read(Section section) {
--- a/sidecar/src/main/java/sagefall/streaming/Streaming.java
+++ b/sidecar/src/main/java/sagefall/streaming/Streaming.java
@@ -32,10 +32,14 @@
     public static final int READ_BYTES = 16 * 1024;
 
     private static final Bounds WHOLE = new Bounds(0, 0);
-    private static final int WATERMARK = 32 * 1024, REPLAY = 64 * 1024;
+    private static final int WATERMARK = 32 * 1024;
+    private static final int REPLAY = 64 * 1024;
     private static final int MOST_WATERMARK = 16 * 1024 * 1024;
-    private static final long BUFFERED = 12 * 1024 * 1024, MOST_BYTES = 1L << 50;
-    private static final long STALL_MILLIS = 10_000, DRAIN_MILLIS = 2_500, MOST_MILLIS = 3_600_000;
+    private static final long BUFFERED = 12 * 1024 * 1024;
+    private static final long MOST_BYTES = 1L << 50;
+    private static final long STALL_MILLIS = 10_000;
+    private static final long DRAIN_MILLIS = 2_500;
+    private static final long MOST_MILLIS = 3_600_000;
 
     /** Reads the section; the classes are those of the settings. */
     public static Streaming read(Section section, List<RequestClass> settings) {
