--- a/sidecar/src/main/java/sagefall/duties/Digest.java
+++ b/sidecar/src/main/java/sagefall/duties/Digest.java
@@ -11,7 +11,8 @@
  */
 public final class Digest implements Duty {
 
-    private static final String FILE = "digest", OWNER = "digest";
+    private static final String FILE = "digest";
+    private static final String OWNER = "digest";
 
     private Kept state = Kept.nothing(OWNER);
     private Kept.Change pending;
@@ -46,7 +47,7 @@
     public boolean act(LeaseStore store, long term) throws IOException {
         Kept next = next();
         Read before = read(store);
-        return before != null && before.kept.revision() > next.revision()
+        return (before != null && before.kept.revision() > next.revision())
                 || store.publish(term, FILE, next.bytes(term));
     }
 
--- a/sidecar/src/main/java/sagefall/recovery/Journal.java
+++ b/sidecar/src/main/java/sagefall/recovery/Journal.java
@@ -19,7 +19,9 @@
  */
 final class Journal implements Closeable {
 
-    static final String STATE = "state", LOG = "log-", ASIDE = "aside-";
+    static final String STATE = "state";
+    static final String LOG = "log-";
+    static final String ASIDE = "aside-";
     private static final byte[] MAGIC = WholeFile.MAGIC;
     private static final int HEAD = WholeFile.HEAD;
     private static final long MOST_SUMMED = 64 * 1024 * 1024;
@@ -76,7 +78,7 @@
         state = state.with(change);
         byte[] body = Kept.bytes(change);
         boolean lost = log != null && !disk.has(LOG + generation);
-        if (broken || lost || log != null && written + HEAD + body.length > maxBytes / 2) {
+        if (broken || lost || (log != null && written + HEAD + body.length > maxBytes / 2)) {
             snapshot();
             return;
         }
@@ -226,7 +228,7 @@
             if (at < bytes.length && forcedLater(bytes, at)) {
                 throw new Unreadable(name + " is damaged at byte " + at, false);
             }
-            cut = bytes.length - at;
+            cut = (long) bytes.length - at;
             return now;
         }
 
