--- a/sidecar/src/main/java/sagefall/Main.java
+++ b/sidecar/src/main/java/sagefall/Main.java
@@ -1,7 +1,7 @@
 package sagefall;
 
-import sagefall.sidecar.Sidecar;
-import sagefall.simhost.SimHost;
+import sagefall.proxy.SidecarServer;
+import sagefall.simulator.SimulatorAdapter;
 
 /** Chooses the host of the decision module: the sidecar, or the simulator's adapter. */
 public final class Main {
@@ -11,8 +11,8 @@
     public static void main(String[] args) {
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
-            case "serve" -> System.exit(Sidecar.serve(System.getenv(), System.err));
-            case "simhost" -> System.exit(SimHost.serve());
+            case "serve" -> System.exit(SidecarServer.serve(System.getenv(), System.err));
+            case "simhost" -> System.exit(SimulatorAdapter.serve());
             default -> {
                 System.err.println("usage: java -jar sagefall.jar serve|simhost");
                 System.exit(2);
--- a/sidecar/src/main/java/sagefall/Choice.java
+++ b/sidecar/src/main/java/sagefall/balancer/DefaultLoadBalancer.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,19 +6,37 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sagefall.Pending.Attempt;
+import sagefall.balancer.admission.AdmissionController;
+import sagefall.balancer.admission.RequestQueue;
+import sagefall.balancer.admission.RetryBudget;
+import sagefall.balancer.admission.ZoneConcurrencyLimit;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+import sagefall.balancer.health.Endpoint;
+import sagefall.balancer.health.EndpointHealth;
+import sagefall.balancer.request.Attempt;
+import sagefall.balancer.request.PendingRequest;
+import sagefall.balancer.routing.EndpointPicker;
+import sagefall.balancer.routing.SubsetTree;
 
 /**
- * The balancer: a request's way from its arrival to its one answer. {@link LabelTree} and {@link
- * Pick} say where it goes, {@link Health} and {@link Belief} what is known of the servers, {@link
- * Admission}, {@link ZoneLimit} and {@link RetryBudget} how much is let in and sent again, {@link
- * Waiting} who waits.
+ * The balancer: a request's way from its arrival to its one answer. {@link SubsetTree} and {@link
+ * EndpointPicker} say where it goes, {@link EndpointHealth} and {@link RecoveredEndpoints} what is
+ * known of the servers, {@link AdmissionController}, {@link ZoneConcurrencyLimit} and {@link
+ * RetryBudget} how much is let in and sent again, {@link RequestQueue} who waits.
  *
  * <p>Ordinary path: a request walks from the node {its zone, its tenant's cell} and takes the
  * cheaper of two ready servers by peak-EWMA latency x (1 + in-flight). Each exception says when it
  * acts.
  */
-public final class Choice implements LoadBalancer {
+public final class DefaultLoadBalancer implements LoadBalancer {
 
     /**
      * List lines that discovery is taken to send all instances in the time within which each must
@@ -44,19 +62,19 @@
     /** Number of kinds of timer. */
     private static final int TIMER_KINDS = 2;
 
-    private final Settings settings;
-    private final Actions actions;
+    private final BalancerSettings settings;
+    private final BalancerActions actions;
     private final SplittableRandom random;
     private final double aimMicros;
-    private final LabelTree tree;
-    private final Admission admission;
-    private final Health health;
-    private final Pick pick;
+    private final SubsetTree tree;
+    private final AdmissionController admission;
+    private final EndpointHealth health;
+    private final EndpointPicker pick;
     private final RetryBudget budget;
-    private final Waiting waiting;
-    private final Map<Long, Backend> backends = new LinkedHashMap<>();
-    private final Map<String, Pending> requests = new HashMap<>();
-    private final Map<Long, Pending> timers = new HashMap<>();
+    private final RequestQueue waiting;
+    private final Map<Long, Endpoint> backends = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> requests = new HashMap<>();
+    private final Map<Long, PendingRequest> timers = new HashMap<>();
     private long lastToken;
     private long sheddingLoggedAt;
 
@@ -67,43 +85,45 @@
     private long mostBuffered = Long.MAX_VALUE;
 
     private int askFailures;
-    private Belief belief = Belief.NONE;
+    private RecoveredEndpoints belief = RecoveredEndpoints.NONE;
 
-    public Choice(Settings settings, Actions actions) {
+    public DefaultLoadBalancer(BalancerSettings settings, BalancerActions actions) {
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(settings.seed());
-        aimMicros = settings.aimMicros();
-        tree = new LabelTree(settings);
-        admission = new Admission(settings);
-        health = new Health(settings, actions, random, tree, admission);
-        pick = new Pick(settings, random, tree, health, admission);
+        aimMicros = settings.meanTargetLatencyMicros();
+        tree = new SubsetTree(settings);
+        admission = new AdmissionController(settings);
+        health = new EndpointHealth(settings, actions, random, tree, admission);
+        pick = new EndpointPicker(settings, random, tree, health, admission);
         budget = new RetryBudget();
-        waiting = new Waiting(settings, admission, health, new ArrayList<>());
+        waiting = new RequestQueue(settings, admission, health, new ArrayList<>());
     }
 
     // ---- Lists
 
     @Override
-    public void kept(long now, long revision, boolean fresh, List<Server> list) {
-        belief = Belief.of(revision, fresh, list);
+    public void onRecoveredEndpoints(
+            long now, long revision, boolean fresh, List<ListedEndpoint> list) {
+        belief = RecoveredEndpoints.of(revision, fresh, list);
     }
 
     @Override
-    public void servers(long now, ListKind kind, long revision, List<Server> told) {
-        List<Server> list = belief.told(kind, revision, told);
-        if (settings.discoveryOnAsk() && kind == ListKind.CACHED) {
+    public void onEndpointList(
+            long now, EndpointListKind kind, long revision, List<ListedEndpoint> told) {
+        List<ListedEndpoint> list = belief.told(kind, revision, told);
+        if (settings.pollsDiscovery() && kind == EndpointListKind.CACHED) {
             // All sidecars of a fleet may start at once, and discovery sends only so many lines a
             // second.
             double spread = Math.min(0.8, list.size() * (double) settings.replicas() / LIST_LINES);
-            double most = Math.min(FIRST_CALL, spread * settings.rules().askEveryMicros());
+            double most = Math.min(FIRST_CALL, spread * settings.rules().pollIntervalMicros());
             long wait = (long) most + 20 * settings.tickMicros();
             later(now + random.nextLong(1 + wait), ASK, null);
         }
-        if (kind == ListKind.FAILED) {
+        if (kind == EndpointListKind.FAILED) {
             // Keep the list; ask again soon: the rule on drains counts from when discovery can be
             // reached.
-            double wait = settings.discoveryOnAsk() ? SERVICE_WAIT : AGENT_WAIT;
+            double wait = settings.pollsDiscovery() ? SERVICE_WAIT : AGENT_WAIT;
             later(now + 1 + (long) (wait * (0.5 + random.nextDouble())), ASK, null);
             if (askFailures++ == 0)
                 actions.log("discovery failed: " + tree.ready.size() + " servers stay");
@@ -112,19 +132,20 @@
         askFailures = 0;
         boolean changed = tree.ready.isEmpty();
         admission.started(now);
-        if (kind != ListKind.CHANGES) for (Backend b : backends.values()) b.listed = false;
-        for (Server line : list) {
-            Backend b = backends.get(line.id());
+        if (kind != EndpointListKind.CHANGES) for (Endpoint b : backends.values()) b.listed = false;
+        for (ListedEndpoint line : list) {
+            Endpoint b = backends.get(line.id());
             if (b == null || b.line.startMicros() != line.startMicros()) b = anew(line.id(), b);
-            boolean usable = line.phase() == Phase.READY && (b.usable || revision >= b.revision);
+            boolean usable =
+                    line.phase() == EndpointPhase.READY && (b.usable || revision >= b.revision);
             b.revision = Math.max(b.revision, revision);
             changed |= usable != b.usable || b.line == null || b.line.zone() != line.zone();
             b.line = line;
             b.usable = usable;
-            b.listed = line.phase() != Phase.REMOVED;
+            b.listed = line.phase() != EndpointPhase.REMOVED;
         }
         for (var all = backends.values().iterator(); all.hasNext(); ) {
-            Backend b = all.next();
+            Endpoint b = all.next();
             if (b.listed) continue;
             changed |= b.usable;
             b.usable = false;
@@ -136,12 +157,12 @@
     }
 
     /** A new id or start time is a new process: nothing learned of an old one holds. */
-    private Backend anew(long id, Backend old) {
+    private Endpoint anew(long id, Endpoint old) {
         if (old != null) {
             health.close(old);
             old.usable = false;
         }
-        Backend fresh = new Backend(id, settings.rank());
+        Endpoint fresh = new Endpoint(id, settings.rank());
         backends.put(id, fresh);
         return fresh;
     }
@@ -149,9 +170,9 @@
     // ---- Requests
 
     @Override
-    public void request(long now, Request request) {
-        Pending p =
-                new Pending(
+    public void onRequest(long now, Request request) {
+        PendingRequest p =
+                new PendingRequest(
                         now, request, settings.classes(), Math.max(1, settings.tenants().size()));
         if (requests.putIfAbsent(request.id(), p) != null) return;
         buffered += request.bufferBytes();
@@ -161,21 +182,22 @@
         budget.taken(admission.admitted);
         admission.taken(now);
         health.watch(now);
-        if (requests.size() > settings.limits().open()) end(waiting.least(p), Reason.IN_HAND);
+        if (requests.size() > settings.limits().maxOpenRequests())
+            end(waiting.least(p), RejectionReason.OPEN_REQUESTS);
         if (p.over) return;
         if (request.bufferBytes() > 0 && buffered > mostBuffered) {
             // Those that stream already go on; a new one is told at once when to come back.
-            end(p, Reason.BUFFERS);
+            end(p, RejectionReason.BUFFER_LIMIT);
         } else if (request.deadlineMicros() - now <= aimMicros / 20 + 2 * settings.tickMicros()) {
             // No time is left for a timer (incident i0f9bed: an arrival at its own deadline).
-            end(p, Reason.TOO_LATE);
+            end(p, RejectionReason.TOO_LATE);
         } else if (tree.sparse && admission.refuses(p, random.nextDouble())) {
-            end(p, Reason.ADMISSION);
+            end(p, RejectionReason.ADMISSION);
         } else admit(now, p);
     }
 
     /** Sends the request, or holds it in the queue. */
-    private void admit(long now, Pending p) {
+    private void admit(long now, PendingRequest p) {
         if (p.over || p.queued) return;
         waiting.add(p);
         pump(now);
@@ -183,7 +205,7 @@
         if (health.anyZoneFull()) {
             // The others have no server to offer: whoever waits would be late, and make others
             // late.
-            end(p, Reason.ZONE_FULL);
+            end(p, RejectionReason.ZONE_FULL);
             return;
         }
         later(waiting.lookAgain(now, p, requests.size()), HELD, p);
@@ -194,8 +216,8 @@
 
     /** Serves the queue while servers have room. */
     private void pump(long now) {
-        for (Pending next; (next = waiting.next()) != null; ) {
-            Backend server = pick.choose(now, next);
+        for (PendingRequest next; (next = waiting.next()) != null; ) {
+            Endpoint server = pick.choose(now, next);
             if (server == null) return;
             waiting.remove(next);
             send(now, next, server);
@@ -208,7 +230,7 @@
      * The single place of sending. The checks repeat what the pick has seen, so no path can pass
      * them by.
      */
-    private void send(long now, Pending p, Backend b) {
+    private void send(long now, PendingRequest p, Endpoint b) {
         long left = p.deadline - now;
         if (p.over
                 || p.streaming
@@ -217,7 +239,7 @@
                 || p.out > 0
                 || left <= 0
                 || !p.mayRunOn(now, b, settings.tickMicros())
-                || p.attempts.size() >= Math.max(1, settings.limits().attempts())
+                || p.attempts.size() >= Math.max(1, settings.limits().maxAttempts())
                 || (!p.attempts.isEmpty() && !budget.allows())) {
             if (!p.over && p.out == 0) end(p, whyNot(now, p));
             return;
@@ -226,7 +248,7 @@
         if (a.fresh && b.opened && b.out.size() == 0) {
             b.opened = false;
             b.usedAt = 0;
-            actions.closeIdle(b.id);
+            actions.closeIdleConnections(b.id);
         }
         if (a.number > 0) budget.spent();
         long latest = p.lastSend(settings.tickMicros());
@@ -239,12 +261,14 @@
     }
 
     /** The single place where this instance ends a request. */
-    private void end(Pending p, Reason why) {
+    private void end(PendingRequest p, RejectionReason why) {
         if (p.mayRefuse()) {
             double stay =
-                    settings.limits().retryAdvice() ? aimMicros * (1 + random.nextDouble()) / 4 : 0;
-            long most = settings.limits().maxRetryAdviceMicros();
-            actions.refuse(p.request.id(), Math.min((long) stay, most), why);
+                    settings.limits().retryAfterAllowed()
+                            ? aimMicros * (1 + random.nextDouble()) / 4
+                            : 0;
+            long most = settings.limits().maxRetryAfterMicros();
+            actions.reject(p.request.id(), Math.min((long) stay, most), why);
         } else {
             actions.fail(p.request.id(), why);
         }
@@ -252,18 +276,18 @@
     }
 
     /** The request has its final answer, whoever gave it: what is still out is called off. */
-    private void over(Pending p) {
+    private void over(PendingRequest p) {
         if (p.over) return;
         p.over = true;
         waiting.remove(p);
-        boolean cancel = settings.limits().cancelling();
+        boolean cancel = settings.limits().cancellationAllowed();
         for (Attempt a : p.attempts)
             if (cancel && a.result == null) actions.cancel(p.request.id(), a.number);
         forget(p);
     }
 
     /** A request is kept until the last of its attempts has ended. */
-    private void forget(Pending p) {
+    private void forget(PendingRequest p) {
         if (p.over && p.out == 0 && requests.remove(p.request.id(), p))
             buffered -= p.request.bufferBytes();
     }
@@ -271,8 +295,8 @@
     // ---- What comes back
 
     @Override
-    public void outcome(long now, Outcome o) {
-        Pending p = requests.get(o.requestId());
+    public void onAttemptOutcome(long now, AttemptOutcome o) {
+        PendingRequest p = requests.get(o.requestId());
         if (p == null || o.attempt() < 0 || o.attempt() >= p.attempts.size()) return;
         Attempt a = p.attempts.get(o.attempt());
         if (a.result != null) return;
@@ -292,32 +316,33 @@
      * A further attempt, if effect, cap, retry budget, body and the time left allow it; else the
      * end.
      */
-    private void again(long now, Pending p) {
+    private void again(long now, PendingRequest p) {
         boolean sensible =
                 now < waiting.lastUseful(p, requests.size()) && budget.allows() && !p.spent;
-        if (sensible && p.mayRepeat() && p.attempts.size() < settings.limits().attempts())
+        if (sensible && p.mayRepeat() && p.attempts.size() < settings.limits().maxAttempts())
             admit(now, p);
         else end(p, whyNot(now, p));
     }
 
     /** What keeps a request from a further attempt. */
-    private Reason whyNot(long now, Pending p) {
-        if (p.spent || !p.mayRepeat()) return Reason.EFFECT;
-        if (p.attempts.size() >= settings.limits().attempts()) return Reason.ATTEMPTS;
+    private RejectionReason whyNot(long now, PendingRequest p) {
+        if (p.spent || !p.mayRepeat()) return RejectionReason.NOT_RETRYABLE;
+        if (p.attempts.size() >= settings.limits().maxAttempts())
+            return RejectionReason.MAX_ATTEMPTS;
         boolean late = now >= waiting.lastUseful(p, requests.size()) || budget.allows();
-        return late ? Reason.TOO_LATE : Reason.RETRY_BUDGET;
+        return late ? RejectionReason.TOO_LATE : RejectionReason.RETRY_BUDGET;
     }
 
     // ---- Other events
 
     @Override
-    public void buffers(long now, long mostBytes) {
+    public void onBufferLimit(long now, long mostBytes) {
         mostBuffered = mostBytes;
     }
 
     @Override
-    public void uploaded(long now, String requestId, long deadlineMicros) {
-        Pending p = requests.get(requestId);
+    public void onUploadComplete(long now, String requestId, long deadlineMicros) {
+        PendingRequest p = requests.get(requestId);
         if (p == null || !p.uploading) return;
         p.uploading = false;
         p.deadline = deadlineMicros;
@@ -327,15 +352,15 @@
     }
 
     @Override
-    public void replayLost(long now, String requestId) {
-        Pending p = requests.get(requestId);
+    public void onReplayBufferExceeded(long now, String requestId) {
+        PendingRequest p = requests.get(requestId);
         if (p != null) p.spent = true;
     }
 
     @Override
-    public void streamBegan(
+    public void onStreamStarted(
             long now, String requestId, int attempt, long server, long elapsedMicros) {
-        Pending p = requests.get(requestId);
+        PendingRequest p = requests.get(requestId);
         if (p == null || p.streaming || attempt < 0 || attempt >= p.attempts.size()) return;
         Attempt a = p.attempts.get(attempt);
         if (a.result != null) return;
@@ -347,25 +372,25 @@
     }
 
     @Override
-    public void clientLeft(long now, String requestId) {
-        Pending p = requests.get(requestId);
+    public void onClientDisconnected(long now, String requestId) {
+        PendingRequest p = requests.get(requestId);
         if (p != null) over(p);
     }
 
-    private void later(long at, int kind, Pending p) {
+    private void later(long at, int kind, PendingRequest p) {
         long token = ++lastToken * TIMER_KINDS + kind;
         if (p != null) timers.put(token, p);
-        actions.timer(at, token);
+        actions.scheduleTimer(at, token);
     }
 
     @Override
-    public void timer(long now, long token) {
-        if (token % TIMER_KINDS == ASK) actions.subscribe();
-        Pending p = timers.remove(token);
+    public void onTimer(long now, long token) {
+        if (token % TIMER_KINDS == ASK) actions.requestEndpointUpdates();
+        PendingRequest p = timers.remove(token);
         if (p == null || p.over || p.streaming) return;
         boolean waited = now >= waiting.lastUseful(p, requests.size());
         if (p.queued && (waited || health.anyZoneFull())) {
-            end(p, waited ? Reason.WAITED : Reason.ZONE_FULL);
+            end(p, waited ? RejectionReason.QUEUE_TIMEOUT : RejectionReason.ZONE_FULL);
         } else if (p.queued) {
             later(waiting.lookAgain(now, p, requests.size()), HELD, p);
             pump(now);
--- a/sidecar/src/main/java/sagefall/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
@@ -1,7 +1,7 @@
-package sagefall;
+package sagefall.balancer.admission;
 
 /** Further attempts as a part of first tries, so that failures can't multiply the load. */
-final class RetryBudget {
+public final class RetryBudget {
 
     /** Further attempts that a first try earns. */
     private static final double RETRY_SHARE = 0.15;
@@ -15,16 +15,16 @@
      * A request has come; where little is let in, what fails is late, not sick: little is sent
      * again.
      */
-    void taken(double admitted) {
+    public void taken(double admitted) {
         tokens = Math.min(RETRY_SAVED * admitted, tokens + RETRY_SHARE * admitted);
     }
 
-    boolean allows() {
+    public boolean allows() {
         return tokens >= 1;
     }
 
     /** A further attempt goes out. */
-    void spent() {
+    public void spent() {
         tokens--;
     }
 }
--- a/sidecar/src/main/java/sagefall/ZoneLimit.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer.admission;
 
 /**
  * A limit on this instance's requests in flight in one zone, moved by the answers of all of its
@@ -7,7 +7,7 @@
  * steps are parts of the limit, so instances of unlike traffic give way alike. Harm: in a zone that
  * is busy all over, some are refused whom a lucky pick would have served.
  */
-final class ZoneLimit {
+public final class ZoneConcurrencyLimit {
 
     /**
      * An answer is slow from this part of its aim on: the rest is for the spread of service times.
@@ -47,33 +47,33 @@
     private double usual;
     private int out;
 
-    boolean full() {
+    public boolean full() {
         return out >= limit;
     }
 
-    void sent() {
+    public void sent() {
         out++;
         usual += WEIGHT * (out - usual);
     }
 
     /** An attempt has ended, whatever it says of the zone. */
-    void ended() {
+    public void ended() {
         out--;
     }
 
     /** What a server reports of itself, from 0 to 1. */
-    void reported(double utilization) {
+    public void reported(double utilization) {
         use = Double.isNaN(use) ? utilization : use + WEIGHT * (utilization - use);
     }
 
     /** An answer in this part of its aim. */
-    void answered(double partOfAim) {
+    public void answered(double partOfAim) {
         if (partOfAim > SLOW) crowded();
         else if (out >= limit / SPAN) limit *= 1 + GAIN;
     }
 
     /** A slow answer, none, or a full server. Without reports each counts. */
-    void crowded() {
+    public void crowded() {
         if (use < BUSY) return;
         limit = Math.max(LEAST, Math.min(limit, SPAN * usual) * (1 - CUT));
     }
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/balancer/api/EndpointPhase.java
@@ -0,0 +1,8 @@
+package sagefall.balancer.api;
+
+/** What discovery says of a server. */
+public enum EndpointPhase {
+    READY,
+    DRAINING,
+    REMOVED
+}
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
@@ -0,0 +1,7 @@
+package sagefall.balancer.api;
+
+/** Where load reports come from. */
+public enum LoadReportSource {
+    NONE,
+    ANSWERS
+}
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/balancer/api/Preconditions.java
@@ -0,0 +1,14 @@
+package sagefall.balancer.api;
+
+/** Argument checks shared by the settings records. */
+final class Preconditions {
+
+    private Preconditions() {}
+
+    /** Throws an {@link IllegalArgumentException} with the message unless the condition holds. */
+    static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException("settings: " + message);
+        }
+    }
+}
--- a/sidecar/src/main/java/sagefall/Backend.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
@@ -1,66 +1,69 @@
-package sagefall;
+package sagefall.balancer.health;
 
 import java.util.ArrayDeque;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.request.Attempt;
+import sagefall.balancer.routing.SubsetTree;
 
 /** A server and all that this instance knows of it; kept by id when the tree is rebuilt. */
-final class Backend {
+public final class Endpoint {
 
     /** Own concurrency limit of a server at its start. */
     static final double FIRST_LIMIT = 3;
 
-    final long id;
-    LoadBalancer.Server line;
+    public final long id;
+    public ListedEndpoint line;
 
     /** Highest revision of the lists that named it; one that is behind it ends no drain. */
-    long revision = Long.MIN_VALUE;
+    public long revision = Long.MIN_VALUE;
 
-    boolean usable;
-    boolean listed;
+    public boolean usable;
+    public boolean listed;
 
     /** Place in this instance's own stable order of servers. */
-    final long order;
+    public final long order;
 
-    int cell;
-    int cells;
+    public int cell;
+    public int cells;
 
     /** Peak EWMA of latency in units of what is usual (NaN: no sample). */
     double slowness = Double.NaN;
 
     /** Plain EWMA of latency in units of what is usual. */
-    double pace = 1;
+    public double pace = 1;
 
     long sampledAt;
-    final ArrayDeque<Pending.Attempt> out = new ArrayDeque<>();
+    public final ArrayDeque<Attempt> out = new ArrayDeque<>();
     int failures;
-    int backoff;
+    public int backoff;
     int suspects;
 
     /** Ejected while above 0: no request before that time, then one trial. */
-    long openUntil;
+    public long openUntil;
 
-    double limit = FIRST_LIMIT;
+    public double limit = FIRST_LIMIT;
     long cutAt;
-    long pausedUntil;
-    long restUntil;
+    public long pausedUntil;
+    public long restUntil;
     long reportedAt;
     long suspectedAt;
     double use = Double.NaN;
 
     /** When its connection was last known to work, 0 if never. */
-    long usedAt;
+    public long usedAt;
 
     /** When a new connection may be tried. */
-    long connectAt;
+    public long connectAt;
 
     long returnedAt;
 
     int connectFailures;
-    boolean opened;
+    public boolean opened;
     boolean maybeDead;
 
-    Backend(long id, int rank) {
+    public Endpoint(long id, int rank) {
         this.id = id;
-        order = LabelTree.mix(id, rank);
+        order = SubsetTree.mix(id, rank);
     }
 
     /**
@@ -69,14 +72,14 @@
      * one on another. Harm: a server that is slow rather than silent is sent more, within its
      * limit.
      */
-    boolean silent() {
+    public boolean silent() {
         return suspects > 0 && usedAt <= suspectedAt;
     }
 
     /** The attempt out for the longest time that still says something of the server. */
-    Pending.Attempt oldest() {
+    Attempt oldest() {
         if (silent()) return out.peekFirst();
-        for (Pending.Attempt a : out) if (!a.suspected) return a;
+        for (Attempt a : out) if (!a.suspected) return a;
         return null;
     }
 }
--- a/sidecar/src/main/java/sagefall/Health.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -1,17 +1,24 @@
-package sagefall;
+package sagefall.balancer.health;
 
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Settings;
-import sagefall.Pending.Attempt;
+import sagefall.balancer.admission.AdmissionController;
+import sagefall.balancer.admission.ZoneConcurrencyLimit;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.LoadReportSource;
+import sagefall.balancer.request.Attempt;
+import sagefall.balancer.request.PendingRequest;
+import sagefall.balancer.routing.SubsetTree;
 
 /** What answers, failures and silence tell of servers and zones; who is left alone for a while. */
-final class Health {
+public final class EndpointHealth {
 
     /** Time constant of latency, in aims. */
     private static final double DECAY = 4;
@@ -64,67 +71,67 @@
     /** Reported use from which a slow answer is taken for a queue. */
     private static final double BUSY = 0.5;
 
-    private final Settings settings;
-    private final LoadBalancer.Actions actions;
+    private final BalancerSettings settings;
+    private final BalancerActions actions;
     private final SplittableRandom random;
-    private final LabelTree tree;
-    private final Admission admission;
+    private final SubsetTree tree;
+    private final AdmissionController admission;
 
     /** The mean over the classes of what an answer should take at most. */
-    final double aimMicros;
+    public final double aimMicros;
 
     private final double[] usualMicros;
     private double[] kindPace = {};
     private double[] zonePace = {};
-    private final ZoneLimit[] zoneLimits;
+    private final ZoneConcurrencyLimit[] zoneLimits;
     private final Set<Attempt> outstanding = new LinkedHashSet<>();
 
     /** Mean reported use, NaN where none is reported. */
-    double meanUse = Double.NaN;
+    public double meanUse = Double.NaN;
 
     /** When a new connection last showed what a set-up takes. */
-    long setupAt;
+    public long setupAt;
 
     private double setupMicros;
     private long distrustedAt;
     private long idleTrust = Long.MAX_VALUE;
     private int ejected;
 
-    Health(
-            Settings settings,
-            LoadBalancer.Actions actions,
+    public EndpointHealth(
+            BalancerSettings settings,
+            BalancerActions actions,
             SplittableRandom random,
-            LabelTree tree,
-            Admission admission) {
+            SubsetTree tree,
+            AdmissionController admission) {
         this.settings = settings;
         this.actions = actions;
         this.random = random;
         this.tree = tree;
         this.admission = admission;
-        aimMicros = settings.aimMicros();
+        aimMicros = settings.meanTargetLatencyMicros();
         usualMicros =
                 settings.classes().stream()
-                        .mapToDouble(c -> c.timeMicros() * FIRST_GUESS)
+                        .mapToDouble(c -> c.targetLatencyMicros() * FIRST_GUESS)
                         .toArray();
         zoneLimits =
-                Stream.generate(ZoneLimit::new)
+                Stream.generate(ZoneConcurrencyLimit::new)
                         .limit(Math.max(1, settings.zones().size()))
-                        .toArray(ZoneLimit[]::new);
+                        .toArray(ZoneConcurrencyLimit[]::new);
     }
 
     // ---- What is known
 
     /** Whether a zone holds as many of the own requests as it may. */
-    boolean anyZoneFull() {
-        for (ZoneLimit zone : zoneLimits) if (zone.full()) return true;
+    public boolean anyZoneFull() {
+        for (ZoneConcurrencyLimit zone : zoneLimits) if (zone.full()) return true;
         return false;
     }
 
-    double usual(Pending p) {
+    public double usual(PendingRequest p) {
         return usualMicros[p.requestClass];
     }
 
-    double use(long now, Backend b) {
+    public double use(long now, Endpoint b) {
         if (Double.isNaN(b.use)) return meanUse;
         return meanUse + (b.use - meanUse) * Math.exp(-(now - b.reportedAt) / (DECAY * aimMicros));
     }
@@ -133,12 +140,12 @@
      * A connection that was used a moment ago; one idle for longer than those that died is not
      * trusted.
      */
-    boolean warm(long now, Backend b) {
+    public boolean warm(long now, Endpoint b) {
         return b.usedAt != 0
-                && now - b.usedAt < Math.min(trust(now), settings.limits().idleMicros());
+                && now - b.usedAt < Math.min(trust(now), settings.limits().idleTimeoutMicros());
     }
 
-    double setup(long now) {
+    public double setup(long now) {
         return setupMicros * Math.exp(-(now - setupAt) / (MEMORY * aimMicros));
     }
 
@@ -147,14 +154,14 @@
         setupAt = now;
     }
 
-    long trust(long now) {
+    public long trust(long now) {
         return now - distrustedAt < MEMORY * aimMicros ? idleTrust : Long.MAX_VALUE;
     }
 
     /**
      * Peak EWMA, and at least the age of the oldest attempt: a hanging server never gives a sample.
      */
-    double slowness(long now, Backend b) {
+    public double slowness(long now, Endpoint b) {
         Attempt oldest = b.oldest();
         return oldest == null
                 ? known(now, b)
@@ -162,7 +169,7 @@
     }
 
     /** Drifts to what is usual for kind and zone between samples, and starts there. */
-    private double known(long now, Backend b) {
+    private double known(long now, Endpoint b) {
         double usual = pooled(kindPace, b.line.kind()) * pooled(zonePace, b.line.zone());
         if (Double.isNaN(b.slowness)) return usual;
         return usual
@@ -176,22 +183,22 @@
     /**
      * A server that came back before the list says so is as cold as one that the list calls new.
      */
-    double coldShare(long now, Backend b) {
+    public double coldShare(long now, Endpoint b) {
         long start = b.maybeDead ? now : Math.max(b.line.startMicros(), b.returnedAt);
-        long cold = settings.rules().coldMicros();
+        long cold = settings.rules().slowStartMicros();
         if (start <= 0 || now - start >= cold) return 1;
-        double from = settings.rules().coldFrom();
+        double from = settings.rules().slowStartInitialShare();
         return Math.min(1, from + (1 - from) * Math.max(0, now - start) / cold);
     }
 
-    ZoneLimit zoneLimit(Backend b) {
+    public ZoneConcurrencyLimit zoneLimit(Endpoint b) {
         return zoneLimits[Math.min(Math.max(0, b.line.zone()), zoneLimits.length - 1)];
     }
 
     // ---- What comes back
 
     /** From now on its server owes an answer. */
-    void owed(long now, Attempt a) {
+    public void owed(long now, Attempt a) {
         a.since = now;
         a.counted = true;
         outstanding.add(a);
@@ -200,7 +207,7 @@
     }
 
     /** It no longer does. */
-    void settled(Attempt a) {
+    public void settled(Attempt a) {
         if (!a.counted) return;
         a.counted = false;
         zoneLimit(a.server).ended();
@@ -209,14 +216,14 @@
         if (a.suspected) a.server.suspects--;
     }
 
-    void learn(long now, Attempt a, Outcome o) {
-        Backend b = a.server;
+    public void learn(long now, Attempt a, AttemptOutcome o) {
+        Endpoint b = a.server;
         switch (o.result()) {
             case SERVED -> {
                 report(now, b, o.report());
                 served(now, a, o.elapsedMicros());
             }
-            case FULL -> {
+            case REJECTED -> {
                 // Full is busy, not sick: shrink the limit and stay away for one usual answer.
                 b.usedAt = now;
                 b.opened = true;
@@ -239,15 +246,15 @@
             case CANCELLED, NOT_SENT -> {}
             default -> {
                 // A client that has no patience says nothing of the server.
-                if (o.result() == Result.TIMED_OUT && o.elapsedMicros() * 2 < HANGING * a.expected)
-                    return;
-                if (o.result() == Result.TIMED_OUT) zoneLimit(b).crowded();
-                if (o.result() == Result.TIMED_OUT && !a.suspected) suspect(now, a, false);
-                if (known(now, b) * a.usual > LIMIT_TARGET * a.of.rules.aimMicros())
+                if (o.result() == AttemptResult.TIMED_OUT
+                        && o.elapsedMicros() * 2 < HANGING * a.expected) return;
+                if (o.result() == AttemptResult.TIMED_OUT) zoneLimit(b).crowded();
+                if (o.result() == AttemptResult.TIMED_OUT && !a.suspected) suspect(now, a, false);
+                if (known(now, b) * a.usual > LIMIT_TARGET * a.of.rules.latencyObjectiveMicros())
                     admission.crowded();
                 // What a connection that was idle did not bring may be its own fault; an error is a
                 // word.
-                boolean word = o.result() == Result.ERROR;
+                boolean word = o.result() == AttemptResult.ERROR;
                 if (!word && (a.idle > aimMicros / 4 || (a.suspected && b.usedAt > b.suspectedAt)))
                     return;
                 sample(now, b, Math.max((double) o.elapsedMicros(), aimMicros) / a.usual);
@@ -258,11 +265,11 @@
     }
 
     /** What the time of an answer tells, or that of the beginning of a streamed one. */
-    void served(long now, Attempt a, long elapsed) {
-        Backend b = a.server;
+    public void served(long now, Attempt a, long elapsed) {
+        Endpoint b = a.server;
         int c = a.of.requestClass;
         answered(now, a, elapsed);
-        zoneLimit(b).answered(elapsed / (double) Math.max(1, a.of.rules.aimMicros()));
+        zoneLimit(b).answered(elapsed / (double) Math.max(1, a.of.rules.latencyObjectiveMicros()));
         // What is usual may have moved since it was sent.
         double factor = a.usual / usualMicros[c];
         usualMicros[c] +=
@@ -280,12 +287,12 @@
      * The end of a streamed answer, which took as long as its reader; that it broke is a failed
      * attempt.
      */
-    void streamed(long now, Attempt a, Outcome o) {
-        Backend b = a.server;
-        if (o.result() == Result.SERVED) {
+    public void streamed(long now, Attempt a, AttemptOutcome o) {
+        Endpoint b = a.server;
+        if (o.result() == AttemptResult.SERVED) {
             b.usedAt = now;
             report(now, b, o.report());
-        } else if (o.result() != Result.CANCELLED) {
+        } else if (o.result() != AttemptResult.CANCELLED) {
             sample(now, b, aimMicros / a.usual);
             if (b.openUntil != 0 || ++b.failures >= FAILURES)
                 eject(now, b, "streams end as " + o.result());
@@ -294,7 +301,7 @@
 
     /** An answer clears the server and its connection. */
     private void answered(long now, Attempt a, long elapsed) {
-        Backend b = a.server;
+        Endpoint b = a.server;
         if (a.fresh) setUp(now, Math.max(0, elapsed - a.expected));
         b.usedAt = now;
         b.opened = true;
@@ -311,14 +318,15 @@
             actions.log("server " + b.id + " re-admitted");
         }
         admission.answered(
-                elapsed, a.of.rules.aimMicros() * a.usual / usualMicros[a.of.requestClass]);
+                elapsed,
+                a.of.rules.latencyObjectiveMicros() * a.usual / usualMicros[a.of.requestClass]);
     }
 
     /**
      * Looks at attempts without an answer for far longer than expected; the list is in order of
      * sending.
      */
-    void watch(long now) {
+    public void watch(long now) {
         for (Attempt a : outstanding) {
             if (now - a.since < aimMicros / 2) break;
             if (!a.suspected && now - a.since > HANGING * a.expected) suspect(now, a, true);
@@ -330,7 +338,7 @@
      * a while, elsewhere either. Unless the server has answered others since, it is the server.
      */
     private void suspect(long now, Attempt a, boolean out) {
-        Backend b = a.server;
+        Endpoint b = a.server;
         if (out) {
             a.suspected = true;
             b.suspects++;
@@ -358,7 +366,7 @@
     }
 
     /** Peak EWMA: up at once, down with time. */
-    private void sample(long now, Backend b, double x) {
+    private void sample(long now, Endpoint b, double x) {
         boolean peak = Double.isNaN(b.slowness) || x > known(now, b);
         b.slowness =
                 peak
@@ -376,17 +384,17 @@
      * queue for as long.
      */
     private void limit(long now, Attempt a, double elapsed) {
-        Backend b = a.server;
+        Endpoint b = a.server;
         // Many sidecars share few cores: one request of each may be too many; below one, rest
         // between sends.
         b.restUntil = now + (long) (elapsed * (1 / Math.min(1, b.limit) - 1));
-        double aim = a.of.rules.aimMicros();
+        double aim = a.of.rules.latencyObjectiveMicros();
         double usual = LIMIT_USUAL * usualMicros[a.of.requestClass];
         if (elapsed > Math.min(Math.max(LIMIT_TARGET * aim, usual), LIMIT_MOST * aim)) {
             // Who reports free cores has no queue; a large limit is cut all the same, as reports
             // come late.
             boolean queue =
-                    Double.isNaN(b.use) || use(now, b) > BUSY || b.limit > 2 * Backend.FIRST_LIMIT;
+                    Double.isNaN(b.use) || use(now, b) > BUSY || b.limit > 2 * Endpoint.FIRST_LIMIT;
             if (a.sentAt >= b.cutAt && queue) {
                 b.limit = Math.max(tree.sparse ? 1 : LIMIT_LEAST, b.limit * LIMIT_CUT);
                 b.cutAt = now;
@@ -398,8 +406,8 @@
         }
     }
 
-    private void report(long now, Backend b, LoadBalancer.LoadReport report) {
-        if (settings.reports() != LoadBalancer.ReportSource.ANSWERS) return;
+    private void report(long now, Endpoint b, LoadReport report) {
+        if (settings.loadReportSource() != LoadReportSource.ANSWERS) return;
         if (report != null && !Double.isNaN(report.utilization())) {
             b.use = report.utilization();
             zoneLimit(b).reported(b.use);
@@ -414,7 +422,7 @@
 
     // ---- Outlier ejection
 
-    void eject(long now, Backend b, String why) {
+    public void eject(long now, Endpoint b, String why) {
         if (!b.usable || (b.openUntil == 0 && ejected + 1 > MAX_EJECTED * tree.ready.size()))
             return;
         if (b.openUntil == 0) {
@@ -426,7 +434,7 @@
         b.failures = 0;
     }
 
-    void close(Backend b) {
+    public void close(Endpoint b) {
         if (b.openUntil != 0) ejected--;
         b.openUntil = 0;
     }
--- a/sidecar/src/main/java/sagefall/Pick.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -1,19 +1,24 @@
-package sagefall;
+package sagefall.balancer.routing;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import sagefall.LoadBalancer.Effect;
+import sagefall.balancer.admission.AdmissionController;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.health.Endpoint;
+import sagefall.balancer.health.EndpointHealth;
+import sagefall.balancer.request.PendingRequest;
 
 /**
  * The server for a request: the cheaper of two ready ones with room, from the narrowest node with
  * some.
  */
-record Pick(
-        LoadBalancer.Settings settings,
+public record EndpointPicker(
+        BalancerSettings settings,
         SplittableRandom random,
-        LabelTree tree,
-        Health health,
-        Admission admission) {
+        SubsetTree tree,
+        EndpointHealth health,
+        AdmissionController admission) {
 
     /**
      * Deterministic subsetting: servers of a node that a sidecar keeps, beside what its rate asks
@@ -39,17 +44,17 @@
     /**
      * Walks from the narrowest node; widens where one is empty, and spills where it is much dearer.
      */
-    Backend choose(long now, Pending p) {
+    public Endpoint choose(long now, PendingRequest p) {
         if (tree.ready.isEmpty()) return null;
-        Backend best = null;
+        Endpoint best = null;
         double bestCost = 0;
         // While idle connections die, fewer servers keep each connection in use.
         int keep =
                 (health.trust(now) == Long.MAX_VALUE ? KEEP : 0)
                         + (int) Math.ceil(admission.rate(now) * health.usual(p));
         if (!tree.sparse) keep = Integer.MAX_VALUE;
-        for (List<Backend> node : tree.path(p)) {
-            Backend pick = pick(now, p, node, keep, best != null);
+        for (List<Endpoint> node : tree.path(p)) {
+            Endpoint pick = pick(now, p, node, keep, best != null);
             if (pick == null || pick == best) continue;
             double cost = cost(now, pick);
             if (best == null || bestCost > cost * SPILL) {
@@ -67,17 +72,18 @@
      * subsetting), so that it keeps few connections; the next ones step in for the sick and full.
      * Harm: fewer servers to choose from.
      */
-    private Backend pick(long now, Pending p, List<Backend> node, int keep, boolean cheapest) {
+    private Endpoint pick(
+            long now, PendingRequest p, List<Endpoint> node, int keep, boolean cheapest) {
         boolean keyed = !cheapest && tree.byKey(p);
         boolean wide = !tree.sparse && !keyed && node.size() > LOOK;
         int most = wide ? LOOK : keyed ? node.size() : Math.min(keep, node.size());
         int from = wide ? random.nextInt(node.size()) : 0;
         int count = 0;
         double least = 0;
-        Backend first = null;
-        Backend second = null;
+        Endpoint first = null;
+        Endpoint second = null;
         for (int i = 0; i < node.size() && count < most; i++) {
-            Backend b = node.get((from + i) % node.size());
+            Endpoint b = node.get((from + i) % node.size());
             // A cold server has its chance only where each of its node has the same to be looked
             // at.
             if (!hasRoom(now, p, b, most) || (wide && i >= LOOK && health.coldShare(now, b) < 1))
@@ -105,11 +111,11 @@
         return second == null || cost(now, first) <= bias * cost(now, second) ? first : second;
     }
 
-    private static long rank(Pending p, Backend b) {
-        return LabelTree.mix(p.request.key(), b.id);
+    private static long rank(PendingRequest p, Endpoint b) {
+        return SubsetTree.mix(p.request.key(), b.id);
     }
 
-    private double cost(long now, Backend b) {
+    private double cost(long now, Endpoint b) {
         double cost = health.slowness(now, b) * (1 + b.out.size());
         if (!Double.isNaN(health.meanUse)) cost /= 1.1 - Math.min(1, health.use(now, b));
         if (tree.sparse && !health.warm(now, b)) {
@@ -124,7 +130,7 @@
      * server with nothing out is tried all the same, one of a crowd of sidecars once an aim. Harm:
      * late answers where they are slow.
      */
-    private boolean connectable(long now, Pending p, Backend b) {
+    private boolean connectable(long now, PendingRequest p, Endpoint b) {
         if (health.warm(now, b)) return true;
         boolean trial =
                 b.out.isEmpty() && (!tree.sparse || now - health.setupAt > health.aimMicros);
@@ -133,7 +139,7 @@
     }
 
     /** Admission control of one server, slow start and half-open trials among it. */
-    private boolean hasRoom(long now, Pending p, Backend b, int among) {
+    private boolean hasRoom(long now, PendingRequest p, Endpoint b, int among) {
         if (health.zoneLimit(b).full() || now < b.pausedUntil || b.silent()) return false;
         if (!p.mayRunOn(now, b, settings.tickMicros())) return false;
         if (!connectable(now, p, b)) return false;
@@ -152,17 +158,17 @@
      * that share of what one of its servers is sent. Nothing is saved up, so no burst can come of
      * it.
      */
-    private boolean chance(Pending p, Backend b, double share, int among) {
+    private boolean chance(PendingRequest p, Endpoint b, double share, int among) {
         double part = SLOW_START * share * admission.admitted / Math.max(1, among);
-        return LabelTree.uniform(p.luck, b.id) < part;
+        return SubsetTree.uniform(p.luck, b.id) < part;
     }
 
     /** An ejected server is tried as if it were cold, less with each failure, by a safe request. */
-    private boolean halfOpen(long now, Pending p, Backend b) {
+    private boolean halfOpen(long now, PendingRequest p, Endpoint b) {
         if (b.out.size() > 0) health.eject(now, b, "still no answer");
         if (now < b.openUntil) return false;
-        boolean safe = p.rules.effect() == Effect.SAFE;
-        if (!p.attempts.isEmpty() || (!safe && settings.anySafe())) return false;
-        return chance(p, b, settings.rules().coldFrom() / b.backoff, 1);
+        boolean safe = p.rules.idempotency() == Idempotency.IDEMPOTENT;
+        if (!p.attempts.isEmpty() || (!safe && settings.anyIdempotentClass())) return false;
+        return chance(p, b, settings.rules().slowStartInitialShare() / b.backoff, 1);
     }
 }
--- a/sidecar/src/main/java/sagefall/LabelTree.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer.routing;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,12 +9,15 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.health.Endpoint;
+import sagefall.balancer.request.PendingRequest;
 
 /**
  * The subset tree: a node is the list of the ready servers that carry all its labels, zone and
  * cell.
  */
-final class LabelTree {
+public final class SubsetTree {
 
     /** Servers that a cell is meant to hold in each zone. */
     private static final double CELL_PER_ZONE = 4;
@@ -22,27 +25,27 @@
     /** How far a tenant's cells exceed its share. */
     private static final double OPEN_CELLS = 3;
 
-    private final LoadBalancer.Settings settings;
-    List<Backend> ready = List.of();
-    private List<List<Backend>> zoneNodes = List.of();
-    private List<List<Backend>> cellNodes = List.of();
-    private List<List<List<Backend>>> zoneCellNodes = List.of();
+    private final BalancerSettings settings;
+    public List<Endpoint> ready = List.of();
+    private List<List<Endpoint>> zoneNodes = List.of();
+    private List<List<Endpoint>> cellNodes = List.of();
+    private List<List<List<Endpoint>>> zoneCellNodes = List.of();
     private int[][] tenantCells = new int[0][];
 
     /**
      * Many quiet sidecars for few servers: own in-flight and samples say little, connections cost
      * much.
      */
-    boolean sparse;
+    public boolean sparse;
 
     private int home;
 
-    LabelTree(LoadBalancer.Settings settings) {
+    public SubsetTree(BalancerSettings settings) {
         this.settings = settings;
     }
 
     /** From the narrowest node to all ready servers. */
-    List<List<Backend>> path(Pending p) {
+    List<List<Endpoint>> path(PendingRequest p) {
         int cell = p.cell % cellNodes.size();
         return List.of(
                 zoneCellNodes.get(home).get(cell), cellNodes.get(cell), zoneNodes.get(home), ready);
@@ -52,7 +55,7 @@
      * One of its tenant's cells: by its key where servers remember keys, by chance, or always the
      * same.
      */
-    int cell(Pending p, SplittableRandom random) {
+    public int cell(PendingRequest p, SplittableRandom random) {
         int[] open = tenantCells.length == 0 ? new int[] {0} : tenantCells[p.tenant];
         return byKey(p)
                 ? first(p.request.key(), open)
@@ -60,17 +63,17 @@
     }
 
     /** Where servers remember keys, the key takes the place of chance in the pick. */
-    boolean byKey(Pending p) {
-        return settings.warmKeys() && p.request.key() >= 0;
+    boolean byKey(PendingRequest p) {
+        return settings.cachesKeys() && p.request.key() >= 0;
     }
 
     /**
      * One pass makes a bitmap for each label value; a node is an intersection; the map has each id
      * once.
      */
-    void rebuild(Collection<Backend> backends) {
+    public void rebuild(Collection<Endpoint> backends) {
         ready = new ArrayList<>();
-        for (Backend b : backends) if (b.usable) ready.add(b);
+        for (Endpoint b : backends) if (b.usable) ready.add(b);
         int zones = Math.max(1, settings.zones().size());
         int cells =
                 Math.max(
@@ -81,7 +84,7 @@
         List<BitSet> byZone = bitmaps(zones);
         List<BitSet> byCell = bitmaps(cells);
         for (int i = 0; i < ready.size(); i++) {
-            Backend b = ready.get(i);
+            Endpoint b = ready.get(i);
             if (b.cells != cells) b.cell = nearest(b.id, cells);
             b.cells = cells;
             if (b.line.zone() >= 0 && b.line.zone() < zones) byZone.get(b.line.zone()).set(i);
@@ -106,7 +109,8 @@
         home = homeZone();
         tenantCells = new int[Math.max(1, settings.tenants().size())][];
         for (int t = 0; t < tenantCells.length; t++) {
-            double share = t < settings.tenants().size() ? settings.tenants().get(t).share() : 1;
+            double share =
+                    t < settings.tenants().size() ? settings.tenants().get(t).quotaShare() : 1;
             int open = Math.min(cells, Math.max(2, (int) Math.ceil(OPEN_CELLS * share * cells)));
             tenantCells[t] = Arrays.copyOf(ranked(~t, cells), open);
         }
@@ -116,8 +120,8 @@
         return Stream.generate(BitSet::new).limit(count).toList();
     }
 
-    private List<Backend> node(BitSet bits) {
-        List<Backend> members = new ArrayList<>(bits.cardinality());
+    private List<Endpoint> node(BitSet bits) {
+        List<Endpoint> members = new ArrayList<>(bits.cardinality());
         for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1))
             members.add(ready.get(i));
         return members;
@@ -179,7 +183,7 @@
         return (mix(id, salt) >>> 11) * 0x1.0p-53;
     }
 
-    static long mix(long id, long cell) {
+    public static long mix(long id, long cell) {
         long h = id * 0x9E3779B97F4A7C15L + (cell + 1) * 0xC2B2AE3D27D4EB4FL;
         h = (h ^ (h >>> 30)) * 0xBF58476D1CE4E5B9L;
         h = (h ^ (h >>> 27)) * 0x94D049BB133111EBL;
--- a/sidecar/src/main/java/sagefall/SettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -1,27 +1,27 @@
-package sagefall;
+package sagefall.config;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.Limits;
-import sagefall.LoadBalancer.ReportSource;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Rules;
-import sagefall.LoadBalancer.Settings;
-import sagefall.LoadBalancer.Tenant;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.FleetRules;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.LoadReportSource;
+import sagefall.balancer.api.RequestClass;
+import sagefall.balancer.api.ServiceLimits;
+import sagefall.balancer.api.Tenant;
 
 /** The settings as the simulator and the sidecar's configuration both spell them. */
-public final class SettingsReader {
+public final class BalancerSettingsReader {
 
-    private SettingsReader() {}
+    private BalancerSettingsReader() {}
 
     /**
      * Turns the settings object into the module's; an {@link IllegalArgumentException} says what is
      * off.
      */
-    public static Settings read(long seed, Map<?, ?> f) {
+    public static BalancerSettings read(long seed, Map<?, ?> f) {
         List<RequestClass> classes = new ArrayList<>();
         for (Object o : Json.array(f, "classes")) {
             classes.add(requestClass(entry(o, "classes")));
@@ -33,11 +33,11 @@
         }
         Map<?, ?> limits = Json.object(f, "policy_limits");
         Map<?, ?> rules = Json.object(f, "rules");
-        ReportSource reports =
+        LoadReportSource reports =
                 "answers".equals(Json.object(f, "report").get("source"))
-                        ? ReportSource.ANSWERS
-                        : ReportSource.NONE;
-        return new Settings(
+                        ? LoadReportSource.ANSWERS
+                        : LoadReportSource.NONE;
+        return new BalancerSettings(
                 seed,
                 (int) Json.whole(f, "rank", 0),
                 (int) Json.whole(f, "replicas_of_me", 1),
@@ -46,14 +46,14 @@
                 classes,
                 tenants,
                 Json.real(f, "over_share_worth", 1),
-                new Limits(
+                new ServiceLimits(
                         (int) Json.whole(limits, "attempts_cap", 1),
                         Json.flag(limits, "cancelling"),
                         Json.flag(limits, "retry_after"),
                         Json.whole(limits, "max_retry_after_us", 0),
                         Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
                         (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE)),
-                new Rules(
+                new FleetRules(
                         Json.real(rules, "cold_from", 1),
                         Json.whole(rules, "cold_us", 0),
                         Json.whole(rules, "fall_us", 0),
@@ -81,20 +81,20 @@
     }
 
     private static RequestClass requestClass(Map<?, ?> c) {
-        Effect effect =
+        Idempotency effect =
                 switch (String.valueOf(c.get("effect"))) {
-                    case "pure" -> Effect.SAFE;
-                    case "token" -> Effect.KEYED;
-                    case "side_effect" -> Effect.UNSAFE;
+                    case "pure" -> Idempotency.IDEMPOTENT;
+                    case "token" -> Idempotency.IDEMPOTENCY_KEY;
+                    case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
                     default ->
                             throw new IllegalArgumentException(
                                     "settings: unknown effect '" + c.get("effect") + "'");
                 };
-        Group group =
+        DeduplicationScope group =
                 switch (String.valueOf(c.get("group"))) {
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
-                    default -> Group.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    case "cell" -> DeduplicationScope.CELL;
+                    default -> DeduplicationScope.ALL;
                 };
         return new RequestClass(
                 String.valueOf(c.get("name")),
--- a/sidecar/src/main/java/sagefall/Section.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigSection.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.config;
 
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -9,13 +9,13 @@
  * written by hand, so a name that nothing reads is a mistake and not a newer figure. Each {@link
  * IllegalArgumentException} is one plain line that names the place.
  */
-public final class Section {
+public final class ConfigSection {
 
     private final String path;
     private final Map<?, ?> values;
     private final Set<String> read = new LinkedHashSet<>();
 
-    public Section(String path, Map<?, ?> values) {
+    public ConfigSection(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
@@ -52,11 +52,11 @@
     }
 
     /** An object; an empty one where it is not given. */
-    public Section section(String name) {
+    public ConfigSection section(String name) {
         read.add(name);
         Object value = values.containsKey(name) ? values.get(name) : Map.of();
         if (value instanceof Map<?, ?> m) {
-            return new Section(path + "." + name, m);
+            return new ConfigSection(path + "." + name, m);
         }
         throw wrong(name, "must be an object");
     }
--- a/sidecar/src/main/java/sagefall/sidecar/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -1,24 +1,26 @@
-package sagefall.sidecar;
+package sagefall.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.StreamReadFeature;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.Section;
-import sagefall.duties.Duties;
-import sagefall.recovery.Recovery;
-import sagefall.streaming.Streaming;
+import sagefall.balancer.api.RequestClass;
+import sagefall.leaderelection.LeaderElectionSettings;
+import sagefall.persistence.PersistenceSettings;
+import sagefall.streaming.StreamingSettings;
 
 /**
  * What the file named by {@code LB_EXTENSIONS} switches on, a section for each subsystem. It is the
  * operators' own and stands beside the platform's configuration, so that none of its names can meet
  * one of the platform's.
  */
-record Extensions(Streaming streaming, Recovery recovery, Duties duties) {
+public record Extensions(
+        StreamingSettings streaming, PersistenceSettings recovery, LeaderElectionSettings duties) {
 
-    static final Extensions NONE = new Extensions(Streaming.OFF, Recovery.OFF, Duties.OFF);
+    static final Extensions NONE =
+            new Extensions(
+                    StreamingSettings.OFF, PersistenceSettings.OFF, LeaderElectionSettings.OFF);
 
     /** Reads the file, if one is named; the exception's message is one plain line. */
     static Extensions read(Map<String, String> environment, List<RequestClass> classes)
@@ -34,19 +36,19 @@
                 file,
                 strict,
                 sections -> {
-                    Section all = new Section("extensions", sections);
-                    Streaming streaming =
+                    ConfigSection all = new ConfigSection("extensions", sections);
+                    StreamingSettings streaming =
                             sections.containsKey("streaming")
-                                    ? Streaming.read(all.section("streaming"), classes)
-                                    : Streaming.OFF;
-                    Recovery recovery =
+                                    ? StreamingSettings.read(all.section("streaming"), classes)
+                                    : StreamingSettings.OFF;
+                    PersistenceSettings recovery =
                             sections.containsKey("recovery")
-                                    ? Recovery.read(all.section("recovery"))
-                                    : Recovery.OFF;
-                    Duties duties =
+                                    ? PersistenceSettings.read(all.section("recovery"))
+                                    : PersistenceSettings.OFF;
+                    LeaderElectionSettings duties =
                             sections.containsKey("duties")
-                                    ? Duties.read(all.section("duties"))
-                                    : Duties.OFF;
+                                    ? LeaderElectionSettings.read(all.section("duties"))
+                                    : LeaderElectionSettings.OFF;
                     all.end();
                     return new Extensions(streaming, recovery, duties);
                 });
--- a/sidecar/src/main/java/sagefall/Json.java
+++ b/sidecar/src/main/java/sagefall/config/Json.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/sidecar/src/main/java/sagefall/sidecar/JsonFile.java
+++ b/sidecar/src/main/java/sagefall/config/JsonFile.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,7 +8,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import sagefall.Json;
 
 /**
  * A file that holds one JSON object; whatever is wrong with it is told in one plain line that names
--- a/sidecar/src/main/java/sagefall/LoadReports.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -1,21 +1,21 @@
-package sagefall;
+package sagefall.config;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import sagefall.LoadBalancer.LoadReport;
+import sagefall.balancer.api.LoadReport;
 
 /**
  * A server's word on its load, in the settings' names: as an object, or as the header of an answer.
  */
-public final class LoadReports {
+public final class LoadReportReader {
 
     private static final String FORM = "TEXT ";
 
     private static final double MOST = 1e6;
 
-    private LoadReports() {}
+    private LoadReportReader() {}
 
     /** The report in an object; what it lacks is unknown. */
     public static LoadReport of(Map<?, ?> m) {
@@ -35,7 +35,7 @@
     /** The first of the headers that can be read; a broken one may stand before it. */
     public static LoadReport parse(List<String> headers) {
         return headers.stream()
-                .map(LoadReports::parse)
+                .map(LoadReportReader::parse)
                 .filter(Objects::nonNull)
                 .findFirst()
                 .orElse(null);
--- a/sidecar/src/main/java/sagefall/sidecar/Config.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.IOException;
@@ -6,21 +6,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.Json;
-import sagefall.LoadBalancer.Limits;
-import sagefall.LoadBalancer.Settings;
-import sagefall.SettingsReader;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.ServiceLimits;
+import sagefall.discovery.EndpointList;
 
 /** What one sidecar is told at its start. */
-record Config(
+public record SidecarConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         int sockets,
-        Settings settings,
+        BalancerSettings settings,
         long connectMicros,
-        ServerList known,
-        ServerList.Reader lists,
+        EndpointList known,
+        EndpointList.Reader lists,
         Extensions extensions) {
 
     /**
@@ -33,12 +32,12 @@
     private static final int LEAST_DESCRIPTORS = 128;
 
     /** Reads the file that {@code LB_CONFIG} names; the exception's message is one plain line. */
-    static Config read(Map<String, String> environment) throws IOException {
+    public static SidecarConfig read(Map<String, String> environment) throws IOException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IOException("LB_CONFIG names no file");
         }
-        Config plain = JsonFile.read(file, new JsonFactory(), c -> of(c, environment));
+        SidecarConfig plain = JsonFile.read(file, new JsonFactory(), c -> of(c, environment));
         return plain.with(Extensions.read(environment, plain.settings.classes()));
     }
 
@@ -46,14 +45,14 @@
      * Reads the file of a running sidecar, which is newer than what the environment says of
      * discovery.
      */
-    static Config reread(Map<String, String> environment) throws IOException {
+    public static SidecarConfig reread(Map<String, String> environment) throws IOException {
         Map<String, String> others = new HashMap<>(environment);
         others.remove("LB_DISCOVERY");
         return read(others);
     }
 
-    private Config with(Extensions others) {
-        return new Config(
+    private SidecarConfig with(Extensions others) {
+        return new SidecarConfig(
                 name, listen, discovery, sockets, settings, connectMicros, known, lists, others);
     }
 
@@ -61,10 +60,10 @@
      * The same with other servers, which nothing has to be asked for, other descriptors, no
      * extensions.
      */
-    Config with(int otherSockets, ServerList servers) {
-        Settings s = settings;
-        Settings pushed =
-                new Settings(
+    public SidecarConfig with(int otherSockets, EndpointList servers) {
+        BalancerSettings s = settings;
+        BalancerSettings pushed =
+                new BalancerSettings(
                         s.seed(),
                         s.rank(),
                         s.replicas(),
@@ -72,14 +71,14 @@
                         s.zones(),
                         s.classes(),
                         s.tenants(),
-                        s.overShareWorth(),
+                        s.overQuotaWeight(),
                         s.limits(),
                         s.rules(),
-                        s.reports(),
+                        s.loadReportSource(),
                         false,
-                        s.warmKeys(),
+                        s.cachesKeys(),
                         s.tickMicros());
-        return new Config(
+        return new SidecarConfig(
                 name,
                 listen,
                 discovery,
@@ -91,29 +90,31 @@
                 Extensions.NONE);
     }
 
-    private static Config of(Map<?, ?> c, Map<String, String> environment) throws IOException {
+    private static SidecarConfig of(Map<?, ?> c, Map<String, String> environment)
+            throws IOException {
         if (!(c.get("settings") instanceof Map<?, ?> facts)) {
             throw new IOException("'settings' is missing");
         }
         Map<?, ?> limits = Json.object(facts, "policy_limits");
-        ServerList.Reader lists =
-                new ServerList.Reader(
-                        SettingsReader.names(facts, "zones"),
-                        SettingsReader.names(facts, "models"));
-        ServerList known =
+        EndpointList.Reader lists =
+                new EndpointList.Reader(
+                        BalancerSettingsReader.names(facts, "zones"),
+                        BalancerSettingsReader.names(facts, "models"));
+        EndpointList known =
                 c.get("known") instanceof Map<?, ?> m
                         ? lists.read(m)
-                        : new ServerList(0, true, List.of());
+                        : new EndpointList(0, true, List.of());
         int sockets = (int) Math.min(65_536, Json.whole(Json.object(c, "limits"), "sockets", 1024));
         if (sockets < LEAST_DESCRIPTORS) {
             throw new IOException("'sockets' must be " + LEAST_DESCRIPTORS + " or more");
         }
         String name = text(c, "name", environment.get("LB_NAME"));
-        InetSocketAddress listen = Addresses.parse(text(c, "listen", environment.get("LB_LISTEN")));
+        InetSocketAddress listen =
+                SocketAddresses.parse(text(c, "listen", environment.get("LB_LISTEN")));
         InetSocketAddress discovery =
-                Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY")));
-        Settings settings = within(SettingsReader.read(seed(c), facts), sockets);
-        return new Config(
+                SocketAddresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY")));
+        BalancerSettings settings = within(BalancerSettingsReader.read(seed(c), facts), sockets);
+        return new SidecarConfig(
                 name,
                 listen,
                 discovery,
@@ -133,17 +134,17 @@
      * so a part stays free for the next ones. On sockets a refusal may always say when to come
      * back: the setting speaks of the simulator's wire.
      */
-    private static Settings within(Settings s, int sockets) {
-        Limits l = s.limits();
-        Limits kept =
-                new Limits(
-                        l.attempts(),
-                        l.cancelling(),
+    private static BalancerSettings within(BalancerSettings s, int sockets) {
+        ServiceLimits l = s.limits();
+        ServiceLimits kept =
+                new ServiceLimits(
+                        l.maxAttempts(),
+                        l.cancellationAllowed(),
                         true,
-                        l.maxRetryAdviceMicros(),
-                        l.idleMicros() / 3 * 2,
-                        Math.min(l.open(), sockets / 3 / 8 * 7));
-        return new Settings(
+                        l.maxRetryAfterMicros(),
+                        l.idleTimeoutMicros() / 3 * 2,
+                        Math.min(l.maxOpenRequests(), sockets / 3 / 8 * 7));
+        return new BalancerSettings(
                 s.seed(),
                 s.rank(),
                 s.replicas(),
@@ -151,12 +152,12 @@
                 s.zones(),
                 s.classes(),
                 s.tenants(),
-                s.overShareWorth(),
+                s.overQuotaWeight(),
                 kept,
                 s.rules(),
-                s.reports(),
-                s.discoveryOnAsk(),
-                s.warmKeys(),
+                s.loadReportSource(),
+                s.pollsDiscovery(),
+                s.cachesKeys(),
                 s.tickMicros());
     }
 
@@ -184,7 +185,7 @@
      * few idle ones more; what remains for clients is that third and as many again as idle or unfit
      * ones may take.
      */
-    int serverConnections() {
+    public int serverConnections() {
         return serverConnections(sockets);
     }
 
@@ -192,7 +193,7 @@
         return (sockets - OWN_DESCRIPTORS) / 9 * 4;
     }
 
-    int clientConnections() {
+    public int clientConnections() {
         return clientConnections(sockets);
     }
 
--- a/sidecar/src/main/java/sagefall/sidecar/Addresses.java
+++ b/sidecar/src/main/java/sagefall/config/SocketAddresses.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.config;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -8,11 +8,11 @@
 /**
  * Reads {@code address:port}. There is no DNS, and a look-up would block the loop: literals only.
  */
-final class Addresses {
+public final class SocketAddresses {
 
-    private Addresses() {}
+    private SocketAddresses() {}
 
-    static InetSocketAddress parse(String text) {
+    public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] address =
                 colon < 0
@@ -34,7 +34,7 @@
         }
     }
 
-    static String text(InetSocketAddress address) {
+    public static String text(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
 }
--- a/sidecar/src/main/java/sagefall/sidecar/Discovery.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.discovery;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -16,16 +16,18 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import sagefall.config.SocketAddresses;
+import sagefall.http.HttpClientConnection;
 
 /**
  * Watches the list of servers. Once asked, the watch goes on by itself; when it fails it stops, and
  * it is the module that asks again.
  */
-final class Discovery {
+public final class DiscoveryClient {
 
     /** What the watch brings, always on the event loop. */
-    interface Listener {
-        void listed(ServerList list);
+    public interface Listener {
+        void listed(EndpointList list);
 
         void failed(String why);
     }
@@ -53,11 +55,11 @@
      * <p>A watch that goes on costs the service nothing, so a shorter wait costs only the sidecar's
      * own time.
      */
-    record Timeouts(long holdMillis, long answerMillis) {
+    public record Timeouts(long holdMillis, long answerMillis) {
         static final Timeouts WITH_AGENT = new Timeouts(3_000, 500);
         static final Timeouts WITH_SERVICE = new Timeouts(1_000, 1_750);
 
-        static Timeouts of(boolean onAsk) {
+        public static Timeouts of(boolean onAsk) {
             return onAsk ? WITH_SERVICE : WITH_AGENT;
         }
     }
@@ -83,7 +85,7 @@
     private static final long EARLY_MILLIS = 100;
 
     private final EventLoop loop;
-    private final ServerList.Reader reader;
+    private final EndpointList.Reader reader;
     private final Listener listener;
     private final Timeouts timeouts;
     private final Consumer<String> log;
@@ -115,10 +117,10 @@
     private Future<?> silence;
     private Future<?> pause;
 
-    Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
-            ServerList.Reader reader,
+            EndpointList.Reader reader,
             long revision,
             Listener listener,
             Consumer<String> log,
@@ -133,7 +135,7 @@
     }
 
     /** Begins to watch; while the watch is on there is nothing to ask for. */
-    void subscribe() {
+    public void subscribe() {
         begun = true;
         if (!watching) {
             watching = true;
@@ -142,12 +144,12 @@
     }
 
     /** The next answer is to be the whole list. */
-    void whole() {
+    public void whole() {
         whole = true;
     }
 
     /** Goes on at another address. What the old one still tells no longer counts. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         if (closed || to.equals(address)) {
             return;
         }
@@ -161,14 +163,14 @@
         }
     }
 
-    void close() {
+    public void close() {
         closed = true;
         watching = false;
         drop();
     }
 
     /** Takes in what discovery has written and the loop has not come to read yet. */
-    void catchUp() {
+    public void catchUp() {
         if (peer != null && peer.up && !telling) {
             peer.link.catchUp();
         }
@@ -198,7 +200,7 @@
             fail("status " + answer.status().code());
             return;
         }
-        ServerList list;
+        EndpointList list;
         try {
             list = reader.read(ByteBufUtil.getBytes(answer.content()));
         } catch (IOException | RuntimeException e) {
@@ -256,8 +258,9 @@
     }
 
     /** A connection to discovery; once it is dropped, nothing that it still tells counts. */
-    private final class Peer implements Link.Owner {
-        private final Link link = new Link(loop, address, MAX_LIST, CONNECT_MICROS, this);
+    private final class Peer implements HttpClientConnection.Owner {
+        private final HttpClientConnection link =
+                new HttpClientConnection(loop, address, MAX_LIST, CONNECT_MICROS, this);
         private boolean up;
 
         private void send() {
@@ -267,7 +270,7 @@
                             HttpMethod.GET,
                             whole ? PATH : PATH + "?from=" + revision + "&hold_ms=" + holdMillis,
                             Unpooled.EMPTY_BUFFER);
-            request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
+            request.headers().set(HttpHeaderNames.HOST, SocketAddresses.text(address));
             link.send(request);
         }
 
@@ -287,7 +290,7 @@
             if (peer == this) {
                 telling = true;
                 try {
-                    Discovery.this.answered(answer);
+                    DiscoveryClient.this.answered(answer);
                 } finally {
                     telling = false;
                 }
--- a/sidecar/src/main/java/sagefall/sidecar/ServerList.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointList.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,23 +8,27 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.Json;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Server;
-import sagefall.recovery.Kept;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.config.Json;
+import sagefall.config.SocketAddresses;
+import sagefall.persistence.EndpointSnapshot;
+import sagefall.persistence.SnapshotChange;
+import sagefall.persistence.SnapshotEntry;
 
 /** Servers in discovery's form: the whole list, or what has changed. */
-record ServerList(long revision, boolean complete, List<Entry> entries) {
+public record EndpointList(long revision, boolean complete, List<Entry> entries) {
 
-    record Entry(Server server, InetSocketAddress address) {}
+    /** An endpoint and the socket address that requests for it go to. */
+    public record Entry(ListedEndpoint server, InetSocketAddress address) {}
 
-    List<Server> servers() {
+    public List<ListedEndpoint> servers() {
         return entries.stream().map(Entry::server).toList();
     }
 
     /** In a few words, for a log. */
-    String told() {
-        long out = entries.stream().filter(e -> e.server().phase() != Phase.READY).count();
+    public String told() {
+        long out = entries.stream().filter(e -> e.server().phase() != EndpointPhase.READY).count();
         return "revision "
                 + revision
                 + " with "
@@ -38,7 +42,7 @@
      * All servers of both, of each the younger process, as this list has it where both have the
      * same.
      */
-    ServerList with(ServerList other) {
+    public EndpointList with(EndpointList other) {
         Map<Long, Entry> all = new LinkedHashMap<>();
         other.entries.forEach(e -> all.put(e.server().id(), e));
         entries.forEach(
@@ -50,22 +54,23 @@
                                         theirs.server().startMicros() > mine.server().startMicros()
                                                 ? theirs
                                                 : mine));
-        return new ServerList(Math.max(revision, other.revision), true, List.copyOf(all.values()));
+        return new EndpointList(
+                Math.max(revision, other.revision), true, List.copyOf(all.values()));
     }
 
     /** Reads lists; zones and models are numbered as in the settings. */
-    record Reader(List<String> zones, List<String> models) {
+    public record Reader(List<String> zones, List<String> models) {
 
         private static final JsonFactory JSON = new JsonFactory();
 
-        ServerList read(byte[] text) throws IOException {
+        public EndpointList read(byte[] text) throws IOException {
             try (JsonParser parser = JSON.createParser(text)) {
                 return read(Json.document(parser));
             }
         }
 
         /** All or nothing: a list that is wrong in one place is not trusted in another. */
-        ServerList read(Map<?, ?> m) throws IOException {
+        public EndpointList read(Map<?, ?> m) throws IOException {
             if (!(m.get("rev") instanceof Long revision)
                     || !(m.get("all") instanceof Boolean complete)
                     || !(m.get("targets") instanceof List<?> targets)) {
@@ -75,19 +80,19 @@
             for (Object target : targets) {
                 entries.add(entry(target));
             }
-            return new ServerList(revision, complete, entries);
+            return new EndpointList(revision, complete, entries);
         }
 
         /** What is to be kept of a list. */
-        Kept.Change change(ServerList list, long atMillis) {
-            Map<Long, Kept.Line> lines = new LinkedHashMap<>();
+        public SnapshotChange change(EndpointList list, long atMillis) {
+            Map<Long, SnapshotEntry> lines = new LinkedHashMap<>();
             for (Entry e : list.entries) {
-                Server s = e.server();
+                ListedEndpoint s = e.server();
                 lines.put(
                         s.id(),
-                        new Kept.Line(
+                        new SnapshotEntry(
                                 s.id(),
-                                Addresses.text(e.address()),
+                                SocketAddresses.text(e.address()),
                                 name(zones, s.zone()),
                                 name(models, s.kind()),
                                 s.cell(),
@@ -96,7 +101,7 @@
                                 s.weight(),
                                 0));
             }
-            return new Kept.Change(list.complete, list.revision, atMillis, lines);
+            return new SnapshotChange(list.complete, list.revision, atMillis, lines);
         }
 
         private static String name(List<String> names, int number) {
@@ -104,12 +109,12 @@
         }
 
         /** The list as it was kept, those that are gone among it. */
-        ServerList kept(Kept kept) {
+        public EndpointList kept(EndpointSnapshot kept) {
             List<Entry> entries = new ArrayList<>();
-            for (Kept.Line line : kept.lines().values()) {
+            for (SnapshotEntry line : kept.lines().values()) {
                 entries.add(
                         new Entry(
-                                new Server(
+                                new ListedEndpoint(
                                         line.id(),
                                         zones.indexOf(line.zone()),
                                         models.indexOf(line.kind()),
@@ -117,9 +122,9 @@
                                         line.phase(),
                                         line.startMicros(),
                                         line.weight()),
-                                Addresses.parse(line.address())));
+                                SocketAddresses.parse(line.address())));
             }
-            return new ServerList(kept.revision(), true, entries);
+            return new EndpointList(kept.revision(), true, entries);
         }
 
         private Entry entry(Object target) throws IOException {
@@ -128,16 +133,16 @@
                     || !(m.get("endpoint") instanceof String endpoint)) {
                 throw new IOException("a target without 'uid' or 'endpoint'");
             }
-            Phase phase =
+            EndpointPhase phase =
                     switch (String.valueOf(m.get("state"))) {
-                        case "in_service" -> Phase.READY;
-                        case "terminating" -> Phase.DRAINING;
-                        case "terminated" -> Phase.REMOVED;
+                        case "in_service" -> EndpointPhase.READY;
+                        case "terminating" -> EndpointPhase.DRAINING;
+                        case "terminated" -> EndpointPhase.REMOVED;
                         default -> throw new IOException("unknown state '" + m.get("state") + "'");
                     };
-            Server server =
-                    new Server(
-                            Ids.of(uid),
+            ListedEndpoint server =
+                    new ListedEndpoint(
+                            StableIds.of(uid),
                             zones.indexOf(m.get("az")),
                             models.indexOf(m.get("model")),
                             (int) Json.whole(m, "pod_group", 0),
@@ -145,7 +150,7 @@
                             Json.whole(m, "boot_ms", 0) * 1000,
                             Json.real(m, "capacity_hint", 1));
             try {
-                return new Entry(server, Addresses.parse(endpoint));
+                return new Entry(server, SocketAddresses.parse(endpoint));
             } catch (IllegalArgumentException e) {
                 throw new IOException(e.getMessage(), e);
             }
--- a/sidecar/src/main/java/sagefall/sidecar/Ids.java
+++ b/sidecar/src/main/java/sagefall/discovery/StableIds.java
@@ -1,12 +1,12 @@
-package sagefall.sidecar;
+package sagefall.discovery;
 
 /** Numbers for texts, the same in every sidecar and after every restart. */
-final class Ids {
+public final class StableIds {
 
-    private Ids() {}
+    private StableIds() {}
 
     /** FNV-1a in 64 bits without the sign: server ids and keys must agree between sidecars. */
-    static long of(String text) {
+    public static long of(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
--- a/sidecar/src/main/java/sagefall/sidecar/Link.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.http;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -36,7 +36,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 import java.util.List;
-import sagefall.streaming.Streaming;
+import sagefall.streaming.StreamingSettings;
 
 /**
  * One outgoing HTTP/1.1 connection. It collects whole answers, and tells of its end exactly once.
@@ -45,13 +45,13 @@
  * written. So an answer is told when all that came with it has been read, with word on whether
  * anything was left over; and a byte that nobody asked for ends the connection.
  */
-final class Link {
+public final class HttpClientConnection {
 
     /** Largest body that is passed on. */
-    static final int MAX_BODY = 64 * 1024;
+    public static final int MAX_BODY = 64 * 1024;
 
     /** What a link tells its owner, always on the event loop. */
-    interface Owner {
+    public interface Owner {
         void opened();
 
         /** The last byte of the request has been handed to the network. */
@@ -127,7 +127,8 @@
         }
     }
 
-    Link(EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, Owner owner) {
+    public HttpClientConnection(
+            EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, Owner owner) {
         this(loop, to, maxBody, connectMicros, false, owner);
     }
 
@@ -135,7 +136,7 @@
      * One that streams may pass over is read in small pieces, so that few bytes come past a
      * watermark.
      */
-    Link(
+    public HttpClientConnection(
             EventLoop loop,
             InetSocketAddress to,
             int maxBody,
@@ -187,8 +188,8 @@
         channel.closeFuture().addListener(f -> later(loop, this::down));
     }
 
-    static AdaptiveRecvByteBufAllocator smallReads() {
-        return new AdaptiveRecvByteBufAllocator(64, 2048, Streaming.READ_BYTES);
+    public static AdaptiveRecvByteBufAllocator smallReads() {
+        return new AdaptiveRecvByteBufAllocator(64, 2048, StreamingSettings.READ_BYTES);
     }
 
     private static void later(EventLoop loop, Runnable task) {
@@ -202,7 +203,7 @@
      * wait in the socket would be taken for the next answer. Not to be called from what this link
      * tells.
      */
-    boolean usable() {
+    public boolean usable() {
         if (!asked) {
             catchUp();
         }
@@ -210,23 +211,23 @@
     }
 
     /** Takes in all that has come so far; not to be called from what this link tells. */
-    void catchUp() {
+    public void catchUp() {
         readNow(channel);
     }
 
     /** Reads what waits in a socket, an end too, without waiting for the loop to come to it. */
-    static void readNow(Channel channel) {
+    public static void readNow(Channel channel) {
         if (channel.isActive() && channel instanceof AbstractNioChannel nio) {
             nio.unsafe().read();
         }
     }
 
-    void send(FullHttpRequest request) {
+    public void send(FullHttpRequest request) {
         send(request, 0);
     }
 
     /** With an answer that passes through as it arrives, up to a length. */
-    void send(FullHttpRequest request, long mostStreamed) {
+    public void send(FullHttpRequest request, long mostStreamed) {
         asked = true;
         this.mostStreamed = mostStreamed;
         channel.writeAndFlush(request)
@@ -244,7 +245,7 @@
      * Sends the head of a request whose body passes through; who sends the body tells that it is
      * written.
      */
-    Channel begin(HttpRequest head, long mostStreamed) {
+    public Channel begin(HttpRequest head, long mostStreamed) {
         asked = true;
         this.mostStreamed = mostStreamed;
         channel.write(head)
@@ -258,11 +259,11 @@
     }
 
     /** Whether what comes is to be read. */
-    void read(boolean on) {
+    public void read(boolean on) {
         channel.config().setAutoRead(on);
     }
 
-    void close() {
+    public void close() {
         channel.close();
     }
 
--- a/sidecar/src/main/java/sagefall/sidecar/Headers.java
+++ b/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.http;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.EmptyHttpHeaders;
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /** Names of the protocol's headers, and which of a message's headers go on. */
-final class Headers {
+public final class ProtocolHeaders {
 
-    static final String REQUEST_ID = "Request-Id";
-    static final String TENANT = "Tenant";
-    static final String TIMEOUT = "Request-Timeout-Ms";
-    static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    static final String RETRY = "Client-Retry";
+    public static final String REQUEST_ID = "Request-Id";
+    public static final String TENANT = "Tenant";
+    public static final String TIMEOUT = "Request-Timeout-Ms";
+    public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    public static final String RETRY = "Client-Retry";
     static final String HINT = "Work-Hint";
-    static final String LOAD = "Server-Load";
-    static final String NOT_STARTED = "Not-Started";
+    public static final String LOAD = "Server-Load";
+    public static final String NOT_STARTED = "Not-Started";
 
     private static final List<CharSequence> ONE_HOP =
             List.of(
@@ -43,10 +43,10 @@
                     HttpHeaderNames.CONTENT_LENGTH,
                     HttpHeaderNames.HOST);
 
-    private Headers() {}
+    private ProtocolHeaders() {}
 
     /** A copy without what concerns one connection only. */
-    static HttpHeaders endToEnd(HttpHeaders headers) {
+    public static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders copy = new DefaultHttpHeaders().set(headers);
         ONE_HOP.forEach(copy::remove);
         return copy;
@@ -55,7 +55,7 @@
     /**
      * Trailers that go on: none that the protocol or the framing gives a meaning ahead of the body.
      */
-    static HttpHeaders trailers(HttpHeaders trailers) {
+    public static HttpHeaders trailers(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
             return EmptyHttpHeaders.INSTANCE;
         }
@@ -65,7 +65,7 @@
     }
 
     /** The only value of a header, or null where there is none or more than one. */
-    static String single(HttpHeaders headers, String name) {
+    public static String single(HttpHeaders headers, String name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 ? values.get(0).trim() : null;
     }
--- a/sidecar/src/main/java/sagefall/duties/FolderStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
@@ -1,4 +1,4 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,11 +15,10 @@
 import java.util.function.LongSupplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import sagefall.Json;
-import sagefall.duties.Lease.Grant;
-import sagefall.recovery.Disk;
-import sagefall.recovery.FolderDisk;
-import sagefall.recovery.WholeFile;
+import sagefall.config.Json;
+import sagefall.persistence.AtomicFile;
+import sagefall.persistence.DirectoryStorage;
+import sagefall.persistence.Storage;
 
 /**
  * A lease for the processes of one machine, in a folder that they share, without any lock: a
@@ -39,7 +38,7 @@
  * <p>Times are of the machine's monotonic clock, which all its processes share; a grant of before
  * the machine's last start has ended.
  */
-public final class FolderStore implements LeaseStore {
+public final class DirectoryLeaseStore implements LeaseStore {
 
     private static final String TERM = "term-";
     private static final int MOST = 4 * 1024 * 1024;
@@ -48,7 +47,7 @@
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private final Disk disk;
+    private final Storage disk;
     private final LongSupplier nanos;
     private final String boot;
 
@@ -58,15 +57,15 @@
     private record Term(long number, String owner, String boot, long untilNanos, long atMillis) {}
 
     /** Makes the folder where there is none. */
-    public FolderStore(Path folder) throws IOException {
+    public DirectoryLeaseStore(Path folder) throws IOException {
         this(
-                FolderDisk.shared(folder),
+                DirectoryStorage.shared(folder),
                 System::nanoTime,
                 boot(),
                 String.valueOf(ProcessHandle.current().pid()));
     }
 
-    FolderStore(Disk disk, LongSupplier nanos, String boot, String word) {
+    DirectoryLeaseStore(Storage disk, LongSupplier nanos, String boot, String word) {
         this.disk = disk;
         this.nanos = nanos;
         this.boot = boot;
@@ -110,8 +109,8 @@
         return t.boot.equals(boot) ? t.untilNanos - nanos.getAsLong() : 0;
     }
 
-    private Grant grant(Term t) {
-        return new Grant(t.number, t.owner, left(t), 0);
+    private LeaseGrant grant(Term t) {
+        return new LeaseGrant(t.number, t.owner, left(t), 0);
     }
 
     @Override
@@ -127,7 +126,7 @@
     }
 
     @Override
-    public Grant acquire(String owner, long leaseNanos) throws IOException {
+    public LeaseGrant acquire(String owner, long leaseNanos) throws IOException {
         Term before = newest();
         if (left(before) > 0) {
             return grant(before);
@@ -139,7 +138,7 @@
                         boot,
                         nanos.getAsLong() + leaseNanos,
                         System.currentTimeMillis());
-        if (!WholeFile.first(disk, TERM + mine.number, bytes(mine), word)) {
+        if (!AtomicFile.first(disk, TERM + mine.number, bytes(mine), word)) {
             return grant(newest());
         }
         Term again = before.number == 0 ? before : term(before.number);
@@ -152,22 +151,22 @@
                             boot,
                             nanos.getAsLong() + wait + leaseNanos,
                             mine.atMillis);
-            WholeFile.write(disk, TERM + mine.number, bytes(mine), word);
+            AtomicFile.write(disk, TERM + mine.number, bytes(mine), word);
         }
         tidy(TERM, mine.number);
         Term newest = newest();
         return newest.number == mine.number
-                ? new Grant(mine.number, owner, left(mine), wait)
+                ? new LeaseGrant(mine.number, owner, left(mine), wait)
                 : grant(newest);
     }
 
     @Override
-    public Grant renew(String owner, long term, long leaseNanos) throws IOException {
+    public LeaseGrant renew(String owner, long term, long leaseNanos) throws IOException {
         Term newest = newest();
         if (newest.number != term || !newest.owner.equals(owner) || !newest.boot.equals(boot)) {
             return grant(newest);
         }
-        WholeFile.write(
+        AtomicFile.write(
                 disk,
                 TERM + term,
                 bytes(new Term(term, owner, boot, nanos.getAsLong() + leaseNanos, newest.atMillis)),
@@ -179,7 +178,7 @@
     public void release(String owner, long term) throws IOException {
         Term newest = newest();
         if (newest.number == term && newest.owner.equals(owner)) {
-            WholeFile.write(
+            AtomicFile.write(
                     disk, TERM + term, bytes(new Term(term, "", boot, 0, newest.atMillis)), word);
         }
     }
@@ -189,7 +188,7 @@
         if (newest().number != term) {
             return false;
         }
-        WholeFile.write(disk, name + "-" + term, body, word);
+        AtomicFile.write(disk, name + "-" + term, body, word);
         tidy(name + "-", term);
         return true;
     }
@@ -201,7 +200,7 @@
             if (values.isEmpty()) {
                 return null;
             }
-            byte[] body = WholeFile.read(disk, values.get(values.lastKey()), MOST);
+            byte[] body = AtomicFile.read(disk, values.get(values.lastKey()), MOST);
             if (body != null) {
                 return new Value(values.lastKey(), body);
             }
@@ -240,7 +239,7 @@
     }
 
     private Term term(long number) throws IOException {
-        byte[] body = WholeFile.read(disk, TERM + number, MOST);
+        byte[] body = AtomicFile.read(disk, TERM + number, MOST);
         if (body == null) {
             return null;
         }
--- a/sidecar/src/main/java/sagefall/duties/Duties.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
@@ -1,7 +1,7 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import java.nio.file.Path;
-import sagefall.Section;
+import sagefall.config.ConfigSection;
 
 /**
  * The section {@code duties}: work that one sidecar of a machine does for all. Without it there is
@@ -10,25 +10,25 @@
  * @param directory a folder that all of them share; null: no duty is taken
  * @param leaseMillis how long a grant lasts that is not renewed
  */
-public record Duties(Path directory, long leaseMillis) {
+public record LeaderElectionSettings(Path directory, long leaseMillis) {
 
     /** Without the section. */
-    public static final Duties OFF = new Duties(null, 0);
+    public static final LeaderElectionSettings OFF = new LeaderElectionSettings(null, 0);
 
     private static final long LEASE_MILLIS = 3_000;
     private static final long LEAST_MILLIS = 600;
     private static final long MOST_MILLIS = 600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
-    public static Duties read(Section section) {
+    public static LeaderElectionSettings read(ConfigSection section) {
         String directory = section.text("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
                 || !Path.of(directory).isAbsolute()) {
             throw section.wrong("directory", "must be the absolute path of a folder");
         }
-        Duties read =
-                new Duties(
+        LeaderElectionSettings read =
+                new LeaderElectionSettings(
                         Path.of(directory),
                         section.whole("lease_ms", LEASE_MILLIS, LEAST_MILLIS, MOST_MILLIS));
         section.end();
--- a/sidecar/src/main/java/sagefall/duties/Holder.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
@@ -1,15 +1,14 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import java.io.IOException;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import sagefall.duties.Lease.Ask;
 
 /**
- * Runs a {@link Lease} against a store, and a duty while it is held, on a thread of its own. No
- * request ever waits for any of it.
+ * Runs a {@link LeaseStateMachine} against a store, and a duty while it is held, on a thread of its
+ * own. No request ever waits for any of it.
  */
-public final class Holder implements AutoCloseable {
+public final class LeaderElector implements AutoCloseable {
 
     /** Longest that the end of the process waits for the lease to be given back. */
     private static final long END_MILLIS = 500;
@@ -18,11 +17,11 @@
 
     private final LeaseStore store;
     private final String owner;
-    private final Duty duty;
+    private final LeaderTask duty;
     private final long leaseNanos;
     private final Consumer<String> log;
     private final SplittableRandom random;
-    private final Lease lease;
+    private final LeaseStateMachine lease;
     private final Thread thread;
     private volatile boolean closed;
     private boolean failing;
@@ -31,10 +30,10 @@
      * @param owner a name that no other process has, nor had: the sidecar's, and its start
      * @param seed of the spread among those who find the lease free
      */
-    public Holder(
+    public LeaderElector(
             LeaseStore store,
             String owner,
-            Duty duty,
+            LeaderTask duty,
             long leaseMillis,
             long seed,
             Consumer<String> log) {
@@ -44,7 +43,7 @@
         this.log = line -> log.accept("duties: " + duty.name() + ": " + line);
         leaseNanos = leaseMillis * NANOS;
         random = new SplittableRandom(seed);
-        lease = new Lease(Lease.Terms.of(leaseNanos), owner, System.nanoTime());
+        lease = new LeaseStateMachine(LeaseTimings.of(leaseNanos), owner, System.nanoTime());
         thread = new Thread(this::run, "duties");
         thread.setDaemon(true);
         thread.start();
@@ -74,11 +73,11 @@
         if (lease.lost(System.nanoTime())) {
             log.accept("stops, term " + lease.term() + " may have ended elsewhere");
         }
-        Ask ask = lease.next(System.nanoTime());
+        LeaseRequest ask = lease.next(System.nanoTime());
         long sentAt = System.nanoTime();
         try {
-            if (ask != Ask.NOTHING) {
-                Lease.Grant grant = ask(ask);
+            if (ask != LeaseRequest.NOTHING) {
+                LeaseGrant grant = ask(ask);
                 if (lease.answered(ask, sentAt, System.nanoTime(), grant, random.nextDouble())) {
                     log.accept(
                             lease.holds()
@@ -99,7 +98,7 @@
         }
     }
 
-    private Lease.Grant ask(Ask ask) throws IOException {
+    private LeaseGrant ask(LeaseRequest ask) throws IOException {
         return switch (ask) {
             case ACQUIRE -> store.acquire(owner, leaseNanos);
             case RENEW -> store.renew(owner, lease.term(), leaseNanos);
--- a/sidecar/src/main/java/sagefall/duties/Duty.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
@@ -1,9 +1,9 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import java.io.IOException;
 
 /** Work that one process does for all, on the thread that holds the lease. */
-public interface Duty {
+public interface LeaderTask {
 
     /** What it is called in the log. */
     String name();
--- a/sidecar/src/main/java/sagefall/duties/Lease.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -1,4 +1,4 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 /**
  * Decides when one process asks for a lease, renews it, and stops counting itself its holder. Pure:
@@ -9,48 +9,9 @@
  * clock; so it stops by {@code margin} before the lease can have ended there. Having been held up
  * for longer than {@code pause}, it does nothing until it has renewed.
  */
-public final class Lease {
+public final class LeaseStateMachine {
 
-    /** What to ask the store for. */
-    public enum Ask {
-        NOTHING,
-        READ,
-        ACQUIRE,
-        RENEW
-    }
-
-    /**
-     * All in nanoseconds.
-     *
-     * @param lease how long a grant lasts
-     * @param margin by which the holder stops sooner than the store lets others in
-     * @param pause how long the holder may have been held up and still act without renewing
-     * @param poll between two looks at who holds it
-     */
-    public record Terms(long lease, long margin, long pause, long poll) {
-
-        /**
-         * What follows from a lease: a sixth for a turn that is late and an action under way, as
-         * much for a pause that need not be noticed, a third between renewals, so that one of two
-         * may fail.
-         */
-        public static Terms of(long lease) {
-            return new Terms(lease, lease / 6, lease / 6, Math.min(lease / 30, 100_000_000));
-        }
-    }
-
-    /**
-     * What the store says.
-     *
-     * @param term of the newest grant
-     * @param owner of it; empty once it was given back
-     * @param leftNanos until it ends; 0 or less: nobody holds it
-     * @param waitNanos until who has just taken it may act, as the one before may have renewed
-     *     meanwhile
-     */
-    public record Grant(long term, String owner, long leftNanos, long waitNanos) {}
-
-    private final Terms terms;
+    private final LeaseTimings terms;
     private final String owner;
     private boolean holds;
     private boolean renewFirst;
@@ -65,7 +26,7 @@
     private boolean unheard;
 
     /** Nobody's yet; the first look is at once. */
-    public Lease(Terms terms, String owner, long now) {
+    public LeaseStateMachine(LeaseTimings terms, String owner, long now) {
         this.terms = terms;
         this.owner = owner;
         askAt = now;
@@ -91,7 +52,7 @@
                 && !renewFirst
                 && now >= actFrom
                 && now < sureUntil
-                && now - seenAt <= terms.pause;
+                && now - seenAt <= terms.pause();
     }
 
     /** When {@link #next} wants to be asked at the latest. */
@@ -101,7 +62,7 @@
 
     /** Time has passed: whether the lease is given up now as it may have ended elsewhere. */
     public boolean lost(long now) {
-        renewFirst |= holds && now - seenAt > terms.pause;
+        renewFirst |= holds && now - seenAt > terms.pause();
         seenAt = now;
         if (holds && now >= sureUntil) {
             holds = false;
@@ -113,14 +74,14 @@
     }
 
     /** What to ask now; each answer, or that there was none, has to be told. */
-    public Ask next(long now) {
+    public LeaseRequest next(long now) {
         if ((holds && renewFirst) || unheard) {
-            return Ask.RENEW;
+            return LeaseRequest.RENEW;
         }
         if (now < askAt) {
-            return Ask.NOTHING;
+            return LeaseRequest.NOTHING;
         }
-        return holds ? Ask.RENEW : free ? Ask.ACQUIRE : Ask.READ;
+        return holds ? LeaseRequest.RENEW : free ? LeaseRequest.ACQUIRE : LeaseRequest.READ;
     }
 
     /**
@@ -131,28 +92,32 @@
      *     holder was lost and over one look where it was given back
      * @return whether it was gained, or lost, by this
      */
-    public boolean answered(Ask ask, long sentAt, long now, Grant grant, double draw) {
-        boolean mine = grant.owner.equals(owner) && grant.leftNanos > 0;
+    public boolean answered(
+            LeaseRequest ask, long sentAt, long now, LeaseGrant grant, double draw) {
+        boolean mine = grant.owner().equals(owner) && grant.leftNanos() > 0;
         boolean before = holds;
-        if (ask == Ask.READ) {
+        if (ask == LeaseRequest.READ) {
             unheard = mine;
-            term = mine ? grant.term : term;
-            free = grant.leftNanos <= 0;
-            long spread = !free ? terms.poll : grant.owner.isEmpty() ? terms.poll : terms.lease / 3;
-            askAt = now + (long) (free ? draw * spread : Math.min(terms.poll, grant.leftNanos));
+            term = mine ? grant.term() : term;
+            free = grant.leftNanos() <= 0;
+            long spread =
+                    !free
+                            ? terms.poll()
+                            : grant.owner().isEmpty() ? terms.poll() : terms.lease() / 3;
+            askAt = now + (long) (free ? draw * spread : Math.min(terms.poll(), grant.leftNanos()));
             return false;
         }
         free = false;
         unheard = false;
-        holds = mine && (ask == Ask.ACQUIRE || grant.term == term);
+        holds = mine && (ask == LeaseRequest.ACQUIRE || grant.term() == term);
         if (holds) {
-            term = grant.term;
-            actFrom = Math.max(ask == Ask.ACQUIRE ? 0 : actFrom, now + grant.waitNanos);
-            sureUntil = sentAt + terms.lease - terms.margin;
-            askAt = sentAt + terms.lease / 3;
-            renewFirst = now - sentAt > terms.pause;
+            term = grant.term();
+            actFrom = Math.max(ask == LeaseRequest.ACQUIRE ? 0 : actFrom, now + grant.waitNanos());
+            sureUntil = sentAt + terms.lease() - terms.margin();
+            askAt = sentAt + terms.lease() / 3;
+            renewFirst = now - sentAt > terms.pause();
         } else {
-            askAt = now + terms.poll;
+            askAt = now + terms.poll();
         }
         return before != holds;
     }
@@ -163,12 +128,12 @@
     public void failed(long now) {
         free = false;
         unheard = false;
-        askAt = now + terms.poll;
+        askAt = now + terms.poll();
     }
 
     /** It is given back. */
     public void released(long now) {
         holds = false;
-        askAt = now + terms.lease;
+        askAt = now + terms.lease();
     }
 }
--- a/sidecar/src/main/java/sagefall/duties/LeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStore.java
@@ -1,4 +1,4 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import java.io.IOException;
 import java.util.List;
@@ -14,7 +14,7 @@
     record Past(long term, String owner, long atMillis) {}
 
     /** Who holds it, and the latest grants, the newest last. */
-    record Status(Lease.Grant grant, List<Past> past) {}
+    record Status(LeaseGrant grant, List<Past> past) {}
 
     /** A value and the term that it was written under. */
     record Value(long term, byte[] body) {}
@@ -22,10 +22,10 @@
     Status status() throws IOException;
 
     /** Takes it if nobody holds it; says who does. */
-    Lease.Grant acquire(String owner, long leaseNanos) throws IOException;
+    LeaseGrant acquire(String owner, long leaseNanos) throws IOException;
 
     /** Makes it last from now on, if that term is still the newest one; says who holds it. */
-    Lease.Grant renew(String owner, long term, long leaseNanos) throws IOException;
+    LeaseGrant renew(String owner, long term, long leaseNanos) throws IOException;
 
     /** Gives it back, so that another may have it at once. */
     void release(String owner, long term) throws IOException;
--- a/sidecar/src/main/java/sagefall/duties/Digest.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
@@ -1,7 +1,8 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import java.io.IOException;
-import sagefall.recovery.Kept;
+import sagefall.persistence.EndpointSnapshot;
+import sagefall.persistence.SnapshotChange;
 
 /**
  * The duty of writing down, for all sidecars of a machine, what discovery told last: one that
@@ -9,19 +10,19 @@
  * server, as another's list has another's addresses; and it never goes back to an older revision,
  * whoever holds the duty.
  */
-public final class Digest implements Duty {
+public final class SharedEndpointSnapshot implements LeaderTask {
 
     private static final String FILE = "digest";
     private static final String OWNER = "digest";
 
-    private Kept state = Kept.nothing(OWNER);
-    private Kept.Change pending;
+    private EndpointSnapshot state = EndpointSnapshot.nothing(OWNER);
+    private SnapshotChange pending;
 
     /** What it holds, and the term under which it was written. */
-    public record Read(Kept kept, long term) {}
+    public record Read(EndpointSnapshot kept, long term) {}
 
     /** Takes over what discovery told; never waits. */
-    public synchronized void told(Kept.Change change) {
+    public synchronized void told(SnapshotChange change) {
         pending = pending == null ? change : pending.then(change);
     }
 
@@ -35,7 +36,7 @@
         return pending != null;
     }
 
-    private synchronized Kept next() {
+    private synchronized EndpointSnapshot next() {
         if (pending != null) {
             state = state.with(pending);
             pending = null;
@@ -45,7 +46,7 @@
 
     @Override
     public boolean act(LeaseStore store, long term) throws IOException {
-        Kept next = next();
+        EndpointSnapshot next = next();
         Read before = read(store);
         return (before != null && before.kept.revision() > next.revision())
                 || store.publish(term, FILE, next.bytes(term));
@@ -54,6 +55,9 @@
     /** What was written last; null where there is none. */
     public static Read read(LeaseStore store) throws IOException {
         LeaseStore.Value value = store.read(FILE);
-        return value == null ? null : new Read(Kept.kept(Kept.values(value.body())), value.term());
+        return value == null
+                ? null
+                : new Read(
+                        EndpointSnapshot.kept(EndpointSnapshot.values(value.body())), value.term());
     }
 }
--- a/sidecar/src/main/java/sagefall/recovery/WholeFile.java
+++ b/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -10,7 +10,7 @@
  * is written aside, forced and renamed, and the folder forced, so a power loss leaves the old one
  * or the new one.
  */
-public final class WholeFile {
+public final class AtomicFile {
 
     /** What it begins with; the last byte is the version of the format. */
     static final byte[] MAGIC = {'S', 'F', 'K', 'E', 'P', 'T', 0, 1};
@@ -20,15 +20,16 @@
 
     private static final String NEXT = ".next";
 
-    private WholeFile() {}
+    private AtomicFile() {}
 
     /** Once this returns the file is on the disk. */
-    public static void write(Disk disk, String name, byte[] body) throws IOException {
+    public static void write(Storage disk, String name, byte[] body) throws IOException {
         write(disk, name, body, "");
     }
 
     /** The same where several processes write: no two may use one word at a time. */
-    public static void write(Disk disk, String name, byte[] body, String word) throws IOException {
+    public static void write(Storage disk, String name, byte[] body, String word)
+            throws IOException {
         aside(disk, name + NEXT + word, body);
         disk.rename(name + NEXT + word, name);
         disk.forceNames();
@@ -38,7 +39,7 @@
      * Writes a file that nobody has yet; whether it was the first. Once this returns it is on the
      * disk.
      */
-    public static boolean first(Disk disk, String name, byte[] body, String word)
+    public static boolean first(Storage disk, String name, byte[] body, String word)
             throws IOException {
         aside(disk, name + NEXT + word, body);
         boolean mine = disk.link(name + NEXT + word, name);
@@ -47,8 +48,8 @@
         return mine;
     }
 
-    private static void aside(Disk disk, String name, byte[] body) throws IOException {
-        try (Disk.Out out = disk.create(name)) {
+    private static void aside(Storage disk, String name, byte[] body) throws IOException {
+        try (Storage.Out out = disk.create(name)) {
             out.write(MAGIC);
             out.write(record(body, 0));
             out.force();
@@ -58,7 +59,7 @@
     /**
      * The body; null where there is no such file. What is wrong with it is told in one plain line.
      */
-    public static byte[] read(Disk disk, String name, long most) throws IOException {
+    public static byte[] read(Storage disk, String name, long most) throws IOException {
         byte[] bytes = disk.read(name, most);
         if (bytes == null) {
             return null;
--- a/sidecar/src/main/java/sagefall/recovery/FolderDisk.java
+++ b/sidecar/src/main/java/sagefall/persistence/DirectoryStorage.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -15,20 +15,20 @@
 import java.util.stream.Stream;
 
 /** A folder of the machine's, held by one process, or shared. */
-public final class FolderDisk implements Disk {
+public final class DirectoryStorage implements Storage {
 
     private static final String LOCK = "lock";
 
     private final Path folder;
     private final FileChannel lock;
 
-    private FolderDisk(Path folder, FileChannel lock) throws IOException {
+    private DirectoryStorage(Path folder, FileChannel lock) throws IOException {
         this.folder = folder;
         this.lock = lock;
     }
 
     /** Makes the folder where there is none; fails where another process holds it. */
-    public static FolderDisk own(Path folder) throws IOException {
+    public static DirectoryStorage own(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lock =
                 FileChannel.open(
@@ -43,12 +43,12 @@
             lock.close();
             throw new IOException(folder + " is in use by another process");
         }
-        return new FolderDisk(folder, lock);
+        return new DirectoryStorage(folder, lock);
     }
 
     /** One that several processes use at a time. */
-    public static FolderDisk shared(Path folder) throws IOException {
-        return new FolderDisk(Files.createDirectories(folder), null);
+    public static DirectoryStorage shared(Path folder) throws IOException {
+        return new DirectoryStorage(Files.createDirectories(folder), null);
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/recovery/Recovery.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -1,7 +1,7 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.nio.file.Path;
-import sagefall.Section;
+import sagefall.config.ConfigSection;
 
 /**
  * The section {@code recovery}: where a sidecar keeps what it was told, so that a start after a
@@ -14,7 +14,7 @@
  * @param forceEach whether each change is forced to the disk, or only snapshots and the epoch
  * @param clockOffsetMillis what the wall clock is set off by, for trials of clocks that are wrong
  */
-public record Recovery(
+public record PersistenceSettings(
         Path directory,
         long maxBytes,
         long maxAgeMillis,
@@ -22,7 +22,7 @@
         long clockOffsetMillis) {
 
     /** Without the section. */
-    public static final Recovery OFF = new Recovery(null, 0, 0, false, 0);
+    public static final PersistenceSettings OFF = new PersistenceSettings(null, 0, 0, false, 0);
 
     private static final long BYTES = 4 * 1024 * 1024;
     private static final long LEAST_BYTES = 64 * 1024;
@@ -31,7 +31,7 @@
     private static final long MOST_AGE_MILLIS = 30L * 24 * 3_600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
-    public static Recovery read(Section section) {
+    public static PersistenceSettings read(ConfigSection section) {
         String directory = section.text("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
@@ -42,8 +42,8 @@
         if (!sync.equals("each") && !sync.equals("snapshot")) {
             throw section.wrong("sync", "must be 'each' or 'snapshot'");
         }
-        Recovery read =
-                new Recovery(
+        PersistenceSettings read =
+                new PersistenceSettings(
                         Path.of(directory),
                         section.whole("max_bytes", BYTES, LEAST_BYTES, MOST_BYTES),
                         section.whole("max_age_ms", AGE_MILLIS, 0, MOST_AGE_MILLIS),
--- a/sidecar/src/main/java/sagefall/recovery/Keeper.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
@@ -12,11 +12,11 @@
  * into one change, so a stalled or full disk costs bounded memory and no request any time; once it
  * takes writes again all is written anew.
  */
-public final class Keeper implements AutoCloseable {
+public final class SnapshotStore implements AutoCloseable {
 
     /** How the folder is come by. */
     interface Opening {
-        Disk open() throws IOException;
+        Storage open() throws IOException;
     }
 
     private static final long RETRY_MILLIS = 1_000;
@@ -24,21 +24,21 @@
     /** Longest that the end of the process waits for the last change. */
     private static final long END_MILLIS = 500;
 
-    private final Recovery section;
+    private final PersistenceSettings section;
     private final Consumer<String> log;
-    private final CompletableFuture<Kept> opened = new CompletableFuture<>();
+    private final CompletableFuture<EndpointSnapshot> opened = new CompletableFuture<>();
     private final Thread thread;
-    private Kept.Change pending;
+    private SnapshotChange pending;
     private boolean closed;
 
     /**
      * Opens the folder and goes on keeping, on a thread of its own; nothing here waits for a disk.
      */
-    public Keeper(Recovery section, String name, Consumer<String> log) {
-        this(section, name, log, () -> FolderDisk.own(section.directory()));
+    public SnapshotStore(PersistenceSettings section, String name, Consumer<String> log) {
+        this(section, name, log, () -> DirectoryStorage.own(section.directory()));
     }
 
-    Keeper(Recovery section, String name, Consumer<String> log, Opening opening) {
+    SnapshotStore(PersistenceSettings section, String name, Consumer<String> log, Opening opening) {
         this.section = section;
         this.log = line -> log.accept("recovery: " + line);
         thread = new Thread(() -> run(name, opening), "keeping");
@@ -50,7 +50,7 @@
      * What earlier lives kept, with the epoch of this one; null where there is none, or not in
      * time.
      */
-    public Kept opened(long millis) throws InterruptedException {
+    public EndpointSnapshot opened(long millis) throws InterruptedException {
         try {
             return opened.get(millis, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
@@ -65,7 +65,7 @@
     /**
      * Whether what was kept then still tells how things are, and not only what to stay away from.
      */
-    public boolean fresh(Kept kept) {
+    public boolean fresh(EndpointSnapshot kept) {
         long age = section.wallMillis() - kept.atMillis();
         return kept.revision() > 0 && age >= 0 && age <= section.maxAgeMillis();
     }
@@ -76,7 +76,7 @@
     }
 
     /** Takes a change over; never waits. */
-    public synchronized void told(Kept.Change change) {
+    public synchronized void told(SnapshotChange change) {
         pending = pending == null ? change : pending.then(change);
         notifyAll();
     }
@@ -84,14 +84,14 @@
     // After a failure any wake-up, also a spurious one, may end the wait: the retry only comes
     // sooner.
     @SuppressWarnings("WaitNotInLoop")
-    private synchronized Kept.Change next(boolean failed) throws InterruptedException {
+    private synchronized SnapshotChange next(boolean failed) throws InterruptedException {
         while (pending == null && !closed && !failed) {
             wait();
         }
         if (failed && !closed) {
             wait(RETRY_MILLIS);
         }
-        Kept.Change next = pending;
+        SnapshotChange next = pending;
         pending = null;
         return next;
     }
@@ -101,10 +101,10 @@
     }
 
     private void run(String name, Opening opening) {
-        Journal journal;
+        WriteAheadLog journal;
         try {
             journal =
-                    Journal.open(
+                    WriteAheadLog.open(
                             opening.open(), name, section.maxBytes(), section.forceEach(), log);
         } catch (IOException | RuntimeException e) {
             opened.completeExceptionally(e);
@@ -114,7 +114,7 @@
         boolean failed = false;
         try {
             while (!ended()) {
-                Kept.Change next = next(failed);
+                SnapshotChange next = next(failed);
                 boolean before = failed;
                 try {
                     if (next != null) {
--- a/sidecar/src/main/java/sagefall/recovery/Disk.java
+++ b/sidecar/src/main/java/sagefall/persistence/Storage.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -8,7 +8,7 @@
  * All that keeping asks of a folder, so that a power loss at each of these calls can be played.
  * What was written counts as kept only once it was forced, and a name only once the folder was.
  */
-public interface Disk extends Closeable {
+public interface Storage extends Closeable {
 
     /** A file that is written from its beginning on. */
     interface Out extends Closeable {
--- a/sidecar/src/main/java/sagefall/recovery/Journal.java
+++ b/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -17,28 +17,28 @@
  * <p>Each start writes a snapshot with the next epoch, so that nothing is ever appended to an old
  * log.
  */
-final class Journal implements Closeable {
+final class WriteAheadLog implements Closeable {
 
     static final String STATE = "state";
     static final String LOG = "log-";
     static final String ASIDE = "aside-";
-    private static final byte[] MAGIC = WholeFile.MAGIC;
-    private static final int HEAD = WholeFile.HEAD;
+    private static final byte[] MAGIC = AtomicFile.MAGIC;
+    private static final int HEAD = AtomicFile.HEAD;
     private static final long MOST_SUMMED = 64 * 1024 * 1024;
 
-    private final Disk disk;
+    private final Storage disk;
     private final long maxBytes;
     private final boolean forceEach;
-    private Kept state;
+    private EndpointSnapshot state;
     private long generation;
-    private Disk.Out log;
+    private Storage.Out log;
     private long written;
     private long forced;
 
     /** What the files hold is not known to be whole: only a snapshot may follow. */
     private boolean broken;
 
-    private Journal(Disk disk, long maxBytes, boolean forceEach) {
+    private WriteAheadLog(Storage disk, long maxBytes, boolean forceEach) {
         this.disk = disk;
         this.maxBytes = maxBytes;
         this.forceEach = forceEach;
@@ -47,11 +47,11 @@
     /**
      * What is put aside and why is told in one line; the epoch is on the disk once this returns.
      */
-    static Journal open(
-            Disk disk, String name, long maxBytes, boolean forceEach, Consumer<String> say)
+    static WriteAheadLog open(
+            Storage disk, String name, long maxBytes, boolean forceEach, Consumer<String> say)
             throws IOException {
-        Journal journal = new Journal(disk, maxBytes, forceEach);
-        Kept kept = Kept.nothing(name);
+        WriteAheadLog journal = new WriteAheadLog(disk, maxBytes, forceEach);
+        EndpointSnapshot kept = EndpointSnapshot.nothing(name);
         Reading reading = new Reading(disk, maxBytes);
         try {
             kept = reading.read(name);
@@ -61,7 +61,7 @@
         } catch (Unreadable e) {
             journal.putAside();
             say.accept("put aside, nothing is kept: " + e.getMessage());
-            kept = new Kept(name, e.theirs ? 0 : reading.epoch, 0, 0, Map.of());
+            kept = new EndpointSnapshot(name, e.theirs ? 0 : reading.epoch, 0, 0, Map.of());
         }
         journal.generation = reading.newest;
         journal.state = kept.started();
@@ -69,14 +69,14 @@
         return journal;
     }
 
-    Kept state() {
+    EndpointSnapshot state() {
         return state;
     }
 
     /** Returns once the change is kept, or at least written. */
-    void append(Kept.Change change) throws IOException {
+    void append(SnapshotChange change) throws IOException {
         state = state.with(change);
-        byte[] body = Kept.bytes(change);
+        byte[] body = EndpointSnapshot.bytes(change);
         boolean lost = log != null && !disk.has(LOG + generation);
         if (broken || lost || (log != null && written + HEAD + body.length > maxBytes / 2)) {
             snapshot();
@@ -91,7 +91,7 @@
             written = MAGIC.length;
             forced = written;
         }
-        log.write(WholeFile.record(body, forced));
+        log.write(AtomicFile.record(body, forced));
         written += HEAD + body.length;
         if (forceEach) {
             log.force();
@@ -109,7 +109,7 @@
         }
         broken = true;
         closeLog();
-        WholeFile.write(disk, STATE, body);
+        AtomicFile.write(disk, STATE, body);
         generation++;
         written = 0;
         forced = 0;
@@ -122,7 +122,7 @@
     }
 
     private void closeLog() throws IOException {
-        Disk.Out old = log;
+        Storage.Out old = log;
         log = null;
         if (old != null) {
             old.close();
@@ -158,33 +158,33 @@
 
     /** One reading of the folder. */
     private static final class Reading {
-        private final Disk disk;
+        private final Storage disk;
         private final long most;
         private long newest;
         private long epoch;
         private long cut;
 
-        Reading(Disk disk, long most) {
+        Reading(Storage disk, long most) {
             this.disk = disk;
             this.most = most;
         }
 
-        Kept read(String name) throws IOException, Unreadable {
+        EndpointSnapshot read(String name) throws IOException, Unreadable {
             for (String each : disk.names()) {
                 if (each.matches(LOG + "[0-9]{1,18}")) {
                     newest = Math.max(newest, Long.parseLong(each.substring(LOG.length())));
                 }
             }
-            Kept kept;
+            EndpointSnapshot kept;
             long mine;
             try {
-                byte[] body = WholeFile.read(disk, STATE, most);
+                byte[] body = AtomicFile.read(disk, STATE, most);
                 if (body == null) {
-                    return Kept.nothing(name);
+                    return EndpointSnapshot.nothing(name);
                 }
-                Map<String, Object> values = Kept.values(body);
-                kept = Kept.kept(values);
-                mine = Kept.number(values, "generation");
+                Map<String, Object> values = EndpointSnapshot.values(body);
+                kept = EndpointSnapshot.kept(values);
+                mine = EndpointSnapshot.number(values, "generation");
             } catch (IOException e) {
                 throw new Unreadable(e.getMessage(), false);
             }
@@ -196,12 +196,12 @@
             return log(kept, LOG + mine);
         }
 
-        private Kept log(Kept kept, String name) throws Unreadable {
+        private EndpointSnapshot log(EndpointSnapshot kept, String name) throws Unreadable {
             byte[] bytes;
             try {
                 bytes = disk.read(name, most);
                 if (bytes != null && bytes.length > MAGIC.length) {
-                    WholeFile.head(name, bytes);
+                    AtomicFile.head(name, bytes);
                 }
             } catch (IOException e) {
                 throw new Unreadable(e.getMessage(), false);
@@ -214,13 +214,13 @@
                 cut = bytes.length < MAGIC.length ? bytes.length : 0;
                 return kept;
             }
-            Kept now = kept;
+            EndpointSnapshot now = kept;
             int at = MAGIC.length;
             for (byte[] body;
-                    at < bytes.length && (body = WholeFile.body(bytes, at)) != null;
+                    at < bytes.length && (body = AtomicFile.body(bytes, at)) != null;
                     at += HEAD + body.length) {
                 try {
-                    now = now.with(Kept.change(Kept.values(body)));
+                    now = now.with(EndpointSnapshot.change(EndpointSnapshot.values(body)));
                 } catch (IOException e) {
                     throw new Unreadable(name + ": " + e.getMessage(), false);
                 }
@@ -245,7 +245,7 @@
                         && length <= bytes.length - at - HEAD
                         && head.getLong(at + 8) > bad) {
                     left -= length;
-                    if (WholeFile.body(bytes, at) != null) {
+                    if (AtomicFile.body(bytes, at) != null) {
                         return true;
                     }
                 }
--- a/sidecar/src/main/java/sagefall/sidecar/Deadlines.java
+++ b/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -13,34 +13,34 @@
  * each event too. One timer for all, since nearly all requests are answered before theirs would
  * act.
  */
-final class Deadlines {
+final class DeadlineTimers {
 
     private final EventLoop loop;
-    private final Clock clock;
-    private final Consumer<Call> overdue;
-    private final TreeSet<Call> calls =
+    private final WallClock clock;
+    private final Consumer<ProxiedRequest> overdue;
+    private final TreeSet<ProxiedRequest> calls =
             new TreeSet<>(
-                    Comparator.comparingLong((Call c) -> c.dueMicros)
+                    Comparator.comparingLong((ProxiedRequest c) -> c.dueMicros)
                             .thenComparing(c -> c.request.id()));
     private Future<?> timer;
     private long timerAt;
 
     /** Calls come back through {@code overdue}, each once and no longer held. */
-    Deadlines(EventLoop loop, Clock clock, Consumer<Call> overdue) {
+    DeadlineTimers(EventLoop loop, WallClock clock, Consumer<ProxiedRequest> overdue) {
         this.loop = loop;
         this.clock = clock;
         this.overdue = overdue;
     }
 
     /** Moves it, if it is held already. */
-    void set(Call call, long dueMicros) {
+    void set(ProxiedRequest call, long dueMicros) {
         calls.remove(call);
         call.dueMicros = dueMicros;
         calls.add(call);
         schedule();
     }
 
-    void remove(Call call) {
+    void remove(ProxiedRequest call) {
         calls.remove(call);
     }
 
--- a/sidecar/src/main/java/sagefall/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -22,11 +22,17 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Server;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.RequestClass;
+import sagefall.config.SidecarConfig;
+import sagefall.discovery.EndpointList;
+import sagefall.http.HttpClientConnection;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestParser;
 
 /**
  * Made-up requests before the first real one: a sidecar of its own, whose only servers are this
@@ -41,7 +47,7 @@
  * to the time that a restart takes, so it has an end by the clock as well as by count; meanwhile
  * {@code /healthz} answers 503.
  */
-final class WarmUp implements ClientServer.Service {
+final class JvmWarmUp implements DownstreamListener.Service {
 
     private static final int SERVERS = 8;
     private static final int CLIENTS = 4;
@@ -53,11 +59,11 @@
 
     private static final long TURN_MILLIS = 1;
     private static final HttpHeaders LOAD =
-            new DefaultHttpHeaders().set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
+            new DefaultHttpHeaders().set(ProtocolHeaders.LOAD, "TEXT util=0.5, qps=10, eps=0");
 
     private final EventLoop loop;
-    private final Turns turns;
-    private final Config config;
+    private final LoopLatencyClock turns;
+    private final SidecarConfig config;
     private final String prefix;
 
     /**
@@ -68,27 +74,27 @@
 
     private final CountDownLatch ended = new CountDownLatch(1);
     private final int requests;
-    private final ClientServer stage;
-    private Sidecar sidecar;
+    private final DownstreamListener stage;
+    private SidecarServer sidecar;
     private int sent;
     private int answered;
     private boolean over;
 
-    private WarmUp(EventLoop loop, Turns turns, Config config, int requests) {
+    private JvmWarmUp(EventLoop loop, LoopLatencyClock turns, SidecarConfig config, int requests) {
         this.loop = loop;
         this.turns = turns;
         this.config = config;
         this.requests = requests;
         prefix = Long.toHexString(new SplittableRandom(config.settings().seed()).nextLong()) + "-";
-        stage = new ClientServer(loop, turns, this, SOCKETS, line -> {});
+        stage = new DownstreamListener(loop, turns, this, SOCKETS, line -> {});
     }
 
     /** Goes through so many requests, or as many as there is time for; how many were answered. */
-    static int run(Config config, int requests, long millis) throws InterruptedException {
+    static int run(SidecarConfig config, int requests, long millis) throws InterruptedException {
         // A loop of its own: with it go all connections and timers of the warm-up.
-        Turns turns = new Turns();
+        LoopLatencyClock turns = new LoopLatencyClock();
         var group = turns.group();
-        WarmUp warmUp = new WarmUp(group.next(), turns, config, requests);
+        JvmWarmUp warmUp = new JvmWarmUp(group.next(), turns, config, requests);
         try {
             warmUp.loop.execute(warmUp::open);
             warmUp.ended.await(millis, TimeUnit.MILLISECONDS);
@@ -123,15 +129,18 @@
     }
 
     private void begin(InetSocketAddress address) {
-        List<ServerList.Entry> servers = new ArrayList<>();
+        List<EndpointList.Entry> servers = new ArrayList<>();
         int zones = Math.max(1, config.settings().zones().size());
         for (int i = 0; i < SERVERS; i++) {
             servers.add(
-                    new ServerList.Entry(
-                            new Server(i, i % zones, 0, 0, Phase.READY, 0, 1), address));
+                    new EndpointList.Entry(
+                            new ListedEndpoint(i, i % zones, 0, 0, EndpointPhase.READY, 0, 1),
+                            address));
         }
-        Config own = config.with(SOCKETS, new ServerList(0, true, servers));
-        sidecar = new Sidecar(loop, turns, own, new PrintStream(OutputStream.nullOutputStream()));
+        SidecarConfig own = config.with(SOCKETS, new EndpointList(0, true, servers));
+        sidecar =
+                new SidecarServer(
+                        loop, turns, own, new PrintStream(OutputStream.nullOutputStream()));
         sidecar.open();
         for (int i = 0; i < CLIENTS; i++) {
             new Client(address);
@@ -144,8 +153,9 @@
     }
 
     @Override
-    public void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest {
-        String id = String.valueOf(http.headers().get(Headers.REQUEST_ID));
+    public void take(FullHttpRequest http, ProxiedRequest.Client client)
+            throws RequestParser.BadRequest {
+        String id = String.valueOf(http.headers().get(ProtocolHeaders.REQUEST_ID));
         if (!id.startsWith(prefix)) {
             // Nobody should ask before the sidecar is ready; it can't serve yet, and has no word on
             // a retry.
@@ -161,15 +171,15 @@
     }
 
     @Override
-    public void left(Call.Client client) {
+    public void left(ProxiedRequest.Client client) {
         sidecar.left(client);
     }
 
     private FullHttpRequest next() {
         int number = sent++;
-        Settings settings = config.settings();
+        BalancerSettings settings = config.settings();
         RequestClass c = settings.classes().get(number % settings.classes().size());
-        boolean safe = c.effect() == Effect.SAFE;
+        boolean safe = c.idempotency() == Idempotency.IDEMPOTENT;
         ByteBuf body = Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]);
         FullHttpRequest next =
                 new DefaultFullHttpRequest(
@@ -180,16 +190,16 @@
         long millis = number % REFUSED == REFUSED - 1 ? 1 : c.deadlineMicros() / 1000;
         next.headers()
                 .set(HttpHeaderNames.HOST, "warm-up")
-                .set(Headers.REQUEST_ID, prefix + number)
-                .set(Headers.TIMEOUT, Math.max(1, millis));
+                .set(ProtocolHeaders.REQUEST_ID, prefix + number)
+                .set(ProtocolHeaders.TIMEOUT, Math.max(1, millis));
         if (!settings.tenants().isEmpty()) {
             next.headers()
                     .set(
-                            Headers.TENANT,
+                            ProtocolHeaders.TENANT,
                             settings.tenants().get(number % settings.tenants().size()).name());
         }
-        if (c.effect() == Effect.KEYED) {
-            next.headers().set(Headers.IDEMPOTENCY_KEY, prefix + number);
+        if (c.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            next.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, prefix + number);
         }
         if (!safe) {
             next.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
@@ -198,11 +208,17 @@
     }
 
     /** Asks again as soon as it has an answer. */
-    private final class Client implements Link.Owner {
-        private final Link link;
+    private final class Client implements HttpClientConnection.Owner {
+        private final HttpClientConnection link;
 
         Client(InetSocketAddress address) {
-            link = new Link(loop, address, Link.MAX_BODY, config.connectMicros(), this);
+            link =
+                    new HttpClientConnection(
+                            loop,
+                            address,
+                            HttpClientConnection.MAX_BODY,
+                            config.connectMicros(),
+                            this);
         }
 
         @Override
--- a/sidecar/src/main/java/sagefall/sidecar/Turns.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.SelectStrategy;
@@ -18,7 +18,7 @@
  * the end of a long turn, or soon after, is taken for as old as that turn, and what comes to an
  * idle process that is not swept for longer than it is.
  */
-final class Turns implements SelectStrategy {
+public final class LoopLatencyClock implements SelectStrategy {
 
     private static final long LEAST_SLEEP_NANOS = 2_000_000;
 
@@ -58,7 +58,7 @@
     }
 
     /** Which turn it is, counted from the start. */
-    long number() {
+    public long number() {
         return number;
     }
 
@@ -66,7 +66,7 @@
      * The earliest at which what is read now can have come, on the clock of {@code
      * System.nanoTime()}.
      */
-    long since() {
+    public long since() {
         if (!begun) {
             begun = true;
             beganAt = System.nanoTime();
--- a/sidecar/src/main/java/sagefall/sidecar/Call.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -1,24 +1,22 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Result;
-import sagefall.streaming.Flow;
-import sagefall.streaming.Streaming;
-import sagefall.streaming.Upload;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.Request;
+import sagefall.streaming.FlowControl;
+import sagefall.streaming.StreamedUpload;
+import sagefall.streaming.StreamingSettings;
 
 /** A client's request, from its last byte until it is answered and its attempts have ended. */
-final class Call {
+public final class ProxiedRequest {
 
     /** The connection that waits for the answer. */
-    interface Client {
+    public interface Client {
         /** Whether it still waits, seen with all that has come from it so far, its end among it. */
         default boolean waits() {
             return true;
@@ -33,7 +31,11 @@
         void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
         /** An answer of status 200 begins; a length below 0 is not known yet. */
-        default void begin(HttpHeaders headers, long length, Streaming bounds, Flow.Source source) {
+        default void begin(
+                HttpHeaders headers,
+                long length,
+                StreamingSettings bounds,
+                FlowControl.Source source) {
             throw new UnsupportedOperationException();
         }
 
@@ -53,31 +55,31 @@
     }
 
     final Request request;
-    final HttpMethod method;
-    final String uri;
-    final HttpHeaders headers;
-    final byte[] body;
+    public final HttpMethod method;
+    public final String uri;
+    public final HttpHeaders headers;
+    public final byte[] body;
 
     /** The body where it passes through as it arrives, else null. */
-    final Upload upload;
+    public final StreamedUpload upload;
 
     /** Largest answer that passes through as it arrives; 0 where it is collected. */
-    final long mostStreamed;
+    public final long mostStreamed;
 
     final Client client;
-    final List<Attempt> attempts = new ArrayList<>(2);
+    final List<ForwardedAttempt> attempts = new ArrayList<>(2);
 
     /** Attempts that have not ended. */
     int out;
 
     /** Nothing is owed any more: it has its one answer, or the client has left. */
-    boolean over;
+    public boolean over;
 
     /** How a server failed the body before it had come whole, in its own words. */
     Refusal refusal;
 
     /** The one whose answer has begun to pass through. */
-    Attempt streaming;
+    ForwardedAttempt streaming;
 
     /** The server's word on its load that came with it. */
     LoadReport report;
@@ -85,16 +87,16 @@
     /** Until when the client waits; of an upload it is moved when the last byte has come. */
     long deadlineMicros;
 
-    /** When its deadline acts, while it is held by {@link Deadlines}. */
+    /** When its deadline acts, while it is held by {@link DeadlineTimers}. */
     long dueMicros;
 
-    Call(
+    public ProxiedRequest(
             Request request,
             HttpMethod method,
             String uri,
             HttpHeaders headers,
             byte[] body,
-            Upload upload,
+            StreamedUpload upload,
             long mostStreamed,
             Client client) {
         this.request = request;
@@ -110,36 +112,4 @@
 
     /** A server's answer to a body that it does not want. */
     record Refusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
-
-    /** One sending of a request to a server. */
-    static final class Attempt {
-        final Call call;
-        final int number;
-        final long server;
-
-        /** From when its time counts: its sending, of an upload the last byte of it. */
-        long since;
-
-        long giveUpAt;
-
-        /** From when on its first byte may not go out any more. */
-        long latestAt = Long.MAX_VALUE;
-
-        /** How long the module waits for it; 0 for as long as the client does. */
-        long patienceMicros;
-
-        /** The last byte of the request has left, so from here on it may have run. */
-        boolean written;
-
-        Result result;
-        Future<?> timeout;
-
-        Attempt(Call call, long server, long sentAt, long giveUpAt) {
-            this.call = call;
-            this.server = server;
-            since = sentAt;
-            this.giveUpAt = giveUpAt;
-            number = call.attempts.size();
-        }
-    }
 }
--- a/sidecar/src/main/java/sagefall/sidecar/Hangup.java
+++ b/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import java.lang.reflect.Proxy;
 
@@ -7,9 +7,9 @@
  * unsupported one is reached by reflection, since a mention of it in the source is a compiler
  * warning that nothing stops.
  */
-final class Hangup {
+final class ReloadSignal {
 
-    private Hangup() {}
+    private ReloadSignal() {}
 
     /** From now on each SIGHUP runs the task, on a thread of its own. */
     static void handle(Runnable task) throws ReflectiveOperationException {
@@ -17,7 +17,7 @@
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object onSignal =
                 Proxy.newProxyInstance(
-                        Hangup.class.getClassLoader(),
+                        ReloadSignal.class.getClassLoader(),
                         new Class<?>[] {handler},
                         (self, method, arguments) ->
                                 switch (method.getName()) {
--- a/sidecar/src/main/java/sagefall/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -32,36 +32,46 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiFunction;
-import sagefall.Choice;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Settings;
-import sagefall.duties.Digest;
-import sagefall.duties.Duties;
-import sagefall.duties.FolderStore;
-import sagefall.duties.Holder;
-import sagefall.duties.LeaseStore;
-import sagefall.recovery.Keeper;
-import sagefall.recovery.Kept;
-import sagefall.recovery.Recovery;
-import sagefall.sidecar.Call.Attempt;
-import sagefall.streaming.Flow;
-import sagefall.streaming.Streaming;
-import sagefall.streaming.Upload;
+import sagefall.balancer.DefaultLoadBalancer;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.RequestClass;
+import sagefall.config.Extensions;
+import sagefall.config.SidecarConfig;
+import sagefall.discovery.DiscoveryClient;
+import sagefall.discovery.EndpointList;
+import sagefall.http.ProtocolHeaders;
+import sagefall.leaderelection.DirectoryLeaseStore;
+import sagefall.leaderelection.LeaderElectionSettings;
+import sagefall.leaderelection.LeaderElector;
+import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.SharedEndpointSnapshot;
+import sagefall.persistence.EndpointSnapshot;
+import sagefall.persistence.PersistenceSettings;
+import sagefall.persistence.SnapshotStore;
+import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestParser;
+import sagefall.proxy.upstream.ConnectionPool;
+import sagefall.streaming.FlowControl;
+import sagefall.streaming.StreamedUpload;
+import sagefall.streaming.StreamingSettings;
 
 /**
  * The real host of the module: it turns what happens on sockets into the module's events and the
  * module's actions into what happens on sockets, and decides nothing. All of it runs on one event
  * loop.
  */
-public final class Sidecar
-        implements Actions, ClientServer.Service, ServerPool.Listener, Discovery.Listener {
+public final class SidecarServer
+        implements BalancerActions,
+                DownstreamListener.Service,
+                ConnectionPool.Listener,
+                DiscoveryClient.Listener {
 
     /** The module ends its requests at their deadline; past this much more the sidecar does. */
     private static final long OVERDUE_MICROS = 5_000;
@@ -93,27 +103,27 @@
 
     private final EventLoop loop;
     private final PrintStream log;
-    private final Clock clock = new Clock();
+    private final WallClock clock = new WallClock();
     private final LoadBalancer module;
-    private final RequestReader reader;
-    private final ServerPool pool;
-    private final Discovery discovery;
-    private final ClientServer clients;
-    private final Turns turns;
-    private final Deadlines deadlines;
-    private final Config config;
+    private final RequestParser reader;
+    private final ConnectionPool pool;
+    private final DiscoveryClient discovery;
+    private final DownstreamListener clients;
+    private final LoopLatencyClock turns;
+    private final DeadlineTimers deadlines;
+    private final SidecarConfig config;
 
     /** What streams, as the file of extensions said last. */
-    private Streaming streaming;
+    private StreamingSettings streaming;
 
-    private final Map<String, Call> calls = new HashMap<>();
-    private final Map<Call.Client, Call> waiting = new HashMap<>();
+    private final Map<String, ProxiedRequest> calls = new HashMap<>();
+    private final Map<ProxiedRequest.Client, ProxiedRequest> waiting = new HashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private Keeper keeper;
-    private Kept kept;
-    private Digest.Read newcomers;
-    private Digest digest;
-    private Holder holder;
+    private SnapshotStore keeper;
+    private EndpointSnapshot kept;
+    private SharedEndpointSnapshot.Read newcomers;
+    private SharedEndpointSnapshot digest;
+    private LeaderElector holder;
     private boolean inModule;
     private long lookedAt;
 
@@ -123,41 +133,41 @@
     private boolean stopping;
 
     /** Something to tell the module, and the request that it is about, if any. */
-    private record Event(Call about, Told told) {}
+    private record Event(ProxiedRequest about, Told told) {}
 
     private interface Told {
         void tell(long nowMicros);
     }
 
-    Sidecar(EventLoop loop, Turns turns, Config config, PrintStream log) {
-        this(loop, turns, config, log, Choice::new);
+    SidecarServer(EventLoop loop, LoopLatencyClock turns, SidecarConfig config, PrintStream log) {
+        this(loop, turns, config, log, DefaultLoadBalancer::new);
     }
 
     /** With another module. */
-    Sidecar(
+    SidecarServer(
             EventLoop loop,
-            Turns turns,
-            Config config,
+            LoopLatencyClock turns,
+            SidecarConfig config,
             PrintStream log,
-            BiFunction<Settings, Actions, LoadBalancer> modules) {
+            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> modules) {
         this.loop = loop;
         this.turns = turns;
         this.config = config;
         this.log = log;
-        deadlines = new Deadlines(loop, clock, this::overdue);
+        deadlines = new DeadlineTimers(loop, clock, this::overdue);
         module = modules.apply(config.settings(), this);
-        reader = new RequestReader(config.settings());
-        pool = new ServerPool(loop, clock, config, this);
+        reader = new RequestParser(config.settings());
+        pool = new ConnectionPool(loop, clock, config, this);
         discovery =
-                new Discovery(
+                new DiscoveryClient(
                         loop,
                         config.discovery(),
                         config.lists(),
                         config.known().revision(),
                         this,
                         this::log,
-                        Discovery.Timeouts.of(config.settings().discoveryOnAsk()));
-        clients = new ClientServer(loop, turns, this, config.clientConnections(), this::log);
+                        DiscoveryClient.Timeouts.of(config.settings().pollsDiscovery()));
+        clients = new DownstreamListener(loop, turns, this, config.clientConnections(), this::log);
         extend(config.extensions());
     }
 
@@ -169,7 +179,7 @@
         tell(
                 null,
                 now ->
-                        module.buffers(
+                        module.onBufferLimit(
                                 now,
                                 streaming.isOn() ? streaming.bufferedBytes() : Long.MAX_VALUE));
     }
@@ -177,22 +187,23 @@
     /** Runs a sidecar until it is told to end; the exit status. */
     public static int serve(Map<String, String> environment, PrintStream log) {
         long began = System.nanoTime();
-        Config config;
+        SidecarConfig config;
         try {
-            config = Config.read(environment);
+            config = SidecarConfig.read(environment);
         } catch (IOException e) {
             log.println(plain(e));
             return 2;
         }
-        Turns turns = new Turns();
+        LoopLatencyClock turns = new LoopLatencyClock();
         EventLoop loop = turns.group().next();
         CountDownLatch ended = new CountDownLatch(1);
         try {
-            Sidecar sidecar = loop.submit(() -> new Sidecar(loop, turns, config, log)).get();
+            SidecarServer sidecar =
+                    loop.submit(() -> new SidecarServer(loop, turns, config, log)).get();
             // One after the other, so that the last file read is the last one taken over.
             ExecutorService reading =
                     Executors.newSingleThreadExecutor(new DefaultThreadFactory("reading", true));
-            Hangup.handle(() -> reading.execute(() -> sidecar.reload(environment)));
+            ReloadSignal.handle(() -> reading.execute(() -> sidecar.reload(environment)));
             Thread end =
                     new Thread(
                             () -> {
@@ -203,15 +214,18 @@
                                 Runtime.getRuntime().halt(0);
                             });
             Runtime.getRuntime().addShutdownHook(end);
-            Recovery recovery = config.extensions().recovery();
-            Keeper keeper =
-                    recovery.isOn() ? new Keeper(recovery, config.name(), sidecar::log) : null;
+            PersistenceSettings recovery = config.extensions().recovery();
+            SnapshotStore keeper =
+                    recovery.isOn()
+                            ? new SnapshotStore(recovery, config.name(), sidecar::log)
+                            : null;
             long read = millisSince(began);
             int played =
-                    WarmUp.run(config, WARM_UP_REQUESTS, Math.max(0, WARM_UP_UNTIL_MILLIS - read));
+                    JvmWarmUp.run(
+                            config, WARM_UP_REQUESTS, Math.max(0, WARM_UP_UNTIL_MILLIS - read));
             long warm = millisSince(began);
             if (keeper != null) {
-                Kept kept = keeper.opened(OPENED_MILLIS);
+                EndpointSnapshot kept = keeper.opened(OPENED_MILLIS);
                 loop.submit(() -> sidecar.keep(keeper, kept)).sync();
             }
             if (config.extensions().duties().isOn()) {
@@ -258,7 +272,7 @@
      */
     void reload(Map<String, String> environment) {
         try {
-            Config next = Config.reread(environment);
+            SidecarConfig next = SidecarConfig.reread(environment);
             loop.execute(
                     () -> {
                         discovery.move(next.discovery());
@@ -274,15 +288,15 @@
      * loop.
      */
     private void takeDuties() throws InterruptedException {
-        Duties duties = config.extensions().duties();
-        AtomicReference<Digest.Read> read = new AtomicReference<>();
+        LeaderElectionSettings duties = config.extensions().duties();
+        AtomicReference<SharedEndpointSnapshot.Read> read = new AtomicReference<>();
         CompletableFuture<LeaseStore> opening =
                 CompletableFuture.supplyAsync(
                         () -> {
                             try {
-                                LeaseStore store = new FolderStore(duties.directory());
+                                LeaseStore store = new DirectoryLeaseStore(duties.directory());
                                 try {
-                                    read.set(Digest.read(store));
+                                    read.set(SharedEndpointSnapshot.read(store));
                                 } catch (IOException e) {
                                     log("duties: the digest is left out: " + plain(e));
                                 }
@@ -298,10 +312,10 @@
             log("duties: going on without: " + plain(e));
             return;
         }
-        Digest duty = new Digest();
+        SharedEndpointSnapshot duty = new SharedEndpointSnapshot();
         String owner = config.name() + "#" + ProcessHandle.current().pid() + "#" + clock.micros();
-        Holder of =
-                new Holder(
+        LeaderElector of =
+                new LeaderElector(
                         store,
                         owner,
                         duty,
@@ -331,9 +345,9 @@
 
     /** Hands the module what was kept, if anything was, and its first list. */
     void open() {
-        ServerList known = config.known();
+        EndpointList known = config.known();
         if (kept != null && kept.revision() > 0) {
-            ServerList last = config.lists().kept(kept);
+            EndpointList last = config.lists().kept(kept);
             boolean fresh = keeper.fresh(kept);
             log(
                     "recovery: epoch "
@@ -349,10 +363,19 @@
                             + "; known: "
                             + known.told());
             pool.update(last.with(known));
-            tell(null, now -> module.kept(now, last.revision(), fresh, last.servers()));
             tell(
                     null,
-                    now -> module.servers(now, ListKind.CACHED, known.revision(), known.servers()));
+                    now ->
+                            module.onRecoveredEndpoints(
+                                    now, last.revision(), fresh, last.servers()));
+            tell(
+                    null,
+                    now ->
+                            module.onEndpointList(
+                                    now,
+                                    EndpointListKind.CACHED,
+                                    known.revision(),
+                                    known.servers()));
             // It may be behind what was kept, so its changes alone would not do.
             discovery.whole();
             if (known.revision() >= last.revision()) {
@@ -367,22 +390,26 @@
                                 + known.told());
             }
             if (newcomers != null && newcomers.kept().revision() > known.revision()) {
-                ServerList last = config.lists().kept(newcomers.kept());
+                EndpointList last = config.lists().kept(newcomers.kept());
                 log(
                         "recovery: digest of term "
                                 + newcomers.term()
                                 + ": "
                                 + last.told()
                                 + ", restricts only");
-                tell(null, now -> module.kept(now, last.revision(), false, last.servers()));
+                tell(
+                        null,
+                        now ->
+                                module.onRecoveredEndpoints(
+                                        now, last.revision(), false, last.servers()));
                 discovery.whole();
             }
-            listed(ListKind.CACHED, known);
+            listed(EndpointListKind.CACHED, known);
             keepList(known);
         }
     }
 
-    private void keepList(ServerList list) {
+    private void keepList(EndpointList list) {
         if (keeper != null) {
             keeper.told(config.lists().change(list, keeper.wallMillis()));
         }
@@ -392,7 +419,7 @@
     }
 
     /** What an earlier life kept, and who keeps what this one is told; before the first list. */
-    void keep(Keeper with, Kept before) {
+    void keep(SnapshotStore with, EndpointSnapshot before) {
         keeper = with;
         kept = before;
     }
@@ -401,7 +428,8 @@
      * What the machine's sidecars have in common, and the duty of writing it; before the first
      * list.
      */
-    void serveAll(Digest.Read before, Digest duty, Holder of) {
+    void serveAll(
+            SharedEndpointSnapshot.Read before, SharedEndpointSnapshot duty, LeaderElector of) {
         newcomers = before;
         digest = duty;
         holder = of;
@@ -416,7 +444,7 @@
         loop.execute(
                 () -> {
                     open();
-                    if (config.settings().discoveryOnAsk()) {
+                    if (config.settings().pollsDiscovery()) {
                         listen(started);
                     } else {
                         // Pushed lists wait at an agent, which answers a watch; the module asks for
@@ -479,7 +507,7 @@
      * once must not reach the module inside the very call that asked for it. An exception costs its
      * own request only.
      */
-    private void tell(Call about, Told told) {
+    private void tell(ProxiedRequest about, Told told) {
         if (!inModule) {
             look();
         }
@@ -513,7 +541,7 @@
     }
 
     @Override
-    public boolean wanted(Attempt attempt) {
+    public boolean wanted(ForwardedAttempt attempt) {
         look();
         return attempt.call.client.waits();
     }
@@ -529,21 +557,21 @@
         }
     }
 
-    private void listed(ListKind kind, ServerList list) {
+    private void listed(EndpointListKind kind, EndpointList list) {
         pool.update(list);
-        tell(null, now -> module.servers(now, kind, list.revision(), list.servers()));
+        tell(null, now -> module.onEndpointList(now, kind, list.revision(), list.servers()));
     }
 
     @Override
-    public void listed(ServerList list) {
-        listed(list.complete() ? ListKind.COMPLETE : ListKind.CHANGES, list);
+    public void listed(EndpointList list) {
+        listed(list.complete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list);
         keepList(list);
         heard();
     }
 
     @Override
     public void failed(String why) {
-        tell(null, now -> module.servers(now, ListKind.FAILED, List.of()));
+        tell(null, now -> module.onEndpointList(now, EndpointListKind.FAILED, List.of()));
         heard();
     }
 
@@ -553,32 +581,35 @@
     }
 
     @Override
-    public void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest {
+    public void take(FullHttpRequest http, ProxiedRequest.Client client)
+            throws RequestParser.BadRequest {
         long now = clock.micros();
-        Call call =
+        ProxiedRequest call =
                 reader.read(
                         now, http, ByteBufUtil.getBytes(http.content()), null, streaming, client);
         keep(call, client);
         expire(call);
-        tell(call, at -> module.request(at, call.request));
+        tell(call, at -> module.onRequest(at, call.request));
     }
 
-    private void keep(Call call, Call.Client client) throws RequestReader.BadRequest {
+    private void keep(ProxiedRequest call, ProxiedRequest.Client client)
+            throws RequestParser.BadRequest {
         if (calls.putIfAbsent(call.request.id(), call) != null) {
-            throw new RequestReader.BadRequest("this " + Headers.REQUEST_ID + " is in hand");
+            throw new RequestParser.BadRequest(
+                    "this " + ProtocolHeaders.REQUEST_ID + " is in hand");
         }
         waiting.put(client, call);
     }
 
-    private void expire(Call call) {
+    private void expire(ProxiedRequest call) {
         deadlines.set(call, call.deadlineMicros + OVERDUE_MICROS);
     }
 
     /**
      * The loop is late, else its attempts had ended at its deadline and the module had answered it.
      */
-    private void overdue(Call call) {
-        List.copyOf(call.attempts).forEach(a -> stopWaiting(a, Result.TIMED_OUT));
+    private void overdue(ProxiedRequest call) {
+        List.copyOf(call.attempts).forEach(a -> stopWaiting(a, AttemptResult.TIMED_OUT));
         abort(call, HttpResponseStatus.GATEWAY_TIMEOUT);
     }
 
@@ -591,13 +622,13 @@
     }
 
     @Override
-    public void take(HttpRequest head, Upload upload, Call.Client client)
-            throws RequestReader.BadRequest {
+    public void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
+            throws RequestParser.BadRequest {
         long now = clock.micros();
-        Call call = reader.read(now, head, null, upload, streaming, client);
+        ProxiedRequest call = reader.read(now, head, null, upload, streaming, client);
         keep(call, client);
         upload.listen(
-                new Upload.Listener() {
+                new StreamedUpload.Listener() {
                     /**
                      * The client's time runs from its last byte, as for a request that is taken
                      * whole.
@@ -610,21 +641,21 @@
                         tell(
                                 call,
                                 when ->
-                                        module.uploaded(
+                                        module.onUploadComplete(
                                                 when, call.request.id(), call.deadlineMicros));
                     }
 
                     @Override
                     public void replayLost() {
-                        tell(call, at -> module.replayLost(at, call.request.id()));
+                        tell(call, at -> module.onReplayBufferExceeded(at, call.request.id()));
                     }
                 });
-        tell(call, at -> module.request(at, call.request));
+        tell(call, at -> module.onRequest(at, call.request));
     }
 
     /** Only from its last byte on may a server be late. */
     @Override
-    public void written(Attempt attempt) {
+    public void written(ForwardedAttempt attempt) {
         long now = clock.micros();
         attempt.since = now;
         attempt.giveUpAt = giveUpAt(attempt.call, now, attempt.patienceMicros);
@@ -633,22 +664,22 @@
         }
         attempt.timeout =
                 loop.schedule(
-                        () -> stopWaiting(attempt, Result.TIMED_OUT),
+                        () -> stopWaiting(attempt, AttemptResult.TIMED_OUT),
                         attempt.giveUpAt - now,
                         TimeUnit.MICROSECONDS);
     }
 
     /** The server takes or brings nothing any more. */
     @Override
-    public void stalled(Call.Client client) {
-        Call call = waiting.get(client);
+    public void stalled(ProxiedRequest.Client client) {
+        ProxiedRequest call = waiting.get(client);
         if (call != null) {
-            for (Attempt attempt : List.copyOf(call.attempts)) {
+            for (ForwardedAttempt attempt : List.copyOf(call.attempts)) {
                 if (attempt.result == null) {
                     pool.abandon(attempt);
                     ended(
                             attempt,
-                            attempt.written ? Result.TIMED_OUT : Result.NO_CONNECTION,
+                            attempt.written ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
                             null,
                             null);
                 }
@@ -657,10 +688,14 @@
     }
 
     @Override
-    public void began(Attempt attempt, HttpResponse head, LoadReport report, Flow.Source source) {
-        Call call = attempt.call;
+    public void began(
+            ForwardedAttempt attempt,
+            HttpResponse head,
+            LoadReport report,
+            FlowControl.Source source) {
+        ProxiedRequest call = attempt.call;
         if (call.over || call.streaming != null) {
-            stopWaiting(attempt, Result.CANCELLED);
+            stopWaiting(attempt, AttemptResult.CANCELLED);
             return;
         }
         attempt.timeout.cancel(false);
@@ -670,19 +705,19 @@
         tell(
                 call,
                 now ->
-                        module.streamBegan(
+                        module.onStreamStarted(
                                 now,
                                 call.request.id(),
                                 attempt.number,
                                 attempt.server,
                                 now - attempt.since));
-        HttpHeaders headers = Headers.endToEnd(head.headers());
-        headers.remove(Headers.LOAD);
+        HttpHeaders headers = ProtocolHeaders.endToEnd(head.headers());
+        headers.remove(ProtocolHeaders.LOAD);
         call.client.begin(headers, HttpUtil.getContentLength(head, -1L), streaming, source);
     }
 
     @Override
-    public void part(Attempt attempt, ByteBuf part) {
+    public void part(ForwardedAttempt attempt, ByteBuf part) {
         if (attempt.call.over) {
             part.release();
         } else {
@@ -691,7 +726,7 @@
     }
 
     @Override
-    public void flush(Attempt attempt) {
+    public void flush(ForwardedAttempt attempt) {
         if (!attempt.call.over) {
             attempt.call.client.flush();
         }
@@ -699,18 +734,20 @@
 
     /** The server has done its part; the request is in hand until its client has taken all. */
     @Override
-    public void finished(Attempt attempt, HttpHeaders trailers) {
-        Call call = attempt.call;
+    public void finished(ForwardedAttempt attempt, HttpHeaders trailers) {
+        ProxiedRequest call = attempt.call;
         if (call.over) {
-            streamed(attempt, Result.SERVED);
+            streamed(attempt, AttemptResult.SERVED);
         } else {
-            call.client.end(Headers.trailers(trailers), () -> streamed(attempt, Result.SERVED));
+            call.client.end(
+                    ProtocolHeaders.trailers(trailers),
+                    () -> streamed(attempt, AttemptResult.SERVED));
         }
     }
 
     /** The end of an answer that passed through, whole or broken. */
-    private void streamed(Attempt attempt, Result result) {
-        Call call = attempt.call;
+    private void streamed(ForwardedAttempt attempt, AttemptResult result) {
+        ProxiedRequest call = attempt.call;
         if (attempt.result != null) {
             return;
         }
@@ -718,16 +755,16 @@
         call.out--;
         if (!call.over) {
             over(call);
-            if (result != Result.SERVED) {
+            if (result != AttemptResult.SERVED) {
                 call.client.breakOff();
             }
         }
         tell(
                 call,
                 now ->
-                        module.outcome(
+                        module.onAttemptOutcome(
                                 now,
-                                new Outcome(
+                                new AttemptOutcome(
                                         call.request.id(),
                                         attempt.number,
                                         attempt.server,
@@ -739,24 +776,28 @@
     }
 
     @Override
-    public void left(Call.Client client) {
-        Call call = waiting.get(client);
+    public void left(ProxiedRequest.Client client) {
+        ProxiedRequest call = waiting.get(client);
         if (call != null) {
             over(call);
-            tell(null, now -> module.clientLeft(now, call.request.id()));
+            tell(null, now -> module.onClientDisconnected(now, call.request.id()));
             // Whether or not attempts may be called off: what passes through has nowhere to go any
             // more.
             if (call.streaming != null) {
-                stopWaiting(call.streaming, Result.CANCELLED);
+                stopWaiting(call.streaming, AttemptResult.CANCELLED);
             } else if (call.upload != null) {
-                call.attempts.forEach(a -> stopWaiting(a, Result.CANCELLED));
+                call.attempts.forEach(a -> stopWaiting(a, AttemptResult.CANCELLED));
             }
         }
     }
 
     @Override
-    public void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer) {
-        Call call = attempt.call;
+    public void ended(
+            ForwardedAttempt attempt,
+            AttemptResult result,
+            LoadReport report,
+            FullHttpResponse answer) {
+        ProxiedRequest call = attempt.call;
         if (call.streaming == attempt) {
             streamed(attempt, result);
             return;
@@ -765,27 +806,29 @@
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
-        if (result == Result.ERROR && !attempt.written && !REFUSALS.contains(answer.status())) {
+        if (result == AttemptResult.ERROR
+                && !attempt.written
+                && !REFUSALS.contains(answer.status())) {
             call.refusal =
-                    new Call.Refusal(
+                    new ProxiedRequest.Refusal(
                             answer.status(),
-                            Headers.endToEnd(answer.headers()),
+                            ProtocolHeaders.endToEnd(answer.headers()),
                             ByteBufUtil.getBytes(answer.content()));
         }
         call.out--;
-        if (result == Result.SERVED && !call.over) {
-            HttpHeaders headers = Headers.endToEnd(answer.headers());
-            headers.remove(Headers.LOAD);
-            Call.Client client = call.client;
+        if (result == AttemptResult.SERVED && !call.over) {
+            HttpHeaders headers = ProtocolHeaders.endToEnd(answer.headers());
+            headers.remove(ProtocolHeaders.LOAD);
+            ProxiedRequest.Client client = call.client;
             over(call);
             client.answer(HttpResponseStatus.OK, headers, answer.content().retain());
         }
         tell(
                 call,
                 now ->
-                        module.outcome(
+                        module.onAttemptOutcome(
                                 now,
-                                new Outcome(
+                                new AttemptOutcome(
                                         call.request.id(),
                                         attempt.number,
                                         attempt.server,
@@ -800,13 +843,13 @@
 
     @Override
     public void send(String requestId, long server, long timeoutMicros, long latestMicros) {
-        Call call = calls.get(requestId);
+        ProxiedRequest call = calls.get(requestId);
         if (call == null) {
             return;
         }
         long now = clock.micros();
         long giveUpAt = giveUpAt(call, now, timeoutMicros);
-        Attempt attempt = new Attempt(call, server, now, giveUpAt);
+        ForwardedAttempt attempt = new ForwardedAttempt(call, server, now, giveUpAt);
         attempt.patienceMicros = timeoutMicros;
         attempt.latestAt = latestMicros;
         call.attempts.add(attempt);
@@ -814,14 +857,14 @@
         if (call.upload == null || call.upload.whole()) {
             attempt.timeout =
                     loop.schedule(
-                            () -> stopWaiting(attempt, Result.TIMED_OUT),
+                            () -> stopWaiting(attempt, AttemptResult.TIMED_OUT),
                             giveUpAt - now,
                             TimeUnit.MICROSECONDS);
         }
         pool.start(attempt);
     }
 
-    private static long giveUpAt(Call call, long now, long patienceMicros) {
+    private static long giveUpAt(ProxiedRequest call, long now, long patienceMicros) {
         return patienceMicros == 0
                 ? call.deadlineMicros
                 : Math.min(call.deadlineMicros, now + patienceMicros);
@@ -830,23 +873,23 @@
     /**
      * Until its last byte is written an attempt can't have run, and the module is told that proof.
      */
-    private void stopWaiting(Attempt attempt, Result otherwise) {
+    private void stopWaiting(ForwardedAttempt attempt, AttemptResult otherwise) {
         if (attempt.result == null) {
             pool.abandon(attempt);
-            ended(attempt, attempt.written ? otherwise : Result.NOT_SENT, null, null);
+            ended(attempt, attempt.written ? otherwise : AttemptResult.NOT_SENT, null, null);
         }
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        Call call = calls.get(requestId);
+        ProxiedRequest call = calls.get(requestId);
         if (call != null && attempt >= 0 && attempt < call.attempts.size()) {
-            stopWaiting(call.attempts.get(attempt), Result.CANCELLED);
+            stopWaiting(call.attempts.get(attempt), AttemptResult.CANCELLED);
         }
     }
 
     @Override
-    public void refuse(String requestId, long retryAfterMicros, Reason why) {
+    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
         HttpHeaders headers = new DefaultHttpHeaders();
         if (retryAfterMicros > 0) {
             headers.set(
@@ -857,10 +900,10 @@
     }
 
     @Override
-    public void fail(String requestId, Reason why) {
-        Call call = calls.get(requestId);
+    public void fail(String requestId, RejectionReason why) {
+        ProxiedRequest call = calls.get(requestId);
         if (call != null && call.refusal != null) {
-            call.refusal.headers().remove(Headers.LOAD);
+            call.refusal.headers().remove(ProtocolHeaders.LOAD);
             answer(
                     call,
                     call.refusal.status(),
@@ -869,7 +912,9 @@
             return;
         }
         boolean late =
-                call != null && call.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
+                call != null
+                        && call.attempts.stream()
+                                .anyMatch(a -> a.result == AttemptResult.TIMED_OUT);
         answer(
                 call,
                 late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
@@ -877,20 +922,20 @@
     }
 
     @Override
-    public void timer(long atMicros, long token) {
+    public void scheduleTimer(long atMicros, long token) {
         loop.schedule(
-                () -> tell(null, now -> module.timer(now, token)),
+                () -> tell(null, now -> module.onTimer(now, token)),
                 Math.max(0, atMicros - clock.micros()),
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
         pool.closeIdle(server);
     }
 
     @Override
-    public void subscribe() {
+    public void requestEndpointUpdates() {
         discovery.subscribe();
     }
 
@@ -901,12 +946,12 @@
 
     // ---- The one answer
 
-    private void answer(Call call, HttpResponseStatus status, HttpHeaders headers) {
+    private void answer(ProxiedRequest call, HttpResponseStatus status, HttpHeaders headers) {
         answer(call, status, headers, Unpooled.EMPTY_BUFFER);
     }
 
     private void answer(
-            Call call, HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+            ProxiedRequest call, HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
         if (call != null && !call.over) {
             over(call);
             call.client.answer(status, headers, content);
@@ -914,17 +959,17 @@
     }
 
     /** An answer that the module did not give: its request must have one all the same. */
-    private void abort(Call call, HttpResponseStatus status) {
+    private void abort(ProxiedRequest call, HttpResponseStatus status) {
         if (!call.over) {
             answer(call, status, new DefaultHttpHeaders());
-            tell(null, now -> module.clientLeft(now, call.request.id()));
+            tell(null, now -> module.onClientDisconnected(now, call.request.id()));
             if (call.streaming != null) {
-                stopWaiting(call.streaming, Result.CANCELLED);
+                stopWaiting(call.streaming, AttemptResult.CANCELLED);
             }
         }
     }
 
-    private void over(Call call) {
+    private void over(ProxiedRequest call) {
         call.over = true;
         deadlines.remove(call);
         if (call.upload != null) {
@@ -934,7 +979,7 @@
         forget(call);
     }
 
-    private void forget(Call call) {
+    private void forget(ProxiedRequest call) {
         if (call.over && call.out == 0) {
             calls.remove(call.request.id(), call);
         }
--- a/sidecar/src/main/java/sagefall/sidecar/Clock.java
+++ b/sidecar/src/main/java/sagefall/proxy/WallClock.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -8,12 +8,12 @@
  * start times from discovery and deadlines can be compared with it, and a step of the wall clock
  * moves neither.
  */
-final class Clock {
+public final class WallClock {
 
     private final long offsetNanos =
             ChronoUnit.NANOS.between(Instant.EPOCH, Instant.now()) - System.nanoTime();
 
-    long micros() {
+    public long micros() {
         return (offsetNanos + System.nanoTime()) / 1000;
     }
 }
