--- a/sidecar/src/main/java/sagefall/sidecar/ClientServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy.downstream;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -46,24 +46,29 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sagefall.streaming.Buffers;
-import sagefall.streaming.Flow;
-import sagefall.streaming.Streaming;
-import sagefall.streaming.Upload;
+import sagefall.http.HttpClientConnection;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.LoopLatencyClock;
+import sagefall.proxy.ProxiedRequest;
+import sagefall.streaming.BufferAccounting;
+import sagefall.streaming.FlowControl;
+import sagefall.streaming.StreamedUpload;
+import sagefall.streaming.StreamingSettings;
 
 /**
  * The listening side: reads clients' requests, writes their answers, and closes down without losing
  * any.
  */
-final class ClientServer {
+public final class DownstreamListener {
 
     /** What stands behind the connections. */
-    interface Service {
+    public interface Service {
         /** Whether a request would find a server. */
         boolean ready();
 
         /** A request to be answered through its client, by an exception at the latest. */
-        void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest;
+        void take(FullHttpRequest http, ProxiedRequest.Client client)
+                throws RequestParser.BadRequest;
 
         /**
          * Largest body of this request that passes through as it arrives; 0 where it is collected.
@@ -73,16 +78,16 @@
         }
 
         /** A request whose body passes through, from its head on. */
-        default void take(HttpRequest head, Upload upload, Call.Client client)
-                throws RequestReader.BadRequest {
+        default void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
+                throws RequestParser.BadRequest {
             throw new UnsupportedOperationException();
         }
 
         /** The server of this request takes or brings nothing any more. */
-        default void stalled(Call.Client client) {}
+        default void stalled(ProxiedRequest.Client client) {}
 
         /** The client of this request has closed its connection. */
-        void left(Call.Client client);
+        void left(ProxiedRequest.Client client);
     }
 
     private static final int BACKLOG = 1_024;
@@ -125,7 +130,7 @@
     private static final long SWEEP_MILLIS = 25;
 
     private final EventLoop loop;
-    private final Turns turns;
+    private final LoopLatencyClock turns;
     private final Service service;
     private final int most;
     private final Consumer<String> log;
@@ -138,12 +143,17 @@
     private Channel listening;
     private boolean ending;
     private long endedAt;
-    private Streaming streaming = Streaming.OFF;
-    private final Buffers buffers = new Buffers();
+    private StreamingSettings streaming = StreamingSettings.OFF;
+    private final BufferAccounting buffers = new BufferAccounting();
     private long acceptedAt = System.nanoTime();
     private long halfClosedAt = acceptedAt;
 
-    ClientServer(EventLoop loop, Turns turns, Service service, int most, Consumer<String> log) {
+    public DownstreamListener(
+            EventLoop loop,
+            LoopLatencyClock turns,
+            Service service,
+            int most,
+            Consumer<String> log) {
         this.loop = loop;
         this.turns = turns;
         this.service = service;
@@ -151,7 +161,7 @@
         this.log = log;
     }
 
-    ChannelFuture listen(InetSocketAddress address) {
+    public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
                         .group(loop, loop)
@@ -166,7 +176,9 @@
                                     protected void initChannel(Channel c) {
                                         Connection connection = new Connection(c);
                                         if (streaming.isOn()) {
-                                            c.config().setRecvByteBufAllocator(Link.smallReads());
+                                            c.config()
+                                                    .setRecvByteBufAllocator(
+                                                            HttpClientConnection.smallReads());
                                         }
                                         c.pipeline()
                                                 .addLast(
@@ -184,23 +196,23 @@
     }
 
     /** What streams from now on. */
-    void streams(Streaming next) {
+    public void streams(StreamingSettings next) {
         streaming = next;
     }
 
     /** What bodies that pass through hold. */
-    Buffers buffers() {
+    public BufferAccounting buffers() {
         return buffers;
     }
 
     /** Closes all at once, whoever waits; the address is free when that is done. */
-    ChannelFuture close() {
+    public ChannelFuture close() {
         List.copyOf(connections).forEach(c -> c.channel.close());
         return listening.close();
     }
 
     /** Where it listens, once that is so. */
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return (InetSocketAddress) listening.localAddress();
     }
 
@@ -209,7 +221,7 @@
      * Idle ones are closed before the listening socket, so that a request that crosses the closing
      * can come again.
      */
-    void end(Runnable ended) {
+    public void end(Runnable ended) {
         if (listening == null) {
             ended.run();
             return;
@@ -234,7 +246,7 @@
         if (listening.isOpen() && quiet()) {
             // What waits to be accepted would be reset with the socket.
             listening.config().setAutoRead(true);
-            Link.readNow(listening);
+            HttpClientConnection.readNow(listening);
             if (quiet()) {
                 listening.close();
             }
@@ -363,7 +375,7 @@
         private boolean passing;
 
         Aggregator(Connection connection) {
-            super(Link.MAX_BODY, true);
+            super(HttpClientConnection.MAX_BODY, true);
             this.connection = connection;
         }
 
@@ -546,7 +558,7 @@
         /** Whether it rests, seen with all that has come so far. */
         private boolean stillRests() {
             if (state == State.RESTING) {
-                Link.readNow(channel);
+                HttpClientConnection.readNow(channel);
             }
             return state == State.RESTING && channel.isActive();
         }
@@ -616,7 +628,7 @@
             long length = HttpUtil.getContentLength(head, -1L);
             boolean small =
                     length >= 0
-                            ? length <= Link.MAX_BODY
+                            ? length <= HttpClientConnection.MAX_BODY
                             : !HttpUtil.isTransferEncodingChunked(head);
             return small || length > most ? 0 : most;
         }
@@ -625,10 +637,10 @@
             long most = mostUploaded(head);
             begin(new Exchange(head));
             client.continues = HttpUtil.is100ContinueExpected(head);
-            client.upload = new Upload(streaming, buffers, most, client::readClient);
+            client.upload = new StreamedUpload(streaming, buffers, most, client::readClient);
             try {
                 service.take(head, client.upload, client);
-            } catch (RequestReader.BadRequest e) {
+            } catch (RequestParser.BadRequest e) {
                 client = null;
                 reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
             }
@@ -696,7 +708,7 @@
                 if (more || !decoder.isEmpty()) {
                     reject(HttpResponseStatus.BAD_REQUEST, "more than one request");
                 } else if (pass(end.content().retain())) {
-                    client.upload.end(Headers.trailers(end.trailingHeaders()));
+                    client.upload.end(ProtocolHeaders.trailers(end.trailingHeaders()));
                 }
             } finally {
                 end.release();
@@ -723,7 +735,7 @@
             }
             try {
                 service.take(http, client);
-            } catch (RequestReader.BadRequest e) {
+            } catch (RequestParser.BadRequest e) {
                 client = null;
                 reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
             }
@@ -792,7 +804,7 @@
         }
 
         /** One request in hand and its answer; only the first answer counts. */
-        private final class Exchange implements Call.Client {
+        private final class Exchange implements ProxiedRequest.Client {
             private final boolean keep;
             private final boolean knowsChunks;
 
@@ -812,14 +824,14 @@
              * The body of the request, if it passes through, and whether its client waits to be
              * asked for it.
              */
-            private Upload upload;
+            private StreamedUpload upload;
 
             private boolean continues;
 
             /** Of an answer that passes through, from its beginning on. */
-            private Streaming bounds;
+            private StreamingSettings bounds;
 
-            private Flow flow;
+            private FlowControl flow;
 
             /** Without a request that can be read there is nothing to keep the connection for. */
             Exchange(HttpRequest http) {
@@ -864,7 +876,7 @@
             @Override
             public boolean waits() {
                 if (client == this && upload == null) {
-                    Link.readNow(channel);
+                    HttpClientConnection.readNow(channel);
                     if (!channel.isActive()) {
                         giveUp();
                     }
@@ -874,12 +886,15 @@
 
             @Override
             public void begin(
-                    HttpHeaders headers, long length, Streaming limits, Flow.Source source) {
+                    HttpHeaders headers,
+                    long length,
+                    StreamingSettings limits,
+                    FlowControl.Source source) {
                 if (client != this) {
                     return;
                 }
                 bounds = limits;
-                flow = new Flow(limits, buffers, source);
+                flow = new FlowControl(limits, buffers, source);
                 HttpResponse head =
                         new DefaultHttpResponse(
                                 HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers);
@@ -899,8 +914,8 @@
                     part.release();
                     return;
                 }
-                ByteBuf kept = Flow.tight(part);
-                int weight = Flow.weight(kept);
+                ByteBuf kept = FlowControl.tight(part);
+                int weight = FlowControl.weight(kept);
                 channel.write(new DefaultHttpContent(kept)).addListener(f -> flow.taken(weight));
                 flow.brought(weight);
             }
--- a/sidecar/src/main/java/sagefall/sidecar/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy.downstream;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -9,21 +9,24 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Settings;
-import sagefall.streaming.Streaming;
-import sagefall.streaming.Upload;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.Request;
+import sagefall.balancer.api.RequestClass;
+import sagefall.discovery.StableIds;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.ProxiedRequest;
+import sagefall.streaming.StreamedUpload;
+import sagefall.streaming.StreamingSettings;
 
 /** Turns a client's message into a request, or says why it is none. */
-final class RequestReader {
+public final class RequestParser {
 
     /** A message that no client of the protocol sends; its text goes into the 400. */
-    static final class BadRequest extends Exception {
+    public static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadRequest(String message) {
+        public BadRequest(String message) {
             super(message);
         }
     }
@@ -38,11 +41,11 @@
     private static final int MAX_ID = 128;
     private static final long MAX_NUMBER = 1_000_000_000;
 
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
 
-    RequestReader(Settings settings) {
+    public RequestParser(BalancerSettings settings) {
         this.settings = settings;
         for (int i = 0; i < settings.classes().size(); i++) {
             classes.put(settings.classes().get(i).name(), i);
@@ -56,13 +59,13 @@
      * The body is what came with the request, or, where that is null, what passes through as it
      * arrives. The deadline counts from when the client may have sent it.
      */
-    Call read(
+    public ProxiedRequest read(
             long now,
             HttpRequest http,
             byte[] body,
-            Upload upload,
-            Streaming streaming,
-            Call.Client client)
+            StreamedUpload upload,
+            StreamingSettings streaming,
+            ProxiedRequest.Client client)
             throws BadRequest {
         if (http.decoderResult().isFailure()) {
             throw new BadRequest("not HTTP");
@@ -75,20 +78,20 @@
         }
         String path = path(http.uri());
         int slash = path.indexOf('/');
-        boolean write = known.effect() != Effect.SAFE;
-        checkMethod(http, known.effect(), upload != null || body.length > 0);
-        String id = Headers.single(headers, Headers.REQUEST_ID);
+        boolean write = known.idempotency() != Idempotency.IDEMPOTENT;
+        checkMethod(http, known.idempotency(), upload != null || body.length > 0);
+        String id = ProtocolHeaders.single(headers, ProtocolHeaders.REQUEST_ID);
         if (id == null || id.isEmpty() || id.length() > MAX_ID) {
-            throw new BadRequest("no " + Headers.REQUEST_ID);
+            throw new BadRequest("no " + ProtocolHeaders.REQUEST_ID);
         }
-        long timeout = number(headers, Headers.TIMEOUT, 1) * 1000;
+        long timeout = number(headers, ProtocolHeaders.TIMEOUT, 1) * 1000;
         long waited = client.waitedMicros();
         long deadline = now - waited + timeout - Math.min(MARGIN_MICROS, timeout / MARGIN_PART);
         long key =
                 slash < 0 || slash == path.length() - 1
                         ? -1
-                        : Ids.of(path.substring(path.lastIndexOf('/') + 1));
-        boolean repeat = headers.contains(Headers.RETRY, "1", false);
+                        : StableIds.of(path.substring(path.lastIndexOf('/') + 1));
+        boolean repeat = headers.contains(ProtocolHeaders.RETRY, "1", false);
         long streamed = streaming.bounds(known.name()).answerBytes();
         Request request =
                 new Request(
@@ -102,12 +105,12 @@
                         upload != null,
                         streaming.hold(upload != null, streamed > 0),
                         waited);
-        return new Call(
+        return new ProxiedRequest(
                 request, http.method(), http.uri(), headers, body, upload, streamed, client);
     }
 
     /** The class that a path names, or null. */
-    RequestClass requestClass(String uri) {
+    public RequestClass requestClass(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
         Integer number = classes.get(slash < 0 ? path : path.substring(0, slash));
@@ -142,18 +145,18 @@
      * The method and the key say what the client takes the class for; it must be what the settings
      * say.
      */
-    private static void checkMethod(HttpRequest http, Effect effect, boolean body)
+    private static void checkMethod(HttpRequest http, Idempotency effect, boolean body)
             throws BadRequest {
-        List<String> keys = http.headers().getAll(Headers.IDEMPOTENCY_KEY);
-        HttpMethod wanted = effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        List<String> keys = http.headers().getAll(ProtocolHeaders.IDEMPOTENCY_KEY);
+        HttpMethod wanted = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(wanted)) {
             throw new BadRequest("this class wants " + wanted);
         }
-        if (effect == Effect.SAFE && body) {
+        if (effect == Idempotency.IDEMPOTENT && body) {
             throw new BadRequest("this class has no body");
         }
-        if (keys.size() != (effect == Effect.KEYED ? 1 : 0)) {
-            throw new BadRequest(Headers.IDEMPOTENCY_KEY + " goes with keyed classes");
+        if (keys.size() != (effect == Idempotency.IDEMPOTENCY_KEY ? 1 : 0)) {
+            throw new BadRequest(ProtocolHeaders.IDEMPOTENCY_KEY + " goes with keyed classes");
         }
     }
 
@@ -161,7 +164,7 @@
         if (tenants.isEmpty()) {
             return 0;
         }
-        Integer tenant = tenants.get(Headers.single(headers, Headers.TENANT));
+        Integer tenant = tenants.get(ProtocolHeaders.single(headers, ProtocolHeaders.TENANT));
         if (tenant == null) {
             throw new BadRequest("no such tenant");
         }
@@ -169,7 +172,7 @@
     }
 
     private static long number(HttpHeaders headers, String name, long least) throws BadRequest {
-        String text = Headers.single(headers, name);
+        String text = ProtocolHeaders.single(headers, name);
         long value = -1;
         try {
             value = text == null ? -1 : Long.parseLong(text);
--- a/sidecar/src/main/java/sagefall/sidecar/ServerPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -26,75 +26,88 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Server;
-import sagefall.LoadReports;
-import sagefall.sidecar.Call.Attempt;
-import sagefall.streaming.Flow;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadReport;
+import sagefall.config.LoadReportReader;
+import sagefall.config.SidecarConfig;
+import sagefall.discovery.EndpointList;
+import sagefall.http.HttpClientConnection;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.ForwardedAttempt;
+import sagefall.proxy.ProxiedRequest;
+import sagefall.proxy.WallClock;
+import sagefall.streaming.FlowControl;
 
 /**
  * Connections to the servers and the attempts on them. A connection carries one attempt at a time;
  * nothing is ever sent a second time by the pool itself.
  */
-final class ServerPool {
+public final class ConnectionPool {
 
     /**
      * How an attempt ended; the answer is there only when a server gave one, and only during the
      * call.
      */
-    interface Listener {
-        void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer);
+    public interface Listener {
+        void ended(
+                ForwardedAttempt attempt,
+                AttemptResult result,
+                LoadReport report,
+                FullHttpResponse answer);
 
         /**
          * The last look before its first byte: takes in what has come and not been read yet, lists
          * too. Whether anybody still waits for it.
          */
-        default boolean wanted(Attempt attempt) {
+        default boolean wanted(ForwardedAttempt attempt) {
             return true;
         }
 
         /** The last byte of an upload has left. */
-        default void written(Attempt attempt) {}
+        default void written(ForwardedAttempt attempt) {}
 
         /** An answer that passes through has begun; reading it can be stopped and let on. */
         default void began(
-                Attempt attempt, HttpResponse head, LoadReport report, Flow.Source source) {}
+                ForwardedAttempt attempt,
+                HttpResponse head,
+                LoadReport report,
+                FlowControl.Source source) {}
 
         /** A part of it, which the listener takes over. */
-        default void part(Attempt attempt, ByteBuf part) {
+        default void part(ForwardedAttempt attempt, ByteBuf part) {
             part.release();
         }
 
         /** All that came in one go has been told. */
-        default void flush(Attempt attempt) {}
+        default void flush(ForwardedAttempt attempt) {}
 
         /** It has come whole. */
-        default void finished(Attempt attempt, HttpHeaders trailers) {}
+        default void finished(ForwardedAttempt attempt, HttpHeaders trailers) {}
     }
 
     /**
      * A second copy of an answer may come this much later, so for as long a connection is not used
      * again.
      */
-    static final long SETTLE_MICROS = 20_000;
+    public static final long SETTLE_MICROS = 20_000;
 
     private final EventLoop loop;
-    private final Clock clock;
+    private final WallClock clock;
     private final Listener listener;
     private final int most;
     private final long connectMicros;
     private final long idleMicros;
     private boolean streams;
     private final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<Attempt, Connection> busy = new HashMap<>();
+    private final Map<ForwardedAttempt, Connection> busy = new HashMap<>();
     private int open;
 
     /** One process at one address; after a restart or a move the same server is another node. */
     private static final class Node {
         final InetSocketAddress address;
-        Server line;
+        ListedEndpoint line;
 
         /** It drains or is gone. */
         boolean leaving;
@@ -111,24 +124,25 @@
         /** The most recently used last. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        Node(InetSocketAddress address, Server line) {
+        Node(InetSocketAddress address, ListedEndpoint line) {
             this.address = address;
             this.line = line;
         }
 
-        boolean isFor(ServerList.Entry entry) {
+        boolean isFor(EndpointList.Entry entry) {
             return entry.address().equals(address)
                     && entry.server().startMicros() == line.startMicros();
         }
     }
 
-    ServerPool(EventLoop loop, Clock clock, Config config, Listener listener) {
+    public ConnectionPool(
+            EventLoop loop, WallClock clock, SidecarConfig config, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.listener = listener;
         most = config.serverConnections();
         connectMicros = config.connectMicros();
-        idleMicros = config.settings().limits().idleMicros();
+        idleMicros = config.settings().limits().idleTimeoutMicros();
         streams = config.extensions().streaming().isOn();
         long sweep = Math.max(1, Math.min(1_000_000, idleMicros / 10));
         loop.scheduleWithFixedDelay(this::closeStale, sweep, sweep, TimeUnit.MICROSECONDS);
@@ -138,18 +152,18 @@
      * From now on answers may pass through; what was opened for whole ones is not used again for
      * them.
      */
-    void streams(boolean next) {
+    public void streams(boolean next) {
         if (streams != next) {
             streams = next;
-            nodes.values().forEach(ServerPool::closeIdle);
+            nodes.values().forEach(ConnectionPool::closeIdle);
         }
     }
 
     /** Takes over what discovery says of the servers. */
-    void update(ServerList list) {
+    public void update(EndpointList list) {
         Set<Long> named = new HashSet<>();
-        for (ServerList.Entry entry : list.entries()) {
-            Server line = entry.server();
+        for (EndpointList.Entry entry : list.entries()) {
+            ListedEndpoint line = entry.server();
             named.add(line.id());
             Node node = nodes.get(line.id());
             if (node != null && !node.isFor(entry)) {
@@ -162,8 +176,8 @@
                 nodes.put(line.id(), node);
             }
             node.line = line;
-            node.gone = line.phase() == Phase.REMOVED;
-            if (line.phase() == Phase.READY) {
+            node.gone = line.phase() == EndpointPhase.REMOVED;
+            if (line.phase() == EndpointPhase.READY) {
                 node.leaving = false;
             } else {
                 leave(node);
@@ -188,22 +202,22 @@
     }
 
     /** Whether any server is in service. */
-    boolean anyReady() {
+    public boolean anyReady() {
         return nodes.values().stream().anyMatch(n -> !n.leaving);
     }
 
     /** Sends an attempt on the connection used last, or on a new one. */
-    void start(Attempt attempt) {
+    public void start(ForwardedAttempt attempt) {
         Node node = nodes.get(attempt.server);
         if (node == null || node.leaving) {
-            end(attempt, Result.NOT_SENT, null, null);
+            end(attempt, AttemptResult.NOT_SENT, null, null);
             return;
         }
         Connection connection = pollSettled(node);
         if (connection == null && open >= most && !closeOldestIdle()) {
             // The bound keeps descriptors for clients; past it the attempt never leaves this
             // process.
-            end(attempt, Result.NO_CONNECTION, null, null);
+            end(attempt, AttemptResult.NO_CONNECTION, null, null);
             return;
         }
         if (connection != null) {
@@ -232,7 +246,7 @@
     }
 
     /** Stops an attempt, which tells the server so, and closes its connection. */
-    void abandon(Attempt attempt) {
+    public void abandon(ForwardedAttempt attempt) {
         Connection connection = letGo(attempt);
         if (connection != null) {
             connection.attempt = null;
@@ -240,15 +254,15 @@
         }
     }
 
-    void closeIdle(long server) {
+    public void closeIdle(long server) {
         Node node = nodes.get(server);
         if (node != null) {
             closeIdle(node);
         }
     }
 
-    void close() {
-        nodes.values().forEach(ServerPool::closeIdle);
+    public void close() {
+        nodes.values().forEach(ConnectionPool::closeIdle);
         List.copyOf(busy.keySet()).forEach(this::abandon);
     }
 
@@ -283,14 +297,18 @@
         }
     }
 
-    private void end(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer) {
+    private void end(
+            ForwardedAttempt attempt,
+            AttemptResult result,
+            LoadReport report,
+            FullHttpResponse answer) {
         letGo(attempt);
         if (attempt.result == null) {
             listener.ended(attempt, result, report, answer);
         }
     }
 
-    private Connection letGo(Attempt attempt) {
+    private Connection letGo(ForwardedAttempt attempt) {
         Connection connection = busy.remove(attempt);
         if (connection != null && attempt.call.upload != null) {
             attempt.call.upload.detach();
@@ -299,10 +317,10 @@
     }
 
     /** A connection to a server: coming up, carrying an attempt, or idle. */
-    private final class Connection implements Link.Owner {
+    private final class Connection implements HttpClientConnection.Owner {
         private final Node node;
-        private final Link link;
-        private Attempt attempt;
+        private final HttpClientConnection link;
+        private ForwardedAttempt attempt;
         private long idleSince;
         private boolean keepAlive;
 
@@ -310,10 +328,17 @@
             this.node = node;
             open++;
             node.connections++;
-            link = new Link(loop, node.address, Link.MAX_BODY, connectMicros, streams, this);
+            link =
+                    new HttpClientConnection(
+                            loop,
+                            node.address,
+                            HttpClientConnection.MAX_BODY,
+                            connectMicros,
+                            streams,
+                            this);
         }
 
-        void take(Attempt next) {
+        void take(ForwardedAttempt next) {
             attempt = next;
             busy.put(next, this);
         }
@@ -325,7 +350,7 @@
          * loop is late, so no grace is used.
          */
         void write() {
-            Attempt asked = attempt;
+            ForwardedAttempt asked = attempt;
             boolean wanted = listener.wanted(asked);
             if (attempt != asked) {
                 // Its client is gone: it was called off by that very look.
@@ -334,35 +359,35 @@
             long now = clock.micros();
             boolean late = now >= Math.min(attempt.giveUpAt, attempt.latestAt);
             if (!wanted || attempt.call.over || late || node.leaving) {
-                Attempt unsent = attempt;
+                ForwardedAttempt unsent = attempt;
                 rest();
-                end(unsent, Result.NOT_SENT, null, null);
+                end(unsent, AttemptResult.NOT_SENT, null, null);
                 return;
             }
             if (attempt.call.upload == null) {
                 link.send(request(attempt, now), attempt.call.mostStreamed);
             } else {
-                Attempt sent = attempt;
+                ForwardedAttempt sent = attempt;
                 Channel taker = link.begin(head(attempt, now), attempt.call.mostStreamed);
                 attempt.call.upload.attach(taker, () -> uploaded(sent));
             }
         }
 
-        private void uploaded(Attempt sent) {
+        private void uploaded(ForwardedAttempt sent) {
             if (attempt == sent) {
                 written();
                 listener.written(sent);
             }
         }
 
-        private HttpHeaders headers(Attempt a, long now) {
-            HttpHeaders headers = Headers.endToEnd(a.call.headers);
-            headers.set(Headers.TIMEOUT, Math.max(1, (a.giveUpAt - now) / 1000));
+        private HttpHeaders headers(ForwardedAttempt a, long now) {
+            HttpHeaders headers = ProtocolHeaders.endToEnd(a.call.headers);
+            headers.set(ProtocolHeaders.TIMEOUT, Math.max(1, (a.giveUpAt - now) / 1000));
             return headers;
         }
 
         /** Of a request whose body follows, framed as its client framed it. */
-        private HttpRequest head(Attempt a, long now) {
+        private HttpRequest head(ForwardedAttempt a, long now) {
             HttpHeaders headers = headers(a, now);
             if (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
                 headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -370,8 +395,8 @@
             return new DefaultHttpRequest(HttpVersion.HTTP_1_1, a.call.method, a.call.uri, headers);
         }
 
-        private FullHttpRequest request(Attempt a, long now) {
-            Call call = a.call;
+        private FullHttpRequest request(ForwardedAttempt a, long now) {
+            ProxiedRequest call = a.call;
             HttpHeaders headers = headers(a, now);
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             if (call.body.length > 0 || !call.method.equals(HttpMethod.GET)) {
@@ -422,9 +447,10 @@
                 return;
             }
             clean &= attempt.written;
-            Result result = result(answer);
-            LoadReport report = LoadReports.parse(answer.headers().getAll(Headers.LOAD));
-            Attempt done = attempt;
+            AttemptResult result = result(answer);
+            LoadReport report =
+                    LoadReportReader.parse(answer.headers().getAll(ProtocolHeaders.LOAD));
+            ForwardedAttempt done = attempt;
             if (clean && HttpUtil.isKeepAlive(answer)) {
                 rest();
             } else {
@@ -448,12 +474,12 @@
                 link.close();
                 return;
             }
-            Attempt taker = attempt;
+            ForwardedAttempt taker = attempt;
             keepAlive = HttpUtil.isKeepAlive(head);
             listener.began(
                     taker,
                     head,
-                    LoadReports.parse(head.headers().getAll(Headers.LOAD)),
+                    LoadReportReader.parse(head.headers().getAll(ProtocolHeaders.LOAD)),
                     on -> {
                         // Once the answer is whole the connection may be another's.
                         if (attempt == taker) {
@@ -484,7 +510,7 @@
                 link.close();
                 return;
             }
-            Attempt done = attempt;
+            ForwardedAttempt done = attempt;
             letGo(done);
             link.read(true);
             if (clean && keepAlive) {
@@ -496,15 +522,15 @@
             listener.finished(done, trailers);
         }
 
-        private static Result result(FullHttpResponse answer) {
+        private static AttemptResult result(FullHttpResponse answer) {
             int status = answer.status().code();
             if (status == HttpResponseStatus.OK.code()) {
-                return Result.SERVED;
+                return AttemptResult.SERVED;
             }
             boolean turnedAway =
                     (status == 503 || status == 504)
-                            && "1".equals(answer.headers().get(Headers.NOT_STARTED));
-            return turnedAway ? Result.FULL : Result.ERROR;
+                            && "1".equals(answer.headers().get(ProtocolHeaders.NOT_STARTED));
+            return turnedAway ? AttemptResult.REJECTED : AttemptResult.ERROR;
         }
 
         @Override
@@ -516,9 +542,13 @@
                 nodes.remove(node.line.id(), node);
             }
             if (attempt != null) {
-                Attempt lost = attempt;
+                ForwardedAttempt lost = attempt;
                 attempt = null;
-                end(lost, lost.written ? Result.BROKEN : Result.NO_CONNECTION, null, null);
+                end(
+                        lost,
+                        lost.written ? AttemptResult.BROKEN : AttemptResult.NO_CONNECTION,
+                        null,
+                        null);
             }
         }
     }
--- a/sidecar/src/main/java/sagefall/simhost/WireException.java
+++ b/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
@@ -1,10 +1,10 @@
-package sagefall.simhost;
+package sagefall.simulator;
 
 /** Input that breaks the wire's rules; its message is the one line that the user sees. */
-final class WireException extends Exception {
+final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    MalformedMessageException(String message) {
         super(message);
     }
 }
--- a/sidecar/src/main/java/sagefall/simhost/Fields.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -1,4 +1,4 @@
-package sagefall.simhost;
+package sagefall.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -6,20 +6,20 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.Json;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Server;
-import sagefall.LoadBalancer.Settings;
-import sagefall.LoadReports;
-import sagefall.SettingsReader;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.Request;
+import sagefall.config.BalancerSettingsReader;
+import sagefall.config.Json;
+import sagefall.config.LoadReportReader;
 
 /** The fields of one message, read in one pass and turned into the library's types. */
-final class Fields {
+final class MessageReader {
 
     private final Map<String, Object> values = new LinkedHashMap<>();
 
@@ -29,9 +29,9 @@
         Json.readInto(parser, values);
     }
 
-    private WireException bad(String name, String want) {
+    private MalformedMessageException bad(String name, String want) {
         Object op = values.get("op");
-        return new WireException(
+        return new MalformedMessageException(
                 (op instanceof String s ? s : "event")
                         + ": '"
                         + name
@@ -39,21 +39,21 @@
                         + (values.get(name) == null ? "is missing" : "must be " + want));
     }
 
-    String text(String name) throws WireException {
+    String text(String name) throws MalformedMessageException {
         if (values.get(name) instanceof String s) {
             return s;
         }
         throw bad(name, "a text");
     }
 
-    long number(String name) throws WireException {
+    long number(String name) throws MalformedMessageException {
         if (values.get(name) instanceof Long n) {
             return n;
         }
         throw bad(name, "a whole number");
     }
 
-    private long number(String name, long otherwise) throws WireException {
+    private long number(String name, long otherwise) throws MalformedMessageException {
         return values.get(name) == null ? otherwise : number(name);
     }
 
@@ -61,33 +61,35 @@
         return Boolean.TRUE.equals(values.get(name));
     }
 
-    ListKind listKind() throws WireException {
+    EndpointListKind listKind() throws MalformedMessageException {
         String how = text("how");
         return switch (how) {
-            case "diff" -> ListKind.CHANGES;
-            case "snapshot" -> ListKind.COMPLETE;
-            case "disk" -> ListKind.CACHED;
-            case "error" -> ListKind.FAILED;
-            default -> throw new WireException("Endpoints: unknown list kind '" + how + "'");
+            case "diff" -> EndpointListKind.CHANGES;
+            case "snapshot" -> EndpointListKind.COMPLETE;
+            case "disk" -> EndpointListKind.CACHED;
+            case "error" -> EndpointListKind.FAILED;
+            default ->
+                    throw new MalformedMessageException(
+                            "Endpoints: unknown list kind '" + how + "'");
         };
     }
 
-    Result result() throws WireException {
+    AttemptResult result() throws MalformedMessageException {
         String verdict = text("verdict");
         return switch (verdict) {
-            case "OK" -> Result.SERVED;
-            case "INTERNAL" -> Result.ERROR;
-            case "RESOURCE_EXHAUSTED" -> Result.FULL;
-            case "DEADLINE_EXCEEDED" -> Result.TIMED_OUT;
-            case "UNAVAILABLE" -> Result.NO_CONNECTION;
-            case "ABORTED" -> Result.BROKEN;
-            case "CANCELLED" -> Result.CANCELLED;
-            case "TOO_LATE" -> Result.NOT_SENT;
-            default -> throw new WireException("unknown verdict '" + verdict + "'");
+            case "OK" -> AttemptResult.SERVED;
+            case "INTERNAL" -> AttemptResult.ERROR;
+            case "RESOURCE_EXHAUSTED" -> AttemptResult.REJECTED;
+            case "DEADLINE_EXCEEDED" -> AttemptResult.TIMED_OUT;
+            case "UNAVAILABLE" -> AttemptResult.NO_CONNECTION;
+            case "ABORTED" -> AttemptResult.BROKEN;
+            case "CANCELLED" -> AttemptResult.CANCELLED;
+            case "TOO_LATE" -> AttemptResult.NOT_SENT;
+            default -> throw new MalformedMessageException("unknown verdict '" + verdict + "'");
         };
     }
 
-    Request request() throws WireException {
+    Request request() throws MalformedMessageException {
         return new Request(
                 text("ticket"),
                 (int) number("type"),
@@ -98,8 +100,8 @@
                 flag("mutates"));
     }
 
-    Outcome outcome() throws WireException {
-        return new Outcome(
+    AttemptOutcome outcome() throws MalformedMessageException {
+        return new AttemptOutcome(
                 text("ticket"),
                 (int) number("go"),
                 number("server"),
@@ -113,29 +115,29 @@
         if (!(values.get("server_stats") instanceof Map<?, ?> m)) {
             return null;
         }
-        return LoadReports.of(m);
+        return LoadReportReader.of(m);
     }
 
-    List<Server> rows() throws WireException {
+    List<ListedEndpoint> rows() throws MalformedMessageException {
         if (!(values.get("rows") instanceof List<?> rows)) {
             throw bad("rows", "an array");
         }
-        List<Server> servers = new ArrayList<>(rows.size());
+        List<ListedEndpoint> servers = new ArrayList<>(rows.size());
         for (Object row : rows) {
             if (!(row instanceof Map<?, ?> m) || !(m.get("server") instanceof Long id)) {
-                throw new WireException("Pool: an entry without a 'server'");
+                throw new MalformedMessageException("Pool: an entry without a 'server'");
             }
-            Phase phase =
+            EndpointPhase phase =
                     switch (String.valueOf(m.get("status"))) {
-                        case "SERVING" -> Phase.READY;
-                        case "DRAINING" -> Phase.DRAINING;
-                        case "DELETED" -> Phase.REMOVED;
+                        case "SERVING" -> EndpointPhase.READY;
+                        case "DRAINING" -> EndpointPhase.DRAINING;
+                        case "DELETED" -> EndpointPhase.REMOVED;
                         default ->
-                                throw new WireException(
+                                throw new MalformedMessageException(
                                         "Pool: unknown status '" + m.get("status") + "'");
                     };
             servers.add(
-                    new Server(
+                    new ListedEndpoint(
                             id,
                             (int) Json.whole(m, "failure_domain", 0),
                             (int) Json.whole(m, "sku", 0),
@@ -147,10 +149,10 @@
         return servers;
     }
 
-    Settings settings() throws WireException {
+    BalancerSettings settings() throws MalformedMessageException {
         if (!(values.get("facts") instanceof Map<?, ?> f)) {
             throw bad("facts", "an object");
         }
-        return SettingsReader.read(number("salt"), f);
+        return BalancerSettingsReader.read(number("salt"), f);
     }
 }
--- a/sidecar/src/main/java/sagefall/simhost/Replies.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
@@ -1,20 +1,20 @@
-package sagefall.simhost;
+package sagefall.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Reason;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.RejectionReason;
 
 /** Writes the actions of a batch as they come; a group is opened only once it holds something. */
-final class Replies implements Actions {
+final class MessageWriter implements BalancerActions {
 
     private final JsonGenerator out;
     private String instance;
     private boolean opened;
     private boolean begun;
 
-    Replies(JsonGenerator out) {
+    MessageWriter(JsonGenerator out) {
         this.out = out;
     }
 
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public void refuse(String requestId, long retryAfterMicros, Reason why) {
+    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
         action(
                 "PushBack",
                 () -> {
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void fail(String requestId, Reason why) {
+    public void fail(String requestId, RejectionReason why) {
         action("ReportFailure", () -> out.writeStringField("ticket", requestId));
     }
 
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void timer(long atMicros, long token) {
+    public void scheduleTimer(long atMicros, long token) {
         action(
                 "Defer",
                 () -> {
@@ -124,12 +124,12 @@
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
         action("LetGo", () -> out.writeNumberField("server", server));
     }
 
     @Override
-    public void subscribe() {
+    public void requestEndpointUpdates() {
         action("Subscribe", () -> out.writeBooleanField("want", true));
     }
 
--- a/sidecar/src/main/java/sagefall/simhost/SimHost.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package sagefall.simhost;
+package sagefall.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -13,30 +13,30 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.Choice;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Server;
+import sagefall.balancer.DefaultLoadBalancer;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
 
 /**
- * Hosts one {@link Choice} for each sidecar and speaks the simulator's wire. It translates and
- * never decides.
+ * Hosts one {@link DefaultLoadBalancer} for each sidecar and speaks the simulator's wire. It
+ * translates and never decides.
  */
-public final class SimHost {
+public final class SimulatorAdapter {
 
     private static final int LISTS = 16;
 
     private final JsonFactory json = new JsonFactory();
     private final Map<String, Hosted> instances = new HashMap<>();
-    private final List<List<Server>> lists = new ArrayList<>();
-    private final Fields fields = new Fields();
+    private final List<List<ListedEndpoint>> lists = new ArrayList<>();
+    private final MessageReader fields = new MessageReader();
 
     /** An instance of the module and where its actions of this batch go. */
     private static final class Hosted {
         LoadBalancer balancer;
     }
 
-    SimHost() {
+    SimulatorAdapter() {
         for (int i = 0; i < LISTS; i++) {
             lists.add(null);
         }
@@ -44,7 +44,7 @@
 
     /** Serves standard input and output until the input ends; the exit status. */
     public static int serve() {
-        return new SimHost().run(System.in, System.out, System.err);
+        return new SimulatorAdapter().run(System.in, System.out, System.err);
     }
 
     /** Answers batches until the input ends; the exit status. */
@@ -54,17 +54,17 @@
             generator.setRootValueSeparator(null);
             generator.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             generator.disable(JsonGenerator.Feature.AUTO_CLOSE_JSON_CONTENT);
-            Replies replies = new Replies(generator);
+            MessageWriter replies = new MessageWriter(generator);
             JsonToken token;
             while ((token = parser.nextToken()) != null) {
                 if (token != JsonToken.START_OBJECT) {
-                    throw new WireException("a batch must be a JSON object");
+                    throw new MalformedMessageException("a batch must be a JSON object");
                 }
                 batch(parser, replies);
                 replies.finish();
             }
             return 0;
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             errors.println("sagefall: " + e.getMessage());
         } catch (JsonParseException e) {
             errors.println("sagefall: not JSON: " + oneLine(e.getOriginalMessage()));
@@ -82,7 +82,8 @@
         return text.replaceAll("\\s+", " ");
     }
 
-    private void batch(JsonParser parser, Replies replies) throws IOException, WireException {
+    private void batch(JsonParser parser, MessageWriter replies)
+            throws IOException, MalformedMessageException {
         long now = -1;
         boolean grouped = false;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -90,12 +91,14 @@
             JsonToken value = parser.nextToken();
             if (name.equals("at_time_us")) {
                 if (value != JsonToken.VALUE_NUMBER_INT) {
-                    throw new WireException("batch: 'at_time_us' must be a whole number");
+                    throw new MalformedMessageException(
+                            "batch: 'at_time_us' must be a whole number");
                 }
                 now = parser.getLongValue();
             } else if (name.equals("groups")) {
                 if (now < 0) {
-                    throw new WireException("batch: 'at_time_us' must come before 'groups'");
+                    throw new MalformedMessageException(
+                            "batch: 'at_time_us' must come before 'groups'");
                 }
                 expect(value, JsonToken.START_ARRAY, "'groups' must be an array");
                 grouped = true;
@@ -111,20 +114,20 @@
             }
         }
         if (now < 0 || !grouped) {
-            throw new WireException(
+            throw new MalformedMessageException(
                     "batch: '" + (now < 0 ? "at_time_us" : "groups") + "' is missing");
         }
     }
 
     private static void expect(JsonToken token, JsonToken wanted, String message)
-            throws WireException {
+            throws MalformedMessageException {
         if (token != wanted) {
-            throw new WireException(message);
+            throw new MalformedMessageException(message);
         }
     }
 
-    private void group(JsonParser parser, long now, Replies replies)
-            throws IOException, WireException {
+    private void group(JsonParser parser, long now, MessageWriter replies)
+            throws IOException, MalformedMessageException {
         String who = null;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -155,59 +158,62 @@
         }
     }
 
-    private void event(long now, String who, Replies replies) throws WireException {
+    private void event(long now, String who, MessageWriter replies)
+            throws MalformedMessageException {
         String op = fields.text("op");
         if (op.equals("Pool")) {
             lists.set(table(), List.copyOf(fields.rows()));
             return;
         }
         if (who == null) {
-            throw new WireException("group: 'who' is missing");
+            throw new MalformedMessageException("group: 'who' is missing");
         }
         if (op.equals("Start")) {
             Hosted hosted = new Hosted();
-            hosted.balancer = new Choice(fields.settings(), replies);
+            hosted.balancer = new DefaultLoadBalancer(fields.settings(), replies);
             instances.put(who, hosted);
             return;
         }
         Hosted hosted = instances.get(who);
         if (hosted == null) {
-            throw new WireException(op + ": unknown instance '" + who + "'");
+            throw new MalformedMessageException(op + ": unknown instance '" + who + "'");
         }
         LoadBalancer balancer = hosted.balancer;
         switch (op) {
             case "PowerOff" -> instances.remove(who);
             case "Endpoints" -> {
-                ListKind kind = fields.listKind();
-                List<Server> list = kind == ListKind.FAILED ? List.of() : lists.get(table());
+                EndpointListKind kind = fields.listKind();
+                List<ListedEndpoint> list =
+                        kind == EndpointListKind.FAILED ? List.of() : lists.get(table());
                 if (list == null) {
-                    throw new WireException(
+                    throw new MalformedMessageException(
                             "Endpoints: no Pool of number " + fields.number("table"));
                 }
-                balancer.servers(now, kind, list);
+                balancer.onEndpointList(now, kind, list);
             }
-            case "Call" -> balancer.request(now, fields.request());
+            case "Call" -> balancer.onRequest(now, fields.request());
             case "Established" ->
-                    balancer.streamBegan(
+                    balancer.onStreamStarted(
                             now,
                             fields.text("ticket"),
                             (int) fields.number("go"),
                             fields.number("server"),
                             fields.number("cost_time_us"));
-            case "Response" -> balancer.outcome(now, fields.outcome());
-            case "ClientLeft" -> balancer.clientLeft(now, fields.text("ticket"));
-            case "DeadlineHit" -> balancer.timer(now, fields.number("handle"));
+            case "Response" -> balancer.onAttemptOutcome(now, fields.outcome());
+            case "ClientLeft" -> balancer.onClientDisconnected(now, fields.text("ticket"));
+            case "DeadlineHit" -> balancer.onTimer(now, fields.number("handle"));
             // The module neither probes nor writes to its peers; what comes of either tells it
             // nothing.
             case "CheckResult", "Peer" -> {}
-            default -> throw new WireException("unknown op '" + op + "'");
+            default -> throw new MalformedMessageException("unknown op '" + op + "'");
         }
     }
 
-    private int table() throws WireException {
+    private int table() throws MalformedMessageException {
         long table = fields.number("table");
         if (table < 0 || table >= LISTS) {
-            throw new WireException("table " + table + " is not between 0 and " + (LISTS - 1));
+            throw new MalformedMessageException(
+                    "table " + table + " is not between 0 and " + (LISTS - 1));
         }
         return (int) table;
     }
--- a/sidecar/src/main/java/sagefall/streaming/Buffers.java
+++ b/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
@@ -4,7 +4,7 @@
  * What all streams of this process hold together, and the most that it has been: the figure that
  * the bound of the section is to be chosen by.
  */
-public final class Buffers {
+public final class BufferAccounting {
 
     private long held;
     private long most;
--- a/sidecar/src/main/java/sagefall/streaming/Flow.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -9,7 +9,7 @@
  * count is at the low one. So a slow taker slows the bringer down and the process holds a window,
  * however long the body is.
  */
-public final class Flow {
+public final class FlowControl {
 
     /** The side that brings. */
     public interface Source {
@@ -23,8 +23,8 @@
      */
     private static final int PART_BYTES = 256;
 
-    private final Streaming bounds;
-    private final Buffers buffers;
+    private final StreamingSettings bounds;
+    private final BufferAccounting buffers;
     private final Source source;
     private long waiting;
     private boolean held;
@@ -38,7 +38,7 @@
 
     private long takenAt = broughtAt;
 
-    public Flow(Streaming bounds, Buffers buffers, Source source) {
+    public FlowControl(StreamingSettings bounds, BufferAccounting buffers, Source source) {
         this.bounds = bounds;
         this.buffers = buffers;
         this.source = source;
--- a/sidecar/src/main/java/sagefall/streaming/Upload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -13,7 +13,7 @@
  * replay buffer, so that another server can be sent all of it while no more than that has gone out;
  * past it the body can only go where it is going. The client is read only while a server takes.
  */
-public final class Upload {
+public final class StreamedUpload {
 
     /** What is told of it. */
     public interface Listener {
@@ -24,10 +24,10 @@
         void replayLost();
     }
 
-    private final Streaming bounds;
+    private final StreamingSettings bounds;
     private final long most;
-    private final Buffers buffers;
-    private final Flow flow;
+    private final BufferAccounting buffers;
+    private final FlowControl flow;
     private final ByteBuf kept = Unpooled.buffer(0);
     private Listener listener;
     private long received;
@@ -38,11 +38,15 @@
     private Runnable written;
 
     /** At most so many bytes; the source is held until there is a server. */
-    public Upload(Streaming bounds, Buffers buffers, long most, Flow.Source source) {
+    public StreamedUpload(
+            StreamingSettings bounds,
+            BufferAccounting buffers,
+            long most,
+            FlowControl.Source source) {
         this.bounds = bounds;
         this.buffers = buffers;
         this.most = most;
-        flow = new Flow(bounds, buffers, source);
+        flow = new FlowControl(bounds, buffers, source);
         flow.hold(true);
     }
 
@@ -66,7 +70,7 @@
             buffers.add(part.readableBytes());
         }
         if (taker != null) {
-            write(Flow.tight(part));
+            write(FlowControl.tight(part));
             loseReplay();
         } else {
             part.release();
@@ -139,7 +143,7 @@
     }
 
     private void write(ByteBuf part) {
-        int weight = Flow.weight(part);
+        int weight = FlowControl.weight(part);
         Channel to = taker;
         to.write(new DefaultHttpContent(part))
                 .addListener(
--- a/sidecar/src/main/java/sagefall/streaming/Streaming.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -3,14 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.Section;
+import sagefall.balancer.api.RequestClass;
+import sagefall.config.ConfigSection;
 
 /**
  * The section {@code streaming}: which bodies pass through as they arrive, and what they may hold
  * meanwhile. A class that it does not name is passed on whole.
  */
-public record Streaming(
+public record StreamingSettings(
         Map<String, Bounds> classes,
         int highWatermark,
         int lowWatermark,
@@ -26,7 +26,8 @@
     public record Bounds(long requestBytes, long answerBytes) {}
 
     /** Without the section nothing streams. */
-    public static final Streaming OFF = new Streaming(Map.of(), 0, 0, 0, 0, 0, 0, 0);
+    public static final StreamingSettings OFF =
+            new StreamingSettings(Map.of(), 0, 0, 0, 0, 0, 0, 0);
 
     /** Most that one read takes from a socket. */
     public static final int READ_BYTES = 16 * 1024;
@@ -42,8 +43,8 @@
     private static final long MOST_MILLIS = 3_600_000;
 
     /** Reads the section; the classes are those of the settings. */
-    public static Streaming read(Section section, List<RequestClass> settings) {
-        Section named = section.section("classes");
+    public static StreamingSettings read(ConfigSection section, List<RequestClass> settings) {
+        ConfigSection named = section.section("classes");
         Map<String, Bounds> classes = new LinkedHashMap<>();
         boolean uploads = false;
         for (String name : named.names()) {
@@ -53,7 +54,7 @@
                             .findFirst()
                             .orElseThrow(
                                     () -> named.wrong(name, "the settings have no such class"));
-            Section one = named.section(name);
+            ConfigSection one = named.section(name);
             Bounds bounds =
                     new Bounds(
                             one.whole("max_request_bytes", 0, 0, MOST_BYTES),
@@ -73,8 +74,8 @@
             throw section.wrong(
                     "low_watermark_bytes", "must be below high_watermark_bytes, " + high);
         }
-        Streaming read =
-                new Streaming(
+        StreamingSettings read =
+                new StreamingSettings(
                         Map.copyOf(classes),
                         high,
                         low,
--- /dev/null
+++ b/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
@@ -0,0 +1,80 @@
+package sagefall.architecture;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The deploy files name what the sources hold. */
+class DeployFilesTest {
+
+    private static final Path ROOT = Path.of("..");
+    private static final Path SOURCES = ROOT.resolve("sidecar/src/main/java");
+    private static final Pattern OWN_CLASS = Pattern.compile("\\bsagefall/[A-Za-z0-9_/$]+");
+
+    /**
+     * A stale line is no error for the runtime, only a slower start, so it has to be found here.
+     */
+    @Test
+    void classListNamesOnlyClassesThatExist() throws IOException {
+        Set<String> missing = new TreeSet<>();
+        boolean any = false;
+        for (String line : Files.readAllLines(ROOT.resolve("deploy/classes.lst"))) {
+            Matcher own = OWN_CLASS.matcher(line.startsWith("#") ? "" : line);
+            while (own.find()) {
+                any = true;
+                if (getClass().getResource("/" + own.group() + ".class") == null) {
+                    missing.add(own.group());
+                }
+            }
+        }
+        assertFalse(!any, "deploy/classes.lst names no class of this project");
+        assertEquals(Set.of(), missing, "run deploy/update-class-list.sh");
+    }
+
+    /** The emulator recompiles the files of this list, so it has to be all of the decision code. */
+    @Test
+    void policyListIsTheDecisionCode() throws IOException {
+        Path balancer = SOURCES.resolve("sagefall/balancer");
+        Set<String> expected;
+        try (Stream<Path> files = Files.walk(balancer)) {
+            expected =
+                    files.filter(file -> file.toString().endsWith(".java"))
+                            .filter(file -> !file.startsWith(balancer.resolve("api")))
+                            .filter(file -> !file.endsWith("package-info.java"))
+                            .map(file -> ROOT.relativize(file).toString())
+                            .collect(Collectors.toCollection(TreeSet::new));
+        }
+        assertEquals(expected, new TreeSet<>(listed("policy")));
+    }
+
+    @Test
+    void nodeListNamesFilesThatExist() {
+        List<String> missing =
+                listed("node").stream().filter(f -> !Files.exists(ROOT.resolve(f))).toList();
+        assertEquals(List.of(), missing);
+    }
+
+    private static List<String> listed(String key) {
+        try (Stream<String> lines = Files.lines(ROOT.resolve("deploy/balancer.toml"))) {
+            String line = lines.filter(l -> l.startsWith(key + " = [")).findFirst().orElseThrow();
+            return Pattern.compile("\"([^\"]+)\"")
+                    .matcher(line)
+                    .results()
+                    .map(result -> result.group(1))
+                    .toList();
+        } catch (IOException e) {
+            throw new IllegalStateException("deploy/balancer.toml can't be read", e);
+        }
+    }
+}
--- a/sidecar/src/test/java/sagefall/CrowdTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,29 +11,29 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.Limits;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.ReportSource;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.LoadReportSource;
+import sagefall.balancer.api.ServiceLimits;
 
 /**
  * A fleet of instances that share nothing, on servers that queue what they are sent and forget
  * nothing.
  */
-class CrowdTest {
+class FleetOverloadTest {
 
     private static final int SIDECARS = 14;
     private static final int SERVERS = 40;
     private static final long WORK = 40_000;
     private static final long AIM = 200_000;
 
-    private record Event(long at, int instance, Outcome outcome) {}
+    private record Event(long at, int instance, AttemptOutcome outcome) {}
 
-    private final List<Recorder> fleet = new ArrayList<>();
+    private final List<RecordingActions> fleet = new ArrayList<>();
     private final PriorityQueue<Event> answers =
             new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
@@ -43,11 +43,12 @@
     private int inTime;
 
     private void open() {
-        Settings s = Recorder.settings(Effect.KEYED, Group.ZONE);
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
         for (int i = 0; i < SIDECARS; i++) {
             fleet.add(
-                    new Recorder(
-                            new Settings(
+                    new RecordingActions(
+                            new BalancerSettings(
                                     1000 + i,
                                     i,
                                     SIDECARS,
@@ -55,10 +56,10 @@
                                     s.zones(),
                                     s.classes(),
                                     s.tenants(),
-                                    s.overShareWorth(),
-                                    new Limits(4, true, true, 1_000_000, 60_000_000, 10_000),
+                                    s.overQuotaWeight(),
+                                    new ServiceLimits(4, true, true, 1_000_000, 60_000_000, 10_000),
                                     s.rules(),
-                                    ReportSource.ANSWERS,
+                                    LoadReportSource.ANSWERS,
                                     false,
                                     false,
                                     1000),
@@ -73,7 +74,7 @@
         for (long at = from; at < until; at += 1_000_000 / perSecond) {
             answerUntil(at);
             int instance = number++ % SIDECARS;
-            Recorder r = fleet.get(instance);
+            RecordingActions r = fleet.get(instance);
             int before = r.sent.size();
             r.now = at;
             r.request("r" + at);
@@ -84,8 +85,8 @@
     }
 
     private void sent(int instance, int before) {
-        Recorder r = fleet.get(instance);
-        for (Recorder.Sent s : r.sent.subList(before, r.sent.size())) {
+        RecordingActions r = fleet.get(instance);
+        for (RecordingActions.Sent s : r.sent.subList(before, r.sent.size())) {
             ArrayDeque<Long> queue = queues.computeIfAbsent(s.server(), id -> new ArrayDeque<>());
             queue.removeIf(end -> end <= s.at());
             long end = Math.max(s.at(), queue.isEmpty() ? 0 : queue.peekLast()) + WORK;
@@ -96,11 +97,13 @@
                     new Event(
                             s.at() + took,
                             instance,
-                            new Outcome(
+                            new AttemptOutcome(
                                     s.request(),
                                     0,
                                     s.server(),
-                                    end - s.at() > took ? Result.TIMED_OUT : Result.SERVED,
+                                    end - s.at() > took
+                                            ? AttemptResult.TIMED_OUT
+                                            : AttemptResult.SERVED,
                                     took,
                                     end - s.at() <= took,
                                     new LoadReport(Double.NaN, Double.NaN, use, 40, 25, 0))));
@@ -110,12 +113,13 @@
     private void answerUntil(long until) {
         while (!answers.isEmpty() && answers.peek().at() <= until) {
             Event e = answers.poll();
-            Recorder r = fleet.get(e.instance());
+            RecordingActions r = fleet.get(e.instance());
             int before = r.sent.size();
             r.now = e.at();
-            r.choice.outcome(e.at(), e.outcome());
+            r.choice.onAttemptOutcome(e.at(), e.outcome());
             inTime +=
-                    e.outcome().result() == Result.SERVED && e.outcome().elapsedMicros() <= AIM
+                    e.outcome().result() == AttemptResult.SERVED
+                                    && e.outcome().elapsedMicros() <= AIM
                             ? 1
                             : 0;
             sent(e.instance(), before);
@@ -143,7 +147,7 @@
         open();
         int capacity = (int) (SERVERS * 1_000_000 / WORK);
         play(1_000_000, 9_000_000, 2 * capacity);
-        Recorder r = fleet.get(0);
+        RecordingActions r = fleet.get(0);
         int refused = r.refused.size();
         for (int i = 0; i < 100; i++) {
             r.request("at once " + i);
@@ -164,19 +168,19 @@
     @Test
     void answersPastHalfOfTheirAimFromABusyZoneShrinkItsLimit() {
         open();
-        Recorder r = fleet.get(0);
+        RecordingActions r = fleet.get(0);
         LoadReport busy = new LoadReport(Double.NaN, Double.NaN, 0.95, 40, 25, 0);
         for (int i = 0; i < 60; i++) {
             r.request("a" + i);
-            Recorder.Sent last = r.sent.get(r.sent.size() - 1);
+            RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
             r.now += AIM * 6 / 10;
-            r.choice.outcome(
+            r.choice.onAttemptOutcome(
                     r.now,
-                    new Outcome(
+                    new AttemptOutcome(
                             last.request(),
                             0,
                             last.server(),
-                            Result.SERVED,
+                            AttemptResult.SERVED,
                             AIM * 6 / 10,
                             true,
                             busy));
@@ -191,35 +195,35 @@
     @Test
     void errorsOfAServerSeldomSentToTurnItsTrafficAway() {
         open();
-        Recorder r = fleet.get(0);
+        RecordingActions r = fleet.get(0);
         int before = 0;
         for (int i = 0; i < 3000; i++) {
             r.now += 20_000;
             int sent = r.sent.size();
             r.request("r" + i);
-            Recorder.Sent last = r.sent.get(r.sent.size() - 1);
+            RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
             assertEquals(sent + 1, r.sent.size());
             boolean bad = last.server() == 1;
             before += bad && i >= 1000 ? 1 : 0;
-            r.choice.outcome(
+            r.choice.onAttemptOutcome(
                     r.now,
-                    new Outcome(
+                    new AttemptOutcome(
                             last.request(),
                             0,
                             last.server(),
-                            bad && i >= 1000 ? Result.ERROR : Result.SERVED,
+                            bad && i >= 1000 ? AttemptResult.ERROR : AttemptResult.SERVED,
                             1000,
                             !bad || i < 1000,
                             null));
             if (bad && i >= 1000 && r.sent.size() > sent + 1) {
-                Recorder.Sent again = r.sent.get(r.sent.size() - 1);
-                r.choice.outcome(
+                RecordingActions.Sent again = r.sent.get(r.sent.size() - 1);
+                r.choice.onAttemptOutcome(
                         r.now,
-                        new Outcome(
+                        new AttemptOutcome(
                                 again.request(),
                                 1,
                                 again.server(),
-                                Result.SERVED,
+                                AttemptResult.SERVED,
                                 1000,
                                 true,
                                 null));
--- a/sidecar/src/test/java/sagefall/Recorder.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
@@ -1,52 +1,52 @@
-package sagefall;
+package sagefall.balancer;
 
 import java.util.ArrayList;
 import java.util.List;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.Limits;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.ReportSource;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Rules;
-import sagefall.LoadBalancer.Server;
-import sagefall.LoadBalancer.Settings;
-import sagefall.LoadBalancer.Tenant;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.FleetRules;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadReportSource;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+import sagefall.balancer.api.RequestClass;
+import sagefall.balancer.api.ServiceLimits;
+import sagefall.balancer.api.Tenant;
 
 /** Records what an instance does; it has no model of servers, tests say what comes back. */
-final class Recorder implements Actions {
+final class RecordingActions implements BalancerActions {
     final List<String> actions = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
-    final List<Reason> reasons = new ArrayList<>();
-    final Choice choice;
+    final List<RejectionReason> reasons = new ArrayList<>();
+    final DefaultLoadBalancer choice;
     long now = 1_000_000;
 
     record Sent(String request, long server, long at, long latest) {}
 
-    Recorder(Settings settings, int servers) {
-        choice = new Choice(settings, this);
-        List<Server> list = new ArrayList<>();
+    RecordingActions(BalancerSettings settings, int servers) {
+        choice = new DefaultLoadBalancer(settings, this);
+        List<ListedEndpoint> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             list.add(server(i + 1, i % 2, 0));
         }
-        choice.servers(now, ListKind.COMPLETE, list);
+        choice.onEndpointList(now, EndpointListKind.COMPLETE, list);
     }
 
-    static Server server(long id, int zone, long start) {
-        return new Server(id, zone, 0, (int) id % 3, Phase.READY, start, 1);
+    static ListedEndpoint server(long id, int zone, long start) {
+        return new ListedEndpoint(id, zone, 0, (int) id % 3, EndpointPhase.READY, start, 1);
     }
 
-    static Settings settings(Effect effect, Group group) {
-        return new Settings(
+    static BalancerSettings settings(Idempotency effect, DeduplicationScope group) {
+        return new BalancerSettings(
                 7,
                 0,
                 3,
@@ -57,25 +57,26 @@
                                 "c", effect, group, 500_000, 200_000, 1_000_000, 1, 0, false)),
                 List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)),
                 0.2,
-                new Limits(4, true, true, 1_000_000, 60_000_000, 100),
-                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000),
-                ReportSource.NONE,
+                new ServiceLimits(4, true, true, 1_000_000, 60_000_000, 100),
+                new FleetRules(0.2, 10_000_000, 2_000_000, 10_000_000),
+                LoadReportSource.NONE,
                 false,
                 false,
                 1000);
     }
 
     void request(String id) {
-        choice.request(now, new Request(id, 0, 0, false, -1, now + 1_000_000, false));
+        choice.onRequest(now, new Request(id, 0, 0, false, -1, now + 1_000_000, false));
     }
 
     /** Ends the last attempt that was sent. */
-    void answer(int attempt, Result result, long elapsed, boolean closed) {
+    void answer(int attempt, AttemptResult result, long elapsed, boolean closed) {
         Sent last = sent.get(sent.size() - 1);
         now += elapsed;
-        choice.outcome(
+        choice.onAttemptOutcome(
                 now,
-                new Outcome(last.request, attempt, last.server, result, elapsed, closed, null));
+                new AttemptOutcome(
+                        last.request, attempt, last.server, result, elapsed, closed, null));
     }
 
     void fireTimers() {
@@ -83,7 +84,7 @@
         timers.clear();
         for (long[] t : due) {
             now = Math.max(now, t[0]);
-            choice.timer(now, t[1]);
+            choice.onTimer(now, t[1]);
         }
     }
 
@@ -94,14 +95,14 @@
     }
 
     @Override
-    public void refuse(String requestId, long retryAfterMicros, Reason why) {
+    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
         refused.add(requestId);
         reasons.add(why);
         actions.add("refuse " + requestId);
     }
 
     @Override
-    public void fail(String requestId, Reason why) {
+    public void fail(String requestId, RejectionReason why) {
         failed.add(requestId);
         reasons.add(why);
         actions.add("fail " + requestId);
@@ -113,17 +114,17 @@
     }
 
     @Override
-    public void timer(long atMicros, long token) {
+    public void scheduleTimer(long atMicros, long token) {
         timers.add(new long[] {atMicros, token});
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
         actions.add("close " + server);
     }
 
     @Override
-    public void subscribe() {
+    public void requestEndpointUpdates() {
         actions.add("subscribe");
     }
 
--- a/sidecar/src/test/java/sagefall/BeliefTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,31 +6,32 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Server;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.ListedEndpoint;
 
 /** What a start believes of what was kept, of its configuration and of discovery, and when. */
-class BeliefTest {
+class RecoveredEndpointsTest {
 
     /** As text: an id, its phase by its letter and its start, as in 3D0. */
-    private static List<Server> list(String text) {
-        List<Server> list = new ArrayList<>();
+    private static List<ListedEndpoint> list(String text) {
+        List<ListedEndpoint> list = new ArrayList<>();
         for (String s : text.isBlank() ? new String[0] : text.trim().split(" ")) {
-            Phase phase =
+            EndpointPhase phase =
                     switch (s.charAt(1)) {
-                        case 'R' -> Phase.READY;
-                        case 'D' -> Phase.DRAINING;
-                        default -> Phase.REMOVED;
+                        case 'R' -> EndpointPhase.READY;
+                        case 'D' -> EndpointPhase.DRAINING;
+                        default -> EndpointPhase.REMOVED;
                     };
-            list.add(new Server(s.charAt(0) - '0', 0, 0, 0, phase, s.charAt(2) - '0', 1));
+            list.add(new ListedEndpoint(s.charAt(0) - '0', 0, 0, 0, phase, s.charAt(2) - '0', 1));
         }
         return list;
     }
 
-    private static String text(List<Server> list) {
+    private static String text(List<ListedEndpoint> list) {
         return String.join(
                 " ",
                 list.stream()
@@ -42,7 +43,7 @@
                                                         .substring(0, 1)
                                                         .replace(
                                                                 "R",
-                                                                s.phase() == Phase.REMOVED
+                                                                s.phase() == EndpointPhase.REMOVED
                                                                         ? "G"
                                                                         : "R")
                                                 + s.startMicros())
@@ -72,11 +73,11 @@
             long revision,
             boolean fresh,
             String kept,
-            ListKind kind,
+            EndpointListKind kind,
             long told,
             String list,
             String believed) {
-        Belief belief = Belief.of(revision, fresh, list(kept));
+        RecoveredEndpoints belief = RecoveredEndpoints.of(revision, fresh, list(kept));
         assertEquals(believed.trim(), text(belief.told(kind, told, list(list))));
     }
 
@@ -86,12 +87,16 @@
     @ParameterizedTest
     @CsvSource({"true, 4, 0", "true, 5, 30", "false, 4, 0"})
     void nothingIsSentToWhatWasToDrain(boolean fresh, long revision, int sent) {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 0);
-        r.choice.kept(r.now, 5, fresh, list("1R0 2D0 3D0"));
-        r.choice.servers(r.now, ListKind.CACHED, revision, list(revision == 5 ? "2R0" : "1R0 2R0"));
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        0);
+        r.choice.onRecoveredEndpoints(r.now, 5, fresh, list("1R0 2D0 3D0"));
+        r.choice.onEndpointList(
+                r.now, EndpointListKind.CACHED, revision, list(revision == 5 ? "2R0" : "1R0 2R0"));
         for (int i = 0; i < 30; i++) {
             r.request("r" + i);
-            r.answer(0, LoadBalancer.Result.SERVED, 1000, true);
+            r.answer(0, AttemptResult.SERVED, 1000, true);
         }
         assertEquals(sent, r.sent.stream().filter(s -> s.server() == 2).count());
         assertEquals(30, r.sent.size());
--- a/sidecar/src/test/java/sagefall/RulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,26 +18,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.ReportSource;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Server;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.LoadReportSource;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+import sagefall.balancer.api.RequestClass;
 
-class RulesTest {
+class RequestRulesTest {
 
     @ParameterizedTest
-    @EnumSource(value = Result.class, mode = EnumSource.Mode.EXCLUDE, names = "SERVED")
-    void unsafeGoesOutAgainOnlyAfterProof(Result result) {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 6);
+    @EnumSource(value = AttemptResult.class, mode = EnumSource.Mode.EXCLUDE, names = "SERVED")
+    void unsafeGoesOutAgainOnlyAfterProof(AttemptResult result) {
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                        6);
         r.request("x");
         r.answer(0, result, 1000, false);
         if (result.provesNotRun) {
@@ -53,12 +57,16 @@
     @Test
     void keyedStaysInItsGroupAndWindow() {
         for (int seed = 0; seed < 20; seed++) {
-            Recorder r = new Recorder(Recorder.settings(Effect.KEYED, Group.ZONE), 8);
+            RecordingActions r =
+                    new RecordingActions(
+                            RecordingActions.settings(
+                                    Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE),
+                            8);
             r.request("x" + seed);
-            r.answer(0, Result.ERROR, 1000 + seed, false);
+            r.answer(0, AttemptResult.ERROR, 1000 + seed, false);
             assertEquals(2, r.sent.size());
             assertEquals(r.sent.get(0).server() % 2, r.sent.get(1).server() % 2);
-            r.answer(1, Result.ERROR, 600_000, false);
+            r.answer(1, AttemptResult.ERROR, 600_000, false);
             assertEquals(2, r.sent.size());
             assertEquals(1, r.failed.size());
         }
@@ -67,17 +75,18 @@
     /** A connection may come up late, so the end of the window goes with the attempt. */
     @ParameterizedTest
     @EnumSource
-    void furtherAttemptCarriesTheEndOfItsWindow(Effect effect) {
-        Recorder r = new Recorder(Recorder.settings(effect, Group.ALL), 6);
+    void furtherAttemptCarriesTheEndOfItsWindow(Idempotency effect) {
+        RecordingActions r =
+                new RecordingActions(RecordingActions.settings(effect, DeduplicationScope.ALL), 6);
         r.request("x");
         long first = r.now;
-        r.answer(0, Result.NO_CONNECTION, 1000, false);
+        r.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
         assertEquals(Long.MAX_VALUE, r.sent.get(0).latest());
         assertEquals(Long.MAX_VALUE, r.sent.get(1).latest());
-        r.answer(1, Result.ERROR, 1000, false);
-        if (effect == Effect.KEYED) {
+        r.answer(1, AttemptResult.ERROR, 1000, false);
+        if (effect == Idempotency.IDEMPOTENCY_KEY) {
             assertEquals(first + 1000 + 500_000 - 1000, r.sent.get(2).latest());
-        } else if (effect == Effect.SAFE) {
+        } else if (effect == Idempotency.IDEMPOTENT) {
             assertEquals(Long.MAX_VALUE, r.sent.get(2).latest());
         } else {
             assertEquals(2, r.sent.size());
@@ -91,10 +100,11 @@
     @ParameterizedTest
     @CsvSource({"false, 50000, 150001", "true, 200000, 600001"})
     void discoveryIsAskedAgainSoon(boolean onAsk, long least, long most) {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        Recorder r =
-                new Recorder(
-                        new Settings(
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        RecordingActions r =
+                new RecordingActions(
+                        new BalancerSettings(
                                 s.seed(),
                                 s.rank(),
                                 s.replicas(),
@@ -102,18 +112,18 @@
                                 s.zones(),
                                 s.classes(),
                                 s.tenants(),
-                                s.overShareWorth(),
+                                s.overQuotaWeight(),
                                 s.limits(),
                                 s.rules(),
-                                s.reports(),
+                                s.loadReportSource(),
                                 onAsk,
-                                s.warmKeys(),
+                                s.cachesKeys(),
                                 s.tickMicros()),
                         4);
         Set<Long> waits = new HashSet<>();
         for (int i = 0; i < 50; i++) {
             r.timers.clear();
-            r.choice.servers(r.now, ListKind.FAILED, List.of());
+            r.choice.onEndpointList(r.now, EndpointListKind.FAILED, List.of());
             assertEquals(1, r.timers.size());
             long wait = r.timers.get(0)[0] - r.now;
             assertTrue(wait >= least && wait <= most, "waits " + wait);
@@ -126,9 +136,12 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 100_000})
     void waitingForTheHostCountsForTheAim(long waited) {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 0);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        0);
         long since = r.now;
-        r.choice.request(
+        r.choice.onRequest(
                 r.now,
                 new Request(
                         "x", 0, 0, false, -1, since + 1_000_000 - waited, false, false, 0, waited));
@@ -145,16 +158,17 @@
      */
     @Test
     void firstCallOfALargeFleetIsSpreadAndSoon() {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        List<Server> servers = new ArrayList<>();
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        List<ListedEndpoint> servers = new ArrayList<>();
         for (int i = 0; i < 1024; i++) {
-            servers.add(Recorder.server(i + 1, i % 2, 0));
+            servers.add(RecordingActions.server(i + 1, i % 2, 0));
         }
         long last = 0;
         for (int rank = 0; rank < 100; rank++) {
-            Recorder r =
-                    new Recorder(
-                            new Settings(
+            RecordingActions r =
+                    new RecordingActions(
+                            new BalancerSettings(
                                     rank,
                                     rank,
                                     1024,
@@ -162,16 +176,16 @@
                                     s.zones(),
                                     s.classes(),
                                     s.tenants(),
-                                    s.overShareWorth(),
+                                    s.overQuotaWeight(),
                                     s.limits(),
                                     s.rules(),
-                                    s.reports(),
+                                    s.loadReportSource(),
                                     true,
-                                    s.warmKeys(),
+                                    s.cachesKeys(),
                                     s.tickMicros()),
                             4);
             r.timers.clear();
-            r.choice.servers(r.now, ListKind.CACHED, servers);
+            r.choice.onEndpointList(r.now, EndpointListKind.CACHED, servers);
             last = Math.max(last, r.timers.get(0)[0] - r.now);
         }
         assertTrue(last > 2_500_000 && last <= 3_020_000, "waits " + last);
@@ -179,12 +193,15 @@
 
     @Test
     void nothingNewToADrainingServer() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
-        Server drained = new Server(1, 0, 0, 0, Phase.DRAINING, 0, 1);
-        r.choice.servers(r.now, ListKind.CHANGES, List.of(drained));
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
+        ListedEndpoint drained = new ListedEndpoint(1, 0, 0, 0, EndpointPhase.DRAINING, 0, 1);
+        r.choice.onEndpointList(r.now, EndpointListKind.CHANGES, List.of(drained));
         for (int i = 0; i < 200; i++) {
             r.request("r" + i);
-            r.answer(0, Result.SERVED, 2000, true);
+            r.answer(0, AttemptResult.SERVED, 2000, true);
         }
         assertEquals(200, r.sent.size());
         assertTrue(r.sent.stream().noneMatch(s -> s.server() == 1));
@@ -192,9 +209,10 @@
 
     @Test
     void pastTheMostInHandTheOldestHeldIsRefused() {
-        Settings one = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Settings alike =
-                new Settings(
+        BalancerSettings one =
+                RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        BalancerSettings alike =
+                new BalancerSettings(
                         one.seed(),
                         0,
                         3,
@@ -205,11 +223,11 @@
                         1,
                         one.limits(),
                         one.rules(),
-                        one.reports(),
+                        one.loadReportSource(),
                         false,
                         false,
                         1000);
-        Recorder r = new Recorder(alike, 0);
+        RecordingActions r = new RecordingActions(alike, 0);
         for (int i = 0; i < 103; i++) {
             r.request("x" + i);
         }
@@ -219,7 +237,11 @@
 
     @Test
     void heldRequestIsRefusedBeforeTheClientGivesUp() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 0);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                        0);
         r.request("x");
         while (r.refused.isEmpty()) {
             r.fireTimers();
@@ -227,7 +249,7 @@
         assertEquals(List.of("x"), r.refused);
         assertTrue(r.now < 2_000_000);
         r.fireTimers();
-        r.choice.clientLeft(r.now, "x");
+        r.choice.onClientDisconnected(r.now, "x");
         assertEquals(1, r.refused.size());
     }
 
@@ -236,8 +258,11 @@
      */
     @Test
     void arrivalAtItsDeadlineIsAnsweredAtOnce() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
-        r.choice.request(r.now, new Request("x", 0, 0, false, -1, r.now, false));
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
+        r.choice.onRequest(r.now, new Request("x", 0, 0, false, -1, r.now, false));
         assertEquals(List.of("x"), r.refused);
         assertTrue(r.sent.isEmpty());
     }
@@ -248,7 +273,11 @@
      */
     @Test
     void unansweredServersAreNotFilled() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
         for (int i = 0; i < 100; i++) {
             r.request("r" + i);
         }
@@ -260,35 +289,43 @@
      */
     @Test
     void crowdedServersAreLeftAloneForAWhile() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 3);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                        3);
         int sent = 0;
         r.request("slow0");
         while (r.sent.size() > sent && sent < 40) {
             sent++;
-            r.answer(0, Result.SERVED, 190_000, true);
+            r.answer(0, AttemptResult.SERVED, 190_000, true);
             r.request("slow" + sent);
         }
         assertTrue(sent >= 2 && sent < 40, sent + " slow answers, and no rest");
         r.now += 900_000;
-        r.choice.servers(r.now, ListKind.CHANGES, List.of());
+        r.choice.onEndpointList(r.now, EndpointListKind.CHANGES, List.of());
         assertTrue(r.sent.size() > sent, "still at rest");
     }
 
     @Test
     void coldServerGetsItsColdShareOfWhatAWarmOneIsSent() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
         long warm = sentToFirst(r, "warm", 200);
-        r.choice.servers(r.now, ListKind.CHANGES, List.of(Recorder.server(1, 0, r.now)));
+        r.choice.onEndpointList(
+                r.now, EndpointListKind.CHANGES, List.of(RecordingActions.server(1, 0, r.now)));
         long cold = sentToFirst(r, "cold", 200);
         // It starts at a fifth and has grown to a third by the end of these 2 s.
         assertTrue(cold > 0 && cold <= 0.45 * warm, cold + " while cold, " + warm + " while warm");
     }
 
-    private static long sentToFirst(Recorder r, String name, int requests) {
+    private static long sentToFirst(RecordingActions r, String name, int requests) {
         int before = r.sent.size();
         for (int i = 0; i < requests; i++) {
             r.request(name + i);
-            r.answer(0, Result.SERVED, 10_000, true);
+            r.answer(0, AttemptResult.SERVED, 10_000, true);
         }
         return r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
     }
@@ -298,10 +335,11 @@
      */
     @Test
     void whereManyAreInHandTheHeldAreRefusedBeforeHalfOfTheirTime() {
-        Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Recorder r =
-                new Recorder(
-                        new Settings(
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        RecordingActions r =
+                new RecordingActions(
+                        new BalancerSettings(
                                 s.seed(),
                                 s.rank(),
                                 s.replicas(),
@@ -310,8 +348,8 @@
                                 List.of(
                                         new RequestClass(
                                                 "c",
-                                                Effect.UNSAFE,
-                                                Group.ALL,
+                                                Idempotency.NOT_IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 200_000,
                                                 1_000_000,
@@ -319,12 +357,12 @@
                                                 0.5,
                                                 false)),
                                 s.tenants(),
-                                s.overShareWorth(),
+                                s.overQuotaWeight(),
                                 s.limits(),
                                 s.rules(),
-                                s.reports(),
-                                s.discoveryOnAsk(),
-                                s.warmKeys(),
+                                s.loadReportSource(),
+                                s.pollsDiscovery(),
+                                s.cachesKeys(),
                                 s.tickMicros()),
                         4);
         long arrived = r.now;
@@ -340,13 +378,16 @@
     /** A spoilt answer or a reset now and then made every server look as if it had just started. */
     @Test
     void oneBrokenConnectionIsNoRestart() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
         long before = sentToFirst(r, "before", 200);
         boolean broke = false;
         for (int i = 0; i < 100 && !broke; i++) {
             r.request("x" + i);
             broke = r.sent.get(r.sent.size() - 1).server() == 1;
-            r.answer(0, broke ? Result.BROKEN : Result.SERVED, 10_000, true);
+            r.answer(0, broke ? AttemptResult.BROKEN : AttemptResult.SERVED, 10_000, true);
         }
         assertTrue(broke);
         r.now += 20_000_000;
@@ -361,10 +402,11 @@
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
     void slowAnswersCutTheLimitOfBusyServersOnly(double use, boolean kept) {
-        Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Recorder r =
-                new Recorder(
-                        new Settings(
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        RecordingActions r =
+                new RecordingActions(
+                        new BalancerSettings(
                                 s.seed(),
                                 s.rank(),
                                 s.replicas(),
@@ -372,27 +414,27 @@
                                 s.zones(),
                                 s.classes(),
                                 s.tenants(),
-                                s.overShareWorth(),
+                                s.overQuotaWeight(),
                                 s.limits(),
                                 s.rules(),
-                                ReportSource.ANSWERS,
-                                s.discoveryOnAsk(),
-                                s.warmKeys(),
+                                LoadReportSource.ANSWERS,
+                                s.pollsDiscovery(),
+                                s.cachesKeys(),
                                 s.tickMicros()),
                         4);
         LoadReport report =
                 new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
         for (int i = 0; i < 40; i++) {
             r.request("a" + i);
-            Recorder.Sent last = r.sent.get(r.sent.size() - 1);
+            RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
             r.now += 150_000;
-            r.choice.outcome(
+            r.choice.onAttemptOutcome(
                     r.now,
-                    new Outcome(
+                    new AttemptOutcome(
                             last.request(),
                             0,
                             last.server(),
-                            Result.SERVED,
+                            AttemptResult.SERVED,
                             150_000,
                             true,
                             report));
@@ -406,7 +448,11 @@
 
     @Test
     void hangingServerLosesItsTraffic() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
         int hung = 0;
         for (int i = 0; i < 300; i++) {
             r.request("r" + i);
@@ -414,7 +460,7 @@
                 hung++;
                 r.now += 20_000;
             } else {
-                r.answer(0, Result.SERVED, 20_000, true);
+                r.answer(0, AttemptResult.SERVED, 20_000, true);
             }
         }
         assertTrue(hung <= 8, "sent " + hung + " to a server that answers nothing");
@@ -422,25 +468,30 @@
 
     @Test
     void fastFailuresDoNotAttractTraffic() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                        4);
         int failing = 0;
         for (int i = 0; i < 300; i++) {
             r.request("r" + i);
             boolean bad = r.sent.get(r.sent.size() - 1).server() == 2;
             failing += bad ? 1 : 0;
-            r.answer(0, bad ? Result.ERROR : Result.SERVED, bad ? 500 : 20_000, !bad);
+            r.answer(0, bad ? AttemptResult.ERROR : AttemptResult.SERVED, bad ? 500 : 20_000, !bad);
         }
         assertTrue(failing <= 20, "sent " + failing + " to a server that only fails");
     }
 
     @Test
     void impossibleSettingsAreNamed() {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         String message =
                 assertThrows(
                                 IllegalArgumentException.class,
                                 () ->
-                                        new Settings(
+                                        new BalancerSettings(
                                                 s.seed(),
                                                 0,
                                                 1,
@@ -451,7 +502,7 @@
                                                 1,
                                                 s.limits(),
                                                 s.rules(),
-                                                s.reports(),
+                                                s.loadReportSource(),
                                                 false,
                                                 false,
                                                 1000))
@@ -464,16 +515,17 @@
      * kept.
      */
     @ParameterizedTest
-    @EnumSource(Effect.class)
-    void randomEventsKeepTheRules(Effect effect) {
+    @EnumSource(Idempotency.class)
+    void randomEventsKeepTheRules(Idempotency effect) {
         SplittableRandom random = new SplittableRandom(11);
-        Recorder r = new Recorder(Recorder.settings(effect, Group.ZONE), 7);
+        RecordingActions r =
+                new RecordingActions(RecordingActions.settings(effect, DeduplicationScope.ZONE), 7);
         Map<String, Integer> attempts = new HashMap<>();
         Map<String, Boolean> mayHaveRun = new HashMap<>();
         Map<String, Boolean> over = new HashMap<>();
         Map<Long, Boolean> draining = new HashMap<>();
         int seen = 0;
-        Result[] results = Result.values();
+        AttemptResult[] results = AttemptResult.values();
         record Out(String request, int attempt, long server, long at) {}
         List<Out> out = new java.util.ArrayList<>();
         for (int step = 0; step < 6000; step++) {
@@ -485,15 +537,16 @@
             } else if (!out.isEmpty() && random.nextInt(3) > 0) {
                 Out o = out.remove(random.nextInt(out.size()));
                 boolean served = random.nextInt(4) > 0;
-                Result result = served ? Result.SERVED : results[random.nextInt(results.length)];
-                boolean closed = over.get(o.request) || result == Result.SERVED;
+                AttemptResult result =
+                        served ? AttemptResult.SERVED : results[random.nextInt(results.length)];
+                boolean closed = over.get(o.request) || result == AttemptResult.SERVED;
                 if (!result.provesNotRun) {
                     mayHaveRun.put(o.request, true);
                 }
                 over.put(o.request, closed);
-                r.choice.outcome(
+                r.choice.onAttemptOutcome(
                         r.now,
-                        new Outcome(
+                        new AttemptOutcome(
                                 o.request,
                                 o.attempt,
                                 o.server,
@@ -505,23 +558,23 @@
                 long id = 1L + random.nextInt(7);
                 boolean drain = random.nextBoolean();
                 draining.put(id, drain);
-                r.choice.servers(
+                r.choice.onEndpointList(
                         r.now,
-                        ListKind.CHANGES,
+                        EndpointListKind.CHANGES,
                         List.of(
-                                new Server(
+                                new ListedEndpoint(
                                         id,
                                         (int) (id - 1) % 2,
                                         0,
                                         (int) id % 3,
-                                        drain ? Phase.DRAINING : Phase.READY,
+                                        drain ? EndpointPhase.DRAINING : EndpointPhase.READY,
                                         0,
                                         1)));
             }
             for (long[] t : List.copyOf(r.timers)) {
                 if (t[0] <= r.now) {
                     r.timers.remove(t);
-                    r.choice.timer(r.now, t[1]);
+                    r.choice.onTimer(r.now, t[1]);
                 }
             }
             for (; seen < r.actions.size(); seen++) {
@@ -532,19 +585,20 @@
                             draining.getOrDefault(Long.parseLong(a[2]), false),
                             "sent to a draining server");
                     assertTrue(
-                            effect != Effect.UNSAFE || !mayHaveRun.getOrDefault(a[1], false),
+                            effect != Idempotency.NOT_IDEMPOTENT
+                                    || !mayHaveRun.getOrDefault(a[1], false),
                             "sent twice");
                     int n = attempts.merge(a[1], 1, Integer::sum) - 1;
                     assertTrue(n < 4);
                     assertTrue(
-                            effect == Effect.SAFE
+                            effect == Idempotency.IDEMPOTENT
                                     || out.stream().noneMatch(o -> o.request.equals(a[1])));
                     out.add(new Out(a[1], n, Long.parseLong(a[2]), r.now));
                 } else if (a[0].equals("refuse") || a[0].equals("fail")) {
                     assertFalse(over.put(a[1], true), "a second final answer");
                     assertTrue(
                             a[0].equals("fail")
-                                    || effect == Effect.SAFE
+                                    || effect == Idempotency.IDEMPOTENT
                                     || !mayHaveRun.getOrDefault(a[1], false),
                             "refused what may have run");
                 }
@@ -555,13 +609,23 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        Recorder a = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 6);
-        Recorder b = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 6);
+        RecordingActions a =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        6);
+        RecordingActions b =
+                new RecordingActions(
+                        RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                        6);
         for (int i = 0; i < 200; i++) {
-            for (Recorder r : List.of(a, b)) {
-                r.choice.request(
+            for (RecordingActions r : List.of(a, b)) {
+                r.choice.onRequest(
                         r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, false));
-                r.answer(0, i % 9 == 0 ? Result.FULL : Result.SERVED, 3000 + i, i % 9 != 0);
+                r.answer(
+                        0,
+                        i % 9 == 0 ? AttemptResult.REJECTED : AttemptResult.SERVED,
+                        3000 + i,
+                        i % 9 != 0);
             }
         }
         assertEquals(a.actions, b.actions);
@@ -569,11 +633,16 @@
 
     /** Each end tells why: what the laboratory counts losses by. */
     @ParameterizedTest
-    @CsvSource({"UNSAFE, ERROR, EFFECT", "KEYED, FULL, ATTEMPTS", "KEYED, CANCELLED, WAITED"})
-    void theEndOfARequestTellsWhy(Effect effect, Result each, Reason why) {
-        Recorder r =
-                new Recorder(
-                        Recorder.settings(effect, Group.ALL), each == Result.CANCELLED ? 0 : 8);
+    @CsvSource({
+        "NOT_IDEMPOTENT, ERROR, NOT_RETRYABLE",
+        "IDEMPOTENCY_KEY, REJECTED, MAX_ATTEMPTS",
+        "IDEMPOTENCY_KEY, CANCELLED, QUEUE_TIMEOUT"
+    })
+    void theEndOfARequestTellsWhy(Idempotency effect, AttemptResult each, RejectionReason why) {
+        RecordingActions r =
+                new RecordingActions(
+                        RecordingActions.settings(effect, DeduplicationScope.ALL),
+                        each == AttemptResult.CANCELLED ? 0 : 8);
         r.request("a");
         for (int n = 0; n < 8 && r.reasons.isEmpty(); n++) {
             if (r.sent.size() > n) {
--- a/sidecar/src/test/java/sagefall/FleetTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
@@ -1,4 +1,4 @@
-package sagefall;
+package sagefall.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,21 +8,24 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.Limits;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Rules;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.FleetRules;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.Request;
+import sagefall.balancer.api.ServiceLimits;
 
 /** What hundreds of quiet sidecars change: each test names the failure that it stands for. */
-class FleetTest {
+class SparseTrafficTest {
 
-    private static Settings fleet(int rank, int replicas, Rules rules, boolean warmKeys) {
-        Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        return new Settings(
+    private static BalancerSettings fleet(
+            int rank, int replicas, FleetRules rules, boolean warmKeys) {
+        BalancerSettings s =
+                RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        return new BalancerSettings(
                 1000 + rank,
                 rank,
                 replicas,
@@ -30,17 +33,17 @@
                 s.zones(),
                 s.classes(),
                 s.tenants(),
-                s.overShareWorth(),
+                s.overQuotaWeight(),
                 s.limits(),
                 rules,
-                s.reports(),
+                s.loadReportSource(),
                 false,
                 warmKeys,
                 1000);
     }
 
-    private static Rules plain() {
-        return new Rules(0.2, 10_000_000, 2_000_000, 10_000_000);
+    private static FleetRules plain() {
+        return new FleetRules(0.2, 10_000_000, 2_000_000, 10_000_000);
     }
 
     /**
@@ -49,25 +52,26 @@
      */
     @Test
     void manyQuietInstancesDoNotBurstAColdServer() {
-        List<Recorder> all = new ArrayList<>();
+        List<RecordingActions> all = new ArrayList<>();
         for (int rank = 0; rank < 400; rank++) {
-            Recorder r = new Recorder(fleet(rank, 400, plain(), false), 20);
+            RecordingActions r = new RecordingActions(fleet(rank, 400, plain(), false), 20);
             all.add(r);
             for (int i = 0; i < 5; i++) {
                 r.request("warm" + i);
-                r.answer(0, Result.SERVED, 10_000, true);
+                r.answer(0, AttemptResult.SERVED, 10_000, true);
             }
-            r.choice.servers(r.now, ListKind.CHANGES, List.of(Recorder.server(1, 0, r.now)));
+            r.choice.onEndpointList(
+                    r.now, EndpointListKind.CHANGES, List.of(RecordingActions.server(1, 0, r.now)));
         }
         int total = 0;
         for (int second = 0; second < 5; second++) {
             int cold = 0;
-            for (Recorder r : all) {
+            for (RecordingActions r : all) {
                 int before = r.sent.size();
                 r.now += 900_000;
                 r.request("cold" + second);
                 cold += (int) r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
-                r.answer(0, Result.SERVED, 10_000, true);
+                r.answer(0, AttemptResult.SERVED, 10_000, true);
             }
             // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of
             // it and up.
@@ -82,13 +86,13 @@
     /** Full connection tables cost the grown sites most: one of many sidecars keeps few servers. */
     @Test
     void oneOfManyKeepsFewServers() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 60);
+        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 60);
         for (int i = 0; i < 300; i++) {
             r.now += 800_000;
             r.request("r" + i);
-            r.answer(0, Result.SERVED, 20_000, true);
+            r.answer(0, AttemptResult.SERVED, 20_000, true);
         }
-        long servers = r.sent.stream().map(Recorder.Sent::server).distinct().count();
+        long servers = r.sent.stream().map(RecordingActions.Sent::server).distinct().count();
         assertTrue(servers <= 12, servers + " servers of 60");
     }
 
@@ -98,10 +102,10 @@
      */
     @Test
     void silenceAfterAnIdleSpellIsADeadConnection() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
+        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 40; i++) {
             r.request("warm" + i);
-            r.answer(0, Result.SERVED, 20_000, true);
+            r.answer(0, AttemptResult.SERVED, 20_000, true);
         }
         r.now += 3_000_000;
         r.request("silent");
@@ -114,7 +118,7 @@
         assertTrue(
                 r.actions.stream()
                         .noneMatch(a -> a.startsWith("log server " + server + " ejected")));
-        r.answer(0, Result.SERVED, 20_000, true);
+        r.answer(0, AttemptResult.SERVED, 20_000, true);
         r.now += 5_000_000;
         r.request("later");
         assertTrue(
@@ -128,11 +132,11 @@
      */
     @Test
     void refusedConnectionIsNotAnOutlier() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
+        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 6; i++) {
             r.request("r" + i);
             int last = r.sent.size();
-            r.answer(0, Result.NO_CONNECTION, 1000, false);
+            r.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
             assertTrue(
                     r.sent.size() == last
                             || r.sent.get(last).server() != r.sent.get(last - 1).server());
@@ -143,10 +147,10 @@
     /** Retry abuse on lakes-later: time-outs set by impatient clients got good servers ejected. */
     @Test
     void impatientClientsDoNotEjectServers() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
+        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 30; i++) {
             r.request("r" + i);
-            r.answer(0, Result.TIMED_OUT, 20_000, false);
+            r.answer(0, AttemptResult.TIMED_OUT, 20_000, false);
         }
         assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
     }
@@ -159,8 +163,8 @@
     void keysMeetTheSameServer() {
         Set<Long> servers = new HashSet<>();
         for (int rank = 0; rank < 30; rank++) {
-            Recorder r = new Recorder(fleet(rank, 400, plain(), true), 60);
-            r.choice.request(r.now, new Request("x", 0, 0, false, 77, r.now + 1_000_000, false));
+            RecordingActions r = new RecordingActions(fleet(rank, 400, plain(), true), 60);
+            r.choice.onRequest(r.now, new Request("x", 0, 0, false, 77, r.now + 1_000_000, false));
             servers.add(r.sent.get(0).server());
         }
         assertEquals(1, servers.size());
@@ -169,16 +173,16 @@
     /** What left the list is used no longer, however often the list changes. */
     @Test
     void whatLeftTheListIsNotUsed() {
-        Recorder r = new Recorder(fleet(0, 3, plain(), false), 6);
+        RecordingActions r = new RecordingActions(fleet(0, 3, plain(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100L + round;
-            r.choice.servers(
+            r.choice.onEndpointList(
                     r.now,
-                    ListKind.COMPLETE,
-                    List.of(Recorder.server(id, 0, 0), Recorder.server(1, 0, 0)));
+                    EndpointListKind.COMPLETE,
+                    List.of(RecordingActions.server(id, 0, 0), RecordingActions.server(1, 0, 0)));
             r.request("r" + round);
             assertTrue(Set.of(id, 1L).contains(r.sent.get(r.sent.size() - 1).server()));
-            r.answer(0, Result.SERVED, 1000, true);
+            r.answer(0, AttemptResult.SERVED, 1000, true);
         }
     }
 
@@ -187,10 +191,10 @@
      */
     @Test
     void theOnlyServerWithRoomOfManyIsFound() {
-        Settings s = fleet(0, 3, plain(), false);
-        Recorder r =
-                new Recorder(
-                        new Settings(
+        BalancerSettings s = fleet(0, 3, plain(), false);
+        RecordingActions r =
+                new RecordingActions(
+                        new BalancerSettings(
                                 s.seed(),
                                 0,
                                 3,
@@ -198,10 +202,10 @@
                                 s.zones(),
                                 s.classes(),
                                 s.tenants(),
-                                s.overShareWorth(),
-                                new Limits(4, true, true, 1_000_000, 60_000_000, 10_000),
+                                s.overQuotaWeight(),
+                                new ServiceLimits(4, true, true, 1_000_000, 60_000_000, 10_000),
                                 s.rules(),
-                                s.reports(),
+                                s.loadReportSource(),
                                 false,
                                 false,
                                 1000),
@@ -212,11 +216,17 @@
         int full = r.sent.size();
         assertTrue(full < 900, "all were sent, so no server was full");
         for (int i = 0; i < 20; i++) {
-            Recorder.Sent sent = r.sent.get(i);
-            r.choice.outcome(
+            RecordingActions.Sent sent = r.sent.get(i);
+            r.choice.onAttemptOutcome(
                     r.now,
-                    new LoadBalancer.Outcome(
-                            sent.request(), 0, sent.server(), Result.CANCELLED, 1000, true, null));
+                    new AttemptOutcome(
+                            sent.request(),
+                            0,
+                            sent.server(),
+                            AttemptResult.CANCELLED,
+                            1000,
+                            true,
+                            null));
             assertEquals(full + i + 1, r.sent.size());
             assertEquals(sent.server(), r.sent.get(full + i).server());
         }
--- a/sidecar/src/test/java/sagefall/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.config;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,9 +6,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.proxy.SidecarHarness;
 
 /** What the limits that a sidecar is told turn into. */
-class ConfigTest {
+class SidecarConfigTest {
 
     @TempDir Path folder;
 
@@ -19,12 +20,12 @@
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
     void eachRequestOfAThirdOfTheDescriptorsFindsAConnection(int sockets) throws Exception {
-        try (Harness harness = new Harness(folder, 250_000, sockets)) {
-            Config config = harness.config();
+        try (SidecarHarness harness = new SidecarHarness(folder, 250_000, sockets)) {
+            SidecarConfig config = harness.config();
             assertTrue(config.serverConnections() >= sockets / 3, "servers");
             assertTrue(config.clientConnections() >= sockets / 3, "clients");
             assertTrue(
-                    config.settings().limits().open() < sockets / 3,
+                    config.settings().limits().maxOpenRequests() < sockets / 3,
                     "some are left for the next request");
             assertTrue(
                     config.serverConnections() + config.clientConnections() + 16 <= sockets, "all");
--- a/sidecar/src/test/java/sagefall/duties/HolderTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
@@ -1,4 +1,4 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
  * and told to end, again and again. What they did is judged from what anybody reads.
  */
 @Timeout(600)
-class HolderTest {
+class LeaderElectorTest {
 
     private static final int ROUNDS = Integer.getInteger("rounds", 6);
     private static final long LEASE_MILLIS = 600;
@@ -32,8 +32,8 @@
     /** Stands for it until it is told to end. */
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
-        Duty duty =
-                new Duty() {
+        LeaderTask duty =
+                new LeaderTask() {
                     private long count;
 
                     @Override
@@ -53,9 +53,9 @@
                                 term, ACTIONS, line.getBytes(StandardCharsets.US_ASCII));
                     }
                 };
-        Holder holder =
-                new Holder(
-                        new FolderStore(folder),
+        LeaderElector holder =
+                new LeaderElector(
+                        new DirectoryLeaseStore(folder),
                         args[1],
                         duty,
                         LEASE_MILLIS,
@@ -70,7 +70,7 @@
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
-                        HolderTest.class.getName(),
+                        LeaderElectorTest.class.getName(),
                         folder.toString(),
                         owner)
                 .redirectErrorStream(true)
@@ -87,7 +87,7 @@
     }
 
     /** Who holds a term after that one; looks until there is somebody. */
-    private static LeaseStore.Status after(FolderStore store, long term, List<String> seen)
+    private static LeaseStore.Status after(DirectoryLeaseStore store, long term, List<String> seen)
             throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         while (true) {
@@ -123,7 +123,7 @@
                                         : Files.createDirectories(folder),
                                 owner));
             }
-            FolderStore store = new FolderStore(folder);
+            DirectoryLeaseStore store = new DirectoryLeaseStore(folder);
             LeaseStore.Status now = after(store, 0, seen);
             for (int round = 0; round < ROUNDS; round++) {
                 String owner = now.grant().owner();
@@ -174,7 +174,7 @@
     }
 
     private static void awaitLine(
-            Process process, Path log, String line, FolderStore store, List<String> seen)
+            Process process, Path log, String line, DirectoryLeaseStore store, List<String> seen)
             throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         while (!Files.readString(log).contains(line)) {
@@ -185,7 +185,7 @@
     }
 
     /** What counts at this moment, as anybody sees it. */
-    private static void look(FolderStore store, List<String> seen) throws IOException {
+    private static void look(DirectoryLeaseStore store, List<String> seen) throws IOException {
         LeaseStore.Value value = store.read(ACTIONS);
         if (value != null) {
             String line = new String(value.body(), StandardCharsets.US_ASCII);
--- a/sidecar/src/test/java/sagefall/duties/LeaseTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
@@ -1,4 +1,4 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,11 +17,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagefall.duties.Lease.Ask;
-import sagefall.duties.Lease.Grant;
-import sagefall.duties.Lease.Terms;
-import sagefall.recovery.Disk;
-import sagefall.recovery.LossyDisk;
+import sagefall.persistence.LossyStorage;
+import sagefall.persistence.Storage;
 
 /**
  * The lease and the store that run, hosted by a model of three processes whose every step may be
@@ -29,7 +26,7 @@
  * anything after a newer one.
  */
 @Timeout(300)
-class LeaseTest {
+class LeaseStateMachineTest {
 
     private static final long LEASE = 20_000;
     private static final int STEPS = Integer.getInteger("steps", 100_000);
@@ -37,11 +34,11 @@
     /** One process: between any two of its steps any time may pass, which is what a pause is. */
     private static final class Candidate {
         String owner;
-        FolderStore store;
-        Lease lease;
-        Ask asked = Ask.NOTHING;
+        DirectoryLeaseStore store;
+        LeaseStateMachine lease;
+        LeaseRequest asked = LeaseRequest.NOTHING;
         long sentAt;
-        Grant answer;
+        LeaseGrant answer;
 
         /**
          * Until then nothing that it asks arrives; until then it stands still, whatever it was
@@ -57,18 +54,18 @@
 
     private static final class World {
         final SplittableRandom random;
-        final Terms terms;
+        final LeaseTimings terms;
         final boolean fenced;
         final Candidate[] processes = {new Candidate(), new Candidate(), new Candidate()};
-        final LossyDisk disk = new LossyDisk(Long.MAX_VALUE, 1);
+        final LossyStorage disk = new LossyStorage(Long.MAX_VALUE, 1);
         final Set<Candidate> busy = new HashSet<>();
 
         /** Between any two calls of a process at its files others may take steps. */
-        final Disk turns =
-                (Disk)
+        final Storage turns =
+                (Storage)
                         Proxy.newProxyInstance(
-                                Disk.class.getClassLoader(),
-                                new Class<?>[] {Disk.class},
+                                Storage.class.getClassLoader(),
+                                new Class<?>[] {Storage.class},
                                 (proxy, method, values) -> {
                                     if (World.this.busy.size() < 3
                                             && World.this.random.nextInt(4) == 0) {
@@ -81,7 +78,8 @@
                                     }
                                 });
 
-        final FolderStore store = new FolderStore(disk, () -> World.this.now, "b", "w");
+        final DirectoryLeaseStore store =
+                new DirectoryLeaseStore(disk, () -> World.this.now, "b", "w");
         long now;
         long accepted;
         int acts;
@@ -90,7 +88,7 @@
         int refused;
         String broken;
 
-        World(long seed, Terms terms, boolean fenced) {
+        World(long seed, LeaseTimings terms, boolean fenced) {
             random = new SplittableRandom(seed);
             this.terms = terms;
             this.fenced = fenced;
@@ -101,9 +99,9 @@
 
         void start(Candidate p) {
             p.owner = "p" + ++starts;
-            p.store = new FolderStore(turns, () -> now, "b", p.owner);
-            p.lease = new Lease(terms, p.owner, now);
-            p.asked = Ask.NOTHING;
+            p.store = new DirectoryLeaseStore(turns, () -> now, "b", p.owner);
+            p.lease = new LeaseStateMachine(terms, p.owner, now);
+            p.asked = LeaseRequest.NOTHING;
             p.acting = 0;
         }
 
@@ -143,7 +141,7 @@
             }
             if (p.acting > 0 && random.nextBoolean()) {
                 act(p);
-            } else if (p.asked == Ask.NOTHING) {
+            } else if (p.asked == LeaseRequest.NOTHING) {
                 p.lease.lost(now);
                 look(p);
                 p.asked = p.lease.next(now);
@@ -151,7 +149,7 @@
                 p.answer = null;
             } else if (p.answer == null && now < p.cutUntil) {
                 p.lease.failed(now);
-                p.asked = Ask.NOTHING;
+                p.asked = LeaseRequest.NOTHING;
             } else if (p.answer == null) {
                 p.answer =
                         switch (p.asked) {
@@ -165,7 +163,7 @@
                 } else {
                     p.lease.answered(p.asked, p.sentAt, now, p.answer, random.nextDouble());
                 }
-                p.asked = Ask.NOTHING;
+                p.asked = LeaseRequest.NOTHING;
                 look(p);
             }
         }
@@ -221,7 +219,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void noOlderTermActsAfterANewerOne(long seed) throws IOException {
-        World world = new World(seed, Terms.of(LEASE), true);
+        World world = new World(seed, LeaseTimings.of(LEASE), true);
         assertNull(play(world, STEPS));
         assertTrue(
                 world.acts > STEPS / 200 && world.newTerms > STEPS / 10_000,
@@ -234,10 +232,10 @@
     /** What keeps it safe is found missing. */
     @Test
     void mutantsAreCaught() throws IOException {
-        Terms whole = Terms.of(LEASE);
-        Terms late = new Terms(LEASE, -LEASE / 2, whole.pause(), whole.poll());
+        LeaseTimings whole = LeaseTimings.of(LEASE);
+        LeaseTimings late = new LeaseTimings(LEASE, -LEASE / 2, whole.pause(), whole.poll());
         assertNotNull(play(new World(1, late, true), STEPS), "no margin");
-        Terms blind = new Terms(LEASE, whole.margin(), 100 * LEASE, whole.poll());
+        LeaseTimings blind = new LeaseTimings(LEASE, whole.margin(), 100 * LEASE, whole.poll());
         assertNull(
                 play(new World(1, blind, true), STEPS), "a pause alone is what the margin covers");
         assertNotNull(play(new World(1, whole, false), STEPS), "no token check");
@@ -247,7 +245,7 @@
     @Test
     void somebodyHoldsItSoon() throws IOException {
         for (int seed = 0; seed < 200; seed++) {
-            World world = new World(seed, Terms.of(LEASE), true);
+            World world = new World(seed, LeaseTimings.of(LEASE), true);
             play(world, 300);
             world.busy.addAll(List.of(world.processes));
             long until = world.now + LEASE + LEASE / 3 + 3_000;
@@ -256,12 +254,12 @@
                 world.now += 200;
                 for (Candidate p : world.processes) {
                     p.lease.lost(world.now);
-                    Ask ask = p.lease.next(world.now);
-                    if (ask != Ask.NOTHING) {
-                        Grant grant =
-                                ask == Ask.ACQUIRE
+                    LeaseRequest ask = p.lease.next(world.now);
+                    if (ask != LeaseRequest.NOTHING) {
+                        LeaseGrant grant =
+                                ask == LeaseRequest.ACQUIRE
                                         ? p.store.acquire(p.owner, LEASE)
-                                        : ask == Ask.RENEW
+                                        : ask == LeaseRequest.RENEW
                                                 ? p.store.renew(p.owner, p.lease.term(), LEASE)
                                                 : p.store.status().grant();
                         p.lease.answered(
@@ -279,13 +277,14 @@
     void noTermComesTwiceOverAPowerLoss() throws IOException {
         for (int seed = 0; seed < 30; seed++) {
             for (long at = 0; at < 30; at++) {
-                LossyDisk disk = new LossyDisk(at, 31L * seed + at);
+                LossyStorage disk = new LossyStorage(at, 31L * seed + at);
                 long held = 0;
                 for (int boot = 0; boot < 3; boot++) {
-                    LossyDisk mine = disk;
-                    FolderStore store = new FolderStore(mine, () -> 0, "boot" + boot, "w");
+                    LossyStorage mine = disk;
+                    DirectoryLeaseStore store =
+                            new DirectoryLeaseStore(mine, () -> 0, "boot" + boot, "w");
                     try {
-                        Grant grant = store.acquire("o" + boot, LEASE);
+                        LeaseGrant grant = store.acquire("o" + boot, LEASE);
                         assertEquals(
                                 "o" + boot, grant.owner(), "a grant of before the loss has ended");
                         assertTrue(grant.term() > held, "term " + grant.term() + " after " + held);
@@ -295,7 +294,7 @@
                         assertFalse(store.publish(held - 1, "x", new byte[1]));
                         assertEquals(boot, store.read("x").body()[0]);
                         store.release("o" + boot, held);
-                    } catch (LossyDisk.PowerLoss e) {
+                    } catch (LossyStorage.PowerLoss e) {
                         // What was asked last may have been done or not.
                     }
                     disk = disk.after(boot == 0 ? at : Long.MAX_VALUE, seed + at);
--- a/sidecar/src/test/java/sagefall/duties/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
@@ -1,4 +1,4 @@
-package sagefall.duties;
+package sagefall.leaderelection;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagefall.LoadBalancer.Phase;
-import sagefall.recovery.FolderDisk;
-import sagefall.recovery.Kept;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.persistence.DirectoryStorage;
+import sagefall.persistence.EndpointSnapshot;
+import sagefall.persistence.SnapshotEntry;
 
 /**
  * A folder of the section {@code duties} that the build of commit 732727c wrote is read as it was
@@ -38,43 +39,43 @@
     private static final long TERM_3_AT_MILLIS = 1_796_233_634_342L;
     private static final long ENDS_AT = RENEWED_AT + LEASE;
 
-    private static final Kept DIGEST =
-            new Kept(
+    private static final EndpointSnapshot DIGEST =
+            new EndpointSnapshot(
                     "digest",
                     0,
                     7,
                     1_700_000_007_000L,
                     Map.of(
                             1L,
-                                    new Kept.Line(
+                                    new SnapshotEntry(
                                             1,
                                             "10.0.0.1:8080",
                                             "a",
                                             "large",
                                             0,
-                                            Phase.READY,
+                                            EndpointPhase.READY,
                                             1_699_000_000_000_001L,
                                             1,
                                             0),
                             2L,
-                                    new Kept.Line(
+                                    new SnapshotEntry(
                                             2,
                                             "10.0.0.2:8080",
                                             "a",
                                             "small",
                                             1,
-                                            Phase.DRAINING,
+                                            EndpointPhase.DRAINING,
                                             0,
                                             0.5,
                                             1_700_000_007_000L),
                             3L,
-                                    new Kept.Line(
+                                    new SnapshotEntry(
                                             3,
                                             "10.0.1.3:8080",
                                             "b",
                                             "large",
                                             0,
-                                            Phase.REMOVED,
+                                            EndpointPhase.REMOVED,
                                             1_699_000_000_000_003L,
                                             1,
                                             1_700_000_007_000L)));
@@ -95,15 +96,15 @@
         }
     }
 
-    private FolderStore store(String boot) throws IOException {
-        return new FolderStore(FolderDisk.shared(folder), () -> now, boot, "1");
+    private DirectoryLeaseStore store(String boot) throws IOException {
+        return new DirectoryLeaseStore(DirectoryStorage.shared(folder), () -> now, boot, "1");
     }
 
     /** Term 1 was given back, so it names no owner any more; term 2 ran out; term 3 is held. */
     @Test
     void termsAndOwnersAreRead() throws IOException {
         LeaseStore.Status status = store(BOOT).status();
-        assertEquals(new Lease.Grant(3, OWNER_3, LEASE, 0), status.grant());
+        assertEquals(new LeaseGrant(3, OWNER_3, LEASE, 0), status.grant());
         assertEquals(
                 List.of(
                         new LeaseStore.Past(1, "", TERM_1_AT_MILLIS),
@@ -114,22 +115,24 @@
 
     @Test
     void digestOfTheGreatestTermIsRead() throws IOException {
-        assertEquals(new Digest.Read(DIGEST, 2), Digest.read(store(BOOT)));
+        assertEquals(
+                new SharedEndpointSnapshot.Read(DIGEST, 2),
+                SharedEndpointSnapshot.read(store(BOOT)));
     }
 
     @Test
     void heldTermKeepsOthersOutUntilItEnds() throws IOException {
         now = ENDS_AT - 1;
-        assertEquals(new Lease.Grant(3, OWNER_3, 1, 0), store(BOOT).acquire(OWNER_4, LEASE));
+        assertEquals(new LeaseGrant(3, OWNER_3, 1, 0), store(BOOT).acquire(OWNER_4, LEASE));
         now = ENDS_AT;
-        assertEquals(new Lease.Grant(4, OWNER_4, LEASE, 0), store(BOOT).acquire(OWNER_4, LEASE));
+        assertEquals(new LeaseGrant(4, OWNER_4, LEASE, 0), store(BOOT).acquire(OWNER_4, LEASE));
     }
 
     @Test
     void termOfAnEarlierBootHasEnded() throws IOException {
-        assertEquals(new Lease.Grant(3, OWNER_3, 0, 0), store("later-boot").status().grant());
+        assertEquals(new LeaseGrant(3, OWNER_3, 0, 0), store("later-boot").status().grant());
         assertEquals(
-                new Lease.Grant(4, OWNER_4, LEASE, 0), store("later-boot").acquire(OWNER_4, LEASE));
+                new LeaseGrant(4, OWNER_4, LEASE, 0), store("later-boot").acquire(OWNER_4, LEASE));
     }
 
     @Test
@@ -137,12 +140,14 @@
         byte[] body = DIGEST.bytes(2);
         assertFalse(store(BOOT).publish(2, "digest", body));
         assertTrue(store(BOOT).publish(3, "digest", body));
-        assertEquals(new Digest.Read(DIGEST, 3), Digest.read(store(BOOT)));
+        assertEquals(
+                new SharedEndpointSnapshot.Read(DIGEST, 3),
+                SharedEndpointSnapshot.read(store(BOOT)));
     }
 
     @Test
     void renewedTermIsWrittenWithTheSameBytes() throws IOException, URISyntaxException {
-        assertEquals(new Lease.Grant(3, OWNER_3, LEASE, 0), store(BOOT).renew(OWNER_3, 3, LEASE));
+        assertEquals(new LeaseGrant(3, OWNER_3, LEASE, 0), store(BOOT).renew(OWNER_3, 3, LEASE));
         assertArrayEquals(
                 Files.readAllBytes(stored().resolve("term-3")),
                 Files.readAllBytes(folder.resolve("term-3")));
@@ -151,6 +156,8 @@
     @Test
     void digestIsWrittenWithTheSameBytes() throws IOException {
         LeaseStore.Value value = store(BOOT).read("digest");
-        assertArrayEquals(value.body(), Kept.kept(Kept.values(value.body())).bytes(value.term()));
+        assertArrayEquals(
+                value.body(),
+                EndpointSnapshot.kept(EndpointSnapshot.values(value.body())).bytes(value.term()));
     }
 }
--- a/sidecar/src/test/java/sagefall/recovery/LossyDisk.java
+++ b/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -12,7 +12,7 @@
  * A folder in memory that loses power at a given call. What was not forced by then is there, lost,
  * or cut anywhere, of each file and each name on its own.
  */
-public final class LossyDisk implements Disk {
+public final class LossyStorage implements Storage {
 
     /** Thrown by the call in which the power goes, and by all later ones. */
     public static final class PowerLoss extends IOException {
@@ -33,7 +33,7 @@
     /** Bytes that still fit; what is written past it fails. */
     long room = Long.MAX_VALUE;
 
-    public LossyDisk(long callsUntilLoss, long seed) {
+    public LossyStorage(long callsUntilLoss, long seed) {
         left = callsUntilLoss;
         random = new SplittableRandom(seed);
     }
@@ -46,8 +46,8 @@
     }
 
     /** The folder as it is found when the power is back. */
-    public LossyDisk after(long callsUntilLoss, long seed) {
-        LossyDisk next = new LossyDisk(callsUntilLoss, seed);
+    public LossyStorage after(long callsUntilLoss, long seed) {
+        LossyStorage next = new LossyStorage(callsUntilLoss, seed);
         Map<String, Content> found = new TreeMap<>(forcedNames);
         for (String name : all()) {
             if (names.get(name) != forcedNames.get(name) && random.nextBoolean()) {
--- a/sidecar/src/test/java/sagefall/recovery/RecoveryTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceTest.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.Json;
-import sagefall.Section;
+import sagefall.config.ConfigSection;
+import sagefall.config.Json;
 
-class RecoveryTest {
+class PersistenceTest {
 
-    private static Recovery read(String quoted) throws Exception {
-        return Recovery.read(
-                new Section(
+    private static PersistenceSettings read(String quoted) throws Exception {
+        return PersistenceSettings.read(
+                new ConfigSection(
                         "extensions.recovery",
                         Json.document(new JsonFactory().createParser(quoted.replace('\'', '"')))));
     }
@@ -23,7 +23,7 @@
     @Test
     void defaultsAreThoseOfTheReadme() throws Exception {
         assertEquals(
-                new Recovery(Path.of("/a"), 4 * 1024 * 1024, 3_600_000, true, 0),
+                new PersistenceSettings(Path.of("/a"), 4 * 1024 * 1024, 3_600_000, true, 0),
                 read("{'directory':'/a'}"));
     }
 
--- a/sidecar/src/test/java/sagefall/recovery/KillTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/ProcessKillTest.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,16 +14,16 @@
 
 /** Processes that keep one change after another and are killed at any moment of it. */
 @Timeout(600)
-class KillTest {
+class ProcessKillTest {
 
     private static final int ROUNDS = Integer.getInteger("rounds", 12);
     private static final int BOUND = 64 * 1024;
 
     /** Tells the epoch and revision that it found, then each revision once it is kept. */
     public static void main(String[] args) throws IOException {
-        Journal journal =
-                Journal.open(
-                        FolderDisk.own(Path.of(args[0])),
+        WriteAheadLog journal =
+                WriteAheadLog.open(
+                        DirectoryStorage.own(Path.of(args[0])),
                         "n1",
                         BOUND,
                         true,
@@ -32,7 +32,7 @@
         System.out.println("found " + journal.state().revision());
         while (true) {
             long next = journal.state().revision() + 1;
-            journal.append(JournalTest.change(next % 5 == 0, next, (int) (1 + next % 8)));
+            journal.append(WriteAheadLogTest.change(next % 5 == 0, next, (int) (1 + next % 8)));
             System.out.println("kept " + next);
         }
     }
@@ -49,7 +49,7 @@
                                             .toString(),
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    KillTest.class.getName(),
+                                    ProcessKillTest.class.getName(),
                                     folder.toString())
                             .redirectError(ProcessBuilder.Redirect.INHERIT)
                             .start();
--- a/sidecar/src/test/java/sagefall/recovery/KeptWordsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotWordsTest.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.LoadBalancer.Phase;
+import sagefall.balancer.api.EndpointPhase;
 
 /** The names and numbers by which what is kept is written, phases by their place in the enum. */
-class KeptWordsTest {
+class SnapshotWordsTest {
 
     private static Map<String, Object> server(long phase) {
         return Map.of(
@@ -36,14 +36,14 @@
                 6L);
     }
 
-    private static Map<Long, Kept.Line> lines(Phase phase) {
-        return Map.of(4L, new Kept.Line(4, "10.0.0.4:80", "a", "m", 2, phase, 5, 0.5, 6));
+    private static Map<Long, SnapshotEntry> lines(EndpointPhase phase) {
+        return Map.of(4L, new SnapshotEntry(4, "10.0.0.4:80", "a", "m", 2, phase, 5, 0.5, 6));
     }
 
     @ParameterizedTest
     @CsvSource({"READY, 0", "DRAINING, 1", "REMOVED, 2"})
-    void snapshot(Phase phase, long number) throws IOException {
-        Kept kept = new Kept("n1", 1, 2, 3, lines(phase));
+    void snapshot(EndpointPhase phase, long number) throws IOException {
+        EndpointSnapshot kept = new EndpointSnapshot("n1", 1, 2, 3, lines(phase));
         Map<String, Object> values =
                 Map.of(
                         "name",
@@ -58,14 +58,14 @@
                         3L,
                         "servers",
                         List.of(server(number)));
-        assertEquals(values, Kept.values(kept.bytes(9)));
-        assertEquals(kept, Kept.kept(values));
+        assertEquals(values, EndpointSnapshot.values(kept.bytes(9)));
+        assertEquals(kept, EndpointSnapshot.kept(values));
     }
 
     @ParameterizedTest
     @CsvSource({"READY, 0", "DRAINING, 1", "REMOVED, 2"})
-    void change(Phase phase, long number) throws IOException {
-        Kept.Change change = new Kept.Change(true, 2, 3, lines(phase));
+    void change(EndpointPhase phase, long number) throws IOException {
+        SnapshotChange change = new SnapshotChange(true, 2, 3, lines(phase));
         Map<String, Object> values =
                 Map.of(
                         "all",
@@ -76,8 +76,8 @@
                         3L,
                         "servers",
                         List.of(server(number)));
-        assertEquals(values, Kept.values(Kept.bytes(change)));
-        assertEquals(change, Kept.change(values));
+        assertEquals(values, EndpointSnapshot.values(EndpointSnapshot.bytes(change)));
+        assertEquals(change, EndpointSnapshot.change(values));
     }
 
     @ParameterizedTest
@@ -95,11 +95,12 @@
                         List.of(server(number)));
         assertEquals(
                 "an unknown phase, " + number,
-                assertThrows(IOException.class, () -> Kept.change(values)).getMessage());
+                assertThrows(IOException.class, () -> EndpointSnapshot.change(values))
+                        .getMessage());
     }
 
     @Test
     void thereAreThreePhases() {
-        assertEquals(3, Phase.values().length);
+        assertEquals(3, EndpointPhase.values().length);
     }
 }
--- a/sidecar/src/test/java/sagefall/recovery/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagefall.LoadBalancer.Phase;
+import sagefall.balancer.api.EndpointPhase;
 
 /**
  * Folders of the section {@code recovery} that the build of commit 732727c wrote are read as they
@@ -33,74 +33,82 @@
     private static final String LOG = "log-2";
     private static final long GENERATION = 2;
 
-    private static final Kept.Line DRAINING_3 =
-            new Kept.Line(
+    private static final SnapshotEntry DRAINING_3 =
+            new SnapshotEntry(
                     3,
                     "10.0.1.3:8080",
                     "b",
                     "large",
                     0,
-                    Phase.DRAINING,
+                    EndpointPhase.DRAINING,
                     1_699_000_000_000_003L,
                     1,
                     1_700_000_006_000L);
-    private static final Kept.Line REMOVED_3 =
-            new Kept.Line(
+    private static final SnapshotEntry REMOVED_3 =
+            new SnapshotEntry(
                     3,
                     "10.0.1.3:8080",
                     "b",
                     "large",
                     0,
-                    Phase.REMOVED,
+                    EndpointPhase.REMOVED,
                     1_699_000_000_000_003L,
                     1,
                     1_700_000_006_000L);
-    private static final Kept.Line READY_1 =
-            new Kept.Line(
-                    1, "10.0.0.1:8080", "a", "large", 0, Phase.READY, 1_699_000_000_000_001L, 1, 0);
-    private static final Kept.Line READY_2 =
-            new Kept.Line(2, "10.0.0.2:8080", "a", "small", 1, Phase.READY, 0, 0.5, 0);
-    private static final Kept.Line DRAINING_2 =
-            new Kept.Line(
+    private static final SnapshotEntry READY_1 =
+            new SnapshotEntry(
+                    1,
+                    "10.0.0.1:8080",
+                    "a",
+                    "large",
+                    0,
+                    EndpointPhase.READY,
+                    1_699_000_000_000_001L,
+                    1,
+                    0);
+    private static final SnapshotEntry READY_2 =
+            new SnapshotEntry(2, "10.0.0.2:8080", "a", "small", 1, EndpointPhase.READY, 0, 0.5, 0);
+    private static final SnapshotEntry DRAINING_2 =
+            new SnapshotEntry(
                     2,
                     "10.0.0.2:8080",
                     "a",
                     "small",
                     1,
-                    Phase.DRAINING,
+                    EndpointPhase.DRAINING,
                     0,
                     0.5,
                     1_700_000_007_000L);
-    private static final Kept.Line READY_4 =
-            new Kept.Line(
+    private static final SnapshotEntry READY_4 =
+            new SnapshotEntry(
                     4,
                     "[fd00::4]:8080",
                     "c",
                     "large",
                     2,
-                    Phase.READY,
+                    EndpointPhase.READY,
                     1_699_000_000_000_004L,
                     2,
                     0);
-    private static final Kept.Line REMOVED_4 =
-            new Kept.Line(
+    private static final SnapshotEntry REMOVED_4 =
+            new SnapshotEntry(
                     4,
                     "[fd00::4]:8080",
                     "c",
                     "large",
                     2,
-                    Phase.REMOVED,
+                    EndpointPhase.REMOVED,
                     1_699_000_000_000_004L,
                     2,
                     1_700_000_009_000L);
-    private static final Kept.Line READY_5 =
-            new Kept.Line(
+    private static final SnapshotEntry READY_5 =
+            new SnapshotEntry(
                     5,
                     "10.0.2.5:8080",
                     "c",
                     "small",
                     0,
-                    Phase.READY,
+                    EndpointPhase.READY,
                     1_700_000_006_500_000L,
                     0.25,
                     0);
@@ -120,9 +128,10 @@
         }
     }
 
-    private Kept open(String sidecar) throws IOException {
-        try (Journal journal =
-                Journal.open(FolderDisk.own(folder), sidecar, MAX_BYTES, true, messages::add)) {
+    private EndpointSnapshot open(String sidecar) throws IOException {
+        try (WriteAheadLog journal =
+                WriteAheadLog.open(
+                        DirectoryStorage.own(folder), sidecar, MAX_BYTES, true, messages::add)) {
             return journal.state();
         }
     }
@@ -133,8 +142,9 @@
         }
     }
 
-    private static Map<Long, Kept.Line> byId(Kept.Line... lines) {
-        return Arrays.stream(lines).collect(Collectors.toMap(Kept.Line::id, Function.identity()));
+    private static Map<Long, SnapshotEntry> byId(SnapshotEntry... lines) {
+        return Arrays.stream(lines)
+                .collect(Collectors.toMap(SnapshotEntry::id, Function.identity()));
     }
 
     /** The epoch is that of the next start, 3. */
@@ -142,7 +152,7 @@
     void intactFolderIsReadWhole() throws Exception {
         copy("intact");
         assertEquals(
-                new Kept(
+                new EndpointSnapshot(
                         "n1",
                         3,
                         9,
@@ -157,7 +167,7 @@
     void tornLogTailIsLeftOut() throws Exception {
         copy("torn-log-tail");
         assertEquals(
-                new Kept(
+                new EndpointSnapshot(
                         "n1",
                         3,
                         8,
@@ -171,7 +181,7 @@
     @Test
     void damagedSnapshotIsPutAsideAndNothingIsKept() throws Exception {
         copy("damaged-snapshot");
-        assertEquals(new Kept("n1", 1, 0, 0, Map.of()), open(SIDECAR));
+        assertEquals(new EndpointSnapshot("n1", 1, 0, 0, Map.of()), open(SIDECAR));
         assertEquals(List.of("put aside, nothing is kept: state is damaged"), messages);
         assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
         assertArrayEquals(
@@ -185,7 +195,7 @@
     @Test
     void folderOfAnotherSidecarIsPutAside() throws Exception {
         copy("intact");
-        assertEquals(new Kept("n2", 1, 0, 0, Map.of()), open("n2"));
+        assertEquals(new EndpointSnapshot("n2", 1, 0, 0, Map.of()), open("n2"));
         assertEquals(
                 List.of("put aside, nothing is kept: state belongs to the sidecar 'n1'"), messages);
         assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
@@ -194,19 +204,21 @@
     @Test
     void snapshotAloneIsReadAndWrittenWithTheSameBytes() throws Exception {
         copy("intact");
-        try (Disk disk = FolderDisk.own(folder)) {
-            byte[] body = WholeFile.read(disk, SNAPSHOT, MAX_BYTES);
-            Kept kept = Kept.kept(Kept.values(body));
+        try (Storage disk = DirectoryStorage.own(folder)) {
+            byte[] body = AtomicFile.read(disk, SNAPSHOT, MAX_BYTES);
+            EndpointSnapshot kept = EndpointSnapshot.kept(EndpointSnapshot.values(body));
             assertEquals(
-                    new Kept(
+                    new EndpointSnapshot(
                             "n1",
                             2,
                             6,
                             1_700_000_006_000L,
                             byId(READY_1, READY_2, DRAINING_3, READY_4)),
                     kept);
-            assertEquals(GENERATION, Kept.number(Kept.values(body), "generation"));
-            WholeFile.write(disk, SNAPSHOT, kept.bytes(GENERATION));
+            assertEquals(
+                    GENERATION,
+                    EndpointSnapshot.number(EndpointSnapshot.values(body), "generation"));
+            AtomicFile.write(disk, SNAPSHOT, kept.bytes(GENERATION));
         }
         assertArrayEquals(
                 Files.readAllBytes(stored("intact/" + SNAPSHOT)),
@@ -216,16 +228,32 @@
     /** The two runs of the README once more, in an empty folder. */
     @Test
     void sameChangesAreWrittenWithTheSameBytes() throws Exception {
-        try (Journal first =
-                Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
-            first.append(change(true, 5, READY_1, READY_2, at(Phase.READY, DRAINING_3), READY_4));
-            first.append(change(false, 6, at(Phase.DRAINING, DRAINING_3)));
+        try (WriteAheadLog first =
+                WriteAheadLog.open(
+                        DirectoryStorage.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
+            first.append(
+                    change(
+                            true,
+                            5,
+                            READY_1,
+                            READY_2,
+                            at(EndpointPhase.READY, DRAINING_3),
+                            READY_4));
+            first.append(change(false, 6, at(EndpointPhase.DRAINING, DRAINING_3)));
         }
-        try (Journal second =
-                Journal.open(FolderDisk.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
-            second.append(change(false, 7, at(Phase.DRAINING, READY_2), READY_5));
-            second.append(change(true, 8, READY_1, at(Phase.DRAINING, READY_2), READY_4, READY_5));
-            second.append(change(false, 9, at(Phase.REMOVED, READY_4)));
+        try (WriteAheadLog second =
+                WriteAheadLog.open(
+                        DirectoryStorage.own(folder), SIDECAR, MAX_BYTES, true, messages::add)) {
+            second.append(change(false, 7, at(EndpointPhase.DRAINING, READY_2), READY_5));
+            second.append(
+                    change(
+                            true,
+                            8,
+                            READY_1,
+                            at(EndpointPhase.DRAINING, READY_2),
+                            READY_4,
+                            READY_5));
+            second.append(change(false, 9, at(EndpointPhase.REMOVED, READY_4)));
         }
         assertEquals(List.of(), messages);
         assertEquals(List.of("lock", LOG, SNAPSHOT), names());
@@ -237,8 +265,8 @@
         }
     }
 
-    private static Kept.Line at(Phase phase, Kept.Line line) {
-        return new Kept.Line(
+    private static SnapshotEntry at(EndpointPhase phase, SnapshotEntry line) {
+        return new SnapshotEntry(
                 line.id(),
                 line.address(),
                 line.zone(),
@@ -250,11 +278,11 @@
                 0);
     }
 
-    private static Kept.Change change(boolean all, long revision, Kept.Line... lines) {
-        Map<Long, Kept.Line> byId = new LinkedHashMap<>();
-        for (Kept.Line line : lines) {
+    private static SnapshotChange change(boolean all, long revision, SnapshotEntry... lines) {
+        Map<Long, SnapshotEntry> byId = new LinkedHashMap<>();
+        for (SnapshotEntry line : lines) {
             byId.put(line.id(), line);
         }
-        return new Kept.Change(all, revision, 1_700_000_000_000L + 1_000 * revision, byId);
+        return new SnapshotChange(all, revision, 1_700_000_000_000L + 1_000 * revision, byId);
     }
 }
--- a/sidecar/src/test/java/sagefall/recovery/JournalTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
@@ -1,4 +1,4 @@
-package sagefall.recovery;
+package sagefall.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,11 +24,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagefall.LoadBalancer.Phase;
+import sagefall.balancer.api.EndpointPhase;
 
 /** What is kept is read as it was, or as it was a moment before, whatever happened in between. */
 @Timeout(120)
-class JournalTest {
+class WriteAheadLogTest {
 
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -39,37 +39,37 @@
 
     private final List<String> said = new ArrayList<>();
 
-    static Kept.Change change(boolean all, long revision, int... drained) {
-        Map<Long, Kept.Line> lines = new HashMap<>();
+    static SnapshotChange change(boolean all, long revision, int... drained) {
+        Map<Long, SnapshotEntry> lines = new HashMap<>();
         for (int i = 1; all && i <= 8; i++) {
-            lines.put((long) i, line(i, Phase.READY));
+            lines.put((long) i, line(i, EndpointPhase.READY));
         }
         for (int id : drained) {
-            lines.put((long) id, line(id, Phase.DRAINING));
+            lines.put((long) id, line(id, EndpointPhase.DRAINING));
         }
-        return new Kept.Change(all, revision, 1000 * revision, lines);
+        return new SnapshotChange(all, revision, 1000 * revision, lines);
     }
 
-    private static Kept.Line line(long id, Phase phase) {
-        return new Kept.Line(id, "127.0.0.1:" + (9000 + id), "a", "m", 0, phase, 10 * id, 1, 0);
+    private static SnapshotEntry line(long id, EndpointPhase phase) {
+        return new SnapshotEntry(id, "127.0.0.1:" + (9000 + id), "a", "m", 0, phase, 10 * id, 1, 0);
     }
 
-    private Journal open(Disk disk) throws IOException {
-        return Journal.open(disk, "n1", BOUND, true, said::add);
+    private WriteAheadLog open(Storage disk) throws IOException {
+        return WriteAheadLog.open(disk, "n1", BOUND, true, said::add);
     }
 
     /** What lives in a row have seen. */
     private static final class Seen {
-        final Map<Long, Kept> states = new HashMap<>();
+        final Map<Long, EndpointSnapshot> states = new HashMap<>();
         long epoch;
 
         /** Its append has returned: it must not be lost any more. */
         long sure;
     }
 
-    private void live(LossyDisk disk, Seen seen, SplittableRandom random) throws IOException {
-        Journal journal = open(disk);
-        Kept found = journal.state();
+    private void live(LossyStorage disk, Seen seen, SplittableRandom random) throws IOException {
+        WriteAheadLog journal = open(disk);
+        EndpointSnapshot found = journal.state();
         assertTrue(found.epoch() > seen.epoch, "epoch " + found.epoch() + " after " + seen.epoch);
         seen.epoch = found.epoch();
         assertTrue(
@@ -80,7 +80,7 @@
         }
         for (int i = 0; i < 6; i++) {
             long next = journal.state().revision() + 1;
-            Kept.Change change = change(random.nextInt(3) == 0, next, 1 + random.nextInt(8));
+            SnapshotChange change = change(random.nextInt(3) == 0, next, 1 + random.nextInt(8));
             seen.states.put(next, journal.state().with(change));
             journal.append(change);
             seen.sure = next;
@@ -98,12 +98,12 @@
         for (int seed = 0; seed < 20; seed++) {
             for (long at = 0; at < CALLS; at++) {
                 SplittableRandom random = new SplittableRandom(1000L * seed + at);
-                LossyDisk disk = new LossyDisk(at, random.nextLong());
+                LossyStorage disk = new LossyStorage(at, random.nextLong());
                 Seen seen = new Seen();
                 for (long next : new long[] {random.nextInt(30), NEVER, NEVER}) {
                     try {
                         live(disk, seen, random);
-                    } catch (LossyDisk.PowerLoss e) {
+                    } catch (LossyStorage.PowerLoss e) {
                         losses++;
                     }
                     disk = disk.after(next, random.nextLong());
@@ -114,16 +114,16 @@
         assertFalse(said.stream().anyMatch(s -> s.startsWith("put aside")), said::toString);
     }
 
-    private LossyDisk written() throws IOException {
-        LossyDisk disk = new LossyDisk(NEVER, 1);
-        Journal journal = open(disk);
+    private LossyStorage written() throws IOException {
+        LossyStorage disk = new LossyStorage(NEVER, 1);
+        WriteAheadLog journal = open(disk);
         journal.append(change(true, 5));
         journal.append(change(false, 6, 3));
         journal.append(change(false, 7, 4));
         return disk;
     }
 
-    private Kept again(LossyDisk disk) throws IOException {
+    private EndpointSnapshot again(LossyStorage disk) throws IOException {
         said.clear();
         return open(disk).state();
     }
@@ -146,17 +146,17 @@
             })
     void damageIsPutAsideAndATornTailIsCut(
             String file, int at, String becomes, long revision, String line) throws IOException {
-        LossyDisk disk = written();
+        LossyStorage disk = written();
         byte[] bytes = disk.get(file);
         int place = at < 0 ? bytes.length + at : at;
         bytes[place] = (byte) (becomes.equals("2") ? 2 : bytes[place] ^ 0x40);
         disk.put(file, bytes);
-        Kept read = again(disk);
+        EndpointSnapshot read = again(disk);
         assertEquals(revision, read.revision());
         assertEquals(1, said.size(), said::toString);
         assertTrue(said.get(0).startsWith(line), said::toString);
         boolean aside = line.startsWith("put");
-        assertEquals(aside, disk.names().stream().anyMatch(n -> n.startsWith(Journal.ASIDE)));
+        assertEquals(aside, disk.names().stream().anyMatch(n -> n.startsWith(WriteAheadLog.ASIDE)));
         // An epoch is lost only with the one file that holds it.
         assertEquals(aside && file.equals("state") ? 1 : 2, read.epoch());
         assertEquals(read.epoch() + 1, again(disk).epoch());
@@ -164,8 +164,8 @@
 
     @Test
     void anotherSidecarsFolderAndAFileOverTheBoundArePutAside() throws IOException {
-        LossyDisk disk = written();
-        assertEquals(0, Journal.open(disk, "n2", BOUND, true, said::add).state().revision());
+        LossyStorage disk = written();
+        assertEquals(0, WriteAheadLog.open(disk, "n2", BOUND, true, said::add).state().revision());
         assertTrue(said.get(0).contains("belongs to the sidecar 'n1'"), said::toString);
         disk = written();
         disk.put("state", new byte[BOUND + 1]);
@@ -178,9 +178,9 @@
     @ValueSource(longs = {1, 2, 3})
     void seededDamageIsNeverBelieved(long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
-        LossyDisk whole = written();
+        LossyStorage whole = written();
         for (int i = 0; i < 3000; i++) {
-            LossyDisk disk = new LossyDisk(NEVER, 1);
+            LossyStorage disk = new LossyStorage(NEVER, 1);
             for (String name : whole.names()) {
                 byte[] bytes = whole.get(name);
                 for (int n = random.nextInt(4); n > 0; n--) {
@@ -192,7 +192,7 @@
                                 ? Arrays.copyOf(bytes, random.nextInt(bytes.length + 40))
                                 : bytes);
             }
-            Kept read = again(disk);
+            EndpointSnapshot read = again(disk);
             assertTrue(List.of(0L, 5L, 6L, 7L).contains(read.revision()));
             assertEquals(read.revision() == 0 ? 0 : 8, read.lines().size());
         }
@@ -200,8 +200,8 @@
 
     @Test
     void theLogIsFoldedIntoASnapshotBeforeItPassesTheBound() throws IOException {
-        LossyDisk disk = new LossyDisk(NEVER, 1);
-        Journal journal = open(disk);
+        LossyStorage disk = new LossyStorage(NEVER, 1);
+        WriteAheadLog journal = open(disk);
         for (int i = 1; i < 2000; i++) {
             journal.append(change(false, i, 1 + i % 8));
             assertTrue(disk.names().stream().mapToInt(n -> disk.get(n).length).sum() < BOUND);
@@ -212,40 +212,44 @@
     /** Whoever is gone stays known as such, the latest of them, and since when. */
     @Test
     void whatIsGoneIsKeptToo() {
-        Kept kept = Kept.nothing("n1").with(change(true, 5)).with(change(false, 6, 3));
+        EndpointSnapshot kept =
+                EndpointSnapshot.nothing("n1").with(change(true, 5)).with(change(false, 6, 3));
         assertEquals(6000, kept.lines().get(3L).toldMillis());
-        kept = kept.with(new Kept.Change(true, 9, 9000, Map.of(1L, line(1, Phase.READY))));
-        assertEquals(Phase.REMOVED, kept.lines().get(3L).phase());
+        kept =
+                kept.with(
+                        new SnapshotChange(
+                                true, 9, 9000, Map.of(1L, line(1, EndpointPhase.READY))));
+        assertEquals(EndpointPhase.REMOVED, kept.lines().get(3L).phase());
         assertEquals(6000, kept.lines().get(3L).toldMillis());
         assertEquals(9000, kept.lines().get(2L).toldMillis());
-        assertEquals(Phase.READY, kept.lines().get(1L).phase());
+        assertEquals(EndpointPhase.READY, kept.lines().get(1L).phase());
         for (int i = 0; i < 3000; i++) {
             kept =
                     kept.with(
-                            new Kept.Change(
+                            new SnapshotChange(
                                     false,
                                     10 + i,
                                     10_000 + i,
-                                    Map.of(100L + i, line(100 + i, Phase.REMOVED))));
+                                    Map.of(100L + i, line(100 + i, EndpointPhase.REMOVED))));
         }
-        assertEquals(Kept.MOST_GONE + 1, kept.lines().size());
+        assertEquals(EndpointSnapshot.MOST_GONE + 1, kept.lines().size());
         assertTrue(kept.lines().containsKey(3099L));
     }
 
     // ---- The thread that keeps
 
-    private static Recovery section(Path folder) {
-        return new Recovery(folder, BOUND, 60_000, true, 0);
+    private static PersistenceSettings section(Path folder) {
+        return new PersistenceSettings(folder, BOUND, 60_000, true, 0);
     }
 
     /** While the disk stands still the host goes on and changes are merged; then it catches up. */
     @Test
     void aStalledDiskHoldsNobodyUp(@TempDir Path folder) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
-        LossyDisk disk = new LossyDisk(NEVER, 1);
+        LossyStorage disk = new LossyStorage(NEVER, 1);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (Keeper keeper =
-                new Keeper(
+        try (SnapshotStore keeper =
+                new SnapshotStore(
                         section(folder),
                         "n1",
                         lines::add,
@@ -264,18 +268,19 @@
             keeper.told(change(false, 7, 4));
             stalled.countDown();
         }
-        Kept read = again(disk);
+        EndpointSnapshot read = again(disk);
         assertEquals(7, read.revision());
         assertEquals(
-                List.of(Phase.DRAINING, Phase.DRAINING),
+                List.of(EndpointPhase.DRAINING, EndpointPhase.DRAINING),
                 List.of(read.lines().get(3L).phase(), read.lines().get(4L).phase()));
     }
 
     @Test
     void aFullDiskIsToldOnceAndTakenUpAgain(@TempDir Path folder) throws Exception {
-        LossyDisk disk = new LossyDisk(NEVER, 1);
+        LossyStorage disk = new LossyStorage(NEVER, 1);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (Keeper keeper = new Keeper(section(folder), "n1", lines::add, () -> disk)) {
+        try (SnapshotStore keeper =
+                new SnapshotStore(section(folder), "n1", lines::add, () -> disk)) {
             assertEquals(1, keeper.opened(60_000).epoch());
             disk.room = 10;
             keeper.told(change(true, 5));
@@ -295,7 +300,7 @@
     void aFolderThatGoesIsToldAndTakenUpAgain(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("kept");
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (Keeper keeper = new Keeper(section(folder), "n1", lines::add)) {
+        try (SnapshotStore keeper = new SnapshotStore(section(folder), "n1", lines::add)) {
             assertEquals(1, keeper.opened(60_000).epoch());
             keeper.told(change(true, 5));
             while (!Files.exists(folder.resolve("log-1"))) {
@@ -308,17 +313,19 @@
             Files.createDirectory(folder);
             assertTrue(lines.poll(60, TimeUnit.SECONDS).contains("keeping again"));
         }
-        Kept read = Journal.open(FolderDisk.own(folder), "n1", BOUND, true, said::add).state();
+        EndpointSnapshot read =
+                WriteAheadLog.open(DirectoryStorage.own(folder), "n1", BOUND, true, said::add)
+                        .state();
         assertEquals(6, read.revision());
     }
 
     @Test
     void aSecondProcessGoesOnWithout(@TempDir Path folder) throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (Keeper first = new Keeper(section(folder), "n1", lines::add);
-                Keeper second = new Keeper(section(folder), "n1", lines::add)) {
-            Kept a = first.opened(60_000);
-            Kept b = second.opened(60_000);
+        try (SnapshotStore first = new SnapshotStore(section(folder), "n1", lines::add);
+                SnapshotStore second = new SnapshotStore(section(folder), "n1", lines::add)) {
+            EndpointSnapshot a = first.opened(60_000);
+            EndpointSnapshot b = second.opened(60_000);
             assertTrue(a == null ^ b == null);
             assertTrue(lines.take().contains("in use by another process"));
         }
@@ -329,12 +336,15 @@
     @CsvSource({"0, true", "-120000, false", "120000, false"})
     void aClockThatIsWrongMakesItOld(long offset, boolean fresh, @TempDir Path folder)
             throws Exception {
-        try (Keeper keeper =
-                new Keeper(new Recovery(folder, BOUND, 60_000, true, offset), "n1", s -> {})) {
-            Kept kept =
-                    Kept.nothing("n1")
+        try (SnapshotStore keeper =
+                new SnapshotStore(
+                        new PersistenceSettings(folder, BOUND, 60_000, true, offset),
+                        "n1",
+                        s -> {})) {
+            EndpointSnapshot kept =
+                    EndpointSnapshot.nothing("n1")
                             .with(
-                                    new Kept.Change(
+                                    new SnapshotChange(
                                             true, 5, System.currentTimeMillis() - 1000, Map.of()));
             assertEquals(fresh, keeper.fresh(kept));
         }
--- a/sidecar/src/test/java/sagefall/sidecar/Http.java
+++ b/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /** Just enough HTTP/1.1 to look at the bytes that the sidecar writes. */
-final class Http {
+final class HttpMessages {
 
-    private Http() {}
+    private HttpMessages() {}
 
     record Message(String first, Map<String, String> headers, String body) {
         int status() {
--- a/sidecar/src/test/java/sagefall/sidecar/WarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,17 +12,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import sagefall.config.SidecarConfig;
 
 /** The warm-up goes through the whole sidecar, and is seen by nobody. */
 @Timeout(60)
-class WarmUpTest {
+class JvmWarmUpTest {
 
     private static final int REQUESTS = 50;
 
     @TempDir Path folder;
 
-    private static Config at(Harness harness, int port) throws IOException {
-        return Config.read(
+    private static SidecarConfig at(SidecarHarness harness, int port) throws IOException {
+        return SidecarConfig.read(
                 Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN", "127.0.0.1:" + port));
     }
 
@@ -35,11 +36,11 @@
     /** Again and again: the address was still in use at times when the warm-up had ended. */
     @Test
     void allIsAnsweredAndNothingLeavesTheProcess() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server)) {
-            Config config = at(harness, freePort());
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server)) {
+            SidecarConfig config = at(harness, freePort());
             for (int i = 0; i < 5; i++) {
-                assertTrue(WarmUp.run(config, REQUESTS, 20_000) >= REQUESTS);
+                assertTrue(JvmWarmUp.run(config, REQUESTS, 20_000) >= REQUESTS);
                 new ServerSocket(config.listen().getPort()).close();
             }
             assertTrue(server.seen.isEmpty());
@@ -50,10 +51,10 @@
 
     @Test
     void itEndsByTheClockToo() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server)) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server)) {
             long since = System.nanoTime();
-            WarmUp.run(at(harness, freePort()), Integer.MAX_VALUE, 100);
+            JvmWarmUp.run(at(harness, freePort()), Integer.MAX_VALUE, 100);
             assertTrue(System.nanoTime() - since < 5_000_000_000L);
         }
     }
@@ -61,19 +62,19 @@
     /** Its own servers' answers are nothing that a client could have asked for. */
     @Test
     void clientsAreNotServedByIt() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server)) {
-            Config config = at(harness, freePort());
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server)) {
+            SidecarConfig config = at(harness, freePort());
             var running =
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return WarmUp.run(config, Integer.MAX_VALUE, 2_000);
+                                    return JvmWarmUp.run(config, Integer.MAX_VALUE, 2_000);
                                 } catch (InterruptedException e) {
                                     return -1;
                                 }
                             });
-            try (Harness.Client client = connect(config.listen())) {
+            try (SidecarHarness.Client client = connect(config.listen())) {
                 client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.answer().status());
                 assertEquals(502, client.search(2_000).answer().status());
@@ -83,10 +84,10 @@
         }
     }
 
-    private static Harness.Client connect(InetSocketAddress address) {
+    private static SidecarHarness.Client connect(InetSocketAddress address) {
         while (true) {
             try {
-                return new Harness.Client(address);
+                return new SidecarHarness.Client(address);
             } catch (IOException e) {
                 Thread.onSpinWait();
             }
--- a/sidecar/src/test/java/sagefall/sidecar/LateLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagefall.LoadBalancer;
+import sagefall.balancer.api.Request;
 
 /**
  * Requests of a loop that comes to them late, since there is too little of a core or too much to
  * do.
  */
-class LateLoopTest extends OnSockets {
+class LateEventLoopTest extends SocketTest {
 
     /** Where a request waits while the loop is busy. */
     private enum Place {
@@ -32,14 +32,14 @@
     @ParameterizedTest
     @EnumSource
     void timeRunsFromTheLastByteAndNotFromItsReading(Place place) throws Exception {
-        Stub server = server(Stub.serves("first"));
-        Harness harness = sidecar(server);
-        AtomicReference<Harness.Client> client = new AtomicReference<>();
+        ScriptedPeer server = server(ScriptedPeer.serves("first"));
+        SidecarHarness harness = sidecar(server);
+        AtomicReference<SidecarHarness.Client> client = new AtomicReference<>();
         if (place == Place.ON_A_RESTING_CONNECTION) {
             client.set(harness.client().search(2_000));
             assertEquals(200, client.get().answer().status());
         }
-        server.script(Stub.SILENT);
+        server.script(ScriptedPeer.SILENT);
         long[] sentAt = new long[1];
         harness.whileStalled(
                 () -> {
@@ -58,11 +58,11 @@
     /** What came while the loop slept has not waited: its time must not be cut short. */
     @Test
     void timeOfARequestThatIsReadAtOnceIsItsOwn() throws Exception {
-        Stub server = server(Stub.serves("first"));
-        Harness harness = sidecar(server);
-        Harness.Client client = harness.client().search(2_000);
+        ScriptedPeer server = server(ScriptedPeer.serves("first"));
+        SidecarHarness harness = sidecar(server);
+        SidecarHarness.Client client = harness.client().search(2_000);
         assertEquals(200, client.answer().status());
-        server.script(Stub.SILENT);
+        server.script(ScriptedPeer.SILENT);
         client.search(2_000);
         server.take();
         long told = Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
@@ -72,7 +72,7 @@
     /**
      * Each holds the loop until the nearest deadline is over; the second then waits for its answer.
      */
-    private static final class Slow extends QuietModule {
+    private static final class Slow extends NoOpLoadBalancer {
         final Set<String> asked = new HashSet<>();
         final CountDownLatch first = new CountDownLatch(1);
         final CountDownLatch answered = new CountDownLatch(1);
@@ -80,7 +80,7 @@
         private long deadline;
 
         @Override
-        public void request(long nowMicros, LoadBalancer.Request request) {
+        public void onRequest(long nowMicros, Request request) {
             asked.add(request.id());
             if (asked.size() == 1) {
                 deadline = System.nanoTime() + (request.deadlineMicros() - nowMicros) * 1000;
@@ -104,17 +104,17 @@
     @Test
     void deadlineComesBeforeTheNextRequestOfTheSameTurn() throws Exception {
         Slow module = new Slow();
-        Harness harness = harness().start((settings, actions) -> module);
-        List<Harness.Client> others = List.of(harness.client(), harness.client());
-        for (Harness.Client other : others) {
+        SidecarHarness harness = harness().start((settings, actions) -> module);
+        List<SidecarHarness.Client> others = List.of(harness.client(), harness.client());
+        for (SidecarHarness.Client other : others) {
             // Accepted, so that what it sends is read in one turn with the other's.
             other.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer();
         }
-        Harness.Client client = harness.client().search(500);
+        SidecarHarness.Client client = harness.client().search(500);
         assertTrue(module.first.await(10, TimeUnit.SECONDS));
         harness.whileStalled(
                 () -> {
-                    for (Harness.Client other : others) {
+                    for (SidecarHarness.Client other : others) {
                         other.search(20_000);
                     }
                     return null;
