--- a/sidecar/src/test/java/sagefall/sidecar/RoughTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,32 +13,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagefall.LoadBalancer;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.Request;
+import sagefall.http.HttpClientConnection;
 
 /** Servers that say more than was asked, and clients that say what can't be meant. */
-class RoughTest extends OnSockets {
+class MalformedTrafficTest extends SocketTest {
 
     private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
     /** Sends a request again as soon as the first has an answer, from inside that very event. */
-    private static final class Chaining extends QuietModule {
-        private final Actions actions;
+    private static final class Chaining extends NoOpLoadBalancer {
+        private final BalancerActions actions;
         private final List<String> held = new ArrayList<>();
         private long server;
 
-        Chaining(Actions actions) {
+        Chaining(BalancerActions actions) {
             this.actions = actions;
         }
 
         @Override
-        public void servers(long nowMicros, ListKind kind, List<LoadBalancer.Server> list) {
+        public void onEndpointList(
+                long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {
             if (!list.isEmpty()) {
                 server = list.get(0).id();
             }
         }
 
         @Override
-        public void request(long nowMicros, LoadBalancer.Request request) {
+        public void onRequest(long nowMicros, Request request) {
             held.add(request.id());
             if (held.size() == 1) {
                 actions.send(request.id(), server, 0, Long.MAX_VALUE);
@@ -46,7 +52,7 @@
         }
 
         @Override
-        public void outcome(long nowMicros, LoadBalancer.Outcome outcome) {
+        public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
             if (held.size() == 2 && outcome.requestId().equals(held.get(0))) {
                 actions.send(held.get(1), server, 0, Long.MAX_VALUE);
             }
@@ -59,12 +65,12 @@
     @ParameterizedTest
     @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
     void whatComesBehindAnAnswerIsNoAnswer(String behind) throws Exception {
-        Stub server = server(Stub.SILENT);
-        Harness harness = harness(server);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(server);
         harness.start((settings, actions) -> new Chaining(actions));
-        Harness.Client first = harness.client().search(5_000);
-        Stub.Seen one = server.take();
-        Harness.Client second = harness.client().search(5_000);
+        SidecarHarness.Client first = harness.client().search(5_000);
+        ScriptedPeer.Seen one = server.take();
+        SidecarHarness.Client second = harness.client().search(5_000);
         // Rejected once the one before it has been taken, since they are read in turn.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
         one.raw(COPY + "mine" + behind);
@@ -75,7 +81,7 @@
 
     @Test
     void byteOnAnIdleConnectionEndsIt() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         assertEquals(200, sidecar(server).client().search(2_000).answer().status());
         server.take().raw("x");
         server.awaitEnd();
@@ -83,7 +89,7 @@
 
     @Test
     void answersAheadAreNotTheAnswer() throws Exception {
-        Stub server =
+        ScriptedPeer server =
                 server(
                         seen -> {
                             seen.raw(
@@ -120,9 +126,9 @@
                 "no colon\r\n\r\n",
             })
     void requestWithoutAClearEndIsRejected(String rest) throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness.Client client = sidecar(server).client();
-        String head = Harness.Client.head("POST", "/book/k1", 2_000, "", 0);
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness.Client client = sidecar(server).client();
+        String head = SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 0);
         client.raw(head.substring(0, head.length() - 2) + rest);
         assertEquals(400, client.answer().status());
         client.assertClosed();
@@ -132,8 +138,8 @@
     /** The same for what comes while the request is in hand: its server is told to stop. */
     @Test
     void bytesBehindARequestInHandRejectIt() throws Exception {
-        Stub server = server(Stub.SILENT);
-        Harness.Client client = sidecar(server).client().search(2_000);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness.Client client = sidecar(server).client().search(2_000);
         server.take();
         client.search(2_000);
         assertEquals(400, client.answer().status());
@@ -149,7 +155,7 @@
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void clientThatDoesNotSendAWholeRequestIsCutOff(String part) throws Exception {
-        Harness.Client client = sidecar(server(Stub.SILENT)).client().raw(part);
+        SidecarHarness.Client client = sidecar(server(ScriptedPeer.SILENT)).client().raw(part);
         long since = System.nanoTime();
         if (!part.isEmpty()) {
             assertEquals(408, client.answer().status());
@@ -163,8 +169,8 @@
      */
     @Test
     void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
-        Harness.Client client = sidecar(server(Stub.SILENT)).client();
-        client.raw(Harness.Client.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
+        SidecarHarness.Client client = sidecar(server(ScriptedPeer.SILENT)).client();
+        client.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
         byte[] some = new byte[1024 * 1024];
         for (int i = 0; i < 32; i++) {
             client.socket.getOutputStream().write(some);
@@ -176,8 +182,8 @@
     /** Silent clients filled the bound, and nothing made room until one of them left by itself. */
     @Test
     void silentClientsDoNotShutOutOthers() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = opened(new Harness(folder, 250_000, 128, server));
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = opened(new SidecarHarness(folder, 250_000, 128, server));
         harness.start();
         for (int i = 0; i < harness.config().clientConnections() + 20; i++) {
             harness.client();
@@ -194,7 +200,7 @@
      */
     @Test
     void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
-        Harness harness = sidecar(server(Stub.serves("ok")));
+        SidecarHarness harness = sidecar(server(ScriptedPeer.serves("ok")));
         AtomicInteger turns = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
         harness.loop.execute(
@@ -213,12 +219,12 @@
                             1,
                             TimeUnit.NANOSECONDS);
                 });
-        List<Harness.Client> clients = new ArrayList<>();
+        List<SidecarHarness.Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             clients.add(harness.client().raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
         }
         connected.countDown();
-        for (Harness.Client client : clients) {
+        for (SidecarHarness.Client client : clients) {
             assertEquals(200, client.answer().status());
         }
         assertTrue(turns.get() < 40, turns + " turns");
@@ -230,20 +236,21 @@
      */
     @Test
     void idleClientsPastHalfOfTheBoundAreClosedSoon() throws Exception {
-        Harness harness = opened(new Harness(folder, 250_000, 128, server(Stub.serves("ok"))));
+        SidecarHarness harness =
+                opened(new SidecarHarness(folder, 250_000, 128, server(ScriptedPeer.serves("ok"))));
         harness.start();
         int half = harness.config().clientConnections() / 2;
-        List<Harness.Client> clients = new ArrayList<>();
+        List<SidecarHarness.Client> clients = new ArrayList<>();
         for (int i = 0; i < half + 5; i++) {
             clients.add(harness.client().search(5_000));
             assertEquals(200, clients.get(i).answer().status());
         }
         long since = System.nanoTime();
-        for (Harness.Client longest : clients.subList(0, 5)) {
+        for (SidecarHarness.Client longest : clients.subList(0, 5)) {
             longest.assertClosed();
         }
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
-        for (Harness.Client kept : clients.subList(5, clients.size())) {
+        for (SidecarHarness.Client kept : clients.subList(5, clients.size())) {
             assertEquals(200, kept.search(5_000).answer().status());
         }
     }
@@ -254,14 +261,16 @@
      */
     @Test
     void clientsThatSendMuchAndGoLeaveNothingBehind() throws Exception {
-        Harness harness =
-                opened(new Harness(folder, 250_000, 128, server(Stub.serves("ok")))).start();
+        SidecarHarness harness =
+                opened(new SidecarHarness(folder, 250_000, 128, server(ScriptedPeer.serves("ok"))))
+                        .start();
         int bound = harness.config().clientConnections();
-        Harness.Client kept = harness.client();
+        SidecarHarness.Client kept = harness.client();
         String much =
-                Harness.Client.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
+                SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 60_000)
+                        + "x".repeat(200_000);
         for (int i = 0; i < 3 * bound; i++) {
-            Harness.Client flooding = harness.client();
+            SidecarHarness.Client flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
             try {
                 flooding.raw(much);
@@ -280,12 +289,12 @@
 
     @Test
     void errorInTheModuleIsAnsweredToo() throws Exception {
-        Harness harness = harness();
+        SidecarHarness harness = harness();
         harness.start(
                 (settings, actions) ->
-                        new QuietModule() {
+                        new NoOpLoadBalancer() {
                             @Override
-                            public void request(long nowMicros, LoadBalancer.Request request) {
+                            public void onRequest(long nowMicros, Request request) {
                                 throw new StackOverflowError();
                             }
                         });
@@ -295,14 +304,17 @@
 
     @Test
     void longListIsTaken() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness();
-        List<Stub> many = new ArrayList<>();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness();
+        List<ScriptedPeer> many = new ArrayList<>();
         for (int i = 0; i < 900; i++) {
             many.add(server);
         }
-        String list = Harness.json(Harness.list(2, true, "in_service", many.toArray(new Stub[0])));
-        assertTrue(list.length() > Link.MAX_BODY);
+        String list =
+                SidecarHarness.json(
+                        SidecarHarness.list(
+                                2, true, "in_service", many.toArray(new ScriptedPeer[0])));
+        assertTrue(list.length() > HttpClientConnection.MAX_BODY);
         harness.discovery.script(
                 seen -> {
                     if (seen.request().first().contains("from=1&")) {
--- /dev/null
+++ b/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
@@ -0,0 +1,45 @@
+package sagefall.proxy;
+
+import java.util.List;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.Request;
+
+/** A module that does nothing; tests override what they want to see. */
+class NoOpLoadBalancer implements LoadBalancer {
+    @Override
+    public void onEndpointList(
+            long nowMicros, EndpointListKind kind, long revision, List<ListedEndpoint> list) {
+        onEndpointList(nowMicros, kind, list);
+    }
+
+    @Override
+    public void onEndpointList(long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {}
+
+    @Override
+    public void onRequest(long nowMicros, Request request) {}
+
+    @Override
+    public void onBufferLimit(long nowMicros, long mostBytes) {}
+
+    @Override
+    public void onUploadComplete(long nowMicros, String requestId, long deadlineMicros) {}
+
+    @Override
+    public void onReplayBufferExceeded(long nowMicros, String requestId) {}
+
+    @Override
+    public void onStreamStarted(
+            long nowMicros, String requestId, int attempt, long server, long elapsedMicros) {}
+
+    @Override
+    public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {}
+
+    @Override
+    public void onClientDisconnected(long nowMicros, String requestId) {}
+
+    @Override
+    public void onTimer(long nowMicros, long token) {}
+}
--- a/sidecar/src/test/java/sagefall/sidecar/CrossingTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -29,11 +29,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagefall.Choice;
-import sagefall.LoadBalancer;
+import sagefall.balancer.DefaultLoadBalancer;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.Request;
+import sagefall.config.SidecarConfig;
+import sagefall.discovery.DiscoveryClient;
+import sagefall.discovery.EndpointList;
+import sagefall.discovery.StableIds;
+import sagefall.http.HttpClientConnection;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.downstream.RequestParser;
+import sagefall.proxy.upstream.ConnectionPool;
 
 /** What comes in the very moment in which something else happens; each test forces its order. */
-class CrossingTest extends OnSockets {
+class RaceConditionTest extends SocketTest {
 
     /** Keeps the loop, on which it is called, for so long: a slow turn is what is to be forced. */
     private static void stall(long millis) {
@@ -48,11 +60,11 @@
     /** A call that is answered in turn comes up and is answered in this time. */
     private static final long ANSWER_MILLIS = 250;
 
-    private static final class Listed implements Discovery.Listener {
+    private static final class Listed implements DiscoveryClient.Listener {
         final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
 
         @Override
-        public void listed(ServerList list) {
+        public void listed(EndpointList list) {
             told.add("list " + list.revision());
         }
 
@@ -69,27 +81,27 @@
     /** A silent peer was waited for as long after a failure as in a watch. */
     @Test
     void afterSilenceTheFirstCallDoesNotWait() throws Exception {
-        Harness harness = harness();
+        SidecarHarness harness = harness();
         Listed listed = new Listed();
-        Config config = harness.config();
-        Discovery discovery =
+        SidecarConfig config = harness.config();
+        DiscoveryClient discovery =
                 harness.loop
                         .submit(
                                 () ->
-                                        new Discovery(
+                                        new DiscoveryClient(
                                                 harness.loop,
                                                 config.discovery(),
                                                 config.lists(),
                                                 1,
                                                 listed,
                                                 line -> {},
-                                                new Discovery.Timeouts(400, 200)))
+                                                new DiscoveryClient.Timeouts(400, 200)))
                         .get();
         for (int round = 0; round < 2; round++) {
             harness.loop.execute(discovery::subscribe);
-            Stub.Seen first = harness.discovery.take();
+            ScriptedPeer.Seen first = harness.discovery.take();
             assertEquals("GET /v1/servers?from=1&hold_ms=1 HTTP/1.1", first.request().first());
-            first.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
+            first.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NOTHING_NEW));
             assertEquals("list 1", listed.next());
             assertEquals(
                     "GET /v1/servers?from=1&hold_ms=400 HTTP/1.1",
@@ -106,7 +118,7 @@
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
     void silenceOfDiscoveryIsOverBeforeItsWordCountsAsTold(boolean onAsk, long backOff) {
-        Discovery.Timeouts timeouts = Discovery.Timeouts.of(onAsk);
+        DiscoveryClient.Timeouts timeouts = DiscoveryClient.Timeouts.of(onAsk);
         long asked = timeouts.holdMillis() + 2 * (timeouts.answerMillis() + backOff);
         assertTrue(asked + ANSWER_MILLIS < 6_000, asked + " ms");
     }
@@ -116,13 +128,13 @@
      */
     @Test
     void agentIsHeardBeforeTheFirstRequest() throws Exception {
-        Stub leaving = server(Stub.serves("leaving"));
-        Stub staying = server(Stub.serves("staying"));
-        Harness harness = harness(leaving, staying).pushed();
-        CompletableFuture<InetSocketAddress> started = harness.begin(Choice::new);
+        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
+        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        SidecarHarness harness = harness(leaving, staying).pushed();
+        CompletableFuture<InetSocketAddress> started = harness.begin(DefaultLoadBalancer::new);
         first(harness.discovery);
         assertFalse(started.isDone());
-        harness.tell(2, Harness.list(2, false, "terminating", leaving));
+        harness.tell(2, SidecarHarness.list(2, false, "terminating", leaving));
         harness.address = started.get(10, TimeUnit.SECONDS);
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
@@ -131,7 +143,7 @@
 
     @Test
     void silentAgentKeepsNobodyOut() throws Exception {
-        Harness harness = harness(server(Stub.serves("known"))).pushed().start();
+        SidecarHarness harness = harness(server(ScriptedPeer.serves("known"))).pushed().start();
         assertEquals("known", harness.client().search(2_000).answer().body());
     }
 
@@ -141,17 +153,17 @@
      */
     @Test
     void listThatIsBehindEndsNoDrain() throws Exception {
-        Stub leaving = server(Stub.serves("leaving"));
-        Stub staying = server(Stub.serves("staying"));
-        Harness harness = harness(leaving, staying).start();
-        harness.tell(5, Harness.list(5, false, "terminating", leaving));
-        harness.tell(3, Harness.list(3, true, "in_service", leaving, staying));
+        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
+        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        SidecarHarness harness = harness(leaving, staying).start();
+        harness.tell(5, SidecarHarness.list(5, false, "terminating", leaving));
+        harness.tell(3, SidecarHarness.list(3, true, "in_service", leaving, staying));
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
         // One that is ahead does.
-        harness.tell(6, Harness.list(6, false, "terminating", staying));
-        harness.tell(7, Harness.list(7, false, "in_service", leaving));
+        harness.tell(6, SidecarHarness.list(6, false, "terminating", staying));
+        harness.tell(7, SidecarHarness.list(7, false, "in_service", leaving));
         assertEquals("leaving", harness.client().search(2_000).answer().body());
     }
 
@@ -160,16 +172,16 @@
      */
     @Test
     void hangupDuringTheStartWaitsForTheFirstList() throws Exception {
-        Stub leaving = server(Stub.serves("leaving"));
-        Stub staying = server(Stub.serves("staying"));
-        Stub next = server(Stub.SILENT);
-        Harness harness = harness(leaving, staying).pushed();
-        Config config = harness.config();
+        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
+        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        ScriptedPeer next = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(leaving, staying).pushed();
+        SidecarConfig config = harness.config();
         harness.sidecar =
                 harness.loop
                         .submit(
                                 () ->
-                                        new Sidecar(
+                                        new SidecarServer(
                                                 harness.loop,
                                                 harness.turns,
                                                 config,
@@ -183,8 +195,8 @@
         // A connection that the loop has begun by then is accepted before this one.
         harness.loop.submit(() -> {}).get();
         harness.loop.submit(() -> {}).get();
-        try (Harness.Client own =
-                new Harness.Client(
+        try (SidecarHarness.Client own =
+                new SidecarHarness.Client(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port()))) {
             own.raw("GET /own HTTP/1.1\r\n\r\n");
             assertEquals("GET /own HTTP/1.1", next.take().request().first());
@@ -192,7 +204,7 @@
         assertEquals(1, next.accepted.get());
         CompletableFuture<InetSocketAddress> started = harness.sidecar.start();
         assertEquals("GET /v1/servers HTTP/1.1", first(next).request().first());
-        Harness.tell(next, 2, Harness.list(2, true, "in_service", staying));
+        SidecarHarness.tell(next, 2, SidecarHarness.list(2, true, "in_service", staying));
         harness.address = started.get(10, TimeUnit.SECONDS);
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
@@ -201,18 +213,18 @@
     }
 
     /** The next call, which stays to be answered. */
-    private static Stub.Seen first(Stub discovery) throws InterruptedException {
-        Stub.Seen call = discovery.take();
+    private static ScriptedPeer.Seen first(ScriptedPeer discovery) throws InterruptedException {
+        ScriptedPeer.Seen call = discovery.take();
         discovery.seen.add(call);
         return call;
     }
 
     /** A module that decides nothing: the test sees what it is told, and acts in its place. */
-    private static final class Scripted extends QuietModule {
+    private static final class Scripted extends NoOpLoadBalancer {
         final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        final Actions actions;
+        final BalancerActions actions;
 
-        Scripted(Actions actions) {
+        Scripted(BalancerActions actions) {
             this.actions = actions;
         }
 
@@ -230,26 +242,30 @@
         }
 
         @Override
-        public void servers(long nowMicros, ListKind kind, List<LoadBalancer.Server> list) {
-            told.add(kind == ListKind.FAILED ? "discovery failed" : "list of " + list.size());
+        public void onEndpointList(
+                long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {
+            told.add(
+                    kind == EndpointListKind.FAILED
+                            ? "discovery failed"
+                            : "list of " + list.size());
         }
 
         @Override
-        public void request(long nowMicros, LoadBalancer.Request request) {
+        public void onRequest(long nowMicros, Request request) {
             told.add(request.id());
         }
 
         @Override
-        public void outcome(long nowMicros, LoadBalancer.Outcome outcome) {
+        public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
             told.add(outcome.result().toString());
         }
 
-        void send(String id, Stub server) {
-            actions.send(id, Ids.of("s-" + server.port()), 0, Long.MAX_VALUE);
+        void send(String id, ScriptedPeer server) {
+            actions.send(id, StableIds.of("s-" + server.port()), 0, Long.MAX_VALUE);
         }
     }
 
-    private static Scripted scripted(Harness harness) throws Exception {
+    private static Scripted scripted(SidecarHarness harness) throws Exception {
         AtomicReference<Scripted> module = new AtomicReference<>();
         CompletableFuture<InetSocketAddress> started =
                 harness.begin(
@@ -266,31 +282,33 @@
                 !next.equals("list of 0");
                 next = module.get().next()) {
             assertEquals("discovery failed", next);
-            harness.loop.execute(harness.sidecar::subscribe);
+            harness.loop.execute(harness.sidecar::requestEndpointUpdates);
             answerFirst(harness);
         }
         harness.address = started.get(10, TimeUnit.SECONDS);
         return module.get();
     }
 
-    private static void answerFirst(Harness harness) throws InterruptedException {
+    private static void answerFirst(SidecarHarness harness) throws InterruptedException {
         try {
-            harness.discovery.take().reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
+            harness.discovery
+                    .take()
+                    .reply("200 OK", "", SidecarHarness.json(SidecarHarness.NOTHING_NEW));
         } catch (IOException e) {
             // Given up; the module hears of it.
         }
     }
 
-    private static void take(Sidecar sidecar) {
+    private static void take(SidecarServer sidecar) {
         FullHttpRequest http =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/search/k");
         http.headers()
-                .set(Headers.REQUEST_ID, "crossing")
-                .set(Headers.TENANT, "acme")
-                .set(Headers.TIMEOUT, "5000");
+                .set(ProtocolHeaders.REQUEST_ID, "crossing")
+                .set(ProtocolHeaders.TENANT, "acme")
+                .set(ProtocolHeaders.TIMEOUT, "5000");
         try {
             sidecar.take(http, (status, headers, content) -> content.release());
-        } catch (RequestReader.BadRequest e) {
+        } catch (RequestParser.BadRequest e) {
             throw new IllegalStateException(e);
         }
     }
@@ -298,12 +316,12 @@
     /** A request that had its turn first after a stall went to a server told to drain meanwhile. */
     @Test
     void listThatCameDuringAStallGoesBeforeTheRequest() throws Exception {
-        Harness harness = harness(server(Stub.SILENT)).pushed();
+        SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).pushed();
         Scripted module = scripted(harness);
-        Stub.Seen watch = harness.discovery.take();
+        ScriptedPeer.Seen watch = harness.discovery.take();
         harness.whileStalled(
                 () -> {
-                    watch.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
+                    watch.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NOTHING_NEW));
                     return null;
                 },
                 () -> {
@@ -335,8 +353,10 @@
      * Until a connection that has brought an answer is used again, so that a request goes out at
      * once.
      */
-    private static void settle(Harness harness) throws Exception {
-        harness.loop.schedule(() -> {}, 2 * ServerPool.SETTLE_MICROS, TimeUnit.MICROSECONDS).get();
+    private static void settle(SidecarHarness harness) throws Exception {
+        harness.loop
+                .schedule(() -> {}, 2 * ConnectionPool.SETTLE_MICROS, TimeUnit.MICROSECONDS)
+                .get();
     }
 
     /**
@@ -345,8 +365,8 @@
     @ParameterizedTest
     @EnumSource
     void requestWhoseClientHasLeftIsNotSentOn(Leaving leaving) throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server).start();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server).start();
         assertEquals("ok", harness.client().book("warm", 5_000).answer().body());
         settle(harness);
         harness.whileStalled(
@@ -371,16 +391,16 @@
     @ParameterizedTest
     @EnumSource
     void heldRequestWhoseClientLeavesDuringAStallIsNotSentOn(Leaving leaving) throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server).pushed();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server).pushed();
         Scripted module = scripted(harness);
-        Harness.Client warm = harness.client().book("warm", 20_000);
+        SidecarHarness.Client warm = harness.client().book("warm", 20_000);
         String first = module.next();
         harness.loop.execute(() -> module.send(first, server));
         assertEquals("SERVED", module.next());
         assertEquals("ok", warm.answer().body());
         settle(harness);
-        Harness.Client client = harness.client().book("left", 20_000);
+        SidecarHarness.Client client = harness.client().book("left", 20_000);
         String id = module.next();
         harness.whileStalled(
                 () -> {
@@ -396,30 +416,30 @@
     @ParameterizedTest
     @EnumSource
     void furtherAttemptIsNotBegunForAClientThatHasLeft(Leaving leaving) throws Exception {
-        Stub server = server(Stub.SILENT);
-        Harness harness = harness(server).pushed();
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(server).pushed();
         Files.writeString(
                 harness.file,
                 Files.readString(harness.file)
                         .replace("\"cancelling\":true", "\"cancelling\":false"));
         Scripted module = scripted(harness);
         // Two connections that are up, so that the further attempt would go out at once.
-        List<Stub.Seen> warm = new ArrayList<>();
+        List<ScriptedPeer.Seen> warm = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             harness.client().book("warm", 20_000);
             String id = module.nextButLists();
             harness.loop.execute(() -> module.send(id, server));
             warm.add(server.take());
         }
-        for (Stub.Seen seen : warm) {
+        for (ScriptedPeer.Seen seen : warm) {
             seen.reply("200 OK", "", "ok");
             assertEquals("SERVED", module.nextButLists());
         }
         settle(harness);
-        Harness.Client client = harness.client().book("left", 20_000);
+        SidecarHarness.Client client = harness.client().book("left", 20_000);
         String id = module.nextButLists();
         harness.loop.execute(() -> module.send(id, server));
-        Stub.Seen first = server.take();
+        ScriptedPeer.Seen first = server.take();
         harness.whileStalled(
                 () -> {
                     first.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
@@ -429,7 +449,7 @@
                 () -> module.send(id, server));
         String earlier = module.nextButLists();
         String later = module.nextButLists();
-        assertEquals(Set.of("FULL", "NOT_SENT"), Set.of(earlier, later));
+        assertEquals(Set.of("REJECTED", "NOT_SENT"), Set.of(earlier, later));
         assertTrue(server.seen.isEmpty());
     }
 
@@ -437,18 +457,18 @@
 
     /** Without a length the end of the server's sending is that of the answer (RFC 9112, 6.3). */
     @ParameterizedTest
-    @ValueSource(ints = {0, 5, Link.MAX_BODY})
+    @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY})
     void answerWithoutALengthEndsWithTheConnection(int length) throws Exception {
         String body = "x".repeat(length);
-        Stub server =
+        ScriptedPeer server =
                 server(
                         seen -> {
                             seen.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
                             seen.socket().close();
                         });
-        Harness harness = harness(server).start();
+        SidecarHarness harness = harness(server).start();
         for (int i = 0; i < 2; i++) {
-            Http.Message answer = harness.client().book("x", 5_000).answer();
+            HttpMessages.Message answer = harness.client().book("x", 5_000).answer();
             assertEquals(200, answer.status());
             assertEquals(body, answer.body());
         }
@@ -456,18 +476,18 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {0, 5, Link.MAX_BODY})
+    @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY})
     void resetIsNoEnd(int length) throws Exception {
-        BlockingQueue<Stub.Seen> written = new LinkedBlockingQueue<>();
-        Stub server =
+        BlockingQueue<ScriptedPeer.Seen> written = new LinkedBlockingQueue<>();
+        ScriptedPeer server =
                 server(
                         seen -> {
                             seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
                             written.add(seen);
                         });
-        Harness harness = harness(server).start();
-        Harness.Client client = harness.client().book("x", 5_000);
-        Stub.Seen seen = written.poll(10, TimeUnit.SECONDS);
+        SidecarHarness harness = harness(server).start();
+        SidecarHarness.Client client = harness.client().book("x", 5_000);
+        ScriptedPeer.Seen seen = written.poll(10, TimeUnit.SECONDS);
         // What was written is read in this turn or an earlier one, so the reset comes behind it.
         harness.loop.submit(() -> {}).get();
         seen.socket().setSoLinger(true, 0);
@@ -478,10 +498,12 @@
 
     @Test
     void answerWithoutALengthIsBoundedToo() throws Exception {
-        Stub server =
+        ScriptedPeer server =
                 server(
                         seen -> {
-                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(Link.MAX_BODY + 1));
+                            seen.raw(
+                                    "HTTP/1.1 200 OK\r\n\r\n"
+                                            + "x".repeat(HttpClientConnection.MAX_BODY + 1));
                             seen.socket().close();
                         });
         assertEquals(502, harness(server).start().client().book("x", 5_000).answer().status());
@@ -492,9 +514,9 @@
     /** Closed at once, it was reset by a request on its way, and the reset took what was unread. */
     @Test
     void restingClientIsToldTheEndAndNotReset() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server).start();
-        Harness.Client client = harness.client();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server).start();
+        SidecarHarness.Client client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         server.take();
         CountDownLatch ended = harness.stop();
@@ -511,7 +533,7 @@
      * Lets peers act in the moment between a turn's reading and the end of accepting: both that act
      * and that end are due when a long turn is over, and so stand one behind the other in the next.
      */
-    private static CountDownLatch stopAndCross(Harness harness, Callable<?> peers)
+    private static CountDownLatch stopAndCross(SidecarHarness harness, Callable<?> peers)
             throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         harness.loop
@@ -531,12 +553,12 @@
      */
     @Test
     void requestThatHasComeBeforeTheEndIsAnswered() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server).start();
-        Harness.Client client = harness.client();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server).start();
+        SidecarHarness.Client client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         CountDownLatch ended = stopAndCross(harness, () -> client.search(5_000));
-        Http.Message answer = client.answer();
+        HttpMessages.Message answer = client.answer();
         assertEquals("ok", answer.body());
         assertEquals("close", answer.headers().get("Connection"));
         client.assertClosed();
@@ -547,12 +569,12 @@
     /** One that had come in part counted as quiet, and was closed. */
     @Test
     void requestThatHasComeInPartGetsItsTime() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server).start();
-        Harness.Client resting = harness.client();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server).start();
+        SidecarHarness.Client resting = harness.client();
         assertEquals("ok", resting.search(5_000).answer().body());
-        String request = Harness.Client.head("GET", "/search/k", 5_000, "", 0);
-        Harness.Client client = harness.client();
+        String request = SidecarHarness.Client.head("GET", "/search/k", 5_000, "", 0);
+        SidecarHarness.Client client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         client.raw(request.substring(0, 40));
         harness.stop();
@@ -564,9 +586,9 @@
     /** Who waits in the queue of the listening socket when it closes would be reset. */
     @Test
     void whoWaitsToBeAcceptedAtTheEndIsAnswered() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server).start();
-        BlockingQueue<Harness.Client> late = new LinkedBlockingQueue<>();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server).start();
+        BlockingQueue<SidecarHarness.Client> late = new LinkedBlockingQueue<>();
         CountDownLatch ended =
                 stopAndCross(
                         harness,
@@ -577,7 +599,7 @@
                             return null;
                         });
         for (int i = 0; i < 5; i++) {
-            try (Harness.Client client = late.poll(10, TimeUnit.SECONDS)) {
+            try (SidecarHarness.Client client = late.poll(10, TimeUnit.SECONDS)) {
                 assertEquals("ok", client.answer().body());
             }
         }
--- a/sidecar/src/test/java/sagefall/sidecar/Wire.java
+++ b/sidecar/src/test/java/sagefall/proxy/RawConnection.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -21,31 +21,31 @@
  * One end of a connection whose bytes a test brings and takes one by one: bodies are not read
  * ahead.
  */
-final class Wire implements AutoCloseable {
+final class RawConnection implements AutoCloseable {
 
     final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    RawConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(20_000);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+    static RawConnection to(InetSocketAddress address) throws IOException {
+        return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
     }
 
-    Wire raw(String text) throws IOException {
+    RawConnection raw(String text) throws IOException {
         return raw(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    Wire raw(byte[] bytes) throws IOException {
+    RawConnection raw(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
     }
 
-    Wire chunk(String text) throws IOException {
+    RawConnection chunk(String text) throws IOException {
         return raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
@@ -143,21 +143,21 @@
     static final class Server implements AutoCloseable {
         private final ServerSocket listening =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final BlockingQueue<Wire> came;
+        private final BlockingQueue<RawConnection> came;
 
         Server() throws IOException {
             this(new LinkedBlockingQueue<>());
         }
 
         /** One of several whose connections come to the same place. */
-        Server(BlockingQueue<Wire> came) throws IOException {
+        Server(BlockingQueue<RawConnection> came) throws IOException {
             this.came = came;
             Thread accepting =
                     new Thread(
                             () -> {
                                 try {
                                     while (true) {
-                                        came.add(new Wire(listening.accept()));
+                                        came.add(new RawConnection(listening.accept()));
                                     }
                                 } catch (IOException e) {
                                     // Closed: the test is over.
@@ -177,8 +177,8 @@
             return listening.getLocalPort();
         }
 
-        Wire take() throws InterruptedException {
-            Wire next = came.poll(10, TimeUnit.SECONDS);
+        RawConnection take() throws InterruptedException {
+            RawConnection next = came.poll(10, TimeUnit.SECONDS);
             Assertions.assertNotNull(next, "no connection came");
             return next;
         }
@@ -190,7 +190,7 @@
         @Override
         public void close() throws IOException {
             listening.close();
-            for (Wire wire : came) {
+            for (RawConnection wire : came) {
                 wire.close();
             }
         }
--- a/sidecar/src/test/java/sagefall/sidecar/Stub.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Assertions;
 
 /** A scripted peer on a free loopback port: each test says what it does with a request. */
-final class Stub implements AutoCloseable {
+public final class ScriptedPeer implements AutoCloseable {
 
     /** A request as it came, and the connection that it came on. */
-    record Seen(Http.Message request, Socket socket) {
-        void reply(String status, String headers, String body) throws IOException {
+    public record Seen(HttpMessages.Message request, Socket socket) {
+        public void reply(String status, String headers, String body) throws IOException {
             raw(
                     "HTTP/1.1 "
                             + status
@@ -39,53 +39,54 @@
         }
     }
 
-    interface Script {
+    /** What the peer does with one request. */
+    public interface Script {
         void on(Seen seen) throws IOException;
     }
 
-    static final Script SILENT = seen -> {};
-    static final Script HANG_UP = seen -> seen.socket().close();
+    public static final Script SILENT = seen -> {};
+    public static final Script HANG_UP = seen -> seen.socket().close();
 
-    final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
 
     /** One entry for each connection that has ended. */
     final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
 
-    final AtomicInteger accepted = new AtomicInteger();
+    public final AtomicInteger accepted = new AtomicInteger();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket listening;
     private final Thread accepting;
     private volatile Script script;
 
-    Stub(Script script) throws IOException {
+    ScriptedPeer(Script script) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         accepting = daemon(this::accept);
     }
 
-    static Script answers(String status, String headers, String body) {
+    public static Script answers(String status, String headers, String body) {
         return seen -> seen.reply(status, headers, body);
     }
 
-    static Script serves(String body) {
+    public static Script serves(String body) {
         return answers("200 OK", "", body);
     }
 
-    void script(Script next) {
+    public void script(Script next) {
         script = next;
     }
 
-    int port() {
+    public int port() {
         return listening.getLocalPort();
     }
 
-    Seen take() throws InterruptedException {
+    public Seen take() throws InterruptedException {
         Seen next = seen.poll(10, TimeUnit.SECONDS);
         Assertions.assertNotNull(next, "no request came");
         return next;
     }
 
-    void awaitEnd() throws InterruptedException {
+    public void awaitEnd() throws InterruptedException {
         Assertions.assertNotNull(ended.poll(10, TimeUnit.SECONDS), "no connection ended");
     }
 
@@ -112,7 +113,7 @@
     private void talk(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (Http.Message m; (m = Http.read(in)) != null; ) {
+            for (HttpMessages.Message m; (m = HttpMessages.read(in)) != null; ) {
                 Seen next = new Seen(m, socket);
                 // Whoever hears of this request may change the script for the next one.
                 Script mine = script;
--- a/sidecar/src/test/java/sagefall/sidecar/Harness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -21,15 +21,16 @@
 import java.util.function.BiFunction;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Assertions;
-import sagefall.Choice;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.DefaultLoadBalancer;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.config.SidecarConfig;
 
 /**
  * A sidecar on free loopback ports between scripted servers, a scripted discovery and raw clients.
  */
-final class Harness implements AutoCloseable {
+public final class SidecarHarness implements AutoCloseable {
 
     static final String NOTHING_NEW = "{'rev':1,'all':false,'targets':[]}";
 
@@ -60,28 +61,30 @@
                     + "'cold_us':1000000,"
                     + "'fall_us':1000000},'tick_us':1000}";
 
-    final Stub discovery;
-    final EventLoop loop;
-    final Turns turns = new Turns();
+    final ScriptedPeer discovery;
+    public final EventLoop loop;
+    final LoopLatencyClock turns = new LoopLatencyClock();
     private final MultiThreadIoEventLoopGroup group = turns.group();
     private final List<Client> clients = new ArrayList<>();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     final Path file;
     final Path extensions;
-    Sidecar sidecar;
+    SidecarServer sidecar;
     InetSocketAddress address;
 
-    Harness(Path folder, Stub... servers) throws Exception {
+    SidecarHarness(Path folder, ScriptedPeer... servers) throws Exception {
         this(folder, 250_000, 1024, servers);
     }
 
-    Harness(Path folder, long connectMicros, int sockets, Stub... servers) throws Exception {
-        this(folder, connectMicros, sockets, Stream.of(servers).map(Stub::port).toList());
+    public SidecarHarness(Path folder, long connectMicros, int sockets, ScriptedPeer... servers)
+            throws Exception {
+        this(folder, connectMicros, sockets, Stream.of(servers).map(ScriptedPeer::port).toList());
     }
 
-    Harness(Path folder, long connectMicros, int sockets, List<Integer> ports) throws Exception {
+    SidecarHarness(Path folder, long connectMicros, int sockets, List<Integer> ports)
+            throws Exception {
         // The first answer says what is known already; the watch that goes on then hears nothing.
-        discovery = new Stub(seen -> {});
+        discovery = new ScriptedPeer(seen -> {});
         loop = group.next();
         file = folder.resolve("config.json");
         extensions = folder.resolve("extensions.json");
@@ -100,12 +103,12 @@
                                 .replace("CONNECT", String.valueOf(connectMicros))));
     }
 
-    static String json(String quoted) {
+    public static String json(String quoted) {
         return quoted.replace('\'', '"');
     }
 
-    static String list(int revision, boolean all, String state, Stub... servers) {
-        return list(revision, all, state, Stream.of(servers).map(Stub::port).toList());
+    public static String list(int revision, boolean all, String state, ScriptedPeer... servers) {
+        return list(revision, all, state, Stream.of(servers).map(ScriptedPeer::port).toList());
     }
 
     static String list(int revision, boolean all, String state, List<Integer> ports) {
@@ -129,8 +132,8 @@
                 + "]}";
     }
 
-    Config config() throws IOException {
-        return Config.read(environment());
+    public SidecarConfig config() throws IOException {
+        return SidecarConfig.read(environment());
     }
 
     /** With the file of extensions, once there is one. */
@@ -140,27 +143,28 @@
                 : Map.of("LB_CONFIG", file.toString());
     }
 
-    Harness extended(String quoted) throws IOException {
+    SidecarHarness extended(String quoted) throws IOException {
         Files.writeString(extensions, json(quoted));
         return this;
     }
 
-    Harness start() throws Exception {
-        return start(Choice::new);
+    SidecarHarness start() throws Exception {
+        return start(DefaultLoadBalancer::new);
     }
 
-    Harness start(BiFunction<Settings, Actions, LoadBalancer> modules) throws Exception {
+    SidecarHarness start(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> modules)
+            throws Exception {
         address = begin(modules).get(10, TimeUnit.SECONDS);
         return this;
     }
 
-    CompletableFuture<InetSocketAddress> begin(BiFunction<Settings, Actions, LoadBalancer> modules)
-            throws Exception {
-        Config config = config();
+    CompletableFuture<InetSocketAddress> begin(
+            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> modules) throws Exception {
+        SidecarConfig config = config();
         sidecar =
                 loop.submit(
                                 () ->
-                                        new Sidecar(
+                                        new SidecarServer(
                                                 loop,
                                                 turns,
                                                 config,
@@ -171,7 +175,7 @@
     }
 
     /** Lists are pushed, so wait at an agent of the own machine. */
-    Harness pushed() throws IOException {
+    SidecarHarness pushed() throws IOException {
         Files.writeString(
                 file,
                 Files.readString(file).replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
@@ -186,8 +190,9 @@
         tell(discovery, revision, list);
     }
 
-    static void tell(Stub discovery, int revision, String list) throws InterruptedException {
-        for (Stub.Seen call = discovery.take();
+    static void tell(ScriptedPeer discovery, int revision, String list)
+            throws InterruptedException {
+        for (ScriptedPeer.Seen call = discovery.take();
                 !call.request().first().contains("from=" + revision + "&");
                 call = discovery.take()) {
             try {
@@ -244,7 +249,7 @@
     }
 
     /** A client's connection. */
-    static final class Client implements AutoCloseable {
+    public static final class Client implements AutoCloseable {
         private static int ids;
         final Socket socket;
 
@@ -253,7 +258,7 @@
             socket.setSoTimeout(10_000);
         }
 
-        static synchronized String id() {
+        public static synchronized String id() {
             return String.format("%016x", ++ids);
         }
 
@@ -286,8 +291,8 @@
             return raw(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
         }
 
-        Http.Message answer() throws IOException {
-            Http.Message answer = Http.read(socket.getInputStream());
+        HttpMessages.Message answer() throws IOException {
+            HttpMessages.Message answer = HttpMessages.read(socket.getInputStream());
             Assertions.assertNotNull(answer, "closed without an answer");
             return answer;
         }
--- a/sidecar/src/test/java/sagefall/sidecar/ProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
 
 /** The program as the platform runs it. */
 @Timeout(60)
-class ProcessTest {
+class SidecarProcessTest {
 
     @TempDir Path folder;
 
@@ -55,11 +55,11 @@
     }
 
     /** A client begins to send once the program says that it is ready. */
-    private static Harness.Client connect(InetSocketAddress address, Process process)
+    private static SidecarHarness.Client connect(InetSocketAddress address, Process process)
             throws Exception {
         while (true) {
             try {
-                Harness.Client client = new Harness.Client(address);
+                SidecarHarness.Client client = new SidecarHarness.Client(address);
                 if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status()
                         == 200) {
                     return client;
@@ -81,12 +81,12 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server)) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server)) {
             Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
-            try (Harness.Client client = connect(address, process)) {
+            try (SidecarHarness.Client client = connect(address, process)) {
                 client.book("x", 20_000);
-                Stub.Seen held = server.take();
+                ScriptedPeer.Seen held = server.take();
                 signal(process, signals.split(" "));
                 assertTrue(
                         !process.waitFor(600, TimeUnit.MILLISECONDS),
@@ -117,8 +117,8 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server).pushed()) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server).pushed()) {
             Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try {
                 harness.discovery.take();
@@ -153,9 +153,9 @@
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         String zone = "a".repeat(253);
-        try (Stub old = new Stub(Stub.HANG_UP);
-                Stub server = new Stub(Stub.serves("of the list"));
-                Harness harness = new Harness(folder, old)) {
+        try (ScriptedPeer old = new ScriptedPeer(ScriptedPeer.HANG_UP);
+                ScriptedPeer server = new ScriptedPeer(ScriptedPeer.serves("of the list"));
+                SidecarHarness harness = new SidecarHarness(folder, old)) {
             Files.writeString(
                     harness.file,
                     Files.readString(harness.file)
@@ -165,7 +165,7 @@
             assertTrue(limits.length >= 3, String.join(" ", limits));
             Process process =
                     program(harness.file, "127.0.0.1:" + address.getPort(), limits).start();
-            try (Harness.Client client = connect(address, process)) {
+            try (SidecarHarness.Client client = connect(address, process)) {
                 String list =
                         IntStream.range(0, 1024)
                                 .mapToObj(
@@ -204,10 +204,11 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        List<Harness.Client> idle = new ArrayList<>();
-        try (Stub leaving = new Stub(Stub.serves("leaving"));
-                Stub staying = new Stub(Stub.serves("staying"));
-                Harness harness = new Harness(folder, 250_000, 256, leaving, staying).pushed()) {
+        List<SidecarHarness.Client> idle = new ArrayList<>();
+        try (ScriptedPeer leaving = new ScriptedPeer(ScriptedPeer.serves("leaving"));
+                ScriptedPeer staying = new ScriptedPeer(ScriptedPeer.serves("staying"));
+                SidecarHarness harness =
+                        new SidecarHarness(folder, 250_000, 256, leaving, staying).pushed()) {
             // The class path of a test is of many files, each of which is open.
             Process process =
                     bounded(256 + 64, program(harness.file, "127.0.0.1:" + address.getPort()))
@@ -216,21 +217,21 @@
             try {
                 for (int round = 0; round < 3; round++) {
                     for (int i = 0; i < 300; i++) {
-                        idle.add(new Harness.Client(address));
+                        idle.add(new SidecarHarness.Client(address));
                     }
                     // Its connection is wanted for one that came later.
                     idle.get(idle.size() - 300).assertClosed();
                 }
-                harness.tell(2, Harness.list(2, false, "terminating", leaving));
+                harness.tell(2, SidecarHarness.list(2, false, "terminating", leaving));
                 for (int i = 0; i < 20; i++) {
-                    try (Harness.Client client = new Harness.Client(address)) {
+                    try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
                         assertEquals("staying", client.search(5_000).answer().body());
                     }
                 }
                 assertTrue(process.isAlive());
             } finally {
                 process.destroyForcibly();
-                for (Harness.Client client : idle) {
+                for (SidecarHarness.Client client : idle) {
                     client.close();
                 }
             }
@@ -246,13 +247,13 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        try (Stub server = new Stub(Stub.serves("ok"));
-                Stub next = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server)) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.serves("ok"));
+                ScriptedPeer next = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.environment().put("LB_DISCOVERY", "127.0.0.1:" + harness.discovery.port());
             Process process = program.start();
-            try (Harness.Client client = connect(address, process)) {
+            try (SidecarHarness.Client client = connect(address, process)) {
                 harness.discovery.take();
                 String text = Files.readString(harness.file);
                 Files.writeString(harness.file, text.substring(0, text.length() / 2));
@@ -262,13 +263,13 @@
                         harness.file,
                         text.replace(":" + harness.discovery.port(), ":" + next.port()));
                 signal(process, "HUP");
-                Stub.Seen asked = next.take();
+                ScriptedPeer.Seen asked = next.take();
                 assertEquals("GET /v1/servers HTTP/1.1", asked.request().first());
                 harness.discovery.awaitEnd();
                 // Until the new one has spoken the old list holds.
                 assertEquals(200, client.search(2_000).answer().status());
                 next.seen.add(asked);
-                Harness.tell(next, 7, Harness.list(7, true, "terminating", server));
+                SidecarHarness.tell(next, 7, SidecarHarness.list(7, true, "terminating", server));
                 assertEquals(503, client.search(2_000).answer().status());
                 // And back again.
                 Files.writeString(harness.file, text);
@@ -305,7 +306,7 @@
             })
     void badConfigurationIsOnePlainLine(String text, String message) throws Exception {
         Path file = folder.resolve("bad.json");
-        Files.writeString(file, Harness.json(text.equals("''") ? "" : text));
+        Files.writeString(file, SidecarHarness.json(text.equals("''") ? "" : text));
         assertOneLine(Map.of("LB_CONFIG", file.toString()), message);
     }
 
@@ -337,8 +338,8 @@
             })
     void badExtensionsAreOnePlainLineAndTheOldOnesStay(String text, String message)
             throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server)) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server)) {
             harness.extended(text);
             assertOneLine(harness.environment(), message);
             harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}")
@@ -352,23 +353,23 @@
             assertEquals(413, big(harness, 70_001));
             harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
             harness.sidecar.reload(harness.environment());
-            Harness.Client taken = harness.client();
-            taken.raw(Harness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
+            SidecarHarness.Client taken = harness.client();
+            taken.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
                     .raw("x".repeat(70_001));
             assertEquals(70_001, server.take().request().body().length());
         }
     }
 
-    private static int big(Harness harness, int length) throws Exception {
+    private static int big(SidecarHarness harness, int length) throws Exception {
         return harness.client()
-                .raw(Harness.Client.head("POST", "/book/k1", 2_000, "", length))
+                .raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", length))
                 .answer()
                 .status();
     }
 
     @Test
     void missingExtensionsAreOnePlainLine() throws Exception {
-        try (Harness harness = new Harness(folder, new Stub[0])) {
+        try (SidecarHarness harness = new SidecarHarness(folder, new ScriptedPeer[0])) {
             assertOneLine(
                     Map.of(
                             "LB_CONFIG",
@@ -387,7 +388,7 @@
 
     private static void assertOneLine(Map<String, String> environment, String message) {
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        assertEquals(2, Sidecar.serve(environment, new PrintStream(errors, true)));
+        assertEquals(2, SidecarServer.serve(environment, new PrintStream(errors, true)));
         String text = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, text.lines().count(), text);
         assertTrue(text.contains(message), text);
--- a/sidecar/src/test/java/sagefall/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,25 +16,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.LoadBalancer;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+import sagefall.config.SidecarConfig;
+import sagefall.config.SocketAddresses;
+import sagefall.discovery.DiscoveryClient;
+import sagefall.discovery.EndpointList;
+import sagefall.proxy.upstream.ConnectionPool;
 
 /** The whole sidecar between real sockets. */
-class SidecarTest extends OnSockets {
+class SidecarServerTest extends SocketTest {
 
     @Test
     void answerIsPassedOnUnchanged() throws Exception {
-        Stub server =
+        ScriptedPeer server =
                 server(
-                        Stub.answers(
+                        ScriptedPeer.answers(
                                 "200 OK",
                                 "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n",
                                 "\u00ff\0b"));
-        Http.Message answer = sidecar(server).client().book("slot=7", 2_000).answer();
+        HttpMessages.Message answer = sidecar(server).client().book("slot=7", 2_000).answer();
         assertEquals(200, answer.status());
         assertEquals("\u00ff\0b", answer.body());
         assertEquals("text/x", answer.headers().get("Content-Type"));
         assertNull(answer.headers().get("Server-Load"));
-        Http.Message sent = server.take().request();
+        HttpMessages.Message sent = server.take().request();
         assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.first());
         assertEquals("slot=7", sent.body());
         assertEquals(16, sent.headers().get("Request-Id").length());
@@ -44,8 +52,10 @@
 
     @Test
     void idempotencyKeyGoesOn() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        String head = Harness.Client.head("POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        String head =
+                SidecarHarness.Client.head(
+                        "POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
         assertEquals(200, sidecar(server).client().raw(head + "{}").answer().status());
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
@@ -115,16 +125,16 @@
                 "'' | true",
             })
     void unsafeThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
-        Stub.Script script =
+        ScriptedPeer.Script script =
                 seen -> {
                     seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
                     if (hangUp) {
                         seen.socket().close();
                     }
                 };
-        Stub one = server(script);
-        Stub two = server(script);
-        Http.Message answer = sidecar(one, two).client().book("x", 1_000).answer();
+        ScriptedPeer one = server(script);
+        ScriptedPeer two = server(script);
+        HttpMessages.Message answer = sidecar(one, two).client().book("x", 1_000).answer();
         assertEquals(502, answer.status());
         assertEquals(1, one.seen.size() + two.seen.size());
     }
@@ -132,12 +142,12 @@
     @Test
     void unsafeThatWasTurnedAwayGoesToAnotherServer() throws Exception {
         for (String status : List.of("503 Full", "504 Over")) {
-            Stub one = server(Stub.answers(status, "Not-Started: 1\r\n", ""));
-            Stub two = server(Stub.answers(status, "Not-Started: 1\r\n", ""));
-            Stub.Script once =
+            ScriptedPeer one = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
+            ScriptedPeer two = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
+            ScriptedPeer.Script once =
                     seen -> {
-                        one.script(Stub.serves("second"));
-                        two.script(Stub.serves("second"));
+                        one.script(ScriptedPeer.serves("second"));
+                        two.script(ScriptedPeer.serves("second"));
                         seen.reply(status, "Not-Started: 1\r\n", "");
                     };
             one.script(once);
@@ -150,10 +160,10 @@
 
     @Test
     void refusedConnectionProvesThatNothingRan() throws Exception {
-        Stub gone = server(Stub.SILENT);
+        ScriptedPeer gone = server(ScriptedPeer.SILENT);
         gone.close();
-        Stub here = server(Stub.serves("here"));
-        Harness harness = sidecar(gone, here);
+        ScriptedPeer here = server(ScriptedPeer.serves("here"));
+        SidecarHarness harness = sidecar(gone, here);
         for (int i = 0; i < 8; i++) {
             assertEquals("here", harness.client().book("x", 2_000).answer().body());
         }
@@ -161,18 +171,18 @@
 
     @Test
     void allServersGoneIsARefusalWithAdvice() throws Exception {
-        Stub gone = server(Stub.SILENT);
+        ScriptedPeer gone = server(ScriptedPeer.SILENT);
         gone.close();
-        Http.Message answer = sidecar(gone).client().book("x", 300).answer();
+        HttpMessages.Message answer = sidecar(gone).client().book("x", 300).answer();
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
     }
 
     @Test
     void silenceIsAFailureInTime() throws Exception {
-        Stub server = server(Stub.SILENT);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
         long start = System.nanoTime();
-        Http.Message answer = sidecar(server).client().book("x", 400).answer();
+        HttpMessages.Message answer = sidecar(server).client().book("x", 400).answer();
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertEquals(504, answer.status());
         assertTrue(millis < 2_000, "answered after " + millis + " ms");
@@ -186,7 +196,7 @@
      */
     @Test
     void oneAnswerWhenOutcomesRace() throws Exception {
-        Stub server =
+        ScriptedPeer server =
                 server(
                         seen -> {
                             int late = seen.request().headers().get("Request-Id").hashCode() % 12;
@@ -194,12 +204,12 @@
                             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + late));
                             seen.reply("200 OK", "", seen.request().headers().get("Request-Id"));
                         });
-        Harness harness = sidecar(server);
-        Harness.Client client = harness.client();
+        SidecarHarness harness = sidecar(server);
+        SidecarHarness.Client client = harness.client();
         for (int i = 0; i < 30; i++) {
-            String head = Harness.Client.head("GET", "/search/k", 100, "", 0);
+            String head = SidecarHarness.Client.head("GET", "/search/k", 100, "", 0);
             String id = head.replaceAll("(?s).*Request-Id: (\\w+).*", "$1");
-            Http.Message answer = client.raw(head).answer();
+            HttpMessages.Message answer = client.raw(head).answer();
             if (answer.status() == 200) {
                 assertEquals(id, answer.body());
             } else {
@@ -213,11 +223,11 @@
 
     @Test
     void connectionIsUsedAgain() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness.Client client = sidecar(server).client();
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness.Client client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client.search(2_000).answer().status());
-            LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(2 * ServerPool.SETTLE_MICROS));
+            LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(2 * ConnectionPool.SETTLE_MICROS));
         }
         assertEquals(1, server.accepted.get());
     }
@@ -228,8 +238,8 @@
      */
     @Test
     void idleConnectionThatEndedIsNotUsed() throws Exception {
-        Stub server = server(seen -> seen.reply("200 OK", "", "ok"));
-        Harness.Client client = sidecar(server).client();
+        ScriptedPeer server = server(seen -> seen.reply("200 OK", "", "ok"));
+        SidecarHarness.Client client = sidecar(server).client();
         assertEquals(200, client.book("x", 2_000).answer().status());
         server.take().socket().close();
         server.awaitEnd();
@@ -239,9 +249,9 @@
 
     @Test
     void clientThatLeavesStopsItsAttempt() throws Exception {
-        Stub server = server(Stub.SILENT);
-        Harness harness = sidecar(server);
-        Harness.Client client = harness.client().book("x", 30_000);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = sidecar(server);
+        SidecarHarness.Client client = harness.client().book("x", 30_000);
         Socket carrying = server.take().socket();
         client.close();
         server.awaitEnd();
@@ -269,9 +279,9 @@
                         + " 9;Content-Length: 65537 | 413",
             })
     void badRequestReachesNoServer(String text, int status) throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = sidecar(server);
-        Harness.Client client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = sidecar(server);
+        SidecarHarness.Client client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
         assertEquals(status, client.answer().status());
         client.assertClosed();
         assertEquals(0, server.accepted.get());
@@ -280,9 +290,9 @@
 
     @Test
     void requestIdInHandIsRejected() throws Exception {
-        Stub server = server(Stub.SILENT);
-        Harness harness = sidecar(server);
-        String head = Harness.Client.head("GET", "/search/k", 5_000, "", 0);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = sidecar(server);
+        String head = SidecarHarness.Client.head("GET", "/search/k", 5_000, "", 0);
         harness.client().raw(head);
         server.take();
         assertEquals(400, harness.client().raw(head).answer().status());
@@ -291,10 +301,10 @@
     @Test
     void healthNeedsAServer() throws Exception {
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-        Harness harness = sidecar();
+        SidecarHarness harness = sidecar();
         assertEquals(503, harness.client().raw(health).answer().status());
-        Stub server = server(Stub.serves("ok"));
-        harness.tell(2, Harness.list(2, true, "in_service", server));
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        harness.tell(2, SidecarHarness.list(2, true, "in_service", server));
         assertEquals(200, harness.client().raw(health).answer().status());
     }
 
@@ -303,23 +313,23 @@
      */
     @Test
     void exceptionInTheModuleIsAnsweredAndLogged() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = harness(server);
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = harness(server);
         harness.start(
                 (settings, actions) ->
-                        new QuietModule() {
+                        new NoOpLoadBalancer() {
                             private boolean thrown;
 
                             @Override
-                            public void request(long nowMicros, LoadBalancer.Request request) {
+                            public void onRequest(long nowMicros, Request request) {
                                 if (!thrown) {
                                     thrown = true;
                                     throw new IllegalStateException("probe");
                                 }
-                                actions.refuse(request.id(), 0, LoadBalancer.Reason.ADMISSION);
+                                actions.reject(request.id(), 0, RejectionReason.ADMISSION);
                             }
                         });
-        Harness.Client client = harness.client();
+        SidecarHarness.Client client = harness.client();
         assertEquals(500, client.search(2_000).answer().status());
         assertEquals(503, client.search(2_000).answer().status());
         assertTrue(
@@ -330,22 +340,22 @@
     /** What an action brings about at once reaches the module after the call that asked for it. */
     @Test
     void moduleIsNotEnteredAgainFromItsOwnAction() throws Exception {
-        Harness harness = harness();
+        SidecarHarness harness = harness();
         List<String> order = new ArrayList<>();
         harness.start(
                 (settings, actions) ->
-                        new QuietModule() {
+                        new NoOpLoadBalancer() {
                             @Override
-                            public void request(long nowMicros, LoadBalancer.Request request) {
+                            public void onRequest(long nowMicros, Request request) {
                                 order.add("request");
                                 actions.send(request.id(), 1, 0, Long.MAX_VALUE);
                                 order.add("sent to a server that no list names");
                             }
 
                             @Override
-                            public void outcome(long nowMicros, LoadBalancer.Outcome outcome) {
+                            public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
                                 order.add(outcome.result().toString());
-                                actions.fail(outcome.requestId(), LoadBalancer.Reason.ATTEMPTS);
+                                actions.fail(outcome.requestId(), RejectionReason.MAX_ATTEMPTS);
                             }
                         });
         assertEquals(502, harness.client().search(2_000).answer().status());
@@ -355,10 +365,10 @@
     /** Past the bound a client takes the place of an idle one; descriptors never run out. */
     @Test
     void clientsPastTheBoundReplaceIdleOnes() throws Exception {
-        Stub server = server(Stub.serves("ok"));
-        Harness harness = opened(new Harness(folder, 250_000, 128, server));
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        SidecarHarness harness = opened(new SidecarHarness(folder, 250_000, 128, server));
         harness.start();
-        Harness.Client first = harness.client();
+        SidecarHarness.Client first = harness.client();
         assertEquals(200, first.search(5_000).answer().status());
         // Idle ones that came a moment ago are left alone, so that their first request can arrive.
         Thread.sleep(150);
@@ -371,13 +381,13 @@
     /** A module that says nothing of a request leaves it to the sidecar, which answers in time. */
     @Test
     void forgottenRequestIsAnsweredAndTheModuleTold() throws Exception {
-        Harness harness = harness();
+        SidecarHarness harness = harness();
         var left = new LinkedBlockingQueue<String>();
         harness.start(
                 (settings, actions) ->
-                        new QuietModule() {
+                        new NoOpLoadBalancer() {
                             @Override
-                            public void clientLeft(long nowMicros, String requestId) {
+                            public void onClientDisconnected(long nowMicros, String requestId) {
                                 left.add(requestId);
                             }
                         });
@@ -391,21 +401,21 @@
      */
     @Test
     void clientPastTheBoundIsAcceptedAfterAnAnswer() throws Exception {
-        Harness harness = opened(new Harness(folder, 250_000, 128));
+        SidecarHarness harness = opened(new SidecarHarness(folder, 250_000, 128));
         var inHand = new LinkedBlockingQueue<String>();
-        var actions = new AtomicReference<LoadBalancer.Actions>();
+        var actions = new AtomicReference<BalancerActions>();
         harness.start(
                 (settings, does) -> {
                     actions.set(does);
-                    return new QuietModule() {
+                    return new NoOpLoadBalancer() {
                         @Override
-                        public void request(long nowMicros, LoadBalancer.Request request) {
+                        public void onRequest(long nowMicros, Request request) {
                             inHand.add(request.id());
                         }
                     };
                 });
         int bound = harness.config().clientConnections();
-        List<Harness.Client> clients = new ArrayList<>();
+        List<SidecarHarness.Client> clients = new ArrayList<>();
         String first = null;
         for (int i = 0; i < bound; i++) {
             clients.add(harness.client().search(30_000));
@@ -417,7 +427,7 @@
         }
         assertNull(inHand.poll(200, TimeUnit.MILLISECONDS));
         String refused = first;
-        harness.loop.execute(() -> actions.get().refuse(refused, 0, LoadBalancer.Reason.ADMISSION));
+        harness.loop.execute(() -> actions.get().reject(refused, 0, RejectionReason.ADMISSION));
         assertEquals(503, clients.get(0).answer().status());
         clients.get(0).assertClosed();
         assertEquals(16, inHand.poll(10, TimeUnit.SECONDS).length());
@@ -428,10 +438,10 @@
 
     @Test
     void drainedServerIsSentNothing() throws Exception {
-        Stub leaving = server(Stub.serves("leaving"));
-        Stub staying = server(Stub.serves("staying"));
-        Harness harness = sidecar(leaving, staying);
-        harness.tell(2, Harness.list(2, false, "terminating", leaving));
+        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
+        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        SidecarHarness harness = sidecar(leaving, staying);
+        harness.tell(2, SidecarHarness.list(2, false, "terminating", leaving));
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
@@ -440,10 +450,10 @@
 
     @Test
     void absenceFromAWholeListIsTheEnd() throws Exception {
-        Stub gone = server(Stub.serves("gone"));
-        Stub staying = server(Stub.serves("staying"));
-        Harness harness = sidecar(gone, staying);
-        harness.tell(2, Harness.list(2, true, "in_service", staying));
+        ScriptedPeer gone = server(ScriptedPeer.serves("gone"));
+        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        SidecarHarness harness = sidecar(gone, staying);
+        harness.tell(2, SidecarHarness.list(2, true, "in_service", staying));
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
@@ -454,47 +464,47 @@
      */
     @Test
     void watchIsRestored() throws Exception {
-        Stub old = server(Stub.serves("old"));
-        Stub fresh = server(Stub.serves("fresh"));
-        Harness harness = sidecar(old);
+        ScriptedPeer old = server(ScriptedPeer.serves("old"));
+        ScriptedPeer fresh = server(ScriptedPeer.serves("fresh"));
+        SidecarHarness harness = sidecar(old);
         harness.discovery.take().socket().close();
         harness.discovery.take().reply("503 Busy", "", "");
         harness.discovery.take().reply("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
-        Stub.Seen again = harness.discovery.take();
+        ScriptedPeer.Seen again = harness.discovery.take();
         assertTrue(again.request().first().contains("from=1&"), again.request().first());
         assertEquals("old", harness.client().search(2_000).answer().body());
         harness.discovery.seen.add(again);
-        harness.tell(3, Harness.list(3, true, "in_service", fresh));
+        harness.tell(3, SidecarHarness.list(3, true, "in_service", fresh));
         assertEquals("fresh", harness.client().search(2_000).answer().body());
     }
 
     @Test
     void silentDiscoveryIsGivenUp() throws Exception {
-        Stub silent = server(Stub.SILENT);
-        Harness harness = harness();
-        var address = Addresses.parse("127.0.0.1:" + silent.port());
+        ScriptedPeer silent = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness();
+        var address = SocketAddresses.parse("127.0.0.1:" + silent.port());
         var failures = new LinkedBlockingQueue<String>();
-        Discovery.Listener listener =
-                new Discovery.Listener() {
+        DiscoveryClient.Listener listener =
+                new DiscoveryClient.Listener() {
                     @Override
-                    public void listed(ServerList list) {}
+                    public void listed(EndpointList list) {}
 
                     @Override
                     public void failed(String why) {
                         failures.add(why);
                     }
                 };
-        Config config = harness.config();
+        SidecarConfig config = harness.config();
         harness.loop.execute(
                 () ->
-                        new Discovery(
+                        new DiscoveryClient(
                                         harness.loop,
                                         address,
                                         config.lists(),
                                         1,
                                         listener,
                                         line -> {},
-                                        new Discovery.Timeouts(50, 50))
+                                        new DiscoveryClient.Timeouts(50, 50))
                                 .subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
         silent.awaitEnd();
@@ -504,21 +514,21 @@
 
     @Test
     void workInHandIsAnsweredAtTheEnd() throws Exception {
-        Stub server = server(Stub.SILENT);
-        Harness harness = sidecar(server);
-        Harness.Client busy = harness.client().book("x", 30_000);
-        Harness.Client idle = harness.client();
-        Stub.Seen held = server.take();
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = sidecar(server);
+        SidecarHarness.Client busy = harness.client().book("x", 30_000);
+        SidecarHarness.Client idle = harness.client();
+        ScriptedPeer.Seen held = server.take();
         var ended = harness.stop();
-        Harness.Client late = harness.client();
+        SidecarHarness.Client late = harness.client();
         late.raw("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals(503, late.answer().status());
-        server.script(Stub.serves("late"));
+        server.script(ScriptedPeer.serves("late"));
         assertEquals("late", harness.client().search(5_000).answer().body());
         idle.assertClosed();
         assertNotEquals(0, ended.getCount());
         held.reply("200 OK", "", "held");
-        Http.Message answer = busy.answer();
+        HttpMessages.Message answer = busy.answer();
         assertEquals("held", answer.body());
         assertEquals("close", answer.headers().get("Connection"));
         busy.assertClosed();
--- a/sidecar/src/test/java/sagefall/sidecar/SlowSpellTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,7 +10,7 @@
 
 /** What a slow spell of the process or of the network leaves behind must not outlast it. */
 @Timeout(60)
-class SlowSpellTest {
+class SlowPeriodTest {
 
     @TempDir Path folder;
 
@@ -21,7 +21,7 @@
      */
     @Test
     void slowSetUpsDoNotForbidTheNextOne() throws Exception {
-        Stub.Script slow =
+        ScriptedPeer.Script slow =
                 seen -> {
                     try {
                         Thread.sleep(800);
@@ -30,14 +30,14 @@
                     }
                     seen.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
                 };
-        try (Stub one = new Stub(slow);
-                Stub two = new Stub(slow);
-                Stub next = new Stub(Stub.serves("ok"));
-                Harness harness = new Harness(folder, one, two).start()) {
+        try (ScriptedPeer one = new ScriptedPeer(slow);
+                ScriptedPeer two = new ScriptedPeer(slow);
+                ScriptedPeer next = new ScriptedPeer(ScriptedPeer.serves("ok"));
+                SidecarHarness harness = new SidecarHarness(folder, one, two).start()) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, harness.client().search(3_000).answer().status());
             }
-            harness.tell(2, Harness.list(2, true, "in_service", next));
+            harness.tell(2, SidecarHarness.list(2, true, "in_service", next));
             assertEquals(200, harness.client().search(3_000).answer().status());
         }
     }
@@ -47,8 +47,8 @@
      */
     @Test
     void limitGrowsFastWhileCoresAreFree() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server).start()) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server).start()) {
             for (int i = 0; i < 40; i++) {
                 harness.client().search(20_000);
             }
@@ -64,15 +64,15 @@
     /** A connection that fell silent kept its server out until the deadline of what was on it. */
     @Test
     void silentConnectionDoesNotKeepOutAServerThatAnswers() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
-                Harness harness = new Harness(folder, server).start()) {
+        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
+                SidecarHarness harness = new SidecarHarness(folder, server).start()) {
             harness.client().search(20_000);
             server.take();
             harness.loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).get();
-            Harness.Client other = harness.client().search(20_000);
-            Stub.Seen answering = server.take();
+            SidecarHarness.Client other = harness.client().search(20_000);
+            ScriptedPeer.Seen answering = server.take();
             harness.loop.schedule(() -> {}, 400, TimeUnit.MILLISECONDS).get();
-            Harness.Client next = harness.client().search(20_000);
+            SidecarHarness.Client next = harness.client().search(20_000);
             // Taken by now, since requests on it and on this one are read in turn.
             assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
             answering.reply("200 OK", "", "other");
--- a/sidecar/src/test/java/sagefall/sidecar/OnSockets.java
+++ b/sidecar/src/test/java/sagefall/proxy/SocketTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -10,9 +10,9 @@
 
 /** What tests between real sockets open, which is closed in the opposite order. */
 @Timeout(60)
-abstract class OnSockets {
+public abstract class SocketTest {
 
-    @TempDir Path folder;
+    @TempDir public Path folder;
     private final List<AutoCloseable> open = new ArrayList<>();
 
     @AfterEach
@@ -22,21 +22,21 @@
         }
     }
 
-    final <T extends AutoCloseable> T opened(T next) {
+    public final <T extends AutoCloseable> T opened(T next) {
         open.add(next);
         return next;
     }
 
-    final Stub server(Stub.Script script) throws IOException {
-        return opened(new Stub(script));
+    public final ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
+        return opened(new ScriptedPeer(script));
     }
 
     /** One that has not been started. */
-    final Harness harness(Stub... servers) throws Exception {
-        return opened(new Harness(folder, servers));
+    final SidecarHarness harness(ScriptedPeer... servers) throws Exception {
+        return opened(new SidecarHarness(folder, servers));
     }
 
-    final Harness sidecar(Stub... servers) throws Exception {
+    final SidecarHarness sidecar(ScriptedPeer... servers) throws Exception {
         return harness(servers).start();
     }
 }
--- a/sidecar/src/test/java/sagefall/sidecar/StreamingTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamingTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -28,7 +28,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagefall.streaming.Streaming;
+import sagefall.proxy.upstream.ConnectionPool;
+import sagefall.streaming.StreamingSettings;
 
 /**
  * Bodies that pass through as they arrive, between real sockets; what the tests wait for are
@@ -44,16 +45,16 @@
     private static final String ROOM_FOR_ONE =
             ",'high_watermark_bytes':1000,'replay_bytes':0,"
                     + "'max_buffered_bytes':"
-                    + (1000 + 2 * Streaming.READ_BYTES);
+                    + (1000 + 2 * StreamingSettings.READ_BYTES);
 
     @TempDir Path folder;
-    private Wire.Server server;
-    private Harness harness;
-    private Wire client;
+    private RawConnection.Server server;
+    private SidecarHarness harness;
+    private RawConnection client;
 
     @BeforeEach
     void open() throws IOException {
-        server = new Wire.Server();
+        server = new RawConnection.Server();
     }
 
     @AfterEach
@@ -68,25 +69,25 @@
     }
 
     private void start(String more) throws Exception {
-        harness = new Harness(folder, 250_000, 1024, List.of(server.port()));
+        harness = new SidecarHarness(folder, 250_000, 1024, List.of(server.port()));
         harness.extended(ON.replace("MORE", more)).start();
-        client = Wire.to(harness.address);
+        client = RawConnection.to(harness.address);
     }
 
-    private Wire export(Wire from) throws Exception {
-        from.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
+    private RawConnection export(RawConnection from) throws Exception {
+        from.raw(SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0));
         return answering();
     }
 
     /** The server's connection, with the head of the request read. */
-    private Wire answering() throws Exception {
-        Wire to = server.take();
+    private RawConnection answering() throws Exception {
+        RawConnection to = server.take();
         to.head();
         return to;
     }
 
     private static String append(String framing) {
-        return Harness.Client.head("POST", "/append/k1", 2_000, framing + "\r\n", 0);
+        return SidecarHarness.Client.head("POST", "/append/k1", 2_000, framing + "\r\n", 0);
     }
 
     private static byte[] noise(int length) {
@@ -102,7 +103,7 @@
     @Test
     void answerPassesOnAsItArrivesAndItsConnectionIsUsedAgain() throws Exception {
         start("");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(
                         "HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.2\r\nContent-Type: text/x\r\n"
                                 + "Transfer-Encoding: chunked\r\n\r\n")
@@ -116,8 +117,8 @@
         assertEquals("second", new String(client.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), client.trailers());
         // A second answer on both connections, of a known length.
-        TimeUnit.MICROSECONDS.sleep(ServerPool.SETTLE_MICROS);
-        client.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
+        TimeUnit.MICROSECONDS.sleep(ConnectionPool.SETTLE_MICROS);
+        client.raw(SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0));
         to.head();
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
         assertEquals("5", client.head().get("Content-Length"));
@@ -129,13 +130,13 @@
     @Test
     void noDeadlineRunsOnceTheAnswerHasBegun() throws Exception {
         start("");
-        client.raw(Harness.Client.head("GET", "/export/k1", 300, "", 0));
-        Wire to = answering();
+        client.raw(SidecarHarness.Client.head("GET", "/export/k1", 300, "", 0));
+        RawConnection to = answering();
         to.raw(CHUNKED).chunk("a");
         client.head();
         assertEquals("a", new String(client.chunk(), UTF_8));
-        try (Wire other = Wire.to(harness.address)) {
-            other.raw(Harness.Client.head("GET", "/search/k1", 400, "", 0));
+        try (RawConnection other = RawConnection.to(harness.address)) {
+            other.raw(SidecarHarness.Client.head("GET", "/search/k1", 400, "", 0));
             answering();
             assertTrue(other.head().get("").startsWith("HTTP/1.1 50"));
         }
@@ -152,7 +153,7 @@
             })
     void serverThatDiesMidAnswerIsSeenByTheClient(String text) throws Exception {
         start("");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw("HTTP/1.1 200 OK\r\n" + text);
         Map<String, String> head = client.head();
         if (head.containsKey("Content-Length")) {
@@ -169,9 +170,9 @@
     void oldClientSeesABreakToo() throws Exception {
         start("");
         client.raw(
-                Harness.Client.head("GET", "/export/k1", 2_000, "", 0)
+                SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0)
                         .replace("HTTP/1.1", "HTTP/1.0"));
-        Wire to = answering();
+        RawConnection to = answering();
         to.raw(CHUNKED).chunk("abc");
         assertNull(client.head().get("Transfer-Encoding"));
         assertEquals("abc", client.text(3));
@@ -183,15 +184,15 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void clientThatLeavesMidAnswerFreesTheServerAndItsBuffers(boolean cancelling) throws Exception {
-        harness = new Harness(folder, 250_000, 1024, List.of(server.port()));
+        harness = new SidecarHarness(folder, 250_000, 1024, List.of(server.port()));
         Files.writeString(
                 harness.file,
                 Files.readString(harness.file)
                         .replace("\"cancelling\":true", "\"cancelling\":" + cancelling));
         harness.extended(ON.replace("MORE", ROOM_FOR_ONE)).start();
         for (int i = 0; i < 3; i++) {
-            try (Wire one = Wire.to(harness.address)) {
-                Wire to = export(one);
+            try (RawConnection one = RawConnection.to(harness.address)) {
+                RawConnection to = export(one);
                 to.raw(CHUNKED).chunk("abc");
                 one.head();
                 one.socket.close();
@@ -203,11 +204,11 @@
     @Test
     void pastTheBoundNewStreamsAreRefusedAtOnceAndRunningOnesGoOn() throws Exception {
         start(ROOM_FOR_ONE);
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
-        try (Wire other = Wire.to(harness.address)) {
-            other.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
+        try (RawConnection other = RawConnection.to(harness.address)) {
+            other.raw(SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0));
             Map<String, String> refused = other.head();
             assertEquals("HTTP/1.1 503 Service Unavailable", refused.get(""));
             assertNotNull(refused.get("Retry-After"));
@@ -216,7 +217,7 @@
             assertEquals("abc", new String(client.chunks(), UTF_8));
             // There is room again.
             client.trailers();
-            client.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
+            client.raw(SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0));
             answering().raw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             assertEquals("HTTP/1.1 200 OK", client.head().get(""));
         }
@@ -225,7 +226,7 @@
     @Test
     void readerThatTakesNothingIsGivenUp() throws Exception {
         start(",'write_stall_ms':100,'high_watermark_bytes':5000");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
         assertThrows(
                 IOException.class,
@@ -248,13 +249,13 @@
                         .matcher(harness.log.toString(UTF_8));
         assertTrue(held.find(), harness.log.toString(UTF_8));
         long most = Long.parseLong(held.group(1));
-        assertTrue(most >= 5000 && most < 5000 + 2 * Streaming.READ_BYTES, "held " + most);
+        assertTrue(most >= 5000 && most < 5000 + 2 * StreamingSettings.READ_BYTES, "held " + most);
     }
 
     @Test
     void serverThatBringsNothingIsGivenUp() throws Exception {
         start(",'read_stall_ms':100");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
         client.assertBroken();
@@ -265,12 +266,12 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny", "noise\r\n\r\n", "x"})
     void bytesBehindAnAnswerEndItsConnectionOnly(String behind) throws Exception {
         start("");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc" + behind);
         client.head();
         assertEquals("abc", client.text(3));
         to.awaitEnd();
-        client.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
+        client.raw(SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0));
         answering().raw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertEquals("HTTP/1.1 200 OK", client.head().get(""));
     }
@@ -291,13 +292,13 @@
     void answerWithoutABoundedEndIsNone(String requestClass, String header) throws Exception {
         start("");
         client.raw(
-                Harness.Client.head(
+                SidecarHarness.Client.head(
                         requestClass.equals("book") ? "POST" : "GET",
                         "/" + requestClass + "/k1",
                         600,
                         "",
                         0));
-        Wire to = answering();
+        RawConnection to = answering();
         to.raw("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
         to.awaitEnd();
         assertTrue(client.head().get("").startsWith("HTTP/1.1 50"));
@@ -305,10 +306,10 @@
 
     @Test
     void answerThatGrowsPastItsBoundIsBroken() throws Exception {
-        harness = new Harness(folder, 250_000, 1024, List.of(server.port()));
+        harness = new SidecarHarness(folder, 250_000, 1024, List.of(server.port()));
         harness.extended("{'streaming':{'classes':{'export':{'max_answer_bytes':4}}}}").start();
-        client = Wire.to(harness.address);
-        Wire to = export(client);
+        client = RawConnection.to(harness.address);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
         client.chunk();
@@ -320,7 +321,7 @@
     @Test
     void wordsAheadOfTheAnswerAreNotTheAnswer() throws Exception {
         start("");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
                 .raw(CHUNKED)
                 .chunk("abc")
@@ -332,11 +333,11 @@
     @Test
     void moreFromTheClientDuringAnAnswerBreaksIt() throws Exception {
         start("");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
         client.chunk();
-        client.raw(Harness.Client.head("GET", "/export/k1", 2_000, "", 0));
+        client.raw(SidecarHarness.Client.head("GET", "/export/k1", 2_000, "", 0));
         client.assertBroken();
         to.awaitEnd();
         assertTrue(server.none());
@@ -345,11 +346,13 @@
     @Test
     void streamGoesOnWhileItsServerDrainsAndIsGone() throws Exception {
         start("");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
         for (String state : List.of("terminating", "terminated")) {
-            String list = Harness.json(Harness.list(2, false, state, List.of(server.port())));
+            String list =
+                    SidecarHarness.json(
+                            SidecarHarness.list(2, false, state, List.of(server.port())));
             harness.loop
                     .submit(
                             () -> {
@@ -368,7 +371,7 @@
     @Test
     void streamInHandIsEndedBeforeTheSidecarEnds() throws Exception {
         start(",'drain_ms':20000");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
         CountDownLatch ended = harness.stop();
@@ -382,7 +385,7 @@
     @Test
     void streamThatOutlastsTheDrainIsBroken() throws Exception {
         start(",'drain_ms':100");
-        Wire to = export(client);
+        RawConnection to = export(client);
         to.raw(CHUNKED).chunk("abc");
         client.head();
         CountDownLatch ended = harness.stop();
@@ -394,7 +397,7 @@
     @Test
     void bigAnswerArrivesWholeAtASlowReader() throws Exception {
         start(",'high_watermark_bytes':5000");
-        Wire to = export(client);
+        RawConnection to = export(client);
         byte[] body = noise(BIG);
         Thread writing =
                 new Thread(
@@ -421,7 +424,7 @@
     void uploadPassesOnAsItArrives() throws Exception {
         start("");
         client.raw(append("Transfer-Encoding: chunked")).chunk("first");
-        Wire to = server.take();
+        RawConnection to = server.take();
         Map<String, String> head = to.head();
         assertEquals("chunked", head.get("Transfer-Encoding"));
         assertEquals("first", new String(to.chunk(), UTF_8));
@@ -432,7 +435,7 @@
         client.head();
         assertEquals("ok", client.text(2));
         // Small ones still go whole, on the same connections.
-        TimeUnit.MICROSECONDS.sleep(ServerPool.SETTLE_MICROS);
+        TimeUnit.MICROSECONDS.sleep(ConnectionPool.SETTLE_MICROS);
         client.raw(append("Content-Length: 3") + "abc");
         assertEquals("3", to.head().get("Content-Length"));
         assertEquals("abc", to.text(3));
@@ -444,7 +447,7 @@
     void bodyIsAskedForOnceAServerTakesIt() throws Exception {
         start("");
         client.raw(append("Content-Length: 100000\r\nExpect: 100-continue"));
-        Wire to = server.take();
+        RawConnection to = server.take();
         assertNull(to.head().get("Expect"));
         assertEquals("HTTP/1.1 100 Continue", client.head().get(""));
         byte[] body = noise(100_000);
@@ -459,10 +462,10 @@
     void timeRunsFromTheLastByte() throws Exception {
         start("");
         client.raw(append("Transfer-Encoding: chunked").replace("2000", "300")).chunk("a");
-        Wire to = answering();
+        RawConnection to = answering();
         to.chunk();
-        try (Wire other = Wire.to(harness.address)) {
-            other.raw(Harness.Client.head("GET", "/search/k1", 400, "", 0));
+        try (RawConnection other = RawConnection.to(harness.address)) {
+            other.raw(SidecarHarness.Client.head("GET", "/search/k1", 400, "", 0));
             answering();
             assertTrue(other.head().get("").startsWith("HTTP/1.1 50"));
         }
@@ -475,16 +478,17 @@
 
     @Test
     void whatIsKeptGoesToAnotherServerWhole() throws Exception {
-        try (Wire.Server other = server.another()) {
-            harness = new Harness(folder, 250_000, 1024, List.of(server.port(), other.port()));
+        try (RawConnection.Server other = server.another()) {
+            harness =
+                    new SidecarHarness(folder, 250_000, 1024, List.of(server.port(), other.port()));
             harness.extended(ON.replace("MORE", "")).start();
-            client = Wire.to(harness.address);
+            client = RawConnection.to(harness.address);
             client.raw(append("Transfer-Encoding: chunked")).chunk("first");
-            Wire to = answering();
+            RawConnection to = answering();
             to.chunk();
             to.raw("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
             to.awaitEnd();
-            Wire next = answering();
+            RawConnection next = answering();
             assertEquals("first", new String(next.chunk(), UTF_8));
             client.chunk("second").raw("0\r\n\r\n");
             assertEquals("second", new String(next.chunks(), UTF_8));
@@ -503,7 +507,7 @@
     void whatIsNotKeptIsRefusedAtOnce(boolean dies) throws Exception {
         start(",'replay_bytes':4");
         client.raw(append("Transfer-Encoding: chunked")).chunk("first");
-        Wire to = answering();
+        RawConnection to = answering();
         to.chunk();
         if (dies) {
             to.close();
@@ -521,7 +525,7 @@
     void errorBeforeTheBodyIsWholePassesAndEndsBoth() throws Exception {
         start("");
         client.raw(append("Content-Length: 100000") + "begin");
-        Wire to = answering();
+        RawConnection to = answering();
         to.text(5);
         to.raw("HTTP/1.1 413 Too Much\r\nContent-Length: 2\r\n\r\nno");
         Map<String, String> head = client.head();
@@ -540,7 +544,7 @@
     void answerBeforeTheBodyIsWholeIsNone() throws Exception {
         start(",'replay_bytes':4");
         client.raw(append("Content-Length: 100000") + "begin");
-        Wire to = answering();
+        RawConnection to = answering();
         to.text(5);
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
         to.awaitEnd();
@@ -551,7 +555,7 @@
     void clientThatBringsNothingIsGivenUp() throws Exception {
         start(",'read_stall_ms':100");
         client.raw(append("Content-Length: 100000") + "begin");
-        Wire to = answering();
+        RawConnection to = answering();
         assertEquals("HTTP/1.1 408 Request Timeout", client.head().get(""));
         to.awaitEnd();
     }
@@ -560,7 +564,7 @@
     void serverThatTakesNothingIsGivenUp() throws Exception {
         start(",'write_stall_ms':100,'replay_bytes':4,'high_watermark_bytes':5000");
         client.raw(append("Content-Length: 90000000"));
-        Wire to = answering();
+        RawConnection to = answering();
         Thread writing =
                 new Thread(
                         () -> {
@@ -616,7 +620,7 @@
         String first = client.head().get("");
         assertTrue(first.startsWith("HTTP/1.1 " + status), first);
         if (!server.none()) {
-            Wire to = answering();
+            RawConnection to = answering();
             assertThrows(
                     IOException.class,
                     () -> {
@@ -633,7 +637,7 @@
     void trailersWithoutEndAreNotPassedOn() throws Exception {
         start("");
         client.raw(append("Transfer-Encoding: chunked")).chunk("abc").raw("0\r\n");
-        Wire to = answering();
+        RawConnection to = answering();
         to.chunk();
         assertThrows(
                 IOException.class,
@@ -649,11 +653,11 @@
 
     @Test
     void bodyPastItsBoundIsTooLarge() throws Exception {
-        harness = new Harness(folder, 250_000, 1024, List.of(server.port()));
+        harness = new SidecarHarness(folder, 250_000, 1024, List.of(server.port()));
         harness.extended("{'streaming':{'classes':{'append':{'max_request_bytes':4}}}}").start();
-        client = Wire.to(harness.address);
+        client = RawConnection.to(harness.address);
         client.raw(append("Transfer-Encoding: chunked")).chunk("abc");
-        Wire to = answering();
+        RawConnection to = answering();
         to.chunk();
         client.chunk("de");
         assertTrue(client.head().get("").startsWith("HTTP/1.1 413"));
@@ -664,7 +668,7 @@
     void clientThatLeavesMidUploadEndsItAtTheServer() throws Exception {
         start("");
         client.raw(append("Content-Length: 100000") + "begin");
-        Wire to = answering();
+        RawConnection to = answering();
         client.close();
         assertThrows(IOException.class, () -> to.bytes(100_000));
     }
@@ -673,11 +677,11 @@
     void uploadsAreEndedOrAnsweredBeforeTheSidecarEnds() throws Exception {
         start(",'drain_ms':1000");
         client.raw(append("Transfer-Encoding: chunked")).chunk("abc");
-        Wire to = answering();
+        RawConnection to = answering();
         to.chunk();
-        try (Wire slow = Wire.to(harness.address)) {
+        try (RawConnection slow = RawConnection.to(harness.address)) {
             slow.raw(append("Transfer-Encoding: chunked")).chunk("abc");
-            Wire second = answering();
+            RawConnection second = answering();
             CountDownLatch ended = harness.stop();
             client.raw("0\r\n\r\n");
             to.chunks();
@@ -704,7 +708,7 @@
                             }
                         });
         writing.start();
-        Wire to = answering();
+        RawConnection to = answering();
         for (int at = 0; at < BIG; at += BIG / 300) {
             assertArrayEquals(Arrays.copyOfRange(body, at, at + BIG / 300), to.bytes(BIG / 300));
         }
@@ -716,10 +720,10 @@
     /** Without the section all is as it was: bodies of 64 KiB, collected. */
     @Test
     void withoutTheSectionNothingStreams() throws Exception {
-        harness = new Harness(folder, 250_000, 1024, List.of(server.port()));
+        harness = new SidecarHarness(folder, 250_000, 1024, List.of(server.port()));
         harness.start();
-        client = Wire.to(harness.address);
-        Wire to = export(client);
+        client = RawConnection.to(harness.address);
+        RawConnection to = export(client);
         to.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .chunk("abc")
                 .raw("0\r\n\r\n");
--- a/sidecar/src/test/java/sagefall/sidecar/ServerPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package sagefall.sidecar;
+package sagefall.proxy.upstream;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -23,55 +23,67 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Result;
-import sagefall.sidecar.Call.Attempt;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.Request;
+import sagefall.config.SidecarConfig;
+import sagefall.discovery.StableIds;
+import sagefall.proxy.ForwardedAttempt;
+import sagefall.proxy.ProxiedRequest;
+import sagefall.proxy.ScriptedPeer;
+import sagefall.proxy.SidecarHarness;
+import sagefall.proxy.SocketTest;
+import sagefall.proxy.WallClock;
 
 /** The pool alone: what the module's own limits would keep a whole sidecar from reaching. */
-class ServerPoolTest extends OnSockets {
+class ConnectionPoolTest extends SocketTest {
 
     private static final long CONNECT_MICROS = 20_000_000;
 
-    private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
-    private final Clock clock = new Clock();
+    private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
+    private final WallClock clock = new WallClock();
     private LoadReport lastReport;
-    private Harness harness;
-    private ServerPool pool;
+    private SidecarHarness harness;
+    private ConnectionPool pool;
 
-    private void start(int sockets, Stub... servers) throws Exception {
-        harness = opened(new Harness(folder, CONNECT_MICROS, sockets, servers));
-        Config config = harness.config();
+    private void start(int sockets, ScriptedPeer... servers) throws Exception {
+        harness = opened(new SidecarHarness(folder, CONNECT_MICROS, sockets, servers));
+        SidecarConfig config = harness.config();
         pool =
                 harness.loop
-                        .submit(() -> new ServerPool(harness.loop, clock, config, this::ended))
+                        .submit(() -> new ConnectionPool(harness.loop, clock, config, this::ended))
                         .get();
-        update(Harness.list(1, true, "in_service", servers));
+        update(SidecarHarness.list(1, true, "in_service", servers));
     }
 
-    private void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer) {
+    private void ended(
+            ForwardedAttempt attempt,
+            AttemptResult result,
+            LoadReport report,
+            FullHttpResponse answer) {
         attempt.result = result;
         lastReport = report;
         results.add(result);
     }
 
     private void update(String list) throws Exception {
-        Config config = harness.config();
+        SidecarConfig config = harness.config();
         harness.loop
                 .submit(
                         () -> {
-                            pool.update(config.lists().read(Harness.json(list).getBytes(UTF_8)));
+                            pool.update(
+                                    config.lists().read(SidecarHarness.json(list).getBytes(UTF_8)));
                             return null;
                         })
                 .get();
     }
 
-    private Attempt send(int port) throws Exception {
+    private ForwardedAttempt send(int port) throws Exception {
         long now = clock.micros();
         Request request =
-                new Request(Harness.Client.id(), 0, 0, false, -1, now + 60_000_000, false);
-        Call call =
-                new Call(
+                new Request(SidecarHarness.Client.id(), 0, 0, false, -1, now + 60_000_000, false);
+        ProxiedRequest call =
+                new ProxiedRequest(
                         request,
                         HttpMethod.GET,
                         "/search",
@@ -80,25 +92,27 @@
                         null,
                         0,
                         null);
-        Attempt attempt = new Attempt(call, Ids.of("s-" + port), now, request.deadlineMicros());
+        ForwardedAttempt attempt =
+                new ForwardedAttempt(
+                        call, StableIds.of("s-" + port), now, request.deadlineMicros());
         harness.loop.submit(() -> pool.start(attempt)).get();
         return attempt;
     }
 
-    private Result result() throws InterruptedException {
-        Result result = results.poll(20, TimeUnit.SECONDS);
+    private AttemptResult result() throws InterruptedException {
+        AttemptResult result = results.poll(20, TimeUnit.SECONDS);
         assertNotNull(result, "no attempt ended");
         return result;
     }
 
     /** Until connections that have just brought an answer may be used again. */
     private void settle() throws InterruptedException {
-        assertNull(results.poll(2 * ServerPool.SETTLE_MICROS, TimeUnit.MICROSECONDS));
+        assertNull(results.poll(2 * ConnectionPool.SETTLE_MICROS, TimeUnit.MICROSECONDS));
     }
 
     @Test
     void pastTheBoundThereIsNoConnection() throws Exception {
-        Stub server = server(Stub.SILENT);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(128, server);
         int bound = harness.config().serverConnections();
         for (int i = 0; i < bound; i++) {
@@ -106,17 +120,17 @@
             server.take();
         }
         send(server.port());
-        assertEquals(Result.NO_CONNECTION, result());
+        assertEquals(AttemptResult.NO_CONNECTION, result());
         assertEquals(bound, server.accepted.get());
     }
 
     @Test
     void idleConnectionsMakeRoom() throws Exception {
-        Stub first = server(Stub.serves("ok"));
-        Stub second = server(Stub.SILENT);
+        ScriptedPeer first = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer second = server(ScriptedPeer.SILENT);
         start(128, first, second);
         send(first.port());
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         for (int i = 0; i < harness.config().serverConnections(); i++) {
             send(second.port());
             second.take();
@@ -127,44 +141,44 @@
 
     @Test
     void outcomesAreToldApart() throws Exception {
-        Stub server =
+        ScriptedPeer server =
                 server(
-                        Stub.answers(
+                        ScriptedPeer.answers(
                                 "200 OK",
                                 "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n",
                                 "ok"));
         start(1024, server);
         send(server.port());
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         assertEquals(0.5, lastReport.utilization());
         assertTrue(Double.isNaN(lastReport.rate()) && Double.isNaN(lastReport.errorRate()));
-        server.script(Stub.answers("500 No", "", ""));
+        server.script(ScriptedPeer.answers("500 No", "", ""));
         send(server.port());
-        assertEquals(Result.ERROR, result());
+        assertEquals(AttemptResult.ERROR, result());
         assertNull(lastReport);
-        server.script(Stub.answers("504 Over", "Not-Started: 1\r\n", ""));
+        server.script(ScriptedPeer.answers("504 Over", "Not-Started: 1\r\n", ""));
         send(server.port());
-        assertEquals(Result.FULL, result());
-        server.script(Stub.HANG_UP);
+        assertEquals(AttemptResult.REJECTED, result());
+        server.script(ScriptedPeer.HANG_UP);
         send(server.port());
-        assertEquals(Result.BROKEN, result());
+        assertEquals(AttemptResult.BROKEN, result());
         server.close();
         send(server.port());
-        assertEquals(Result.NO_CONNECTION, result());
+        assertEquals(AttemptResult.NO_CONNECTION, result());
     }
 
     @Test
     void mostRecentConnectionIsUsedFirst() throws Exception {
-        Stub server = server(Stub.SILENT);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(1024, server);
         send(server.port());
-        Stub.Seen first = server.take();
+        ScriptedPeer.Seen first = server.take();
         send(server.port());
-        Stub.Seen second = server.take();
+        ScriptedPeer.Seen second = server.take();
         second.reply("200 OK", "", "");
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         first.reply("200 OK", "", "");
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         settle();
         send(server.port());
         assertEquals(first.socket(), server.take().socket());
@@ -172,13 +186,13 @@
 
     @Test
     void answerThatEndsTheConnectionIsNotFollowed() throws Exception {
-        Stub server = server(Stub.answers("200 OK", "Connection: close\r\n", "ok"));
+        ScriptedPeer server = server(ScriptedPeer.answers("200 OK", "Connection: close\r\n", "ok"));
         start(1024, server);
         send(server.port());
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         server.awaitEnd();
         send(server.port());
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         assertEquals(2, server.accepted.get());
     }
 
@@ -218,7 +232,7 @@
     }
 
     private String jammedList(int revision, String state, Jammed jammed) {
-        return Harness.list(revision, true, state)
+        return SidecarHarness.list(revision, true, state)
                 .replace(
                         "[]",
                         "[{'uid':'s-"
@@ -243,14 +257,14 @@
         Jammed jammed = opened(new Jammed());
         start(1024);
         update(jammedList(1, "in_service", jammed));
-        Attempt attempt = send(jammed.socket.getLocalPort());
+        ForwardedAttempt attempt = send(jammed.socket.getLocalPort());
         switch (meanwhile) {
             case THE_SERVER_DRAINS -> update(jammedList(2, "terminating", jammed));
             case THE_WINDOW_ENDS -> attempt.latestAt = clock.micros();
             default -> attempt.call.over = true;
         }
         Socket up = jammed.acceptNext();
-        assertEquals(Result.NOT_SENT, result());
+        assertEquals(AttemptResult.NOT_SENT, result());
         assertFalse(attempt.written);
         harness.loop.submit(pool::close).get();
         assertEquals(-1, up.getInputStream().read());
@@ -262,15 +276,15 @@
      */
     @Test
     void whatWasBegunBeforeTheDrainEnds() throws Exception {
-        Stub server = server(Stub.SILENT);
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(1024, server);
         send(server.port());
-        Stub.Seen begun = server.take();
-        update(Harness.list(2, true, "terminating", server));
+        ScriptedPeer.Seen begun = server.take();
+        update(SidecarHarness.list(2, true, "terminating", server));
         send(server.port());
-        assertEquals(Result.NOT_SENT, result());
+        assertEquals(AttemptResult.NOT_SENT, result());
         begun.reply("200 OK", "", "ok");
-        assertEquals(Result.SERVED, result());
+        assertEquals(AttemptResult.SERVED, result());
         assertTrue(server.seen.isEmpty());
     }
 }
--- a/sidecar/src/test/java/sagefall/simhost/SimHostTest.java
+++ b/sidecar/src/test/java/sagefall/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package sagefall.simhost;
+package sagefall.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class SimHostTest {
+class SimulatorAdapterTest {
 
     private static final String FACTS =
             "{'classes':[{'name':'c','effect':'pure','aim_us':200000,"
@@ -37,7 +37,8 @@
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         byte[] bytes = input.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
         status =
-                new SimHost().run(new ByteArrayInputStream(bytes), out, new PrintStream(err, true));
+                new SimulatorAdapter()
+                        .run(new ByteArrayInputStream(bytes), out, new PrintStream(err, true));
         errors = err.toString(StandardCharsets.UTF_8);
         return out.toString(StandardCharsets.UTF_8).replace('"', '\'');
     }
--- a/sidecar/src/test/java/sagefall/streaming/FlowTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
@@ -15,13 +15,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The watermarks of one direction of a stream. */
-class FlowTest {
+class FlowControlTest {
 
-    private static final Streaming BOUNDS = new Streaming(Map.of(), 1000, 400, 1000, 1000, 0, 0, 0);
+    private static final StreamingSettings BOUNDS =
+            new StreamingSettings(Map.of(), 1000, 400, 1000, 1000, 0, 0, 0);
 
     private final List<Boolean> reads = new ArrayList<>();
-    private final Buffers buffers = new Buffers();
-    private final Flow flow = new Flow(BOUNDS, buffers, reads::add);
+    private final BufferAccounting buffers = new BufferAccounting();
+    private final FlowControl flow = new FlowControl(BOUNDS, buffers, reads::add);
 
     @Test
     void sourceStopsAtTheHighWatermarkAndGoesOnAtTheLowOne() {
@@ -83,11 +84,11 @@
     @Test
     void smallPartDoesNotKeepALargeRead() {
         ByteBuf read = Unpooled.buffer(16_384).writeZero(16_384);
-        ByteBuf small = Flow.tight(read.retainedSlice(0, 3));
+        ByteBuf small = FlowControl.tight(read.retainedSlice(0, 3));
         assertEquals(3, small.readableBytes());
         assertEquals(1, read.refCnt());
         ByteBuf large = read.retainedSlice(0, 10_000);
-        assertSame(large, Flow.tight(large));
+        assertSame(large, FlowControl.tight(large));
         assertNotSame(small, large);
         large.release();
         small.release();
--- a/lab/src/main/java/sagefall/lab/command/Ablate.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,17 +7,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
-import sagefall.lab.experiment.Comparison;
-import sagefall.lab.experiment.Paired;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Mechanism;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.PairedDifference;
+import sagefall.experiment.PolicyComparison;
+import sagefall.policy.Mechanism;
 
 /** Each mechanism of the module off in turn. */
 @Command(
         name = "ablate",
         mixinStandardHelpOptions = true,
         description = "Switches each mechanism of the module off in turn and tells what it earns.")
-public final class Ablate implements Callable<Integer> {
+public final class AblateCommand implements Callable<Integer> {
 
     @Parameters(
             paramLabel = "SCENARIO",
@@ -25,7 +25,7 @@
             description = "shipped scenarios, or TOML files")
     private List<String> scenarios;
 
-    @Mixin private Setting setting;
+    @Mixin private ExperimentOptions setting;
 
     @Override
     public Integer call() throws Exception {
@@ -36,17 +36,17 @@
                             + ": G of the module as it is (A), without the mechanism (B), "
                             + setting.seeds().size()
                             + " seeds");
-            Compare.header();
+            CompareCommand.header();
             for (Mechanism m : Mechanism.values()) {
-                Comparison c =
-                        Comparison.of(
+                PolicyComparison c =
+                        PolicyComparison.of(
                                 setting.plays(),
                                 setting.scenario(scenario),
                                 setting.seeds(),
                                 "module",
                                 "module-without:" + m.word(),
                                 setting.listener());
-                Paired g = c.figures().get(0);
+                PairedDifference g = c.figures().get(0);
                 System.out.printf(
                         Locale.ROOT,
                         "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
@@ -57,7 +57,7 @@
                         g.low(),
                         g.high(),
                         verdict(g));
-                List<DayResult> all = new ArrayList<>(c.b());
+                List<SimulationResult> all = new ArrayList<>(c.b());
                 all.addAll(c.a());
                 status |= setting.breaches(all, scenario);
             }
@@ -65,7 +65,7 @@
         return status;
     }
 
-    private static String verdict(Paired g) {
+    private static String verdict(PairedDifference g) {
         return g.verdict().replace("B is better", "it costs").replace("B is worse", "it earns");
     }
 }
--- a/lab/src/main/java/sagefall/lab/Lab.java
+++ b/testbed/src/main/java/sagefall/cli/CommandLineMain.java
@@ -1,23 +1,13 @@
-package sagefall.lab;
+package sagefall.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import sagefall.lab.command.Ablate;
-import sagefall.lab.command.Compare;
-import sagefall.lab.command.DutiesCommand;
-import sagefall.lab.command.Rank;
-import sagefall.lab.command.Run;
-import sagefall.lab.command.Scenarios;
-import sagefall.lab.command.Speed;
-import sagefall.lab.command.Sweep;
-import sagefall.lab.command.Windows;
-import sagefall.lab.load.Demo;
-import sagefall.lab.load.Load;
-import sagefall.lab.load.StandIns;
-import sagefall.lab.load.StreamLoad;
-import sagefall.lab.policy.PolicyException;
-import sagefall.lab.rig.RigCommand;
-import sagefall.lab.scenario.ScenarioException;
+import sagefall.load.DemoCommand;
+import sagefall.load.LoadCommand;
+import sagefall.load.StandInCommand;
+import sagefall.load.StreamLoadCommand;
+import sagefall.policy.PolicyException;
+import sagefall.scenario.ScenarioException;
 
 /** The laboratory's command line. */
 @Command(
@@ -32,24 +22,24 @@
             "2:a scenario, a policy or an option is wrong"
         },
         subcommands = {
-            Run.class,
-            Compare.class,
-            Ablate.class,
-            Sweep.class,
-            Rank.class,
-            Scenarios.class,
-            Speed.class,
-            Demo.class,
-            Load.class,
-            StandIns.class,
-            StreamLoad.class,
-            Windows.class,
-            RigCommand.class,
-            DutiesCommand.class
+            SimulateCommand.class,
+            CompareCommand.class,
+            AblateCommand.class,
+            SweepCommand.class,
+            RankCommand.class,
+            ListScenariosCommand.class,
+            SpeedCommand.class,
+            DemoCommand.class,
+            LoadCommand.class,
+            StandInCommand.class,
+            StreamLoadCommand.class,
+            CompareWindowsCommand.class,
+            FaultInjectionCommand.class,
+            LeaseCommand.class
         })
-public final class Lab {
+public final class CommandLineMain {
 
-    private Lab() {}
+    private CommandLineMain() {}
 
     public static void main(String[] arguments) {
         System.exit(command().execute(arguments));
@@ -60,14 +50,14 @@
      * 2.
      */
     public static CommandLine command() {
-        return new CommandLine(new Lab())
+        return new CommandLine(new CommandLineMain())
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .setExecutionExceptionHandler(
                         (e, command, parsed) -> {
                             boolean input =
                                     e instanceof ScenarioException
                                             || e instanceof PolicyException
-                                            || RigCommand.isInput(e);
+                                            || FaultInjectionCommand.isInput(e);
                             command.getErr()
                                     .println(
                                             "sagefall lab: "
--- a/lab/src/main/java/sagefall/lab/command/Compare.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagefall.lab.experiment.Comparison;
-import sagefall.lab.experiment.Paired;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.report.HtmlReport;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.PairedDifference;
+import sagefall.experiment.PolicyComparison;
+import sagefall.policy.PolicyRegistry;
+import sagefall.report.HtmlReport;
 
 /** Two policies on the same days. */
 @Command(
@@ -20,25 +20,25 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays two policies on the same seeds and tells the difference with an interval.")
-public final class Compare implements Callable<Integer> {
+public final class CompareCommand implements Callable<Integer> {
 
     private static final double SMALL = 0.001;
 
     @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
     private String scenario;
 
-    @Option(names = "--a", defaultValue = "module", description = Policies.HELP)
+    @Option(names = "--a", defaultValue = "module", description = PolicyRegistry.HELP)
     private String a;
 
     @Option(names = "--b", required = true, description = "the same")
     private String b;
 
-    @Mixin private Setting setting;
+    @Mixin private ExperimentOptions setting;
 
     @Override
     public Integer call() throws Exception {
-        Comparison c =
-                Comparison.of(
+        PolicyComparison c =
+                PolicyComparison.of(
                         setting.plays(),
                         setting.scenario(scenario),
                         setting.seeds(),
@@ -47,14 +47,14 @@
                         setting.listener());
         System.out.println("A: " + a + "; B: " + b + "; " + c.a().size() + " seeds of " + scenario);
         header();
-        c.figures().forEach(Compare::row);
-        for (Paired p : c.lost().values()) {
+        c.figures().forEach(CompareCommand::row);
+        for (PairedDifference p : c.lost().values()) {
             if (Math.abs(p.meanA()) > SMALL || Math.abs(p.meanB()) > SMALL) {
                 row(p);
             }
         }
         setting.report(HtmlReport.of(c));
-        List<DayResult> all = new ArrayList<>(c.a());
+        List<SimulationResult> all = new ArrayList<>(c.a());
         all.addAll(c.b());
         return setting.breaches(all, scenario);
     }
@@ -63,7 +63,7 @@
         System.out.printf("%-34s %7s %7s %7s  %-17s%n", "", "A", "B", "B - A", "95 % interval");
     }
 
-    static void row(Paired p) {
+    static void row(PairedDifference p) {
         System.out.printf(
                 Locale.ROOT,
                 "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
--- a/lab/src/main/java/sagefall/lab/command/Windows.java
+++ b/testbed/src/main/java/sagefall/cli/CompareWindowsCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Compares reports of one day of the bench over a span that all of them reached.")
-public final class Windows implements Callable<Integer> {
+public final class CompareWindowsCommand implements Callable<Integer> {
 
     private static final Pattern ROW =
             Pattern.compile("\\s+(\\d+)\\s+(\\d+)((?:\\s+[\\d.]+){17})\\s*");
--- a/lab/src/main/java/sagefall/lab/command/Setting.java
+++ b/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
@@ -11,17 +11,17 @@
 import java.util.Locale;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Option;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.model.Rules;
-import sagefall.lab.policy.PolicyException;
-import sagefall.lab.report.DayFiles;
-import sagefall.lab.scenario.Fault;
-import sagefall.lab.scenario.Scenario;
-import sagefall.lab.scenario.ScenarioException;
+import sagefall.emulator.InvariantChecker;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.ParallelSimulations;
+import sagefall.policy.PolicyException;
+import sagefall.report.SimulationResultWriter;
+import sagefall.scenario.Fault;
+import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /** What all experiments take. */
-final class Setting {
+final class ExperimentOptions {
 
     @Option(
             names = "--seeds",
@@ -93,13 +93,13 @@
 
     // On Java 17 the console is null where the output is no terminal.
     @SuppressWarnings("SystemConsoleNull")
-    Plays plays() {
+    ParallelSimulations plays() {
         int cores = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
-        return new Plays(cores, root, System.console() == null ? null : System.err);
+        return new ParallelSimulations(cores, root, System.console() == null ? null : System.err);
     }
 
-    Plays.Listener listener() throws IOException {
-        return out == null ? result -> {} : new DayFiles(out);
+    ParallelSimulations.Listener listener() throws IOException {
+        return out == null ? result -> {} : new SimulationResultWriter(out);
     }
 
     /** Writes the page, if one is wanted. */
@@ -111,13 +111,14 @@
     }
 
     /** Tells broken rules, each with the command that plays it again; the exit status. */
-    int breaches(List<DayResult> results, String scenario) {
+    int breaches(List<SimulationResult> results, String scenario) {
         long count = 0;
         StringBuilder options = new StringBuilder();
         sets.forEach(set -> options.append(" --set '").append(set).append('\''));
-        for (DayResult r : results) {
+        for (SimulationResult r : results) {
             count += r.breachCount();
-            for (Rules.Breach b : r.breaches().subList(0, Math.min(3, r.breaches().size()))) {
+            for (InvariantChecker.Breach b :
+                    r.breaches().subList(0, Math.min(3, r.breaches().size()))) {
                 System.out.printf(
                         Locale.ROOT,
                         "BROKEN %s: request %s, server %d, sidecar %d, at %.3f s; again by: "
--- a/lab/src/main/java/sagefall/lab/rig/RigCommand.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,14 +15,19 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagefall.lab.load.SidecarProcess;
-import sagefall.lab.model.Day;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.policy.Policy;
-import sagefall.lab.scenario.Fault;
-import sagefall.lab.scenario.Scenario;
-import sagefall.lab.scenario.ScenarioException;
+import sagefall.emulator.FleetSimulation;
+import sagefall.emulator.SimulationResult;
+import sagefall.faultinjection.FaultInjectionRun;
+import sagefall.faultinjection.RunPlan;
+import sagefall.faultinjection.RunResult;
+import sagefall.faultinjection.RunStatistics;
+import sagefall.faultinjection.ScenarioGenerator;
+import sagefall.load.SidecarProcess;
+import sagefall.policy.Policy;
+import sagefall.policy.PolicyRegistry;
+import sagefall.scenario.Fault;
+import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /** Many real processes with faults between them: docs/RIG.md. */
 @Command(
@@ -30,15 +35,15 @@
         mixinStandardHelpOptions = true,
         description = "Plays faults between many real processes and judges what was seen.",
         subcommands = {
-            RigCommand.Run.class,
-            RigCommand.Again.class,
-            RigCommand.Check.class,
-            RigCommand.Campaign.class,
-            RigCommand.Shrink.class,
-            RigCommand.Agree.class,
-            RigCommand.Scenarios.class
+            FaultInjectionCommand.Run.class,
+            FaultInjectionCommand.Again.class,
+            FaultInjectionCommand.Check.class,
+            FaultInjectionCommand.Campaign.class,
+            FaultInjectionCommand.Shrink.class,
+            FaultInjectionCommand.Agree.class,
+            FaultInjectionCommand.Scenarios.class
         })
-public final class RigCommand {
+public final class FaultInjectionCommand {
 
     /** What all plays take. */
     static final class Options {
@@ -79,14 +84,14 @@
             return builds.isEmpty() ? List.of(SidecarProcess.ROOT) : builds;
         }
 
-        Plan plan(String nameOrFile, long seed) throws IOException, ScenarioException {
+        RunPlan plan(String nameOrFile, long seed) throws IOException, ScenarioException {
             for (Path build : builds()) {
                 SidecarProcess.run(build);
             }
             Scenario.Source source = Scenario.source(nameOrFile);
             List<String> all = new ArrayList<>();
             if (!source.text().contains("sidecars = 12")) {
-                all.addAll(Plan.SIZE);
+                all.addAll(RunPlan.SIZE);
             }
             all.addAll(sets);
             if (sidecars != null) {
@@ -95,7 +100,7 @@
             if (servers != null) {
                 all.add("fleet.servers=" + servers);
             }
-            return new Plan(source.file(), source.text(), all, seed, null, builds());
+            return new RunPlan(source.file(), source.text(), all, seed, null, builds());
         }
 
         Path folder(String name) throws IOException {
@@ -105,8 +110,8 @@
         }
 
         /** Plays it, and keeps its folder if that is wanted or it failed. */
-        Play play(Plan plan, String name) throws Exception {
-            Play play = Play.of(plan, folder(name));
+        RunResult play(RunPlan plan, String name) throws Exception {
+            RunResult play = RunResult.of(plan, folder(name));
             if (out == null && !play.broken() && !play.isVoid()) {
                 play.remove();
             } else {
@@ -154,10 +159,10 @@
             boolean broken = false;
             for (String scenario : scenarios) {
                 for (long s : seeds.all()) {
-                    Plan plan = options.plan(scenario, s);
+                    RunPlan plan = options.plan(scenario, s);
                     plan.scenario();
                     System.out.println(scenario + ", seed " + s);
-                    Play play = options.play(plan, Path.of(scenario).getFileName() + "-" + s);
+                    RunResult play = options.play(plan, Path.of(scenario).getFileName() + "-" + s);
                     play.print(System.out);
                     broken |= play.broken();
                 }
@@ -184,7 +189,7 @@
         public Integer call() throws Exception {
             boolean broken = false;
             for (int i = 1; i <= plays; i++) {
-                Play play = options.play(Plan.read(file), "again-" + i);
+                RunResult play = options.play(RunPlan.read(file), "again-" + i);
                 play.print(System.out);
                 broken |= play.broken();
             }
@@ -203,7 +208,9 @@
 
         @Override
         public Integer call() throws Exception {
-            Play play = Play.judge(Plan.read(folder.resolve(Rig.PLAN)), folder, 0);
+            RunResult play =
+                    RunResult.judge(
+                            RunPlan.read(folder.resolve(FaultInjectionRun.PLAN)), folder, 0);
             play.print(System.out);
             return status(play.broken());
         }
@@ -236,16 +243,16 @@
             int played = 0;
             int failed = 0;
             for (long s = seed; System.nanoTime() < until; s++) {
-                String text = Drawing.text(s);
-                Plan plan =
-                        new Plan(
+                String text = ScenarioGenerator.text(s);
+                RunPlan plan =
+                        new RunPlan(
                                 "campaign-" + s + ".toml",
                                 text,
                                 options.sets,
                                 s,
                                 null,
                                 options.builds());
-                Play play = options.play(plan, "campaign-" + s);
+                RunResult play = options.play(plan, "campaign-" + s);
                 plan.scenario()
                         .faults()
                         .forEach(
@@ -290,7 +297,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Plan plan = Plan.read(file);
+            RunPlan plan = RunPlan.read(file);
             List<Integer> kept = plan.faults();
             int fails = fails(plan);
             System.out.printf(
@@ -317,10 +324,10 @@
             return 1;
         }
 
-        private int fails(Plan plan) throws Exception {
+        private int fails(RunPlan plan) throws Exception {
             int fails = 0;
             for (int i = 0; i < TRIES; i++) {
-                Play play = Play.of(plan, options.folder("shrink"));
+                RunResult play = RunResult.of(plan, options.folder("shrink"));
                 fails += play.broken() ? 1 : 0;
                 play.remove();
             }
@@ -352,13 +359,16 @@
             boolean broken = false;
             for (String name : scenarios) {
                 for (long s : seeds.all()) {
-                    Plan plan = options.plan(name, s);
-                    DayResult e;
-                    try (Policy policy = Policies.of("module", SidecarProcess.ROOT)) {
-                        e = new Day(plan.scenario().on(Fault.Side.EMULATOR), s, policy).play();
+                    RunPlan plan = options.plan(name, s);
+                    SimulationResult e;
+                    try (Policy policy = PolicyRegistry.of("module", SidecarProcess.ROOT)) {
+                        e =
+                                new FleetSimulation(
+                                                plan.scenario().on(Fault.Side.EMULATOR), s, policy)
+                                        .play();
                     }
-                    Play play = Play.of(plan, options.folder("agree-" + name + "-" + s));
-                    Figures f = play.figures();
+                    RunResult play = RunResult.of(plan, options.folder("agree-" + name + "-" + s));
+                    RunStatistics f = play.figures();
                     broken |= play.broken();
                     System.out.printf(
                             Locale.ROOT,
@@ -389,7 +399,7 @@
             return status(broken);
         }
 
-        private static double part(DayResult r, String word) {
+        private static double part(SimulationResult r, String word) {
             return r.answers().entrySet().stream()
                             .filter(a -> a.getKey().startsWith(word))
                             .mapToLong(Map.Entry::getValue)
@@ -397,7 +407,7 @@
                     / (double) r.requests();
         }
 
-        private static double part(Figures f, String word) {
+        private static double part(RunStatistics f, String word) {
             return f.answers().getOrDefault(word, 0L) / (double) f.requests();
         }
     }
--- a/lab/src/main/java/sagefall/lab/command/DutiesCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -10,9 +10,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import sagefall.duties.Digest;
-import sagefall.duties.FolderStore;
-import sagefall.duties.LeaseStore;
+import sagefall.leaderelection.DirectoryLeaseStore;
+import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /** Looks at the duties of a machine's sidecars, from outside. */
 @Command(
@@ -20,11 +20,11 @@
         mixinStandardHelpOptions = true,
         description = "Who does what for all.",
         subcommands = {
-            DutiesCommand.StatusCommand.class,
-            DutiesCommand.HistoryCommand.class,
-            DutiesCommand.ReleaseCommand.class
+            LeaseCommand.StatusCommand.class,
+            LeaseCommand.HistoryCommand.class,
+            LeaseCommand.ReleaseCommand.class
         })
-public final class DutiesCommand {
+public final class LeaseCommand {
 
     /** What all of them take. */
     abstract static class OfFolder implements Callable<Integer> {
@@ -43,7 +43,7 @@
                 return 2;
             }
             try {
-                run(new FolderStore(folder), out);
+                run(new DirectoryLeaseStore(folder), out);
                 return 0;
             } catch (IOException e) {
                 spec.commandLine()
@@ -76,7 +76,7 @@
                                             + status.grant().leftNanos() / 1_000_000
                                             + " ms more"
                                     : "held by nobody"));
-            Digest.Read digest = Digest.read(store);
+            SharedEndpointSnapshot.Read digest = SharedEndpointSnapshot.read(store);
             out.println(
                     digest == null
                             ? "no digest"
--- a/lab/src/main/java/sagefall/lab/command/Scenarios.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -1,12 +1,12 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import sagefall.lab.policy.Mechanism;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.scenario.Scenario;
+import sagefall.policy.Mechanism;
+import sagefall.policy.PolicyRegistry;
+import sagefall.scenario.Scenario;
 
 /** What there is to play. */
 @Command(
@@ -15,7 +15,7 @@
         description =
                 "Lists the shipped scenarios, the policies and the mechanisms that can be switched "
                         + "off.")
-public final class Scenarios implements Callable<Integer> {
+public final class ListScenariosCommand implements Callable<Integer> {
 
     @Override
     public Integer call() throws Exception {
@@ -23,7 +23,7 @@
             System.out.printf(
                     Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
         }
-        System.out.println("policies: " + Policies.HELP);
+        System.out.println("policies: " + PolicyRegistry.HELP);
         for (Mechanism m : Mechanism.values()) {
             System.out.printf(Locale.ROOT, "%-16s %s%n", m.word(), m.about());
         }
--- a/lab/src/main/java/sagefall/lab/command/Rank.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.scenario.BenchFigures;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.SimulationRequest;
+import sagefall.scenario.BenchmarkFigures;
 
 /** Whether builds rank in the laboratory as they did on the operators' bench. */
 @Command(
@@ -22,7 +22,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays builds on scenarios and compares their order with the bench's figures.")
-public final class Rank implements Callable<Integer> {
+public final class RankCommand implements Callable<Integer> {
 
     @Option(
             names = "--figures",
@@ -45,11 +45,11 @@
                             + "two plays of one build differ by (${DEFAULT-VALUE})")
     private double spread;
 
-    @Mixin private Setting setting;
+    @Mixin private ExperimentOptions setting;
 
     @Override
     public Integer call() throws Exception {
-        BenchFigures bench = BenchFigures.load(figures);
+        BenchmarkFigures bench = BenchmarkFigures.load(figures);
         Map<String, Double> lab = play(bench);
         double[] onBench = new double[bench.plays().size()];
         double[] inLab = new double[onBench.length];
@@ -57,7 +57,7 @@
                 "%-10s %-22s %-24s %8s %8s%n",
                 "scenario", "build", "day of the bench", "bench G", "lab G");
         for (int i = 0; i < onBench.length; i++) {
-            BenchFigures.Play p = bench.plays().get(i);
+            BenchmarkFigures.Play p = bench.plays().get(i);
             onBench[i] = p.g();
             inLab[i] = lab.get(p.scenario() + "\n" + p.build());
             System.out.printf(
@@ -79,10 +79,10 @@
     }
 
     /** Mean G of each build on each scenario. */
-    private Map<String, Double> play(BenchFigures bench) throws Exception {
+    private Map<String, Double> play(BenchmarkFigures bench) throws Exception {
         TreeSet<String> cells = new TreeSet<>();
         bench.plays().forEach(p -> cells.add(p.scenario() + "\n" + p.build()));
-        List<Plays.Play> plays = new ArrayList<>();
+        List<SimulationRequest> plays = new ArrayList<>();
         for (String cell : cells) {
             String build = cell.substring(cell.indexOf('\n') + 1);
             String policy =
@@ -96,13 +96,13 @@
             }
             for (long seed : setting.seeds()) {
                 plays.add(
-                        new Plays.Play(
+                        new SimulationRequest(
                                 setting.scenario(cell.substring(0, cell.indexOf('\n'))),
                                 seed,
                                 policy));
             }
         }
-        List<DayResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
         Map<String, Double> means = new LinkedHashMap<>();
         int seeds = setting.seeds().size();
         int at = 0;
@@ -110,7 +110,7 @@
             means.put(
                     cell,
                     results.subList(at, at + seeds).stream()
-                            .mapToDouble(DayResult::g)
+                            .mapToDouble(SimulationResult::g)
                             .average()
                             .orElse(0));
             at += seeds;
@@ -119,11 +119,11 @@
     }
 
     /** Of all pairs of builds on the same day, how many stand in the same order here. */
-    private void pairs(BenchFigures bench, Map<String, Double> lab) {
+    private void pairs(BenchmarkFigures bench, Map<String, Double> lab) {
         int same = 0;
         int all = 0;
-        for (BenchFigures.Play a : bench.plays()) {
-            for (BenchFigures.Play b : bench.plays()) {
+        for (BenchmarkFigures.Play a : bench.plays()) {
+            for (BenchmarkFigures.Play b : bench.plays()) {
                 if (a.day().equals(b.day()) && a.g() + spread < b.g()) {
                     all++;
                     same +=
--- a/lab/src/main/java/sagefall/lab/command/Run.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,41 +8,41 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.report.HtmlReport;
-import sagefall.lab.scenario.Scenario;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.SimulationRequest;
+import sagefall.policy.PolicyRegistry;
+import sagefall.report.HtmlReport;
+import sagefall.scenario.Scenario;
 
 /** One policy on one scenario. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
         description = "Plays a scenario and tells what was served and why the rest was lost.")
-public final class Run implements Callable<Integer> {
+public final class SimulateCommand implements Callable<Integer> {
 
     private static final int CAUSES = 4;
 
     @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
     private String scenario;
 
-    @Option(names = "--policy", defaultValue = "module", description = Policies.HELP)
+    @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
     private String policy;
 
-    @Mixin private Setting setting;
+    @Mixin private ExperimentOptions setting;
 
     @Override
     public Integer call() throws Exception {
         Scenario loaded = setting.scenario(scenario);
-        List<Plays.Play> plays = new ArrayList<>();
+        List<SimulationRequest> plays = new ArrayList<>();
         for (long seed : setting.seeds()) {
-            plays.add(new Plays.Play(loaded, seed, policy));
+            plays.add(new SimulationRequest(loaded, seed, policy));
         }
-        List<DayResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
         System.out.println(
                 " seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
                         + "most by");
-        for (DayResult r : results) {
+        for (SimulationResult r : results) {
             System.out.printf(
                     Locale.ROOT,
                     "%5d  %.3f   %.3f     %.3f     %.3f  %.3f   %.3f  %5.0f  %5.0f  %s%n",
@@ -62,7 +62,7 @@
     }
 
     /** The largest causes of loss, as parts of what was asked for. */
-    private static String losses(DayResult r) {
+    private static String losses(SimulationResult r) {
         return String.join(
                 ", ",
                 r.losses().stream()
--- a/lab/src/main/java/sagefall/lab/command/Speed.java
+++ b/testbed/src/main/java/sagefall/cli/SpeedCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
@@ -9,12 +9,12 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagefall.lab.model.Day;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.policy.Policy;
-import sagefall.lab.report.SpeedPlot;
-import sagefall.lab.scenario.Scenario;
+import sagefall.emulator.FleetSimulation;
+import sagefall.emulator.SimulationResult;
+import sagefall.policy.Policy;
+import sagefall.policy.PolicyRegistry;
+import sagefall.report.ScalingPlot;
+import sagefall.scenario.Scenario;
 
 /** How long days of growing fleets take in one thread. */
 @Command(
@@ -22,7 +22,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Times a day of 50 s for fleets of growing size, one thread, after a warm-up.")
-public final class Speed implements Callable<Integer> {
+public final class SpeedCommand implements Callable<Integer> {
 
     @Option(
             names = "--sidecars",
@@ -34,7 +34,7 @@
     @Option(names = "--scenario", defaultValue = "calm")
     private String scenario;
 
-    @Option(names = "--policy", defaultValue = "module", description = Policies.HELP)
+    @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
     private String name;
 
     @Option(names = "--plot", paramLabel = "FILE", description = "writes the plot as SVG")
@@ -42,7 +42,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<SpeedPlot.Point> points = new ArrayList<>();
+        List<ScalingPlot.Point> points = new ArrayList<>();
         play(sizes.get(0));
         System.out.println(
                 "sidecars  servers  seconds  events    us/event  seconds / (n log n), first = "
@@ -51,9 +51,9 @@
         for (int size : sizes) {
             System.gc();
             long begin = System.nanoTime();
-            DayResult r = play(size);
+            SimulationResult r = play(size);
             double seconds = (System.nanoTime() - begin) / 1e9;
-            points.add(new SpeedPlot.Point(size, seconds));
+            points.add(new ScalingPlot.Point(size, seconds));
             double per = seconds / (size * Math.log(size));
             first = first == 0 ? per : first;
             System.out.printf(
@@ -68,14 +68,14 @@
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() >> 20);
         }
         if (plot != null) {
-            Files.writeString(plot, SpeedPlot.of(points));
+            Files.writeString(plot, ScalingPlot.of(points));
         }
         return 0;
     }
 
-    private DayResult play(int size) throws Exception {
-        try (Policy policy = Policies.of(name, Path.of("."))) {
-            return new Day(
+    private SimulationResult play(int size) throws Exception {
+        try (Policy policy = PolicyRegistry.of(name, Path.of("."))) {
+            return new FleetSimulation(
                             Scenario.load(
                                     scenario,
                                     List.of("fleet.sidecars=" + size, "fleet.servers=" + 2 * size)),
--- a/lab/src/main/java/sagefall/lab/command/Sweep.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.policy.PolicyException;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.SimulationRequest;
+import sagefall.policy.PolicyException;
+import sagefall.policy.PolicyRegistry;
 
 /** A range of values of one tunable, or of one figure of the scenario. */
 @Command(
@@ -20,7 +20,7 @@
         description =
                 "Plays a range of values of a tunable of the module or of a figure of the"
                         + " scenario.")
-public final class Sweep implements Callable<Integer> {
+public final class SweepCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
     private String scenario;
@@ -32,10 +32,10 @@
             description = "a tunable such as SPILL or ZoneLimit.CUT, or a figure such as load.use")
     private String vary;
 
-    @Option(names = "--policy", defaultValue = "module", description = Policies.HELP)
+    @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
     private String policy;
 
-    @Mixin private Setting setting;
+    @Mixin private ExperimentOptions setting;
 
     @Override
     public Integer call() throws Exception {
@@ -45,11 +45,11 @@
         String name = vary.substring(0, vary.indexOf('='));
         boolean tunable = name.substring(name.indexOf('.') + 1).matches("[A-Z0-9_]+");
         String[] values = vary.substring(vary.indexOf('=') + 1).split(",", 0);
-        List<Plays.Play> plays = new ArrayList<>();
+        List<SimulationRequest> plays = new ArrayList<>();
         for (String value : values) {
             for (long seed : setting.seeds()) {
                 plays.add(
-                        new Plays.Play(
+                        new SimulationRequest(
                                 tunable
                                         ? setting.scenario(scenario)
                                         : setting.scenario(scenario, name + "=" + value),
@@ -57,19 +57,22 @@
                                 tunable ? "module:" + name + "=" + value : policy));
             }
         }
-        List<DayResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
         int seeds = setting.seeds().size();
         System.out.printf("%-12s %7s %7s %9s %9s%n", name, "G", "served", "worst10s", "least G");
         for (int v = 0; v < values.length; v++) {
-            List<DayResult> days = results.subList(v * seeds, (v + 1) * seeds);
+            List<SimulationResult> days = results.subList(v * seeds, (v + 1) * seeds);
             System.out.printf(
                     Locale.ROOT,
                     "%-12s %7.3f %7.3f %9.3f %9.3f%n",
                     values[v],
-                    days.stream().mapToDouble(DayResult::g).average().orElse(0),
-                    days.stream().mapToDouble(DayResult::served).average().orElse(0),
-                    days.stream().mapToDouble(DayResult::worstTenSeconds).average().orElse(0),
-                    days.stream().mapToDouble(DayResult::g).min().orElse(0));
+                    days.stream().mapToDouble(SimulationResult::g).average().orElse(0),
+                    days.stream().mapToDouble(SimulationResult::served).average().orElse(0),
+                    days.stream()
+                            .mapToDouble(SimulationResult::worstTenSeconds)
+                            .average()
+                            .orElse(0),
+                    days.stream().mapToDouble(SimulationResult::g).min().orElse(0));
         }
         return setting.breaches(results, scenario);
     }
--- a/lab/src/main/java/sagefall/lab/model/Wish.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -1,10 +1,10 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 /**
  * What a client wants, from its first try to the answer that it accepts or to its giving up. All of
  * its random figures are drawn at its arrival, so no decision of a balancer changes them.
  */
-public final class Wish {
+public final class ClientOperation {
     public final int number;
     public final long arrivedAt;
     final long endsAt;
@@ -18,14 +18,14 @@
     /** Between 0 and 1: what the client's own chances are drawn from. */
     final double luck;
 
-    public Door sidecar;
+    public SidecarHandle sidecar;
     int tries;
     boolean over;
 
     /** Where and when it ran first, for what servers drop as a repeat; in a zone or, at 0, not. */
     final long[] ranAt;
 
-    Wish(
+    ClientOperation(
             int number,
             long arrivedAt,
             long endsAt,
--- a/lab/src/main/java/sagefall/lab/model/Call.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientRequest.java
@@ -1,13 +1,13 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.List;
-import sagefall.LoadBalancer.Result;
+import sagefall.balancer.api.AttemptResult;
 
 /** One try of a client at one sidecar: a request with an id of its own. */
-public final class Call {
+public final class ClientRequest {
     public final String id;
-    public final Wish wish;
+    public final ClientOperation wish;
     public final long takenAt;
     public final long deadline;
 
@@ -17,7 +17,7 @@
     int out;
     final List<Attempt> attempts = new ArrayList<>(1);
 
-    Call(String id, Wish wish, long takenAt, long deadline) {
+    ClientRequest(String id, ClientOperation wish, long takenAt, long deadline) {
         this.id = id;
         this.wish = wish;
         this.takenAt = takenAt;
@@ -26,11 +26,11 @@
 
     /** One sending of it to one server. */
     static final class Attempt extends Job {
-        final Call call;
-        final Sidecar sidecar;
+        final ClientRequest call;
+        final EmulatedSidecar sidecar;
         final int life;
         final int number;
-        final SaveServer server;
+        final EmulatedServer server;
         final long sentAt;
 
         /** The server's process that the connection leads to; -1 while there is none. */
@@ -44,9 +44,14 @@
         /** The client has its answer from this attempt: what the server did was no waste. */
         boolean used;
 
-        Result result;
+        AttemptResult result;
 
-        Attempt(Call call, Sidecar sidecar, int number, SaveServer server, long sentAt) {
+        Attempt(
+                ClientRequest call,
+                EmulatedSidecar sidecar,
+                int number,
+                EmulatedServer server,
+                long sentAt) {
             this.call = call;
             this.sidecar = sidecar;
             this.life = sidecar.life();
@@ -56,7 +61,7 @@
         }
 
         @Override
-        protected boolean knowsStart(SaveServer server) {
+        protected boolean knowsStart(EmulatedServer server) {
             return sidecar.knowsStart(server);
         }
     }
--- a/lab/src/main/java/sagefall/lab/model/Traffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.Arrays;
 import java.util.List;
@@ -9,23 +9,23 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.lab.model.Sidecar.Answer;
-import sagefall.lab.scenario.Scenario;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.RequestClass;
+import sagefall.emulator.EmulatedSidecar.Answer;
+import sagefall.scenario.Scenario;
 
 /**
  * The clients: open arrivals at rates that change, and what each client does with the answer it
  * gets. Arrivals wait for nothing, so two policies meet the same ones.
  */
-public final class Traffic {
+public final class ClientTraffic {
 
-    private final Loop loop;
-    private final List<? extends Door> sidecars;
-    private final Ledger ledger;
-    private final Network network;
+    private final EventQueue loop;
+    private final List<? extends SidecarHandle> sidecars;
+    private final ValueAccounting ledger;
+    private final EmulatedNetwork network;
     private final RequestClass rules;
     private final Scenario.Clients clients;
     private final Scenario.Service service;
@@ -44,7 +44,7 @@
     private final double[] tenantWeight;
     private final double[] quota;
     private final double[] credit;
-    private long creditedAt = Loop.BEGIN;
+    private long creditedAt = EventQueue.BEGIN;
 
     private final UniformRandomProvider arrivals;
     private final UniformRandomProvider figures;
@@ -68,13 +68,13 @@
     public double leave;
     public int stubborn;
 
-    public Traffic(
+    public ClientTraffic(
             Scenario scenario,
-            Draws draws,
-            Loop loop,
-            List<? extends Door> sidecars,
-            Ledger ledger,
-            Network network,
+            RandomStreams draws,
+            EventQueue loop,
+            List<? extends SidecarHandle> sidecars,
+            ValueAccounting ledger,
+            EmulatedNetwork network,
             RequestClass rules,
             double capacity) {
         this.loop = loop;
@@ -85,9 +85,10 @@
         clients = scenario.clients();
         service = scenario.service();
         repeatsAnything =
-                rules.effect() == Effect.SAFE
-                        || (rules.effect() == Effect.KEYED && rules.group() == Group.ALL);
-        end = Loop.BEGIN + (long) (1e6 * scenario.seconds());
+                rules.idempotency() == Idempotency.IDEMPOTENT
+                        || (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                && rules.deduplicationScope() == DeduplicationScope.ALL);
+        end = EventQueue.BEGIN + (long) (1e6 * scenario.seconds());
         tryMicros = rules.deadlineMicros() * clients.tryShare().draw(draws, "clients.try");
         waitMicros = 1000 * clients.waitMillis().draw(draws, "clients.wait");
         honour = clients.honour().draw(draws, "clients.honour");
@@ -133,12 +134,12 @@
         return ones;
     }
 
-    private static double[] sidecarWeights(Scenario scenario, Draws draws) {
+    private static double[] sidecarWeights(Scenario scenario, RandomStreams draws) {
         UniformRandomProvider random = draws.stream("load.sidecars");
         ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
         int zones = scenario.fleet().zones().size();
         double[] zone =
-                Day.uneven(
+                FleetSimulation.uneven(
                         zones,
                         scenario.load().zoneSkew().draw(draws, "load.zone_skew"),
                         draws.stream("load.zones"));
@@ -189,7 +190,8 @@
     }
 
     private void next() {
-        double wave = 1 + swing * Math.sin(2 * Math.PI * (loop.now() - Loop.BEGIN) / wavePeriod);
+        double wave =
+                1 + swing * Math.sin(2 * Math.PI * (loop.now() - EventQueue.BEGIN) / wavePeriod);
         double rate = perMicro * weight * burst * wave;
         long at =
                 rate <= 0
@@ -221,8 +223,8 @@
     private void arrive() {
         long now = loop.now();
         int tenant = whichTenant.sample();
-        Wish wish =
-                new Wish(
+        ClientOperation wish =
+                new ClientOperation(
                         made++,
                         now,
                         now + rules.deadlineMicros(),
@@ -250,10 +252,10 @@
         return false;
     }
 
-    private void tryOnce(Wish wish) {
+    private void tryOnce(ClientOperation wish) {
         wish.tries++;
         ledger.tries++;
-        Door sidecar = at(wish.sidecar);
+        SidecarHandle sidecar = at(wish.sidecar);
         if (!sidecar.up()) {
             sidecar.missed(wish);
             ledger.answer("unreachable");
@@ -261,8 +263,8 @@
             return;
         }
         long deadline = Math.min(wish.endsAt, loop.now() + (long) tryMicros);
-        Call call =
-                new Call(
+        ClientRequest call =
+                new ClientRequest(
                         sidecar.prefix() + String.format("%010x", ++ids),
                         wish,
                         loop.now(),
@@ -282,7 +284,7 @@
     }
 
     /** A planned restart takes the application with it: its clients go to the next of its zone. */
-    private Door at(Door sidecar) {
+    private SidecarHandle at(SidecarHandle sidecar) {
         int zones = shift.length;
         for (int i = 0; sidecar.leaving() && i < sidecars.size(); i++) {
             sidecar = sidecars.get((sidecar.index() + zones) % sidecars.size());
@@ -291,24 +293,22 @@
     }
 
     /** The client of a call hears its final answer. */
-    public void answer(Call call, Answer kind, Reason why, long retryMicros) {
+    public void answer(ClientRequest call, Answer kind, RejectionReason why, long retryMicros) {
         answer(
                 call,
                 kind,
                 why == null
                         ? "unanswered"
-                        : kind.name().toLowerCase(Locale.ROOT)
-                                + " "
-                                + why.name().toLowerCase(Locale.ROOT),
+                        : kind.name().toLowerCase(Locale.ROOT) + " " + why.label(),
                 retryMicros);
     }
 
     /** The same in words, where no more than a status is told. */
-    public void answer(Call call, Answer kind, String word, long retryMicros) {
+    public void answer(ClientRequest call, Answer kind, String word, long retryMicros) {
         loop.in(
                 network.clientWay(),
                 () -> {
-                    Wish wish = call.wish;
+                    ClientOperation wish = call.wish;
                     if (kind == Answer.SERVED) {
                         served(wish);
                         return;
@@ -322,14 +322,14 @@
                 });
     }
 
-    private void served(Wish wish) {
+    private void served(ClientOperation wish) {
         if (wish.over) {
             return;
         }
         wish.over = true;
         long micros = loop.now() - wish.arrivedAt;
         ledger.answered(wish, micros);
-        if (micros <= rules.aimMicros()) {
+        if (micros <= rules.latencyObjectiveMicros()) {
             ledger.served(wish);
         } else {
             ledger.lost(wish, "late", true);
@@ -337,7 +337,7 @@
     }
 
     /** The sidecar died with the call in hand. */
-    public void dropped(Call call) {
+    public void dropped(ClientRequest call) {
         if (repeatsAnything) {
             again(call.wish, 0, "sidecar killed");
         } else {
@@ -345,7 +345,7 @@
         }
     }
 
-    private void again(Wish wish, long retryMicros, String why) {
+    private void again(ClientOperation wish, long retryMicros, String why) {
         if (wish.over) {
             return;
         }
@@ -356,17 +356,18 @@
         }
         if (wish.tries > (insists ? stubborn : clients.retries())
                 || loop.now() + wait
-                        >= Math.min(wish.endsAt, wish.arrivedAt + rules.aimMicros() * 2)) {
+                        >= Math.min(
+                                wish.endsAt, wish.arrivedAt + rules.latencyObjectiveMicros() * 2)) {
             lose(wish, why);
             return;
         }
         loop.in((long) wait + 1, () -> tryOnce(wish));
     }
 
-    private void lose(Wish wish, String why) {
+    private void lose(ClientOperation wish, String why) {
         if (!wish.over) {
             wish.over = true;
-            ledger.lost(wish, why, loop.now() - wish.arrivedAt > rules.aimMicros());
+            ledger.lost(wish, why, loop.now() - wish.arrivedAt > rules.latencyObjectiveMicros());
         }
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Discovery.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
@@ -1,28 +1,28 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Server;
-import sagefall.lab.scenario.Scenario;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.scenario.Scenario;
 
 /**
  * What is known of the servers, and when each sidecar hears of it: a change is noticed after a
  * while, goes into the next list, and reaches one sidecar after another.
  */
-public final class Discovery {
+public final class EmulatedDiscovery {
 
     /** By which part of the usual time one server is noticed sooner or later than another. */
     private static final double UNLIKE = 0.3;
 
-    private final Loop loop;
-    private final List<? extends Subscriber> sidecars;
-    private final Map<Long, Server> known = new LinkedHashMap<>();
-    private final Map<Long, Server> changed = new LinkedHashMap<>();
+    private final EventQueue loop;
+    private final List<? extends EndpointListSubscriber> sidecars;
+    private final Map<Long, ListedEndpoint> known = new LinkedHashMap<>();
+    private final Map<Long, ListedEndpoint> changed = new LinkedHashMap<>();
     private final UniformRandomProvider random;
     private final double notice;
     private final double silent;
@@ -40,8 +40,11 @@
 
     public int down;
 
-    public Discovery(
-            Scenario.Listing listing, Draws draws, Loop loop, List<? extends Subscriber> sidecars) {
+    public EmulatedDiscovery(
+            Scenario.Listing listing,
+            RandomStreams draws,
+            EventQueue loop,
+            List<? extends EndpointListSubscriber> sidecars) {
         this.loop = loop;
         this.sidecars = sidecars;
         notice = 1e6 * listing.noticeSeconds().draw(draws, "discovery.notice");
@@ -58,17 +61,17 @@
     }
 
     /** Before the day begins. */
-    public void first(Iterable<SaveServer> servers) {
-        servers.forEach(s -> known.put(s.id, line(s, Phase.READY)));
+    public void first(Iterable<EmulatedServer> servers) {
+        servers.forEach(s -> known.put(s.id, line(s, EndpointPhase.READY)));
         loop.in(period, this::publish);
     }
 
-    public List<Server> list() {
+    public List<ListedEndpoint> list() {
         return new ArrayList<>(known.values());
     }
 
-    private static Server line(SaveServer s, Phase phase) {
-        return new Server(
+    private static ListedEndpoint line(EmulatedServer s, EndpointPhase phase) {
+        return new ListedEndpoint(
                 s.id,
                 s.zone,
                 s.make.kind(),
@@ -79,25 +82,25 @@
     }
 
     /** A server has started. */
-    public void started(SaveServer s) {
+    public void started(EmulatedServer s) {
         int epoch = s.epoch;
         loop.in(
                 after(add),
                 () -> {
-                    if (epoch == s.epoch && s.state == SaveServer.State.UP) {
-                        change(line(s, Phase.READY));
+                    if (epoch == s.epoch && s.state == EmulatedServer.State.UP) {
+                        change(line(s, EndpointPhase.READY));
                     }
                 });
     }
 
     /** A server is to be replaced. */
-    public void draining(SaveServer s) {
+    public void draining(EmulatedServer s) {
         loop.in(
                 after(notice),
                 () -> {
-                    Server now = known.get(s.id);
+                    ListedEndpoint now = known.get(s.id);
                     if (now != null) {
-                        change(line(s, Phase.DRAINING));
+                        change(line(s, EndpointPhase.DRAINING));
                     }
                 });
     }
@@ -106,15 +109,15 @@
      * A server's process has ended; known once it is noticed that it does not run, if it still does
      * not.
      */
-    public void ended(SaveServer s) {
+    public void ended(EmulatedServer s) {
         int epoch = s.epoch;
         loop.in(
-                after(s.state == SaveServer.State.SILENT ? silent : notice),
+                after(s.state == EmulatedServer.State.SILENT ? silent : notice),
                 () -> {
                     if (epoch == s.epoch
-                            && s.state != SaveServer.State.UP
+                            && s.state != EmulatedServer.State.UP
                             && known.containsKey(s.id)) {
-                        change(line(s, Phase.REMOVED));
+                        change(line(s, EndpointPhase.REMOVED));
                     }
                 });
     }
@@ -129,8 +132,8 @@
         return (long) (notice * late * (1 + UNLIKE)) + period + 1_000_000;
     }
 
-    private void change(Server line) {
-        if (line.phase() == Phase.REMOVED) {
+    private void change(ListedEndpoint line) {
+        if (line.phase() == EndpointPhase.REMOVED) {
             known.remove(line.id());
         } else {
             known.put(line.id(), line);
@@ -140,15 +143,15 @@
 
     private void publish() {
         if (!changed.isEmpty() && down == 0) {
-            List<Server> lines = List.copyOf(changed.values());
+            List<ListedEndpoint> lines = List.copyOf(changed.values());
             changed.clear();
-            for (Subscriber s : sidecars) {
+            for (EndpointListSubscriber s : sidecars) {
                 int life = s.life();
                 loop.in(
                         (long) (lag[s.index()] * late),
                         () -> {
                             if (life == s.life() && deaf[s.index()] == 0) {
-                                s.list(ListKind.CHANGES, lines);
+                                s.list(EndpointListKind.CHANGES, lines);
                             }
                         });
             }
@@ -157,7 +160,7 @@
     }
 
     /** From now on, or no longer, one hears of no change; in the end it gets the whole list. */
-    public void deaf(Subscriber s, boolean on) {
+    public void deaf(EndpointListSubscriber s, boolean on) {
         deaf[s.index()] += on ? 1 : -1;
         if (!on && deaf[s.index()] == 0) {
             ask(s);
@@ -165,7 +168,7 @@
     }
 
     /** A sidecar that has just started asks for the whole list. */
-    public void ask(Subscriber s) {
+    public void ask(EndpointListSubscriber s) {
         int life = s.life();
         loop.in(
                 lag[s.index()] / 4 + 1,
@@ -176,7 +179,7 @@
                     if (down > 0 || deaf[s.index()] > 0) {
                         ask(s);
                     } else {
-                        s.list(ListKind.COMPLETE, list());
+                        s.list(EndpointListKind.COMPLETE, list());
                     }
                 });
     }
--- a/lab/src/main/java/sagefall/lab/model/Network.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
@@ -1,14 +1,14 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.lab.scenario.Scenario;
+import sagefall.scenario.Scenario;
 
 /**
  * The ways between zones: latency, jitter, and cuts in one or both directions. What meets a cut is
  * lost and not sent anew later; a real TCP would repeat it after the cut, mostly too late for its
  * aim.
  */
-public final class Network {
+public final class EmulatedNetwork {
 
     private final double same;
     private final double cross;
@@ -17,7 +17,7 @@
     private final UniformRandomProvider random;
     private final int[][] cuts;
 
-    public Network(Scenario.Net net, Draws draws, int zones) {
+    public EmulatedNetwork(Scenario.Net net, RandomStreams draws, int zones) {
         same = 1000 * net.sameMillis().draw(draws, "net.same");
         cross = 1000 * net.crossMillis().draw(draws, "net.cross");
         client = 1000 * net.clientMillis().draw(draws, "net.client");
--- a/lab/src/main/java/sagefall/lab/model/SaveServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -1,18 +1,18 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.LoadBalancer.LoadReport;
+import sagefall.balancer.api.LoadReport;
 
 /**
  * A save server: slots that work side by side, a bounded waiting room, and a capacity that depends
  * on how cold it is, how many requests and connections it holds, and what troubles it. Work that
  * was taken is done to its end, whatever its client does meanwhile.
  */
-public final class SaveServer {
+public final class EmulatedServer {
 
     /** What its process does. */
     public enum State {
@@ -56,7 +56,7 @@
          * A cold server was sent more than it bears; told is the part from sidecars that knew it as
          * new.
          */
-        void fell(SaveServer server, double told);
+        void fell(EmulatedServer server, double told);
     }
 
     private static final long COLD_STEP = 50_000;
@@ -71,7 +71,7 @@
     public final int zone;
     public final int cell;
     public final Make make;
-    private final Loop loop;
+    private final EventQueue loop;
     private final Floor floor;
     private final double[] sharedSlow;
 
@@ -98,12 +98,18 @@
     private long advancedAt;
     private int plan;
 
-    private final LoadFigures figures;
-    private ColdBudget budget;
+    private final LoadReportSampler figures;
+    private SlowStartBudget budget;
     private double warmed;
 
-    public SaveServer(
-            long id, int zone, int cell, Make make, Loop loop, double[] sharedSlow, Floor floor) {
+    public EmulatedServer(
+            long id,
+            int zone,
+            int cell,
+            Make make,
+            EventQueue loop,
+            double[] sharedSlow,
+            Floor floor) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
@@ -113,7 +119,7 @@
         this.floor = floor;
         errors = make.errors;
         advancedAt = loop.now();
-        figures = new LoadFigures(make.cores, make.reportMicros, loop.now());
+        figures = new LoadReportSampler(make.cores, make.reportMicros, loop.now());
         rate = rate();
         keys =
                 new LinkedHashMap<>(16, 0.75f, true) {
@@ -127,7 +133,7 @@
     }
 
     /** What it bears while it is cold; without one it bears anything. */
-    public void bears(ColdBudget cold) {
+    public void bears(SlowStartBudget cold) {
         budget = cold;
     }
 
