--- a/lab/src/main/java/sagefall/lab/model/Sidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,46 +7,47 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Server;
-import sagefall.lab.model.Call.Attempt;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+import sagefall.emulator.ClientRequest.Attempt;
 
 /**
  * The host of one instance of the module, as the real host and the simulator's are: it turns what
  * happens into events and actions into what happens, and decides nothing. It keeps the connections
  * to servers.
  */
-public final class Sidecar implements Actions, Door, Subscriber {
+public final class EmulatedSidecar
+        implements BalancerActions, SidecarHandle, EndpointListSubscriber {
 
     /** What this life of the sidecar has been told of a server; gone at 0 is not gone. */
     record Told(long startMicros, long goneAt) {}
 
     /** What a sidecar needs of the world round it. */
     interface World {
-        Loop loop();
+        EventQueue loop();
 
-        Network network();
+        EmulatedNetwork network();
 
-        Rules rules();
+        InvariantChecker rules();
 
-        SaveServer server(long id);
+        EmulatedServer server(long id);
 
         /** A fresh module for a life of a sidecar. */
-        LoadBalancer module(Sidecar sidecar);
+        LoadBalancer module(EmulatedSidecar sidecar);
 
         /** A request to a server, on its way over a connection that is open. */
         void carry(Attempt attempt);
 
         /** The client hears. */
-        void answer(Call call, Answer kind, Reason why, long retryMicros);
+        void answer(ClientRequest call, Answer kind, RejectionReason why, long retryMicros);
 
         double idleMicros();
 
@@ -74,17 +75,17 @@
     private final World world;
     private final int index;
     private final int zone;
-    private final Map<String, Call> calls = new HashMap<>();
+    private final Map<String, ClientRequest> calls = new HashMap<>();
     private final Map<Long, Idle> idle = new HashMap<>();
     private final Map<Long, Told> told = new HashMap<>();
-    private final Map<Long, Server> held = new HashMap<>();
+    private final Map<Long, ListedEndpoint> held = new HashMap<>();
     private LoadBalancer module;
     private int life;
     private String prefix = "";
     boolean up;
     boolean leaving;
 
-    Sidecar(World world, int index, int zone) {
+    EmulatedSidecar(World world, int index, int zone) {
         this.world = world;
         this.index = index;
         this.zone = zone;
@@ -124,7 +125,7 @@
         return told.get(server);
     }
 
-    boolean knowsStart(SaveServer server) {
+    boolean knowsStart(EmulatedServer server) {
         Told t = told.get(server.id);
         return t != null && t.startMicros == server.startedAt;
     }
@@ -132,7 +133,7 @@
     // ---- Its life
 
     /** A new process that knows the list that the last one had. */
-    void start(List<Server> first) {
+    void start(List<ListedEndpoint> first) {
         life++;
         prefix = String.format("%04x%02x", index, life & 0xff);
         up = true;
@@ -140,23 +141,23 @@
         told.clear();
         calls.clear();
         module = world.module(this);
-        list(ListKind.CACHED, held.isEmpty() ? first : new ArrayList<>(held.values()));
+        list(EndpointListKind.CACHED, held.isEmpty() ? first : new ArrayList<>(held.values()));
     }
 
     /** The process ends at once; its connections end with it, and clients hear nothing more. */
-    List<Call> kill() {
-        List<Call> open = new ArrayList<>(calls.values());
+    List<ClientRequest> kill() {
+        List<ClientRequest> open = new ArrayList<>(calls.values());
         up = false;
         life++;
         module = null;
         for (Map.Entry<Long, Idle> e : idle.entrySet()) {
-            SaveServer server = world.server(e.getKey());
+            EmulatedServer server = world.server(e.getKey());
             for (long[] c : e.getValue().since) {
                 disconnect(server, (int) c[1]);
             }
         }
         idle.clear();
-        for (Call call : open) {
+        for (ClientRequest call : open) {
             for (Attempt a : call.attempts) {
                 if (a.result == null) {
                     disconnect(a.server, a.epoch);
@@ -174,13 +175,13 @@
     // ---- Events
 
     @Override
-    public void list(ListKind kind, List<Server> lines) {
+    public void list(EndpointListKind kind, List<ListedEndpoint> lines) {
         if (module == null) {
             return;
         }
         long now = world.loop().now();
-        if (kind != ListKind.CHANGES) {
-            Map<Long, Server> gone = new HashMap<>(held);
+        if (kind != EndpointListKind.CHANGES) {
+            Map<Long, ListedEndpoint> gone = new HashMap<>(held);
             lines.forEach(line -> gone.remove(line.id()));
             gone.keySet()
                     .forEach(
@@ -193,25 +194,25 @@
                                                             : new Told(t.startMicros, now)));
             held.clear();
         }
-        for (Server line : lines) {
+        for (ListedEndpoint line : lines) {
             Told before = told.get(line.id());
             long goneAt =
-                    line.phase() == Phase.READY
+                    line.phase() == EndpointPhase.READY
                             ? 0
                             : before != null && before.goneAt != 0 ? before.goneAt : now;
             told.put(line.id(), new Told(line.startMicros(), goneAt));
-            if (line.phase() == Phase.REMOVED) {
+            if (line.phase() == EndpointPhase.REMOVED) {
                 held.remove(line.id());
             } else {
                 held.put(line.id(), line);
             }
         }
-        module.servers(now, kind, lines);
+        module.onEndpointList(now, kind, lines);
     }
 
     @Override
-    public void take(Call call, boolean repeat) {
-        Loop loop = world.loop();
+    public void take(ClientRequest call, boolean repeat) {
+        EventQueue loop = world.loop();
         calls.put(call.id, call);
         int mine = life;
         loop.at(
@@ -221,17 +222,17 @@
                         deadline(call);
                     }
                 });
-        module.request(
+        module.onRequest(
                 loop.now(),
                 new Request(
                         call.id, 0, call.wish.tenant, repeat, call.wish.key, call.deadline, true));
     }
 
-    private void deadline(Call call) {
+    private void deadline(ClientRequest call) {
         for (int i = 0; i < call.attempts.size(); i++) {
             Attempt a = call.attempts.get(i);
             if (a.result == null) {
-                end(a, Result.TIMED_OUT, null);
+                end(a, AttemptResult.TIMED_OUT, null);
             }
         }
         int mine = life;
@@ -240,7 +241,12 @@
                         world.graceMicros(),
                         () -> {
                             if (mine == life && !call.over) {
-                                world.rules().breach(Rules.Rule.ONE_ANSWER, call.id, -1, index);
+                                world.rules()
+                                        .breach(
+                                                InvariantChecker.Rule.ONE_ANSWER,
+                                                call.id,
+                                                -1,
+                                                index);
                                 leave(call);
                                 world.answer(call, Answer.FAILED, null, 0);
                             }
@@ -248,51 +254,54 @@
     }
 
     @Override
-    public void leave(Call call) {
+    public void leave(ClientRequest call) {
         if (call.over || module == null) {
             return;
         }
         call.over = true;
-        module.clientLeft(world.loop().now(), call.id);
+        module.onClientDisconnected(world.loop().now(), call.id);
         forget(call);
     }
 
-    private void forget(Call call) {
+    private void forget(ClientRequest call) {
         if (call.over && call.out == 0) {
             calls.remove(call.id);
         }
     }
 
     /** An attempt has ended, as this side sees it. */
-    void end(Attempt a, Result result, LoadReport report) {
+    void end(Attempt a, AttemptResult result, LoadReport report) {
         if (a.result != null || a.life != life) {
             return;
         }
         a.result = result;
-        Call call = a.call;
+        ClientRequest call = a.call;
         call.out--;
         long now = world.loop().now();
-        boolean keep = result == Result.SERVED || result == Result.ERROR || result == Result.FULL;
-        if (keep && a.epoch == a.server.epoch && a.server.state != SaveServer.State.DEAD) {
+        boolean keep =
+                result == AttemptResult.SERVED
+                        || result == AttemptResult.ERROR
+                        || result == AttemptResult.REJECTED;
+        if (keep && a.epoch == a.server.epoch && a.server.state != EmulatedServer.State.DEAD) {
             idle.computeIfAbsent(a.server.id, s -> new Idle())
                     .since
                     .push(new long[] {now, a.epoch});
         } else {
             disconnect(a.server, a.epoch);
         }
-        if (result == Result.SERVED && !call.over) {
+        if (result == AttemptResult.SERVED && !call.over) {
             call.over = true;
             a.used = true;
             world.answer(call, Answer.SERVED, null, 0);
         }
-        module.outcome(
+        module.onAttemptOutcome(
                 now,
-                new Outcome(
+                new AttemptOutcome(
                         call.id, a.number, a.server.id, result, now - a.sentAt, call.over, report));
         forget(call);
     }
 
-    private static void disconnect(SaveServer server, int epoch) {
+    private static void disconnect(EmulatedServer server, int epoch) {
         if (server != null && epoch == server.epoch && server.connections > 0) {
             server.connections--;
         }
@@ -301,7 +310,7 @@
     // ---- Connections
 
     /** A connection that may be used, most recently used first; null where a new one is needed. */
-    private long[] reuse(SaveServer server) {
+    private long[] reuse(EmulatedServer server) {
         Idle mine = idle.get(server.id);
         if (mine == null) {
             return null;
@@ -313,7 +322,7 @@
         }
         while (!mine.since.isEmpty()) {
             long[] connection = mine.since.pop();
-            if ((connection[1] == server.epoch && server.state != SaveServer.State.DEAD)
+            if ((connection[1] == server.epoch && server.state != EmulatedServer.State.DEAD)
                     || server.endedSilently) {
                 return connection;
             }
@@ -322,8 +331,8 @@
     }
 
     private void connect(Attempt a) {
-        Loop loop = world.loop();
-        SaveServer server = a.server;
+        EventQueue loop = world.loop();
+        EmulatedServer server = a.server;
         long[] connection = reuse(server);
         if (connection != null) {
             a.epoch = (int) connection[1];
@@ -331,17 +340,17 @@
             return;
         }
         a.fresh = true;
-        Network net = world.network();
+        EmulatedNetwork net = world.network();
         long there = net.way(zone, server.zone);
         if (net.cut(zone, server.zone)
                 || net.cut(server.zone, zone)
-                || server.state == SaveServer.State.SILENT) {
-            loop.in(world.setupLimitMicros(), () -> end(a, Result.NO_CONNECTION, null));
+                || server.state == EmulatedServer.State.SILENT) {
+            loop.in(world.setupLimitMicros(), () -> end(a, AttemptResult.NO_CONNECTION, null));
             return;
         }
-        if (server.state == SaveServer.State.DEAD
+        if (server.state == EmulatedServer.State.DEAD
                 || server.connections >= server.make.connections()) {
-            loop.in(2 * there, () -> end(a, Result.NO_CONNECTION, null));
+            loop.in(2 * there, () -> end(a, AttemptResult.NO_CONNECTION, null));
             return;
         }
         a.epoch = server.epoch;
@@ -351,7 +360,7 @@
                 () -> {
                     if (a.result == null && a.life == life) {
                         if (loop.now() >= a.latestAt) {
-                            end(a, Result.NOT_SENT, null);
+                            end(a, AttemptResult.NOT_SENT, null);
                         } else {
                             world.carry(a);
                         }
@@ -363,9 +372,9 @@
 
     @Override
     public void send(String requestId, long serverId, long timeoutMicros, long latestMicros) {
-        Loop loop = world.loop();
-        Call call = calls.get(requestId);
-        SaveServer server = world.server(serverId);
+        EventQueue loop = world.loop();
+        ClientRequest call = calls.get(requestId);
+        EmulatedServer server = world.server(serverId);
         world.rules().sent(this, call, requestId, server, serverId);
         if (call == null || server == null) {
             return;
@@ -375,30 +384,30 @@
         call.attempts.add(a);
         call.out++;
         if (call.over || loop.now() >= call.deadline) {
-            loop.in(1, () -> end(a, Result.NOT_SENT, null));
+            loop.in(1, () -> end(a, AttemptResult.NOT_SENT, null));
             return;
         }
         if (timeoutMicros > 0 && loop.now() + timeoutMicros < call.deadline) {
-            loop.in(timeoutMicros, () -> end(a, Result.TIMED_OUT, null));
+            loop.in(timeoutMicros, () -> end(a, AttemptResult.TIMED_OUT, null));
         }
         connect(a);
     }
 
     @Override
-    public void refuse(String requestId, long retryAfterMicros, Reason why) {
-        Call call = calls.get(requestId);
+    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
+        ClientRequest call = calls.get(requestId);
         world.rules().refused(this, call, requestId);
         finish(call, Answer.REFUSED, why, retryAfterMicros);
     }
 
     @Override
-    public void fail(String requestId, Reason why) {
-        Call call = calls.get(requestId);
+    public void fail(String requestId, RejectionReason why) {
+        ClientRequest call = calls.get(requestId);
         world.rules().named(this, requestId);
         finish(call, Answer.FAILED, why, 0);
     }
 
-    private void finish(Call call, Answer kind, Reason why, long retryMicros) {
+    private void finish(ClientRequest call, Answer kind, RejectionReason why, long retryMicros) {
         if (call == null || call.over) {
             return;
         }
@@ -409,14 +418,15 @@
 
     @Override
     public void cancel(String requestId, int attempt) {
-        Call call = calls.get(requestId);
+        ClientRequest call = calls.get(requestId);
         if (call != null && attempt >= 0 && attempt < call.attempts.size()) {
-            world.loop().in(1, () -> end(call.attempts.get(attempt), Result.CANCELLED, null));
+            world.loop()
+                    .in(1, () -> end(call.attempts.get(attempt), AttemptResult.CANCELLED, null));
         }
     }
 
     @Override
-    public void timer(long atMicros, long token) {
+    public void scheduleTimer(long atMicros, long token) {
         int mine = life;
         // Never within the event that is being answered.
         world.loop()
@@ -424,13 +434,13 @@
                         Math.max(atMicros, world.loop().now() + 1),
                         () -> {
                             if (mine == life) {
-                                module.timer(world.loop().now(), token);
+                                module.onTimer(world.loop().now(), token);
                             }
                         });
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
         Idle mine = idle.remove(server);
         if (mine != null) {
             mine.since.forEach(c -> disconnect(world.server(server), (int) c[1]));
@@ -439,14 +449,14 @@
 
     /** Lists are pushed; a call for one brings the list as it is held. */
     @Override
-    public void subscribe() {
+    public void requestEndpointUpdates() {
         int mine = life;
         world.loop()
                 .in(
                         1,
                         () -> {
                             if (mine == life) {
-                                list(ListKind.COMPLETE, new ArrayList<>(held.values()));
+                                list(EndpointListKind.COMPLETE, new ArrayList<>(held.values()));
                             }
                         });
     }
@@ -454,6 +464,7 @@
     /** The module's own words, for whoever turns this logger on. */
     @Override
     public void log(String line) {
-        LOG.debug("{} s, sidecar {}: {}", (world.loop().now() - Loop.BEGIN) / 1e6, index, line);
+        LOG.debug(
+                "{} s, sidecar {}: {}", (world.loop().now() - EventQueue.BEGIN) / 1e6, index, line);
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Subscriber.java
+++ b/testbed/src/main/java/sagefall/emulator/EndpointListSubscriber.java
@@ -1,11 +1,11 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.List;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Server;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
 
 /** Who is told of the servers: an emulated sidecar, or what discovery holds for a real one. */
-public interface Subscriber {
+public interface EndpointListSubscriber {
 
     /** Its place among all, from 0 on. */
     int index();
@@ -14,5 +14,5 @@
     int life();
 
     /** Some lines that changed, or the whole list. */
-    void list(ListKind kind, List<Server> lines);
+    void list(EndpointListKind kind, List<ListedEndpoint> lines);
 }
--- a/lab/src/main/java/sagefall/lab/model/Loop.java
+++ b/testbed/src/main/java/sagefall/emulator/EventQueue.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.PriorityQueue;
 
@@ -7,7 +7,7 @@
  * being asked for: so one day has one course. Times are microseconds; the clock begins at a second,
  * as a start time of 0 means "long ago" to the module.
  */
-public final class Loop {
+public final class EventQueue {
 
     /** When a day begins. */
     public static final long BEGIN = 1_000_000;
--- a/lab/src/main/java/sagefall/lab/model/Troubles.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultInjector.java
@@ -1,25 +1,25 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import sagefall.lab.scenario.Fault;
+import sagefall.scenario.Fault;
 
 /** Brings about what a scenario says goes wrong, and ends it. */
-final class Troubles {
+final class FaultInjector {
 
     /** One of them as it is drawn, for reports: seconds of the day. */
     record Drawn(String what, double from, double to) {}
 
-    private final Day day;
-    private final Loop loop;
-    private final Draws draws;
+    private final FleetSimulation day;
+    private final EventQueue loop;
+    private final RandomStreams draws;
     private final List<Drawn> drawn = new ArrayList<>();
     private final double daySeconds;
 
-    Troubles(Day day, Loop loop, Draws draws, double daySeconds) {
+    FaultInjector(FleetSimulation day, EventQueue loop, RandomStreams draws, double daySeconds) {
         this.day = day;
         this.loop = loop;
         this.draws = draws;
@@ -41,7 +41,7 @@
         Fault.Drawn d = f.draw(draws.stream(name), daySeconds);
         double part = d.part();
         double size = d.size();
-        long begin = Loop.BEGIN + (long) (1e6 * d.from());
+        long begin = EventQueue.BEGIN + (long) (1e6 * d.from());
         long micros = (long) (1e6 * d.seconds());
         long period = (long) (1e6 * d.every());
         drawn.add(
@@ -86,7 +86,7 @@
                             micros,
                             on -> {
                                 day.sharedSlow[0] *= on ? size : 1 / size;
-                                day.servers().forEach(SaveServer::settle);
+                                day.servers().forEach(EmulatedServer::settle);
                             });
             case ERRORS -> onSome(d, begin, micros, (s, on) -> s.errors += on ? size : -size);
             case PAUSES ->
@@ -132,9 +132,9 @@
                                 day.traffic().reweigh();
                             });
             case REPLACE -> {
-                List<SaveServer> some = d.some(day.first());
+                List<EmulatedServer> some = d.some(day.first());
                 for (int i = 0; i < some.size(); i++) {
-                    SaveServer s = some.get(i);
+                    EmulatedServer s = some.get(i);
                     loop.at(
                             begin + micros * i / some.size(),
                             () -> day.replace(s, f.how().equals("early")));
@@ -143,17 +143,17 @@
             case KILL_SIDECARS ->
                     loop.at(begin, () -> killSidecars(d, f.zone(), (long) (1e6 * size)));
             case RESTART_SIDECARS -> {
-                List<Sidecar> some = d.some(day.sidecars());
+                List<EmulatedSidecar> some = d.some(day.sidecars());
                 int steps = Math.min(10, some.size());
                 for (int i = 0; i < some.size(); i++) {
-                    Sidecar s = some.get(i);
+                    EmulatedSidecar s = some.get(i);
                     loop.at(
                             begin + micros * (i % steps) / steps,
                             () -> day.restart(s, (long) (1e6 * size)));
                 }
             }
             case DEAF -> {
-                for (Sidecar s : d.some(day.sidecars())) {
+                for (EmulatedSidecar s : d.some(day.sidecars())) {
                     spell(begin, micros, on -> day.discovery().deaf(s, on));
                 }
             }
@@ -172,7 +172,7 @@
     /** True at its beginning, false at its end. */
     /** Kills a drawn part of the sidecars of a zone, or of all zones where it is negative. */
     private void killSidecars(Fault.Drawn d, int zone, long downMicros) {
-        List<Sidecar> candidates =
+        List<EmulatedSidecar> candidates =
                 day.sidecars().stream().filter(s -> zone < 0 || s.zone() == zone).toList();
         d.some(candidates).forEach(s -> day.kill(s, downMicros));
     }
@@ -183,36 +183,39 @@
     }
 
     private interface Change {
-        void on(SaveServer server, boolean begins);
+        void on(EmulatedServer server, boolean begins);
     }
 
     private void onSome(Fault.Drawn d, long begin, long micros, Change change) {
-        for (SaveServer s : d.some(day.first())) {
+        for (EmulatedServer s : d.some(day.first())) {
             spell(begin, micros, on -> change.on(s, on));
         }
     }
 
-    private Predicate<SaveServer> inZone(int zone) {
+    private Predicate<EmulatedServer> inZone(int zone) {
         return s -> s.zone == zone;
     }
 
-    private void lose(Predicate<SaveServer> which, String how, boolean begins) {
+    private void lose(Predicate<EmulatedServer> which, String how, boolean begins) {
         day.servers().stream().filter(which).toList().forEach(s -> lose(s, how, begins));
     }
 
-    private void lose(SaveServer s, String how, boolean begins) {
-        if (begins && (s.state == SaveServer.State.UP || s.state == SaveServer.State.DRAINING)) {
+    private void lose(EmulatedServer s, String how, boolean begins) {
+        if (begins
+                && (s.state == EmulatedServer.State.UP
+                        || s.state == EmulatedServer.State.DRAINING)) {
             s.end(how.equals("silent"));
             day.discovery().ended(s);
         } else if (!begins
                 && !day.gone(s)
-                && (s.state == SaveServer.State.SILENT || s.state == SaveServer.State.DEAD)) {
+                && (s.state == EmulatedServer.State.SILENT
+                        || s.state == EmulatedServer.State.DEAD)) {
             s.start();
             day.discovery().started(s);
         }
     }
 
-    private void neighbour(SaveServer s, double share, long period, long end, double phase) {
+    private void neighbour(EmulatedServer s, double share, long period, long end, double phase) {
         if (loop.now() + period * phase >= end) {
             return;
         }
--- a/lab/src/main/java/sagefall/lab/model/Day.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,24 +7,25 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Server;
-import sagefall.LoadBalancer.Settings;
-import sagefall.SettingsReader;
-import sagefall.lab.model.Call.Attempt;
-import sagefall.lab.policy.Policy;
-import sagefall.lab.scenario.Scenario;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.RequestClass;
+import sagefall.config.BalancerSettingsReader;
+import sagefall.emulator.ClientRequest.Attempt;
+import sagefall.policy.Policy;
+import sagefall.scenario.Scenario;
 
 /**
  * One day: a scenario, a seed and a policy, played from the first request to the last answer.
  * Everything happens in one thread and by one clock, so the same three give the same result on any
  * machine.
  */
-public final class Day implements Sidecar.World, SaveServer.Floor {
+public final class FleetSimulation implements EmulatedSidecar.World, EmulatedServer.Floor {
 
     /** How long after the last arrival a day goes on: longer than any client waits. */
     private static final long AFTER = 10_000_000;
@@ -32,21 +33,21 @@
     private final Scenario scenario;
     private final long seed;
     private final Policy policy;
-    private final Draws draws;
-    private final Loop loop = new Loop();
-    private final Network network;
-    private final Rules rules;
-    private final Ledger ledger;
-    private final Traffic traffic;
-    private final Discovery discovery;
-    private final Troubles troubles;
+    private final RandomStreams draws;
+    private final EventQueue loop = new EventQueue();
+    private final EmulatedNetwork network;
+    private final InvariantChecker rules;
+    private final ValueAccounting ledger;
+    private final ClientTraffic traffic;
+    private final EmulatedDiscovery discovery;
+    private final FaultInjector troubles;
     private final RequestClass requestClass;
     private final Map<String, Object> facts;
-    private final List<Sidecar> sidecars = new ArrayList<>();
-    private final Map<Long, SaveServer> servers = new LinkedHashMap<>();
-    private final List<SaveServer> first;
+    private final List<EmulatedSidecar> sidecars = new ArrayList<>();
+    private final Map<Long, EmulatedServer> servers = new LinkedHashMap<>();
+    private final List<EmulatedServer> first;
     private final Map<Long, Boolean> gone = new HashMap<>();
-    private final Fleet fleet;
+    private final ServerFactory fleet;
     private final UniformRandomProvider chances;
     private final ZigguratSampler.NormalizedGaussian noise;
     private final UniformRandomProvider seeds;
@@ -61,37 +62,37 @@
     double lostAnswers;
     double resets;
 
-    public Day(Scenario scenario, long seed, Policy policy) {
+    public FleetSimulation(Scenario scenario, long seed, Policy policy) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
-        draws = new Draws(seed);
+        draws = new RandomStreams(seed);
         int zones = scenario.fleet().zones().size();
-        network = new Network(scenario.net(), draws, zones);
+        network = new EmulatedNetwork(scenario.net(), draws, zones);
         for (int i = 0; i < scenario.fleet().sidecars(); i++) {
-            sidecars.add(new Sidecar(this, i, i % zones));
+            sidecars.add(new EmulatedSidecar(this, i, i % zones));
         }
-        fleet = new Fleet(scenario, draws, loop, sharedSlow, this);
+        fleet = new ServerFactory(scenario, draws, loop, sharedSlow, this);
         first = fleet.first();
         first.forEach(s -> servers.put(s.id, s));
-        facts = Facts.of(scenario);
-        Settings settings = SettingsReader.read(0, facts(0));
+        facts = SettingsMessage.of(scenario);
+        BalancerSettings settings = BalancerSettingsReader.read(0, facts(0));
         requestClass = settings.classes().get(0);
         rules =
-                new Rules(
+                new InvariantChecker(
                         loop,
                         requestClass,
                         settings.limits(),
                         (long) (1000 * scenario.service().drainMillis()));
         ledger =
-                new Ledger(
+                new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
                         zones,
                         scenario.tenants().size(),
                         scenario.service().overShareWorth());
-        discovery = new Discovery(scenario.listing(), draws, loop, sidecars);
+        discovery = new EmulatedDiscovery(scenario.listing(), draws, loop, sidecars);
         traffic =
-                new Traffic(
+                new ClientTraffic(
                         scenario,
                         draws,
                         loop,
@@ -101,7 +102,7 @@
                         requestClass,
                         fleet.capacity());
         first.forEach(this::bears);
-        troubles = new Troubles(this, loop, draws, scenario.seconds());
+        troubles = new FaultInjector(this, loop, draws, scenario.seconds());
         chances = draws.stream("chances");
         noise = ZigguratSampler.NormalizedGaussian.of(draws.stream("noise"));
         seeds = draws.stream("seeds");
@@ -134,32 +135,32 @@
         return mine;
     }
 
-    private void bears(SaveServer s) {
+    private void bears(EmulatedServer s) {
         s.bears(
-                new ColdBudget(
+                new SlowStartBudget(
                         scenario.service().fallMultiple(),
                         (long) (1e6 * scenario.service().fallSeconds()),
                         traffic.meanWork()));
     }
 
     /** Plays it. */
-    public DayResult play() {
+    public SimulationResult play() {
         discovery.first(first);
-        List<Server> list = discovery.list();
-        for (Sidecar s : sidecars) {
+        List<ListedEndpoint> list = discovery.list();
+        for (EmulatedSidecar s : sidecars) {
             s.start(list);
             discovery.ask(s);
         }
-        for (SaveServer s : first) {
+        for (EmulatedServer s : first) {
             fleet.pausesOf(s, this);
         }
         troubles.plan(scenario.faults());
         traffic.begin();
         for (int second = 1; second <= ledger.seconds; second++) {
-            loop.at(Loop.BEGIN + second * 1_000_000L, this::sample);
+            loop.at(EventQueue.BEGIN + second * 1_000_000L, this::sample);
         }
-        loop.runUntil(Loop.BEGIN + (long) (1e6 * scenario.seconds()) + AFTER);
-        return DayResult.of(
+        loop.runUntil(EventQueue.BEGIN + (long) (1e6 * scenario.seconds()) + AFTER);
+        return SimulationResult.of(
                 scenario,
                 seed,
                 policy.name(),
@@ -175,43 +176,43 @@
     private void sample() {
         double[] row = new double[first.size()];
         for (int i = 0; i < row.length; i++) {
-            SaveServer s = first.get(i);
-            row[i] = s.state == SaveServer.State.UP ? s.held() / (double) s.make.cores() : -1;
+            EmulatedServer s = first.get(i);
+            row[i] = s.state == EmulatedServer.State.UP ? s.held() / (double) s.make.cores() : -1;
         }
         heat.add(row);
     }
 
     // ---- What troubles do
 
-    Traffic traffic() {
+    ClientTraffic traffic() {
         return traffic;
     }
 
-    Discovery discovery() {
+    EmulatedDiscovery discovery() {
         return discovery;
     }
 
-    List<Sidecar> sidecars() {
+    List<EmulatedSidecar> sidecars() {
         return sidecars;
     }
 
-    List<SaveServer> servers() {
+    List<EmulatedServer> servers() {
         return new ArrayList<>(servers.values());
     }
 
     /** Those of the day's beginning. */
-    List<SaveServer> first() {
+    List<EmulatedServer> first() {
         return first;
     }
 
     /** Whether it was replaced or fell over: such a one does not come back. */
-    boolean gone(SaveServer s) {
+    boolean gone(EmulatedServer s) {
         return gone.containsKey(s.id);
     }
 
     /** It stands still for a while, every so often, until then. */
-    void pauses(SaveServer s, long every, long micros, long until) {
-        Pauses.begin(
+    void pauses(EmulatedServer s, long every, long micros, long until) {
+        StopTheWorldPauses.begin(
                 loop,
                 chances,
                 every,
@@ -227,11 +228,11 @@
      * A new server takes the place of one that drains; that one turns new work away before it ends,
      * either early, from its beginning to drain, or once all sidecars have heard of it.
      */
-    void replace(SaveServer old, boolean early) {
+    void replace(EmulatedServer old, boolean early) {
         if (gone(old)) {
             return;
         }
-        SaveServer fresh = fleet.replacement(old);
+        EmulatedServer fresh = fleet.replacement(old);
         servers.put(fresh.id, fresh);
         bears(fresh);
         fresh.start();
@@ -241,13 +242,13 @@
         loop.in(
                 early ? 0 : discovery.settled(),
                 () -> {
-                    if (old.state == SaveServer.State.UP) {
-                        old.state = SaveServer.State.DRAINING;
+                    if (old.state == EmulatedServer.State.UP) {
+                        old.state = EmulatedServer.State.DRAINING;
                     }
                     loop.in(
                             requestClass.deadlineMicros(),
                             () -> {
-                                if (old.state != SaveServer.State.DEAD) {
+                                if (old.state != EmulatedServer.State.DEAD) {
                                     old.end(false);
                                     discovery.ended(old);
                                 }
@@ -255,7 +256,7 @@
                 });
     }
 
-    void kill(Sidecar s, long downMicros) {
+    void kill(EmulatedSidecar s, long downMicros) {
         if (!s.up) {
             return;
         }
@@ -271,7 +272,7 @@
         loop.in(downMicros + (long) (1e6 * start), () -> back(s));
     }
 
-    private void back(Sidecar s) {
+    private void back(EmulatedSidecar s) {
         if (!s.up) {
             s.start(discovery.list());
             discovery.ask(s);
@@ -282,7 +283,7 @@
      * Planned: nothing new comes, what is in hand is answered, then the process ends and another
      * starts.
      */
-    void restart(Sidecar s, long downMicros) {
+    void restart(EmulatedSidecar s, long downMicros) {
         if (!s.up) {
             return;
         }
@@ -299,37 +300,37 @@
     // ---- What a sidecar needs
 
     @Override
-    public Loop loop() {
+    public EventQueue loop() {
         return loop;
     }
 
     @Override
-    public Network network() {
+    public EmulatedNetwork network() {
         return network;
     }
 
     @Override
-    public Rules rules() {
+    public InvariantChecker rules() {
         return rules;
     }
 
     @Override
-    public SaveServer server(long id) {
+    public EmulatedServer server(long id) {
         return servers.get(id);
     }
 
     @Override
-    public LoadBalancer module(Sidecar s) {
+    public LoadBalancer module(EmulatedSidecar s) {
         long salt = seeds.nextLong() >>> 1;
         Map<String, Object> mine = facts(s.index());
-        return policy.create(SettingsReader.read(salt, mine), mine, s, this::answerMicros);
+        return policy.create(BalancerSettingsReader.read(salt, mine), mine, s, this::answerMicros);
     }
 
     /** What an oracle may know. */
     private double answerMicros(long id, int fromZone) {
-        SaveServer s = servers.get(id);
+        EmulatedServer s = servers.get(id);
         if (s == null
-                || s.state != SaveServer.State.UP
+                || s.state != EmulatedServer.State.UP
                 || network.cut(fromZone, s.zone)
                 || network.cut(s.zone, fromZone)) {
             return Double.POSITIVE_INFINITY;
@@ -363,7 +364,11 @@
     }
 
     @Override
-    public void answer(Call call, Sidecar.Answer kind, Reason why, long retryMicros) {
+    public void answer(
+            ClientRequest call,
+            EmulatedSidecar.Answer kind,
+            RejectionReason why,
+            long retryMicros) {
         traffic.answer(call, kind, why, retryMicros);
     }
 
@@ -381,17 +386,17 @@
     }
 
     private void arrive(Attempt a) {
-        SaveServer s = a.server;
-        if (s.state == SaveServer.State.SILENT) {
+        EmulatedServer s = a.server;
+        if (s.state == EmulatedServer.State.SILENT) {
             s.hang(a);
             return;
         }
-        if (s.state == SaveServer.State.DEAD || a.epoch != s.epoch) {
-            reply(a, Result.BROKEN);
+        if (s.state == EmulatedServer.State.DEAD || a.epoch != s.epoch) {
+            reply(a, AttemptResult.BROKEN);
             return;
         }
         double sigma = Math.sqrt(Math.log(1 + attemptNoise * attemptNoise));
-        Wish wish = a.call.wish;
+        ClientOperation wish = a.call.wish;
         a.work =
                 wish.work
                         * Math.exp(sigma * noise.sample() - sigma * sigma / 2)
@@ -401,18 +406,22 @@
         }
         a.work += a.fresh ? setupMicros : 0;
         a.left = a.work;
-        if (s.state == SaveServer.State.DRAINING || !s.take(a)) {
-            reply(a, s.state == SaveServer.State.DEAD ? Result.BROKEN : Result.FULL);
+        if (s.state == EmulatedServer.State.DRAINING || !s.take(a)) {
+            reply(
+                    a,
+                    s.state == EmulatedServer.State.DEAD
+                            ? AttemptResult.BROKEN
+                            : AttemptResult.REJECTED);
         }
     }
 
     /** The servers of a zone drop the repeat of a key for a while. */
-    private boolean repeat(Wish wish, SaveServer s) {
-        if (requestClass.effect() != LoadBalancer.Effect.KEYED) {
+    private boolean repeat(ClientOperation wish, EmulatedServer s) {
+        if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return false;
         }
         long before = wish.ranAt[s.zone];
-        if (before != 0 && loop.now() - before <= requestClass.dedupWindowMicros()) {
+        if (before != 0 && loop.now() - before <= requestClass.deduplicationWindowMicros()) {
             return true;
         }
         wish.ranAt[s.zone] = loop.now();
@@ -425,21 +434,23 @@
         ledger.workDone += a.work;
         double luck = chances.nextDouble();
         if (luck < resets) {
-            reply(a, Result.BROKEN);
+            reply(a, AttemptResult.BROKEN);
         } else if (luck < resets + lostAnswers) {
             ledger.workWasted += a.work;
         } else {
-            reply(a, luck > 1 - a.server.errors ? Result.ERROR : Result.SERVED);
+            reply(a, luck > 1 - a.server.errors ? AttemptResult.ERROR : AttemptResult.SERVED);
         }
     }
 
-    private void reply(Attempt a, Result result) {
+    private void reply(Attempt a, AttemptResult result) {
         if (network.cut(a.server.zone, a.sidecar.zone())) {
             ledger.workWasted += a.work;
             return;
         }
         LoadReport report =
-                result == Result.SERVED || result == Result.ERROR ? told(a.server) : null;
+                result == AttemptResult.SERVED || result == AttemptResult.ERROR
+                        ? told(a.server)
+                        : null;
         loop.in(
                 network.way(a.server.zone, a.sidecar.zone()),
                 () -> {
@@ -448,7 +459,7 @@
                 });
     }
 
-    private LoadReport told(SaveServer s) {
+    private LoadReport told(EmulatedServer s) {
         LoadReport exact = s.report();
         double factor = Math.max(0, 1 + reportNoise * noise.sample());
         return new LoadReport(
@@ -467,16 +478,16 @@
         if (!network.cut(a.server.zone, a.sidecar.zone())) {
             loop.in(
                     network.way(a.server.zone, a.sidecar.zone()),
-                    () -> a.sidecar.end(a, Result.BROKEN, null));
+                    () -> a.sidecar.end(a, AttemptResult.BROKEN, null));
         }
     }
 
     @Override
-    public void fell(SaveServer s, double told) {
+    public void fell(EmulatedServer s, double told) {
         gone.put(s.id, true);
         discovery.ended(s);
         if (told >= 2.0 / 3) {
-            rules.breach(Rules.Rule.COLD, "-", s.id, -1);
+            rules.breach(InvariantChecker.Rule.COLD, "-", s.id, -1);
         }
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Rules.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -1,18 +1,18 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.List;
-import sagefall.LoadBalancer.Effect;
-import sagefall.LoadBalancer.Group;
-import sagefall.LoadBalancer.Limits;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.lab.model.Call.Attempt;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.RequestClass;
+import sagefall.balancer.api.ServiceLimits;
+import sagefall.emulator.ClientRequest.Attempt;
 
 /**
  * What must hold whatever happens, checked on each event. A breach is a defect of the policy, or of
  * the model; either way the day's figures count for nothing.
  */
-public final class Rules {
+public final class InvariantChecker {
 
     /** What is checked. */
     public enum Rule {
@@ -35,14 +35,14 @@
 
     private static final int KEPT = 100;
 
-    private final Loop loop;
+    private final EventQueue loop;
     private final RequestClass rules;
-    private final Limits limits;
+    private final ServiceLimits limits;
     private final long drainMicros;
     private final List<Breach> breaches = new ArrayList<>();
     private long count;
 
-    Rules(Loop loop, RequestClass rules, Limits limits, long drainMicros) {
+    InvariantChecker(EventQueue loop, RequestClass rules, ServiceLimits limits, long drainMicros) {
         this.loop = loop;
         this.rules = rules;
         this.limits = limits;
@@ -63,17 +63,23 @@
         count++;
         if (breaches.size() < KEPT) {
             breaches.add(
-                    new Breach(rule, request, server, sidecar, (loop.now() - Loop.BEGIN) / 1e6));
+                    new Breach(
+                            rule, request, server, sidecar, (loop.now() - EventQueue.BEGIN) / 1e6));
         }
     }
 
     /** An attempt is about to be made. */
-    void sent(Sidecar sidecar, Call call, String id, SaveServer server, long serverId) {
+    void sent(
+            EmulatedSidecar sidecar,
+            ClientRequest call,
+            String id,
+            EmulatedServer server,
+            long serverId) {
         if (call == null || call.over) {
             breach(Rule.ONE_ANSWER, id, serverId, sidecar.index());
             return;
         }
-        Sidecar.Told told = sidecar.told(serverId);
+        EmulatedSidecar.Told told = sidecar.told(serverId);
         if (told == null || server == null) {
             breach(Rule.LISTED, id, serverId, sidecar.index());
             return;
@@ -81,7 +87,7 @@
         if (told.goneAt() != 0 && loop.now() > told.goneAt() + drainMicros) {
             breach(Rule.DRAIN, id, serverId, sidecar.index());
         }
-        if (call.attempts.size() >= limits.attempts()) {
+        if (call.attempts.size() >= limits.maxAttempts()) {
             breach(Rule.ATTEMPTS, id, serverId, sidecar.index());
         }
         if (!mayRun(call, server)) {
@@ -89,21 +95,21 @@
         }
     }
 
-    private boolean mayRun(Call call, SaveServer server) {
+    private boolean mayRun(ClientRequest call, EmulatedServer server) {
         Attempt first = mayHaveRun(call);
-        if (first == null || rules.effect() == Effect.SAFE) {
+        if (first == null || rules.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        return rules.effect() == Effect.KEYED
-                && loop.now() - first.sentAt <= rules.dedupWindowMicros()
-                && switch (rules.group()) {
+        return rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && loop.now() - first.sentAt <= rules.deduplicationWindowMicros()
+                && switch (rules.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> first.server.zone == server.zone;
                     case CELL -> first.server.cell == server.cell;
                 };
     }
 
-    private static Attempt mayHaveRun(Call call) {
+    private static Attempt mayHaveRun(ClientRequest call) {
         for (Attempt a : call.attempts) {
             if (a.result == null || !a.result.provesNotRun) {
                 return a;
@@ -113,13 +119,14 @@
     }
 
     /** A refusal tells the client that to ask again is harmless. */
-    void refused(Sidecar sidecar, Call call, String id) {
+    void refused(EmulatedSidecar sidecar, ClientRequest call, String id) {
         named(sidecar, id);
         if (call != null
                 && !call.over
-                && rules.effect() != Effect.SAFE
+                && rules.idempotency() != Idempotency.IDEMPOTENT
                 && mayHaveRun(call) != null
-                && !(rules.effect() == Effect.KEYED && rules.group() == Group.ALL)) {
+                && !(rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && rules.deduplicationScope() == DeduplicationScope.ALL)) {
             breach(Rule.EFFECT, id, mayHaveRun(call).server.id, sidecar.index());
         }
     }
@@ -128,7 +135,7 @@
      * A final answer names a request that this sidecar was given; one that has its answer is passed
      * over.
      */
-    void named(Sidecar sidecar, String id) {
+    void named(EmulatedSidecar sidecar, String id) {
         if (!id.startsWith(sidecar.prefix())) {
             breach(Rule.ONE_ANSWER, id, -1, sidecar.index());
         }
--- a/lab/src/main/java/sagefall/lab/model/Job.java
+++ b/testbed/src/main/java/sagefall/emulator/Job.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 /** A request at a server: how much work it is, and how much of that is left. */
 public abstract class Job {
@@ -8,5 +8,5 @@
     public double work;
 
     /** Whether its sender knew the present process of the server as new. */
-    protected abstract boolean knowsStart(SaveServer server);
+    protected abstract boolean knowsStart(EmulatedServer server);
 }
--- a/lab/src/main/java/sagefall/lab/model/LoadFigures.java
+++ b/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
@@ -1,12 +1,12 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
-import sagefall.LoadBalancer.LoadReport;
+import sagefall.balancer.api.LoadReport;
 
 /**
  * A server's own word on its load: sums that run on, and a report that is made of them now and
  * then.
  */
-final class LoadFigures {
+final class LoadReportSampler {
 
     private final int cores;
     private final long everyMicros;
@@ -19,7 +19,7 @@
     private long reportedAt;
     private LoadReport report;
 
-    LoadFigures(int cores, long everyMicros, long now) {
+    LoadReportSampler(int cores, long everyMicros, long now) {
         this.cores = cores;
         this.everyMicros = everyMicros;
         reportedAt = now;
--- a/lab/src/main/java/sagefall/lab/model/Draws.java
+++ b/testbed/src/main/java/sagefall/emulator/RandomStreams.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -8,11 +8,11 @@
  * shifts what another draws, so two policies that play the same seed meet the same arrivals, work
  * and faults.
  */
-public final class Draws {
+public final class RandomStreams {
 
     private final long seed;
 
-    public Draws(long seed) {
+    public RandomStreams(long seed) {
         this.seed = seed;
     }
 
--- a/lab/src/main/java/sagefall/lab/model/Fleet.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -1,33 +1,33 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.lab.scenario.Range;
-import sagefall.lab.scenario.Scenario;
+import sagefall.scenario.Scenario;
+import sagefall.scenario.ValueRange;
 
 /**
  * Makes the servers of a day: ids that tell nothing, unlike speeds, zones of unlike size, cells.
  */
-public final class Fleet {
+public final class ServerFactory {
 
     private final Scenario scenario;
-    private final Draws draws;
-    private final Loop loop;
+    private final RandomStreams draws;
+    private final EventQueue loop;
     private final double[] sharedSlow;
-    private final SaveServer.Floor floor;
+    private final EmulatedServer.Floor floor;
     private final UniformRandomProvider random;
     private final Set<Long> ids = new HashSet<>();
-    private final List<SaveServer> first = new ArrayList<>();
+    private final List<EmulatedServer> first = new ArrayList<>();
 
-    public Fleet(
+    public ServerFactory(
             Scenario scenario,
-            Draws draws,
-            Loop loop,
+            RandomStreams draws,
+            EventQueue loop,
             double[] sharedSlow,
-            SaveServer.Floor floor) {
+            EmulatedServer.Floor floor) {
         this.scenario = scenario;
         this.draws = draws;
         this.loop = loop;
@@ -36,7 +36,8 @@
         random = draws.stream("fleet");
         int zones = scenario.fleet().zones().size();
         double[] parts =
-                Day.uneven(zones, scenario.fleet().serverSkew(), draws.stream("fleet.zones"));
+                FleetSimulation.uneven(
+                        zones, scenario.fleet().serverSkew(), draws.stream("fleet.zones"));
         int[] inZone = new int[zones];
         for (int i = 0; i < scenario.fleet().servers(); i++) {
             int zone = 0;
@@ -46,11 +47,11 @@
                 }
             }
             int cell = zone + zones * (inZone[zone]++ / scenario.fleet().cellServers());
-            first.add(new SaveServer(id(), zone, cell, make(kind(i)), loop, sharedSlow, floor));
+            first.add(new EmulatedServer(id(), zone, cell, make(kind(i)), loop, sharedSlow, floor));
         }
     }
 
-    public List<SaveServer> first() {
+    public List<EmulatedServer> first() {
         return first;
     }
 
@@ -80,16 +81,16 @@
         return kind;
     }
 
-    private double of(Range range) {
+    private double of(ValueRange range) {
         return range.at(random.nextDouble());
     }
 
-    private SaveServer.Make make(int kind) {
+    private EmulatedServer.Make make(int kind) {
         Scenario.Kind k = scenario.kinds().get(kind);
         Scenario.Service service = scenario.service();
         Scenario.Net net = scenario.net();
         int cores = k.cores();
-        return new SaveServer.Make(
+        return new EmulatedServer.Make(
                 kind,
                 cores,
                 of(k.speed()),
@@ -112,13 +113,13 @@
     }
 
     /** Its own small pauses, all day. */
-    void pausesOf(SaveServer s, Day day) {
+    void pausesOf(EmulatedServer s, FleetSimulation day) {
         day.pauses(s, s.make.pauseEvery(), s.make.pauseMicros(), Long.MAX_VALUE);
     }
 
     /** A machine of the same kind in the same place, with another id. */
-    public SaveServer replacement(SaveServer old) {
-        return new SaveServer(
+    public EmulatedServer replacement(EmulatedServer old) {
+        return new EmulatedServer(
                 id(), old.zone, old.cell, make(old.make.kind()), loop, sharedSlow, floor);
     }
 }
--- a/lab/src/main/java/sagefall/lab/model/Facts.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -1,14 +1,14 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.lab.scenario.Scenario;
+import sagefall.scenario.Scenario;
 
 /** The settings of a scenario as an instance is told them, in the words of the wire. */
-public final class Facts {
+public final class SettingsMessage {
 
-    private Facts() {}
+    private SettingsMessage() {}
 
     private static long micros(double millis) {
         return (long) (1000 * millis);
--- a/lab/src/main/java/sagefall/lab/model/Door.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -1,7 +1,7 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 /** What clients see of a sidecar: the emulated one, or a real process that the rig has started. */
-public interface Door {
+public interface SidecarHandle {
 
     /** Its place among all, from 0 on. */
     int index();
@@ -19,11 +19,11 @@
     String prefix();
 
     /** A client came while its process did not run. */
-    default void missed(Wish wish) {}
+    default void missed(ClientOperation wish) {}
 
-    /** A client's request; its answer comes by {@link Traffic#answer}. */
-    void take(Call call, boolean repeat);
+    /** A client's request; its answer comes by {@link ClientTraffic#answer}. */
+    void take(ClientRequest call, boolean repeat);
 
     /** The client has gone. */
-    void leave(Call call);
+    void leave(ClientRequest call);
 }
--- a/lab/src/main/java/sagefall/lab/model/DayResult.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResult.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import sagefall.lab.scenario.Scenario;
+import sagefall.scenario.Scenario;
 
 /**
  * What came of a day. Worth is counted per wish of a client, all of its tries together, in the
@@ -22,7 +22,7 @@
  * @param heat by second, for each server of the day's beginning, the requests a core that it held;
  *     -1: down
  */
-public record DayResult(
+public record SimulationResult(
         String scenario,
         long seed,
         String policy,
@@ -45,7 +45,7 @@
         List<double[]> heat,
         List<Integer> serverZones,
         List<Trouble> troubles,
-        List<Rules.Breach> breaches,
+        List<InvariantChecker.Breach> breaches,
         long breachCount,
         long events) {
 
@@ -91,13 +91,13 @@
             double[][] zoneP95,
             Map<String, double[]> lostByZone) {}
 
-    static DayResult of(
+    static SimulationResult of(
             Scenario scenario,
             long seed,
             String policy,
-            Ledger ledger,
-            Rules rules,
-            List<Troubles.Drawn> troubles,
+            ValueAccounting ledger,
+            InvariantChecker rules,
+            List<FaultInjector.Drawn> troubles,
             List<double[]> heat,
             List<Integer> serverZones,
             long events) {
@@ -129,7 +129,7 @@
                                         ledger.lostBeyond.containsKey(cause)
                                                 ? ledger.lostBeyond.get(cause).worth()
                                                 : 0)));
-        return new DayResult(
+        return new SimulationResult(
                 scenario.name(),
                 seed,
                 policy,
@@ -168,7 +168,7 @@
         return worst;
     }
 
-    private static Series series(Ledger ledger) {
+    private static Series series(ValueAccounting ledger) {
         int seconds = ledger.seconds;
         double[][] p95 = new double[seconds][ledger.zones];
         double[][] all = new double[3][seconds];
--- a/lab/src/main/java/sagefall/lab/model/ColdBudget.java
+++ b/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.ArrayDeque;
 
@@ -7,7 +7,7 @@
  * of its present capacity, which is N requests of the mean work, as no sidecar can know that one is
  * long; past them 2 x root of N + 2 are chance.
  */
-public final class ColdBudget {
+public final class SlowStartBudget {
 
     private record Sent(long at, boolean told) {}
 
@@ -18,7 +18,7 @@
     private int told;
 
     /** Spans in microseconds, work in microseconds on a core of speed 1. */
-    public ColdBudget(double multiple, long spanMicros, double meanWork) {
+    public SlowStartBudget(double multiple, long spanMicros, double meanWork) {
         this.multiple = multiple;
         this.spanMicros = spanMicros;
         this.meanWork = meanWork;
--- a/lab/src/main/java/sagefall/lab/model/Pauses.java
+++ b/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
@@ -1,12 +1,12 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.function.IntConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Something that stands still for a while, every so often, until a time. */
-public final class Pauses {
+public final class StopTheWorldPauses {
 
-    private Pauses() {}
+    private StopTheWorldPauses() {}
 
     /**
      * Begins them; all times in microseconds.
@@ -14,7 +14,7 @@
      * @param change is given 1 where one begins and -1 where it ends
      */
     public static void begin(
-            Loop loop,
+            EventQueue loop,
             UniformRandomProvider chances,
             long every,
             long micros,
--- a/lab/src/main/java/sagefall/lab/model/Ledger.java
+++ b/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -8,7 +8,7 @@
  * What the requests of a day were worth, what was earned, and by whose word the rest was lost.
  * Seconds are those of a request's arrival.
  */
-public final class Ledger {
+public final class ValueAccounting {
 
     /** Worth and number of requests. */
     public static final class Sum {
@@ -64,7 +64,7 @@
     public double workWasted;
     double lateWorth;
 
-    public Ledger(int seconds, int zones, int tenants, double overShareWorth) {
+    public ValueAccounting(int seconds, int zones, int tenants, double overShareWorth) {
         this.seconds = seconds;
         this.zones = zones;
         this.overShareWorth = new double[] {1, overShareWorth};
@@ -75,15 +75,15 @@
         tenantServed = new double[tenants];
     }
 
-    double worth(Wish wish) {
+    double worth(ClientOperation wish) {
         return overShareWorth[wish.beyondShare ? 1 : 0];
     }
 
-    private int second(Wish wish) {
-        return (int) Math.min(seconds - 1, (wish.arrivedAt - Loop.BEGIN) / 1_000_000);
+    private int second(ClientOperation wish) {
+        return (int) Math.min(seconds - 1, (wish.arrivedAt - EventQueue.BEGIN) / 1_000_000);
     }
 
-    void asked(Wish wish) {
+    void asked(ClientOperation wish) {
         firstTries++;
         asked[second(wish)][wish.sidecar.zone()] += worth(wish);
         if (!wish.beyondShare) {
@@ -91,7 +91,7 @@
         }
     }
 
-    void served(Wish wish) {
+    void served(ClientOperation wish) {
         served[second(wish)][wish.sidecar.zone()] += worth(wish);
         if (!wish.beyondShare) {
             tenantServed[wish.tenant]++;
@@ -99,7 +99,7 @@
     }
 
     /** An answer of a server, in its aim or not, in microseconds from the client's first try. */
-    void answered(Wish wish, long micros) {
+    void answered(ClientOperation wish, long micros) {
         long most = Math.min(micros, LONGEST);
         all.recordValue(most);
         int second = second(wish);
@@ -109,7 +109,7 @@
         latency[second][wish.sidecar.zone()].recordValue(most);
     }
 
-    void lost(Wish wish, String cause, boolean late) {
+    void lost(ClientOperation wish, String cause, boolean late) {
         double worth = worth(wish);
         lost.computeIfAbsent(cause, c -> new Sum()).add(worth);
         if (wish.beyondShare) {
--- a/lab/src/main/java/sagefall/lab/experiment/Paired.java
+++ b/testbed/src/main/java/sagefall/experiment/PairedDifference.java
@@ -1,4 +1,4 @@
-package sagefall.lab.experiment;
+package sagefall.experiment;
 
 import java.util.Arrays;
 import java.util.List;
@@ -6,8 +6,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.statistics.descriptive.Mean;
 import org.apache.commons.statistics.descriptive.Quantile;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.model.Draws;
+import sagefall.emulator.RandomStreams;
+import sagefall.emulator.SimulationResult;
 
 /**
  * The difference of two policies on the same seeds, with a bootstrap interval: seeds are drawn anew
@@ -19,7 +19,7 @@
  * @param low lower end of the interval
  * @param high upper end
  */
-public record Paired(
+public record PairedDifference(
         String figure,
         int seeds,
         double meanA,
@@ -36,14 +36,17 @@
 
     private static final int DRAWN = 10_000;
 
-    static Paired of(
-            String figure, List<DayResult> a, List<DayResult> b, ToDoubleFunction<DayResult> of) {
+    static PairedDifference of(
+            String figure,
+            List<SimulationResult> a,
+            List<SimulationResult> b,
+            ToDoubleFunction<SimulationResult> of) {
         double[] inA = a.stream().mapToDouble(of).toArray();
         double[] inB = b.stream().mapToDouble(of).toArray();
         double[] difference = new double[inA.length];
         Arrays.setAll(difference, i -> inB[i] - inA[i]);
         double[] means = new double[DRAWN];
-        UniformRandomProvider random = new Draws(1).stream("bootstrap." + figure);
+        UniformRandomProvider random = new RandomStreams(1).stream("bootstrap." + figure);
         for (int i = 0; i < DRAWN; i++) {
             double sum = 0;
             for (int k = 0; k < difference.length; k++) {
@@ -53,7 +56,7 @@
         }
         double[] ends =
                 Quantile.withDefaults().evaluate(means, (1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2);
-        return new Paired(
+        return new PairedDifference(
                 figure,
                 difference.length,
                 Mean.of(inA).getAsDouble(),
--- a/lab/src/main/java/sagefall/lab/experiment/Plays.java
+++ b/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
@@ -1,4 +1,4 @@
-package sagefall.lab.experiment;
+package sagefall.experiment;
 
 import java.io.PrintStream;
 import java.nio.file.Path;
@@ -8,18 +8,14 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import sagefall.lab.model.Day;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.policy.Policies;
-import sagefall.lab.policy.Policy;
-import sagefall.lab.policy.PolicyException;
-import sagefall.lab.scenario.Scenario;
+import sagefall.emulator.FleetSimulation;
+import sagefall.emulator.SimulationResult;
+import sagefall.policy.Policy;
+import sagefall.policy.PolicyException;
+import sagefall.policy.PolicyRegistry;
 
 /** Plays days side by side. Each has a thread to itself, so their number changes no result. */
-public final class Plays {
-
-    /** A day to play: a scenario, a seed, and a policy by its name. */
-    public record Play(Scenario scenario, long seed, String policy) {}
+public final class ParallelSimulations {
 
     private final int threads;
     private final Path root;
@@ -30,7 +26,7 @@
      * @param root where the policy files are
      * @param progress where a bar is drawn, or null
      */
-    public Plays(int threads, Path root, PrintStream progress) {
+    public ParallelSimulations(int threads, Path root, PrintStream progress) {
         this.threads = threads;
         this.root = root;
         this.progress = progress;
@@ -38,25 +34,30 @@
 
     /** What hears of each day as it is done, in the order of their end. */
     public interface Listener {
-        void done(DayResult result);
+        void done(SimulationResult result);
     }
 
     /** Plays all; the results stand in the order of the days. A day that fails ends the whole. */
-    public List<DayResult> all(List<Play> plays, Listener listener) throws PolicyException {
-        for (String policy : plays.stream().map(Play::policy).distinct().toList()) {
-            Policies.of(policy, root).close();
+    public List<SimulationResult> all(List<SimulationRequest> plays, Listener listener)
+            throws PolicyException {
+        for (String policy : plays.stream().map(SimulationRequest::policy).distinct().toList()) {
+            PolicyRegistry.of(policy, root).close();
         }
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<DayResult>> futures = new ArrayList<>();
+            List<Future<SimulationResult>> futures = new ArrayList<>();
             int[] done = {0};
-            for (Play play : plays) {
+            for (SimulationRequest play : plays) {
                 futures.add(
                         pool.submit(
                                 () -> {
-                                    try (Policy policy = Policies.of(play.policy, root)) {
-                                        DayResult result =
-                                                new Day(play.scenario, play.seed, policy).play();
+                                    try (Policy policy = PolicyRegistry.of(play.policy(), root)) {
+                                        SimulationResult result =
+                                                new FleetSimulation(
+                                                                play.scenario(),
+                                                                play.seed(),
+                                                                policy)
+                                                        .play();
                                         synchronized (done) {
                                             listener.done(result);
                                             bar(++done[0], plays.size());
@@ -65,8 +66,8 @@
                                     }
                                 }));
             }
-            List<DayResult> results = new ArrayList<>();
-            for (Future<DayResult> future : futures) {
+            List<SimulationResult> results = new ArrayList<>();
+            for (Future<SimulationResult> future : futures) {
                 results.add(future.get());
             }
             return results;
--- a/lab/src/main/java/sagefall/lab/rig/Plug.java
+++ b/testbed/src/main/java/sagefall/faultinjection/BlackholeAddress.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,7 +13,7 @@
  * itself and accepts nobody, so that the system drops what asks to connect, as a vanished machine
  * would.
  */
-final class Plug implements AutoCloseable {
+final class BlackholeAddress implements AutoCloseable {
 
     /** The system's queue holds one more than it is told; one above that to be sure. */
     private static final int FILLERS = 3;
@@ -21,7 +21,7 @@
     private final ServerSocketChannel listening = ServerSocketChannel.open();
     private final List<SocketChannel> fillers = new ArrayList<>();
 
-    Plug(InetSocketAddress address) throws IOException {
+    BlackholeAddress(InetSocketAddress address) throws IOException {
         listening.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         listening.bind(address, 1);
         for (int i = 0; i < FILLERS; i++) {
--- a/lab/src/main/java/sagefall/lab/rig/Application.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -29,7 +29,7 @@
  * connection, more connections when all are busy, and, where a connection that was in use before
  * closes under a request with no byte answered, the same request once more on a new one.
  */
-final class Application {
+final class ClientLoad {
 
     /**
      * Status of an answer: a connection that was not accepted, and one that ended without an
@@ -72,7 +72,7 @@
     private final InetSocketAddress sidecar;
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
 
-    Application(EventLoop loop, InetSocketAddress sidecar) {
+    ClientLoad(EventLoop loop, InetSocketAddress sidecar) {
         this.loop = loop;
         this.sidecar = sidecar;
     }
--- a/lab/src/main/java/sagefall/lab/rig/Starving.java
+++ b/testbed/src/main/java/sagefall/faultinjection/CpuStarvation.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
@@ -11,7 +11,7 @@
  * How long a process waited for a core, by Linux's own account of each of its threads: on a busy
  * machine a member is late for no fault of its own, and whoever judges it has to know by how much.
  */
-final class Starving {
+final class CpuStarvation {
 
     private final Map<String, Long> waited = new HashMap<>();
 
--- a/lab/src/main/java/sagefall/lab/rig/DatagramLink.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DatagramRelay.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -16,7 +16,7 @@
  * The way of datagrams from one member to another, which may lose, double, delay and so reorder
  * them. The other side sees this way's address as the sender's.
  */
-final class DatagramLink implements AutoCloseable {
+final class DatagramRelay implements AutoCloseable {
 
     /**
      * @param lost part that never arrives; {@code doubled} part that arrives twice
@@ -31,7 +31,7 @@
     private volatile InetSocketAddress target;
     private volatile Way way = Way.FREE;
 
-    DatagramLink(EventLoopGroup group, InetAddress at, DoubleSupplier chance)
+    DatagramRelay(EventLoopGroup group, InetAddress at, DoubleSupplier chance)
             throws InterruptedException {
         this.chance = chance;
         channel =
--- a/lab/src/main/java/sagefall/lab/rig/ListView.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DiscoveryAgent.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -26,13 +26,13 @@
  * What discovery's agent beside one sidecar holds, and tells: the whole list, or, to a watch, what
  * is newer. It outlives its sidecar, as agents do, and stays silent while discovery is down.
  */
-final class ListView {
+final class DiscoveryAgent {
 
     private record Line(JsonNode target, long revision) {}
 
     private final int index;
-    private final Pace pace;
-    private final History history;
+    private final RealTimeEventLoop pace;
+    private final EventHistory history;
     private final Map<String, Line> lines = new LinkedHashMap<>();
     private final Set<Watch> waiting = new HashSet<>();
     private long revision;
@@ -42,7 +42,7 @@
 
     private boolean mute;
 
-    ListView(int index, Pace pace, History history) {
+    DiscoveryAgent(int index, RealTimeEventLoop pace, EventHistory history) {
         this.index = index;
         this.pace = pace;
         this.history = history;
@@ -105,7 +105,7 @@
             asked = false;
             whole |= revision > from && from < wholeSince;
             waiting.remove(this);
-            ObjectNode list = History.JSON.createObjectNode();
+            ObjectNode list = EventHistory.JSON.createObjectNode();
             list.put("rev", Math.max(revision, from)).put("all", whole);
             ArrayNode targets = list.putArray("targets");
             for (Line line : lines.values()) {
--- a/lab/src/main/java/sagefall/lab/rig/History.java
+++ b/testbed/src/main/java/sagefall/faultinjection/EventHistory.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -27,7 +27,7 @@
  * process that is killed leaves no effect behind that its file does not hold; that costs some
  * microseconds a line.
  */
-final class History implements Closeable {
+final class EventHistory implements Closeable {
 
     static final ObjectMapper JSON = new ObjectMapper();
     static final TypeReference<Map<String, Object>> MAP = new TypeReference<>() {};
@@ -45,7 +45,7 @@
 
     private final OutputStream out;
 
-    History(Path file) throws IOException {
+    EventHistory(Path file) throws IOException {
         out = new FileOutputStream(file.toFile(), true);
     }
 
--- a/lab/src/main/java/sagefall/lab/rig/Rig.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -26,32 +26,32 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.apache.commons.rng.simple.ThreadLocalRandomSource;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.RequestClass;
-import sagefall.LoadBalancer.Server;
-import sagefall.SettingsReader;
-import sagefall.lab.load.SidecarProcess;
-import sagefall.lab.model.Discovery;
-import sagefall.lab.model.Draws;
-import sagefall.lab.model.Facts;
-import sagefall.lab.model.Fleet;
-import sagefall.lab.model.Job;
-import sagefall.lab.model.Ledger;
-import sagefall.lab.model.Loop;
-import sagefall.lab.model.Network;
-import sagefall.lab.model.Pauses;
-import sagefall.lab.model.SaveServer;
-import sagefall.lab.model.Traffic;
-import sagefall.lab.scenario.Scenario;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.RequestClass;
+import sagefall.config.BalancerSettingsReader;
+import sagefall.emulator.ClientTraffic;
+import sagefall.emulator.EmulatedDiscovery;
+import sagefall.emulator.EmulatedNetwork;
+import sagefall.emulator.EmulatedServer;
+import sagefall.emulator.EventQueue;
+import sagefall.emulator.Job;
+import sagefall.emulator.RandomStreams;
+import sagefall.emulator.ServerFactory;
+import sagefall.emulator.SettingsMessage;
+import sagefall.emulator.StopTheWorldPauses;
+import sagefall.emulator.ValueAccounting;
+import sagefall.load.SidecarProcess;
+import sagefall.scenario.Scenario;
 
 /**
  * One play of a plan by real processes: sidecars by the deploy file's {@code run}, save servers and
  * replicas of discovery in processes of their own, a relay on the way between any two of them, and
  * the emulator's clients, servers, discovery and draws at the pace of the machine's clock. What
- * happens is written down; {@link Checks} judge it from that alone.
+ * happens is written down; {@link InvariantChecks} judge it from that alone.
  */
-final class Rig implements AutoCloseable {
+public final class FaultInjectionRun implements AutoCloseable {
 
     private static final int REPLICAS = 2;
     private static final int THREADS = 3;
@@ -64,24 +64,26 @@
     private static final long STARVED_NANOS = 20_000_000;
 
     /** What goes into the folder of a play. */
-    static final String PLAN = "plan.json";
+    public static final String PLAN = "plan.json";
 
     static final String SCHEDULE = "schedule.jsonl";
     static final String HISTORY = "history";
 
-    final Plan plan;
+    final RunPlan plan;
     final Scenario scenario;
-    final Pace pace;
-    final History history;
-    final Guard guard;
+    final RealTimeEventLoop pace;
+    final EventHistory history;
+    final ProcessGuard guard;
     private final Path out;
     private final EventLoopGroup group;
-    private final ExecutorService workers = Executors.newCachedThreadPool(Rig::daemon);
-    private final ExecutorService changes = Executors.newSingleThreadExecutor(Rig::daemon);
+    private final ExecutorService workers =
+            Executors.newCachedThreadPool(FaultInjectionRun::daemon);
+    private final ExecutorService changes =
+            Executors.newSingleThreadExecutor(FaultInjectionRun::daemon);
     private final Thread hook = new Thread(this::killAll, "rig end");
-    private final Draws draws;
-    private final Network network;
-    private final Fleet fleet;
+    private final RandomStreams draws;
+    private final EmulatedNetwork network;
+    private final ServerFactory fleet;
     private final RequestClass requestClass;
     private final UniformRandomProvider noise =
             ThreadLocalRandomSource.current(RandomSource.XO_SHI_RO_256_PP);
@@ -90,17 +92,17 @@
     private final List<ServerMember> first = new ArrayList<>();
     private final Map<Long, ServerMember> servers = new LinkedHashMap<>();
     private final List<ServerProcess> processes = new ArrayList<>();
-    private final List<Child> replicas = new ArrayList<>();
-    private final Ledger ledger;
-    private final Schedule schedule;
-    private final Owners owners;
-    private Discovery discovery;
-    private Traffic traffic;
+    private final List<StandInProcess> replicas = new ArrayList<>();
+    private final ValueAccounting ledger;
+    private final FaultSchedule schedule;
+    private final LeaseObserver owners;
+    private EmulatedDiscovery discovery;
+    private ClientTraffic traffic;
     private int slots;
     private volatile Throwable failure;
 
     /** Makes all that listens, and starts nothing yet. */
-    Rig(Plan plan, Path out) throws Exception {
+    FaultInjectionRun(RunPlan plan, Path out) throws Exception {
         this.plan = plan;
         this.out = out;
         scenario = plan.scenario();
@@ -109,43 +111,43 @@
         }
         Files.createDirectories(out.resolve(HISTORY));
         plan.write(out.resolve(PLAN));
-        history = new History(out.resolve(HISTORY).resolve("rig.jsonl"));
-        pace = new Pace(nanos -> history.line("stall", "ms", nanos / 1_000_000));
-        guard = new Guard();
+        history = new EventHistory(out.resolve(HISTORY).resolve("rig.jsonl"));
+        pace = new RealTimeEventLoop(nanos -> history.line("stall", "ms", nanos / 1_000_000));
+        guard = new ProcessGuard();
         Runtime.getRuntime().addShutdownHook(hook);
         group = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
-        draws = new Draws(plan.seed());
+        draws = new RandomStreams(plan.seed());
         int zones = scenario.fleet().zones().size();
-        network = new Network(scenario.net(), draws, zones);
+        network = new EmulatedNetwork(scenario.net(), draws, zones);
         setupMicros = scenario.net().setupMicros().draw(draws, "net.setup");
         owners =
                 scenario.fleet().leaseMillis() == 0
                         ? null
-                        : new Owners(out.resolve("shared").toAbsolutePath());
-        Map<String, Object> facts = Facts.of(scenario);
+                        : new LeaseObserver(out.resolve("shared").toAbsolutePath());
+        Map<String, Object> facts = SettingsMessage.of(scenario);
         facts.put("rank", 0L);
         facts.put("zone", 0L);
-        requestClass = SettingsReader.read(0, facts).classes().get(0);
+        requestClass = BalancerSettingsReader.read(0, facts).classes().get(0);
         ledger =
-                new Ledger(
+                new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
                         zones,
                         scenario.tenants().size(),
                         scenario.service().overShareWorth());
-        fleet = new Fleet(scenario, draws, pace.loop(), new double[] {1}, new Nothing());
+        fleet = new ServerFactory(scenario, draws, pace.loop(), new double[] {1}, new Nothing());
         for (int i = 0; i < scenario.fleet().sidecars(); i++) {
             sidecars.add(sidecar(i, i % zones));
         }
-        for (SaveServer s : fleet.first()) {
+        for (EmulatedServer s : fleet.first()) {
             first.add(member(s, slots++));
         }
-        schedule = new Schedule(this, plan.faults());
+        schedule = new FaultSchedule(this, plan.faults());
         Files.write(out.resolve(SCHEDULE), schedule.lines());
         place(schedule.alone());
     }
 
     /** Of servers' mirrors, which do no work. */
-    private static final class Nothing implements SaveServer.Floor {
+    private static final class Nothing implements EmulatedServer.Floor {
         @Override
         public void done(Job job) {}
 
@@ -153,7 +155,7 @@
         public void broken(Job job) {}
 
         @Override
-        public void fell(SaveServer server, double told) {}
+        public void fell(EmulatedServer server, double told) {}
     }
 
     private static Thread daemon(Runnable task) {
@@ -172,8 +174,14 @@
     private SidecarMember sidecar(int index, int zone) throws Exception {
         Path folder = Files.createDirectories(out.resolve("sidecar-" + index)).toAbsolutePath();
         InetSocketAddress listen = SidecarProcess.free(address(index, 201, 1));
-        Link way = new Link(group, address(index, 200, 1), Link.Way.FREE, Link.Way.FREE, null);
-        Map<String, Object> facts = Facts.of(scenario);
+        LinkRelay way =
+                new LinkRelay(
+                        group,
+                        address(index, 200, 1),
+                        LinkRelay.Way.FREE,
+                        LinkRelay.Way.FREE,
+                        null);
+        Map<String, Object> facts = SettingsMessage.of(scenario);
         facts.put("rank", (long) index);
         facts.put("zone", (long) zone);
         Path root = plan.builds().get(index % plan.builds().size()).toAbsolutePath();
@@ -184,17 +192,17 @@
                 root,
                 folder,
                 listen,
-                new Application(group.next(), listen),
+                new ClientLoad(group.next(), listen),
                 way,
                 facts);
     }
 
-    private ServerMember member(SaveServer s, int slot) throws Exception {
+    private ServerMember member(EmulatedServer s, int slot) throws Exception {
         List<ServerMember.Way> ways = new ArrayList<>();
         for (SidecarMember from : sidecars) {
             String[] text = new String[1];
-            Link link =
-                    new Link(
+            LinkRelay link =
+                    new LinkRelay(
                             group,
                             address(from.index(), slot / 250, 1 + slot % 250),
                             way(from.zone(), s.zone),
@@ -210,8 +218,8 @@
         return member;
     }
 
-    private Link.Way way(int from, int to) {
-        return new Link.Way(() -> network.way(from, to, noise), 0, false, 0, 0);
+    private LinkRelay.Way way(int from, int to) {
+        return new LinkRelay.Way(() -> network.way(from, to, noise), 0, false, 0, 0);
     }
 
     private static String text(InetSocketAddress at) {
@@ -258,9 +266,9 @@
                 "group",
                 scenario.service().group(),
                 "window_us",
-                requestClass.dedupWindowMicros(),
+                requestClass.deduplicationWindowMicros(),
                 "aim_us",
-                requestClass.aimMicros(),
+                requestClass.latencyObjectiveMicros(),
                 "drain_us",
                 1000 * scenario.service().drainMillis(),
                 "attempts",
@@ -273,12 +281,12 @@
                 meanWork(),
                 "over_share_worth",
                 scenario.service().overShareWorth());
-        discovery = new Discovery(scenario.listing(), draws, pace.loop(), sidecars);
+        discovery = new EmulatedDiscovery(scenario.listing(), draws, pace.loop(), sidecars);
         List<Future<?>> all = new ArrayList<>();
         for (int r = 0; r < REPLICAS; r++) {
-            Child child = child("discovery-" + r);
+            StandInProcess child = child("discovery-" + r);
             replicas.add(child);
-            ObjectNode command = History.JSON.createObjectNode().put("do", "views");
+            ObjectNode command = EventHistory.JSON.createObjectNode().put("do", "views");
             ArrayNode who = command.putArray("who");
             int number = r;
             List<SidecarMember> mine =
@@ -307,10 +315,10 @@
         for (Future<?> ready : all) {
             ready.get(END_SECONDS, TimeUnit.SECONDS);
         }
-        List<Server> list = new ArrayList<>();
+        List<ListedEndpoint> list = new ArrayList<>();
         discovery.first(first.stream().map(m -> m.mirror).toList());
         list.addAll(discovery.list());
-        sidecars.forEach(s -> s.list(ListKind.COMPLETE, list));
+        sidecars.forEach(s -> s.list(EndpointListKind.COMPLETE, list));
         List<Future<?>> starts = new ArrayList<>();
         for (SidecarMember s : sidecars) {
             starts.add(
@@ -342,7 +350,7 @@
                 () -> {
                     sidecars.forEach(SidecarMember::ready);
                     traffic =
-                            new Traffic(
+                            new ClientTraffic(
                                     scenario,
                                     draws,
                                     pace.loop(),
@@ -352,7 +360,7 @@
                                     requestClass,
                                     fleet.capacity());
                     for (ServerMember m : first) {
-                        Pauses.begin(
+                        StopTheWorldPauses.begin(
                                 pace.loop(),
                                 draws.stream("pauses." + m.slot),
                                 m.mirror.make.pauseEvery(),
@@ -388,7 +396,7 @@
 
     /** Writes down which sidecar waited for a core, and how long. */
     private void watchStarving() {
-        Starving starving = new Starving();
+        CpuStarvation starving = new CpuStarvation();
         while (!Thread.currentThread().isInterrupted()) {
             for (SidecarMember s : sidecars) {
                 long nanos = starving.since(s.process().pid());
@@ -424,25 +432,25 @@
     }
 
     long endMicros() {
-        return Loop.BEGIN + (long) (1e6 * scenario.seconds());
+        return EventQueue.BEGIN + (long) (1e6 * scenario.seconds());
     }
 
     // ---- For its parts
 
     /** Who holds the duty; null where there is none. */
-    Owners owners() {
+    LeaseObserver owners() {
         return owners;
     }
 
-    Draws draws() {
+    RandomStreams draws() {
         return draws;
     }
 
-    Discovery discovery() {
+    EmulatedDiscovery discovery() {
         return discovery;
     }
 
-    Traffic traffic() {
+    ClientTraffic traffic() {
         return traffic;
     }
 
@@ -464,11 +472,11 @@
         return processes;
     }
 
-    List<Child> replicas() {
+    List<StandInProcess> replicas() {
         return replicas;
     }
 
-    Child replica(int sidecar) {
+    StandInProcess replica(int sidecar) {
         return replicas.get(sidecar % REPLICAS);
     }
 
@@ -485,7 +493,7 @@
      * old.
      */
     ServerMember replacement(ServerMember old, boolean samePlace) throws Exception {
-        SaveServer fresh = fleet.replacement(old.mirror);
+        EmulatedServer fresh = fleet.replacement(old.mirror);
         if (!samePlace) {
             return member(fresh, slots++);
         }
@@ -497,7 +505,7 @@
     /** The command that has a process serve it. */
     ObjectNode serving(ServerMember m) {
         ObjectNode command =
-                History.JSON
+                EventHistory.JSON
                         .createObjectNode()
                         .put("do", "serve")
                         .put("id", m.id())
@@ -507,20 +515,20 @@
                         .put("fall_us", (long) (1e6 * scenario.service().fallSeconds()))
                         .put("mean_work_us", meanWork())
                         .put("setup_us", setupMicros)
-                        .put("window_us", requestClass.dedupWindowMicros())
+                        .put("window_us", requestClass.deduplicationWindowMicros())
                         .put("seed", plan.seed());
-        command.set("make", History.JSON.valueToTree(m.mirror.make));
+        command.set("make", EventHistory.JSON.valueToTree(m.mirror.make));
         return command;
     }
 
     /** A server as discovery tells it to one sidecar, whose way to it is its own. */
-    ObjectNode target(SidecarMember to, Server s) {
+    ObjectNode target(SidecarMember to, ListedEndpoint s) {
         ServerMember m = servers.get(s.id());
         long boot =
                 s.startMicros() == 0
                         ? 0
                         : System.currentTimeMillis() - (pace.loop().now() - s.startMicros()) / 1000;
-        return History.JSON
+        return EventHistory.JSON
                 .createObjectNode()
                 .put("uid", String.format("s-%08x", s.id()))
                 .put("id", s.id())
@@ -530,9 +538,11 @@
                 .put("pod_group", s.cell())
                 .put(
                         "state",
-                        s.phase() == Phase.READY
+                        s.phase() == EndpointPhase.READY
                                 ? "in_service"
-                                : s.phase() == Phase.DRAINING ? "terminating" : "terminated")
+                                : s.phase() == EndpointPhase.DRAINING
+                                        ? "terminating"
+                                        : "terminated")
                 .put("capacity_hint", s.weight())
                 .put("boot_ms", boot);
     }
@@ -552,8 +562,8 @@
     }
 
     /** A process of stand-ins. */
-    Child child(String name) throws IOException {
-        return new Child(
+    StandInProcess child(String name) throws IOException {
+        return new StandInProcess(
                 guard,
                 out.resolve(HISTORY).resolve(name + ".jsonl").toAbsolutePath(),
                 out.resolve("stand-ins.log"));
--- a/lab/src/main/java/sagefall/lab/rig/Schedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -11,16 +11,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.lab.model.Loop;
-import sagefall.lab.model.Pauses;
-import sagefall.lab.scenario.Fault;
+import sagefall.emulator.EventQueue;
+import sagefall.emulator.StopTheWorldPauses;
+import sagefall.scenario.Fault;
 
 /**
  * What goes wrong in a play, with all figures and members drawn: the same seed gives the same lines
  * to the byte, and leaving one fault out changes no other. It brings them about on real processes
  * and ways.
  */
-final class Schedule {
+final class FaultSchedule {
 
     private static final long DUTY_MICROS = 100_000;
     private static final int TENTHS = 10;
@@ -31,10 +31,10 @@
             List<ServerMember> servers,
             List<SidecarMember> sidecars) {}
 
-    private final Rig rig;
+    private final FaultInjectionRun rig;
     private final List<Item> items = new ArrayList<>();
 
-    Schedule(Rig rig, List<Integer> places) {
+    FaultSchedule(FaultInjectionRun rig, List<Integer> places) {
         this.rig = rig;
         for (int place : places) {
             Fault f = rig.scenario.faults().get(place);
@@ -83,7 +83,7 @@
         for (Item i : items) {
             Fault f = i.drawn.fault();
             ObjectNode line =
-                    History.JSON
+                    EventHistory.JSON
                             .createObjectNode()
                             .put("fault", i.place)
                             .put("kind", name(f))
@@ -97,10 +97,10 @@
                             .put("how", f.how());
             line.set(
                     "servers",
-                    History.JSON.valueToTree(i.servers.stream().map(s -> s.slot).toList()));
+                    EventHistory.JSON.valueToTree(i.servers.stream().map(s -> s.slot).toList()));
             line.set(
                     "sidecars",
-                    History.JSON.valueToTree(
+                    EventHistory.JSON.valueToTree(
                             i.sidecars.stream().map(SidecarMember::index).toList()));
             lines.add(line.toString());
         }
@@ -121,7 +121,7 @@
     }
 
     private static long micros(double second) {
-        return Loop.BEGIN + (long) (1e6 * second);
+        return EventQueue.BEGIN + (long) (1e6 * second);
     }
 
     /** Puts them on the time line. */
@@ -129,7 +129,7 @@
         items.forEach(this::begin);
     }
 
-    private Loop loop() {
+    private EventQueue loop() {
         return rig.pace.loop();
     }
 
@@ -289,7 +289,7 @@
                                         .forEach(
                                                 r ->
                                                         r.ask(
-                                                                History.JSON
+                                                                EventHistory.JSON
                                                                         .createObjectNode()
                                                                         .put("do", "mute")
                                                                         .put("on", on)));
@@ -411,7 +411,7 @@
                     if (on) {
                         i.servers.forEach(
                                 s ->
-                                        Pauses.begin(
+                                        StopTheWorldPauses.begin(
                                                 loop(),
                                                 random,
                                                 (long) (1e6 * i.drawn.every()),
--- a/lab/src/main/java/sagefall/lab/rig/Checks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/InvariantChecks.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sagefall.lab.rig.History.Entry;
+import sagefall.faultinjection.EventHistory.Entry;
 
 /**
  * What must hold whatever happens, judged from a history alone, so that it judges stand-ins and
@@ -18,7 +18,7 @@
  * for how late this machine ran; a play on a machine that stood still for longer proves nothing,
  * and is said to be void.
  */
-final class Checks {
+final class InvariantChecks {
 
     /** What is checked. */
     enum Rule {
@@ -114,11 +114,11 @@
     private JsonNode play;
     private long end = Long.MAX_VALUE;
 
-    private Checks() {}
+    private InvariantChecks() {}
 
     /** All breaches of a history, in its order. */
     static List<Breach> of(List<Entry> history) {
-        Checks checks = new Checks();
+        InvariantChecks checks = new InvariantChecks();
         for (Entry e : history) {
             if (e.kind().equals("stall")) {
                 checks.stalls.add(new Stall(e.at(), 1_000_000 * e.number("ms"), -1));
@@ -551,7 +551,7 @@
         }
         int who = who(r.intent);
         long due = r.intent.at() + 1000 * r.intent.number("timeout_us");
-        if (r.answer == null || r.answer.number("status") == Application.BROKEN) {
+        if (r.answer == null || r.answer.number("status") == ClientLoad.BROKEN) {
             long at = r.answer == null ? due : r.answer.at();
             if (within(dead, who, r.intent.at(), at) || (r.answer == null && due > end)) {
                 return;
@@ -565,7 +565,7 @@
             return;
         }
         long status = r.answer.number("status");
-        if (status == Application.UNREACHABLE) {
+        if (status == ClientLoad.UNREACHABLE) {
             if (!within(dead, who, r.intent.at() - LATE, r.answer.at())
                     && !within(ending, who, r.intent.at() - LATE, r.answer.at())) {
                 breach(Rule.ONE_ANSWER, r.answer.at(), "sidecar %d refused a connection", who);
--- a/lab/src/main/java/sagefall/lab/rig/Owners.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
@@ -1,27 +1,27 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Objects;
 import java.util.concurrent.locks.LockSupport;
-import sagefall.duties.Digest;
-import sagefall.duties.FolderStore;
-import sagefall.duties.LeaseStore;
+import sagefall.leaderelection.DirectoryLeaseStore;
+import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /**
  * Looks at who holds the duty of a play's sidecars, and at what counts of it, as any other process
  * could.
  */
-final class Owners {
+final class LeaseObserver {
 
     private static final long LOOK_NANOS = 5_000_000;
 
     private final Path folder;
     private final LeaseStore store;
 
-    Owners(Path folder) throws IOException {
+    LeaseObserver(Path folder) throws IOException {
         this.folder = folder;
-        store = new FolderStore(folder);
+        store = new DirectoryLeaseStore(folder);
     }
 
     Path folder() {
@@ -38,12 +38,12 @@
     }
 
     /** Writes each change down until the thread is told to end. */
-    void watch(History history) {
+    void watch(EventHistory history) {
         String last = "";
         while (!Thread.currentThread().isInterrupted()) {
             try {
                 LeaseStore.Status status = store.status();
-                Digest.Read digest = Digest.read(store);
+                SharedEndpointSnapshot.Read digest = SharedEndpointSnapshot.read(store);
                 long written = digest == null ? 0 : digest.term();
                 long revision = digest == null ? 0 : digest.kept().revision();
                 String now =
--- a/lab/src/main/java/sagefall/lab/rig/Link.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LinkRelay.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -35,7 +35,7 @@
  * to hold are reset, as TCP's own sending anew would mostly come too late, and those that had
  * nothing go on.
  */
-final class Link implements AutoCloseable {
+final class LinkRelay implements AutoCloseable {
 
     /** What meets a new connection. */
     enum Door {
@@ -90,14 +90,14 @@
     private final Set<Pipe> pipes = ConcurrentHashMap.newKeySet();
     private final InetSocketAddress address;
     private Channel listening;
-    private Plug plug;
+    private BlackholeAddress plug;
     private volatile InetSocketAddress target;
     private volatile Door door = Door.OPEN;
     private volatile Way there;
     private volatile Way back;
 
     /** Listens on a port of the system's at that address. */
-    Link(EventLoopGroup group, InetAddress at, Way there, Way back, Tap tap) throws Exception {
+    LinkRelay(EventLoopGroup group, InetAddress at, Way there, Way back, Tap tap) throws Exception {
         this.group = group;
         this.tap = tap;
         this.there = there;
@@ -168,7 +168,7 @@
             plug.close();
             plug = null;
         } else if (now == Door.NEVER && plug == null) {
-            plug = again(() -> new Plug(address));
+            plug = again(() -> new BlackholeAddress(address));
         }
         if (listens && listening == null) {
             listening = again(() -> bind(address));
--- a/lab/src/main/java/sagefall/lab/rig/Guard.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ProcessGuard.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -9,7 +9,7 @@
  * id of each process at its start and its end, and that kills those still running once the rig is
  * gone. Signals go through it too, as starting a program for each would cost more than the signal.
  */
-final class Guard implements AutoCloseable {
+final class ProcessGuard implements AutoCloseable {
 
     private static final String WATCH =
             "trap '' INT TERM HUP; all=' '; while read -r what pid; do case "
@@ -21,7 +21,7 @@
     private final Process shell;
     private final OutputStream to;
 
-    Guard() throws IOException {
+    ProcessGuard() throws IOException {
         shell =
                 new ProcessBuilder("/bin/sh", "-c", WATCH)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
--- a/lab/src/main/java/sagefall/lab/rig/Pace.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RealTimeEventLoop.java
@@ -1,17 +1,17 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import io.netty.channel.DefaultEventLoop;
 import java.util.concurrent.Callable;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import sagefall.lab.model.Loop;
+import sagefall.emulator.EventQueue;
 
 /**
  * Plays the model's clock at the pace of this machine's monotonic one, in one thread: so that the
  * clients, servers and discovery of the emulator serve real processes as they are. What comes from
  * sockets enters by {@link #run}.
  */
-final class Pace implements AutoCloseable {
+final class RealTimeEventLoop implements AutoCloseable {
 
     /** Lateness of this thread that is worth a line: whoever judges times has to allow for it. */
     private static final long STALL_NANOS = 20_000_000;
@@ -21,24 +21,24 @@
         void late(long nanos);
     }
 
-    private final Loop loop = new Loop();
+    private final EventQueue loop = new EventQueue();
     private final DefaultEventLoop thread = new DefaultEventLoop();
     private volatile long zero;
     private final Stalls stalls;
     private Future<?> armed;
     private long armedFor = Long.MAX_VALUE;
 
-    Pace(Stalls stalls) {
+    RealTimeEventLoop(Stalls stalls) {
         this.stalls = stalls;
     }
 
     /** To be used within {@link #run} alone. */
-    Loop loop() {
+    EventQueue loop() {
         return loop;
     }
 
     /** The clock of the model begins to run. */
-    Pace begin() {
+    RealTimeEventLoop begin() {
         zero = System.nanoTime();
         return this;
     }
@@ -70,7 +70,7 @@
         if (zero == 0) {
             return;
         }
-        loop.runUntil(Loop.BEGIN + (System.nanoTime() - zero) / 1000);
+        loop.runUntil(EventQueue.BEGIN + (System.nanoTime() - zero) / 1000);
     }
 
     private void arm() {
@@ -82,7 +82,7 @@
             armed.cancel(false);
         }
         armedFor = next;
-        long due = zero + (next - Loop.BEGIN) * 1000;
+        long due = zero + (next - EventQueue.BEGIN) * 1000;
         armed =
                 thread.schedule(
                         () -> {
--- a/lab/src/main/java/sagefall/lab/rig/Plan.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunPlan.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sagefall.lab.scenario.Fault;
-import sagefall.lab.scenario.Scenario;
-import sagefall.lab.scenario.ScenarioException;
+import sagefall.scenario.Fault;
+import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /**
  * What is to be played, whole enough to be played again.
@@ -20,7 +20,7 @@
  * @param kept places of the faults that are played; null for all
  * @param builds checkouts that the sidecars are started from, in turn
  */
-record Plan(
+public record RunPlan(
         String file,
         String text,
         List<String> sets,
@@ -29,7 +29,7 @@
         List<Path> builds) {
 
     /** A fleet that fits on one machine. */
-    static final List<String> SIZE =
+    public static final List<String> SIZE =
             List.of(
                     "fleet.sidecars=12",
                     "fleet.servers=24",
@@ -38,17 +38,17 @@
                     "fleet.server_skew=0");
 
     /** The scenario, unless it has a fault that real processes can't play. */
-    Scenario scenario() throws ScenarioException {
+    public Scenario scenario() throws ScenarioException {
         return Scenario.read(file, text, sets).on(Fault.Side.RIG);
     }
 
     /** The same with fewer faults. */
-    Plan only(List<Integer> faults) {
-        return new Plan(file, text, sets, seed, List.copyOf(faults), builds);
+    public RunPlan only(List<Integer> faults) {
+        return new RunPlan(file, text, sets, seed, List.copyOf(faults), builds);
     }
 
     /** Places of the faults that are played. */
-    List<Integer> faults() throws ScenarioException {
+    public List<Integer> faults() throws ScenarioException {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < scenario().faults().size(); i++) {
             if (kept == null || kept.contains(i)) {
@@ -59,26 +59,28 @@
     }
 
     /** Writes it so that {@link #read} has it again. */
-    void write(Path to) throws IOException {
+    public void write(Path to) throws IOException {
         ObjectNode node =
-                History.JSON
+                EventHistory.JSON
                         .createObjectNode()
                         .put("file", file)
                         .put("text", text)
                         .put("seed", seed);
-        node.set("sets", History.JSON.valueToTree(sets));
-        node.set("kept", History.JSON.valueToTree(kept));
-        node.set("builds", History.JSON.valueToTree(builds.stream().map(Path::toString).toList()));
+        node.set("sets", EventHistory.JSON.valueToTree(sets));
+        node.set("kept", EventHistory.JSON.valueToTree(kept));
+        node.set(
+                "builds",
+                EventHistory.JSON.valueToTree(builds.stream().map(Path::toString).toList()));
         Files.writeString(to, node.toPrettyString() + "\n");
     }
 
-    static Plan read(Path from) throws IOException, ScenarioException {
+    public static RunPlan read(Path from) throws IOException, ScenarioException {
         if (!Files.isReadable(from)) {
             throw new ScenarioException(from + ": no such plan");
         }
         JsonNode node;
         try {
-            node = History.JSON.readTree(Files.readString(from));
+            node = EventHistory.JSON.readTree(Files.readString(from));
         } catch (IOException e) {
             throw new ScenarioException(
                     from + ": not a plan: " + e.getMessage().lines().findFirst().orElse(""));
@@ -92,7 +94,7 @@
         node.path("kept").forEach(k -> kept.add(k.asInt()));
         List<Path> builds = new ArrayList<>();
         node.path("builds").forEach(b -> builds.add(Path.of(b.asText())));
-        return new Plan(
+        return new RunPlan(
                 node.path("file").asText("plan"),
                 node.path("text").asText(),
                 sets,
--- a/lab/src/main/java/sagefall/lab/rig/RigPage.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunReport.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import sagefall.lab.rig.History.Entry;
+import sagefall.faultinjection.EventHistory.Entry;
 
 /** One page about a play that needs nothing else: members as rows, time across. */
-final class RigPage {
+final class RunReport {
 
     private static final int WIDTH = 1080;
     private static final int LEFT = 110;
@@ -34,11 +34,11 @@
             """;
 
     private final StringBuilder out = new StringBuilder();
-    private final Play play;
+    private final RunResult play;
     private final long zero;
     private final double seconds;
 
-    private RigPage(Play play, List<Entry> history) {
+    private RunReport(RunResult play, List<Entry> history) {
         this.play = play;
         zero = play.zero();
         double last =
@@ -50,8 +50,8 @@
         seconds = Math.max(1, Math.min(last, play.figures().asked().length + 12));
     }
 
-    static String of(Play play, List<Entry> history) {
-        RigPage page = new RigPage(play, history);
+    static String of(RunResult play, List<Entry> history) {
+        RunReport page = new RunReport(play, history);
         page.head(history);
         page.picture(history);
         page.out.append("</body></html>\n");
--- a/lab/src/main/java/sagefall/lab/rig/Play.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunResult.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -14,21 +14,21 @@
  * @param readySeconds from the first process's start until all were ready
  * @param folder where all of it is kept
  */
-record Play(
-        Plan plan,
+public record RunResult(
+        RunPlan plan,
         Path folder,
         double readySeconds,
-        List<Checks.Breach> breaches,
+        List<InvariantChecks.Breach> breaches,
         boolean isVoid,
-        Figures figures,
+        RunStatistics figures,
         long zero) {
 
     private static final int SHOWN = 5;
 
     /** Plays a plan by real processes and judges what was written down. */
-    static Play of(Plan plan, Path folder) throws Exception {
+    public static RunResult of(RunPlan plan, Path folder) throws Exception {
         double ready;
-        try (Rig rig = new Rig(plan, folder)) {
+        try (FaultInjectionRun rig = new FaultInjectionRun(plan, folder)) {
             ready = rig.start();
             rig.play();
         }
@@ -36,31 +36,32 @@
     }
 
     /** Judges a folder that a play has left. */
-    static Play judge(Plan plan, Path folder, double ready) throws IOException {
-        List<History.Entry> history = History.read(folder.resolve(Rig.HISTORY));
-        Play play =
-                new Play(
+    public static RunResult judge(RunPlan plan, Path folder, double ready) throws IOException {
+        List<EventHistory.Entry> history =
+                EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY));
+        RunResult play =
+                new RunResult(
                         plan,
                         folder,
                         ready,
-                        Checks.of(history),
-                        Checks.isVoid(history),
-                        Figures.of(history),
+                        InvariantChecks.of(history),
+                        InvariantChecks.isVoid(history),
+                        RunStatistics.of(history),
                         history.stream()
                                 .filter(e -> e.kind().equals("begin"))
-                                .mapToLong(History.Entry::at)
+                                .mapToLong(EventHistory.Entry::at)
                                 .findFirst()
                                 .orElse(0));
-        Files.writeString(folder.resolve("report.html"), RigPage.of(play, history));
+        Files.writeString(folder.resolve("report.html"), RunReport.of(play, history));
         return play;
     }
 
-    boolean broken() {
+    public boolean broken() {
         return !isVoid && !breaches.isEmpty();
     }
 
     /** What was seen, and how to see it again. */
-    void print(PrintStream to) {
+    public void print(PrintStream to) {
         figures.lines().forEach(line -> to.println("  " + line));
         if (readySeconds > 0) {
             to.printf("  all processes ready in %.1f s%n", readySeconds);
@@ -69,7 +70,7 @@
             to.println("  VOID: this machine stood still for over 2 s, so times prove nothing");
             return;
         }
-        Checks.count(breaches)
+        InvariantChecks.count(breaches)
                 .forEach(
                         (rule, count) -> {
                             to.printf("  BROKEN %s, %d times%n", rule, count);
@@ -88,11 +89,11 @@
     }
 
     String again() {
-        return "./sagefall rig again " + folder.resolve(Rig.PLAN);
+        return "./sagefall rig again " + folder.resolve(FaultInjectionRun.PLAN);
     }
 
     /** Removes the folder of a play that nobody will want to look at. */
-    void remove() throws IOException {
+    public void remove() throws IOException {
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
--- a/lab/src/main/java/sagefall/lab/rig/Figures.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunStatistics.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import sagefall.lab.rig.History.Entry;
+import sagefall.faultinjection.EventHistory.Entry;
 
 /**
  * What was served in a play, counted from its history by wishes of clients as the emulator counts:
@@ -22,7 +22,7 @@
  *     arrived
  * @param asked worth by second, and {@code got} what was served of it
  */
-record Figures(
+public record RunStatistics(
         double served,
         double worstSecond,
         double back,
@@ -47,7 +47,7 @@
         private long servedAt = Long.MAX_VALUE;
     }
 
-    static Figures of(List<Entry> history) {
+    static RunStatistics of(List<Entry> history) {
         long zero = 0;
         double aim = 0;
         double beyond = 1;
@@ -127,7 +127,7 @@
             }
         }
         double before = part(asked, got, 1, (int) Math.min(seconds, Math.max(2, firstFault)));
-        return new Figures(
+        return new RunStatistics(
                 part(asked, got, 0, seconds),
                 worst(asked, got),
                 back(asked, got, before, lastFault),
@@ -149,9 +149,9 @@
                 ? "served"
                 : status == 429 || status == 503
                         ? "refused"
-                        : status == Application.UNREACHABLE
+                        : status == ClientLoad.UNREACHABLE
                                 ? "unreachable"
-                                : status == Application.BROKEN ? "unanswered" : "failed";
+                                : status == ClientLoad.BROKEN ? "unanswered" : "failed";
     }
 
     /** Of some seconds together. */
--- a/lab/src/main/java/sagefall/lab/rig/Drawing.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScenarioGenerator.java
@@ -1,12 +1,12 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.lab.model.Draws;
+import sagefall.emulator.RandomStreams;
 
 /** Scenarios drawn from a seed, as the text of a file, so that one can be kept, read and cut. */
-final class Drawing {
+public final class ScenarioGenerator {
 
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final double SECONDS = 22;
@@ -14,11 +14,11 @@
     /** Faults are over by then, so that the fleet is seen to come back. */
     private static final double QUIET = 16;
 
-    private Drawing() {}
+    private ScenarioGenerator() {}
 
     /** A fleet of 12 sidecars and 24 servers, and two to four faults. */
-    static String text(long seed) {
-        UniformRandomProvider random = new Draws(seed).stream("campaign");
+    public static String text(long seed) {
+        UniformRandomProvider random = new RandomStreams(seed).stream("campaign");
         StringBuilder text =
                 new StringBuilder(
                         String.format(
--- a/lab/src/main/java/sagefall/lab/rig/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -1,10 +1,10 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
-import sagefall.lab.model.SaveServer;
+import sagefall.emulator.EmulatedServer;
 
 /**
  * A save server as the rig knows it: what it is made of, where it runs, and the ways that lead to
@@ -13,7 +13,7 @@
 final class ServerMember {
 
     /** What the emulator's discovery looks at; its work is done by the process. */
-    final SaveServer mirror;
+    final EmulatedServer mirror;
 
     /** Its place among the addresses; a server that is reborn takes over the place of another. */
     final int slot;
@@ -30,9 +30,9 @@
 
     /** The way from one sidecar to it, and what troubles that. */
     static final class Way {
-        final Link link;
-        final Link.Way there;
-        final Link.Way back;
+        final LinkRelay link;
+        final LinkRelay.Way there;
+        final LinkRelay.Way back;
         int cutThere;
         int cutBack;
         double moreMillis;
@@ -46,7 +46,7 @@
          * Changes are made one after another by {@code order}, as to close and to listen takes a
          * while.
          */
-        Way(Link link, Executor order) {
+        Way(LinkRelay link, Executor order) {
             this.link = link;
             this.order = order;
             there = link.there();
@@ -56,20 +56,22 @@
         /** Brings the link to what has been said of it. */
         void apply() {
             boolean cut = cutThere > 0 || cutBack > 0;
-            Link.Door door =
-                    refuse ? Link.Door.REFUSE : silent || cut ? Link.Door.NEVER : Link.Door.OPEN;
+            LinkRelay.Door door =
+                    refuse
+                            ? LinkRelay.Door.REFUSE
+                            : silent || cut ? LinkRelay.Door.NEVER : LinkRelay.Door.OPEN;
             long more = (long) (1000 * moreMillis);
-            Link.Way to =
+            LinkRelay.Way to =
                     there.delayed(() -> there.delay().getAsLong() + more)
                             .cutAt(cutAt)
                             .held(silent || cutThere > 0);
-            Link.Way from =
+            LinkRelay.Way from =
                     back.delayed(() -> back.delay().getAsLong() + more).held(silent || cutBack > 0);
             order.execute(() -> link.be(door, to, from));
         }
     }
 
-    ServerMember(SaveServer mirror, int slot, List<Way> ways) {
+    ServerMember(EmulatedServer mirror, int slot, List<Way> ways) {
         this.mirror = mirror;
         this.slot = slot;
         this.ways = ways;
@@ -109,7 +111,7 @@
 
     /** What troubles it, as a command. */
     ObjectNode state() {
-        return History.JSON
+        return EventHistory.JSON
                 .createObjectNode()
                 .put("do", "set")
                 .put("id", id())
--- a/lab/src/main/java/sagefall/lab/rig/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -13,17 +13,17 @@
 /** A process with one save server in it, or with those of a zone that only ever end together. */
 final class ServerProcess {
 
-    private final Rig rig;
+    private final FaultInjectionRun rig;
     private final String name;
     final int zone;
     final List<ServerMember> members = new ArrayList<>();
-    private Child child;
+    private StandInProcess child;
     private int life;
 
     /** Written by the thread of the model alone. */
     private final AtomicInteger downs = new AtomicInteger();
 
-    ServerProcess(Rig rig, String name, int zone) {
+    ServerProcess(FaultInjectionRun rig, String name, int zone) {
         this.rig = rig;
         this.name = name;
         this.zone = zone;
@@ -64,7 +64,7 @@
 
     /** A planned end of one of its servers. */
     void end(ServerMember m) {
-        ask(History.JSON.createObjectNode().put("do", "end").put("id", m.id()));
+        ask(EventHistory.JSON.createObjectNode().put("do", "end").put("id", m.id()));
     }
 
     /** SIGKILL, with how its address answers from now on. */
@@ -79,7 +79,7 @@
                 rig.discovery().ended(m.mirror);
             }
         }
-        Child killed = child;
+        StandInProcess killed = child;
         rig.change(() -> killed.process().destroyForcibly());
     }
 
--- a/lab/src/main/java/sagefall/lab/rig/SidecarMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,22 +11,22 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.LoadBalancer.ListKind;
-import sagefall.LoadBalancer.Phase;
-import sagefall.LoadBalancer.Server;
-import sagefall.lab.load.SidecarProcess;
-import sagefall.lab.model.Call;
-import sagefall.lab.model.Door;
-import sagefall.lab.model.Loop;
-import sagefall.lab.model.Sidecar.Answer;
-import sagefall.lab.model.Subscriber;
-import sagefall.lab.model.Wish;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.emulator.ClientOperation;
+import sagefall.emulator.ClientRequest;
+import sagefall.emulator.EmulatedSidecar.Answer;
+import sagefall.emulator.EndpointListSubscriber;
+import sagefall.emulator.EventQueue;
+import sagefall.emulator.SidecarHandle;
+import sagefall.load.SidecarProcess;
 
 /**
  * A real sidecar: its process, the application beside it, and what discovery's agent on its machine
  * holds. It serves the emulator's clients and hears the emulator's discovery.
  */
-final class SidecarMember implements Door, Subscriber {
+final class SidecarMember implements SidecarHandle, EndpointListSubscriber {
 
     /** Wait for an answer beyond its time, so that one that comes late is seen to. */
     private static final long PATIENCE = 5_000_000;
@@ -39,16 +39,16 @@
     /** What was kept longer ago is old. */
     private static final long MAX_AGE = 60_000;
 
-    private record Open(Application.Exchange exchange, int life) {}
+    private record Open(ClientLoad.Exchange exchange, int life) {}
 
-    private final Rig rig;
+    private final FaultInjectionRun rig;
     private final int index;
     private final int zone;
     private final Path root;
     private final Path folder;
     private final InetSocketAddress listen;
-    private final Application application;
-    private final Link discovery;
+    private final ClientLoad application;
+    private final LinkRelay discovery;
     private final Map<String, Object> settings;
     private final Map<String, Open> open = new HashMap<>();
     private final Map<Long, ObjectNode> held = new LinkedHashMap<>();
@@ -64,14 +64,14 @@
     private boolean leaving;
 
     SidecarMember(
-            Rig rig,
+            FaultInjectionRun rig,
             int index,
             int zone,
             Path root,
             Path folder,
             InetSocketAddress listen,
-            Application application,
-            Link discovery,
+            ClientLoad application,
+            LinkRelay discovery,
             Map<String, Object> settings) {
         this.rig = rig;
         this.index = index;
@@ -115,7 +115,7 @@
         return 0;
     }
 
-    Link discoveryLink() {
+    LinkRelay discoveryLink() {
         return discovery;
     }
 
@@ -144,7 +144,7 @@
                                 "n" + index,
                                 at,
                                 rig.salt(index, ++life),
-                                History.JSON.convertValue(known, History.MAP),
+                                EventHistory.JSON.convertValue(known, EventHistory.MAP),
                                 settings),
                         extensions());
         rig.guard.watch(p.process());
@@ -336,8 +336,8 @@
     // ---- Its application
 
     @Override
-    public void take(Call call, boolean repeat) {
-        Loop loop = rig.pace.loop();
+    public void take(ClientRequest call, boolean repeat) {
+        EventQueue loop = rig.pace.loop();
         Map<String, String> headers = new LinkedHashMap<>();
         String key = rig.key(call.wish.number);
         long micros = call.deadline - call.takenAt;
@@ -380,17 +380,17 @@
                 () -> {
                     if (open.containsKey(call.id)) {
                         application.leave(open.get(call.id).exchange);
-                        replied(call, new Application.Reply(Application.BROKEN, 0, "unanswered"));
+                        replied(call, new ClientLoad.Reply(ClientLoad.BROKEN, 0, "unanswered"));
                     }
                 });
     }
 
     @Override
-    public void missed(Wish wish) {
+    public void missed(ClientOperation wish) {
         rig.history.line("missed", "who", index, "wish", wish.number, "beyond", wish.beyondShare);
     }
 
-    private void replied(Call call, Application.Reply reply) {
+    private void replied(ClientRequest call, ClientLoad.Reply reply) {
         Open was = open.remove(call.id);
         if (was == null) {
             return;
@@ -417,22 +417,22 @@
             rig.traffic().answer(call, Answer.SERVED, "", 0);
         } else if (status == 429 || status == 503) {
             rig.traffic().answer(call, Answer.REFUSED, "refused", reply.retryMicros());
-        } else if (status == Application.UNREACHABLE) {
+        } else if (status == ClientLoad.UNREACHABLE) {
             rig.traffic().answer(call, Answer.REFUSED, "sidecar down", 0);
-        } else if (status == Application.BROKEN && died) {
+        } else if (status == ClientLoad.BROKEN && died) {
             rig.traffic().dropped(call);
         } else {
             rig.traffic()
                     .answer(
                             call,
                             Answer.FAILED,
-                            status == Application.BROKEN ? "unanswered" : "failed",
+                            status == ClientLoad.BROKEN ? "unanswered" : "failed",
                             0);
         }
     }
 
     @Override
-    public void leave(Call call) {
+    public void leave(ClientRequest call) {
         call.over = true;
         Open was = open.remove(call.id);
         rig.history.line("left", "id", call.id, "who", index);
@@ -448,30 +448,30 @@
     // ---- Its agent
 
     @Override
-    public void list(ListKind kind, List<Server> lines) {
+    public void list(EndpointListKind kind, List<ListedEndpoint> lines) {
         ObjectNode command;
         synchronized (held) {
             revision++;
-            if (kind != ListKind.CHANGES) {
+            if (kind != EndpointListKind.CHANGES) {
                 held.clear();
             }
             Map<Long, ObjectNode> changed = new LinkedHashMap<>();
-            for (Server s : lines) {
+            for (ListedEndpoint s : lines) {
                 ObjectNode target = rig.target(this, s);
                 changed.put(s.id(), target);
-                if (s.phase() == Phase.REMOVED) {
+                if (s.phase() == EndpointPhase.REMOVED) {
                     held.remove(s.id());
                 } else {
                     held.put(s.id(), target);
                 }
             }
-            command = list(kind != ListKind.CHANGES, changed.values());
+            command = list(kind != EndpointListKind.CHANGES, changed.values());
         }
         rig.replica(index).ask(command.put("do", "list").put("who", index));
     }
 
     private ObjectNode list(boolean all, Iterable<ObjectNode> lines) {
-        ObjectNode list = History.JSON.createObjectNode().put("rev", revision).put("all", all);
+        ObjectNode list = EventHistory.JSON.createObjectNode().put("rev", revision).put("all", all);
         ArrayNode targets = list.putArray("targets");
         lines.forEach(targets::add);
         return list;
--- a/lab/src/main/java/sagefall/lab/rig/RealServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SocketServer.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -20,18 +20,18 @@
 import java.util.Map;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.lab.model.ColdBudget;
-import sagefall.lab.model.Draws;
-import sagefall.lab.model.Job;
-import sagefall.lab.model.SaveServer;
+import sagefall.balancer.api.LoadReport;
+import sagefall.emulator.EmulatedServer;
+import sagefall.emulator.Job;
+import sagefall.emulator.RandomStreams;
+import sagefall.emulator.SlowStartBudget;
 
 /**
  * The emulator's save server on a real socket: what a request costs comes in its body, as the
  * emulator's requests bring it along, and slots, waiting room, cold start, thrash and reports are
  * the emulator's.
  */
-final class RealServer implements SaveServer.Floor {
+final class SocketServer implements EmulatedServer.Floor {
 
     /** A request, and whom to answer. */
     private static final class Asked extends Job {
@@ -50,14 +50,14 @@
          * Whether senders knew is judged from the history; here all count, as a machine can't ask.
          */
         @Override
-        protected boolean knowsStart(SaveServer server) {
+        protected boolean knowsStart(EmulatedServer server) {
             return true;
         }
     }
 
-    private final SaveServer model;
-    private final Pace pace;
-    private final History history;
+    private final EmulatedServer model;
+    private final RealTimeEventLoop pace;
+    private final EventHistory history;
     private final Map<String, Long> ran;
     private final double setupMicros;
     private final long windowMicros;
@@ -67,29 +67,31 @@
     private double resets;
     Channel listening;
 
-    RealServer(JsonNode command, Pace pace, History history, Map<String, Long> ran)
+    SocketServer(
+            JsonNode command, RealTimeEventLoop pace, EventHistory history, Map<String, Long> ran)
             throws JsonProcessingException {
         this.pace = pace;
         this.history = history;
         this.ran = ran;
         long id = command.path("id").asLong();
         model =
-                new SaveServer(
+                new EmulatedServer(
                         id,
                         command.path("zone").asInt(),
                         command.path("cell").asInt(),
-                        History.JSON.treeToValue(command.path("make"), SaveServer.Make.class),
+                        EventHistory.JSON.treeToValue(
+                                command.path("make"), EmulatedServer.Make.class),
                         pace.loop(),
                         new double[] {1},
                         this);
         model.bears(
-                new ColdBudget(
+                new SlowStartBudget(
                         command.path("fall_multiple").asDouble(),
                         command.path("fall_us").asLong(),
                         command.path("mean_work_us").asDouble()));
         setupMicros = command.path("setup_us").asDouble();
         windowMicros = command.path("window_us").asLong();
-        chances = new Draws(command.path("seed").asLong()).stream("server." + id);
+        chances = new RandomStreams(command.path("seed").asLong()).stream("server." + id);
     }
 
     long id() {
@@ -100,7 +102,7 @@
         if (cold) {
             model.start();
         }
-        SaveServer.Make m = model.make;
+        EmulatedServer.Make m = model.make;
         history.line(
                 "server",
                 "server",
@@ -126,7 +128,7 @@
         lost = c.path("lost").asDouble(lost);
         resets = c.path("resets").asDouble(resets);
         if (c.path("drain").asBoolean()) {
-            model.state = SaveServer.State.DRAINING;
+            model.state = EmulatedServer.State.DRAINING;
         }
         model.settle();
     }
@@ -153,7 +155,7 @@
         asked.work =
                 (repeat ? 0 : work * model.keyed(subject.hashCode())) + (fresh ? setupMicros : 0);
         asked.left = asked.work;
-        boolean taken = model.state == SaveServer.State.UP && model.take(asked);
+        boolean taken = model.state == EmulatedServer.State.UP && model.take(asked);
         history.line(
                 "arrive",
                 "id",
@@ -164,7 +166,7 @@
                 taken,
                 "warmth",
                 model.warmth(now));
-        if (model.state == SaveServer.State.DEAD) {
+        if (model.state == EmulatedServer.State.DEAD) {
             from.reset();
         } else if (!taken) {
             history.line("reply", "id", id, "server", model.id, "status", 503);
@@ -216,7 +218,7 @@
     }
 
     @Override
-    public void fell(SaveServer server, double told) {
+    public void fell(EmulatedServer server, double told) {
         history.line("server", "server", model.id, "zone", model.zone, "what", "fell");
         listening.close();
         Set.copyOf(connections).forEach(Connection::reset);
@@ -235,7 +237,7 @@
                     () -> {
                         connections.add(this);
                         if (++model.connections > model.make.connections()
-                                || model.state == SaveServer.State.DEAD) {
+                                || model.state == EmulatedServer.State.DEAD) {
                             reset();
                         }
                     });
--- a/lab/src/main/java/sagefall/lab/rig/Host.java
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInHost.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -30,36 +30,38 @@
  * each by a line on standard output, and ends when standard input does, so that it never outlives
  * the rig.
  */
-public final class Host {
+public final class StandInHost {
 
     private static final int MOST = 64 * 1024;
 
-    private final History history;
+    private final EventHistory history;
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Pace pace;
-    private final Map<Long, RealServer> servers = new HashMap<>();
-    private final Map<Integer, ListView> views = new HashMap<>();
+    private final RealTimeEventLoop pace;
+    private final Map<Long, SocketServer> servers = new HashMap<>();
+    private final Map<Integer, DiscoveryAgent> views = new HashMap<>();
 
     /** When a key ran in a zone, for what servers drop as a repeat. */
     private final Map<String, Long> ran = new HashMap<>();
 
-    private Host(Path file) throws IOException {
-        history = new History(file);
-        pace = new Pace(nanos -> history.line("stall", "ms", nanos / 1_000_000)).begin();
+    private StandInHost(Path file) throws IOException {
+        history = new EventHistory(file);
+        pace =
+                new RealTimeEventLoop(nanos -> history.line("stall", "ms", nanos / 1_000_000))
+                        .begin();
     }
 
     /** The file of its history is its only argument. */
     public static void main(String[] arguments) throws Exception {
-        new Host(Path.of(arguments[0])).serve();
+        new StandInHost(Path.of(arguments[0])).serve();
     }
 
     private void serve() throws Exception {
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line; (line = in.readLine()) != null; ) {
-            JsonNode command = History.JSON.readTree(line);
-            ObjectNode answer = History.JSON.createObjectNode();
+            JsonNode command = EventHistory.JSON.readTree(line);
+            ObjectNode answer = EventHistory.JSON.createObjectNode();
             try {
                 pace.call(
                         () -> {
@@ -77,7 +79,7 @@
     private void obey(JsonNode command, ObjectNode answer) throws Exception {
         switch (command.path("do").asText()) {
             case "serve" -> {
-                RealServer server = new RealServer(command, pace, history, ran);
+                SocketServer server = new SocketServer(command, pace, history, ran);
                 server.listening = listen(server::connection);
                 servers.put(server.id(), server);
                 answer.put("port", ((InetSocketAddress) server.listening.localAddress()).getPort());
@@ -87,7 +89,7 @@
             case "end" -> servers.remove(command.path("id").asLong()).end();
             case "views" -> {
                 for (JsonNode who : command.path("who")) {
-                    ListView view = new ListView(who.asInt(), pace, history);
+                    DiscoveryAgent view = new DiscoveryAgent(who.asInt(), pace, history);
                     views.put(who.asInt(), view);
                     answer.withArray("ports")
                             .add(
--- a/lab/src/main/java/sagefall/lab/rig/Child.java
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInProcess.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,8 +14,10 @@
 import java.util.Queue;
 import java.util.concurrent.CompletableFuture;
 
-/** A {@link Host} process, as the rig sees it: commands go in, and each is answered in turn. */
-final class Child {
+/**
+ * A {@link StandInHost} process, as the rig sees it: commands go in, and each is answered in turn.
+ */
+final class StandInProcess {
 
     private static final List<String> OPTIONS =
             List.of(
@@ -32,14 +34,14 @@
     private final Queue<CompletableFuture<JsonNode>> asked = new ArrayDeque<>();
     private volatile boolean ended;
 
-    Child(Guard guard, Path history, Path log) throws IOException {
+    StandInProcess(ProcessGuard guard, Path history, Path log) throws IOException {
         List<String> command = new ArrayList<>(OPTIONS);
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(
                 List.of(
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Host.class.getName(),
+                        StandInHost.class.getName(),
                         history.toString()));
         process =
                 new ProcessBuilder(command)
@@ -61,7 +63,7 @@
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line; (line = out.readLine()) != null; ) {
-                JsonNode answer = History.JSON.readTree(line);
+                JsonNode answer = EventHistory.JSON.readTree(line);
                 CompletableFuture<JsonNode> future;
                 synchronized (asked) {
                     future = asked.remove();
--- a/lab/src/main/java/sagefall/lab/load/Demo.java
+++ b/testbed/src/main/java/sagefall/load/DemoCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -20,10 +20,10 @@
         description =
                 "Starts stand-in servers, a real sidecar and load, loses a zone, and shows it"
                         + " live.")
-public final class Demo implements Callable<Integer> {
+public final class DemoCommand implements Callable<Integer> {
 
     private static final int IN_ZONE = 4;
-    private static final StandIn.Service SERVICE = new StandIn.Service(4, 40, 40);
+    private static final StandInServer.Service SERVICE = new StandInServer.Service(4, 40, 40);
     private static final int TIMEOUT = 1250;
 
     /** Parts of the time after which a zone dies, discovery notices, and it is back. */
@@ -41,15 +41,15 @@
             description = "requests a second (${DEFAULT-VALUE})")
     private double rate;
 
-    private final Directory directory = new Directory();
-    private final List<StandIn> servers = new ArrayList<>();
+    private final StandInDiscovery directory = new StandInDiscovery();
+    private final List<StandInServer> servers = new ArrayList<>();
 
     @Override
     public Integer call() throws Exception {
         for (int i = 0; i < 2 * IN_ZONE; i++) {
-            servers.add(new StandIn(0, i % 2 == 0 ? "a" : "b", SERVICE, directory));
+            servers.add(new StandInServer(0, i % 2 == 0 ? "a" : "b", SERVICE, directory));
         }
-        StandIn discovery = new StandIn(0, "a", StandIn.Service.NONE, directory);
+        StandInServer discovery = new StandInServer(0, "a", StandInServer.Service.NONE, directory);
         discovery.leave();
         Map<String, Object> save =
                 new LinkedHashMap<>(
@@ -97,14 +97,15 @@
     }
 
     private int play(SidecarProcess sidecar) throws Exception {
-        OpenLoop load = new OpenLoop(sidecar.port(), rate, TIMEOUT, 2000, 1);
+        OpenLoopLoadGenerator load =
+                new OpenLoopLoadGenerator(sidecar.port(), rate, TIMEOUT, 2000, 1);
         Runtime.getRuntime().addShutdownHook(new Thread(load::end));
-        StandIn.daemon(() -> load.run(seconds));
+        StandInServer.daemon(() -> load.run(seconds));
         System.out.println(" second  served/s  refused/s  failed/s   p50 ms   p99 ms");
-        OpenLoop.Figures before = load.figures();
+        OpenLoopLoadGenerator.Figures before = load.figures();
         for (int second = 1; second <= seconds; second++) {
             TimeUnit.SECONDS.sleep(1);
-            OpenLoop.Figures now = load.figures();
+            OpenLoopLoadGenerator.Figures now = load.figures();
             System.out.printf(
                     Locale.ROOT,
                     "%7d %9d %10d %9d %8.1f %8.1f  %s%n",
@@ -118,7 +119,7 @@
             before = now;
         }
         int open = load.settle(2 * TIMEOUT);
-        OpenLoop.Figures all = load.figures();
+        OpenLoopLoadGenerator.Figures all = load.figures();
         int status = sidecar.end();
         System.out.printf(
                 Locale.ROOT,
@@ -137,17 +138,17 @@
     /** What happens in this second; in words. */
     private String trouble(int second) throws IOException {
         if (second == (int) (DIES * seconds)) {
-            for (StandIn s : zoneB()) {
+            for (StandInServer s : zoneB()) {
                 s.kill();
             }
             return "zone b dies";
         }
         if (second == (int) (NOTICED * seconds)) {
-            zoneB().forEach(StandIn::leave);
+            zoneB().forEach(StandInServer::leave);
             return "discovery notices";
         }
         if (second == (int) (BACK * seconds)) {
-            for (StandIn s : zoneB()) {
+            for (StandInServer s : zoneB()) {
                 s.restart();
             }
             return "zone b is back";
@@ -155,7 +156,7 @@
         return "";
     }
 
-    private List<StandIn> zoneB() {
+    private List<StandInServer> zoneB() {
         return servers.stream().filter(s -> s.zone().equals("b")).toList();
     }
 }
--- a/lab/src/main/java/sagefall/lab/load/Load.java
+++ b/testbed/src/main/java/sagefall/load/LoadCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -11,7 +11,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Sends saves to a sidecar on loopback at drawn times; latency from the time meant.")
-public final class Load implements Callable<Integer> {
+public final class LoadCommand implements Callable<Integer> {
 
     @Option(names = "--port", required = true, description = "the sidecar's port on loopback")
     private int port;
@@ -36,10 +36,10 @@
 
     @Override
     public Integer call() throws Exception {
-        OpenLoop load = new OpenLoop(port, rate, timeout, 10_000, seed);
+        OpenLoopLoadGenerator load = new OpenLoopLoadGenerator(port, rate, timeout, 10_000, seed);
         load.run(seconds);
         int open = load.settle(2L * timeout);
-        OpenLoop.Figures f = load.figures();
+        OpenLoopLoadGenerator.Figures f = load.figures();
         System.out.printf(
                 Locale.ROOT,
                 "%d requests: %d served, %d refused, %d failed, %d unsent, %d unanswered%n",
--- a/lab/src/main/java/sagefall/lab/load/OpenLoop.java
+++ b/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -12,14 +12,14 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.lab.model.Draws;
+import sagefall.emulator.RandomStreams;
 
 /**
  * Requests at times that are drawn ahead and wait for no answer. A latency runs from the time at
  * which its request was meant to be sent, so a spell in which nothing is answered costs all that it
  * delays.
  */
-public final class OpenLoop {
+public final class OpenLoopLoadGenerator {
 
     /** What came of the requests of a spell, and of those before. */
     public record Figures(
@@ -48,12 +48,13 @@
      * @param port of the sidecar, on loopback
      * @param most requests out at a time; one that would pass it is counted as unsent
      */
-    public OpenLoop(int port, double perSecond, int timeoutMillis, int most, long seed) {
+    public OpenLoopLoadGenerator(
+            int port, double perSecond, int timeoutMillis, int most, long seed) {
         base = URI.create("http://127.0.0.1:" + port);
         this.perSecond = perSecond;
         this.timeoutMillis = timeoutMillis;
         this.most = most;
-        random = new Draws(seed).stream("open-loop");
+        random = new RandomStreams(seed).stream("open-loop");
     }
 
     /** Sends for so long, in the calling thread. */
--- a/lab/src/main/java/sagefall/lab/load/SidecarProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarProcess.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
@@ -55,7 +55,7 @@
             String jar,
             Map<String, Object> settings,
             Map<String, Object> extensions,
-            Directory directory,
+            StandInDiscovery directory,
             int discovery)
             throws IOException, InterruptedException {
         this(
@@ -219,7 +219,7 @@
                     .write(
                             "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
                                     .getBytes(StandardCharsets.US_ASCII));
-            Map<String, String> head = StandIn.head(socket.getInputStream());
+            Map<String, String> head = StandInServer.head(socket.getInputStream());
             return head != null && head.get("").contains(" 200 ");
         } catch (IOException e) {
             return false;
--- a/lab/src/main/java/sagefall/lab/load/StandIns.java
+++ b/testbed/src/main/java/sagefall/load/StandInCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -9,7 +9,7 @@
         name = "stand-in",
         mixinStandardHelpOptions = true,
         description = "Plays save servers and discovery on loopback until it is ended.")
-public final class StandIns implements Callable<Integer> {
+public final class StandInCommand implements Callable<Integer> {
 
     @Option(
             names = "--port",
@@ -49,13 +49,14 @@
 
     @Override
     public Integer call() throws Exception {
-        Directory directory = new Directory();
-        StandIn.Service service = new StandIn.Service(slots, 10 * slots, millis);
+        StandInDiscovery directory = new StandInDiscovery();
+        StandInServer.Service service = new StandInServer.Service(slots, 10 * slots, millis);
         for (int i = 0; i < count; i++) {
-            new StandIn(0, "a", service, directory)
-                    .faults(new StandIn.Faults(errors, silences, resets, noises));
+            new StandInServer(0, "a", service, directory)
+                    .faults(new StandInServer.Faults(errors, silences, resets, noises));
         }
-        StandIn discovery = new StandIn(port, "a", StandIn.Service.NONE, directory);
+        StandInServer discovery =
+                new StandInServer(port, "a", StandInServer.Service.NONE, directory);
         discovery.leave();
         System.out.println(
                 "discovery on 127.0.0.1:" + discovery.port() + ", " + count + " save servers");
--- a/lab/src/main/java/sagefall/lab/load/Directory.java
+++ b/testbed/src/main/java/sagefall/load/StandInDiscovery.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** What a stand-in discovery knows: servers by id, and a version that each change moves on. */
-public final class Directory {
+public final class StandInDiscovery {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/lab/src/main/java/sagefall/lab/load/StandIn.java
+++ b/testbed/src/main/java/sagefall/load/StandInServer.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -33,7 +33,7 @@
  * directory. A {@link Service} gives it slots that work takes time in, and a report of its load;
  * {@link Faults} what a socket can do wrong.
  */
-public final class StandIn {
+public final class StandInServer {
 
     /**
      * How it works on a {@code POST}.
@@ -60,7 +60,7 @@
         new Random(5).nextBytes(PATTERN);
     }
 
-    private final Directory directory;
+    private final StandInDiscovery directory;
     private final String id;
     private final String zone;
     private final int port;
@@ -74,7 +74,8 @@
     private ServerSocket listening;
 
     /** On a loopback port, 0 for one that is free; it enters itself into the directory. */
-    public StandIn(int port, String zone, Service service, Directory directory) throws IOException {
+    public StandInServer(int port, String zone, Service service, StandInDiscovery directory)
+            throws IOException {
         this.directory = directory;
         this.zone = zone;
         this.service = service;
--- a/lab/src/main/java/sagefall/lab/load/StreamLoad.java
+++ b/testbed/src/main/java/sagefall/load/StreamLoadCommand.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import java.io.BufferedInputStream;
 import java.io.File;
@@ -32,13 +32,13 @@
         description =
                 "Measures the streaming of a real sidecar: sums, memory, first byte, small"
                         + " requests.")
-public final class StreamLoad implements Callable<Integer> {
+public final class StreamLoadCommand implements Callable<Integer> {
 
     private static final int MIB = 1024 * 1024;
     private static final int SERVERS = 8;
 
-    private final Directory directory = new Directory();
-    private final List<StandIn> servers = new ArrayList<>();
+    private final StandInDiscovery directory = new StandInDiscovery();
+    private final List<StandInServer> servers = new ArrayList<>();
     private final AtomicLong ids = new AtomicLong();
     private final AtomicInteger spoilt = new AtomicInteger();
 
@@ -68,7 +68,7 @@
     @Override
     public Integer call() throws Exception {
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new StandIn(0, "a", StandIn.Service.NONE, directory));
+            servers.add(new StandInServer(0, "a", StandInServer.Service.NONE, directory));
         }
         switch (mode) {
             case STREAMS -> streams(jar);
@@ -140,7 +140,7 @@
                         request("GET", "/export/" + length + "/" + seed + "/" + pause, 0)
                                 .getBytes(StandardCharsets.US_ASCII));
         InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * 1024);
-        Map<String, String> head = StandIn.head(in);
+        Map<String, String> head = StandInServer.head(in);
         if (head == null || !head.get("").contains(" 200 ")) {
             throw new IOException("answered " + head);
         }
@@ -149,7 +149,7 @@
         in.reset();
         long first = (System.nanoTime() - began) / 1000;
         check(
-                StandIn.checksum(in, length, rest) == StandIn.expected(length, seed),
+                StandInServer.checksum(in, length, rest) == StandInServer.expected(length, seed),
                 "a download's sum differs");
         return first;
     }
@@ -157,9 +157,9 @@
     private void upload(Socket socket, long length, int seed) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(request("POST", "/append/" + seed, length).getBytes(StandardCharsets.US_ASCII));
-        StandIn.body(out, 0, length, seed);
+        StandInServer.body(out, 0, length, seed);
         InputStream in = socket.getInputStream();
-        Map<String, String> head = StandIn.head(in);
+        Map<String, String> head = StandInServer.head(in);
         if (head == null || !head.get("").contains(" 200 ")) {
             throw new IOException("answered " + head);
         }
@@ -168,7 +168,11 @@
                         in.readNBytes(Integer.parseInt(head.get("Content-Length"))),
                         StandardCharsets.US_ASCII);
         check(
-                sum.trim().equals(length + " " + Long.toHexString(StandIn.expected(length, seed))),
+                sum.trim()
+                        .equals(
+                                length
+                                        + " "
+                                        + Long.toHexString(StandInServer.expected(length, seed))),
                 "an upload's sum differs");
     }
 
@@ -197,7 +201,7 @@
                 for (int i = 0; i < streams; i++) {
                     int seed = 1 + i * 37;
                     long rest = i % 10 == 0 ? 200 : 0;
-                    StandIn.daemon(
+                    StandInServer.daemon(
                             () -> {
                                 try (Socket socket = sidecar.connect()) {
                                     if (up) {
@@ -232,7 +236,7 @@
                         rss / 1024,
                         descriptors,
                         spoilt.get());
-                StandIn.sleep(12_000);
+                StandInServer.sleep(12_000);
                 sidecar.print("12 s after the last");
             }
         }
@@ -318,7 +322,7 @@
         CountDownLatch done = new CountDownLatch(connections);
         long began = System.nanoTime();
         for (int i = 0; i < connections; i++) {
-            StandIn.daemon(
+            StandInServer.daemon(
                     () -> {
                         try (Socket socket = sidecar.connect()) {
                             for (int n; (n = next.getAndIncrement()) < exchanges; ) {
--- a/lab/src/main/java/sagefall/lab/policy/Baselines.java
+++ b/testbed/src/main/java/sagefall/policy/BaselinePolicies.java
@@ -1,21 +1,21 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.Request;
 
 /**
  * The textbook policies, and an oracle that sees the true state. Random gives a scenario its floor
  * and the oracle its top, which no policy that has to learn can be held to.
  */
-public final class Baselines {
+public final class BaselinePolicies {
 
     private interface Maker {
-        LoadBalancer make(Settings settings, Actions actions, Policy.Truth truth);
+        LoadBalancer make(BalancerSettings settings, BalancerActions actions, Policy.Truth truth);
     }
 
     private static final Map<String, Maker> ALL =
@@ -27,7 +27,7 @@
                             "two-choices", (s, a, t) -> new TwoChoices(s, a),
                             "oracle", Oracle::new));
 
-    private Baselines() {}
+    private BaselinePolicies() {}
 
     /** How they are called. */
     public static List<String> names() {
@@ -45,14 +45,17 @@
 
             @Override
             public LoadBalancer create(
-                    Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+                    BalancerSettings settings,
+                    Map<String, Object> facts,
+                    BalancerActions actions,
+                    Truth truth) {
                 return maker.make(settings, actions, truth);
             }
         };
     }
 
-    private static final class RandomPick extends Baseline {
-        RandomPick(Settings settings, Actions actions) {
+    private static final class RandomPick extends BaselinePolicy {
+        RandomPick(BalancerSettings settings, BalancerActions actions) {
             super(settings, actions);
         }
 
@@ -62,10 +65,10 @@
         }
     }
 
-    private static final class RoundRobin extends Baseline {
+    private static final class RoundRobin extends BaselinePolicy {
         private int next;
 
-        RoundRobin(Settings settings, Actions actions) {
+        RoundRobin(BalancerSettings settings, BalancerActions actions) {
             super(settings, actions);
             next = random.nextInt(1 << 20);
         }
@@ -76,8 +79,8 @@
         }
     }
 
-    private static final class LeastInFlight extends Baseline {
-        LeastInFlight(Settings settings, Actions actions) {
+    private static final class LeastInFlight extends BaselinePolicy {
+        LeastInFlight(BalancerSettings settings, BalancerActions actions) {
             super(settings, actions);
         }
 
@@ -102,10 +105,10 @@
     /**
      * Two at random, the lower peak EWMA of latency x (1 + own in flight) wins; no tree, no limits.
      */
-    private static final class TwoChoices extends Baseline {
+    private static final class TwoChoices extends BaselinePolicy {
         private static final double DECAY = 5e6;
 
-        TwoChoices(Settings settings, Actions actions) {
+        TwoChoices(BalancerSettings settings, BalancerActions actions) {
             super(settings, actions);
         }
 
@@ -133,12 +136,12 @@
      * Sends to where the answer would come first by the true state, and refuses what would come too
      * near to its aim: the rest is for the spread of the work, which even an oracle is not told.
      */
-    private static final class Oracle extends Baseline {
+    private static final class Oracle extends BaselinePolicy {
         private static final double REACH = 0.5;
 
         private final Policy.Truth truth;
 
-        Oracle(Settings settings, Actions actions, Policy.Truth truth) {
+        Oracle(BalancerSettings settings, BalancerActions actions, Policy.Truth truth) {
             super(settings, actions);
             this.truth = truth;
         }
@@ -146,7 +149,7 @@
         @Override
         Known pick(long now, Request request, List<Known> ready) {
             Known best = null;
-            double least = REACH * settings.classes().get(0).aimMicros();
+            double least = REACH * settings.classes().get(0).latencyObjectiveMicros();
             for (Known s : ready) {
                 double micros = truth.answerMicros(s.id, settings.zone());
                 if (micros < least) {
--- a/lab/src/main/java/sagefall/lab/policy/Baseline.java
+++ b/testbed/src/main/java/sagefall/policy/BaselinePolicy.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,23 +7,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sagefall.LoadBalancer;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
 
 /**
  * What the textbook policies share: the list, one attempt at a time, another one only where nothing
  * has run, and an answer at once to what can't be sent. They differ in the pick alone.
  */
-abstract class Baseline implements LoadBalancer {
+abstract class BaselinePolicy implements LoadBalancer {
 
     /** A server as such a policy knows it. */
     static final class Known {
         final long id;
-        Server line;
+        ListedEndpoint line;
         int out;
         double latency = Double.NaN;
         long sampledAt;
 
-        Known(Server line) {
+        Known(ListedEndpoint line) {
             this.id = line.id();
             this.line = line;
         }
@@ -38,14 +47,14 @@
         }
     }
 
-    final Settings settings;
+    final BalancerSettings settings;
     final SplittableRandom random;
-    private final Actions actions;
+    private final BalancerActions actions;
     private final Map<Long, Known> known = new HashMap<>();
     private final Map<String, Pending> requests = new HashMap<>();
     private List<Known> ready = List.of();
 
-    Baseline(Settings settings, Actions actions) {
+    BaselinePolicy(BalancerSettings settings, BalancerActions actions) {
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(settings.seed());
@@ -58,47 +67,48 @@
     void learn(long now, Known server, long micros, boolean served) {}
 
     @Override
-    public void servers(long now, ListKind kind, long revision, List<Server> list) {
-        if (kind == ListKind.FAILED) {
+    public void onEndpointList(
+            long now, EndpointListKind kind, long revision, List<ListedEndpoint> list) {
+        if (kind == EndpointListKind.FAILED) {
             return;
         }
         Deque<Known> gone = new ArrayDeque<>();
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.CHANGES) {
             gone.addAll(known.values());
         }
-        for (Server line : list) {
+        for (ListedEndpoint line : list) {
             Known server = known.computeIfAbsent(line.id(), id -> new Known(line));
             server.line = line;
             gone.remove(server);
-            if (line.phase() == Phase.REMOVED) {
+            if (line.phase() == EndpointPhase.REMOVED) {
                 gone.add(server);
             }
         }
         gone.forEach(server -> known.remove(server.id));
         ready =
                 known.values().stream()
-                        .filter(s -> s.line.phase() == Phase.READY)
+                        .filter(s -> s.line.phase() == EndpointPhase.READY)
                         .sorted((a, b) -> Long.compare(a.id, b.id))
                         .toList();
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long now, Request request) {
         Pending p = new Pending(request);
         requests.put(request.id(), p);
-        send(now, p, Reason.TOO_LATE);
+        send(now, p, RejectionReason.TOO_LATE);
     }
 
-    private void send(long now, Pending p, Reason otherwise) {
+    private void send(long now, Pending p, RejectionReason otherwise) {
         List<Known> left = ready;
         if (!p.tried.isEmpty()) {
             left = ready.stream().filter(s -> !p.tried.contains(s)).toList();
         }
         boolean time = p.request.deadlineMicros() - now > 2 * settings.tickMicros();
         Known server = left.isEmpty() || !time ? null : pick(now, p.request, left);
-        if (server == null || p.tried.size() >= settings.limits().attempts()) {
+        if (server == null || p.tried.size() >= settings.limits().maxAttempts()) {
             requests.remove(p.request.id());
-            actions.refuse(p.request.id(), 0, otherwise);
+            actions.reject(p.request.id(), 0, otherwise);
             return;
         }
         p.tried.add(server);
@@ -107,27 +117,27 @@
     }
 
     @Override
-    public void outcome(long now, Outcome o) {
+    public void onAttemptOutcome(long now, AttemptOutcome o) {
         Pending p = requests.get(o.requestId());
         if (p == null) {
             return;
         }
         Known server = p.tried.get(o.attempt());
         server.out--;
-        learn(now, server, o.elapsedMicros(), o.result() == Result.SERVED);
+        learn(now, server, o.elapsedMicros(), o.result() == AttemptResult.SERVED);
         if (o.closed()) {
             requests.remove(o.requestId());
         } else if (o.result().provesNotRun) {
-            send(now, p, Reason.ATTEMPTS);
+            send(now, p, RejectionReason.MAX_ATTEMPTS);
         } else {
             requests.remove(o.requestId());
-            actions.fail(o.requestId(), Reason.EFFECT);
+            actions.fail(o.requestId(), RejectionReason.NOT_RETRYABLE);
         }
     }
 
     /** Kept until its attempt has ended, so that the count of what is out stays right. */
     @Override
-    public void clientLeft(long now, String requestId) {
+    public void onClientDisconnected(long now, String requestId) {
         Pending p = requests.get(requestId);
         if (p != null && p.tried.isEmpty()) {
             requests.remove(requestId);
@@ -135,18 +145,18 @@
     }
 
     @Override
-    public void buffers(long now, long mostBytes) {}
+    public void onBufferLimit(long now, long mostBytes) {}
 
     @Override
-    public void uploaded(long now, String requestId, long deadlineMicros) {}
+    public void onUploadComplete(long now, String requestId, long deadlineMicros) {}
 
     @Override
-    public void replayLost(long now, String requestId) {}
+    public void onReplayBufferExceeded(long now, String requestId) {}
 
     @Override
-    public void streamBegan(
+    public void onStreamStarted(
             long now, String requestId, int attempt, long server, long elapsedMicros) {}
 
     @Override
-    public void timer(long now, long token) {}
+    public void onTimer(long now, long token) {}
 }
--- a/lab/src/main/java/sagefall/lab/policy/WirePolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -15,18 +15,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.LoadReport;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.LoadReport;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
 
 /**
  * Another build, by its {@code sim} command: one process for a day, spoken to over the simulator's
  * wire, one event a batch. Older builds tell no reasons, so what they refuse counts as {@code
  * too_late}.
  */
-final class WirePolicy implements Policy {
+final class ExternalProcessPolicy implements Policy {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -36,7 +40,7 @@
     private final BufferedReader in;
     private int made;
 
-    WirePolicy(String name, String command) throws PolicyException {
+    ExternalProcessPolicy(String name, String command) throws PolicyException {
         this.name = name;
         try {
             process =
@@ -61,7 +65,10 @@
 
     @Override
     public LoadBalancer create(
-            Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+            BalancerSettings settings,
+            Map<String, Object> facts,
+            BalancerActions actions,
+            Truth truth) {
         Instance instance = new Instance("sidecar_" + made++, actions);
         Map<String, Object> start = op("Start");
         start.put("salt", settings.seed());
@@ -93,10 +100,10 @@
 
     private final class Instance implements LoadBalancer {
         private final String who;
-        private final Actions actions;
+        private final BalancerActions actions;
         private long clock;
 
-        Instance(String who, Actions actions) {
+        Instance(String who, BalancerActions actions) {
             this.who = who;
             this.actions = actions;
         }
@@ -137,15 +144,17 @@
                                 action.path("give_up_after_us").asLong(),
                                 Long.MAX_VALUE);
                 case "PushBack" ->
-                        actions.refuse(
-                                ticket, action.path("retry_in_us").asLong(), Reason.TOO_LATE);
-                case "ReportFailure" -> actions.fail(ticket, Reason.TOO_LATE);
+                        actions.reject(
+                                ticket,
+                                action.path("retry_in_us").asLong(),
+                                RejectionReason.TOO_LATE);
+                case "ReportFailure" -> actions.fail(ticket, RejectionReason.TOO_LATE);
                 case "DropAttempt" -> actions.cancel(ticket, action.path("go").asInt());
                 case "Defer" ->
-                        actions.timer(
+                        actions.scheduleTimer(
                                 action.path("time_us").asLong(), action.path("handle").asLong());
-                case "LetGo" -> actions.closeIdle(action.path("server").asLong());
-                case "Subscribe" -> actions.subscribe();
+                case "LetGo" -> actions.closeIdleConnections(action.path("server").asLong());
+                case "Subscribe" -> actions.requestEndpointUpdates();
                 // Older builds probe; the laboratory has no probes, and these bring nothing.
                 case "Inspect" -> {}
                 case "Print" -> actions.log(action.path("what").asText());
@@ -154,9 +163,10 @@
         }
 
         @Override
-        public void servers(long now, ListKind kind, long revision, List<Server> list) {
+        public void onEndpointList(
+                long now, EndpointListKind kind, long revision, List<ListedEndpoint> list) {
             List<Map<String, Object>> rows = new ArrayList<>();
-            for (Server s : list) {
+            for (ListedEndpoint s : list) {
                 Map<String, Object> row = new LinkedHashMap<>();
                 row.put("group", s.cell());
                 row.put(
@@ -191,10 +201,10 @@
         }
 
         @Override
-        public void request(long now, Request request) {
+        public void onRequest(long now, Request request) {
             Map<String, Object> call = op("Call");
             call.put("ticket", request.id());
-            call.put("repeat", request.repeat());
+            call.put("repeat", request.clientRetry());
             call.put("target_key", request.key());
             call.put("drop_dead_us", request.deadlineMicros());
             call.put("type", request.requestClass());
@@ -204,7 +214,7 @@
         }
 
         @Override
-        public void outcome(long now, Outcome o) {
+        public void onAttemptOutcome(long now, AttemptOutcome o) {
             Map<String, Object> response = op("Response");
             response.put("ticket", o.requestId());
             response.put("server", o.server());
@@ -215,7 +225,7 @@
                     switch (o.result()) {
                         case SERVED -> "OK";
                         case ERROR -> "INTERNAL";
-                        case FULL -> "RESOURCE_EXHAUSTED";
+                        case REJECTED -> "RESOURCE_EXHAUSTED";
                         case TIMED_OUT -> "DEADLINE_EXCEEDED";
                         case NO_CONNECTION -> "UNAVAILABLE";
                         case BROKEN -> "ABORTED";
@@ -238,32 +248,32 @@
         }
 
         @Override
-        public void streamBegan(
+        public void onStreamStarted(
                 long now, String requestId, int attempt, long server, long elapsedMicros) {
             throw new UnsupportedOperationException("no class of the laboratory streams");
         }
 
         @Override
-        public void clientLeft(long now, String requestId) {
+        public void onClientDisconnected(long now, String requestId) {
             Map<String, Object> left = op("ClientLeft");
             left.put("ticket", requestId);
             tell(now, List.of(left));
         }
 
         @Override
-        public void timer(long now, long token) {
+        public void onTimer(long now, long token) {
             Map<String, Object> hit = op("DeadlineHit");
             hit.put("handle", token);
             tell(now, List.of(hit));
         }
 
         @Override
-        public void buffers(long now, long mostBytes) {}
+        public void onBufferLimit(long now, long mostBytes) {}
 
         @Override
-        public void uploaded(long now, String requestId, long deadlineMicros) {}
+        public void onUploadComplete(long now, String requestId, long deadlineMicros) {}
 
         @Override
-        public void replayLost(long now, String requestId) {}
+        public void onReplayBufferExceeded(long now, String requestId) {}
     }
 }
--- a/lab/src/main/java/sagefall/lab/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -12,7 +12,7 @@
  */
 public enum Mechanism {
     ADMISSION("refusing by chance where answers come late", "ADMIT_CUT=1"),
-    ZONE_LIMIT("the limit on requests in flight in a zone", "ZoneLimit.LEAST=1e9"),
+    ZONE_LIMIT("the limit on requests in flight in a zone", "ZoneConcurrencyLimit.LEAST=1e9"),
     SERVER_LIMIT(
             "the own limit on requests in flight at a server", "FIRST_LIMIT=1e9", "LIMIT_CUT=1"),
     EJECTION("leaving outliers alone for a while", "MAX_EJECTED=-1"),
--- /dev/null
+++ b/testbed/src/main/java/sagefall/policy/ModulePolicy.java
@@ -0,0 +1,25 @@
+package sagefall.policy;
+
+import java.util.Map;
+import sagefall.balancer.DefaultLoadBalancer;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.LoadBalancer;
+
+/** The decision module as it stands in this build. */
+public final class ModulePolicy implements Policy {
+
+    @Override
+    public String name() {
+        return "module";
+    }
+
+    @Override
+    public LoadBalancer create(
+            BalancerSettings settings,
+            Map<String, Object> facts,
+            BalancerActions actions,
+            Truth truth) {
+        return new DefaultLoadBalancer(settings, actions);
+    }
+}
--- a/lab/src/main/java/sagefall/lab/policy/Policy.java
+++ b/testbed/src/main/java/sagefall/policy/Policy.java
@@ -1,9 +1,9 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import java.util.Map;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.LoadBalancer;
 
 /** Something that decides for a fleet: sagefall's module, a build of it, or a baseline. */
 public interface Policy extends AutoCloseable {
@@ -24,7 +24,11 @@
      * A fresh instance for one sidecar's life. The settings and the facts say the same; the latter
      * as they stand on the wire.
      */
-    LoadBalancer create(Settings settings, Map<String, Object> facts, Actions actions, Truth truth);
+    LoadBalancer create(
+            BalancerSettings settings,
+            Map<String, Object> facts,
+            BalancerActions actions,
+            Truth truth);
 
     @Override
     default void close() {}
--- a/lab/src/main/java/sagefall/lab/policy/PolicyException.java
+++ b/testbed/src/main/java/sagefall/policy/PolicyException.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 /** What is wrong with the name of a policy: one plain line. */
 public final class PolicyException extends Exception {
--- a/lab/src/main/java/sagefall/lab/policy/Policies.java
+++ b/testbed/src/main/java/sagefall/policy/PolicyRegistry.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -9,30 +9,30 @@
  * module:NAME=VALUE,...} with changed tunables; {@code module-without:MECHANISM}; {@code
  * sim:COMMAND}, another build's adapter.
  */
-public final class Policies {
+public final class PolicyRegistry {
 
     /** One line for help. */
     public static final String HELP =
             "module, module:TUNABLE=VALUE[,...], module-without:MECHANISM, "
                     + "sim:COMMAND, random, round-robin, least-in-flight, two-choices, oracle";
 
-    private Policies() {}
+    private PolicyRegistry() {}
 
     /** The policy of that name; the root is where the policy files are found. */
     public static Policy of(String spec, Path root) throws PolicyException {
         if (spec.equals("module")) {
             return new ModulePolicy();
         }
-        if (Baselines.names().contains(spec)) {
-            return Baselines.of(spec);
+        if (BaselinePolicies.names().contains(spec)) {
+            return BaselinePolicies.of(spec);
         }
         int colon = spec.indexOf(':');
         String kind = colon < 0 ? spec : spec.substring(0, colon);
         String rest = spec.substring(colon + 1);
         return switch (kind) {
-            case "module" -> new PolicySource(spec, root, changes(spec, rest));
-            case "module-without" -> new PolicySource(spec, root, Mechanism.of(rest).changes());
-            case "sim" -> new WirePolicy(spec, rest);
+            case "module" -> new RecompiledPolicy(spec, root, changes(spec, rest));
+            case "module-without" -> new RecompiledPolicy(spec, root, Mechanism.of(rest).changes());
+            case "sim" -> new ExternalProcessPolicy(spec, rest);
             default -> throw new PolicyException(spec + ": no such policy; there are " + HELP);
         };
     }
--- a/lab/src/main/java/sagefall/lab/policy/PolicySource.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
@@ -25,18 +25,22 @@
 import javax.tools.SimpleJavaFileObject;
 import javax.tools.StandardJavaFileManager;
 import javax.tools.ToolProvider;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Settings;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.LoadBalancer;
 
 /**
  * The module compiled anew from the policy files with some of its tunables changed. The tunables
  * are constants of the source, which the compiler folds, and so they stay: {@code run} pays nothing
  * for being tried with others, and what is tried is the module's own text.
  */
-final class PolicySource implements Policy {
+final class RecompiledPolicy implements Policy {
 
-    private static final String MAIN = "sagefall.Choice";
+    /** The class among the policy files that implements the interface to the host. */
+    private static final Pattern ENTRY_POINT =
+            Pattern.compile("\\bclass\\s+(\\w+)[^{]*\\bimplements\\s[^{]*\\bLoadBalancer\\b");
+
+    private static final Pattern PACKAGE = Pattern.compile("(?m)^package\\s+([\\w.]+)\\s*;");
 
     private final String name;
     private final Class<? extends LoadBalancer> module;
@@ -45,14 +49,17 @@
      * @param root a checkout of sagefall, whose deploy file names the policy files
      * @param changes tunable, or class and tunable, to its value
      */
-    PolicySource(String name, Path root, Map<String, String> changes) throws PolicyException {
+    RecompiledPolicy(String name, Path root, Map<String, String> changes) throws PolicyException {
         this.name = name;
         try {
             Map<String, String> sources = read(root);
             for (Map.Entry<String, String> change : changes.entrySet()) {
                 change(sources, change.getKey(), change.getValue());
             }
-            module = new Compiled(compile(sources)).loadClass(MAIN).asSubclass(LoadBalancer.class);
+            module =
+                    new Compiled(compile(sources))
+                            .loadClass(entryPoint(sources))
+                            .asSubclass(LoadBalancer.class);
         } catch (IOException | ClassNotFoundException e) {
             throw new PolicyException(name + ": the policy files can't be read: " + e.getMessage());
         }
@@ -75,6 +82,23 @@
         return sources;
     }
 
+    private static String qualifiedName(String simple, String text) {
+        Matcher declared = PACKAGE.matcher(text);
+        return declared.find() ? declared.group(1) + "." + simple : simple;
+    }
+
+    /** The qualified name of the class that the emulator creates for each sidecar. */
+    private String entryPoint(Map<String, String> sources) throws PolicyException {
+        for (Map.Entry<String, String> source : sources.entrySet()) {
+            Matcher declared = ENTRY_POINT.matcher(source.getValue());
+            if (declared.find() && declared.group(1).equals(source.getKey())) {
+                return qualifiedName(source.getKey(), source.getValue());
+            }
+        }
+        throw new PolicyException(
+                name + ": no file of the deploy file's policy list implements LoadBalancer");
+    }
+
     private void change(Map<String, String> sources, String tunable, String value)
             throws PolicyException {
         int dot = tunable.indexOf('.');
@@ -113,7 +137,10 @@
         private final String text;
 
         Source(String simple, String text) {
-            super(URI.create("string:///sagefall/" + simple + ".java"), Kind.SOURCE);
+            super(
+                    URI.create(
+                            "string:///" + qualifiedName(simple, text).replace('.', '/') + ".java"),
+                    Kind.SOURCE);
             this.text = text;
         }
 
@@ -193,7 +220,7 @@
         private final Map<String, byte[]> classes;
 
         Compiled(Map<String, byte[]> classes) {
-            super(PolicySource.class.getClassLoader());
+            super(RecompiledPolicy.class.getClassLoader());
             this.classes = classes;
         }
 
@@ -217,9 +244,12 @@
 
     @Override
     public LoadBalancer create(
-            Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+            BalancerSettings settings,
+            Map<String, Object> facts,
+            BalancerActions actions,
+            Truth truth) {
         try {
-            return module.getConstructor(Settings.class, Actions.class)
+            return module.getConstructor(BalancerSettings.class, BalancerActions.class)
                     .newInstance(settings, actions);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(name + ": " + e, e);
--- a/lab/src/main/java/sagefall/lab/report/HeatMap.java
+++ b/testbed/src/main/java/sagefall/report/HeatMap.java
@@ -1,4 +1,4 @@
-package sagefall.lab.report;
+package sagefall.report;
 
 import java.awt.image.BufferedImage;
 import java.io.ByteArrayOutputStream;
--- a/lab/src/main/java/sagefall/lab/report/HtmlReport.java
+++ b/testbed/src/main/java/sagefall/report/HtmlReport.java
@@ -1,4 +1,4 @@
-package sagefall.lab.report;
+package sagefall.report;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.IntStream;
-import sagefall.lab.experiment.Comparison;
-import sagefall.lab.experiment.Paired;
-import sagefall.lab.model.DayResult;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.PairedDifference;
+import sagefall.experiment.PolicyComparison;
 
 /**
  * One page about some days that needs nothing else: no script, no style and no picture from
@@ -49,9 +49,9 @@
     private HtmlReport() {}
 
     /** Days of one scenario by one policy; the first is shown second by second. */
-    public static String of(List<DayResult> days) {
+    public static String of(List<SimulationResult> days) {
         HtmlReport report = new HtmlReport();
-        DayResult first = days.get(0);
+        SimulationResult first = days.get(0);
         report.begin(first.scenario() + ": " + first.policy());
         report.table(days);
         report.day(first);
@@ -59,7 +59,7 @@
     }
 
     /** Two policies on the same days. */
-    public static String of(Comparison c) {
+    public static String of(PolicyComparison c) {
         HtmlReport report = new HtmlReport();
         report.begin(c.scenario() + ": A " + c.policyA() + ", B " + c.policyB());
         report.add(
@@ -71,7 +71,7 @@
         report.paired(c.figures());
         report.paired(new ArrayList<>(c.lost().values()));
         report.add("<h2>Days</h2>");
-        List<DayResult> all = new ArrayList<>(c.a());
+        List<SimulationResult> all = new ArrayList<>(c.a());
         all.addAll(c.b());
         report.table(all);
         report.day(c.a().get(0));
@@ -117,10 +117,10 @@
         return String.format(Locale.ROOT, "%.3f", value);
     }
 
-    private void paired(List<Paired> figures) {
+    private void paired(List<PairedDifference> figures) {
         add("<table>");
         row("th", "figure", "A", "B", "B - A", "interval", "");
-        for (Paired p : figures) {
+        for (PairedDifference p : figures) {
             row(
                     "td",
                     text(p.figure()),
@@ -133,7 +133,7 @@
         add("</table>");
     }
 
-    private void table(List<DayResult> days) {
+    private void table(List<SimulationResult> days) {
         add("<table>");
         row(
                 "th",
@@ -150,7 +150,7 @@
                 "p50 ms",
                 "p95 ms",
                 "rules");
-        for (DayResult r : days) {
+        for (SimulationResult r : days) {
             row(
                     "td",
                     text(r.policy()),
@@ -163,8 +163,8 @@
                     f(r.attemptsPerRequest()),
                     f(r.crossingsPerRequest()),
                     f(r.setupsPerRequest()),
-                    Svg.number(r.latency().p50()),
-                    Svg.number(r.latency().p95()),
+                    SvgChart.number(r.latency().p50()),
+                    SvgChart.number(r.latency().p95()),
                     r.breachCount() == 0
                             ? "kept"
                             : "<span class='bad'>" + r.breachCount() + " broken</span>");
@@ -172,20 +172,20 @@
         add("</table>");
     }
 
-    private void day(DayResult r) {
+    private void day(SimulationResult r) {
         add("<h2>" + text(r.policy()) + ", seed " + r.seed() + ", second by second</h2>");
-        DayResult.Series s = r.series();
+        SimulationResult.Series s = r.series();
         int seconds = s.asked().length;
         add(
-                new Svg(
+                new SvgChart(
                                 "Worth asked for and served in time, by the second of the first"
                                         + " try",
                                 seconds,
                                 1.1 * Arrays.stream(s.asked()).max().orElse(1),
                                 "worth/s")
                         .troubles(r.troubles())
-                        .line(s.asked(), Svg.COLOURS.get(0))
-                        .line(s.served(), Svg.COLOURS.get(1))
+                        .line(s.asked(), SvgChart.COLOURS.get(0))
+                        .line(s.served(), SvgChart.COLOURS.get(1))
                         .end(List.of("asked", "served")));
         Map<String, double[]> lost = causes(r);
         double most =
@@ -194,22 +194,22 @@
                         .max()
                         .orElse(1);
         add(
-                new Svg("Worth lost, by cause", seconds, 1.1 * most, "worth/s")
+                new SvgChart("Worth lost, by cause", seconds, 1.1 * most, "worth/s")
                         .troubles(r.troubles())
                         .stack(lost)
                         .end(new ArrayList<>(lost.keySet())));
         add(losses(r));
         add(
-                new Svg(
+                new SvgChart(
                                 "Answers: time from a client's first try",
                                 seconds,
                                 1.1 * Arrays.stream(s.p99()).max().orElse(1),
                                 "ms")
                         .troubles(r.troubles())
                         .level(AIM_SHOWN, "1,200 ms")
-                        .line(s.p50(), Svg.COLOURS.get(0))
-                        .line(s.p95(), Svg.COLOURS.get(1))
-                        .line(s.p99(), Svg.COLOURS.get(2))
+                        .line(s.p50(), SvgChart.COLOURS.get(0))
+                        .line(s.p95(), SvgChart.COLOURS.get(1))
+                        .line(s.p99(), SvgChart.COLOURS.get(2))
                         .end(List.of("p50", "p95", "p99")));
         add(
                 HeatMap.picture(
@@ -230,12 +230,12 @@
         add(servers(r));
     }
 
-    private static int[] one(DayResult r) {
+    private static int[] one(SimulationResult r) {
         return r.zones().stream().mapToInt(z -> 1).toArray();
     }
 
     /** The largest causes by name, all others as one. */
-    private static Map<String, double[]> causes(DayResult r) {
+    private static Map<String, double[]> causes(SimulationResult r) {
         Map<String, double[]> layers = new LinkedHashMap<>();
         List<Map.Entry<String, Double>> largest = r.losses();
         for (int i = 0; i < largest.size(); i++) {
@@ -252,13 +252,13 @@
         return layers;
     }
 
-    private static String losses(DayResult r) {
+    private static String losses(SimulationResult r) {
         HtmlReport table = new HtmlReport();
         table.add("<table>");
         table.row(
                 "th", "lost by", "part of the worth", "requests", "of it beyond a tenant's share");
         for (Map.Entry<String, Double> loss : r.losses()) {
-            DayResult.Loss l = r.lost().get(loss.getKey());
+            SimulationResult.Loss l = r.lost().get(loss.getKey());
             table.row(
                     "td",
                     text(loss.getKey()),
@@ -270,7 +270,7 @@
         return table.out.toString();
     }
 
-    private static double[][] zoneLoss(DayResult.Series s) {
+    private static double[][] zoneLoss(SimulationResult.Series s) {
         double[][] lost = transposed(s.zoneAsked());
         for (int z = 0; z < lost.length; z++) {
             for (int i = 0; i < lost[z].length; i++) {
@@ -291,7 +291,7 @@
     }
 
     /** The servers of the day's beginning, zone by zone. */
-    private static String servers(DayResult r) {
+    private static String servers(SimulationResult r) {
         List<Integer> order =
                 new ArrayList<>(IntStream.range(0, r.serverZones().size()).boxed().toList());
         int[] sizes = new int[r.zones().size()];
--- a/lab/src/main/java/sagefall/lab/report/SpeedPlot.java
+++ b/testbed/src/main/java/sagefall/report/ScalingPlot.java
@@ -1,10 +1,10 @@
-package sagefall.lab.report;
+package sagefall.report;
 
 import java.util.List;
 import java.util.Locale;
 
 /** Seconds against the size of the fleet, both as powers of ten, beside what n log n would be. */
-public final class SpeedPlot {
+public final class ScalingPlot {
 
     /** A fleet of so many sidecars took so long. */
     public record Point(int size, double seconds) {}
@@ -17,7 +17,7 @@
     private final double least;
     private final double most;
 
-    private SpeedPlot(List<Point> points) {
+    private ScalingPlot(List<Point> points) {
         this.points = points;
         least = Math.log10(points.get(0).seconds) - 0.3;
         most = Math.log10(points.stream().mapToDouble(Point::seconds).max().orElse(1)) + 0.2;
@@ -25,7 +25,7 @@
 
     /** The plot as an SVG file's text; the points by growing size. */
     public static String of(List<Point> points) {
-        return new SpeedPlot(points).svg();
+        return new ScalingPlot(points).svg();
     }
 
     private double x(double size) {
--- a/lab/src/main/java/sagefall/lab/report/DayFiles.java
+++ b/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
@@ -1,4 +1,4 @@
-package sagefall.lab.report;
+package sagefall.report;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -7,28 +7,28 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.model.DayResult;
+import sagefall.emulator.SimulationResult;
+import sagefall.experiment.ParallelSimulations;
 
 /**
  * Writes each day as a line of JSON when it is done, so that an experiment that is broken off
  * leaves them.
  */
-public final class DayFiles implements Plays.Listener {
+public final class SimulationResultWriter implements ParallelSimulations.Listener {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Path file;
 
     /** A folder, made where it is missing; days of an earlier experiment in it are replaced. */
-    public DayFiles(Path folder) throws IOException {
+    public SimulationResultWriter(Path folder) throws IOException {
         Files.createDirectories(folder);
         file = folder.resolve("days.jsonl");
         Files.writeString(file, "");
     }
 
     @Override
-    public void done(DayResult result) {
+    public void done(SimulationResult result) {
         try {
             Files.write(
                     file,
