--- a/lab/src/main/java/sagefall/lab/report/Svg.java
+++ b/testbed/src/main/java/sagefall/report/SvgChart.java
@@ -1,16 +1,16 @@
-package sagefall.lab.report;
+package sagefall.report;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import sagefall.lab.model.DayResult;
+import sagefall.emulator.SimulationResult;
 
 /**
  * Charts over the seconds of a day, as SVG text. Drawn here and not by a plotting library: the
  * charts stand still, a reader can search their text and copy their values, and no library for the
  * JDK writes them without a window system or scripts from elsewhere.
  */
-final class Svg {
+final class SvgChart {
 
     private static final int WIDTH = 920;
     private static final int HEIGHT = 210;
@@ -29,7 +29,7 @@
     private final int seconds;
     private final double most;
 
-    Svg(String title, int seconds, double most, String unit) {
+    SvgChart(String title, int seconds, double most, String unit) {
         this.seconds = seconds;
         this.most = most <= 0 ? 1 : most;
         add("<figure><svg viewBox='0 0 %d %d' role='img' aria-label='%s'>", WIDTH, HEIGHT, title);
@@ -70,9 +70,9 @@
     }
 
     /** The troubles of the day, shaded, with their names on lines of their own. */
-    Svg troubles(List<DayResult.Trouble> troubles) {
+    SvgChart troubles(List<SimulationResult.Trouble> troubles) {
         int line = 0;
-        for (DayResult.Trouble t : troubles) {
+        for (SimulationResult.Trouble t : troubles) {
             add(
                     "<rect x='%.1f' y='%d' width='%.1f' height='%d' class='trouble'/>",
                     x(t.from()), TOP, Math.max(1, x(t.to()) - x(t.from())), HEIGHT - TOP - BOTTOM);
@@ -83,7 +83,7 @@
         return this;
     }
 
-    Svg line(double[] values, String colour) {
+    SvgChart line(double[] values, String colour) {
         StringBuilder points = new StringBuilder();
         for (int s = 0; s < values.length; s++) {
             points.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), y(values[s])));
@@ -95,7 +95,7 @@
     }
 
     /** A level that does not change. */
-    Svg level(double value, String name) {
+    SvgChart level(double value, String name) {
         add(
                 "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='level'/>",
                 LEFT, WIDTH - RIGHT, y(value), y(value));
@@ -106,7 +106,7 @@
     }
 
     /** Values on top of one another, the first at the bottom. */
-    Svg stack(Map<String, double[]> layers) {
+    SvgChart stack(Map<String, double[]> layers) {
         double[] below = new double[seconds];
         int colour = 0;
         for (Map.Entry<String, double[]> layer : layers.entrySet()) {
--- a/lab/src/main/java/sagefall/lab/scenario/BenchFigures.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,7 +12,7 @@
  * @param builds how each is played in the laboratory
  * @param plays one figure of the bench each
  */
-public record BenchFigures(List<Build> builds, List<Play> plays) {
+public record BenchmarkFigures(List<Build> builds, List<Play> plays) {
 
     /** A build and the policy that stands for it; {@code $NAME} in it is a folder that is given. */
     public record Build(String name, String policy) {}
@@ -21,20 +21,20 @@
     public record Play(String build, String scenario, String day, double g) {}
 
     /** Reads a file of builds and plays, as strictly as a scenario. */
-    public static BenchFigures load(Path file) throws IOException, ScenarioException {
+    public static BenchmarkFigures load(Path file) throws IOException, ScenarioException {
         if (!Files.isReadable(file)) {
             throw new ScenarioException(file + ":1: no such file");
         }
-        Table all = Scenario.table(file.toString(), Files.readString(file), List.of());
+        TomlTable all = Scenario.table(file.toString(), Files.readString(file), List.of());
         List<Build> builds = new ArrayList<>();
-        for (Table t : all.tables("build")) {
+        for (TomlTable t : all.tables("build")) {
             builds.add(
                     new Build(t.word("name", null, List.of()), t.word("policy", null, List.of())));
             t.end();
         }
         List<String> names = builds.stream().map(Build::name).toList();
         List<Play> plays = new ArrayList<>();
-        for (Table t : all.tables("play")) {
+        for (TomlTable t : all.tables("play")) {
             plays.add(
                     new Play(
                             t.word("build", null, names),
@@ -44,6 +44,6 @@
             t.end();
         }
         all.end();
-        return new BenchFigures(builds, plays);
+        return new BenchmarkFigures(builds, plays);
     }
 }
--- a/lab/src/main/java/sagefall/lab/scenario/Fault.java
+++ b/testbed/src/main/java/sagefall/scenario/Fault.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -25,21 +25,21 @@
  */
 public record Fault(
         Kind kind,
-        Range from,
-        Range seconds,
+        ValueRange from,
+        ValueRange seconds,
         int zone,
         int tenant,
-        Range part,
-        Range size,
-        Range every,
+        ValueRange part,
+        ValueRange size,
+        ValueRange every,
         String how,
         String place) {
 
     /** Who plays scenarios. */
     public enum Side {
-        /** {@code sagefall.lab.model}: one process, its own clock. */
+        /** {@code sagefall.emulator}: one process, its own clock. */
         EMULATOR,
-        /** {@code sagefall.lab.rig}: real processes on real sockets. */
+        /** {@code sagefall.faultinjection}: real processes on real sockets. */
         RIG
     }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    static Fault read(Table t, Scenario.Fleet fleet, List<Scenario.Tenant> tenants, double day)
+    static Fault read(TomlTable t, Scenario.Fleet fleet, List<Scenario.Tenant> tenants, double day)
             throws ScenarioException {
         Kind kind = Kind.valueOf(t.word("kind", null, Kind.words()).toUpperCase(Locale.ROOT));
         for (String name : List.of("for_s", "zone", "tenant", "part", "size", "every_s", "how")) {
@@ -173,8 +173,8 @@
                 throw t.wrong(name, "means nothing to " + kind.name().toLowerCase(Locale.ROOT));
             }
         }
-        Range from = t.range("at_s", Range.of(0), 0, day);
-        Range seconds = t.range("for_s", Range.of(day), 0, day);
+        ValueRange from = t.range("at_s", ValueRange.of(0), 0, day);
+        ValueRange seconds = t.range("for_s", ValueRange.of(day), 0, day);
         List<String> hows =
                 switch (kind) {
                     case CUT_ZONE, CUT_SIDECARS, FLAP_LINKS -> List.of("both", "in", "out");
@@ -189,9 +189,9 @@
                         seconds,
                         zone(t, kind, fleet),
                         tenant(t, kind, tenants),
-                        t.range("part", Range.of(0.1), 0, 1),
-                        t.range("size", Range.of(2), size(kind)[0], size(kind)[1]),
-                        t.range("every_s", Range.of(2), 0.01, day),
+                        t.range("part", ValueRange.of(0.1), 0, 1),
+                        t.range("size", ValueRange.of(2), size(kind)[0], size(kind)[1]),
+                        t.range("every_s", ValueRange.of(2), 0.01, day),
                         t.word("how", hows.get(0), hows),
                         t.place("kind"));
         t.end();
@@ -210,7 +210,7 @@
         };
     }
 
-    private static int zone(Table t, Kind kind, Scenario.Fleet fleet) throws ScenarioException {
+    private static int zone(TomlTable t, Kind kind, Scenario.Fleet fleet) throws ScenarioException {
         if (!kind.names.contains("zone")
                 || ((kind == Kind.KILL_SIDECARS || kind == Kind.POWER_LOSS) && !t.has("zone"))) {
             return -1;
@@ -223,7 +223,7 @@
         return zone;
     }
 
-    private static int tenant(Table t, Kind kind, List<Scenario.Tenant> tenants)
+    private static int tenant(TomlTable t, Kind kind, List<Scenario.Tenant> tenants)
             throws ScenarioException {
         if (!kind.names.contains("tenant")) {
             return -1;
--- a/lab/src/main/java/sagefall/lab/scenario/Scenario.java
+++ b/testbed/src/main/java/sagefall/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -93,7 +93,7 @@
             List<String> zones,
             double serverSkew,
             int cellServers,
-            Range startSeconds,
+            ValueRange startSeconds,
             String keeps,
             int leaseMillis) {}
 
@@ -106,7 +106,12 @@
      * @param unlike coefficient of variation of the sidecars' traffic
      */
     public record Load(
-            Range use, Range swing, Range zoneSkew, Range unlike, int keys, Range zipf) {}
+            ValueRange use,
+            ValueRange swing,
+            ValueRange zoneSkew,
+            ValueRange unlike,
+            int keys,
+            ValueRange zipf) {}
 
     /**
      * How clients try again and give up.
@@ -119,10 +124,10 @@
      */
     public record Clients(
             int retries,
-            Range tryShare,
-            Range waitMillis,
-            Range honour,
-            Range leave,
+            ValueRange tryShare,
+            ValueRange waitMillis,
+            ValueRange honour,
+            ValueRange leave,
             boolean marksRetries) {}
 
     /**
@@ -130,16 +135,16 @@
      * server.
      */
     public record Net(
-            Range sameMillis,
-            Range crossMillis,
-            Range clientMillis,
-            Range jitter,
-            Range setupTrips,
-            Range setupMicros,
+            ValueRange sameMillis,
+            ValueRange crossMillis,
+            ValueRange clientMillis,
+            ValueRange jitter,
+            ValueRange setupTrips,
+            ValueRange setupMicros,
             double idleSeconds,
             double setupLimitMillis,
-            Range connectionsPerCore,
-            Range tableTax) {}
+            ValueRange connectionsPerCore,
+            ValueRange tableTax) {}
 
     /**
      * What discovery knows, and when.
@@ -151,11 +156,11 @@
      * @param spreadMillis by which sidecars hear of one list after another
      */
     public record Listing(
-            Range noticeSeconds,
-            Range silentSeconds,
-            Range addSeconds,
-            Range periodMillis,
-            Range spreadMillis) {}
+            ValueRange noticeSeconds,
+            ValueRange silentSeconds,
+            ValueRange addSeconds,
+            ValueRange periodMillis,
+            ValueRange spreadMillis) {}
 
     /**
      * The class of requests, the rules and the prices.
@@ -174,17 +179,17 @@
             int attempts,
             boolean cancelling,
             boolean retryAdvice,
-            Range workMillis,
+            ValueRange workMillis,
             String distribution,
-            Range spread,
-            Range attemptNoise,
-            Range keyGain,
-            Range keySeconds,
-            Range keysPerCore,
-            Range reportMillis,
-            Range reportNoise,
+            ValueRange spread,
+            ValueRange attemptNoise,
+            ValueRange keyGain,
+            ValueRange keySeconds,
+            ValueRange keysPerCore,
+            ValueRange reportMillis,
+            ValueRange reportNoise,
             double overShareWorth,
-            Range quotaOfCapacity,
+            ValueRange quotaOfCapacity,
             double coldFrom,
             double coldSeconds,
             double fallMultiple,
@@ -205,20 +210,20 @@
             String name,
             double share,
             int cores,
-            Range speed,
-            Range slotsPerCore,
-            Range queuePerCore,
-            Range thrash,
-            Range thrashAt,
-            Range coldFrom,
-            Range coldSeconds,
+            ValueRange speed,
+            ValueRange slotsPerCore,
+            ValueRange queuePerCore,
+            ValueRange thrash,
+            ValueRange thrashAt,
+            ValueRange coldFrom,
+            ValueRange coldSeconds,
             String warmBy,
-            Range pauseEverySeconds,
-            Range pauseMillis,
-            Range errors) {}
+            ValueRange pauseEverySeconds,
+            ValueRange pauseMillis,
+            ValueRange errors) {}
 
     /** A tenant: its share, and how much of it it uses. */
-    public record Tenant(String name, double share, Range usage) {}
+    public record Tenant(String name, double share, ValueRange usage) {}
 
     /**
      * Reads a shipped scenario by its name, or a file by its path.
@@ -234,7 +239,7 @@
     /** The text of a shipped scenario, or of a file. */
     public static Source source(String nameOrFile) throws IOException, ScenarioException {
         if (SHIPPED.contains(nameOrFile) || RIG.contains(nameOrFile)) {
-            String resource = "/sagefall/lab/scenarios/" + nameOrFile + ".toml";
+            String resource = "/sagefall/scenario/" + nameOrFile + ".toml";
             try (InputStream in = Scenario.class.getResourceAsStream(resource)) {
                 return new Source(
                         nameOrFile + ".toml",
@@ -274,13 +279,13 @@
         return read(table(file, text, sets));
     }
 
-    static Table table(String file, String text, List<String> sets) throws ScenarioException {
-        Lines lines = new Lines(text);
+    static TomlTable table(String file, String text, List<String> sets) throws ScenarioException {
+        TomlLineIndex lines = new TomlLineIndex(text);
         JsonNode tree = parse(file, text);
         for (String set : sets) {
             override(lines, tree, set);
         }
-        return new Table(file, lines, "", tree);
+        return new TomlTable(file, lines, "", tree);
     }
 
     private static JsonNode parse(String file, String text) throws ScenarioException {
@@ -297,7 +302,8 @@
         }
     }
 
-    private static void override(Lines lines, JsonNode tree, String set) throws ScenarioException {
+    private static void override(TomlLineIndex lines, JsonNode tree, String set)
+            throws ScenarioException {
         int equals = set.indexOf('=');
         if (equals < 1) {
             throw new ScenarioException("--set: '" + set + "' is not NAME=VALUE");
@@ -320,13 +326,13 @@
         lines.override(set.substring(0, equals).trim());
     }
 
-    private static Scenario read(Table all) throws ScenarioException {
+    private static Scenario read(TomlTable all) throws ScenarioException {
         double seconds = all.number("seconds", 50, 1, DAY);
         Fleet fleet = fleet(all.table("fleet"));
         List<Tenant> tenants = tenants(all);
         List<Kind> kinds = kinds(all);
         List<Fault> faults = new ArrayList<>();
-        for (Table t : all.tables("fault")) {
+        for (TomlTable t : all.tables("fault")) {
             faults.add(Fault.read(t, fleet, tenants, seconds));
         }
         Scenario scenario =
@@ -347,7 +353,7 @@
         return scenario;
     }
 
-    private static Fleet fleet(Table t) throws ScenarioException {
+    private static Fleet fleet(TomlTable t) throws ScenarioException {
         Fleet fleet =
                 new Fleet(
                         t.whole("sidecars", 100, 1, 10_000),
@@ -355,7 +361,7 @@
                         t.words("zones", List.of("a", "b", "c", "d")),
                         t.number("server_skew", 0.3, 0, 1),
                         t.whole("cell_servers", 8, 1, 1000),
-                        t.range("start_s", Range.of(0), 0, 60),
+                        t.range("start_s", ValueRange.of(0), 0, 60),
                         t.word("keeps", "off", List.of("off", "each", "snapshot")),
                         t.whole("lease_ms", 0, 0, 600_000));
         t.end();
@@ -365,62 +371,62 @@
         return fleet;
     }
 
-    private static Load load(Table t) throws ScenarioException {
+    private static Load load(TomlTable t) throws ScenarioException {
         Load load =
                 new Load(
-                        t.range("use", new Range(0.55, 0.75), 0, 10),
-                        t.range("swing", new Range(0.05, 0.15), 0, 1),
-                        t.range("zone_skew", new Range(0.1, 0.4), 0, 1),
-                        t.range("unlike", new Range(0.6, 1.4), 0, 5),
+                        t.range("use", new ValueRange(0.55, 0.75), 0, 10),
+                        t.range("swing", new ValueRange(0.05, 0.15), 0, 1),
+                        t.range("zone_skew", new ValueRange(0.1, 0.4), 0, 1),
+                        t.range("unlike", new ValueRange(0.6, 1.4), 0, 5),
                         t.whole("keys", 1000, 1, 10_000_000),
-                        t.range("zipf", new Range(0.9, 1.1), 0.01, 3));
+                        t.range("zipf", new ValueRange(0.9, 1.1), 0.01, 3));
         t.end();
         return load;
     }
 
-    private static Clients clients(Table t) throws ScenarioException {
+    private static Clients clients(TomlTable t) throws ScenarioException {
         Clients clients =
                 new Clients(
                         t.whole("retries", 2, 0, 20),
-                        t.range("try_share", new Range(0.48, 0.58), 0.01, 1),
-                        t.range("wait_ms", new Range(60, 480), 0, 60_000),
-                        t.range("honour", new Range(0.1, 0.3), 0, 1),
-                        t.range("leave", Range.of(0), 0, 1),
+                        t.range("try_share", new ValueRange(0.48, 0.58), 0.01, 1),
+                        t.range("wait_ms", new ValueRange(60, 480), 0, 60_000),
+                        t.range("honour", new ValueRange(0.1, 0.3), 0, 1),
+                        t.range("leave", ValueRange.of(0), 0, 1),
                         t.flag("marks_retries", true));
         t.end();
         return clients;
     }
 
-    private static Net net(Table t) throws ScenarioException {
+    private static Net net(TomlTable t) throws ScenarioException {
         Net net =
                 new Net(
-                        t.range("same_ms", new Range(0.1, 0.35), 0, 10_000),
-                        t.range("cross_ms", new Range(10, 20), 0, 10_000),
-                        t.range("client_ms", new Range(0.03, 0.09), 0, 10_000),
-                        t.range("jitter", new Range(0.07, 0.33), 0, 10),
-                        t.range("setup_trips", new Range(2, 3), 0, 20),
-                        t.range("setup_us", new Range(500, 1500), 0, 1e6),
+                        t.range("same_ms", new ValueRange(0.1, 0.35), 0, 10_000),
+                        t.range("cross_ms", new ValueRange(10, 20), 0, 10_000),
+                        t.range("client_ms", new ValueRange(0.03, 0.09), 0, 10_000),
+                        t.range("jitter", new ValueRange(0.07, 0.33), 0, 10),
+                        t.range("setup_trips", new ValueRange(2, 3), 0, 20),
+                        t.range("setup_us", new ValueRange(500, 1500), 0, 1e6),
                         t.number("idle_s", 5, 0.01, DAY),
                         t.number("setup_limit_ms", 250, 1, 60_000),
-                        t.range("connections_per_core", new Range(60, 150), 1, 1e6),
-                        t.range("table_tax", new Range(0.16, 0.35), 0, 0.99));
+                        t.range("connections_per_core", new ValueRange(60, 150), 1, 1e6),
+                        t.range("table_tax", new ValueRange(0.16, 0.35), 0, 0.99));
         t.end();
         return net;
     }
 
-    private static Listing listing(Table t) throws ScenarioException {
+    private static Listing listing(TomlTable t) throws ScenarioException {
         Listing listing =
                 new Listing(
-                        t.range("notice_s", new Range(1.3, 4.8), 0, DAY),
-                        t.range("silent_s", new Range(4.2, 14), 0, DAY),
-                        t.range("add_s", new Range(0.3, 2.1), 0, DAY),
-                        t.range("period_ms", new Range(340, 1400), 1, 1e6),
-                        t.range("spread_ms", new Range(140, 460), 0, 1e6));
+                        t.range("notice_s", new ValueRange(1.3, 4.8), 0, DAY),
+                        t.range("silent_s", new ValueRange(4.2, 14), 0, DAY),
+                        t.range("add_s", new ValueRange(0.3, 2.1), 0, DAY),
+                        t.range("period_ms", new ValueRange(340, 1400), 1, 1e6),
+                        t.range("spread_ms", new ValueRange(140, 460), 0, 1e6));
         t.end();
         return listing;
     }
 
-    private static Service service(Table t) throws ScenarioException {
+    private static Service service(TomlTable t) throws ScenarioException {
         Service service =
                 new Service(
                         t.word("effect", "token", List.of("pure", "token", "side_effect")),
@@ -431,20 +437,20 @@
                         t.whole("attempts", 5, 1, 100),
                         t.flag("cancelling", true),
                         t.flag("retry_advice", true),
-                        t.range("work_ms", new Range(97, 180), 0.001, 1e5),
+                        t.range("work_ms", new ValueRange(97, 180), 0.001, 1e5),
                         t.word(
                                 "distribution",
                                 "lognormal",
                                 List.of("lognormal", "exponential", "constant")),
-                        t.range("spread", new Range(0.8, 1.2), 0, 10),
-                        t.range("attempt_noise", new Range(0.1, 0.3), 0, 5),
-                        t.range("key_gain", new Range(0.27, 0.69), 0, 1),
-                        t.range("key_s", new Range(2, 7.6), 0, DAY),
-                        t.range("keys_per_core", new Range(11, 21), 0, 1e6),
-                        t.range("report_ms", new Range(41, 430), 1, 1e6),
-                        t.range("report_noise", new Range(0.05, 0.2), 0, 5),
+                        t.range("spread", new ValueRange(0.8, 1.2), 0, 10),
+                        t.range("attempt_noise", new ValueRange(0.1, 0.3), 0, 5),
+                        t.range("key_gain", new ValueRange(0.27, 0.69), 0, 1),
+                        t.range("key_s", new ValueRange(2, 7.6), 0, DAY),
+                        t.range("keys_per_core", new ValueRange(11, 21), 0, 1e6),
+                        t.range("report_ms", new ValueRange(41, 430), 1, 1e6),
+                        t.range("report_noise", new ValueRange(0.05, 0.2), 0, 5),
                         t.number("over_share_worth", 0.1, 0, 1),
-                        t.range("quota_of_capacity", new Range(0.73, 0.87), 0.01, 10),
+                        t.range("quota_of_capacity", new ValueRange(0.73, 0.87), 0.01, 10),
                         t.number("cold_from", 0.3, 0.01, 1),
                         t.number("cold_s", 8.8, 0, DAY),
                         t.number("fall_multiple", 3, 1, 1e6),
@@ -456,79 +462,79 @@
         return service;
     }
 
-    private static List<Kind> kinds(Table all) throws ScenarioException {
+    private static List<Kind> kinds(TomlTable all) throws ScenarioException {
         List<Kind> kinds = new ArrayList<>();
-        for (Table t : all.tables("kind")) {
+        for (TomlTable t : all.tables("kind")) {
             kinds.add(
                     new Kind(
                             t.word("name", null, List.of()),
                             t.number("share", 1, 0, 1e6),
                             t.whole("cores", 1, 1, 1024),
-                            t.range("speed", Range.of(1), 0.001, 1000),
-                            t.range("slots_per_core", Range.of(1), 1, 1000),
-                            t.range("queue_per_core", new Range(11, 34), 0, 1e6),
-                            t.range("thrash", new Range(0.12, 0.25), 0, 100),
-                            t.range("thrash_at", new Range(8.6, 13), 0, 1e6),
-                            t.range("cold_from", new Range(0.32, 0.5), 0.01, 1),
-                            t.range("cold_s", new Range(4, 8.8), 0, DAY),
+                            t.range("speed", ValueRange.of(1), 0.001, 1000),
+                            t.range("slots_per_core", ValueRange.of(1), 1, 1000),
+                            t.range("queue_per_core", new ValueRange(11, 34), 0, 1e6),
+                            t.range("thrash", new ValueRange(0.12, 0.25), 0, 100),
+                            t.range("thrash_at", new ValueRange(8.6, 13), 0, 1e6),
+                            t.range("cold_from", new ValueRange(0.32, 0.5), 0.01, 1),
+                            t.range("cold_s", new ValueRange(4, 8.8), 0, DAY),
                             t.word("warm_by", "work", List.of("time", "work")),
-                            t.range("pause_every_s", new Range(5, 11), 0.01, DAY),
-                            t.range("pause_ms", new Range(0, 250), 0, 60_000),
-                            t.range("errors", new Range(0, 0.002), 0, 1)));
+                            t.range("pause_every_s", new ValueRange(5, 11), 0.01, DAY),
+                            t.range("pause_ms", new ValueRange(0, 250), 0, 60_000),
+                            t.range("errors", new ValueRange(0, 0.002), 0, 1)));
             t.end();
         }
         if (!kinds.isEmpty()) {
             return kinds;
         }
-        Range thrash = new Range(0.12, 0.25);
+        ValueRange thrash = new ValueRange(0.12, 0.25);
         return List.of(
                 new Kind(
                         "single-fast",
                         0.42,
                         1,
-                        new Range(1.5, 2.1),
-                        Range.of(1),
-                        new Range(11, 34),
+                        new ValueRange(1.5, 2.1),
+                        ValueRange.of(1),
+                        new ValueRange(11, 34),
                         thrash,
-                        new Range(8.6, 13),
-                        new Range(0.32, 0.54),
-                        new Range(3.2, 8.8),
+                        new ValueRange(8.6, 13),
+                        new ValueRange(0.32, 0.54),
+                        new ValueRange(3.2, 8.8),
                         "work",
-                        new Range(4.5, 10),
-                        new Range(0, 230),
-                        new Range(0, 0.0005)),
+                        new ValueRange(4.5, 10),
+                        new ValueRange(0, 230),
+                        new ValueRange(0, 0.0005)),
                 new Kind(
                         "dual-slow",
                         0.58,
                         2,
-                        new Range(0.77, 1),
-                        Range.of(1),
-                        new Range(14, 34),
+                        new ValueRange(0.77, 1),
+                        ValueRange.of(1),
+                        new ValueRange(14, 34),
                         thrash,
-                        new Range(8.6, 13),
-                        new Range(0.3, 0.48),
-                        new Range(5.2, 8.8),
+                        new ValueRange(8.6, 13),
+                        new ValueRange(0.3, 0.48),
+                        new ValueRange(5.2, 8.8),
                         "work",
-                        new Range(5.8, 11),
-                        new Range(0, 270),
-                        new Range(0, 0.002)));
+                        new ValueRange(5.8, 11),
+                        new ValueRange(0, 270),
+                        new ValueRange(0, 0.002)));
     }
 
-    private static List<Tenant> tenants(Table all) throws ScenarioException {
+    private static List<Tenant> tenants(TomlTable all) throws ScenarioException {
         List<Tenant> tenants = new ArrayList<>();
-        for (Table t : all.tables("tenant")) {
+        for (TomlTable t : all.tables("tenant")) {
             tenants.add(
                     new Tenant(
                             t.word("name", null, List.of()),
                             t.number("share", 1, 0, 1),
-                            t.range("usage", Range.of(1), 0, 100)));
+                            t.range("usage", ValueRange.of(1), 0, 100)));
             t.end();
         }
         return tenants.isEmpty()
                 ? List.of(
-                        new Tenant("one", 0.5, new Range(0.6, 1.2)),
-                        new Tenant("two", 0.34, new Range(0.7, 1.3)),
-                        new Tenant("three", 0.16, new Range(0.8, 1.3)))
+                        new Tenant("one", 0.5, new ValueRange(0.6, 1.2)),
+                        new Tenant("two", 0.34, new ValueRange(0.7, 1.3)),
+                        new Tenant("three", 0.16, new ValueRange(0.8, 1.3)))
                 : tenants;
     }
 }
--- a/lab/src/main/java/sagefall/lab/scenario/ScenarioException.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioException.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 /** What is wrong with a scenario: one plain line with the file, the line and the name. */
 public final class ScenarioException extends Exception {
--- a/lab/src/main/java/sagefall/lab/scenario/Lines.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +12,7 @@
  * one is of little use in a file of a hundred lines. A name within an inline table is told by its
  * table's line.
  */
-final class Lines {
+final class TomlLineIndex {
 
     private static final Pattern HEADER =
             Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
@@ -21,7 +21,7 @@
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Set<String> overridden = new HashSet<>();
 
-    Lines(String text) {
+    TomlLineIndex(String text) {
         Map<String, Integer> counts = new HashMap<>();
         String table = "";
         int number = 0;
--- a/lab/src/main/java/sagefall/lab/scenario/Table.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -12,15 +12,15 @@
  * One table of a scenario, read strictly: scenarios are written by hand, so a name that nothing
  * reads is a mistake. Each {@link ScenarioException} tells file, line and name.
  */
-public final class Table {
+public final class TomlTable {
 
     private final String file;
-    private final Lines lines;
+    private final TomlLineIndex lines;
     private final String path;
     private final JsonNode node;
     private final Set<String> read = new LinkedHashSet<>();
 
-    Table(String file, Lines lines, String path, JsonNode node) {
+    TomlTable(String file, TomlLineIndex lines, String path, JsonNode node) {
         this.file = file;
         this.lines = lines;
         this.path = path;
@@ -52,20 +52,21 @@
     }
 
     /** A figure, or {@code [low, high]} for one that the seed draws, within two bounds. */
-    public Range range(String name, Range otherwise, double least, double most)
+    public ValueRange range(String name, ValueRange otherwise, double least, double most)
             throws ScenarioException {
         JsonNode value = get(name);
         if (value == null) {
             return otherwise;
         }
-        Range range =
+        ValueRange range =
                 value.isNumber()
-                        ? Range.of(value.doubleValue())
+                        ? ValueRange.of(value.doubleValue())
                         : value.isArray()
                                         && value.size() == 2
                                         && value.get(0).isNumber()
                                         && value.get(1).isNumber()
-                                ? new Range(value.get(0).doubleValue(), value.get(1).doubleValue())
+                                ? new ValueRange(
+                                        value.get(0).doubleValue(), value.get(1).doubleValue())
                                 : null;
         if (range == null) {
             throw wrong(name, "must be a number or [low, high]");
@@ -85,7 +86,7 @@
     /** A figure that no seed changes. */
     public double number(String name, double otherwise, double least, double most)
             throws ScenarioException {
-        Range range = range(name, Range.of(otherwise), least, most);
+        ValueRange range = range(name, ValueRange.of(otherwise), least, most);
         if (range.low() != range.high()) {
             throw wrong(name, "must be one number");
         }
@@ -147,12 +148,12 @@
     }
 
     /** A table within this one; an empty one where it is not given. */
-    public Table table(String name) throws ScenarioException {
+    public TomlTable table(String name) throws ScenarioException {
         JsonNode value = get(name);
         if (value != null && !value.isObject()) {
             throw wrong(name, "must be a table");
         }
-        return new Table(
+        return new TomlTable(
                 file,
                 lines,
                 at(name),
@@ -160,9 +161,9 @@
     }
 
     /** A list of tables; empty where it is not given. */
-    public List<Table> tables(String name) throws ScenarioException {
+    public List<TomlTable> tables(String name) throws ScenarioException {
         JsonNode value = get(name);
-        List<Table> tables = new ArrayList<>();
+        List<TomlTable> tables = new ArrayList<>();
         if (value == null) {
             return tables;
         }
@@ -173,7 +174,7 @@
             if (!one.isObject()) {
                 throw wrong(name, "must be a list of tables: [[" + name + "]]");
             }
-            tables.add(new Table(file, lines, at(name) + "[" + tables.size() + "]", one));
+            tables.add(new TomlTable(file, lines, at(name) + "[" + tables.size() + "]", one));
         }
         return tables;
     }
--- a/lab/src/main/java/sagefall/lab/scenario/Range.java
+++ b/testbed/src/main/java/sagefall/scenario/ValueRange.java
@@ -1,19 +1,19 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
-import sagefall.lab.model.Draws;
+import sagefall.emulator.RandomStreams;
 
 /** A figure that a scenario leaves open between two bounds; a seed draws it. */
-public record Range(double low, double high) {
+public record ValueRange(double low, double high) {
 
     /** The same at every seed. */
-    public static Range of(double value) {
-        return new Range(value, value);
+    public static ValueRange of(double value) {
+        return new ValueRange(value, value);
     }
 
     /**
      * The figure for a seed; the name keeps it apart from others that are drawn from the same seed.
      */
-    public double draw(Draws draws, String name) {
+    public double draw(RandomStreams draws, String name) {
         return low == high ? low : low + (high - low) * draws.stream(name).nextDouble();
     }
 
--- a/lab/src/test/java/sagefall/lab/CommandTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab;
+package sagefall.cli;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-class CommandTest {
+class CommandLineTest {
 
     @TempDir Path folder;
 
     private final StringWriter errors = new StringWriter();
 
     private int lab(String... arguments) {
-        CommandLine command = Lab.command();
+        CommandLine command = CommandLineMain.command();
         command.setErr(new PrintWriter(errors));
         return command.execute(arguments);
     }
@@ -125,7 +125,7 @@
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                "sagefall.lab.Lab",
+                                "sagefall.cli.CommandLineMain",
                                 "run",
                                 "flap",
                                 "--seeds",
--- a/lab/src/test/java/sagefall/lab/command/DutiesWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.command;
+package sagefall.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,33 +13,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import sagefall.duties.Digest;
-import sagefall.duties.FolderStore;
-import sagefall.recovery.Kept;
+import sagefall.leaderelection.DirectoryLeaseStore;
+import sagefall.leaderelection.SharedEndpointSnapshot;
+import sagefall.persistence.SnapshotChange;
 
 /** What {@code sagefall duties} prints of a folder whose first term was given back. */
-class DutiesWordsTest {
+class LeaseCommandWordsTest {
 
     private static final long LONG_LEASE = 3_600_000_000_000L;
     private static final Instant TOLD_AT = Instant.parse("2026-01-02T03:04:05Z");
 
     @TempDir private Path folder;
     private final StringWriter out = new StringWriter();
-    private FolderStore store;
+    private DirectoryLeaseStore store;
 
     @BeforeEach
     void write() throws IOException {
-        store = new FolderStore(folder);
+        store = new DirectoryLeaseStore(folder);
         store.acquire("n1", LONG_LEASE);
-        Digest digest = new Digest();
-        digest.told(new Kept.Change(true, 7, TOLD_AT.toEpochMilli(), Map.of()));
+        SharedEndpointSnapshot digest = new SharedEndpointSnapshot();
+        digest.told(new SnapshotChange(true, 7, TOLD_AT.toEpochMilli(), Map.of()));
         digest.act(store, 1);
         store.release("n1", 1);
         store.acquire("n2", LONG_LEASE);
     }
 
     private List<String> duties(String command) {
-        CommandLine duties = new CommandLine(new DutiesCommand());
+        CommandLine duties = new CommandLine(new LeaseCommand());
         duties.setOut(new PrintWriter(out));
         assertEquals(0, duties.execute(command, folder.toString()));
         return out.toString().lines().toList();
--- a/lab/src/test/java/sagefall/lab/model/GoldenFiguresTest.java
+++ b/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,9 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.scenario.Fault;
-import sagefall.lab.scenario.Scenario;
+import sagefall.experiment.ParallelSimulations;
+import sagefall.experiment.SimulationRequest;
+import sagefall.scenario.Fault;
+import sagefall.scenario.Scenario;
 
 /**
  * The emulator's figures of the shipped scenarios, to the last digit, as the build of commit
@@ -49,7 +50,7 @@
                     fields[0], Long.parseLong(fields[1]), fields[2], fields[3], fields[4]);
         }
 
-        static Golden of(DayResult result) {
+        static Golden of(SimulationResult result) {
             return new Golden(
                     result.scenario(),
                     result.seed(),
@@ -115,12 +116,13 @@
     void figuresAreTheSameToTheLastDigit() throws Exception {
         List<Golden> days = read().stream().filter(day -> ALL || day.isDefault()).toList();
         assertFalse(days.isEmpty());
-        List<Plays.Play> plays = new ArrayList<>();
+        List<SimulationRequest> plays = new ArrayList<>();
         for (Golden day : days) {
             Scenario scenario = Scenario.load(day.scenario, List.of()).on(Fault.Side.EMULATOR);
-            plays.add(new Plays.Play(scenario, day.seed, POLICY));
+            plays.add(new SimulationRequest(scenario, day.seed, POLICY));
         }
-        List<DayResult> results = new Plays(THREADS, Path.of("."), null).all(plays, result -> {});
+        List<SimulationResult> results =
+                new ParallelSimulations(THREADS, Path.of("."), null).all(plays, result -> {});
         List<String> mismatches = new ArrayList<>();
         for (int i = 0; i < days.size(); i++) {
             mismatches.addAll(days.get(i).mismatches(Golden.of(results.get(i))));
--- a/lab/src/test/java/sagefall/lab/model/InvariantsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,21 +13,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagefall.LoadBalancer;
-import sagefall.LoadBalancer.Actions;
-import sagefall.LoadBalancer.Outcome;
-import sagefall.LoadBalancer.Reason;
-import sagefall.LoadBalancer.Request;
-import sagefall.LoadBalancer.Result;
-import sagefall.LoadBalancer.Settings;
-import sagefall.lab.model.Rules.Rule;
-import sagefall.lab.policy.Baselines;
-import sagefall.lab.policy.ModulePolicy;
-import sagefall.lab.policy.Policy;
-import sagefall.lab.scenario.Scenario;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+import sagefall.emulator.InvariantChecker.Rule;
+import sagefall.policy.BaselinePolicies;
+import sagefall.policy.ModulePolicy;
+import sagefall.policy.Policy;
+import sagefall.scenario.Scenario;
 
 /** Each rule has a mutant that breaks it, and is caught at it; the module itself breaks none. */
-class InvariantsTest {
+class InvariantCheckerTest {
 
     private static Scenario scenario() throws Exception {
         return Scenario.read(
@@ -58,7 +60,7 @@
     private static final class Mutant implements InvocationHandler {
         private final Rule rule;
         private final LoadBalancer inner;
-        private final Actions actions;
+        private final BalancerActions actions;
         private final Map<String, Long> mutated = new HashMap<>();
         private int requests;
         private long newest;
@@ -66,18 +68,18 @@
 
         /** Whether the mutation took the event's place; what it began it also ends. */
         private boolean mutated(String event, Object[] arguments) {
-            if (event.equals("servers")) {
+            if (event.equals("onEndpointList")) {
                 for (Object line : (List<?>) arguments[2]) {
-                    LoadBalancer.Server s = (LoadBalancer.Server) line;
+                    ListedEndpoint s = (ListedEndpoint) line;
                     newest =
-                            s.startMicros() > 0 && s.phase() == LoadBalancer.Phase.READY
+                            s.startMicros() > 0 && s.phase() == EndpointPhase.READY
                                     ? s.id()
                                     : newest;
-                    oldest = s.phase() == LoadBalancer.Phase.DRAINING ? s.id() : oldest;
+                    oldest = s.phase() == EndpointPhase.DRAINING ? s.id() : oldest;
                 }
                 return false;
             }
-            if (event.equals("request")) {
+            if (event.equals("onRequest")) {
                 String id = ((Request) arguments[1]).id();
                 boolean some = ++requests % 20 == 0;
                 return switch (rule) {
@@ -88,19 +90,19 @@
                     case EFFECT -> false;
                 };
             }
-            if (!event.equals("outcome")) {
+            if (!event.equals("onAttemptOutcome")) {
                 return false;
             }
-            Outcome o = (Outcome) arguments[1];
-            if (rule == Rule.EFFECT && o.result() == Result.ERROR && !o.closed()) {
-                actions.refuse(o.requestId(), 0, Reason.EFFECT);
+            AttemptOutcome o = (AttemptOutcome) arguments[1];
+            if (rule == Rule.EFFECT && o.result() == AttemptResult.ERROR && !o.closed()) {
+                actions.reject(o.requestId(), 0, RejectionReason.NOT_RETRYABLE);
                 return true;
             }
             if (mutated.containsKey(o.requestId()) && !o.closed()) {
                 if (rule == Rule.ATTEMPTS && o.attempt() < 7) {
                     return sent(o.requestId(), o.server());
                 }
-                actions.fail(o.requestId(), Reason.EFFECT);
+                actions.fail(o.requestId(), RejectionReason.NOT_RETRYABLE);
             }
             return mutated.containsKey(o.requestId());
         }
@@ -113,7 +115,7 @@
             return server != 0;
         }
 
-        Mutant(Rule rule, LoadBalancer inner, Actions actions) {
+        Mutant(Rule rule, LoadBalancer inner, BalancerActions actions) {
             this.rule = rule;
             this.inner = inner;
             this.actions = actions;
@@ -121,7 +123,8 @@
 
         @Override
         public Object invoke(Object proxy, Method method, Object[] arguments) throws Throwable {
-            if (!mutated(method.getName(), arguments) || method.getName().equals("servers")) {
+            if (!mutated(method.getName(), arguments)
+                    || method.getName().equals("onEndpointList")) {
                 try {
                     method.invoke(inner, arguments);
                 } catch (InvocationTargetException e) {
@@ -133,7 +136,7 @@
     }
 
     private static Policy mutant(Rule rule) {
-        Policy random = Baselines.of("random");
+        Policy random = BaselinePolicies.of("random");
         return new Policy() {
             @Override
             public String name() {
@@ -142,7 +145,10 @@
 
             @Override
             public LoadBalancer create(
-                    Settings settings, Map<String, Object> facts, Actions actions, Truth truth) {
+                    BalancerSettings settings,
+                    Map<String, Object> facts,
+                    BalancerActions actions,
+                    Truth truth) {
                 return (LoadBalancer)
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(),
@@ -158,7 +164,7 @@
     @ParameterizedTest
     @EnumSource(Rule.class)
     void aMutantIsCaught(Rule rule) throws Exception {
-        DayResult r = new Day(scenario(), 3, mutant(rule)).play();
+        SimulationResult r = new FleetSimulation(scenario(), 3, mutant(rule)).play();
         assertTrue(
                 r.breaches().stream().anyMatch(b -> b.rule() == rule),
                 rule + " not among " + r.breachCount());
@@ -168,7 +174,8 @@
     void theModuleBreaksNoRule() throws Exception {
         for (long seed = 1; seed <= 4; seed++) {
             assertEquals(
-                    List.of(), new Day(scenario(), seed, new ModulePolicy()).play().breaches());
+                    List.of(),
+                    new FleetSimulation(scenario(), seed, new ModulePolicy()).play().breaches());
         }
     }
 }
--- a/lab/src/test/java/sagefall/lab/model/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.model;
+package sagefall.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,23 +9,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.lab.model.Call.Attempt;
-import sagefall.lab.scenario.Scenario;
+import sagefall.emulator.ClientRequest.Attempt;
+import sagefall.policy.BaselinePolicies;
+import sagefall.scenario.Scenario;
 
 /** Parts of the model against what is known of them without it. */
 class KnownResultsTest {
 
-    private final Loop loop = new Loop();
+    private final EventQueue loop = new EventQueue();
     private final List<Attempt> done = new ArrayList<>();
     private final List<Long> doneAt = new ArrayList<>();
-    private final Sidecar nobody = new Sidecar(null, 0, 0);
+    private final EmulatedSidecar nobody = new EmulatedSidecar(null, 0, 0);
 
-    private SaveServer server(int cores, double coldFrom, long coldMicros) {
-        return new SaveServer(
+    private EmulatedServer server(int cores, double coldFrom, long coldMicros) {
+        return new EmulatedServer(
                 1,
                 0,
                 0,
-                new SaveServer.Make(
+                new EmulatedServer.Make(
                         0,
                         cores,
                         1,
@@ -47,7 +48,7 @@
                         1000),
                 loop,
                 new double[] {1},
-                new SaveServer.Floor() {
+                new EmulatedServer.Floor() {
                     @Override
                     public void done(Job job) {
                         done.add((Attempt) job);
@@ -58,11 +59,11 @@
                     public void broken(Job job) {}
 
                     @Override
-                    public void fell(SaveServer server, double told) {}
+                    public void fell(EmulatedServer server, double told) {}
                 });
     }
 
-    private void take(SaveServer server, double work) {
+    private void take(EmulatedServer server, double work) {
         Attempt a = new Attempt(null, nobody, 0, server, loop.now());
         a.work = work;
         a.left = work;
@@ -73,8 +74,8 @@
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.8", "2, 0.7", "4, 0.8"})
     void waitingTimesAreThoseOfErlang(int c, double use) {
-        UniformRandomProvider random = new Draws(5).stream("test");
-        SaveServer server = server(c, 1, 0);
+        UniformRandomProvider random = new RandomStreams(5).stream("test");
+        EmulatedServer server = server(c, 1, 0);
         double service = 10_000;
         double between = service / (c * use);
         int count = 200_000;
@@ -107,7 +108,7 @@
      */
     @Test
     void aColdStartDoesTheWorkOfItsRamp() {
-        SaveServer server = server(1, 0.4, 8_000_000);
+        EmulatedServer server = server(1, 0.4, 8_000_000);
         server.start();
         long started = loop.now();
         take(server, 0.7 * 8_000_000);
@@ -155,7 +156,7 @@
                         for_s = 3
                         """,
                         List.of());
-        DayResult r = new Day(scenario, 1, sagefall.lab.policy.Baselines.of("random")).play();
+        SimulationResult r = new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).play();
         for (int second = 0; second < 12; second++) {
             double lost = 1 - r.series().served()[second] / r.series().asked()[second];
             boolean cut = second >= 4 && second < 7;
--- a/lab/src/test/java/sagefall/lab/ShippedTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab;
+package sagefall.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,33 +7,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sagefall.lab.experiment.Plays;
-import sagefall.lab.experiment.Plays.Play;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.scenario.Scenario;
+import sagefall.experiment.ParallelSimulations;
+import sagefall.experiment.SimulationRequest;
+import sagefall.scenario.Scenario;
 
 /**
  * The shipped scenarios with fixed seeds: no rule broken, and the same to the bit on any number of
  * threads.
  */
-class ShippedTest {
+class ShippedScenariosTest {
 
-    private static List<DayResult> play(int threads, List<String> policies) throws Exception {
-        List<Play> plays = new ArrayList<>();
+    private static List<SimulationResult> play(int threads, List<String> policies)
+            throws Exception {
+        List<SimulationRequest> plays = new ArrayList<>();
         for (String name : Scenario.SHIPPED) {
             for (String policy : policies) {
-                plays.add(new Play(Scenario.load(name, List.of()), 11, policy));
+                plays.add(new SimulationRequest(Scenario.load(name, List.of()), 11, policy));
             }
         }
-        return new Plays(threads, Path.of(".."), null).all(plays, result -> {});
+        return new ParallelSimulations(threads, Path.of(".."), null).all(plays, result -> {});
     }
 
     @Test
     void noRuleIsBrokenAndTheModuleIsFarFromHarm() throws Exception {
-        for (DayResult r : play(4, List.of("module"))) {
+        for (SimulationResult r : play(4, List.of("module"))) {
             assertEquals(List.of(), r.breaches(), r.scenario());
             assertTrue(r.served() > 0.4, r.scenario() + ": " + r.served());
-            double lost = r.lost().values().stream().mapToDouble(DayResult.Loss::worth).sum();
+            double lost =
+                    r.lost().values().stream().mapToDouble(SimulationResult.Loss::worth).sum();
             assertEquals(
                     r.askedWorth() * (1 - r.served()),
                     lost,
@@ -44,20 +45,20 @@
 
     @Test
     void oneSeedIsOneResultOnAnyNumberOfThreads() throws Exception {
-        List<Play> plays = new ArrayList<>();
+        List<SimulationRequest> plays = new ArrayList<>();
         for (long seed = 1; seed <= 8; seed++) {
-            plays.add(new Play(Scenario.load("flap", List.of()), seed, "module"));
+            plays.add(new SimulationRequest(Scenario.load("flap", List.of()), seed, "module"));
         }
         List<String> one =
-                new Plays(1, Path.of(".."), null)
-                        .all(plays, r -> {}).stream().map(ShippedTest::figures).toList();
+                new ParallelSimulations(1, Path.of(".."), null)
+                        .all(plays, r -> {}).stream().map(ShippedScenariosTest::figures).toList();
         assertEquals(
                 one,
-                new Plays(8, Path.of(".."), null)
-                        .all(plays, r -> {}).stream().map(ShippedTest::figures).toList());
+                new ParallelSimulations(8, Path.of(".."), null)
+                        .all(plays, r -> {}).stream().map(ShippedScenariosTest::figures).toList());
     }
 
-    private static String figures(DayResult r) {
+    private static String figures(SimulationResult r) {
         return r.g() + " " + r.events() + " " + r.lost() + " " + r.latency() + " " + r.answers();
     }
 }
--- /dev/null
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -0,0 +1,177 @@
+package sagefall.emulator;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.RequestClass;
+import sagefall.policy.Policy;
+import sagefall.policy.PolicyRegistry;
+import sagefall.scenario.Scenario;
+
+/** The words of {@code days.jsonl} and of the tables that come from names of enums. */
+class SimulationResultWordsTest {
+
+    private static final long SECOND = 1_000_000;
+    private static final RequestClass UNSAFE =
+            new RequestClass(
+                    "unsafe",
+                    Idempotency.NOT_IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    0,
+                    SECOND,
+                    2 * SECOND,
+                    1,
+                    0,
+                    false);
+
+    private static final class OneSidecar implements SidecarHandle {
+        @Override
+        public int index() {
+            return 0;
+        }
+
+        @Override
+        public int zone() {
+            return 0;
+        }
+
+        @Override
+        public boolean up() {
+            return true;
+        }
+
+        @Override
+        public boolean leaving() {
+            return false;
+        }
+
+        @Override
+        public String prefix() {
+            return "000000";
+        }
+
+        @Override
+        public void take(ClientRequest call, boolean repeat) {
+            throw new AssertionError("tried again");
+        }
+
+        @Override
+        public void leave(ClientRequest call) {
+            throw new AssertionError("left");
+        }
+    }
+
+    /** The ledger once a request, too late for a further try, has been answered so. */
+    private static ValueAccounting answered(EmulatedSidecar.Answer answer, RejectionReason reason)
+            throws Exception {
+        Scenario scenario = Scenario.load("calm", List.of());
+        EventQueue loop = new EventQueue();
+        RandomStreams draws = new RandomStreams(1);
+        int zones = scenario.fleet().zones().size();
+        ValueAccounting ledger =
+                new ValueAccounting(
+                        (int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(), 1);
+        SidecarHandle sidecar = new OneSidecar();
+        List<SidecarHandle> sidecars = Collections.nCopies(scenario.fleet().sidecars(), sidecar);
+        ClientTraffic traffic =
+                new ClientTraffic(
+                        scenario,
+                        draws,
+                        loop,
+                        sidecars,
+                        ledger,
+                        new EmulatedNetwork(scenario.net(), draws, zones),
+                        UNSAFE,
+                        1);
+        ClientOperation wish =
+                new ClientOperation(
+                        0, EventQueue.BEGIN, EventQueue.BEGIN, 0, 0, false, 1, 1, zones);
+        wish.sidecar = sidecar;
+        ClientRequest call =
+                new ClientRequest(
+                        "0000000000000000", wish, EventQueue.BEGIN, EventQueue.BEGIN + SECOND);
+        traffic.answer(call, answer, reason, 0);
+        loop.runUntil(EventQueue.BEGIN + SECOND);
+        return ledger;
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "REFUSED, ADMISSION, refused admission",
+        "REFUSED, ZONE_FULL, refused zone_full",
+        "REFUSED, QUEUE_TIMEOUT, refused waited",
+        "REFUSED, OPEN_REQUESTS, refused in_hand",
+        "REFUSED, BUFFER_LIMIT, refused buffers",
+        "REFUSED, TOO_LATE, refused too_late",
+        "REFUSED, NOT_RETRYABLE, refused effect",
+        "REFUSED, MAX_ATTEMPTS, refused attempts",
+        "REFUSED, RETRY_BUDGET, refused retry_budget",
+        "REFUSED, , unanswered",
+        "FAILED, ADMISSION, failed admission",
+        "FAILED, ZONE_FULL, failed zone_full",
+        "FAILED, QUEUE_TIMEOUT, failed waited",
+        "FAILED, OPEN_REQUESTS, failed in_hand",
+        "FAILED, BUFFER_LIMIT, failed buffers",
+        "FAILED, TOO_LATE, failed too_late",
+        "FAILED, NOT_RETRYABLE, failed effect",
+        "FAILED, MAX_ATTEMPTS, failed attempts",
+        "FAILED, RETRY_BUDGET, failed retry_budget",
+        "FAILED, , unanswered"
+    })
+    void answersAndCausesOfLoss(EmulatedSidecar.Answer answer, RejectionReason reason, String word)
+            throws Exception {
+        ValueAccounting ledger = answered(answer, reason);
+        assertEquals(Map.of(word, 1L), ledger.answers);
+        assertEquals(List.of(word), List.copyOf(ledger.lost.keySet()));
+    }
+
+    @Test
+    void theTableHasAllAnswersAndReasons() {
+        assertEquals(
+                List.of("SERVED", "REFUSED", "FAILED"),
+                Arrays.stream(EmulatedSidecar.Answer.values()).map(Enum::name).toList());
+        assertEquals(
+                List.of(
+                        "admission",
+                        "zone_full",
+                        "waited",
+                        "in_hand",
+                        "buffers",
+                        "too_late",
+                        "effect",
+                        "attempts",
+                        "retry_budget"),
+                Arrays.stream(RejectionReason.values()).map(RejectionReason::label).toList());
+    }
+
+    @Test
+    void faultsOfADay() throws Exception {
+        Scenario scenario =
+                Scenario.load(
+                        "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
+        try (Policy policy = PolicyRegistry.of("module", Path.of("."))) {
+            SimulationResult result = new FleetSimulation(scenario, 1, policy).play();
+            assertEquals(
+                    List.of("burst", "shift"),
+                    result.troubles().stream().map(SimulationResult.Trouble::what).toList());
+        }
+    }
+
+    /** Written as they are, to {@code days.jsonl} and after {@code BROKEN}. */
+    @Test
+    void rules() {
+        assertEquals(
+                List.of("ONE_ANSWER", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS"),
+                Arrays.stream(InvariantChecker.Rule.values()).map(String::valueOf).toList());
+    }
+}
--- a/lab/src/test/java/sagefall/lab/experiment/PairedTest.java
+++ b/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.experiment;
+package sagefall.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,31 +9,31 @@
 import java.util.List;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.junit.jupiter.api.Test;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.model.Draws;
+import sagefall.emulator.RandomStreams;
+import sagefall.emulator.SimulationResult;
 
-class PairedTest {
+class PairedDifferenceTest {
 
-    private static Paired paired(List<Double> differences) {
-        List<DayResult> days = Collections.nCopies(differences.size(), null);
+    private static PairedDifference paired(List<Double> differences) {
+        List<SimulationResult> days = Collections.nCopies(differences.size(), null);
         List<Double> figures = new ArrayList<>(Collections.nCopies(differences.size(), 0.0));
         figures.addAll(differences);
         Iterator<Double> next = figures.iterator();
-        return Paired.of("x", days, days, day -> next.next());
+        return PairedDifference.of("x", days, days, day -> next.next());
     }
 
     /** Of samples with a known mean nearly as many intervals hold it as they promise. */
     @Test
     void theIntervalHoldsTheMeanAboutAsOftenAsItSays() {
         ZigguratSampler.NormalizedGaussian normal =
-                ZigguratSampler.NormalizedGaussian.of(new Draws(3).stream("t"));
+                ZigguratSampler.NormalizedGaussian.of(new RandomStreams(3).stream("t"));
         int held = 0;
         for (int i = 0; i < 300; i++) {
             List<Double> sample = new ArrayList<>();
             for (int k = 0; k < 20; k++) {
                 sample.add(0.5 + normal.sample());
             }
-            Paired p = paired(sample);
+            PairedDifference p = paired(sample);
             held += p.low() <= 0.5 && p.high() >= 0.5 ? 1 : 0;
         }
         assertTrue(held >= 0.88 * 300 && held <= 0.98 * 300, held + " of 300");
--- a/lab/src/test/java/sagefall/lab/rig/RigTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -23,29 +23,29 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.lab.Lab;
-import sagefall.lab.load.SidecarProcess;
-import sagefall.lab.scenario.Fault;
-import sagefall.lab.scenario.Scenario;
-import sagefall.lab.scenario.ScenarioException;
+import sagefall.cli.CommandLineMain;
+import sagefall.load.SidecarProcess;
+import sagefall.scenario.Fault;
+import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /**
  * Real sidecars, servers and discovery with faults between them; what is judged is written down
  * first.
  */
 @Timeout(300)
-class RigTest {
+class FaultInjectionRunTest {
 
     private static final Path ROOT = SidecarProcess.ROOT;
 
     @TempDir Path folder;
 
-    private static Plan plan(String name, long seed, String... more) throws Exception {
+    private static RunPlan plan(String name, long seed, String... more) throws Exception {
         Scenario.Source source = Scenario.source(name);
         List<String> sets =
                 new ArrayList<>(List.of("fleet.sidecars=6", "fleet.servers=12", "load.use=0.45"));
         sets.addAll(List.of(more));
-        return new Plan(source.file(), source.text(), sets, seed, null, List.of(ROOT));
+        return new RunPlan(source.file(), source.text(), sets, seed, null, List.of(ROOT));
     }
 
     /** The bounded set: what the campaign plays longer, larger and with more seeds. */
@@ -59,7 +59,8 @@
         "rig-reborn, 17"
     })
     void noRuleBreaks(String scenario, long seed) throws Exception {
-        Play play = Play.of(plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
+        RunResult play =
+                RunResult.of(plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         play.print(new PrintStream(printed, true));
         assertFalse(play.broken(), printed::toString);
@@ -73,7 +74,7 @@
      */
     @Test
     void whatWasKeptOutlivesABlackout() throws Exception {
-        Play play = Play.of(plan("rig-blackout", 21), folder);
+        RunResult play = RunResult.of(plan("rig-blackout", 21), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         play.print(new PrintStream(printed, true));
         assertFalse(play.broken(), printed::toString);
@@ -89,12 +90,12 @@
     /** The owner of the duty is stopped past its lease and woken, and the next one killed. */
     @Test
     void anOwnerThatWakesUpLateDoesNoHarm() throws Exception {
-        Play play = Play.of(plan("rig-owner", 23), folder);
+        RunResult play = RunResult.of(plan("rig-owner", 23), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         play.print(new PrintStream(printed, true));
         assertFalse(play.broken(), printed::toString);
         long terms =
-                History.read(folder.resolve(Rig.HISTORY)).stream()
+                EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY)).stream()
                         .filter(e -> e.kind().equals("duty"))
                         .mapToLong(e -> e.number("term"))
                         .max()
@@ -110,15 +111,17 @@
     /** That a sidecar dies which nobody ended is seen. */
     @Test
     void aCrashIsSeen() throws Exception {
-        Plan plan = plan("rig-calm", 3, "seconds=6", "fleet.sidecars=2", "fleet.servers=3");
-        try (Rig rig = new Rig(plan, folder)) {
+        RunPlan plan = plan("rig-calm", 3, "seconds=6", "fleet.sidecars=2", "fleet.servers=3");
+        try (FaultInjectionRun rig = new FaultInjectionRun(plan, folder)) {
             rig.start();
             rig.sidecars().get(1).process().destroyForcibly();
             rig.sidecars().get(1).process().onExit().join();
         }
-        List<Checks.Breach> breaches = Checks.of(History.read(folder.resolve(Rig.HISTORY)));
+        List<InvariantChecks.Breach> breaches =
+                InvariantChecks.of(EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY)));
         assertEquals(
-                List.of(Checks.Rule.CRASH), breaches.stream().map(Checks.Breach::rule).toList());
+                List.of(InvariantChecks.Rule.CRASH),
+                breaches.stream().map(InvariantChecks.Breach::rule).toList());
     }
 
     @Test
@@ -126,24 +129,26 @@
         byte[][] lines = new byte[3][];
         for (int i = 0; i < 3; i++) {
             Path mine = folder.resolve("p" + i);
-            new Rig(plan("rig-disagree", i == 2 ? 8 : 7), mine).close();
-            lines[i] = Files.readAllBytes(mine.resolve(Rig.SCHEDULE));
+            new FaultInjectionRun(plan("rig-disagree", i == 2 ? 8 : 7), mine).close();
+            lines[i] = Files.readAllBytes(mine.resolve(FaultInjectionRun.SCHEDULE));
         }
         assertArrayEquals(lines[0], lines[1]);
         assertFalse(new String(lines[0], UTF_8).equals(new String(lines[2], UTF_8)));
         // Leaving out one fault changes no other.
-        new Rig(plan("rig-disagree", 7).only(List.of(0, 2)), folder.resolve("fewer")).close();
-        List<String> all = Files.readAllLines(folder.resolve("p0").resolve(Rig.SCHEDULE));
+        new FaultInjectionRun(plan("rig-disagree", 7).only(List.of(0, 2)), folder.resolve("fewer"))
+                .close();
+        List<String> all =
+                Files.readAllLines(folder.resolve("p0").resolve(FaultInjectionRun.SCHEDULE));
         assertEquals(
                 List.of(all.get(0), all.get(2)),
-                Files.readAllLines(folder.resolve("fewer").resolve(Rig.SCHEDULE)));
+                Files.readAllLines(folder.resolve("fewer").resolve(FaultInjectionRun.SCHEDULE)));
     }
 
     @Test
     void aPlanIsReadAsItWasWritten() throws Exception {
-        Plan plan = plan("rig-discovery", 99).only(List.of(1));
+        RunPlan plan = plan("rig-discovery", 99).only(List.of(1));
         plan.write(folder.resolve("plan.json"));
-        assertEquals(plan, Plan.read(folder.resolve("plan.json")));
+        assertEquals(plan, RunPlan.read(folder.resolve("plan.json")));
         assertEquals(List.of(1), plan.faults());
     }
 
@@ -152,11 +157,17 @@
     void campaignsDrawWhatCanBePlayed() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
             Scenario s =
-                    new Plan("drawn", Drawing.text(seed), List.of(), seed, null, List.of(ROOT))
+                    new RunPlan(
+                                    "drawn",
+                                    ScenarioGenerator.text(seed),
+                                    List.of(),
+                                    seed,
+                                    null,
+                                    List.of(ROOT))
                             .scenario();
             assertTrue(s.faults().size() >= 2);
         }
-        assertEquals(Drawing.text(5), Drawing.text(5));
+        assertEquals(ScenarioGenerator.text(5), ScenarioGenerator.text(5));
     }
 
     /** The rig is killed with everything running: nothing that it started is left. */
@@ -168,7 +179,7 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 "-Dsagefall.root=" + ROOT,
-                                Lab.class.getName(),
+                                CommandLineMain.class.getName(),
                                 "rig",
                                 "run",
                                 "rig-calm",
@@ -186,7 +197,10 @@
         try (BufferedReader out =
                 new BufferedReader(new InputStreamReader(rig.getInputStream(), UTF_8))) {
             assertTrue(out.readLine().contains("rig-calm"));
-            Path history = folder.resolve("rig-calm-1").resolve(Rig.HISTORY).resolve("rig.jsonl");
+            Path history =
+                    folder.resolve("rig-calm-1")
+                            .resolve(FaultInjectionRun.HISTORY)
+                            .resolve("rig.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"begin\"")) {
                 assertTrue(rig.isAlive());
                 rig.waitFor(50, TimeUnit.MILLISECONDS);
@@ -230,7 +244,7 @@
                         .split(" ");
         assertEquals(
                 2,
-                Lab.command().setErr(new PrintWriter(errors, true)).execute(words),
+                CommandLineMain.command().setErr(new PrintWriter(errors, true)).execute(words),
                 errors::toString);
         String first = errors.toString().lines().findFirst().orElse("");
         assertTrue(
--- a/lab/src/test/java/sagefall/lab/rig/ChecksTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/InvariantChecksTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each check is red on a history that breaks it, and on that alone. Times are milliseconds. */
-class ChecksTest {
+class InvariantChecksTest {
 
     private static final String PLAY =
             """
@@ -28,12 +28,12 @@
     /**
      * A line is: milliseconds, kind, then names and values; targets are endpoint:id:state[:boot].
      */
-    private static List<History.Entry> history(String text) throws Exception {
+    private static List<EventHistory.Entry> history(String text) throws Exception {
         StringBuilder lines = new StringBuilder();
         for (String line : text.replace("; ", "\n").split("\n", 0)) {
             String[] words = line.trim().split(" +", 0);
             var node =
-                    History.JSON
+                    EventHistory.JSON
                             .createObjectNode()
                             .put("t", (long) (1e6 * Double.parseDouble(words[0])))
                             .put("k", words[1]);
@@ -59,7 +59,7 @@
             }
             lines.append(node).append('\n');
         }
-        return History.parse(lines.toString());
+        return EventHistory.parse(lines.toString());
     }
 
     private static final String ASKED = "100 intent id r who 0 key k wish 1 timeout_us 1000000; ";
@@ -169,10 +169,10 @@
                                         "(^|; )T ",
                                         "$150 told who 0 all false targets A:1:terminating; "
                                                 + ASKED);
-        List<Checks.Breach> breaches = Checks.of(history(PLAY + text));
+        List<InvariantChecks.Breach> breaches = InvariantChecks.of(history(PLAY + text));
         assertEquals(
-                rule == null ? Map.of() : Map.of(Checks.Rule.valueOf(rule.trim()), 1L),
-                Checks.count(breaches),
+                rule == null ? Map.of() : Map.of(InvariantChecks.Rule.valueOf(rule.trim()), 1L),
+                InvariantChecks.count(breaches),
                 breaches.toString());
     }
 
@@ -210,8 +210,8 @@
         }
         text.setLength(text.length() - 2);
         assertEquals(
-                broken ? Map.of(Checks.Rule.COLD, 1L) : Map.of(),
-                Checks.count(Checks.of(history(text.toString()))));
+                broken ? Map.of(InvariantChecks.Rule.COLD, 1L) : Map.of(),
+                InvariantChecks.count(InvariantChecks.of(history(text.toString()))));
     }
 
     /** A server that reports itself colder than its make allows would hide what it bears. */
@@ -224,7 +224,9 @@
                         + ASKED
                         + "101 send id r who 0 to A; 800 arrive id r server 1 warmth 0.3; "
                         + "900 answer id r who 0 status 504";
-        assertEquals(Map.of(Checks.Rule.STAND_IN, 1L), Checks.count(Checks.of(history(text))));
+        assertEquals(
+                Map.of(InvariantChecks.Rule.STAND_IN, 1L),
+                InvariantChecks.count(InvariantChecks.of(history(text))));
     }
 
     /** Two of ten seconds without service, one second until it is whole again. */
@@ -250,7 +252,7 @@
                     .append(i)
                     .append(" status 200\n");
         }
-        Figures f = Figures.of(history(text.toString().trim()));
+        RunStatistics f = RunStatistics.of(history(text.toString().trim()));
         assertEquals(0.75, f.served(), 1e-9);
         assertEquals(0, f.worstSecond(), 1e-9);
         assertEquals(1, f.back(), 1e-9);
--- a/lab/src/test/java/sagefall/lab/rig/RuleWordsTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/InvariantWordsTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The words of a play's checks, written as they are to its page and after {@code BROKEN}. */
-class RuleWordsTest {
+class InvariantWordsTest {
 
     @Test
     void rules() {
@@ -24,6 +24,6 @@
                         "REST",
                         "OWNER",
                         "STAND_IN"),
-                Arrays.stream(Checks.Rule.values()).map(String::valueOf).toList());
+                Arrays.stream(InvariantChecks.Rule.values()).map(String::valueOf).toList());
     }
 }
--- a/lab/src/test/java/sagefall/lab/rig/LinkTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/LinkRelayTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.rig;
+package sagefall.faultinjection;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -28,25 +28,25 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sagefall.lab.model.Draws;
+import sagefall.emulator.RandomStreams;
 
 /** What can go wrong on a way, on real sockets. */
 @Timeout(120)
-class LinkTest {
+class LinkRelayTest {
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<String> sent = new CopyOnWriteArrayList<>();
     private final ServerSocket echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Link link =
-            new Link(
+    private final LinkRelay link =
+            new LinkRelay(
                     group,
                     InetAddress.getByName("127.9.9.9"),
-                    Link.Way.FREE,
-                    Link.Way.FREE,
+                    LinkRelay.Way.FREE,
+                    LinkRelay.Way.FREE,
                     sent::add);
 
-    LinkTest() throws Exception {
+    LinkRelayTest() throws Exception {
         link.target((InetSocketAddress) echo.getLocalSocketAddress());
         Thread thread =
                 new Thread(
@@ -128,19 +128,19 @@
 
     @Test
     void doorsRefuseStaySilentAndNeverOpen() throws Exception {
-        link.door(Link.Door.REFUSE);
+        link.door(LinkRelay.Door.REFUSE);
         assertThrows(SocketException.class, this::connect);
-        link.door(Link.Door.NEVER);
+        link.door(LinkRelay.Door.NEVER);
         try (Socket s = new Socket()) {
             assertThrows(SocketTimeoutException.class, () -> s.connect(link.address(), 300));
         }
-        link.door(Link.Door.SILENT);
+        link.door(LinkRelay.Door.SILENT);
         try (Socket s = connect()) {
             s.getOutputStream().write(1);
             s.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, () -> s.getInputStream().read());
             s.setSoTimeout(30_000);
-            link.door(Link.Door.OPEN);
+            link.door(LinkRelay.Door.OPEN);
             assertThrows(SocketException.class, () -> s.getInputStream().read());
         }
         try (Socket s = connect()) {
@@ -152,9 +152,9 @@
     @Test
     void aRefusingDoorRefusesAtOnce() throws Exception {
         for (int i = 0; i < 300; i++) {
-            link.door(Link.Door.REFUSE);
+            link.door(LinkRelay.Door.REFUSE);
             assertThrows(SocketException.class, this::connect);
-            link.door(Link.Door.OPEN);
+            link.door(LinkRelay.Door.OPEN);
             connect().close();
         }
     }
@@ -168,12 +168,12 @@
                 Socket idle = connect()) {
             exchange(busy, new byte[] {1});
             exchange(idle, new byte[] {1});
-            link.ways(Link.Way.FREE.held(true), Link.Way.FREE);
+            link.ways(LinkRelay.Way.FREE.held(true), LinkRelay.Way.FREE);
             busy.getOutputStream().write(2);
             busy.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, () -> busy.getInputStream().read());
             busy.setSoTimeout(30_000);
-            link.ways(Link.Way.FREE, Link.Way.FREE);
+            link.ways(LinkRelay.Way.FREE, LinkRelay.Way.FREE);
             assertThrows(SocketException.class, () -> busy.getInputStream().read());
             assertArrayEquals(new byte[] {3}, exchange(idle, new byte[] {3}));
         }
@@ -181,24 +181,25 @@
 
     @Test
     void waysDelayLimitCutAndHalfClose() throws Exception {
-        link.ways(Link.Way.FREE.delayed(() -> 30_000), Link.Way.FREE.delayed(() -> 20_000));
+        link.ways(
+                LinkRelay.Way.FREE.delayed(() -> 30_000), LinkRelay.Way.FREE.delayed(() -> 20_000));
         long began = System.nanoTime();
         try (Socket s = connect()) {
             exchange(s, new byte[] {1});
             assertTrue(System.nanoTime() - began >= 50_000_000);
         }
-        link.ways(new Link.Way(() -> 0, 10_000, false, 0, 0), Link.Way.FREE);
+        link.ways(new LinkRelay.Way(() -> 0, 10_000, false, 0, 0), LinkRelay.Way.FREE);
         began = System.nanoTime();
         try (Socket s = connect()) {
             exchange(s, new byte[2000]);
             assertTrue(System.nanoTime() - began >= 200_000_000);
         }
-        link.ways(Link.Way.FREE, Link.Way.FREE.cutAt(10));
+        link.ways(LinkRelay.Way.FREE, LinkRelay.Way.FREE.cutAt(10));
         try (Socket s = connect()) {
             s.getOutputStream().write(new byte[25]);
             assertThrows(SocketException.class, () -> s.getInputStream().readNBytes(25));
         }
-        link.ways(Link.Way.FREE, new Link.Way(() -> 0, 0, false, 0, 10));
+        link.ways(LinkRelay.Way.FREE, new LinkRelay.Way(() -> 0, 0, false, 0, 10));
         try (Socket s = connect()) {
             s.getOutputStream().write(new byte[25]);
             assertEquals(10, s.getInputStream().readAllBytes().length);
@@ -241,19 +242,19 @@
 
     @Test
     void datagramsAreLostDoubledAndReordered() throws Exception {
-        var random = new Draws(4).stream("udp");
+        var random = new RandomStreams(4).stream("udp");
         try (DatagramSocket from = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket to = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramLink way =
-                        new DatagramLink(
+                DatagramRelay way =
+                        new DatagramRelay(
                                 group, InetAddress.getByName("127.9.9.8"), random::nextDouble)) {
             to.setSoTimeout(5_000);
             way.target((InetSocketAddress) to.getLocalSocketAddress());
-            for (DatagramLink.Way w :
+            for (DatagramRelay.Way w :
                     List.of(
-                            DatagramLink.Way.FREE,
-                            new DatagramLink.Way(0, 1, 0),
-                            new DatagramLink.Way(0, 0, 20_000))) {
+                            DatagramRelay.Way.FREE,
+                            new DatagramRelay.Way(0, 1, 0),
+                            new DatagramRelay.Way(0, 0, 20_000))) {
                 way.way(w);
                 int expected = w.doubled() == 1 ? 40 : 20;
                 for (byte i = 0; i < 20; i++) {
@@ -272,7 +273,7 @@
                 }
                 assertEquals(w.delayMicros() > 0, !Arrays.equals(sorted, got));
             }
-            way.way(new DatagramLink.Way(1, 0, 0));
+            way.way(new DatagramRelay.Way(1, 0, 0));
             from.send(new DatagramPacket(new byte[1], 1, way.address()));
             to.setSoTimeout(300);
             assertThrows(
--- a/lab/src/test/java/sagefall/lab/load/SocketsTest.java
+++ b/testbed/src/test/java/sagefall/load/LoadTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.load;
+package sagefall.load;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,20 +8,23 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class SocketsTest {
+class LoadTest {
 
     /**
      * Each request of an open loop ends up in one count, and a fault in the one that it belongs to.
      */
     @Test
     void everyRequestIsCountedOnce() throws Exception {
-        StandIn server = new StandIn(0, "a", new StandIn.Service(4, 40, 1), new Directory());
+        StandInServer server =
+                new StandInServer(
+                        0, "a", new StandInServer.Service(4, 40, 1), new StandInDiscovery());
         for (double errors : new double[] {0, 1}) {
-            server.faults(new StandIn.Faults(errors, 0, 0, 0));
-            OpenLoop load = new OpenLoop(server.port(), 400, 5000, 1000, 7);
+            server.faults(new StandInServer.Faults(errors, 0, 0, 0));
+            OpenLoopLoadGenerator load =
+                    new OpenLoopLoadGenerator(server.port(), 400, 5000, 1000, 7);
             load.run(0.5);
             assertEquals(0, load.settle(30_000));
-            OpenLoop.Figures f = load.figures();
+            OpenLoopLoadGenerator.Figures f = load.figures();
             assertTrue(f.sent() > 100, "sent " + f.sent());
             assertEquals(f.sent(), f.served() + f.refused() + f.failed() + f.unsent());
             assertEquals(errors > 0, f.served() < f.sent() / 2);
@@ -33,7 +36,7 @@
     /** A watch waits for a change and brings it; a hold that runs out brings nothing. */
     @Test
     void aWatchWaitsForAChange() throws Exception {
-        Directory directory = new Directory();
+        StandInDiscovery directory = new StandInDiscovery();
         directory.put("s-1", 1, "a", "in_service", 0);
         assertTrue(directory.watch(2, 1).contains("\"targets\":[]"));
         CompletableFuture<String> watch =
--- a/lab/src/test/java/sagefall/lab/policy/MechanismWordsTest.java
+++ b/testbed/src/test/java/sagefall/policy/MechanismWordsTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/lab/src/test/java/sagefall/lab/policy/PoliciesTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.policy;
+package sagefall.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,24 +10,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagefall.lab.model.Day;
-import sagefall.lab.model.DayResult;
-import sagefall.lab.scenario.Scenario;
+import sagefall.emulator.FleetSimulation;
+import sagefall.emulator.SimulationResult;
+import sagefall.scenario.Scenario;
 
-class PoliciesTest {
+class PolicyRegistryTest {
 
     private static final Path ROOT = Path.of("..");
 
-    private static DayResult play(String policy) throws Exception {
+    private static SimulationResult play(String policy) throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "overload", List.of("fleet.sidecars=40", "fleet.servers=20", "seconds=32"));
-        try (Policy p = Policies.of(policy, ROOT)) {
-            return new Day(scenario, 5, p).play();
+        try (Policy p = PolicyRegistry.of(policy, ROOT)) {
+            return new FleetSimulation(scenario, 5, p).play();
         }
     }
 
-    private static String figures(DayResult r) {
+    private static String figures(SimulationResult r) {
         return r.g() + " " + r.events() + " " + r.attemptsPerRequest() + " " + r.latency();
     }
 
@@ -51,12 +51,12 @@
     @ParameterizedTest
     @EnumSource(Mechanism.class)
     void eachMechanismCanBeSwitchedOff(Mechanism m) throws Exception {
-        Policies.of("module-without:" + m.word(), ROOT).close();
+        PolicyRegistry.of("module-without:" + m.word(), ROOT).close();
     }
 
     @Test
     void whatAMechanismIsForShowsWhereItIsOff() throws Exception {
-        DayResult without = play("module-without:admission");
+        SimulationResult without = play("module-without:admission");
         assertEquals(0, without.answers().getOrDefault("refused admission", 0L));
         assertNotEquals(0, play("module").answers().getOrDefault("refused admission", 0L));
     }
@@ -72,7 +72,8 @@
             })
     void whatIsNoPolicyCostsOneLine(String policy, String line) {
         String message =
-                assertThrows(PolicyException.class, () -> Policies.of(policy, ROOT)).getMessage();
+                assertThrows(PolicyException.class, () -> PolicyRegistry.of(policy, ROOT))
+                        .getMessage();
         assertEquals(line, message.substring(0, Math.min(line.length(), message.length())));
     }
 }
--- a/lab/src/test/java/sagefall/lab/scenario/FaultWordsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
@@ -1,9 +1,10 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,8 +18,10 @@
             "lose_zone, flap_zone, cut_zone, lose_servers, slow, "
                     + "shared_slow, errors, pauses, neighbour, "
                     + "burst, shift, surge, replace, kill_sidecars, restart_sidecars, "
-                    + "late_lists, discovery_down, lost_answers, resets, leavers, stubborn, deaf, reborn, "
-                    + "stop_sidecars, slow_sidecars, cut_sidecars, flap_links, delay_links, cut_bytes, power_loss, "
+                    + "late_lists, discovery_down, lost_answers, resets, leavers, stubborn, deaf, "
+                    + "reborn, "
+                    + "stop_sidecars, slow_sidecars, cut_sidecars, flap_links, delay_links, "
+                    + "cut_bytes, power_loss, "
                     + "drain, wrong_clock, stop_owner, kill_owner";
 
     private static Scenario read(String kind, String more) throws ScenarioException {
@@ -39,14 +42,12 @@
 
     @Test
     void kindsOfEachWord() throws ScenarioException {
-        List<String> words = List.of(ALL_KINDS.split(", "));
-        assertEquals(Fault.Kind.values().length, words.size());
-        for (int i = 0; i < words.size(); i++) {
-            assertSame(
-                    Fault.Kind.values()[i],
-                    read(words.get(i), "").faults().get(0).kind(),
-                    words.get(i));
+        List<String> words = List.of(ALL_KINDS.split(", ", -1));
+        List<Fault.Kind> kinds = new ArrayList<>();
+        for (String word : words) {
+            kinds.add(read(word, "").faults().get(0).kind());
         }
+        assertEquals(List.of(Fault.Kind.values()), kinds);
     }
 
     @ParameterizedTest
@@ -151,9 +152,9 @@
     void wordsOfHow(String kind, String words) throws ScenarioException {
         assertEquals(
                 "f.toml:5: fault[0].how: 'x' is none of " + words, messageOf(kind, "how='x'\n"));
-        for (String word : words.split(", ")) {
+        for (String word : words.split(", ", -1)) {
             assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).how());
         }
-        assertEquals(words.split(", ")[0], read(kind, "").faults().get(0).how());
+        assertEquals(words.split(", ", -1)[0], read(kind, "").faults().get(0).how());
     }
 }
--- a/lab/src/test/java/sagefall/lab/scenario/ScenarioTest.java
+++ b/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
@@ -1,4 +1,4 @@
-package sagefall.lab.scenario;
+package sagefall.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
