--- /dev/null
+++ b/sidecar/src/main/java/sagefall/logging/LogLine.java
@@ -0,0 +1,57 @@
+package sagefall.logging;
+
+/**
+ * One line of the log: level, event name, then {@code key=value} fields in the order in which they
+ * were added, such as {@code WARN endpoint_ejected endpoint=12 reason=failures}. Keys are lower
+ * case with underscores and end in the unit, where there is one ({@code elapsed_ms}). A value with
+ * a space, a quote, an equals sign or a control character is quoted, so a line stays one line.
+ */
+public final class LogLine {
+
+    private final StringBuilder line;
+
+    private LogLine(LogEvent event) {
+        line = new StringBuilder(event.level().name()).append(' ').append(event.eventName());
+    }
+
+    /** Begins a line. */
+    public static LogLine of(LogEvent event) {
+        return new LogLine(event);
+    }
+
+    /** Adds a field; a null value is written as {@code null}. */
+    public LogLine with(String key, Object value) {
+        line.append(' ').append(key).append('=');
+        String text = String.valueOf(value);
+        if (isPlain(text)) {
+            line.append(text);
+        } else {
+            appendQuoted(text);
+        }
+        return this;
+    }
+
+    private static boolean isPlain(String text) {
+        return !text.isEmpty()
+                && text.chars().allMatch(c -> c > ' ' && c != '"' && c != '=' && c != 0x7f);
+    }
+
+    private void appendQuoted(String text) {
+        line.append('"');
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
+            if (c == '"' || c == '\\') {
+                line.append('\\').append(c);
+            } else {
+                line.append(c < ' ' || c == 0x7f ? ' ' : c);
+            }
+        }
+        line.append('"');
+    }
+
+    /** The line, without its end. */
+    @Override
+    public String toString() {
+        return line.toString();
+    }
+}
