--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -18,6 +18,7 @@
 import java.util.function.Consumer;
 import sagefall.config.SocketAddresses;
 import sagefall.http.HttpClientConnection;
+import sagefall.http.HttpConnectionListener;
 
 /**
  * Watches the list of servers. Once asked, the watch goes on by itself; when it fails it stops, and
@@ -258,7 +259,7 @@
     }
 
     /** A connection to discovery; once it is dropped, nothing that it still tells counts. */
-    private final class Peer implements HttpClientConnection.Owner {
+    private final class Peer implements HttpConnectionListener {
         private final HttpClientConnection link =
                 new HttpClientConnection(loop, address, MAX_LIST, CONNECT_MICROS, this);
         private boolean up;
--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -1,7 +1,6 @@
 package sagefall.http;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -50,39 +49,8 @@
     /** Largest body that is passed on. */
     public static final int MAX_BODY = 64 * 1024;
 
-    /** What a link tells its owner, always on the event loop. */
-    public interface Owner {
-        void opened();
-
-        /** The last byte of the request has been handed to the network. */
-        void written();
-
-        /**
-         * A whole answer; the link keeps the reference and releases it on return. Where more came
-         * than the answer (not clean), the connection is of no further use.
-         */
-        void answered(FullHttpResponse answer, boolean clean);
-
-        /** An answer of status 200 that passes through has begun; its end is bounded. */
-        default void began(HttpResponse head) {}
-
-        /** A part of it, which the owner takes over. */
-        default void part(ByteBuf part) {
-            part.release();
-        }
-
-        /** All that came in one go has been told. */
-        default void flush() {}
-
-        /** It has come whole. */
-        default void finished(HttpHeaders trailers, boolean clean) {}
-
-        /** Never came up, broke, or was closed by either side. */
-        void closed();
-    }
-
     private final Channel channel;
-    private final Owner owner;
+    private final HttpConnectionListener owner;
     private final Decoder decoder = new Decoder();
 
     /** A request has been sent and its answer not been told. */
@@ -128,7 +96,11 @@
     }
 
     public HttpClientConnection(
-            EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, Owner owner) {
+            EventLoop loop,
+            InetSocketAddress to,
+            int maxBody,
+            long connectMicros,
+            HttpConnectionListener owner) {
         this(loop, to, maxBody, connectMicros, false, owner);
     }
 
@@ -142,7 +114,7 @@
             int maxBody,
             long connectMicros,
             boolean streams,
-            Owner owner) {
+            HttpConnectionListener owner) {
         this.owner = owner;
         Bootstrap bootstrap = new Bootstrap();
         if (streams) {
--- a/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -30,6 +30,7 @@
 import sagefall.config.SidecarConfig;
 import sagefall.discovery.EndpointList;
 import sagefall.http.HttpClientConnection;
+import sagefall.http.HttpConnectionListener;
 import sagefall.http.ProtocolHeaders;
 import sagefall.proxy.downstream.DownstreamListener;
 import sagefall.proxy.downstream.RequestParser;
@@ -208,7 +209,7 @@
     }
 
     /** Asks again as soon as it has an answer. */
-    private final class Client implements HttpClientConnection.Owner {
+    private final class Client implements HttpConnectionListener {
         private final HttpClientConnection link;
 
         Client(InetSocketAddress address) {
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -57,6 +57,7 @@
 import sagefall.persistence.SnapshotStore;
 import sagefall.proxy.downstream.DownstreamListener;
 import sagefall.proxy.downstream.RequestParser;
+import sagefall.proxy.upstream.AttemptListener;
 import sagefall.proxy.upstream.ConnectionPool;
 import sagefall.streaming.FlowControl;
 import sagefall.streaming.StreamedUpload;
@@ -70,7 +71,7 @@
 public final class SidecarServer
         implements BalancerActions,
                 DownstreamListener.Service,
-                ConnectionPool.Listener,
+                AttemptListener,
                 DiscoveryClient.Listener {
 
     /** The module ends its requests at their deadline; past this much more the sidecar does. */
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -34,11 +34,11 @@
 import sagefall.config.SidecarConfig;
 import sagefall.discovery.EndpointList;
 import sagefall.http.HttpClientConnection;
+import sagefall.http.HttpConnectionListener;
 import sagefall.http.ProtocolHeaders;
 import sagefall.proxy.ForwardedAttempt;
 import sagefall.proxy.ProxiedRequest;
 import sagefall.proxy.WallClock;
-import sagefall.streaming.FlowControl;
 
 /**
  * Connections to the servers and the attempts on them. A connection carries one attempt at a time;
@@ -46,47 +46,6 @@
  */
 public final class ConnectionPool {
 
-    /**
-     * How an attempt ended; the answer is there only when a server gave one, and only during the
-     * call.
-     */
-    public interface Listener {
-        void ended(
-                ForwardedAttempt attempt,
-                AttemptResult result,
-                LoadReport report,
-                FullHttpResponse answer);
-
-        /**
-         * The last look before its first byte: takes in what has come and not been read yet, lists
-         * too. Whether anybody still waits for it.
-         */
-        default boolean wanted(ForwardedAttempt attempt) {
-            return true;
-        }
-
-        /** The last byte of an upload has left. */
-        default void written(ForwardedAttempt attempt) {}
-
-        /** An answer that passes through has begun; reading it can be stopped and let on. */
-        default void began(
-                ForwardedAttempt attempt,
-                HttpResponse head,
-                LoadReport report,
-                FlowControl.Source source) {}
-
-        /** A part of it, which the listener takes over. */
-        default void part(ForwardedAttempt attempt, ByteBuf part) {
-            part.release();
-        }
-
-        /** All that came in one go has been told. */
-        default void flush(ForwardedAttempt attempt) {}
-
-        /** It has come whole. */
-        default void finished(ForwardedAttempt attempt, HttpHeaders trailers) {}
-    }
-
     /**
      * A second copy of an answer may come this much later, so for as long a connection is not used
      * again.
@@ -95,7 +54,7 @@
 
     private final EventLoop loop;
     private final WallClock clock;
-    private final Listener listener;
+    private final AttemptListener listener;
     private final int most;
     private final long connectMicros;
     private final long idleMicros;
@@ -136,7 +95,7 @@
     }
 
     public ConnectionPool(
-            EventLoop loop, WallClock clock, SidecarConfig config, Listener listener) {
+            EventLoop loop, WallClock clock, SidecarConfig config, AttemptListener listener) {
         this.loop = loop;
         this.clock = clock;
         this.listener = listener;
@@ -317,7 +276,7 @@
     }
 
     /** A connection to a server: coming up, carrying an attempt, or idle. */
-    private final class Connection implements HttpClientConnection.Owner {
+    private final class Connection implements HttpConnectionListener {
         private final Node node;
         private final HttpClientConnection link;
         private ForwardedAttempt attempt;
