--- a/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
@@ -5,33 +5,53 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** What a link tells its owner, always on the event loop. */
+/**
+ * What an {@link HttpClientConnection} reports, always on its event loop. The methods for streamed
+ * responses need to be implemented only by who sends requests with a streaming limit.
+ */
 public interface HttpConnectionListener {
+
+    /** The connection has been established. */
     void opened();
 
-    /** The last byte of the request has been handed to the network. */
+    /** The last byte of a request that was sent complete has been handed to the network. */
     void written();
 
     /**
-     * A whole answer; the link keeps the reference and releases it on return. Where more came than
-     * the answer (not clean), the connection is of no further use.
+     * A complete response has been collected.
+     *
+     * @param answer owned by the connection, which releases it on return
+     * @param clean whether nothing arrived beyond the response; if not, the connection is of no
+     *     further use
      */
     void answered(FullHttpResponse answer, boolean clean);
 
-    /** An answer of status 200 that passes through has begun; its end is bounded. */
-    default void began(HttpResponse head) {}
+    /** A streamed response of status 200 has begun; its end is announced by its framing. */
+    default void responseStarted(HttpResponse head) {}
 
-    /** A part of it, which the owner takes over. */
-    default void part(ByteBuf part) {
+    /**
+     * Part of the body of a streamed response.
+     *
+     * @param part never empty; the listener becomes its owner
+     */
+    default void responsePart(ByteBuf part) {
         part.release();
     }
 
-    /** All that came in one go has been told. */
-    default void flush() {}
+    /** All parts that one read of the socket brought have been reported. */
+    default void responseReadComplete() {}
 
-    /** It has come whole. */
-    default void finished(HttpHeaders trailers, boolean clean) {}
+    /**
+     * The last part of a streamed response has been reported.
+     *
+     * @param trailers as the server sent them, perhaps empty
+     * @param clean as for a collected response
+     */
+    default void responseFinished(HttpHeaders trailers, boolean clean) {}
 
-    /** Never came up, broke, or was closed by either side. */
+    /**
+     * The connection could not be established, broke, or was closed by either side. Reported
+     * exactly once and last, in a task of its own, never during a call to the connection.
+     */
     void closed();
 }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
@@ -10,9 +10,19 @@
 import sagefall.streaming.FlowControl;
 
 /**
- * How an attempt ended; the answer is there only when a server gave one, and only during the call.
+ * What the connection pool reports of attempts, always on the event loop. An attempt that was
+ * abandoned is not reported any more. The methods for streams need to be implemented only by who
+ * starts attempts that are streamed.
  */
 public interface AttemptListener {
+
+    /**
+     * An attempt has ended, unless by the end of a streamed response.
+     *
+     * @param report the server's load report, or null
+     * @param answer the server's response, or null where it gave none; owned by the connection,
+     *     which releases it on return
+     */
     void ended(
             ForwardedAttempt attempt,
             AttemptResult result,
@@ -20,31 +30,42 @@
             FullHttpResponse answer);
 
     /**
-     * The last look before its first byte: takes in what has come and not been read yet, lists too.
-     * Whether anybody still waits for it.
+     * Asked directly before the first byte of an attempt is written. The listener takes in what has
+     * arrived and has not been read yet, endpoint lists too; it may abandon the attempt meanwhile.
+     *
+     * @return whether the client still waits for the response
      */
     default boolean wanted(ForwardedAttempt attempt) {
         return true;
     }
 
-    /** The last byte of an upload has left. */
+    /** The last byte of a streamed upload has been written. */
     default void written(ForwardedAttempt attempt) {}
 
-    /** An answer that passes through has begun; reading it can be stopped and let on. */
+    /**
+     * A streamed response has begun.
+     *
+     * @param report the server's load report, or null
+     * @param source pauses and resumes reading the response
+     */
     default void began(
             ForwardedAttempt attempt,
             HttpResponse head,
             LoadReport report,
             FlowControl.Source source) {}
 
-    /** A part of it, which the listener takes over. */
+    /**
+     * A part of a streamed response has arrived.
+     *
+     * @param part ownership passes to the listener
+     */
     default void part(ForwardedAttempt attempt, ByteBuf part) {
         part.release();
     }
 
-    /** All that came in one go has been told. */
+    /** All parts that one read of the socket brought have been reported. */
     default void flush(ForwardedAttempt attempt) {}
 
-    /** It has come whole. */
+    /** A streamed response is complete; the attempt has left its connection. */
     default void finished(ForwardedAttempt attempt, HttpHeaders trailers) {}
 }
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -0,0 +1,298 @@
+package sagefall.proxy.upstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.LoadReport;
+import sagefall.config.LoadReportReader;
+import sagefall.http.HttpClientConnection;
+import sagefall.http.HttpConnectionListener;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.ForwardedAttempt;
+
+/**
+ * A connection to an endpoint, which carries one attempt at a time. It is opened for an attempt,
+ * and idle between attempts. To be used on the event loop only.
+ */
+final class UpstreamConnection implements HttpConnectionListener {
+
+    /** What the connection is used for; {@link #canBecome(State)} is the table of transitions. */
+    enum State {
+        /** It is being established, for an attempt that waits for it. */
+        CONNECTING,
+
+        /** It carries an attempt. */
+        IN_USE,
+
+        /** It is among the idle connections of its endpoint. */
+        IDLE,
+
+        /** It carries nothing and is not used any more; its end has not been reported yet. */
+        CLOSING,
+
+        /** Its end has been reported. */
+        CLOSED;
+
+        boolean canBecome(State next) {
+            return switch (this) {
+                case CONNECTING -> next == IN_USE || next == CLOSING || next == CLOSED;
+                case IN_USE -> next == IDLE || next == CLOSING || next == CLOSED;
+                case IDLE -> next == IN_USE || next == CLOSING || next == CLOSED;
+                case CLOSING -> next == CLOSED;
+                case CLOSED -> false;
+            };
+        }
+    }
+
+    private final PooledEndpoint endpoint;
+    private final HttpClientConnection connection;
+    private State state = State.CONNECTING;
+
+    /** The attempt that waits for this connection or is carried by it, else null. */
+    private ForwardedAttempt attempt;
+
+    private long idleSinceMicros;
+
+    /** Whether the streamed response in progress lets the connection be used afterwards. */
+    private boolean keepAlive;
+
+    /** Begins to connect, for an attempt that waits for it. */
+    UpstreamConnection(PooledEndpoint endpoint, ForwardedAttempt attempt) {
+        this.endpoint = endpoint;
+        this.attempt = attempt;
+        connection = endpoint.pool().connect(endpoint, this);
+    }
+
+    /** Leaves the idle connections for an attempt; the caller has taken it from among them. */
+    void use(ForwardedAttempt next) {
+        enter(State.IN_USE);
+        attempt = next;
+        sendAfterLastCheck();
+    }
+
+    /** Time in microseconds for which this idle connection has been idle. */
+    long idleMicros(long nowMicros) {
+        return nowMicros - idleSinceMicros;
+    }
+
+    /** When it became idle, in microseconds. */
+    long idleSinceMicros() {
+        return idleSinceMicros;
+    }
+
+    /**
+     * Whether this connection, which the caller has taken from the idle ones, is open and clean,
+     * seen with everything that has arrived.
+     */
+    boolean isReusable() {
+        if (connection.isReusable()) {
+            return true;
+        }
+        enter(State.CLOSING);
+        return false;
+    }
+
+    /** Closes the connection; an attempt that it carries is not reported any more. */
+    void close() {
+        attempt = null;
+        enter(State.CLOSING);
+        connection.close();
+    }
+
+    /**
+     * The last check before the first byte. A connection may come up long after the decision that
+     * asked for it, and by now the request may be over, its client gone, its time or its window
+     * used up, or the endpoint draining. How long ago that was announced is not known where the
+     * event loop is late, so there is no grace period.
+     */
+    private void sendAfterLastCheck() {
+        ForwardedAttempt checked = attempt;
+        boolean awaited = endpoint.pool().listener().wanted(checked);
+        if (attempt != checked) {
+            // Its client is gone, and it was abandoned by that very check.
+            return;
+        }
+        long nowMicros = endpoint.pool().nowMicros();
+        boolean late = nowMicros >= Math.min(checked.giveUpAt, checked.latestAt);
+        if (!awaited || checked.call.over || late || !endpoint.isInService()) {
+            becomeIdle();
+            endpoint.pool().end(checked, AttemptResult.NOT_SENT, null, null);
+            return;
+        }
+        send(checked, nowMicros);
+    }
+
+    private void send(ForwardedAttempt sent, long nowMicros) {
+        long maxStreamedBytes = sent.call.mostStreamed;
+        if (sent.call.upload == null) {
+            connection.send(UpstreamRequests.complete(sent, nowMicros), maxStreamedBytes);
+        } else {
+            Channel channel =
+                    connection.sendHead(
+                            UpstreamRequests.streamedHead(sent, nowMicros), maxStreamedBytes);
+            sent.call.upload.attach(channel, () -> onUploadWritten(sent));
+        }
+    }
+
+    private void onUploadWritten(ForwardedAttempt sent) {
+        if (attempt == sent) {
+            written();
+            endpoint.pool().listener().written(sent);
+        }
+    }
+
+    /** Joins the idle connections, or closes where it is not going to be used any more. */
+    private void becomeIdle() {
+        if (endpoint.isInService()) {
+            attempt = null;
+            enter(State.IDLE);
+            idleSinceMicros = endpoint.pool().nowMicros();
+            endpoint.addIdle(this);
+        } else {
+            close();
+        }
+    }
+
+    private void becomeIdleOrClose(boolean reusable) {
+        if (reusable) {
+            becomeIdle();
+        } else {
+            close();
+        }
+    }
+
+    /** It came up, perhaps late; an attempt that was abandoned meanwhile has closed it. */
+    @Override
+    public void opened() {
+        if (state == State.CONNECTING) {
+            enter(State.IN_USE);
+            sendAfterLastCheck();
+        }
+    }
+
+    @Override
+    public void written() {
+        if (attempt != null) {
+            attempt.written = true;
+        }
+    }
+
+    /**
+     * A collected response. What may throw comes before the attempt leaves the connection: then the
+     * end of the connection ends it. A response that arrives before the request was written is
+     * none.
+     */
+    @Override
+    public void answered(FullHttpResponse answer, boolean clean) {
+        if (attempt == null || (!attempt.written && !refusesUpload(answer))) {
+            connection.close();
+            return;
+        }
+        ForwardedAttempt done = attempt;
+        AttemptResult result = result(answer);
+        LoadReport report = loadReport(answer);
+        becomeIdleOrClose(clean && done.written && HttpUtil.isKeepAlive(answer));
+        endpoint.pool().end(done, result, report, answer);
+    }
+
+    /**
+     * A server may reject or fail an upload that it has not received completely; it cannot have
+     * served it.
+     */
+    private boolean refusesUpload(FullHttpResponse answer) {
+        return attempt.call.upload != null
+                && answer.status().code() >= HttpResponseStatus.BAD_REQUEST.code();
+    }
+
+    private static AttemptResult result(FullHttpResponse answer) {
+        HttpResponseStatus status = answer.status();
+        if (status.code() == HttpResponseStatus.OK.code()) {
+            return AttemptResult.SERVED;
+        }
+        boolean mayReject =
+                status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+                        || status.code() == HttpResponseStatus.GATEWAY_TIMEOUT.code();
+        return mayReject && "1".equals(answer.headers().get(ProtocolHeaders.NOT_STARTED))
+                ? AttemptResult.REJECTED
+                : AttemptResult.ERROR;
+    }
+
+    private static LoadReport loadReport(HttpResponse response) {
+        return LoadReportReader.parse(response.headers().getAll(ProtocolHeaders.LOAD));
+    }
+
+    @Override
+    public void responseStarted(HttpResponse head) {
+        if (attempt == null || !attempt.written) {
+            connection.close();
+            return;
+        }
+        ForwardedAttempt receiver = attempt;
+        keepAlive = HttpUtil.isKeepAlive(head);
+        endpoint.pool()
+                .listener()
+                .began(
+                        receiver,
+                        head,
+                        loadReport(head),
+                        reading -> {
+                            // Once the response is complete the connection may carry another.
+                            if (attempt == receiver) {
+                                connection.setReading(reading);
+                            }
+                        });
+    }
+
+    /** Takes ownership of the part. */
+    @Override
+    public void responsePart(ByteBuf part) {
+        if (attempt == null) {
+            part.release();
+        } else {
+            endpoint.pool().listener().part(attempt, part);
+        }
+    }
+
+    @Override
+    public void responseReadComplete() {
+        if (attempt != null) {
+            endpoint.pool().listener().flush(attempt);
+        }
+    }
+
+    @Override
+    public void responseFinished(HttpHeaders trailers, boolean clean) {
+        if (attempt == null) {
+            connection.close();
+            return;
+        }
+        ForwardedAttempt done = attempt;
+        endpoint.pool().release(done);
+        connection.setReading(true);
+        becomeIdleOrClose(clean && keepAlive);
+        endpoint.pool().listener().finished(done, trailers);
+    }
+
+    @Override
+    public void closed() {
+        enter(State.CLOSED);
+        endpoint.pool().connectionClosed(endpoint, this);
+        if (attempt != null) {
+            ForwardedAttempt lost = attempt;
+            attempt = null;
+            AttemptResult result =
+                    lost.written ? AttemptResult.BROKEN : AttemptResult.NO_CONNECTION;
+            endpoint.pool().end(lost, result, null, null);
+        }
+    }
+
+    private void enter(State next) {
+        assert state.canBecome(next) : "upstream connection: " + state + " cannot become " + next;
+        state = next;
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
@@ -0,0 +1,59 @@
+package sagefall.proxy.upstream;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.DefaultHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpVersion;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.ForwardedAttempt;
+import sagefall.proxy.ProxiedRequest;
+
+/** The request that an endpoint is sent for an attempt. */
+final class UpstreamRequests {
+
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private UpstreamRequests() {}
+
+    /** The head of a request whose body is streamed, framed as its client framed it. */
+    static HttpRequest streamedHead(ForwardedAttempt attempt, long nowMicros) {
+        HttpHeaders headers = headers(attempt, nowMicros);
+        if (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
+            headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        ProxiedRequest request = attempt.call;
+        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers);
+    }
+
+    /** A request with its body; the caller owns it. */
+    static FullHttpRequest complete(ForwardedAttempt attempt, long nowMicros) {
+        ProxiedRequest request = attempt.call;
+        HttpHeaders headers = headers(attempt, nowMicros);
+        headers.remove(HttpHeaderNames.CONTENT_LENGTH);
+        if (request.body.length > 0 || !request.method.equals(HttpMethod.GET)) {
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body.length);
+        }
+        return new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                request.method,
+                request.uri,
+                Unpooled.wrappedBuffer(request.body),
+                headers,
+                new DefaultHttpHeaders());
+    }
+
+    /** The client's fields, with the time that is left for this attempt. */
+    private static HttpHeaders headers(ForwardedAttempt attempt, long nowMicros) {
+        HttpHeaders headers = ProtocolHeaders.endToEnd(attempt.call.headers);
+        long remainingMillis = (attempt.giveUpAt - nowMicros) / MICROS_PER_MILLI;
+        headers.set(ProtocolHeaders.TIMEOUT, Math.max(1, remainingMillis));
+        return headers;
+    }
+}
--- a/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
+++ b/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
@@ -1,25 +1,28 @@
 package sagefall.streaming;
 
 /**
- * What all streams of this process hold together, and the most that it has been: the figure that
- * the bound of the section is to be chosen by.
+ * The bytes that all streams of this process have buffered together, and their peak: the figure
+ * that {@code max_buffered_bytes} of the section {@code streaming} is to be chosen by. To be used
+ * on the event loop only.
  */
 public final class BufferAccounting {
 
-    private long held;
-    private long most;
+    private long reservedBytes;
+    private long peakBytes;
 
-    /** So many bytes more, or fewer. */
+    /** Reserves so many bytes, or frees them where the number is negative. */
     void add(long bytes) {
-        held += bytes;
-        most = Math.max(most, held);
+        reservedBytes += bytes;
+        peakBytes = Math.max(peakBytes, reservedBytes);
     }
 
+    /** Bytes that are buffered now. */
     public long held() {
-        return held;
+        return reservedBytes;
     }
 
+    /** The largest number of bytes that have been buffered at once. */
     public long most() {
-        return most;
+        return peakBytes;
     }
 }
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -4,58 +4,74 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Flow control of one direction of a stream: what has come from one side and has not been taken by
- * the other is counted, and past the high watermark the side that brings is not read until the
- * count is at the low one. So a slow taker slows the bringer down and the process holds a window,
- * however long the body is.
+ * Back-pressure for one direction of a stream. Bytes that have come from the source and that the
+ * sink has not taken are counted; at the high watermark the source is paused, until the count is
+ * down to the low watermark. So a slow sink slows the source down, and the process buffers a window
+ * however long the body is. To be used on the event loop only.
  */
 public final class FlowControl {
 
-    /** The side that brings. */
+    /** The side that the bytes come from. */
     public interface Source {
-        /** Whether it is to be read. */
-        void read(boolean on);
+        /** Resumes reading from the source, or pauses it. */
+        void setReading(boolean reading);
+    }
+
+    /** Whether the source is read, and if not, why. */
+    private enum State {
+        /** The source is read. */
+        READING,
+
+        /** The high watermark was reached, and the low one not yet again. */
+        PAUSED_BY_WATERMARK,
+
+        /** There is no sink, so the source is paused however little is buffered. */
+        PAUSED_WITHOUT_SINK,
+
+        /** The source has brought everything; it is not touched any more. */
+        FINISHED
     }
 
     /**
-     * What a part costs beside its bytes: a peer that brings single bytes must not get a window of
-     * them.
+     * What a part counts for beside its bytes: a peer that sends single bytes must not get a window
+     * full of them.
      */
-    private static final int PART_BYTES = 256;
+    private static final int PART_OVERHEAD_BYTES = 256;
 
-    private final StreamingSettings bounds;
-    private final BufferAccounting buffers;
+    private final StreamingSettings settings;
+    private final BufferAccounting accounting;
     private final Source source;
-    private long waiting;
-    private boolean held;
-    private boolean reading = true;
-    private boolean finished;
+    private State state = State.READING;
+    private long pendingBytes;
 
-    /**
-     * When the source last brought something or was let on, and when the taker last took something.
-     */
-    private long broughtAt = System.nanoTime();
+    /** When the source last brought something or was resumed or paused, by the nano clock. */
+    private long sourceActiveNanos = System.nanoTime();
 
-    private long takenAt = broughtAt;
+    /** When the sink last took something, or had nothing to take. */
+    private long sinkActiveNanos = sourceActiveNanos;
 
-    public FlowControl(StreamingSettings bounds, BufferAccounting buffers, Source source) {
-        this.bounds = bounds;
-        this.buffers = buffers;
+    /** Flow control of a source that is being read. */
+    public FlowControl(StreamingSettings settings, BufferAccounting accounting, Source source) {
+        this.settings = settings;
+        this.accounting = accounting;
         this.source = source;
     }
 
-    /** What a part counts for. */
+    /** What a part counts for, in bytes; the part stays the caller's. */
     public static int weight(ByteBuf part) {
-        return part.readableBytes() + PART_BYTES;
+        return part.readableBytes() + PART_OVERHEAD_BYTES;
     }
 
     /**
-     * The same bytes without a much larger buffer behind them: a small part of a read would keep
-     * all of it. Takes the part over.
+     * The same bytes without a much larger buffer behind them: a small slice of a read would keep
+     * the memory of all of it.
+     *
+     * @param part ownership passes to this method
+     * @return the part itself or a copy, owned by the caller
      */
     public static ByteBuf tight(ByteBuf part) {
-        int behind = part.unwrap() == null ? part.capacity() : part.unwrap().capacity();
-        if (behind <= 2 * part.readableBytes() + PART_BYTES) {
+        ByteBuf backing = part.unwrap() == null ? part : part.unwrap();
+        if (backing.capacity() <= 2 * part.readableBytes() + PART_OVERHEAD_BYTES) {
             return part;
         }
         ByteBuf copy = part.alloc().heapBuffer(part.readableBytes()).writeBytes(part);
@@ -63,58 +79,76 @@
         return copy;
     }
 
-    /** A part of that weight has come and waits for the taker. */
+    /** A part of that weight has come from the source and waits for the sink. */
     public void brought(int weight) {
-        broughtAt = System.nanoTime();
-        if (waiting == 0) {
-            takenAt = broughtAt;
+        sourceActiveNanos = System.nanoTime();
+        if (pendingBytes == 0) {
+            sinkActiveNanos = sourceActiveNanos;
         }
-        waiting += weight;
-        buffers.add(weight);
-        adjust();
+        pendingBytes += weight;
+        accounting.add(weight);
+        applyWatermarks();
     }
 
-    /** The taker has taken that much, or never will. */
+    /** The sink has taken a part of that weight, or never will. */
     public void taken(int weight) {
-        takenAt = System.nanoTime();
-        waiting -= weight;
-        buffers.add(-weight);
-        adjust();
+        sinkActiveNanos = System.nanoTime();
+        pendingBytes -= weight;
+        accounting.add(-weight);
+        applyWatermarks();
+    }
+
+    /** There is no sink: the source is paused until there is one. */
+    void pauseWithoutSink() {
+        if (state == State.READING) {
+            pause(State.PAUSED_WITHOUT_SINK);
+        } else if (state == State.PAUSED_BY_WATERMARK) {
+            state = State.PAUSED_WITHOUT_SINK;
+        }
     }
 
-    /** While there is no taker the source is not read, however little waits. */
-    public void hold(boolean on) {
-        held = on;
-        adjust();
+    /** There is a sink: the source is read as far as the watermarks allow. */
+    void resumeWithSink() {
+        if (state == State.PAUSED_WITHOUT_SINK) {
+            state = State.PAUSED_BY_WATERMARK;
+            applyWatermarks();
+        }
     }
 
-    /** The source has brought all. */
+    /** The source has brought everything. */
     public void finished() {
-        finished = true;
+        state = State.FINISHED;
     }
 
-    private void adjust() {
-        if (finished) {
-            return;
-        }
-        boolean room =
-                reading ? waiting < bounds.highWatermark() : waiting <= bounds.lowWatermark();
-        boolean next = !held && room;
-        if (next != reading) {
-            reading = next;
-            broughtAt = System.nanoTime();
-            source.read(next);
+    private void applyWatermarks() {
+        if (state == State.READING && pendingBytes >= settings.highWatermark()) {
+            pause(State.PAUSED_BY_WATERMARK);
+        } else if (state == State.PAUSED_BY_WATERMARK && pendingBytes <= settings.lowWatermark()) {
+            resume();
         }
     }
 
-    /** The source is read and has brought nothing for too long. */
+    private void pause(State paused) {
+        state = paused;
+        sourceActiveNanos = System.nanoTime();
+        source.setReading(false);
+    }
+
+    private void resume() {
+        state = State.READING;
+        sourceActiveNanos = System.nanoTime();
+        source.setReading(true);
+    }
+
+    /** Whether the source is read and has brought nothing for longer than the read stall limit. */
     public boolean bringsNothing() {
-        return reading && !finished && millisSince(broughtAt) > bounds.readStallMillis();
+        return state == State.READING
+                && millisSince(sourceActiveNanos) > settings.readStallMillis();
     }
 
-    /** Something waits, and the taker has taken nothing for too long. */
+    /** Whether bytes are pending and the sink has taken none for longer than its stall limit. */
     public boolean takesNothing() {
-        return waiting > 0 && millisSince(takenAt) > bounds.writeStallMillis();
+        return pendingBytes > 0 && millisSince(sinkActiveNanos) > settings.writeStallMillis();
     }
 
     private static long millisSince(long nanos) {
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -9,181 +9,203 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * The body of a request on its way from a client to a server. Its beginning is kept, up to the
- * replay buffer, so that another server can be sent all of it while no more than that has gone out;
- * past it the body can only go where it is going. The client is read only while a server takes.
+ * The body of a request on its way from a client to a server. Its beginning stays in the {@link
+ * ReplayBuffer}, so that a retry can send all of it to another server while no more than that has
+ * been forwarded; past it the body can only go where it is going. The client is read only while a
+ * server is attached. To be used on the event loop only.
  */
 public final class StreamedUpload {
 
-    /** What is told of it. */
+    /** Notified of the progress of an upload. */
     public interface Listener {
         /** The last byte has come from the client. */
         void whole();
 
-        /** It can't be sent again from now on. */
+        /** The upload cannot be replayed from now on. */
         void replayLost();
     }
 
-    private final StreamingSettings bounds;
-    private final long most;
-    private final BufferAccounting buffers;
+    private enum State {
+        /** The client has not sent all of the body yet. */
+        RECEIVING,
+
+        /** The last byte has come from the client. */
+        COMPLETE,
+
+        /** The request is over: nothing more is accepted or buffered. */
+        CLOSED
+    }
+
+    private final long maxBytes;
     private final FlowControl flow;
-    private final ByteBuf kept = Unpooled.buffer(0);
+    private final ReplayBuffer replayBuffer;
     private Listener listener;
-    private long received;
-    private boolean lost;
-    private boolean over;
+    private State state = State.RECEIVING;
+    private long receivedBytes;
+
+    /** Set once the body is complete; perhaps empty. */
     private HttpHeaders trailers;
-    private Channel taker;
-    private Runnable written;
 
-    /** At most so many bytes; the source is held until there is a server. */
+    /** The server of the attempt in progress, or null. */
+    private Channel sink;
+
+    /** Run when the last byte has been written to the sink. */
+    private Runnable onWritten;
+
+    /**
+     * An upload of at most so many bytes, whose source is paused until there is a server.
+     *
+     * @param maxBytes largest body that is accepted
+     * @param source the client
+     */
     public StreamedUpload(
-            StreamingSettings bounds,
-            BufferAccounting buffers,
-            long most,
+            StreamingSettings settings,
+            BufferAccounting accounting,
+            long maxBytes,
             FlowControl.Source source) {
-        this.bounds = bounds;
-        this.buffers = buffers;
-        this.most = most;
-        flow = new FlowControl(bounds, buffers, source);
-        flow.hold(true);
+        this.maxBytes = maxBytes;
+        replayBuffer = new ReplayBuffer(settings.replayBytes(), accounting);
+        flow = new FlowControl(settings, accounting, source);
+        flow.pauseWithoutSink();
     }
 
+    /** Sets who is notified, before the first part. */
     public void listen(Listener next) {
         listener = next;
     }
 
+    /** Whether the last byte has come from the client; stays so once the upload is closed. */
     public boolean whole() {
         return trailers != null;
     }
 
-    /** A part from the client, which is taken over; false where the body has become too long. */
+    /**
+     * Buffers and forwards a part from the client.
+     *
+     * @param part ownership passes to the upload
+     * @return false where the body has become larger than is accepted
+     */
     public boolean part(ByteBuf part) {
-        received += part.readableBytes();
-        if (over || received > most) {
+        receivedBytes += part.readableBytes();
+        boolean closed = state == State.CLOSED;
+        if (closed || receivedBytes > maxBytes) {
             part.release();
-            return over;
+            return closed;
         }
-        if (!lost) {
-            kept.writeBytes(part, part.readerIndex(), part.readableBytes());
-            buffers.add(part.readableBytes());
-        }
-        if (taker != null) {
+        replayBuffer.append(part);
+        if (sink != null) {
             write(FlowControl.tight(part));
-            loseReplay();
+            giveUpReplayPastLimit();
         } else {
             part.release();
         }
         return true;
     }
 
-    /** What came in one go has come. */
+    /** All parts that one read of the client's socket brought have come. */
     public void flush() {
-        if (taker != null) {
-            taker.flush();
+        if (sink != null) {
+            sink.flush();
         }
     }
 
-    /** The end of the body, with the trailers that go on. */
+    /** The end of the body, with those trailers that are forwarded. */
     public void end(HttpHeaders last) {
-        if (over || whole()) {
+        if (state != State.RECEIVING) {
             return;
         }
+        state = State.COMPLETE;
         trailers = last;
         flow.finished();
         listener.whole();
-        if (taker != null) {
+        if (sink != null) {
             writeLast();
         }
     }
 
     /**
-     * Sends all that has come, and what still comes, to a server; told when the last byte has left.
+     * Sends everything that has come, and what still comes, to a server.
+     *
+     * @param server the channel to write to; the head of the request has been written to it
+     * @param lastWritten run when the last byte has been written, unless the write fails
      */
-    public void attach(Channel next, Runnable lastWritten) {
-        taker = next;
-        written = lastWritten;
-        if (kept.isReadable()) {
-            write(kept.copy());
+    public void attach(Channel server, Runnable lastWritten) {
+        sink = server;
+        onWritten = lastWritten;
+        if (replayBuffer.isReadable()) {
+            write(replayBuffer.copy());
         }
-        loseReplay();
+        giveUpReplayPastLimit();
         if (whole()) {
             writeLast();
         } else {
-            flow.hold(false);
+            flow.resumeWithSink();
         }
-        taker.flush();
+        sink.flush();
     }
 
-    /** The attempt has ended; if there is another, it begins anew. */
+    /** The attempt has ended; a retry, if there is one, replays the upload. */
     public void detach() {
-        taker = null;
-        written = null;
-        if (!over && !whole()) {
-            flow.hold(true);
+        sink = null;
+        onWritten = null;
+        if (state == State.RECEIVING) {
+            flow.pauseWithoutSink();
         }
     }
 
-    /** Nothing more is taken or kept. */
+    /** The request is over: nothing more is accepted, and the replay buffer is freed. */
     public void close() {
-        over = true;
-        taker = null;
-        forget();
+        state = State.CLOSED;
+        sink = null;
+        replayBuffer.clear();
     }
 
-    /** The client is read and brings nothing. */
+    /** Whether the client is read and has sent nothing for longer than the read stall limit. */
     public boolean bringsNothing() {
-        return !over && !whole() && flow.bringsNothing();
+        return state == State.RECEIVING && flow.bringsNothing();
     }
 
-    /** The server takes nothing of what has come. */
+    /** Whether the server has taken nothing for longer than the write stall limit. */
     public boolean takesNothing() {
-        return !over && taker != null && flow.takesNothing();
+        return state != State.CLOSED && sink != null && flow.takesNothing();
     }
 
+    /** Writes a part, whose ownership passes to the channel, and counts it until it is written. */
     private void write(ByteBuf part) {
         int weight = FlowControl.weight(part);
-        Channel to = taker;
-        to.write(new DefaultHttpContent(part))
+        Channel server = sink;
+        server.write(new DefaultHttpContent(part))
                 .addListener(
-                        f -> {
+                        written -> {
                             flow.taken(weight);
-                            if (!f.isSuccess()) {
-                                to.close();
+                            if (!written.isSuccess()) {
+                                server.close();
                             }
                         });
         flow.brought(weight);
     }
 
     private void writeLast() {
-        Channel to = taker;
-        Runnable done = written;
+        Channel server = sink;
+        Runnable lastWritten = onWritten;
         LastHttpContent last =
                 trailers.isEmpty()
                         ? LastHttpContent.EMPTY_LAST_CONTENT
                         : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
-        to.writeAndFlush(last)
+        server.writeAndFlush(last)
                 .addListener(
-                        f -> {
-                            if (f.isSuccess()) {
-                                done.run();
+                        written -> {
+                            if (written.isSuccess()) {
+                                lastWritten.run();
                             } else {
-                                to.close();
+                                server.close();
                             }
                         });
     }
 
-    private void loseReplay() {
-        if (!lost && received > bounds.replayBytes()) {
-            lost = true;
-            forget();
+    private void giveUpReplayPastLimit() {
+        if (replayBuffer.giveUpPastLimit(receivedBytes)) {
             listener.replayLost();
         }
     }
-
-    private void forget() {
-        buffers.add(-kept.readableBytes());
-        kept.clear().capacity(0);
-    }
 }
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -7,8 +7,17 @@
 import sagefall.config.ConfigSection;
 
 /**
- * The section {@code streaming}: which bodies pass through as they arrive, and what they may hold
- * meanwhile. A class that it does not name is passed on whole.
+ * The section {@code streaming}: which bodies are streamed, and what they may buffer meanwhile. The
+ * bodies of a class that it does not name are collected before they are forwarded.
+ *
+ * @param classes bounds by the name of the class
+ * @param highWatermark pending bytes of one direction at which its source is paused
+ * @param lowWatermark pending bytes at which a paused source is resumed
+ * @param readStallMillis how long a source that is read may bring nothing
+ * @param writeStallMillis how long a sink with bytes pending may take nothing
+ * @param replayBytes length up to which an upload can be replayed
+ * @param bufferedBytes what all streams may buffer together
+ * @param drainMillis how long streams may go on after a graceful shutdown has begun
  */
 public record StreamingSettings(
         Map<String, Bounds> classes,
@@ -21,55 +30,40 @@
         long drainMillis) {
 
     /**
-     * Largest bodies of a class; a bound of 0 leaves that direction to the path for whole messages.
+     * Largest bodies of a class, in bytes. A direction with a bound of 0 is not streamed.
+     *
+     * @param requestBytes bound of a request's body
+     * @param answerBytes bound of a response's body
      */
     public record Bounds(long requestBytes, long answerBytes) {}
 
-    /** Without the section nothing streams. */
+    /** Without the section nothing is streamed. */
     public static final StreamingSettings OFF =
             new StreamingSettings(Map.of(), 0, 0, 0, 0, 0, 0, 0);
 
-    /** Most that one read takes from a socket. */
+    /** The most that one read takes from a socket, in bytes. */
     public static final int READ_BYTES = 16 * 1024;
 
-    private static final Bounds WHOLE = new Bounds(0, 0);
-    private static final int WATERMARK = 32 * 1024;
-    private static final int REPLAY = 64 * 1024;
-    private static final int MOST_WATERMARK = 16 * 1024 * 1024;
-    private static final long BUFFERED = 12 * 1024 * 1024;
-    private static final long MOST_BYTES = 1L << 50;
-    private static final long STALL_MILLIS = 10_000;
-    private static final long DRAIN_MILLIS = 2_500;
-    private static final long MOST_MILLIS = 3_600_000;
+    private static final Bounds NOT_STREAMED = new Bounds(0, 0);
+    private static final int DEFAULT_HIGH_WATERMARK_BYTES = 32 * 1024;
+    private static final int DEFAULT_REPLAY_BYTES = 64 * 1024;
+    private static final long DEFAULT_BUFFERED_BYTES = 12 * 1024 * 1024;
+    private static final long DEFAULT_STALL_MILLIS = 10_000;
+    private static final long DEFAULT_DRAIN_MILLIS = 2_500;
+    private static final int LARGEST_BUFFER_BYTES = 16 * 1024 * 1024;
+    private static final long LARGEST_BODY_BYTES = 1L << 50;
+    private static final long LONGEST_MILLIS = 3_600_000;
 
-    /** Reads the section; the classes are those of the settings. */
+    /**
+     * Reads the section. A value that is malformed or out of bounds ends it with the exception of
+     * {@link ConfigSection#wrong}, which names the place.
+     *
+     * @param settings the classes that the fleet's settings define
+     */
     public static StreamingSettings read(ConfigSection section, List<RequestClass> settings) {
-        ConfigSection named = section.section("classes");
-        Map<String, Bounds> classes = new LinkedHashMap<>();
-        boolean uploads = false;
-        for (String name : named.names()) {
-            RequestClass known =
-                    settings.stream()
-                            .filter(c -> c.name().equals(name))
-                            .findFirst()
-                            .orElseThrow(
-                                    () -> named.wrong(name, "the settings have no such class"));
-            ConfigSection one = named.section(name);
-            Bounds bounds =
-                    new Bounds(
-                            one.whole("max_request_bytes", 0, 0, MOST_BYTES),
-                            one.whole("max_answer_bytes", 0, 0, MOST_BYTES));
-            one.end();
-            if (bounds.answerBytes > 0 && !known.streaming()) {
-                throw one.wrong(
-                        "max_answer_bytes",
-                        "the settings do not let this class stream its answers");
-            }
-            uploads |= bounds.requestBytes > 0;
-            classes.put(name, bounds);
-        }
-        int high = (int) section.whole("high_watermark_bytes", WATERMARK, 1, MOST_WATERMARK);
-        int low = (int) section.whole("low_watermark_bytes", high / 2, 0, MOST_WATERMARK);
+        Map<String, Bounds> classes = readClasses(section.section("classes"), settings);
+        int high = bufferBytes(section, "high_watermark_bytes", DEFAULT_HIGH_WATERMARK_BYTES, 1);
+        int low = bufferBytes(section, "low_watermark_bytes", high / 2, 0);
         if (low >= high) {
             throw section.wrong(
                     "low_watermark_bytes", "must be below high_watermark_bytes, " + high);
@@ -79,32 +73,82 @@
                         Map.copyOf(classes),
                         high,
                         low,
-                        section.whole("read_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
-                        section.whole("write_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
-                        (int) section.whole("replay_bytes", REPLAY, 0, MOST_WATERMARK),
-                        section.whole("max_buffered_bytes", BUFFERED, 0, MOST_BYTES),
-                        section.whole("drain_ms", DRAIN_MILLIS, 0, MOST_MILLIS));
+                        millis(section, "read_stall_ms", DEFAULT_STALL_MILLIS, 1),
+                        millis(section, "write_stall_ms", DEFAULT_STALL_MILLIS, 1),
+                        bufferBytes(section, "replay_bytes", DEFAULT_REPLAY_BYTES, 0),
+                        section.whole(
+                                "max_buffered_bytes",
+                                DEFAULT_BUFFERED_BYTES,
+                                0,
+                                LARGEST_BODY_BYTES),
+                        millis(section, "drain_ms", DEFAULT_DRAIN_MILLIS, 0));
         section.end();
-        long window = read.hold(uploads, !uploads);
-        if (read.bufferedBytes < window) {
+        read.checkBufferHoldsOneStream(section);
+        return read;
+    }
+
+    private static int bufferBytes(ConfigSection section, String name, int fallback, int min) {
+        return (int) section.whole(name, fallback, min, LARGEST_BUFFER_BYTES);
+    }
+
+    private static long millis(ConfigSection section, String name, long fallback, long min) {
+        return section.whole(name, fallback, min, LONGEST_MILLIS);
+    }
+
+    private static Map<String, Bounds> readClasses(
+            ConfigSection section, List<RequestClass> settings) {
+        Map<String, Bounds> classes = new LinkedHashMap<>();
+        for (String name : section.names()) {
+            RequestClass requestClass =
+                    settings.stream()
+                            .filter(c -> c.name().equals(name))
+                            .findFirst()
+                            .orElseThrow(
+                                    () -> section.wrong(name, "the settings have no such class"));
+            classes.put(name, readBounds(section.section(name), requestClass));
+        }
+        return classes;
+    }
+
+    private static Bounds readBounds(ConfigSection section, RequestClass requestClass) {
+        Bounds bounds =
+                new Bounds(
+                        section.whole("max_request_bytes", 0, 0, LARGEST_BODY_BYTES),
+                        section.whole("max_answer_bytes", 0, 0, LARGEST_BODY_BYTES));
+        section.end();
+        if (bounds.answerBytes > 0 && !requestClass.streaming()) {
+            throw section.wrong(
+                    "max_answer_bytes", "the settings do not let this class stream its answers");
+        }
+        return bounds;
+    }
+
+    private void checkBufferHoldsOneStream(ConfigSection section) {
+        boolean uploads = classes.values().stream().anyMatch(b -> b.requestBytes > 0);
+        long window = hold(uploads, !uploads);
+        if (bufferedBytes < window) {
             throw section.wrong(
                     "max_buffered_bytes", "must be at least one stream's window, " + window);
         }
-        return read;
     }
 
+    /** The bounds of a class, by its name; both are 0 where the class is not streamed. */
     public Bounds bounds(String requestClass) {
-        return classes.getOrDefault(requestClass, WHOLE);
+        return classes.getOrDefault(requestClass, NOT_STREAMED);
     }
 
+    /** Whether any class is streamed. */
     public boolean isOn() {
         return !classes.isEmpty();
     }
 
     /**
-     * What a request may hold at once. In each direction that is the high watermark, the read that
-     * passes it, and one that is being taken apart; an upload also keeps what may have to be sent
-     * again.
+     * What a request may buffer at once, in bytes: what is reserved for it while it is in progress.
+     * In each direction that is the high watermark, the read that passes it, and one that is being
+     * taken apart; an upload has its replay buffer besides.
+     *
+     * @param upload whether the request is streamed
+     * @param answer whether the response is streamed
      */
     public long hold(boolean upload, boolean answer) {
         long window = highWatermark + 2L * READ_BYTES;
--- a/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
@@ -38,11 +38,11 @@
 
     @Test
     void sourceThatIsHeldIsNotReadThoughThereIsRoom() {
-        flow.hold(true);
+        flow.pauseWithoutSink();
         flow.brought(2000);
         flow.taken(2000);
         assertEquals(List.of(false), reads);
-        flow.hold(false);
+        flow.resumeWithSink();
         assertEquals(List.of(false, true), reads);
     }
 
