--- a/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -32,6 +32,7 @@
 import sagefall.http.HttpClientConnection;
 import sagefall.http.ProtocolHeaders;
 import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
 
 /**
@@ -47,7 +48,7 @@
  * to the time that a restart takes, so it has an end by the clock as well as by count; meanwhile
  * {@code /healthz} answers 503.
  */
-final class JvmWarmUp implements DownstreamListener.Service {
+final class JvmWarmUp implements RequestHandler {
 
     private static final int SERVERS = 8;
     private static final int CLIENTS = 4;
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -56,6 +56,7 @@
 import sagefall.persistence.PersistenceSettings;
 import sagefall.persistence.SnapshotStore;
 import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
 import sagefall.proxy.upstream.ConnectionPool;
 import sagefall.streaming.FlowControl;
@@ -69,7 +70,7 @@
  */
 public final class SidecarServer
         implements BalancerActions,
-                DownstreamListener.Service,
+                RequestHandler,
                 ConnectionPool.Listener,
                 DiscoveryClient.Listener {
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -61,35 +61,6 @@
  */
 public final class DownstreamListener {
 
-    /** What stands behind the connections. */
-    public interface Service {
-        /** Whether a request would find a server. */
-        boolean ready();
-
-        /** A request to be answered through its client, by an exception at the latest. */
-        void take(FullHttpRequest http, ProxiedRequest.Client client)
-                throws RequestParser.BadRequest;
-
-        /**
-         * Largest body of this request that passes through as it arrives; 0 where it is collected.
-         */
-        default long uploads(HttpRequest head) {
-            return 0;
-        }
-
-        /** A request whose body passes through, from its head on. */
-        default void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
-                throws RequestParser.BadRequest {
-            throw new UnsupportedOperationException();
-        }
-
-        /** The server of this request takes or brings nothing any more. */
-        default void stalled(ProxiedRequest.Client client) {}
-
-        /** The client of this request has closed its connection. */
-        void left(ProxiedRequest.Client client);
-    }
-
     private static final int BACKLOG = 1_024;
 
     /** Most connections taken in one turn of the loop. */
@@ -131,7 +102,7 @@
 
     private final EventLoop loop;
     private final LoopLatencyClock turns;
-    private final Service service;
+    private final RequestHandler service;
     private final int most;
     private final Consumer<String> log;
     private final Set<Connection> connections = new LinkedHashSet<>();
@@ -151,7 +122,7 @@
     public DownstreamListener(
             EventLoop loop,
             LoopLatencyClock turns,
-            Service service,
+            RequestHandler service,
             int most,
             Consumer<String> log) {
         this.loop = loop;
