--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
@@ -0,0 +1,33 @@
+package sagefall.proxy.downstream;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelInitializer;
+import io.netty.handler.codec.http.HttpResponseEncoder;
+import sagefall.http.HttpClientConnection;
+
+/**
+ * Builds the pipeline of an accepted channel: the gate discards unwanted input before it is
+ * decoded, and the connection sees messages last.
+ */
+final class ClientChannelInitializer extends ChannelInitializer<Channel> {
+    private final DownstreamListener listener;
+
+    ClientChannelInitializer(DownstreamListener listener) {
+        this.listener = listener;
+    }
+
+    @Override
+    protected void initChannel(Channel channel) {
+        ClientConnection connection = new ClientConnection(listener, channel);
+        if (listener.streamingSettings().isOn()) {
+            channel.config().setRecvByteBufAllocator(HttpClientConnection.smallReads());
+        }
+        channel.pipeline()
+                .addLast(
+                        connection,
+                        connection.reader().decoder(),
+                        new HttpResponseEncoder(),
+                        new RequestAggregator(connection),
+                        connection.reader());
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
@@ -0,0 +1,40 @@
+package sagefall.proxy.downstream;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import sagefall.http.HttpClientConnection;
+
+/**
+ * Collects a request and its body into one message, unless the body is streamed: then head and
+ * content pass as they arrive. A body that is too large to be collected is answered with 413, and
+ * the connection ends.
+ */
+final class RequestAggregator extends HttpObjectAggregator {
+    private final ClientConnection connection;
+    private boolean bodyStreamed;
+
+    RequestAggregator(ClientConnection connection) {
+        super(HttpClientConnection.MAX_BODY, true);
+        this.connection = connection;
+    }
+
+    @Override
+    public boolean acceptInboundMessage(Object message) throws Exception {
+        if (message instanceof HttpRequest head) {
+            bodyStreamed =
+                    !(message instanceof FullHttpRequest)
+                            && connection.reader().maxStreamedBodyBytes(head) > 0;
+        }
+        return !bodyStreamed && super.acceptInboundMessage(message);
+    }
+
+    @Override
+    protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
+        connection.reject(
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, RequestReader.BODY_TOO_LARGE);
+    }
+}
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
@@ -5,28 +5,46 @@
 import sagefall.proxy.ProxiedRequest;
 import sagefall.streaming.StreamedUpload;
 
-/** What stands behind the connections. */
+/**
+ * Handles the requests that the client connections have read. All methods are called on the event
+ * loop of the listener.
+ */
 public interface RequestHandler {
-    /** Whether a request would find a server. */
+    /** Whether a request would find an endpoint; {@code /healthz} reports it. */
     boolean ready();
 
-    /** A request to be answered through its client, by an exception at the latest. */
+    /**
+     * Handles a request that has been read completely. The handler answers it once through the
+     * client, now or later, or throws.
+     *
+     * @param http the request; the caller releases it when this method returns
+     * @param client the exchange that takes the response
+     * @throws RequestParser.BadRequest if this is no request of the protocol; the caller answers
+     */
     void take(FullHttpRequest http, ProxiedRequest.Client client) throws RequestParser.BadRequest;
 
-    /** Largest body of this request that passes through as it arrives; 0 where it is collected. */
+    /**
+     * Largest body of this request, in bytes, that is streamed as it arrives; 0 where the body is
+     * collected first.
+     */
     default long uploads(HttpRequest head) {
         return 0;
     }
 
-    /** A request whose body passes through, from its head on. */
+    /**
+     * Handles a request whose body is streamed, from its head on. The handler answers it once
+     * through the client, now or later, or throws.
+     *
+     * @throws RequestParser.BadRequest if this is no request of the protocol; the caller answers
+     */
     default void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
             throws RequestParser.BadRequest {
         throw new UnsupportedOperationException();
     }
 
-    /** The server of this request takes or brings nothing any more. */
+    /** The server of this request has neither read nor sent anything for too long. */
     default void stalled(ProxiedRequest.Client client) {}
 
-    /** The client of this request has closed its connection. */
+    /** The client of this request has disconnected and can't be answered any more. */
     void left(ProxiedRequest.Client client);
 }
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -0,0 +1,230 @@
+package sagefall.proxy.downstream;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.ReferenceCountUtil;
+import sagefall.http.HttpClientConnection;
+import sagefall.streaming.StreamedUpload;
+
+/**
+ * The last handler of a client connection: hands complete requests and streamed bodies to the
+ * {@link RequestHandler}. A request is handled once all that arrived with it has been read: bytes
+ * behind it mean that it does not end where it says, or that it is not alone.
+ */
+final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
+
+    /** The text of the response to bytes that are not HTTP. */
+    static final String NOT_HTTP = "not HTTP";
+
+    /** The text of the response where more than one request was sent without waiting. */
+    static final String SEVERAL_REQUESTS = "more than one request";
+
+    /** The text of the response to a body over its limit. */
+    static final String BODY_TOO_LARGE = "the body is too large";
+
+    private static final String HEALTH_CHECK_PATH = "/healthz";
+
+    private final ClientConnection connection;
+    private final ClientRequestDecoder decoder = new ClientRequestDecoder();
+
+    /** A request that was read completely, until it is seen that nothing follows it. */
+    private FullHttpRequest completeRequest;
+
+    /** The end of a streamed body, until it is seen that nothing follows it. */
+    private LastHttpContent bodyEnd;
+
+    /** Whether a further message was read together with a request; the connection then ends. */
+    private boolean furtherMessageRead;
+
+    RequestReader(ClientConnection connection) {
+        this.connection = connection;
+    }
+
+    /** The decoder of this connection, to be put into its pipeline. */
+    ClientRequestDecoder decoder() {
+        return decoder;
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+        connection.channelClosed();
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        connection.failed(cause);
+    }
+
+    /** The caller releases the message; what is needed for longer is retained. */
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+        if (message instanceof FullHttpRequest request) {
+            requestRead(request);
+        } else if (message instanceof HttpRequest head) {
+            uploadHeadRead(head);
+        } else if (message instanceof HttpContent content) {
+            bodyContentRead(content);
+        }
+    }
+
+    /**
+     * Retains the request until {@link #channelReadComplete}, which releases it, or {@link
+     * #releasePending}.
+     */
+    private void requestRead(FullHttpRequest request) {
+        decoder.messageCompleted();
+        if (completeRequest != null || connection.exchange() != null) {
+            furtherMessageRead = true;
+        } else if (!connection.state().discardsInput()) {
+            completeRequest = request.retain();
+        }
+    }
+
+    /**
+     * Largest body of this request, in bytes, that is streamed; 0 for one that is small or not
+     * known to be allowed, or no request.
+     */
+    long maxStreamedBodyBytes(HttpRequest head) {
+        boolean startsRequest =
+                !connection.state().discardsInput()
+                        && connection.exchange() == null
+                        && completeRequest == null
+                        && !head.decoderResult().isFailure();
+        long maxBytes = startsRequest ? requestHandler().uploads(head) : 0;
+        long length = HttpUtil.getContentLength(head, -1L);
+        boolean small =
+                length >= 0
+                        ? length <= HttpClientConnection.MAX_BODY
+                        : !HttpUtil.isTransferEncodingChunked(head);
+        return small || length > maxBytes ? 0 : maxBytes;
+    }
+
+    private void uploadHeadRead(HttpRequest head) {
+        long maxBytes = maxStreamedBodyBytes(head);
+        ClientExchange exchange = connection.startReadingBody(head);
+        StreamedUpload upload = exchange.startUpload(head, maxBytes);
+        try {
+            requestHandler().take(head, upload, exchange);
+        } catch (RequestParser.BadRequest e) {
+            connection.rejectMalformed(e);
+        }
+    }
+
+    /**
+     * Forwards the content, or retains the end of the body until {@link #channelReadComplete},
+     * which releases it, or {@link #releasePending}. The caller releases its own reference.
+     */
+    private void bodyContentRead(HttpContent content) {
+        if (!isReadingBody()) {
+            return;
+        }
+        if (content.decoderResult().isFailure()) {
+            connection.reject(HttpResponseStatus.BAD_REQUEST, NOT_HTTP);
+        } else if (content instanceof LastHttpContent end) {
+            decoder.messageCompleted();
+            bodyEnd = end.retain();
+        } else {
+            forwardBody(content);
+        }
+    }
+
+    /**
+     * Forwards the bytes of the content under a reference of their own, which the upload releases;
+     * the caller releases the content. False where the body has become too large.
+     */
+    private boolean forwardBody(HttpContent content) {
+        boolean fits = connection.exchange().forwardBody(content.content().retain());
+        if (!fits) {
+            connection.reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, BODY_TOO_LARGE);
+        }
+        return fits;
+    }
+
+    /** All that arrived in one go has been read. */
+    @Override
+    public void channelReadComplete(ChannelHandlerContext context) {
+        if (completeRequest != null) {
+            FullHttpRequest request = completeRequest;
+            completeRequest = null;
+            try {
+                handleRequest(request);
+            } finally {
+                request.release();
+            }
+        }
+        if (isReadingBody()) {
+            connection.exchange().flushUpload();
+            if (bodyEnd != null) {
+                endBody();
+            }
+        }
+        context.fireChannelReadComplete();
+    }
+
+    /** The caller releases the request. */
+    private void handleRequest(FullHttpRequest request) {
+        if (connection.state().discardsInput()) {
+            return;
+        }
+        if (anythingFollows()) {
+            connection.reject(HttpResponseStatus.BAD_REQUEST, SEVERAL_REQUESTS);
+            return;
+        }
+        ClientExchange exchange = connection.startRequest(request);
+        if (request.decoderResult().isSuccess() && request.uri().equals(HEALTH_CHECK_PATH)) {
+            exchange.answerHealthCheck(requestHandler().ready());
+            return;
+        }
+        try {
+            requestHandler().take(request, exchange);
+        } catch (RequestParser.BadRequest e) {
+            connection.rejectMalformed(e);
+        }
+    }
+
+    /**
+     * Forwards the end of a streamed body only when nothing follows it: until then no server can
+     * have run the request.
+     */
+    private void endBody() {
+        LastHttpContent end = bodyEnd;
+        bodyEnd = null;
+        try {
+            if (anythingFollows()) {
+                connection.reject(HttpResponseStatus.BAD_REQUEST, SEVERAL_REQUESTS);
+            } else if (forwardBody(end) && isReadingBody()) {
+                connection.bodyRead();
+                connection.exchange().endUpload(end);
+            }
+        } finally {
+            end.release();
+        }
+    }
+
+    private boolean isReadingBody() {
+        return connection.state() == ClientConnectionState.READING_BODY;
+    }
+
+    private boolean anythingFollows() {
+        return furtherMessageRead || !decoder.isEmpty();
+    }
+
+    /** Releases what was read and not yet handled. */
+    void releasePending() {
+        ReferenceCountUtil.release(completeRequest);
+        ReferenceCountUtil.release(bodyEnd);
+        completeRequest = null;
+        bodyEnd = null;
+    }
+
+    private RequestHandler requestHandler() {
+        return connection.listener().requestHandler();
+    }
+}
