--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -58,6 +58,7 @@
 import sagefall.proxy.downstream.DownstreamListener;
 import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
+import sagefall.proxy.upstream.AttemptListener;
 import sagefall.proxy.upstream.ConnectionPool;
 import sagefall.streaming.FlowControl;
 import sagefall.streaming.StreamedUpload;
@@ -71,7 +72,7 @@
 public final class SidecarServer
         implements BalancerActions,
                 RequestHandler,
-                ConnectionPool.Listener,
+                AttemptListener,
                 DiscoveryClient.Listener {
 
     /** The module ends its requests at their deadline; past this much more the sidecar does. */
