--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -70,10 +70,7 @@
  * loop.
  */
 public final class SidecarServer
-        implements BalancerActions,
-                RequestHandler,
-                AttemptListener,
-                DiscoveryClient.Listener {
+        implements BalancerActions, RequestHandler, AttemptListener, DiscoveryClient.Listener {
 
     /** The module ends its requests at their deadline; past this much more the sidecar does. */
     private static final long OVERDUE_MICROS = 5_000;
