--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -109,7 +109,7 @@
      */
     private void sendAfterLastCheck() {
         ForwardedAttempt checked = attempt;
-        boolean awaited = endpoint.pool().listener().wanted(checked);
+        boolean awaited = listener().wanted(checked);
         if (attempt != checked) {
             // Its client is gone, and it was abandoned by that very check.
             return;
@@ -139,7 +139,7 @@
     private void onUploadWritten(ForwardedAttempt sent) {
         if (attempt == sent) {
             written();
-            endpoint.pool().listener().written(sent);
+            listener().written(sent);
         }
     }
 
@@ -206,18 +206,15 @@
         }
         ForwardedAttempt receiver = attempt;
         keepAlive = HttpUtil.isKeepAlive(head);
-        endpoint.pool()
-                .listener()
-                .began(
-                        receiver,
-                        head,
-                        UpstreamResponses.loadReport(head),
-                        reading -> {
-                            // Once the response is complete the connection may carry another.
-                            if (attempt == receiver) {
-                                connection.setReading(reading);
-                            }
-                        });
+        LoadReport report = UpstreamResponses.loadReport(head);
+        listener().began(receiver, head, report, reading -> setReading(receiver, reading));
+    }
+
+    /** Once the response is complete the connection may carry another attempt. */
+    private void setReading(ForwardedAttempt receiver, boolean reading) {
+        if (attempt == receiver) {
+            connection.setReading(reading);
+        }
     }
 
     /** Takes ownership of the part. */
@@ -226,14 +223,14 @@
         if (attempt == null) {
             part.release();
         } else {
-            endpoint.pool().listener().part(attempt, part);
+            listener().part(attempt, part);
         }
     }
 
     @Override
     public void responseReadComplete() {
         if (attempt != null) {
-            endpoint.pool().listener().flush(attempt);
+            listener().flush(attempt);
         }
     }
 
@@ -247,7 +244,7 @@
         endpoint.pool().release(done);
         connection.setReading(true);
         becomeIdleOrClose(clean && keepAlive);
-        endpoint.pool().listener().finished(done, trailers);
+        listener().finished(done, trailers);
     }
 
     @Override
@@ -263,6 +260,10 @@
         }
     }
 
+    private AttemptListener listener() {
+        return endpoint.pool().listener();
+    }
+
     private void enter(State next) {
         assert state.canBecome(next) : "upstream connection: " + state + " cannot become " + next;
         state = next;
