--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -35,7 +35,7 @@
     /** Bytes that a streamed response may still bring. */
     private long remainingStreamBytes;
 
-    /** More has arrived than one response; this never becomes false again. */
+    /** More has arrived than one response; once true, this stays true. */
     private boolean surplusReceived;
 
     ResponseHandler(HttpClientConnection connection) {
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -22,7 +22,7 @@
         /** The source is read. */
         READING,
 
-        /** The high watermark was reached, and the low one not yet again. */
+        /** The high watermark was reached, and the count is not down to the low one yet. */
         PAUSED_BY_WATERMARK,
 
         /** There is no sink, so the source is paused however little is buffered. */
