--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -11,11 +11,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.util.ReferenceCountUtil;
-import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import sagefall.http.HttpClientConnection;
-import sagefall.logging.LogEvent;
-import sagefall.logging.LogLine;
 
 /**
  * A client's connection and its state; it carries one request at a time. The state changes only in
@@ -63,8 +60,6 @@
         stateSinceNanos = acceptedAtNanos;
     }
 
-    // ---- The transitions
-
     private void enter(ClientConnectionState next) {
         state = state.transitionTo(next);
         stateSinceNanos = System.nanoTime();
@@ -132,7 +127,7 @@
         channel.close();
     }
 
-    /** The channel is closed, and all that was read has been handed on. */
+    /** The channel is closed, and all that was read has been handled. */
     void channelClosed() {
         listener.connectionClosed(this);
         reader.releasePending();
@@ -140,8 +135,6 @@
         enter(ClientConnectionState.CLOSED);
     }
 
-    // ---- Events of the channel
-
     @Override
     public void channelActive(ChannelHandlerContext context) {
         listener.connectionOpened(this);
@@ -173,29 +166,6 @@
         return !state.discardsInput();
     }
 
-    /** An error in the pipeline costs this connection its request; the others go on. */
-    void failed(Throwable cause) {
-        if (!channel.isActive() || cause instanceof IOException) {
-            channel.close();
-        } else if (exchange != null && state != ClientConnectionState.READING_BODY) {
-            listener.log(
-                    LogLine.of(LogEvent.CLIENT_CONNECTION_FAILED)
-                            .with("lost", exchange.isResponseStarted() ? "response" : "request")
-                            .with("client", channel.remoteAddress())
-                            .with("cause", cause)
-                            .toString());
-            exchange.answer(
-                    HttpResponseStatus.INTERNAL_SERVER_ERROR,
-                    new DefaultHttpHeaders(),
-                    Unpooled.EMPTY_BUFFER);
-            channel.close();
-        } else {
-            reject(HttpResponseStatus.BAD_REQUEST, RequestReader.NOT_HTTP);
-        }
-    }
-
-    // ---- Ends of a request or of the connection
-
     /** Rejects the current request as none of the protocol. */
     void rejectMalformed(RequestParser.BadRequest malformed) {
         exchange = null;
@@ -236,7 +206,7 @@
     }
 
     /** Whether it is between requests, seen with all that has arrived so far. */
-    private boolean isStillBetweenRequests() {
+    boolean isStillBetweenRequests() {
         if (state.isBetweenRequests()) {
             HttpClientConnection.readNow(channel);
         }
@@ -246,7 +216,7 @@
     /**
      * Ends the connection if it is between requests, as HTTP/1.1 asks (RFC 9112, 9.6): shuts its
      * output down, then reads until the client has closed too. A request that crosses this is not
-     * handled, and its client can tell; a close over its unread bytes would be a reset.
+     * handled, and its client can see that; a close over its unread bytes would be a reset.
      */
     void halfClose() {
         if (isStillBetweenRequests()) {
@@ -255,43 +225,6 @@
         }
     }
 
-    /**
-     * Closes the connection at once, since its descriptor is wanted, unless a request has arrived.
-     *
-     * @return whether it is closed
-     */
-    boolean evict() {
-        boolean evictable = state == ClientConnectionState.LINGERING || isStillBetweenRequests();
-        if (evictable) {
-            channel.close();
-        }
-        return evictable || !channel.isActive();
-    }
-
-    /** The time to drain is up: ends what is still streamed so that its client can tell. */
-    void cutShort() {
-        if (exchange != null && exchange.isResponseStarted()) {
-            exchange.breakOff();
-        } else if (exchange != null && state == ClientConnectionState.READING_BODY) {
-            reject(HttpResponseStatus.GATEWAY_TIMEOUT, "ended before the body was whole");
-        }
-    }
-
-    /** Ends what is streamed where one of its sides has stalled. */
-    void checkStalls() {
-        // An exchange whose client was found gone has ended before its channel is reported closed.
-        if (exchange != null) {
-            exchange.checkStalls();
-        }
-    }
-
-    /** Closes the connection at once. */
-    void close() {
-        channel.close();
-    }
-
-    // ---- What others ask
-
     DownstreamListener listener() {
         return listener;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -108,8 +108,6 @@
         return isCurrent();
     }
 
-    // ---- The streamed body of the request
-
     /** Begins to read a streamed body of at most so many bytes. */
     StreamedUpload startUpload(HttpRequest head, long maxBytes) {
         continueExpected = HttpUtil.is100ContinueExpected(head);
@@ -162,13 +160,21 @@
         }
     }
 
+    /** The time to drain is up: ends what is still streamed so that its client notices it. */
+    void cutShort() {
+        if (isResponseStarted()) {
+            breakOff();
+        } else if (isReadingBody()) {
+            connection.reject(
+                    HttpResponseStatus.GATEWAY_TIMEOUT, "ended before the body was whole");
+        }
+    }
+
     private boolean hasServerStalled() {
         return (upload != null && upload.takesNothing())
                 || (responseFlow != null && responseFlow.bringsNothing());
     }
 
-    // ---- The streamed response
-
     @Override
     public void begin(
             HttpHeaders headers, long length, StreamingSettings limits, FlowControl.Source source) {
@@ -244,15 +250,6 @@
         breakOff();
     }
 
-    // ---- The collected response
-
-    void answerHealthCheck(boolean ready) {
-        answer(
-                ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                new DefaultHttpHeaders(),
-                Unpooled.EMPTY_BUFFER);
-    }
-
     /** Takes the content over: it is released here, or by the channel once it is written. */
     @Override
     public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
@@ -55,7 +55,7 @@
      * few where turns are long (a cold runtime, no CPU left, a pause): requests then spent their
      * time in the kernel's queue, unseen by the balancer, which neither rejected them nor knew how
      * old they were, and each client that gave up came back behind the others. Harm: a burst gets
-     * its descriptors at once, so the limit has to be kept here, not by the rate of accepting.
+     * its descriptors at once, so the limit has to be enforced here, not by the rate of accepting.
      */
     void adjustAccepting(Channel listening) {
         boolean hasCapacity = connections.size() < maxConnections || evictOne();
@@ -71,7 +71,18 @@
                 victim = connection;
             }
         }
-        return victim != null && victim.evict();
+        return victim != null && evict(victim);
+    }
+
+    /** Closes a connection at once unless a request has arrived; whether it is closed. */
+    private static boolean evict(ClientConnection connection) {
+        boolean evictable =
+                connection.state() == ClientConnectionState.LINGERING
+                        || connection.isStillBetweenRequests();
+        if (evictable) {
+            connection.channel().close();
+        }
+        return evictable || !connection.channel().isActive();
     }
 
     /**
--- a/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -104,7 +104,7 @@
      * when the listening socket is closed.
      */
     public ChannelFuture close() {
-        List.copyOf(connections).forEach(ClientConnection::close);
+        List.copyOf(connections).forEach(connection -> connection.channel().close());
         return listening.close();
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -9,7 +9,7 @@
 /**
  * Ends the listener without losing a request: goes on accepting while clients still connect, then
  * ends each connection after its response. Idle connections are closed before the listening socket,
- * so that a client whose request crosses the close can reconnect and send it again.
+ * so that a client whose request crosses the close can reconnect and resend it.
  */
 final class GracefulShutdown {
 
@@ -83,7 +83,7 @@
 
     private void endConnections() {
         if (millisSinceAnnounced() >= listener.streamingSettings().drainMillis()) {
-            List.copyOf(listener.connections()).forEach(ClientConnection::cutShort);
+            List.copyOf(listener.connections()).forEach(GracefulShutdown::cutShort);
         }
         for (ClientConnection connection : List.copyOf(listener.connections())) {
             if (connection.millisSinceAccepted() > ClientConnection.FIRST_REQUEST_GRACE_MILLIS) {
@@ -92,6 +92,13 @@
         }
     }
 
+    private static void cutShort(ClientConnection connection) {
+        ClientExchange exchange = connection.exchange();
+        if (exchange != null) {
+            exchange.cutShort();
+        }
+    }
+
     /** Accepts what is already connected, since closing the socket would reset it. */
     private void closeListening(Channel listening) {
         listening.config().setAutoRead(true);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
@@ -66,16 +66,16 @@
                             "the request did not come whole in time");
                 }
             }
-            case READING_BODY, IN_FLIGHT -> connection.checkStalls();
+            case READING_BODY, IN_FLIGHT -> checkStalls(connection);
             case WRITING, WRITING_LAST -> {
                 if (connection.millisInState() > WRITE_TIMEOUT_MILLIS) {
-                    connection.close();
+                    connection.channel().close();
                 }
             }
             case LINGERING -> {
                 if (connection.millisInState() > LINGER_TIMEOUT_MILLIS
                         || connection.millisWithoutInput() > LINGER_QUIET_TIMEOUT_MILLIS) {
-                    connection.close();
+                    connection.channel().close();
                 }
             }
             case CLOSED -> {
@@ -84,6 +84,14 @@
         }
     }
 
+    /** An exchange whose client was found gone ends before its channel is reported closed. */
+    private static void checkStalls(ClientConnection connection) {
+        ClientExchange exchange = connection.exchange();
+        if (exchange != null) {
+            exchange.checkStalls();
+        }
+    }
+
     private static void halfCloseAfter(ClientConnection connection, long timeoutMillis) {
         if (connection.millisInState() > timeoutMillis) {
             connection.halfClose();
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -19,45 +19,64 @@
 import sagefall.streaming.StreamedUpload;
 import sagefall.streaming.StreamingSettings;
 
-/** Turns a client's message into a request, or says why it is none. */
+/**
+ * Parses a client's HTTP message into a request of the protocol, or says why it is none. Reads the
+ * settings only, so one parser serves all connections; not thread-safe.
+ */
 public final class RequestParser {
 
     /** A message that no client of the protocol sends; its text goes into the 400. */
     public static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /** Creates the exception with the text of the response. */
         public BadRequest(String message) {
             super(message);
         }
     }
 
     /**
-     * The client's time runs from when it sent; this much is kept for the way here and back, at
-     * most.
+     * A client's time runs from when it sent the request; at most this much of it is set aside for
+     * the way here and back.
      */
-    private static final long MARGIN_MICROS = 20_000;
+    private static final long MAX_TRANSIT_MARGIN_MICROS = 20_000;
 
-    private static final int MARGIN_PART = 10;
-    private static final int MAX_ID = 128;
-    private static final long MAX_NUMBER = 1_000_000_000;
+    /** The margin is at most this part of the client's timeout: a tenth. */
+    private static final int TRANSIT_MARGIN_DIVISOR = 10;
+
+    private static final int MAX_REQUEST_ID_LENGTH = 128;
+    private static final long MIN_TIMEOUT_MILLIS = 1;
+    private static final long MAX_TIMEOUT_MILLIS = 1_000_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /** The routing key of a request without one. */
+    private static final long NO_KEY = -1;
 
     private final BalancerSettings settings;
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> tenantIndexes = new HashMap<>();
 
+    /** Creates a parser for the request classes and tenants of these settings. */
     public RequestParser(BalancerSettings settings) {
         this.settings = settings;
         for (int i = 0; i < settings.classes().size(); i++) {
-            classes.put(settings.classes().get(i).name(), i);
+            classIndexes.put(settings.classes().get(i).name(), i);
         }
         for (int i = 0; i < settings.tenants().size(); i++) {
-            tenants.put(settings.tenants().get(i).name(), i);
+            tenantIndexes.put(settings.tenants().get(i).name(), i);
         }
     }
 
     /**
-     * The body is what came with the request, or, where that is null, what passes through as it
-     * arrives. The deadline counts from when the client may have sent it.
+     * Parses a request. Its deadline counts from when the client may have sent it.
+     *
+     * @param now the current time in microseconds
+     * @param http the message, or its head where the body is streamed; not retained
+     * @param body the body that came with the request, or null where it is streamed
+     * @param upload the body that is streamed as it arrives, else null
+     * @param streaming which bodies may be streamed
+     * @param client the exchange that takes the response
+     * @throws BadRequest if this is no request of the protocol
      */
     public ProxiedRequest read(
             long now,
@@ -67,61 +86,87 @@
             StreamingSettings streaming,
             ProxiedRequest.Client client)
             throws BadRequest {
-        if (http.decoderResult().isFailure()) {
-            throw new BadRequest("not HTTP");
-        }
         checkFraming(http);
-        HttpHeaders headers = http.headers();
-        RequestClass known = requestClass(http.uri());
-        if (known == null) {
+        RequestClass requestClass = requestClass(http.uri());
+        if (requestClass == null) {
             throw new BadRequest("no such class");
         }
-        String path = path(http.uri());
-        int slash = path.indexOf('/');
-        boolean write = known.idempotency() != Idempotency.IDEMPOTENT;
-        checkMethod(http, known.idempotency(), upload != null || body.length > 0);
-        String id = ProtocolHeaders.single(headers, ProtocolHeaders.REQUEST_ID);
-        if (id == null || id.isEmpty() || id.length() > MAX_ID) {
-            throw new BadRequest("no " + ProtocolHeaders.REQUEST_ID);
-        }
-        long timeout = number(headers, ProtocolHeaders.TIMEOUT, 1) * 1000;
-        long waited = client.waitedMicros();
-        long deadline = now - waited + timeout - Math.min(MARGIN_MICROS, timeout / MARGIN_PART);
-        long key =
-                slash < 0 || slash == path.length() - 1
-                        ? -1
-                        : StableIds.of(path.substring(path.lastIndexOf('/') + 1));
-        boolean repeat = headers.contains(ProtocolHeaders.RETRY, "1", false);
-        long streamed = streaming.bounds(known.name()).answerBytes();
-        Request request =
-                new Request(
-                        id,
-                        classes.get(known.name()),
-                        tenant(headers),
-                        repeat,
-                        key,
-                        deadline,
-                        write,
-                        upload != null,
-                        streaming.hold(upload != null, streamed > 0),
-                        waited);
+        boolean uploading = upload != null;
+        checkMethod(http, requestClass.idempotency(), uploading || body.length > 0);
+        Request request = request(now, http, requestClass, uploading, streaming, client);
         return new ProxiedRequest(
-                request, http.method(), http.uri(), headers, body, upload, streamed, client);
+                request,
+                http.method(),
+                http.uri(),
+                http.headers(),
+                body,
+                upload,
+                streaming.bounds(requestClass.name()).answerBytes(),
+                client);
     }
 
-    /** The class that a path names, or null. */
+    private Request request(
+            long now,
+            HttpRequest http,
+            RequestClass requestClass,
+            boolean uploading,
+            StreamingSettings streaming,
+            ProxiedRequest.Client client)
+            throws BadRequest {
+        HttpHeaders headers = http.headers();
+        String id = requestId(headers);
+        long timeoutMicros = timeoutMillis(headers) * MICROS_PER_MILLI;
+        long waitedMicros = client.waitedMicros();
+        boolean responseStreamed = streaming.bounds(requestClass.name()).answerBytes() > 0;
+        return new Request(
+                id,
+                classIndexes.get(requestClass.name()),
+                tenant(headers),
+                headers.contains(ProtocolHeaders.RETRY, "1", false),
+                key(http.uri()),
+                deadlineMicros(now, waitedMicros, timeoutMicros),
+                requestClass.idempotency() != Idempotency.IDEMPOTENT,
+                uploading,
+                streaming.hold(uploading, responseStreamed),
+                waitedMicros);
+    }
+
+    private static long deadlineMicros(long now, long waitedMicros, long timeoutMicros) {
+        long margin = Math.min(MAX_TRANSIT_MARGIN_MICROS, timeoutMicros / TRANSIT_MARGIN_DIVISOR);
+        return now - waitedMicros + timeoutMicros - margin;
+    }
+
+    /** The class that a path names, or null if there is no such class. */
     public RequestClass requestClass(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
-        Integer number = classes.get(slash < 0 ? path : path.substring(0, slash));
-        return number == null ? null : settings.classes().get(number);
+        Integer index = classIndexes.get(slash < 0 ? path : path.substring(0, slash));
+        return index == null ? null : settings.classes().get(index);
+    }
+
+    /** The key is the last segment of a path that has more than the class. */
+    private static long key(String uri) {
+        String path = path(uri);
+        int slash = path.indexOf('/');
+        return slash < 0 || slash == path.length() - 1
+                ? NO_KEY
+                : StableIds.of(path.substring(path.lastIndexOf('/') + 1));
+    }
+
+    private static String path(String uri) {
+        int query = uri.indexOf('?');
+        String path = query < 0 ? uri : uri.substring(0, query);
+        return path.startsWith("/") ? path.substring(1) : "";
     }
 
     /**
-     * The decoder refuses lengths that are odd, repeated or beside a coding; other codings it lets
-     * pass.
+     * The decoder rejects lengths that are odd, repeated or beside a transfer coding; other codings
+     * it lets pass.
      */
     private static void checkFraming(HttpRequest http) throws BadRequest {
+        if (http.decoderResult().isFailure()) {
+            throw new BadRequest(RequestReader.NOT_HTTP);
+        }
         List<String> codings = http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked =
                 codings.size() == 1
@@ -135,53 +180,62 @@
         }
     }
 
-    private static String path(String uri) {
-        int query = uri.indexOf('?');
-        String path = query < 0 ? uri : uri.substring(0, query);
-        return path.startsWith("/") ? path.substring(1) : "";
-    }
-
     /**
-     * The method and the key say what the client takes the class for; it must be what the settings
-     * say.
+     * The method and the idempotency key say what the client takes the class for; it must be what
+     * the settings say.
      */
-    private static void checkMethod(HttpRequest http, Idempotency effect, boolean body)
+    private static void checkMethod(HttpRequest http, Idempotency idempotency, boolean hasBody)
             throws BadRequest {
         List<String> keys = http.headers().getAll(ProtocolHeaders.IDEMPOTENCY_KEY);
-        HttpMethod wanted = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        if (!http.method().equals(wanted)) {
-            throw new BadRequest("this class wants " + wanted);
+        HttpMethod expected =
+                idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        if (!http.method().equals(expected)) {
+            throw new BadRequest("this class wants " + expected);
         }
-        if (effect == Idempotency.IDEMPOTENT && body) {
+        if (idempotency == Idempotency.IDEMPOTENT && hasBody) {
             throw new BadRequest("this class has no body");
         }
-        if (keys.size() != (effect == Idempotency.IDEMPOTENCY_KEY ? 1 : 0)) {
+        int expectedKeys = idempotency == Idempotency.IDEMPOTENCY_KEY ? 1 : 0;
+        if (keys.size() != expectedKeys) {
             throw new BadRequest(ProtocolHeaders.IDEMPOTENCY_KEY + " goes with keyed classes");
         }
     }
 
+    private static String requestId(HttpHeaders headers) throws BadRequest {
+        String id = ProtocolHeaders.single(headers, ProtocolHeaders.REQUEST_ID);
+        if (id == null || id.isEmpty() || id.length() > MAX_REQUEST_ID_LENGTH) {
+            throw new BadRequest("no " + ProtocolHeaders.REQUEST_ID);
+        }
+        return id;
+    }
+
     private int tenant(HttpHeaders headers) throws BadRequest {
-        if (tenants.isEmpty()) {
+        if (tenantIndexes.isEmpty()) {
             return 0;
         }
-        Integer tenant = tenants.get(ProtocolHeaders.single(headers, ProtocolHeaders.TENANT));
-        if (tenant == null) {
+        String name = ProtocolHeaders.single(headers, ProtocolHeaders.TENANT);
+        Integer index = tenantIndexes.get(name);
+        if (index == null) {
             throw new BadRequest("no such tenant");
         }
-        return tenant;
+        return index;
     }
 
-    private static long number(HttpHeaders headers, String name, long least) throws BadRequest {
-        String text = ProtocolHeaders.single(headers, name);
-        long value = -1;
+    private static long timeoutMillis(HttpHeaders headers) throws BadRequest {
+        String text = ProtocolHeaders.single(headers, ProtocolHeaders.TIMEOUT);
+        long millis = parseLong(text);
+        if (millis < MIN_TIMEOUT_MILLIS || millis > MAX_TIMEOUT_MILLIS) {
+            throw new BadRequest("bad " + ProtocolHeaders.TIMEOUT);
+        }
+        return millis;
+    }
+
+    /** The number that the text is, or -1, which is no timeout. */
+    private static long parseLong(String text) {
         try {
-            value = text == null ? -1 : Long.parseLong(text);
+            return text == null ? -1 : Long.parseLong(text);
         } catch (NumberFormatException e) {
-            value = -1;
-        }
-        if (value < least || value > MAX_NUMBER) {
-            throw new BadRequest("bad " + name);
+            return -1;
         }
-        return value;
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -1,7 +1,9 @@
 package sagefall.proxy.downstream;
 
+import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
@@ -10,7 +12,10 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 import sagefall.http.HttpClientConnection;
+import sagefall.logging.LogEvent;
+import sagefall.logging.LogLine;
 import sagefall.streaming.StreamedUpload;
 
 /**
@@ -23,7 +28,7 @@
     /** The text of the response to bytes that are not HTTP. */
     static final String NOT_HTTP = "not HTTP";
 
-    /** The text of the response where more than one request was sent without waiting. */
+    /** The text of the response where a request follows before the first is answered. */
     static final String SEVERAL_REQUESTS = "more than one request";
 
     /** The text of the response to a body over its limit. */
@@ -57,9 +62,31 @@
         connection.channelClosed();
     }
 
+    /** An error in the pipeline costs this connection its request; the others go on. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        connection.failed(cause);
+        ClientExchange exchange = connection.exchange();
+        if (!connection.channel().isActive() || cause instanceof IOException) {
+            context.close();
+        } else if (exchange != null && !isReadingBody()) {
+            logFailure(exchange, cause);
+            exchange.answer(
+                    HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                    new DefaultHttpHeaders(),
+                    Unpooled.EMPTY_BUFFER);
+            context.close();
+        } else {
+            connection.reject(HttpResponseStatus.BAD_REQUEST, NOT_HTTP);
+        }
+    }
+
+    private void logFailure(ClientExchange exchange, Throwable cause) {
+        LogLine line =
+                LogLine.of(LogEvent.CLIENT_CONNECTION_FAILED)
+                        .with("lost", exchange.isResponseStarted() ? "response" : "request")
+                        .with("client", connection.channel().remoteAddress())
+                        .with("cause", cause);
+        connection.listener().log(line.toString());
     }
 
     /** The caller releases the message; what is needed for longer is retained. */
@@ -179,7 +206,7 @@
         }
         ClientExchange exchange = connection.startRequest(request);
         if (request.decoderResult().isSuccess() && request.uri().equals(HEALTH_CHECK_PATH)) {
-            exchange.answerHealthCheck(requestHandler().ready());
+            answerHealthCheck(exchange);
             return;
         }
         try {
@@ -189,6 +216,15 @@
         }
     }
 
+    private void answerHealthCheck(ClientExchange exchange) {
+        exchange.answer(
+                requestHandler().ready()
+                        ? HttpResponseStatus.OK
+                        : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                new DefaultHttpHeaders(),
+                Unpooled.EMPTY_BUFFER);
+    }
+
     /**
      * Forwards the end of a streamed body only when nothing follows it: until then no server can
      * have run the request.
