--- a/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
@@ -1,30 +1,37 @@
 package sagefall.balancer.admission;
 
-/** Further attempts as a part of first tries, so that failures can't multiply the load. */
+/**
+ * Retries as a part of first attempts: a token bucket that first attempts fill. It prevents that
+ * failures multiply the load.
+ */
 public final class RetryBudget {
 
-    /** Further attempts that a first try earns. */
-    private static final double RETRY_SHARE = 0.15;
+    /** Retries that a first attempt earns. */
+    private static final double RETRIES_PER_REQUEST = 0.15;
 
-    /** How many further attempts are saved. */
-    private static final double RETRY_SAVED = 10;
+    /** Most retries that are saved up. */
+    private static final double MAX_SAVED_RETRIES = 10;
 
-    private double tokens = RETRY_SAVED / 2;
+    private double tokens = MAX_SAVED_RETRIES / 2;
 
     /**
-     * A request has come; where little is let in, what fails is late, not sick: little is sent
-     * again.
+     * A request has arrived while this fraction is admitted; where little is, what fails is late,
+     * not sick, and little is retried.
      */
-    public void taken(double admitted) {
-        tokens = Math.min(RETRY_SAVED * admitted, tokens + RETRY_SHARE * admitted);
+    public void recordRequest(double admittedFraction) {
+        tokens =
+                Math.min(
+                        MAX_SAVED_RETRIES * admittedFraction,
+                        tokens + RETRIES_PER_REQUEST * admittedFraction);
     }
 
-    public boolean allows() {
+    /** Whether a retry may be sent. */
+    public boolean allowsRetry() {
         return tokens >= 1;
     }
 
-    /** A further attempt goes out. */
-    public void spent() {
+    /** A retry is sent. */
+    public void recordRetry() {
         tokens--;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
@@ -1,85 +1,160 @@
 package sagefall.balancer.health;
 
-import java.util.ArrayDeque;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.request.Attempt;
-import sagefall.balancer.routing.SubsetTree;
+import sagefall.balancer.routing.RendezvousHash;
 
-/** A server and all that this instance knows of it; kept by id when the tree is rebuilt. */
+/**
+ * A server process and all that this instance knows of it, in a state object for each policy. It
+ * outlives a rebuild of the subsets; another incarnation of the server is another endpoint.
+ * Compared by identity.
+ */
 public final class Endpoint {
+    private final long id;
+    private final long subsetOrder;
+    private final LatencyState latency = new LatencyState();
+    private final OutlierState outlier = new OutlierState();
+    private final SilenceState silence = new SilenceState();
+    private final ConcurrencyState concurrency = new ConcurrencyState();
+    private final ConnectionState connection = new ConnectionState();
+    private final LoadReportState loadReport = new LoadReportState();
+    private ListedEndpoint entry;
+    private long revision = Long.MIN_VALUE;
+    private boolean usable;
+    private boolean listed;
+    private int cell;
+    private int cellCount;
 
-    /** Own concurrency limit of a server at its start. */
-    static final double FIRST_LIMIT = 3;
+    /**
+     * @param id the server's id in the endpoint list
+     * @param rank number of this instance among the replicas
+     */
+    public Endpoint(long id, int rank) {
+        this.id = id;
+        subsetOrder = RendezvousHash.mix(id, rank);
+    }
 
-    public final long id;
-    public ListedEndpoint line;
+    /** The server's id in the endpoint list. */
+    public long id() {
+        return id;
+    }
 
-    /** Highest revision of the lists that named it; one that is behind it ends no drain. */
-    public long revision = Long.MIN_VALUE;
+    /** Place in this instance's own stable order of endpoints. */
+    public long subsetOrder() {
+        return subsetOrder;
+    }
 
-    public boolean usable;
-    public boolean listed;
+    /** What the endpoint lists said of it last; null before the first. */
+    public ListedEndpoint entry() {
+        return entry;
+    }
 
-    /** Place in this instance's own stable order of servers. */
-    public final long order;
+    /**
+     * Highest revision of the lists that named it; a list that is behind it ends no drain. Below
+     * all revisions before the first list.
+     */
+    public long revision() {
+        return revision;
+    }
 
-    public int cell;
-    public int cells;
+    /** Whether new attempts may go to it: it is ready and listed. */
+    public boolean isUsable() {
+        return usable;
+    }
 
-    /** Peak EWMA of latency in units of what is usual (NaN: no sample). */
-    double slowness = Double.NaN;
+    /** Whether the last complete list, or a change after it, names it. */
+    public boolean isListed() {
+        return listed;
+    }
 
-    /** Plain EWMA of latency in units of what is usual. */
-    public double pace = 1;
+    /** Takes over what a list of that revision says of it. */
+    public void update(
+            ListedEndpoint newEntry, long newRevision, boolean nowUsable, boolean named) {
+        revision = Math.max(revision, newRevision);
+        entry = newEntry;
+        usable = nowUsable;
+        listed = named;
+    }
 
-    long sampledAt;
-    public final ArrayDeque<Attempt> out = new ArrayDeque<>();
-    int failures;
-    public int backoff;
-    int suspects;
+    /** A complete list has come that may not name it. */
+    public void markUnlisted() {
+        listed = false;
+    }
 
-    /** Ejected while above 0: no request before that time, then one trial. */
-    public long openUntil;
+    /** No new attempt may go to it. */
+    public void markUnusable() {
+        usable = false;
+    }
 
-    public double limit = FIRST_LIMIT;
-    long cutAt;
-    public long pausedUntil;
-    public long restUntil;
-    long reportedAt;
-    long suspectedAt;
-    double use = Double.NaN;
+    /** The cell that it belongs to while there are {@link #cellCount} cells. */
+    public int cell() {
+        return cell;
+    }
 
-    /** When its connection was last known to work, 0 if never. */
-    public long usedAt;
+    /** The number of cells for which its cell was chosen; 0 before the first. */
+    public int cellCount() {
+        return cellCount;
+    }
 
-    /** When a new connection may be tried. */
-    public long connectAt;
+    /** Assigns it to one of so many cells. */
+    public void assignCell(int newCell, int count) {
+        cell = newCell;
+        cellCount = count;
+    }
 
-    long returnedAt;
+    /** Its latency. */
+    public LatencyState latency() {
+        return latency;
+    }
 
-    int connectFailures;
-    public boolean opened;
-    boolean maybeDead;
+    /** Its failures and ejections. */
+    public OutlierState outlier() {
+        return outlier;
+    }
 
-    public Endpoint(long id, int rank) {
-        this.id = id;
-        order = SubsetTree.mix(id, rank);
+    /** Its attempts that are unanswered for too long. */
+    public SilenceState silence() {
+        return silence;
+    }
+
+    /** Its attempts in flight and their limit. */
+    public ConcurrencyState concurrency() {
+        return concurrency;
+    }
+
+    /** This instance's connections to it. */
+    public ConnectionState connection() {
+        return connection;
+    }
+
+    /** What it reports of its load. */
+    public LoadReportState loadReport() {
+        return loadReport;
     }
 
     /**
-     * An attempt hangs, and nothing has come from the server since that was seen. Once something
-     * has, it is the connection that fell silent, or that request, which says nothing of the next
-     * one on another. Harm: a server that is slow rather than silent is sent more, within its
-     * limit.
+     * Whether an attempt hangs, and nothing has come from the endpoint since that was seen. Once
+     * something has, it is the connection that fell silent, or that request, which says nothing of
+     * the next one on another. Harm: an endpoint that is slow rather than silent is sent more,
+     * within its limit.
      */
-    public boolean silent() {
-        return suspects > 0 && usedAt <= suspectedAt;
+    public boolean isSilent() {
+        return silence.suspectedAttempts > 0 && connection.lastUsedAt() <= silence.lastSuspectedAt;
     }
 
-    /** The attempt out for the longest time that still says something of the server. */
-    Attempt oldest() {
-        if (silent()) return out.peekFirst();
-        for (Attempt a : out) if (!a.suspected) return a;
+    /**
+     * The attempt in flight for the longest time that still says something of the endpoint; null if
+     * there is none.
+     */
+    Attempt oldestAttempt() {
+        if (isSilent()) {
+            return concurrency.inFlight.peekFirst();
+        }
+        for (Attempt attempt : concurrency.inFlight) {
+            if (!attempt.isSuspected()) {
+                return attempt;
+            }
+        }
         return null;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -4,171 +4,141 @@
 import java.util.SplittableRandom;
 import sagefall.balancer.admission.AdmissionController;
 import sagefall.balancer.api.BalancerSettings;
-import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.health.Endpoint;
 import sagefall.balancer.health.EndpointHealth;
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * The server for a request: the cheaper of two ready ones with room, from the narrowest node with
- * some.
+ * Picks the endpoint for a request by the power of two choices: the cheaper of two ready ones with
+ * capacity, from the narrowest node that has some. One of many sidecars for few endpoints keeps to
+ * the first of its own order instead (deterministic subsetting), so that it keeps few connections;
+ * the next ones step in for the sick and full. Harm: fewer endpoints to choose from.
  */
-public record EndpointPicker(
-        BalancerSettings settings,
-        SplittableRandom random,
-        SubsetTree tree,
-        EndpointHealth health,
-        AdmissionController admission) {
+public final class EndpointPicker {
+
+    /** A wider node is taken once a node's pick costs this many times the wider one's. */
+    static final double SPILL_RATIO = 1.5;
 
     /**
-     * Deterministic subsetting: servers of a node that a sidecar keeps, beside what its rate asks
+     * Deterministic subsetting: endpoints of a node that a sidecar keeps, beside what its rate asks
      * for.
      */
-    private static final int KEEP = 2;
-
-    /** Servers with room that a pick looks at in a wide node, from a random place on. */
-    private static final int LOOK = 32;
-
-    /** Spill once a node's pick costs this many times the next node's. */
-    private static final double SPILL = 1.5;
-
-    /** Cost of a new connection while set-ups take no time. */
-    private static final double NEW_CONNECTION = 1.25;
-
-    /** What a set-up that takes an aim adds to the cost of a new connection. */
-    private static final double SETUP_COST = 10;
-
-    /** Part of its fair rate that a cold or half-open server is sent, before its cold share. */
-    private static final double SLOW_START = 1;
+    private static final int SUBSET_SIZE = 2;
+
+    /** Endpoints with capacity that a pick looks at in a wide node, from a random place on. */
+    private static final int WIDE_NODE_SAMPLE = 32;
+
+    private final SplittableRandom random;
+    private final SubsetTree subsets;
+    private final EndpointHealth health;
+    private final AdmissionController admission;
+    private final EndpointEligibility eligibility;
+    private final EndpointCost cost;
+
+    public EndpointPicker(
+            BalancerSettings settings,
+            SplittableRandom random,
+            SubsetTree subsets,
+            EndpointHealth health,
+            AdmissionController admission) {
+        this.random = random;
+        this.subsets = subsets;
+        this.health = health;
+        this.admission = admission;
+        eligibility = new EndpointEligibility(settings, subsets, health, admission);
+        cost = new EndpointCost(subsets, health, settings.meanTargetLatencyMicros());
+    }
 
     /**
-     * Walks from the narrowest node; widens where one is empty, and spills where it is much dearer.
+     * The endpoint for a request, or null if none has capacity. Walks from the narrowest node;
+     * widens where one is empty, and spills over where it is much dearer.
      */
-    public Endpoint choose(long now, PendingRequest p) {
-        if (tree.ready.isEmpty()) return null;
+    public Endpoint pick(long now, PendingRequest request) {
+        if (subsets.ready().isEmpty()) {
+            return null;
+        }
         Endpoint best = null;
         double bestCost = 0;
-        // While idle connections die, fewer servers keep each connection in use.
-        int keep =
-                (health.trust(now) == Long.MAX_VALUE ? KEEP : 0)
-                        + (int) Math.ceil(admission.rate(now) * health.usual(p));
-        if (!tree.sparse) keep = Integer.MAX_VALUE;
-        for (List<Endpoint> node : tree.path(p)) {
-            Endpoint pick = pick(now, p, node, keep, best != null);
-            if (pick == null || pick == best) continue;
-            double cost = cost(now, pick);
-            if (best == null || bestCost > cost * SPILL) {
-                best = pick;
-                bestCost = cost;
+        int subsetSize = subsetSize(now, request);
+        for (List<Endpoint> node : subsets.path(request)) {
+            Endpoint picked = pickFrom(node, now, request, subsetSize, best != null);
+            if (picked == null || picked == best) {
+                continue;
+            }
+            double pickedCost = cost.of(now, picked);
+            if (best == null || bestCost > pickedCost * SPILL_RATIO) {
+                best = picked;
+                bestCost = pickedCost;
             }
         }
         return best;
     }
 
+    private int subsetSize(long now, PendingRequest request) {
+        if (!subsets.isSparse()) {
+            return Integer.MAX_VALUE;
+        }
+        // While idle connections die, fewer endpoints keep each connection in use.
+        boolean idleTrusted = health.connections().trustedIdleMicros(now) == Long.MAX_VALUE;
+        double concurrency =
+                admission.admittedPerMicro(now) * health.latency().typicalMicros(request);
+        return (idleTrusted ? SUBSET_SIZE : 0) + (int) Math.ceil(concurrency);
+    }
+
     /**
-     * The design's pick: two ready servers at random (reservoir sampling), the lower cost wins; by
-     * the key's hash where servers remember keys, the first unless much dearer; in a wider node the
-     * cheapest. One of many sidecars looks at the first of its own order only (deterministic
-     * subsetting), so that it keeps few connections; the next ones step in for the sick and full.
-     * Harm: fewer servers to choose from.
+     * Selects an endpoint of one node: by the key's hash where servers remember keys, by the lowest
+     * cost in a node wider than the first that had a pick, else by the power of two choices.
      */
-    private Endpoint pick(
-            long now, PendingRequest p, List<Endpoint> node, int keep, boolean cheapest) {
-        boolean keyed = !cheapest && tree.byKey(p);
-        boolean wide = !tree.sparse && !keyed && node.size() > LOOK;
-        int most = wide ? LOOK : keyed ? node.size() : Math.min(keep, node.size());
-        int from = wide ? random.nextInt(node.size()) : 0;
-        int count = 0;
-        double least = 0;
-        Endpoint first = null;
-        Endpoint second = null;
-        for (int i = 0; i < node.size() && count < most; i++) {
-            Endpoint b = node.get((from + i) % node.size());
-            // A cold server has its chance only where each of its node has the same to be looked
+    private Endpoint pickFrom(
+            List<Endpoint> node,
+            long now,
+            PendingRequest request,
+            int subsetSize,
+            boolean isWider) {
+        SelectionMode mode = mode(request, isWider);
+        boolean sampled =
+                !subsets.isSparse()
+                        && mode != SelectionMode.KEY_HASH
+                        && node.size() > WIDE_NODE_SAMPLE;
+        int candidates = candidates(node, mode, subsetSize, sampled);
+        int start = sampled ? random.nextInt(node.size()) : 0;
+        CandidateSelection selection = new CandidateSelection(mode, now, request, cost, random);
+        for (int i = 0; i < node.size() && selection.count() < candidates; i++) {
+            Endpoint endpoint = node.get((start + i) % node.size());
+            if (!eligibility.hasCapacity(now, request, endpoint, candidates)) {
+                continue;
+            }
+            // A cold endpoint has its chance only where each of its node has the same to be looked
             // at.
-            if (!hasRoom(now, p, b, most) || (wide && i >= LOOK && health.coldShare(now, b) < 1))
+            if (sampled && i >= WIDE_NODE_SAMPLE && isCold(now, endpoint)) {
                 continue;
-            if (!cheapest && (b.openUntil != 0 || health.coldShare(now, b) < 1)) return b;
-            int slot = count < 2 ? count : random.nextInt(count + 1);
-            count++;
-            if (cheapest) {
-                double cost = cost(now, b);
-                if (first == null || cost < least) {
-                    first = b;
-                    least = cost;
-                }
-            } else if (!keyed) {
-                first = slot == 0 ? b : first;
-                second = slot == 1 ? b : second;
-            } else if (first == null || rank(p, b) > rank(p, first)) {
-                second = first;
-                first = b;
-            } else if (second == null || rank(p, b) > rank(p, second)) {
-                second = b;
             }
+            if (!isWider && (endpoint.outlier().isEjected() || isCold(now, endpoint))) {
+                return endpoint;
+            }
+            selection.offer(endpoint);
         }
-        double bias = keyed ? SPILL : 1;
-        return second == null || cost(now, first) <= bias * cost(now, second) ? first : second;
+        return selection.selected();
     }
 
-    private static long rank(PendingRequest p, Endpoint b) {
-        return SubsetTree.mix(p.request.key(), b.id);
-    }
-
-    private double cost(long now, Endpoint b) {
-        double cost = health.slowness(now, b) * (1 + b.out.size());
-        if (!Double.isNaN(health.meanUse)) cost /= 1.1 - Math.min(1, health.use(now, b));
-        if (tree.sparse && !health.warm(now, b)) {
-            cost *= NEW_CONNECTION + SETUP_COST * health.setup(now) / health.aimMicros;
+    private SelectionMode mode(PendingRequest request, boolean isWider) {
+        if (isWider) {
+            return SelectionMode.LOWEST_COST;
         }
-        return cost;
+        return subsets.routesByKey(request)
+                ? SelectionMode.KEY_HASH
+                : SelectionMode.POWER_OF_TWO_CHOICES;
     }
 
-    /**
-     * Where set-ups have taken too long lately, a new connection brings no answer in time. But only
-     * a set-up shows that they are short again, after a slow spell of this very process too: a
-     * server with nothing out is tried all the same, one of a crowd of sidecars once an aim. Harm:
-     * late answers where they are slow.
-     */
-    private boolean connectable(long now, PendingRequest p, Endpoint b) {
-        if (health.warm(now, b)) return true;
-        boolean trial =
-                b.out.isEmpty() && (!tree.sparse || now - health.setupAt > health.aimMicros);
-        return now >= b.connectAt
-                && (trial || now + health.setup(now) + health.usual(p) <= p.aimAt);
-    }
-
-    /** Admission control of one server, slow start and half-open trials among it. */
-    private boolean hasRoom(long now, PendingRequest p, Endpoint b, int among) {
-        if (health.zoneLimit(b).full() || now < b.pausedUntil || b.silent()) return false;
-        if (!p.mayRunOn(now, b, settings.tickMicros())) return false;
-        if (!connectable(now, p, b)) return false;
-        if (b.openUntil != 0) return now >= b.openUntil && halfOpen(now, p, b);
-        double cold = health.coldShare(now, b);
-        if (cold < 1
-                && (b.out.size() >= Math.max(1, b.limit * cold / 2)
-                        || !chance(p, b, cold, among))) {
-            return false;
+    private static int candidates(
+            List<Endpoint> node, SelectionMode mode, int subsetSize, boolean sampled) {
+        if (sampled) {
+            return WIDE_NODE_SAMPLE;
         }
-        return b.out.size() < b.limit && (tree.sparse || now >= b.restUntil);
-    }
-
-    /**
-     * Slow start as a sum over all instances: each request that walks to a node has one chance, by
-     * that share of what one of its servers is sent. Nothing is saved up, so no burst can come of
-     * it.
-     */
-    private boolean chance(PendingRequest p, Endpoint b, double share, int among) {
-        double part = SLOW_START * share * admission.admitted / Math.max(1, among);
-        return SubsetTree.uniform(p.luck, b.id) < part;
+        return mode == SelectionMode.KEY_HASH ? node.size() : Math.min(subsetSize, node.size());
     }
 
-    /** An ejected server is tried as if it were cold, less with each failure, by a safe request. */
-    private boolean halfOpen(long now, PendingRequest p, Endpoint b) {
-        if (b.out.size() > 0) health.eject(now, b, "still no answer");
-        if (now < b.openUntil) return false;
-        boolean safe = p.rules.idempotency() == Idempotency.IDEMPOTENT;
-        if (!p.attempts.isEmpty() || (!safe && settings.anyIdempotentClass())) return false;
-        return chance(p, b, settings.rules().slowStartInitialShare() / b.backoff, 1);
+    private boolean isCold(long now, Endpoint endpoint) {
+        return health.slowStart().share(now, endpoint) < 1;
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
@@ -77,8 +77,8 @@
             long told,
             String list,
             String believed) {
-        RecoveredEndpoints belief = RecoveredEndpoints.of(revision, fresh, list(kept));
-        assertEquals(believed.trim(), text(belief.told(kind, told, list(list))));
+        RecoveredEndpoints recovered = RecoveredEndpoints.of(revision, fresh, list(kept));
+        assertEquals(believed.trim(), text(recovered.reconcile(kind, told, list(list))));
     }
 
     /**
--- a/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
@@ -114,10 +114,15 @@
         r.request("next");
         assertTrue(
                 r.actions.stream()
-                        .anyMatch(a -> a.startsWith("log idle connections are not trusted")));
+                        .anyMatch(a -> a.startsWith("log WARN idle_connections_distrusted ")));
         assertTrue(
                 r.actions.stream()
-                        .noneMatch(a -> a.startsWith("log server " + server + " ejected")));
+                        .noneMatch(
+                                a ->
+                                        a.startsWith(
+                                                "log WARN endpoint_ejected endpoint="
+                                                        + server
+                                                        + " ")));
         r.answer(0, AttemptResult.SERVED, 20_000, true);
         r.now += 5_000_000;
         r.request("later");
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -29,7 +29,9 @@
             names = "--vary",
             required = true,
             paramLabel = "NAME=V1,V2,...",
-            description = "a tunable such as SPILL or ZoneLimit.CUT, or a figure such as load.use")
+            description =
+                    "a tunable such as SPILL_RATIO or ConcurrencyLimiter.MIN_LIMIT,"
+                            + " or a figure such as load.use")
     private String vary;
 
     @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -11,20 +11,20 @@
  * without effect. What one costs or earns is the difference that this makes.
  */
 public enum Mechanism {
-    ADMISSION("refusing by chance where answers come late", "ADMIT_CUT=1"),
-    ZONE_LIMIT("the limit on requests in flight in a zone", "ZoneConcurrencyLimit.LEAST=1e9"),
+    ADMISSION("refusing by chance where answers come late", "ADMISSION_CUT=1"),
+    ZONE_LIMIT("the limit on requests in flight in a zone", "MIN_ZONE_LIMIT=1e9"),
     SERVER_LIMIT(
-            "the own limit on requests in flight at a server", "FIRST_LIMIT=1e9", "LIMIT_CUT=1"),
+            "the own limit on requests in flight at a server", "INITIAL_LIMIT=1e9", "LIMIT_CUT=1"),
     EJECTION("leaving outliers alone for a while", "MAX_EJECTED=-1"),
     SLOW_START("sending cold servers less", "SLOW_START=1e9"),
-    SPILL("leaving the node for one that is much cheaper", "SPILL=1e9"),
-    SUBSETS("keeping to few servers", "KEEP=1000000"),
-    RETRIES("further attempts", "RETRY_SAVED=0"),
+    SPILL("leaving the node for one that is much cheaper", "SPILL_RATIO=1e9"),
+    SUBSETS("keeping to few servers", "SUBSET_SIZE=1000000"),
+    RETRIES("further attempts", "MAX_SAVED_RETRIES=0"),
     CONNECTION_COST(
             "preferring servers with an open connection", "NEW_CONNECTION=1", "SETUP_COST=0"),
-    FAIR_SHARE("refusing first what is beyond a tenant's share", "SHARE_SLACK=1e9"),
-    SHORT_HOLD("answering held requests before half of their time", "HOLD=1"),
-    CELLS("cells of tenants", "CELL_PER_ZONE=1e9");
+    FAIR_SHARE("refusing first what is beyond a tenant's share", "QUOTA_SLACK=1e9"),
+    SHORT_HOLD("answering held requests before half of their time", "MAX_QUEUED_PART=1"),
+    CELLS("cells of tenants", "ENDPOINTS_PER_CELL_AND_ZONE=1e9");
 
     private final String about;
     private final List<String> changes;
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -42,9 +42,9 @@
                         + System.getProperty("java.class.path")
                         + "' sagefall.Main simhost";
         String module = figures(play("module"));
-        assertEquals(module, figures(play("module:SPILL=1.5")));
+        assertEquals(module, figures(play("module:SPILL_RATIO=1.5")));
         assertEquals(module, figures(play("sim:" + java)));
-        assertNotEquals(module, figures(play("module:SPILL=3")));
+        assertNotEquals(module, figures(play("module:SPILL_RATIO=3")));
     }
 
     /** A mechanism whose tunables were renamed must not pass for one that earns nothing. */
@@ -65,8 +65,8 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "module:SPIL=2; module:SPIL=2: SPIL is no tunable of the policy files",
-                "module:SPILL=x; module:SPILL=x: 'SPILL=x' is not TUNABLE=NUMBER",
+                "module:SPILL=2; module:SPILL=2: SPILL is no tunable of the policy files",
+                "module:SPILL_RATIO=x; module:SPILL_RATIO=x: 'SPILL_RATIO=x' is not TUNABLE=NUMBER",
                 "module-without:luck; no mechanism 'luck'",
                 "best; best: no such policy"
             })
