--- a/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
+++ b/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
@@ -25,7 +25,7 @@
         this.actions = actions;
     }
 
-    /** Asks for a timer that checks a queued request again. */
+    /** Asks for a timer that rechecks a queued request. */
     void scheduleQueueCheck(long at, PendingRequest request) {
         long token = nextToken(QUEUED_REQUEST);
         queuedRequests.put(token, request);
--- a/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
+++ b/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
@@ -23,10 +23,10 @@
     /** Most of the poll interval over which first polls are spread. */
     private static final double MAX_SPREAD = 0.8;
 
-    /** Mean time until an agent is polled again, in microseconds. */
+    /** Mean time until an agent is polled after a failure, in microseconds. */
     private static final double AGENT_RETRY_MICROS = 100_000;
 
-    /** Mean time until a discovery service that failed is polled again, in microseconds. */
+    /** Mean time until a discovery service is polled after a failure, in microseconds. */
     private static final double SERVICE_RETRY_MICROS = 400_000;
 
     /** Latest first poll of a discovery service, in microseconds. */
@@ -71,7 +71,7 @@
     }
 
     /**
-     * A call to discovery failed: the list stays, and it is polled again soon, since the rule on
+     * A call to discovery failed: the list stays, and the next poll is soon, since the rule on
      * drains counts from when discovery can be reached.
      */
     void onFailure(long now) {
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -10,45 +10,35 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.Request;
-import sagefall.balancer.health.Endpoint;
 import sagefall.balancer.health.EndpointHealth;
 import sagefall.balancer.request.Attempt;
 import sagefall.balancer.request.PendingRequest;
 import sagefall.balancer.request.RepeatPolicy;
 import sagefall.balancer.routing.EndpointPicker;
 import sagefall.balancer.routing.SubsetTree;
-import sagefall.logging.LogEvent;
-import sagefall.logging.LogLine;
 
 /**
- * The way of a request from its arrival to its one answer: it is admitted or rejected, queued while
- * no endpoint has capacity, sent, retried and closed. Owns the open requests and the queue.
+ * The way of a request from its arrival to its one answer: it is admitted or rejected, sent or
+ * queued, retried and closed. Owns the open requests and the queue.
  */
 final class RequestDispatcher {
 
-    /** Latency targets from one log line on the queue to the next. */
-    private static final int QUEUE_LOG_INTERVAL_TARGETS = 10;
-
     /** A request needs this part of a latency target to be of use, as a divisor. */
     private static final int MIN_REMAINING_DIVISOR = 20;
 
     private final BalancerSettings settings;
-    private final BalancerActions actions;
     private final SplittableRandom random;
     private final double targetMicros;
     private final SubsetTree subsets;
     private final AdmissionController admission;
     private final EndpointHealth health;
-    private final EndpointPicker picker;
-    private final BalancerTimers timers;
     private final RetryBudget retryBudget = new RetryBudget();
     private final OpenRequests openRequests = new OpenRequests();
     private final RequestQueue queue;
-    private final AttemptGate gate;
     private final RetryPolicy retryPolicy;
     private final RequestCloser closer;
+    private final QueueDispatcher queueDispatcher;
     private final List<RepeatPolicy> repeatPolicies;
-    private long queueLoggedAt;
 
     RequestDispatcher(
             BalancerSettings settings,
@@ -59,19 +49,27 @@
             EndpointHealth health,
             BalancerTimers timers) {
         this.settings = settings;
-        this.actions = actions;
         this.random = random;
         this.subsets = subsets;
         this.admission = admission;
         this.health = health;
-        this.timers = timers;
         targetMicros = settings.meanTargetLatencyMicros();
-        picker = new EndpointPicker(settings, random, subsets, health, admission);
         queue = new RequestQueue(settings, admission, health.latency());
-        gate = new AttemptGate(settings, actions, health, retryBudget);
         retryPolicy = new RetryPolicy(settings.limits(), retryBudget, queue, openRequests);
         RetryAfterPolicy retryAfter = new RetryAfterPolicy(settings, random);
         closer = new RequestCloser(settings, actions, queue, openRequests, retryAfter);
+        queueDispatcher =
+                new QueueDispatcher(
+                        settings,
+                        actions,
+                        timers,
+                        health.zoneLimits(),
+                        queue,
+                        openRequests,
+                        new EndpointPicker(settings, random, subsets, health, admission),
+                        new AttemptGate(settings, actions, health, retryBudget),
+                        retryPolicy,
+                        closer);
         repeatPolicies =
                 settings.classes().stream()
                         .map(rules -> new RepeatPolicy(rules, settings.tickMicros()))
@@ -101,7 +99,7 @@
         if (reason != null) {
             closer.giveUp(request, reason);
         } else {
-            sendOrQueue(now, request);
+            queueDispatcher.sendOrQueue(now, request);
         }
     }
 
@@ -122,59 +120,6 @@
         return null;
     }
 
-    private void sendOrQueue(long now, PendingRequest request) {
-        if (request.isClosed() || request.isQueued()) {
-            return;
-        }
-        queue.add(request);
-        sendQueued(now);
-        if (!request.isQueued()) {
-            return;
-        }
-        if (health.zoneLimits().anyFull()) {
-            // The others have no endpoint to offer: whoever waits would be late, and make others
-            // late.
-            closer.giveUp(request, RejectionReason.ZONE_FULL);
-            return;
-        }
-        scheduleQueueCheck(now, request);
-        logQueue(now);
-    }
-
-    private void scheduleQueueCheck(long now, PendingRequest request) {
-        long at = queue.nextCheckAt(now, request, openRequests.size());
-        timers.scheduleQueueCheck(at, request);
-    }
-
-    private void logQueue(long now) {
-        if (now - queueLoggedAt < QUEUE_LOG_INTERVAL_TARGETS * targetMicros) {
-            return;
-        }
-        queueLoggedAt = now;
-        actions.log(
-                LogLine.of(LogEvent.REQUEST_QUEUE_NOT_EMPTY)
-                        .with("queued", queue.size())
-                        .with("reason", "no_endpoint_with_capacity")
-                        .toString());
-    }
-
-    /** Sends queued requests while endpoints have capacity. */
-    void sendQueued(long now) {
-        PendingRequest next = queue.next();
-        while (next != null) {
-            Endpoint endpoint = picker.pick(now, next);
-            if (endpoint == null) {
-                return;
-            }
-            queue.remove(next);
-            boolean sent = gate.send(now, next, endpoint);
-            if (!sent && !next.isClosed() && !next.hasAttemptInFlight()) {
-                closer.giveUp(next, retryPolicy.reasonAgainst(now, next));
-            }
-            next = queue.next();
-        }
-    }
-
     /** Takes the outcome of an attempt; one that is not known, or known already, is ignored. */
     void onAttemptOutcome(long now, AttemptOutcome outcome) {
         Attempt attempt = openAttempt(outcome.requestId(), outcome.attempt());
@@ -197,7 +142,7 @@
             retryOrGiveUp(now, request);
         }
         openRequests.removeIfFinished(request);
-        sendQueued(now);
+        queueDispatcher.sendQueued(now);
     }
 
     /** The attempt of an open request whose outcome is not known yet; null if there is none. */
@@ -209,7 +154,7 @@
 
     private void retryOrGiveUp(long now, PendingRequest request) {
         if (retryPolicy.allows(now, request)) {
-            sendOrQueue(now, request);
+            queueDispatcher.sendOrQueue(now, request);
         } else {
             closer.giveUp(request, retryPolicy.reasonAgainst(now, request));
         }
@@ -225,7 +170,7 @@
         attempt.startStreaming();
         health.stopAwaiting(attempt);
         health.recordAnswer(now, attempt, elapsedMicros);
-        sendQueued(now);
+        queueDispatcher.sendQueued(now);
     }
 
     /** The last byte of an upload has come: from now on its endpoint owes an answer. */
@@ -256,23 +201,18 @@
         }
     }
 
-    /** Sets the bound on the stream buffers of all open requests. */
-    void limitBuffers(long maxBytes) {
-        openRequests.limitBuffers(maxBytes);
+    /** Sends queued requests while endpoints have capacity. */
+    void sendQueued(long now) {
+        queueDispatcher.sendQueued(now);
     }
 
     /** Checks a request that was queued when its timer was asked for. */
     void checkQueued(long now, PendingRequest request) {
-        if (request.isResponseStarted() || !request.isQueued()) {
-            return;
-        }
-        if (now >= queue.lastUsefulAt(request, openRequests.size())) {
-            closer.giveUp(request, RejectionReason.QUEUE_TIMEOUT);
-        } else if (health.zoneLimits().anyFull()) {
-            closer.giveUp(request, RejectionReason.ZONE_FULL);
-        } else {
-            scheduleQueueCheck(now, request);
-            sendQueued(now);
-        }
+        queueDispatcher.check(now, request);
+    }
+
+    /** Sets the bound on the stream buffers of all open requests. */
+    void limitBuffers(long maxBytes) {
+        openRequests.limitBuffers(maxBytes);
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -37,6 +37,7 @@
     private long startedAt;
     private long rateUpdatedAt;
 
+    /** Creates a controller that admits everything. */
     public AdmissionController(BalancerSettings settings) {
         this.settings = settings;
         targetMicros = settings.meanTargetLatencyMicros();
@@ -113,7 +114,7 @@
         tenantCredit[tenant] = Math.max(-QUOTA_SLACK, tenantCredit[tenant] - 1);
     }
 
-    /** What an answer to a request is worth to the platform, by its priority and its quota. */
+    /** Weight of an answer to a request for the platform, by its priority and its quota. */
     double weight(PendingRequest request) {
         double quotaWeight = request.isOverQuota() ? settings.overQuotaWeight() : 1;
         return request.rules().priorityWeight() * quotaWeight;
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -17,7 +17,7 @@
     /** Part of its time for which a request is queued at most while many requests are open. */
     private static final double MAX_QUEUED_PART = 0.45;
 
-    /** Part of the latency target after which a queued request is checked again. */
+    /** Part of the latency target after which a queued request is rechecked. */
     private static final double RECHECK_TARGETS = 0.125;
 
     private final BalancerSettings settings;
@@ -26,6 +26,7 @@
     private final double targetMicros;
     private final List<PendingRequest> queued = new ArrayList<>();
 
+    /** Creates an empty queue. */
     public RequestQueue(
             BalancerSettings settings, AdmissionController admission, LatencyEstimator latency) {
         this.settings = settings;
@@ -81,7 +82,7 @@
         return arrivedIsLeast ? arrived : least;
     }
 
-    /** When a queued request is checked again, in microseconds. */
+    /** When a queued request is rechecked, in microseconds. */
     public long nextCheckAt(long now, PendingRequest request, int openRequests) {
         long recheckAt = now + (long) (targetMicros * RECHECK_TARGETS);
         return Math.max(now + 1, Math.min(lastUsefulAt(request, openRequests), recheckAt));
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
@@ -8,6 +8,7 @@
 public final class ZoneConcurrencyLimits {
     private final ZoneConcurrencyLimit[] limits;
 
+    /** Creates a limit for each zone, at least one; none of them binds yet. */
     public ZoneConcurrencyLimits(BalancerSettings settings) {
         limits =
                 Stream.generate(ZoneConcurrencyLimit::new)
--- a/sidecar/src/main/java/sagefall/balancer/api/AttemptOutcome.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/AttemptOutcome.java
@@ -1,9 +1,15 @@
 package sagefall.balancer.api;
 
 /**
- * How one attempt ended; closed tells that the client has its final answer, or all of it that will
- * ever come. The time is that from its sending, of an upload that from its last byte. The report
- * may be null.
+ * How one attempt ended.
+ *
+ * @param requestId id of the request that it was an attempt of
+ * @param attempt its number among the attempts of its request, from 0
+ * @param server id of the endpoint that it was sent to
+ * @param result how it ended
+ * @param elapsedMicros time from its sending, for an upload from its last byte, to its end
+ * @param closed whether the client has its final answer, or all of it that will ever come
+ * @param report the endpoint's load report in its answer; null if there is none
  */
 public record AttemptOutcome(
         String requestId,
--- a/sidecar/src/main/java/sagefall/balancer/api/EndpointListKind.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/EndpointListKind.java
@@ -1,11 +1,13 @@
 package sagefall.balancer.api;
 
-/**
- * Kinds of list: changes to the last one, a complete one, the one kept on disk, or a failed call.
- */
+/** Kinds of endpoint list. */
 public enum EndpointListKind {
+    /** Changes to the last list. */
     CHANGES,
+    /** A complete list: what it does not name is gone. */
     COMPLETE,
+    /** A complete list from the configuration or from disk, before discovery has sent one. */
     CACHED,
+    /** No list: a call to discovery failed. */
     FAILED
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/Request.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Request.java
@@ -1,10 +1,21 @@
 package sagefall.balancer.api;
 
 /**
- * A request. A key below 0 means that there is none. Of an upload only the head has come: its body
- * passes through as it arrives. The buffer is what a request that streams may hold of the process's
- * memory for buffers until nothing of it is left; one that is passed on whole has none. The last is
- * how long it may have waited for its host to come to it, which is part of its client's time.
+ * A request that has arrived. Of an upload only the head has come: its body passes through as it
+ * arrives.
+ *
+ * @param id its id among the open requests of the instance
+ * @param requestClass index of its class in the settings
+ * @param tenant index of its tenant in the settings
+ * @param clientRetry whether its client has sent it before
+ * @param key the key that servers may remember it by; negative if there is none
+ * @param deadlineMicros until when its client waits
+ * @param write whether it writes
+ * @param upload whether its body passes through as it arrives
+ * @param bufferBytes what it may hold of the process's memory for buffers while it streams; 0 for
+ *     one whose body is forwarded complete
+ * @param waitedMicros how long it may have waited for its host to come to it, which is part of its
+ *     client's time
  */
 public record Request(
         String id,
@@ -18,6 +29,7 @@
         long bufferBytes,
         long waitedMicros) {
 
+    /** A request whose body is complete and that has not waited. */
     public Request(
             String id,
             int requestClass,
--- a/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
@@ -1,6 +1,18 @@
 package sagefall.balancer.api;
 
-/** A class of requests: its effect, its times and what an answer is worth. */
+/**
+ * A class of requests: its idempotency, its times and the weight of its answers.
+ *
+ * @param name its name in the settings
+ * @param idempotency whether a request may run more than once
+ * @param deduplicationScope which servers drop repeats by the idempotency key
+ * @param deduplicationWindowMicros for how long they do, from the first attempt on; not negative
+ * @param latencyObjectiveMicros what an answer should take at most; 0 if there is no objective
+ * @param deadlineMicros what an answer may take at most; not negative
+ * @param priorityWeight weight of an answer in time; not negative
+ * @param lateWeightShare part of that weight that a late answer has; not negative
+ * @param streaming whether bodies pass through as they arrive
+ */
 public record RequestClass(
         String name,
         Idempotency idempotency,
@@ -11,6 +23,12 @@
         double priorityWeight,
         double lateWeightShare,
         boolean streaming) {
+
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException if a time or a weight is negative
+     */
     public RequestClass {
         Preconditions.require(
                 latencyObjectiveMicros >= 0
@@ -22,7 +40,10 @@
                 "class '" + name + "' has a negative worth");
     }
 
-    /** What an answer should take at most, in microseconds: the aim, else the deadline. */
+    /**
+     * What an answer should take at most, in microseconds: the latency objective, else the
+     * deadline; at least 1.
+     */
     public long targetLatencyMicros() {
         return Math.max(1, latencyObjectiveMicros > 0 ? latencyObjectiveMicros : deadlineMicros);
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
@@ -21,7 +21,7 @@
     /** Whether several set-ups failed, so that the process may have died. */
     boolean maybeDead;
 
-    /** When it answered again after it may have died. */
+    /** When it answered after it may have died. */
     long returnedAt;
 
     /** Whether a connection is known to work. */
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -29,6 +29,7 @@
     private final SilenceDetector silence;
     private final SlowStart slowStart;
 
+    /** Creates the policies, with nothing known of any endpoint. */
     public EndpointHealth(
             BalancerSettings settings,
             BalancerActions actions,
--- a/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
@@ -136,7 +136,7 @@
         times.restart(now, deadlineAt);
     }
 
-    /** Whether a part of its body is no longer buffered, so that it can't be sent again. */
+    /** Whether a part of its body is no longer buffered, so that a retry can't send it. */
     public boolean isBodyLost() {
         return bodyLost;
     }
@@ -206,7 +206,7 @@
         return false;
     }
 
-    /** Whether its client may be told to retry, as {@link RepeatPolicy} says. */
+    /** Whether its client may be asked to retry, as {@link RepeatPolicy} says. */
     public boolean mayBeRejected() {
         return repeatPolicy.mayReject(this);
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
@@ -7,8 +7,8 @@
 
 /**
  * What the idempotency of a class of requests allows: whether one may be retried or rejected, where
- * and until when. It prevents that an effect happens twice, and that a client is told to retry what
- * may have run.
+ * and until when. It prevents that an effect happens twice, and that a client is asked to retry
+ * what may have run.
  */
 public final class RepeatPolicy {
     private final RequestClass rules;
@@ -27,7 +27,7 @@
         return rules;
     }
 
-    /** Whether the client may be told to retry: a repeat would do no harm, or nothing has run. */
+    /** Whether the client may be asked to retry: a repeat would do no harm, or nothing has run. */
     boolean mayReject(PendingRequest request) {
         boolean deduplicatedEverywhere =
                 rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -72,7 +72,7 @@
 
     /**
      * Where set-ups have taken too long lately, a new connection brings no answer in time. But only
-     * a set-up shows that they are short again, after a slow spell of this very process too: an
+     * a set-up shows that they have become short, after a slow spell of this very process too: an
      * endpoint with nothing in flight is tried all the same, by one of many sidecars once a latency
      * target. Harm: late answers where they are slow.
      */
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -35,6 +35,7 @@
     private final EndpointEligibility eligibility;
     private final EndpointCost cost;
 
+    /** Creates a picker; each pick draws from the random source in a fixed order. */
     public EndpointPicker(
             BalancerSettings settings,
             SplittableRandom random,
--- a/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
@@ -43,6 +43,7 @@
     private boolean sparse;
     private int homeZone;
 
+    /** Creates a tree without endpoints. */
     public SubsetTree(BalancerSettings settings) {
         this.settings = settings;
     }
