--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -13,13 +13,23 @@
  */
 final class GracefulShutdown {
 
-    /** How long connections are accepted as usual after the shutdown was announced. */
+    /**
+     * How long connections are accepted as usual after the shutdown was announced: new ones go on
+     * arriving for 0.2 to 0.4 s after SIGTERM (PROTOCOL).
+     */
     private static final long ACCEPT_PERIOD_MILLIS = 400;
 
-    /** The listening socket closes after this time, even if clients still connect. */
+    /**
+     * The listening socket closes after this time, even if clients still connect: a process must
+     * end, and only what arrived in the first 0.7 s after SIGTERM may not be left unanswered
+     * (PROTOCOL).
+     */
     private static final long MAX_ACCEPT_PERIOD_MILLIS = 1_500;
 
-    /** The listening socket closes once no client has connected for so long. */
+    /**
+     * The listening socket closes once no client has connected for so long, so that one whose idle
+     * connection was closed can connect once more.
+     */
     private static final long QUIET_PERIOD_MILLIS = 100;
 
     /** Time between two looks at the connections while they drain. */
--- a/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
@@ -24,7 +24,7 @@
     /** Without a request in flight, since the last response. */
     private static final long IDLE_TIMEOUT_MILLIS = 5_000;
 
-    /** The same where connections are many. */
+    /** The same where connections are many, see {@link #closeSurplus}. */
     private static final long SURPLUS_IDLE_TIMEOUT_MILLIS = 200;
 
     /** A response that the client has not taken in this time is given up. */
@@ -36,7 +36,7 @@
      */
     private static final long LINGER_TIMEOUT_MILLIS = 5_000;
 
-    /** A half-closed connection may be silent for so long before it is closed. */
+    /** A half-closed connection is closed once it is silent for so long: nothing is on its way. */
     private static final long LINGER_QUIET_TIMEOUT_MILLIS = 300;
 
     private final Set<ClientConnection> connections;
