--- a/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
+++ b/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
@@ -1,5 +1,7 @@
 package sagefall.persistence;
 
+import java.util.concurrent.TimeUnit;
+
 /**
  * A daemon thread that does blocking work beside the event loop, and its orderly end: {@link
  * #close} asks the thread to end, wakes it, and waits for it for a bounded time, so that a disk
@@ -37,10 +39,13 @@
         return closing;
     }
 
-    /** Waits for that time, or until the worker is closed or notified; 0 or less: not at all. */
+    /** Waits for that time, or until the worker is closed; 0 or less: not at all. */
     protected final synchronized void sleepUnlessClosing(long millis) throws InterruptedException {
-        if (!closing && millis > 0) {
-            wait(millis);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long remainingMillis = millis;
+        while (!closing && remainingMillis > 0) {
+            wait(remainingMillis);
+            remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
         }
     }
 
