--- a/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
@@ -34,7 +34,7 @@
     private static final String TERM_PREFIX = "term-";
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    /** Stands for the machine's start where the system does not tell its id. */
+    /** Stands for the machine's start where the system has no id for it. */
     private static final String UNKNOWN_BOOT_ID = "";
 
     private final LeaseDirectory directory;
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
@@ -17,7 +17,7 @@
      *
      * @param term the fencing token to write with
      * @return false if the store rejected a write, as there is a newer term
-     * @throws IOException if the store does not answer; the work is tried again
+     * @throws IOException if the store does not answer; the work is retried
      */
     boolean act(LeaseStore store, long term) throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
+++ b/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * A small file of one record that is only ever replaced as a whole. It is written under a temporary
+ * A small file of one record that is only ever replaced completely. It is written under a temporary
  * name, forced, renamed, and the directory forced, so a power loss leaves either the old file or
  * the new one.
  */
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -12,7 +12,7 @@
 /**
  * Persists what discovery reports, on a thread of its own. Changes that arrive while the disk is
  * busy are merged into one, so a stalled or full disk costs bounded memory and delays no request;
- * once it takes writes again everything is written anew.
+ * once it takes writes again a new snapshot is written.
  *
  * <p>Owners: the worker thread alone has the {@link WriteAheadLog} and with it all files. {@code
  * pending} is handed from the reporting thread to the worker under this object's monitor. {@code
