--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -171,8 +171,7 @@
     }
 
     /**
-     * The store did not answer, or not clearly: a leader retries soon, and steps down if it
-     * must.
+     * The store did not answer, or not clearly: a leader retries soon, and steps down if it must.
      */
     public void onFailure(long now) {
         if (!isLeader()) {
