--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTermCodec.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTermCodec.java
@@ -1,12 +1,9 @@
 package sagefall.leaderelection;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.Map;
 import sagefall.config.Json;
+import sagefall.persistence.CborObject;
 import sagefall.persistence.StoredDataException;
 
 /** Terms as CBOR, the body of a term's file. The field names are the stored format: they stay. */
@@ -17,22 +14,17 @@
     private static final String UNTIL_NANOS = "until_ns";
     private static final String AT_MILLIS = "at_ms";
 
-    private static final CBORFactory CBOR = new CBORFactory();
-
     private LeaseTermCodec() {}
 
     /** Encodes a term; its number is in the name of its file. */
     static byte[] encode(LeaseTerm term) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = CBOR.createGenerator(bytes)) {
-            out.writeStartObject();
-            out.writeStringField(OWNER, term.owner());
-            out.writeStringField(BOOT_ID, term.bootId());
-            out.writeNumberField(UNTIL_NANOS, term.untilNanos());
-            out.writeNumberField(AT_MILLIS, term.atMillis());
-            out.writeEndObject();
-        }
-        return bytes.toByteArray();
+        return CborObject.encode(
+                out -> {
+                    out.writeStringField(OWNER, term.owner());
+                    out.writeStringField(BOOT_ID, term.bootId());
+                    out.writeNumberField(UNTIL_NANOS, term.untilNanos());
+                    out.writeNumberField(AT_MILLIS, term.atMillis());
+                });
     }
 
     /**
@@ -42,7 +34,7 @@
      * @throws StoredDataException with {@code CORRUPT} if it is not a term
      */
     static LeaseTerm decode(String file, long number, byte[] body) throws StoredDataException {
-        Map<?, ?> fields = fieldsOf(file, body);
+        Map<?, ?> fields = CborObject.decode(file, body);
         if (!(fields.get(OWNER) instanceof String owner)
                 || !(fields.get(BOOT_ID) instanceof String bootId)) {
             throw StoredDataException.malformed(file, "not a term", null);
@@ -51,12 +43,4 @@
         long atMillis = Json.whole(fields, AT_MILLIS, 0);
         return new LeaseTerm(number, owner, bootId, untilNanos, atMillis);
     }
-
-    private static Map<?, ?> fieldsOf(String file, byte[] body) throws StoredDataException {
-        try (JsonParser parser = CBOR.createParser(body)) {
-            return Json.document(parser);
-        } catch (IOException e) {
-            throw StoredDataException.malformed(file, e.getMessage(), e);
-        }
-    }
 }
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -1,9 +1,6 @@
 package sagefall.persistence;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -36,8 +33,6 @@
 
     private static final double DEFAULT_WEIGHT = 1;
 
-    private static final CBORFactory CBOR = new CBORFactory();
-
     private EndpointSnapshotCodec() {}
 
     /**
@@ -49,32 +44,26 @@
 
     /** Encodes a snapshot, with a number that the writer chooses. */
     public static byte[] encode(EndpointSnapshot snapshot, long generation) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = CBOR.createGenerator(bytes)) {
-            out.writeStartObject();
-            out.writeStringField(NAME, snapshot.name());
-            out.writeNumberField(GENERATION, generation);
-            out.writeNumberField(EPOCH, snapshot.epoch());
-            out.writeNumberField(REVISION, snapshot.revision());
-            out.writeNumberField(AT_MILLIS, snapshot.atMillis());
-            writeEndpoints(out, snapshot.lines().values());
-            out.writeEndObject();
-        }
-        return bytes.toByteArray();
+        return CborObject.encode(
+                out -> {
+                    out.writeStringField(NAME, snapshot.name());
+                    out.writeNumberField(GENERATION, generation);
+                    out.writeNumberField(EPOCH, snapshot.epoch());
+                    out.writeNumberField(REVISION, snapshot.revision());
+                    out.writeNumberField(AT_MILLIS, snapshot.atMillis());
+                    writeEndpoints(out, snapshot.lines().values());
+                });
     }
 
     /** Encodes a change. */
     static byte[] encode(SnapshotChange change) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = CBOR.createGenerator(bytes)) {
-            out.writeStartObject();
-            out.writeBooleanField(COMPLETE, change.complete());
-            out.writeNumberField(REVISION, change.revision());
-            out.writeNumberField(AT_MILLIS, change.atMillis());
-            writeEndpoints(out, change.endpoints().values());
-            out.writeEndObject();
-        }
-        return bytes.toByteArray();
+        return CborObject.encode(
+                out -> {
+                    out.writeBooleanField(COMPLETE, change.complete());
+                    out.writeNumberField(REVISION, change.revision());
+                    out.writeNumberField(AT_MILLIS, change.atMillis());
+                    writeEndpoints(out, change.endpoints().values());
+                });
     }
 
     private static void writeEndpoints(JsonGenerator out, Collection<SnapshotEntry> entries)
@@ -106,28 +95,19 @@
      * @param file where the body comes from, for the error
      */
     public static EndpointSnapshot decode(String file, byte[] body) throws StoredDataException {
-        return snapshotOf(file, fieldsOf(file, body));
+        return snapshotOf(file, CborObject.decode(file, body));
     }
 
     /** Decodes a snapshot and its number. */
     static StoredSnapshot decodeStored(String file, byte[] body) throws StoredDataException {
-        Map<String, Object> fields = fieldsOf(file, body);
+        Map<String, Object> fields = CborObject.decode(file, body);
         EndpointSnapshot snapshot = snapshotOf(file, fields);
         return new StoredSnapshot(snapshot, requiredNumber(file, fields, GENERATION));
     }
 
     /** Decodes a change. */
     static SnapshotChange decodeChange(String file, byte[] body) throws StoredDataException {
-        return changeOf(file, fieldsOf(file, body));
-    }
-
-    /** A body's fields as plain values. */
-    static Map<String, Object> fieldsOf(String file, byte[] body) throws StoredDataException {
-        try (JsonParser parser = CBOR.createParser(body)) {
-            return Json.document(parser);
-        } catch (IOException e) {
-            throw StoredDataException.malformed(file, e.getMessage(), e);
-        }
+        return changeOf(file, CborObject.decode(file, body));
     }
 
     /** The snapshot that has these fields. */
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
@@ -1,9 +1,6 @@
 package sagefall.leaderelection;
 
 import java.io.IOException;
-import java.lang.reflect.InvocationTargetException;
-import java.lang.reflect.Method;
-import java.lang.reflect.Proxy;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -21,36 +18,15 @@
 
     private static final int PROCESSES = 3;
 
-    /** One process: between any two of its steps any time may pass, which is what a pause is. */
-    private static final class Candidate {
-        String owner;
-        DirectoryLeaseStore store;
-        LeaseStateMachine lease;
-        LeaseRequest request = LeaseRequest.NONE;
-        long sentAt;
-
-        /** The store's answer to the request; null until it is there. */
-        LeaseGrant answer;
-
-        /** Until then nothing that it asks arrives. */
-        long cutOffUntil;
-
-        /** Until then it stands still, whatever it was doing. */
-        long stoppedUntil;
-
-        /** The term of an action that has begun and not yet changed anything; 0: none. */
-        long actingTerm;
-    }
-
     private final SplittableRandom random;
     private final long leaseNanos;
     private final LeaseTimings timings;
     private final boolean isFenced;
-    private final List<Candidate> candidates =
-            List.of(new Candidate(), new Candidate(), new Candidate());
+    private final List<LeaseCandidate> candidates =
+            List.of(new LeaseCandidate(), new LeaseCandidate(), new LeaseCandidate());
     private final LossyStorage storage = new LossyStorage(Long.MAX_VALUE, 1);
-    private final Set<Candidate> busy = new HashSet<>();
-    private final Storage interleavedStorage = interleaved(storage);
+    private final Set<LeaseCandidate> busy = new HashSet<>();
+    private final Storage interleavedStorage = InterleavedStorage.around(storage, this::interleave);
     private final DirectoryLeaseStore observer =
             new DirectoryLeaseStore(storage, this::now, "b", "w");
     private long now;
@@ -110,41 +86,24 @@
         return breach;
     }
 
-    /** Between any two calls of a process at its files others may take steps. */
-    private Storage interleaved(Storage target) {
-        return (Storage)
-                Proxy.newProxyInstance(
-                        Storage.class.getClassLoader(),
-                        new Class<?>[] {Storage.class},
-                        (proxy, method, arguments) -> {
-                            if (busy.size() < PROCESSES && random.nextInt(4) == 0) {
-                                step();
-                            }
-                            return call(target, method, arguments);
-                        });
-    }
-
-    private static Object call(Storage target, Method method, Object[] arguments) throws Throwable {
-        try {
-            return method.invoke(target, arguments);
-        } catch (InvocationTargetException e) {
-            throw e.getCause();
+    /** Called between any two calls of a process at its files: others may take steps. */
+    private void interleave() throws IOException {
+        if (busy.size() < PROCESSES && random.nextInt(4) == 0) {
+            step();
         }
     }
 
-    private void restart(Candidate candidate) {
+    private void restart(LeaseCandidate candidate) {
         starts++;
-        candidate.owner = "p" + starts;
-        candidate.store =
-                new DirectoryLeaseStore(interleavedStorage, this::now, "b", candidate.owner);
-        candidate.lease = new LeaseStateMachine(timings, candidate.owner, now);
-        candidate.request = LeaseRequest.NONE;
-        candidate.actingTerm = 0;
+        String owner = "p" + starts;
+        DirectoryLeaseStore store =
+                new DirectoryLeaseStore(interleavedStorage, this::now, "b", owner);
+        candidate.restart(owner, store, new LeaseStateMachine(timings, owner, now));
     }
 
     private void step() throws IOException {
         now += passedNanos();
-        Candidate candidate = candidates.get(random.nextInt(candidates.size()));
+        LeaseCandidate candidate = candidates.get(random.nextInt(candidates.size()));
         if (!busy.add(candidate)) {
             return;
         }
@@ -166,7 +125,7 @@
         return random.nextInt((int) (2 * leaseNanos));
     }
 
-    private void step(Candidate candidate) throws IOException {
+    private void step(LeaseCandidate candidate) throws IOException {
         if (random.nextInt(4000) == 0) {
             restart(candidate);
             return;
@@ -192,7 +151,7 @@
         return random.nextInt((int) (3 * leaseNanos));
     }
 
-    private void advanceLease(Candidate candidate) throws IOException {
+    private void advanceLease(LeaseCandidate candidate) throws IOException {
         if (candidate.request == LeaseRequest.NONE) {
             chooseRequest(candidate);
         } else if (candidate.answer != null) {
@@ -201,11 +160,11 @@
             candidate.lease.onFailure(now);
             candidate.request = LeaseRequest.NONE;
         } else {
-            candidate.answer = send(candidate, candidate.request);
+            candidate.answer = candidate.send(candidate.request, leaseNanos);
         }
     }
 
-    private void chooseRequest(Candidate candidate) {
+    private void chooseRequest(LeaseCandidate candidate) {
         candidate.lease.stepDownIfExpired(now);
         beginAction(candidate);
         candidate.request = candidate.lease.nextRequest(now);
@@ -213,16 +172,7 @@
         candidate.answer = null;
     }
 
-    private LeaseGrant send(Candidate candidate, LeaseRequest request) throws IOException {
-        return switch (request) {
-            case ACQUIRE -> candidate.store.acquire(candidate.owner, leaseNanos);
-            case RENEW ->
-                    candidate.store.renew(candidate.owner, candidate.lease.term(), leaseNanos);
-            default -> candidate.store.status().grant();
-        };
-    }
-
-    private void receiveAnswer(Candidate candidate) {
+    private void receiveAnswer(LeaseCandidate candidate) {
         boolean isLost = random.nextInt(20) == 0;
         if (isLost) {
             candidate.lease.onFailure(now);
@@ -239,13 +189,13 @@
     }
 
     /** No two processes may act at one moment. */
-    private void beginAction(Candidate candidate) {
+    private void beginAction(LeaseCandidate candidate) {
         if (!candidate.lease.mayAct(now)) {
             return;
         }
-        for (Candidate other : candidates) {
+        for (LeaseCandidate other : candidates) {
             if (other != candidate && other.lease.mayAct(now)) {
-                breach = describe(candidate) + " and " + describe(other) + " may act at once";
+                breach = candidate + " and " + other + " may act at once";
             }
         }
         if (candidate.actingTerm == 0 && random.nextInt(3) == 0) {
@@ -253,11 +203,7 @@
         }
     }
 
-    private static String describe(Candidate candidate) {
-        return candidate.owner + " with term " + candidate.lease.term();
-    }
-
-    private void finishAction(Candidate candidate) throws IOException {
+    private void finishAction(LeaseCandidate candidate) throws IOException {
         long term = candidate.actingTerm;
         candidate.actingTerm = 0;
         long newestBefore = newestTerm;
@@ -286,18 +232,18 @@
         boolean mayAct = false;
         while (!mayAct && now < until) {
             now += 200;
-            for (Candidate candidate : candidates) {
+            for (LeaseCandidate candidate : candidates) {
                 mayAct |= turnWithoutFault(candidate);
             }
         }
         return mayAct;
     }
 
-    private boolean turnWithoutFault(Candidate candidate) throws IOException {
+    private boolean turnWithoutFault(LeaseCandidate candidate) throws IOException {
         candidate.lease.stepDownIfExpired(now);
         LeaseRequest request = candidate.lease.nextRequest(now);
         if (request != LeaseRequest.NONE) {
-            LeaseGrant grant = send(candidate, request);
+            LeaseGrant grant = candidate.send(request, leaseNanos);
             candidate.lease.onAnswer(request, now, now, grant, random.nextDouble());
         }
         return candidate.lease.mayAct(now);
--- a/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
+++ b/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
@@ -46,6 +46,12 @@
     /** Bytes that still fit; what is written past it fails. */
     long freeBytes = Long.MAX_VALUE;
 
+    /**
+     * An empty directory.
+     *
+     * @param callsUntilLoss how many calls succeed before the power goes
+     * @param seed of what survives the loss
+     */
     public LossyStorage(long callsUntilLoss, long seed) {
         this.callsUntilLoss = callsUntilLoss;
         random = new SplittableRandom(seed);
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotWordsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotWordsTest.java
@@ -61,7 +61,7 @@
                         "servers",
                         List.of(server(number)));
         byte[] body = EndpointSnapshotCodec.encode(snapshot, 9);
-        assertEquals(values, EndpointSnapshotCodec.fieldsOf(FILE, body));
+        assertEquals(values, CborObject.decode(FILE, body));
         assertEquals(snapshot, EndpointSnapshotCodec.snapshotOf(FILE, values));
     }
 
@@ -80,7 +80,7 @@
                         "servers",
                         List.of(server(number)));
         byte[] body = EndpointSnapshotCodec.encode(change);
-        assertEquals(values, EndpointSnapshotCodec.fieldsOf(FILE, body));
+        assertEquals(values, CborObject.decode(FILE, body));
         assertEquals(change, EndpointSnapshotCodec.changeOf(FILE, values));
     }
 
