--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -119,7 +119,10 @@
 
     /** The response can't be completed: closes the connection after what is already written. */
     void abortResponse(ClientExchange aborted) {
-        enter(ClientConnectionState.LINGERING);
+        // The client may have gone in this very turn, or an earlier abort is under way.
+        if (state.canBecome(ClientConnectionState.LINGERING)) {
+            enter(ClientConnectionState.LINGERING);
+        }
         if (carries(aborted)) {
             abandonExchange();
         }
