--- a/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
@@ -28,8 +28,8 @@
 
     private static final int SIDECARS = 14;
     private static final int SERVERS = 40;
-    private static final long WORK = 40_000;
-    private static final long AIM = 200_000;
+    private static final long SERVICE_MICROS = 40_000;
+    private static final long OBJECTIVE_MICROS = 200_000;
 
     private record Event(long at, int instance, AttemptOutcome outcome) {}
 
@@ -43,26 +43,21 @@
     private int inTime;
 
     private void open() {
-        BalancerSettings s =
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
         for (int i = 0; i < SIDECARS; i++) {
             fleet.add(
                     new RecordingActions(
-                            new BalancerSettings(
-                                    1000 + i,
-                                    i,
-                                    SIDECARS,
-                                    i % 2,
-                                    s.zones(),
-                                    s.classes(),
-                                    s.tenants(),
-                                    s.overQuotaWeight(),
-                                    new ServiceLimits(4, true, true, 1_000_000, 60_000_000, 10_000),
-                                    s.rules(),
-                                    LoadReportSource.ANSWERS,
-                                    false,
-                                    false,
-                                    1000),
+                            new SettingsBuilder(defaults)
+                                    .seed(1000 + i)
+                                    .rank(i)
+                                    .replicas(SIDECARS)
+                                    .zone(i % 2)
+                                    .limits(
+                                            new ServiceLimits(
+                                                    4, true, true, 1_000_000, 60_000_000, 10_000))
+                                    .loadReportSource(LoadReportSource.ANSWERS)
+                                    .build(),
                             SERVERS));
         }
     }
@@ -74,10 +69,10 @@
         for (long at = from; at < until; at += 1_000_000 / perSecond) {
             answerUntil(at);
             int instance = number++ % SIDECARS;
-            RecordingActions r = fleet.get(instance);
-            int before = r.sent.size();
-            r.now = at;
-            r.request("r" + at);
+            RecordingActions host = fleet.get(instance);
+            int before = host.sent.size();
+            host.now = at;
+            host.request("r" + at);
             sent(instance, before);
         }
         answerUntil(until);
@@ -85,11 +80,11 @@
     }
 
     private void sent(int instance, int before) {
-        RecordingActions r = fleet.get(instance);
-        for (RecordingActions.Sent s : r.sent.subList(before, r.sent.size())) {
+        RecordingActions host = fleet.get(instance);
+        for (RecordingActions.Sent s : host.sent.subList(before, host.sent.size())) {
             ArrayDeque<Long> queue = queues.computeIfAbsent(s.server(), id -> new ArrayDeque<>());
             queue.removeIf(end -> end <= s.at());
-            long end = Math.max(s.at(), queue.isEmpty() ? 0 : queue.peekLast()) + WORK;
+            long end = Math.max(s.at(), queue.isEmpty() ? 0 : queue.peekLast()) + SERVICE_MICROS;
             queue.addLast(end);
             double use = Math.min(1, queue.size() / 2.0);
             long took = Math.min(end - s.at(), 1_000_000);
@@ -113,13 +108,13 @@
     private void answerUntil(long until) {
         while (!answers.isEmpty() && answers.peek().at() <= until) {
             Event e = answers.poll();
-            RecordingActions r = fleet.get(e.instance());
-            int before = r.sent.size();
-            r.now = e.at();
-            r.choice.onAttemptOutcome(e.at(), e.outcome());
+            RecordingActions host = fleet.get(e.instance());
+            int before = host.sent.size();
+            host.now = e.at();
+            host.balancer.onAttemptOutcome(e.at(), e.outcome());
             inTime +=
                     e.outcome().result() == AttemptResult.SERVED
-                                    && e.outcome().elapsedMicros() <= AIM
+                                    && e.outcome().elapsedMicros() <= OBJECTIVE_MICROS
                             ? 1
                             : 0;
             sent(e.instance(), before);
@@ -132,9 +127,9 @@
      * answer was in time.
      */
     @Test
-    void aFleetAskedForTwiceItsCapacityStillAnswersMostOfThatInTime() {
+    void fleetAtTwiceItsCapacityStillAnswersMostOfThatInTime() {
         open();
-        int capacity = (int) (SERVERS * 1_000_000 / WORK);
+        int capacity = (int) (SERVERS * 1_000_000 / SERVICE_MICROS);
         play(1_000_000, 6_000_000, capacity / 2);
         play(6_000_000, 9_000_000, 2 * capacity);
         int served = play(9_000_000, 14_000_000, 2 * capacity);
@@ -143,70 +138,72 @@
     }
 
     @Test
-    void whatACrowdedZoneHasNoRoomForIsAnsweredAtOnce() {
+    void requestsBeyondCapacityOfAnOverloadedZoneAreRejectedAtOnce() {
         open();
-        int capacity = (int) (SERVERS * 1_000_000 / WORK);
+        int capacity = (int) (SERVERS * 1_000_000 / SERVICE_MICROS);
         play(1_000_000, 9_000_000, 2 * capacity);
-        RecordingActions r = fleet.get(0);
-        int refused = r.refused.size();
+        RecordingActions host = fleet.get(0);
+        int rejected = host.rejected.size();
         for (int i = 0; i < 100; i++) {
-            r.request("at once " + i);
+            host.request("at once " + i);
         }
-        assertTrue(r.refused.size() > refused + 20, "refused " + (r.refused.size() - refused));
+        assertTrue(
+                host.rejected.size() > rejected + 20,
+                "rejected " + (host.rejected.size() - rejected));
         assertEquals(
                 100,
-                r.refused.size()
-                        - refused
-                        + r.sent.stream().filter(s -> s.request().startsWith("at once")).count(),
-                "none is held");
+                host.rejected.size()
+                        - rejected
+                        + host.sent.stream().filter(s -> s.request().startsWith("at once")).count(),
+                "none is queued");
     }
 
     /**
-     * The part of the aim was taken in whole numbers, so only what was past all of it counted as
-     * slow.
+     * The part of the objective was computed in integers, so only what was past all of it counted
+     * as slow.
      */
     @Test
-    void answersPastHalfOfTheirAimFromABusyZoneShrinkItsLimit() {
+    void answersPastHalfOfTheirObjectiveFromABusyZoneCutItsLimit() {
         open();
-        RecordingActions r = fleet.get(0);
+        RecordingActions host = fleet.get(0);
         LoadReport busy = new LoadReport(Double.NaN, Double.NaN, 0.95, 40, 25, 0);
         for (int i = 0; i < 60; i++) {
-            r.request("a" + i);
-            RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
-            r.now += AIM * 6 / 10;
-            r.choice.onAttemptOutcome(
-                    r.now,
+            host.request("a" + i);
+            RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
+            host.now += OBJECTIVE_MICROS * 6 / 10;
+            host.balancer.onAttemptOutcome(
+                    host.now,
                     new AttemptOutcome(
                             last.request(),
                             0,
                             last.server(),
                             AttemptResult.SERVED,
-                            AIM * 6 / 10,
+                            OBJECTIVE_MICROS * 6 / 10,
                             true,
                             busy));
         }
         for (int i = 0; i < 40; i++) {
-            r.request("b" + i);
+            host.request("b" + i);
         }
-        assertTrue(r.refused.size() > 10, "refused " + r.refused.size());
+        assertTrue(host.rejected.size() > 10, "rejected " + host.rejected.size());
     }
 
     /** Each sidecar sends a server little, on a connection long idle: an error there counts too. */
     @Test
-    void errorsOfAServerSeldomSentToTurnItsTrafficAway() {
+    void errorsOfASeldomUsedServerMoveItsTraffic() {
         open();
-        RecordingActions r = fleet.get(0);
+        RecordingActions host = fleet.get(0);
         int before = 0;
         for (int i = 0; i < 3000; i++) {
-            r.now += 20_000;
-            int sent = r.sent.size();
-            r.request("r" + i);
-            RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
-            assertEquals(sent + 1, r.sent.size());
+            host.now += 20_000;
+            int sent = host.sent.size();
+            host.request("r" + i);
+            RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
+            assertEquals(sent + 1, host.sent.size());
             boolean bad = last.server() == 1;
             before += bad && i >= 1000 ? 1 : 0;
-            r.choice.onAttemptOutcome(
-                    r.now,
+            host.balancer.onAttemptOutcome(
+                    host.now,
                     new AttemptOutcome(
                             last.request(),
                             0,
@@ -215,10 +212,10 @@
                             1000,
                             !bad || i < 1000,
                             null));
-            if (bad && i >= 1000 && r.sent.size() > sent + 1) {
-                RecordingActions.Sent again = r.sent.get(r.sent.size() - 1);
-                r.choice.onAttemptOutcome(
-                        r.now,
+            if (bad && i >= 1000 && host.sent.size() > sent + 1) {
+                RecordingActions.Sent again = host.sent.get(host.sent.size() - 1);
+                host.balancer.onAttemptOutcome(
+                        host.now,
                         new AttemptOutcome(
                                 again.request(),
                                 1,
@@ -232,11 +229,11 @@
         assertTrue(before > 0 && before < 30, "errors met: " + before);
     }
 
-    /** A fleet at two thirds of its capacity is not crowded, however its answers are spread. */
+    /** A fleet at two thirds of its capacity is not overloaded, however its answers are spread. */
     @Test
-    void aFleetWithRoomRefusesNothing() {
+    void fleetWithCapacityRejectsNothing() {
         open();
-        play(1_000_000, 11_000_000, (int) (SERVERS * 1_000_000 / WORK) / 2);
-        assertEquals(0, fleet.stream().mapToInt(r -> r.refused.size()).sum());
+        play(1_000_000, 11_000_000, (int) (SERVERS * 1_000_000 / SERVICE_MICROS) / 2);
+        assertEquals(0, fleet.stream().mapToInt(host -> host.rejected.size()).sum());
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
@@ -24,21 +24,21 @@
     final List<String> actions = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<RejectionReason> reasons = new ArrayList<>();
-    final DefaultLoadBalancer choice;
+    final DefaultLoadBalancer balancer;
     long now = 1_000_000;
 
     record Sent(String request, long server, long at, long latest) {}
 
     RecordingActions(BalancerSettings settings, int servers) {
-        choice = new DefaultLoadBalancer(settings, this);
+        balancer = new DefaultLoadBalancer(settings, this);
         List<ListedEndpoint> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             list.add(server(i + 1, i % 2, 0));
         }
-        choice.onEndpointList(now, EndpointListKind.COMPLETE, list);
+        balancer.onEndpointList(now, EndpointListKind.COMPLETE, list);
     }
 
     static ListedEndpoint server(long id, int zone, long start) {
@@ -66,14 +66,14 @@
     }
 
     void request(String id) {
-        choice.onRequest(now, new Request(id, 0, 0, false, -1, now + 1_000_000, false));
+        balancer.onRequest(now, new Request(id, 0, 0, false, -1, now + 1_000_000, false));
     }
 
     /** Ends the last attempt that was sent. */
     void answer(int attempt, AttemptResult result, long elapsed, boolean closed) {
         Sent last = sent.get(sent.size() - 1);
         now += elapsed;
-        choice.onAttemptOutcome(
+        balancer.onAttemptOutcome(
                 now,
                 new AttemptOutcome(
                         last.request, attempt, last.server, result, elapsed, closed, null));
@@ -84,7 +84,7 @@
         timers.clear();
         for (long[] t : due) {
             now = Math.max(now, t[0]);
-            choice.onTimer(now, t[1]);
+            balancer.onTimer(now, t[1]);
         }
     }
 
@@ -95,16 +95,16 @@
     }
 
     @Override
-    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
-        refused.add(requestId);
-        reasons.add(why);
-        actions.add("refuse " + requestId);
+    public void reject(String requestId, long retryAfterMicros, RejectionReason reason) {
+        rejected.add(requestId);
+        reasons.add(reason);
+        actions.add("reject " + requestId);
     }
 
     @Override
-    public void fail(String requestId, RejectionReason why) {
+    public void fail(String requestId, RejectionReason reason) {
         failed.add(requestId);
-        reasons.add(why);
+        reasons.add(reason);
         actions.add("fail " + requestId);
     }
 
--- a/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
@@ -54,13 +54,13 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                // kept: revision, fresh, list | kind, revision and list told | believed
+                // persisted: revision, fresh, list | received: kind, revision, list | used
                 "5 | true  | 1R0 2D0 3G0 | CACHED   | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0",
                 "5 | true  | 1R0 2D0     | CACHED   | 5 | 1R0 2R0         | 1R0 2R0",
                 "5 | true  | 1R0 2D0     | CACHED   | 6 | 2R0             | 2R0",
                 // What is old adds nothing and takes back nothing.
                 "5 | false | 1R0 2D0 3G0 5R0 | CACHED | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
-                // Discovery from an older copy of itself: what was told to drain stays so.
+                // Discovery from an older copy of itself: what was draining stays so.
                 "5 | true  | 1R0 2D0 3G0 | COMPLETE | 3 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
                 "5 | true  | 1R0 2D0     | CHANGES  | 4 | 2R0             | 2D0",
                 "5 | true  | 1R0 2D0     | COMPLETE | 5 | 1R0 2R0         | 1R0 2R0",
@@ -69,36 +69,40 @@
                 "5 | true  | 1R0 2D3     | COMPLETE | 3 | 1R0 2R4         | 1R0 2R4",
                 "5 | true  | 1R7 2D3     | COMPLETE | 3 | 1R0 2R0         | 1R7 2D3",
             })
-    void theNewerWordIsBelievedAndNoneIsTakenBack(
+    void newerListIsUsedAndNoDrainIsForgotten(
             long revision,
             boolean fresh,
-            String kept,
+            String persisted,
             EndpointListKind kind,
-            long told,
-            String list,
-            String believed) {
-        RecoveredEndpoints recovered = RecoveredEndpoints.of(revision, fresh, list(kept));
-        assertEquals(believed.trim(), text(recovered.reconcile(kind, told, list(list))));
+            long receivedRevision,
+            String received,
+            String used) {
+        RecoveredEndpoints recovered = RecoveredEndpoints.of(revision, fresh, list(persisted));
+        assertEquals(
+                used.trim(), text(recovered.reconcile(kind, receivedRevision, list(received))));
     }
 
     /**
-     * Through the module: nothing goes to a server that an earlier life was told to leave alone.
+     * Through the balancer: nothing goes to a server that an earlier incarnation knew as draining.
      */
     @ParameterizedTest
     @CsvSource({"true, 4, 0", "true, 5, 30", "false, 4, 0"})
-    void nothingIsSentToWhatWasToDrain(boolean fresh, long revision, int sent) {
-        RecordingActions r =
+    void nothingIsSentToAnEndpointThatWasDraining(boolean fresh, long revision, int sent) {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         0);
-        r.choice.onRecoveredEndpoints(r.now, 5, fresh, list("1R0 2D0 3D0"));
-        r.choice.onEndpointList(
-                r.now, EndpointListKind.CACHED, revision, list(revision == 5 ? "2R0" : "1R0 2R0"));
+        host.balancer.onRecoveredEndpoints(host.now, 5, fresh, list("1R0 2D0 3D0"));
+        host.balancer.onEndpointList(
+                host.now,
+                EndpointListKind.CACHED,
+                revision,
+                list(revision == 5 ? "2R0" : "1R0 2R0"));
         for (int i = 0; i < 30; i++) {
-            r.request("r" + i);
-            r.answer(0, AttemptResult.SERVED, 1000, true);
+            host.request("r" + i);
+            host.answer(0, AttemptResult.SERVED, 1000, true);
         }
-        assertEquals(sent, r.sent.stream().filter(s -> s.server() == 2).count());
-        assertEquals(30, r.sent.size());
+        assertEquals(sent, host.sent.stream().filter(s -> s.server() == 2).count());
+        assertEquals(30, host.sent.size());
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -36,120 +36,105 @@
 
     @ParameterizedTest
     @EnumSource(value = AttemptResult.class, mode = EnumSource.Mode.EXCLUDE, names = "SERVED")
-    void unsafeGoesOutAgainOnlyAfterProof(AttemptResult result) {
-        RecordingActions r =
+    void notIdempotentRequestIsRetriedOnlyAfterProofThatItNeverRan(AttemptResult result) {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         6);
-        r.request("x");
-        r.answer(0, result, 1000, false);
+        host.request("x");
+        host.answer(0, result, 1000, false);
         if (result.provesNotRun) {
-            assertEquals(2, r.sent.size());
-            assertNotEquals(r.sent.get(0).server(), r.sent.get(1).server());
+            assertEquals(2, host.sent.size());
+            assertNotEquals(host.sent.get(0).server(), host.sent.get(1).server());
         } else {
-            assertEquals(1, r.sent.size());
-            assertEquals(List.of("x"), r.failed);
-            assertTrue(r.refused.isEmpty());
+            assertEquals(1, host.sent.size());
+            assertEquals(List.of("x"), host.failed);
+            assertTrue(host.rejected.isEmpty());
         }
     }
 
     @Test
-    void keyedStaysInItsGroupAndWindow() {
+    void retryWithIdempotencyKeyStaysInItsScopeAndWindow() {
         for (int seed = 0; seed < 20; seed++) {
-            RecordingActions r =
+            RecordingActions host =
                     new RecordingActions(
                             RecordingActions.settings(
                                     Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE),
                             8);
-            r.request("x" + seed);
-            r.answer(0, AttemptResult.ERROR, 1000 + seed, false);
-            assertEquals(2, r.sent.size());
-            assertEquals(r.sent.get(0).server() % 2, r.sent.get(1).server() % 2);
-            r.answer(1, AttemptResult.ERROR, 600_000, false);
-            assertEquals(2, r.sent.size());
-            assertEquals(1, r.failed.size());
+            host.request("x" + seed);
+            host.answer(0, AttemptResult.ERROR, 1000 + seed, false);
+            assertEquals(2, host.sent.size());
+            assertEquals(host.sent.get(0).server() % 2, host.sent.get(1).server() % 2);
+            host.answer(1, AttemptResult.ERROR, 600_000, false);
+            assertEquals(2, host.sent.size());
+            assertEquals(1, host.failed.size());
         }
     }
 
     /** A connection may come up late, so the end of the window goes with the attempt. */
     @ParameterizedTest
     @EnumSource
-    void furtherAttemptCarriesTheEndOfItsWindow(Idempotency effect) {
-        RecordingActions r =
+    void retryCarriesTheEndOfItsDeduplicationWindow(Idempotency effect) {
+        RecordingActions host =
                 new RecordingActions(RecordingActions.settings(effect, DeduplicationScope.ALL), 6);
-        r.request("x");
-        long first = r.now;
-        r.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
-        assertEquals(Long.MAX_VALUE, r.sent.get(0).latest());
-        assertEquals(Long.MAX_VALUE, r.sent.get(1).latest());
-        r.answer(1, AttemptResult.ERROR, 1000, false);
+        host.request("x");
+        long first = host.now;
+        host.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
+        assertEquals(Long.MAX_VALUE, host.sent.get(0).latest());
+        assertEquals(Long.MAX_VALUE, host.sent.get(1).latest());
+        host.answer(1, AttemptResult.ERROR, 1000, false);
         if (effect == Idempotency.IDEMPOTENCY_KEY) {
-            assertEquals(first + 1000 + 500_000 - 1000, r.sent.get(2).latest());
+            assertEquals(first + 1000 + 500_000 - 1000, host.sent.get(2).latest());
         } else if (effect == Idempotency.IDEMPOTENT) {
-            assertEquals(Long.MAX_VALUE, r.sent.get(2).latest());
+            assertEquals(Long.MAX_VALUE, host.sent.get(2).latest());
         } else {
-            assertEquals(2, r.sent.size());
+            assertEquals(2, host.sent.size());
         }
     }
 
     /**
-     * A change counts as told 6 s after discovery had it and could be reached: who has it is asked
-     * again soon, however often that has failed, but not by all sidecars at once.
+     * A change counts as known 6 s after discovery had it and could be reached: discovery is polled
+     * soon after a failure, however often that has failed, but not by all sidecars at once.
      */
     @ParameterizedTest
     @CsvSource({"false, 50000, 150001", "true, 200000, 600001"})
-    void discoveryIsAskedAgainSoon(boolean onAsk, long least, long most) {
-        BalancerSettings s =
+    void discoveryIsPolledSoonAfterAFailure(boolean onAsk, long least, long most) {
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
-                        new BalancerSettings(
-                                s.seed(),
-                                s.rank(),
-                                s.replicas(),
-                                s.zone(),
-                                s.zones(),
-                                s.classes(),
-                                s.tenants(),
-                                s.overQuotaWeight(),
-                                s.limits(),
-                                s.rules(),
-                                s.loadReportSource(),
-                                onAsk,
-                                s.cachesKeys(),
-                                s.tickMicros()),
-                        4);
+                        new SettingsBuilder(defaults).pollsDiscovery(onAsk).build(), 4);
         Set<Long> waits = new HashSet<>();
         for (int i = 0; i < 50; i++) {
-            r.timers.clear();
-            r.choice.onEndpointList(r.now, EndpointListKind.FAILED, List.of());
-            assertEquals(1, r.timers.size());
-            long wait = r.timers.get(0)[0] - r.now;
+            host.timers.clear();
+            host.balancer.onEndpointList(host.now, EndpointListKind.FAILED, List.of());
+            assertEquals(1, host.timers.size());
+            long wait = host.timers.get(0)[0] - host.now;
             assertTrue(wait >= least && wait <= most, "waits " + wait);
             waits.add(wait);
         }
         assertTrue(waits.size() > 40);
     }
 
-    /** What a request has waited for its host is of its time: it is held so much shorter. */
+    /** What a request has waited for its host is of its time: it is queued so much shorter. */
     @ParameterizedTest
     @ValueSource(longs = {0, 100_000})
-    void waitingForTheHostCountsForTheAim(long waited) {
-        RecordingActions r =
+    void waitingForTheHostCountsForTheLatencyObjective(long waited) {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         0);
-        long since = r.now;
-        r.choice.onRequest(
-                r.now,
+        long since = host.now;
+        host.balancer.onRequest(
+                host.now,
                 new Request(
                         "x", 0, 0, false, -1, since + 1_000_000 - waited, false, false, 0, waited));
-        while (r.refused.isEmpty()) {
-            r.fireTimers();
+        while (host.rejected.isEmpty()) {
+            host.fireTimers();
         }
-        long held = r.now - since;
-        assertTrue(Math.abs(held - (140_000 - waited)) < 15_000, "held for " + held);
+        long queuedFor = host.now - since;
+        assertTrue(Math.abs(queuedFor - (140_000 - waited)) < 15_000, "queued for " + queuedFor);
     }
 
     /**
@@ -157,8 +142,8 @@
      * told.
      */
     @Test
-    void firstCallOfALargeFleetIsSpreadAndSoon() {
-        BalancerSettings s =
+    void firstPollOfALargeFleetIsSpreadAndSoon() {
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         List<ListedEndpoint> servers = new ArrayList<>();
         for (int i = 0; i < 1024; i++) {
@@ -166,105 +151,83 @@
         }
         long last = 0;
         for (int rank = 0; rank < 100; rank++) {
-            RecordingActions r =
+            RecordingActions host =
                     new RecordingActions(
-                            new BalancerSettings(
-                                    rank,
-                                    rank,
-                                    1024,
-                                    s.zone(),
-                                    s.zones(),
-                                    s.classes(),
-                                    s.tenants(),
-                                    s.overQuotaWeight(),
-                                    s.limits(),
-                                    s.rules(),
-                                    s.loadReportSource(),
-                                    true,
-                                    s.cachesKeys(),
-                                    s.tickMicros()),
+                            new SettingsBuilder(defaults)
+                                    .seed(rank)
+                                    .rank(rank)
+                                    .replicas(1024)
+                                    .pollsDiscovery(true)
+                                    .build(),
                             4);
-            r.timers.clear();
-            r.choice.onEndpointList(r.now, EndpointListKind.CACHED, servers);
-            last = Math.max(last, r.timers.get(0)[0] - r.now);
+            host.timers.clear();
+            host.balancer.onEndpointList(host.now, EndpointListKind.CACHED, servers);
+            last = Math.max(last, host.timers.get(0)[0] - host.now);
         }
         assertTrue(last > 2_500_000 && last <= 3_020_000, "waits " + last);
     }
 
     @Test
     void nothingNewToADrainingServer() {
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         4);
         ListedEndpoint drained = new ListedEndpoint(1, 0, 0, 0, EndpointPhase.DRAINING, 0, 1);
-        r.choice.onEndpointList(r.now, EndpointListKind.CHANGES, List.of(drained));
+        host.balancer.onEndpointList(host.now, EndpointListKind.CHANGES, List.of(drained));
         for (int i = 0; i < 200; i++) {
-            r.request("r" + i);
-            r.answer(0, AttemptResult.SERVED, 2000, true);
+            host.request("r" + i);
+            host.answer(0, AttemptResult.SERVED, 2000, true);
         }
-        assertEquals(200, r.sent.size());
-        assertTrue(r.sent.stream().noneMatch(s -> s.server() == 1));
+        assertEquals(200, host.sent.size());
+        assertTrue(host.sent.stream().noneMatch(s -> s.server() == 1));
     }
 
     @Test
-    void pastTheMostInHandTheOldestHeldIsRefused() {
-        BalancerSettings one =
+    void beyondMaxOpenRequestsTheOldestQueuedIsRejected() {
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         BalancerSettings alike =
-                new BalancerSettings(
-                        one.seed(),
-                        0,
-                        3,
-                        0,
-                        one.zones(),
-                        one.classes(),
-                        List.of(),
-                        1,
-                        one.limits(),
-                        one.rules(),
-                        one.loadReportSource(),
-                        false,
-                        false,
-                        1000);
-        RecordingActions r = new RecordingActions(alike, 0);
+                new SettingsBuilder(defaults).tenants(List.of()).overQuotaWeight(1).build();
+        RecordingActions host = new RecordingActions(alike, 0);
         for (int i = 0; i < 103; i++) {
-            r.request("x" + i);
+            host.request("x" + i);
         }
-        assertEquals(List.of("x0", "x1", "x2"), r.refused);
-        assertTrue(r.failed.isEmpty());
+        assertEquals(List.of("x0", "x1", "x2"), host.rejected);
+        assertTrue(host.failed.isEmpty());
     }
 
     @Test
-    void heldRequestIsRefusedBeforeTheClientGivesUp() {
-        RecordingActions r =
+    void queuedRequestIsRejectedBeforeTheClientGivesUp() {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         0);
-        r.request("x");
-        while (r.refused.isEmpty()) {
-            r.fireTimers();
+        host.request("x");
+        while (host.rejected.isEmpty()) {
+            host.fireTimers();
         }
-        assertEquals(List.of("x"), r.refused);
-        assertTrue(r.now < 2_000_000);
-        r.fireTimers();
-        r.choice.onClientDisconnected(r.now, "x");
-        assertEquals(1, r.refused.size());
+        assertEquals(List.of("x"), host.rejected);
+        assertTrue(host.now < 2_000_000);
+        host.fireTimers();
+        host.balancer.onClientDisconnected(host.now, "x");
+        assertEquals(1, host.rejected.size());
     }
 
     /**
-     * Incident i0f9bed: an arrival whose time is already up was held for a probe and got no answer.
+     * Incident i0f9bed: an arrival whose time is already up was queued for a trial and got no
+     * answer.
      */
     @Test
     void arrivalAtItsDeadlineIsAnsweredAtOnce() {
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         4);
-        r.choice.onRequest(r.now, new Request("x", 0, 0, false, -1, r.now, false));
-        assertEquals(List.of("x"), r.refused);
-        assertTrue(r.sent.isEmpty());
+        host.balancer.onRequest(host.now, new Request("x", 0, 0, false, -1, host.now, false));
+        assertEquals(List.of("x"), host.rejected);
+        assertTrue(host.sent.isEmpty());
     }
 
     /**
@@ -273,125 +236,118 @@
      */
     @Test
     void unansweredServersAreNotFilled() {
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         4);
         for (int i = 0; i < 100; i++) {
-            r.request("r" + i);
+            host.request("r" + i);
         }
-        assertEquals(12, r.sent.size());
+        assertEquals(12, host.sent.size());
     }
 
     /**
-     * Incident i80c828: one request from each of many sidecars kept crowded servers slow for good.
+     * Incident i80c828: one request from each of many sidecars kept overloaded servers slow for
+     * good.
      */
     @Test
-    void crowdedServersAreLeftAloneForAWhile() {
-        RecordingActions r =
+    void overloadedServersRestBetweenAttempts() {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         3);
         int sent = 0;
-        r.request("slow0");
-        while (r.sent.size() > sent && sent < 40) {
+        host.request("slow0");
+        while (host.sent.size() > sent && sent < 40) {
             sent++;
-            r.answer(0, AttemptResult.SERVED, 190_000, true);
-            r.request("slow" + sent);
+            host.answer(0, AttemptResult.SERVED, 190_000, true);
+            host.request("slow" + sent);
         }
         assertTrue(sent >= 2 && sent < 40, sent + " slow answers, and no rest");
-        r.now += 900_000;
-        r.choice.onEndpointList(r.now, EndpointListKind.CHANGES, List.of());
-        assertTrue(r.sent.size() > sent, "still at rest");
+        host.now += 900_000;
+        host.balancer.onEndpointList(host.now, EndpointListKind.CHANGES, List.of());
+        assertTrue(host.sent.size() > sent, "still at rest");
     }
 
     @Test
-    void coldServerGetsItsColdShareOfWhatAWarmOneIsSent() {
-        RecordingActions r =
+    void serverInSlowStartGetsItsShareOfWhatAWarmOneIsSent() {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         4);
-        long warm = sentToFirst(r, "warm", 200);
-        r.choice.onEndpointList(
-                r.now, EndpointListKind.CHANGES, List.of(RecordingActions.server(1, 0, r.now)));
-        long cold = sentToFirst(r, "cold", 200);
+        long warm = sentToFirst(host, "warm", 200);
+        host.balancer.onEndpointList(
+                host.now,
+                EndpointListKind.CHANGES,
+                List.of(RecordingActions.server(1, 0, host.now)));
+        long cold = sentToFirst(host, "cold", 200);
         // It starts at a fifth and has grown to a third by the end of these 2 s.
         assertTrue(cold > 0 && cold <= 0.45 * warm, cold + " while cold, " + warm + " while warm");
     }
 
-    private static long sentToFirst(RecordingActions r, String name, int requests) {
-        int before = r.sent.size();
+    private static long sentToFirst(RecordingActions host, String name, int requests) {
+        int before = host.sent.size();
         for (int i = 0; i < requests; i++) {
-            r.request(name + i);
-            r.answer(0, AttemptResult.SERVED, 10_000, true);
+            host.request(name + i);
+            host.answer(0, AttemptResult.SERVED, 10_000, true);
         }
-        return r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
+        return host.sent.stream().skip(before).filter(s -> s.server() == 1).count();
     }
 
     /**
-     * Held to their end, requests kept the connections that clients needed for those still in time.
+     * Queued to their end, requests kept the connections that clients needed for those still in
+     * time.
      */
     @Test
-    void whereManyAreInHandTheHeldAreRefusedBeforeHalfOfTheirTime() {
-        BalancerSettings s =
+    void whileManyAreOpenQueuedRequestsAreRejectedBeforeHalfOfTheirTime() {
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
-                        new BalancerSettings(
-                                s.seed(),
-                                s.rank(),
-                                s.replicas(),
-                                s.zone(),
-                                s.zones(),
-                                List.of(
-                                        new RequestClass(
-                                                "c",
-                                                Idempotency.NOT_IDEMPOTENT,
-                                                DeduplicationScope.ALL,
-                                                0,
-                                                200_000,
-                                                1_000_000,
-                                                1,
-                                                0.5,
-                                                false)),
-                                s.tenants(),
-                                s.overQuotaWeight(),
-                                s.limits(),
-                                s.rules(),
-                                s.loadReportSource(),
-                                s.pollsDiscovery(),
-                                s.cachesKeys(),
-                                s.tickMicros()),
+                        new SettingsBuilder(defaults)
+                                .classes(
+                                        List.of(
+                                                new RequestClass(
+                                                        "c",
+                                                        Idempotency.NOT_IDEMPOTENT,
+                                                        DeduplicationScope.ALL,
+                                                        0,
+                                                        200_000,
+                                                        1_000_000,
+                                                        1,
+                                                        0.5,
+                                                        false)))
+                                .build(),
                         4);
-        long arrived = r.now;
+        long arrived = host.now;
         for (int i = 0; i < 100; i++) {
-            r.request("r" + i);
+            host.request("r" + i);
         }
-        while (r.now < arrived + 480_000) {
-            r.fireTimers();
+        while (host.now < arrived + 480_000) {
+            host.fireTimers();
         }
-        assertTrue(r.refused.size() >= 50, r.refused.size() + " refused");
+        assertTrue(host.rejected.size() >= 50, host.rejected.size() + " rejected");
     }
 
     /** A spoilt answer or a reset now and then made every server look as if it had just started. */
     @Test
     void oneBrokenConnectionIsNoRestart() {
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         4);
-        long before = sentToFirst(r, "before", 200);
+        long before = sentToFirst(host, "before", 200);
         boolean broke = false;
         for (int i = 0; i < 100 && !broke; i++) {
-            r.request("x" + i);
-            broke = r.sent.get(r.sent.size() - 1).server() == 1;
-            r.answer(0, broke ? AttemptResult.BROKEN : AttemptResult.SERVED, 10_000, true);
+            host.request("x" + i);
+            broke = host.sent.get(host.sent.size() - 1).server() == 1;
+            host.answer(0, broke ? AttemptResult.BROKEN : AttemptResult.SERVED, 10_000, true);
         }
         assertTrue(broke);
-        r.now += 20_000_000;
-        long after = sentToFirst(r, "after", 200);
+        host.now += 20_000_000;
+        long after = sentToFirst(host, "after", 200);
         assertTrue(after >= 0.6 * before, after + " after it, " + before + " before");
     }
 
@@ -402,34 +358,22 @@
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
     void slowAnswersCutTheLimitOfBusyServersOnly(double use, boolean kept) {
-        BalancerSettings s =
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
-                        new BalancerSettings(
-                                s.seed(),
-                                s.rank(),
-                                s.replicas(),
-                                s.zone(),
-                                s.zones(),
-                                s.classes(),
-                                s.tenants(),
-                                s.overQuotaWeight(),
-                                s.limits(),
-                                s.rules(),
-                                LoadReportSource.ANSWERS,
-                                s.pollsDiscovery(),
-                                s.cachesKeys(),
-                                s.tickMicros()),
+                        new SettingsBuilder(defaults)
+                                .loadReportSource(LoadReportSource.ANSWERS)
+                                .build(),
                         4);
         LoadReport report =
                 new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
         for (int i = 0; i < 40; i++) {
-            r.request("a" + i);
-            RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
-            r.now += 150_000;
-            r.choice.onAttemptOutcome(
-                    r.now,
+            host.request("a" + i);
+            RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
+            host.now += 150_000;
+            host.balancer.onAttemptOutcome(
+                    host.now,
                     new AttemptOutcome(
                             last.request(),
                             0,
@@ -439,28 +383,28 @@
                             true,
                             report));
         }
-        int before = r.sent.size();
+        int before = host.sent.size();
         for (int i = 0; i < 100; i++) {
-            r.request("b" + i);
+            host.request("b" + i);
         }
-        assertEquals(kept, r.sent.size() - before >= 12);
+        assertEquals(kept, host.sent.size() - before >= 12);
     }
 
     @Test
     void hangingServerLosesItsTraffic() {
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         4);
         int hung = 0;
         for (int i = 0; i < 300; i++) {
-            r.request("r" + i);
-            if (r.sent.get(r.sent.size() - 1).server() == 2) {
+            host.request("r" + i);
+            if (host.sent.get(host.sent.size() - 1).server() == 2) {
                 hung++;
-                r.now += 20_000;
+                host.now += 20_000;
             } else {
-                r.answer(0, AttemptResult.SERVED, 20_000, true);
+                host.answer(0, AttemptResult.SERVED, 20_000, true);
             }
         }
         assertTrue(hung <= 8, "sent " + hung + " to a server that answers nothing");
@@ -468,44 +412,35 @@
 
     @Test
     void fastFailuresDoNotAttractTraffic() {
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         4);
         int failing = 0;
         for (int i = 0; i < 300; i++) {
-            r.request("r" + i);
-            boolean bad = r.sent.get(r.sent.size() - 1).server() == 2;
+            host.request("r" + i);
+            boolean bad = host.sent.get(host.sent.size() - 1).server() == 2;
             failing += bad ? 1 : 0;
-            r.answer(0, bad ? AttemptResult.ERROR : AttemptResult.SERVED, bad ? 500 : 20_000, !bad);
+            host.answer(
+                    0, bad ? AttemptResult.ERROR : AttemptResult.SERVED, bad ? 500 : 20_000, !bad);
         }
         assertTrue(failing <= 20, "sent " + failing + " to a server that only fails");
     }
 
     @Test
     void impossibleSettingsAreNamed() {
-        BalancerSettings s =
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         String message =
                 assertThrows(
                                 IllegalArgumentException.class,
                                 () ->
-                                        new BalancerSettings(
-                                                s.seed(),
-                                                0,
-                                                1,
-                                                0,
-                                                s.zones(),
-                                                List.of(),
-                                                s.tenants(),
-                                                1,
-                                                s.limits(),
-                                                s.rules(),
-                                                s.loadReportSource(),
-                                                false,
-                                                false,
-                                                1000))
+                                        new SettingsBuilder(defaults)
+                                                .replicas(1)
+                                                .classes(List.of())
+                                                .overQuotaWeight(1)
+                                                .build())
                         .getMessage();
         assertTrue(message.contains("classes"), message);
     }
@@ -518,7 +453,7 @@
     @EnumSource(Idempotency.class)
     void randomEventsKeepTheRules(Idempotency effect) {
         SplittableRandom random = new SplittableRandom(11);
-        RecordingActions r =
+        RecordingActions host =
                 new RecordingActions(RecordingActions.settings(effect, DeduplicationScope.ZONE), 7);
         Map<String, Integer> attempts = new HashMap<>();
         Map<String, Boolean> mayHaveRun = new HashMap<>();
@@ -529,11 +464,11 @@
         record Out(String request, int attempt, long server, long at) {}
         List<Out> out = new java.util.ArrayList<>();
         for (int step = 0; step < 6000; step++) {
-            r.now += random.nextInt(4000);
+            host.now += random.nextInt(4000);
             if (random.nextInt(3) == 0) {
                 String id = "q" + step;
                 over.put(id, false);
-                r.request(id);
+                host.request(id);
             } else if (!out.isEmpty() && random.nextInt(3) > 0) {
                 Out o = out.remove(random.nextInt(out.size()));
                 boolean served = random.nextInt(4) > 0;
@@ -544,22 +479,22 @@
                     mayHaveRun.put(o.request, true);
                 }
                 over.put(o.request, closed);
-                r.choice.onAttemptOutcome(
-                        r.now,
+                host.balancer.onAttemptOutcome(
+                        host.now,
                         new AttemptOutcome(
                                 o.request,
                                 o.attempt,
                                 o.server,
                                 result,
-                                r.now - o.at,
+                                host.now - o.at,
                                 closed,
                                 null));
             } else if (random.nextInt(40) == 0) {
                 long id = 1L + random.nextInt(7);
                 boolean drain = random.nextBoolean();
                 draining.put(id, drain);
-                r.choice.onEndpointList(
-                        r.now,
+                host.balancer.onEndpointList(
+                        host.now,
                         EndpointListKind.CHANGES,
                         List.of(
                                 new ListedEndpoint(
@@ -571,14 +506,14 @@
                                         0,
                                         1)));
             }
-            for (long[] t : List.copyOf(r.timers)) {
-                if (t[0] <= r.now) {
-                    r.timers.remove(t);
-                    r.choice.onTimer(r.now, t[1]);
+            for (long[] t : List.copyOf(host.timers)) {
+                if (t[0] <= host.now) {
+                    host.timers.remove(t);
+                    host.balancer.onTimer(host.now, t[1]);
                 }
             }
-            for (; seen < r.actions.size(); seen++) {
-                String[] a = r.actions.get(seen).split(" ", 0);
+            for (; seen < host.actions.size(); seen++) {
+                String[] a = host.actions.get(seen).split(" ", 0);
                 if (a[0].equals("send")) {
                     assertFalse(over.get(a[1]), "sent after the end");
                     assertFalse(
@@ -587,20 +522,20 @@
                     assertTrue(
                             effect != Idempotency.NOT_IDEMPOTENT
                                     || !mayHaveRun.getOrDefault(a[1], false),
-                            "sent twice");
+                            "retried though it may have run");
                     int n = attempts.merge(a[1], 1, Integer::sum) - 1;
                     assertTrue(n < 4);
                     assertTrue(
                             effect == Idempotency.IDEMPOTENT
                                     || out.stream().noneMatch(o -> o.request.equals(a[1])));
-                    out.add(new Out(a[1], n, Long.parseLong(a[2]), r.now));
-                } else if (a[0].equals("refuse") || a[0].equals("fail")) {
+                    out.add(new Out(a[1], n, Long.parseLong(a[2]), host.now));
+                } else if (a[0].equals("reject") || a[0].equals("fail")) {
                     assertFalse(over.put(a[1], true), "a second final answer");
                     assertTrue(
                             a[0].equals("fail")
                                     || effect == Idempotency.IDEMPOTENT
                                     || !mayHaveRun.getOrDefault(a[1], false),
-                            "refused what may have run");
+                            "rejected what may have run");
                 }
             }
         }
@@ -618,10 +553,11 @@
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         6);
         for (int i = 0; i < 200; i++) {
-            for (RecordingActions r : List.of(a, b)) {
-                r.choice.onRequest(
-                        r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, false));
-                r.answer(
+            for (RecordingActions host : List.of(a, b)) {
+                host.balancer.onRequest(
+                        host.now,
+                        new Request("r" + i, 0, i % 2, false, -1, host.now + 1_000_000, false));
+                host.answer(
                         0,
                         i % 9 == 0 ? AttemptResult.REJECTED : AttemptResult.SERVED,
                         3000 + i,
@@ -638,19 +574,19 @@
         "IDEMPOTENCY_KEY, REJECTED, MAX_ATTEMPTS",
         "IDEMPOTENCY_KEY, CANCELLED, QUEUE_TIMEOUT"
     })
-    void theEndOfARequestTellsWhy(Idempotency effect, AttemptResult each, RejectionReason why) {
-        RecordingActions r =
+    void endOfARequestSaysWhy(Idempotency effect, AttemptResult each, RejectionReason reason) {
+        RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(effect, DeduplicationScope.ALL),
                         each == AttemptResult.CANCELLED ? 0 : 8);
-        r.request("a");
-        for (int n = 0; n < 8 && r.reasons.isEmpty(); n++) {
-            if (r.sent.size() > n) {
-                r.answer(n, each, 1, false);
+        host.request("a");
+        for (int n = 0; n < 8 && host.reasons.isEmpty(); n++) {
+            if (host.sent.size() > n) {
+                host.answer(n, each, 1, false);
             } else {
-                r.fireTimers();
+                host.fireTimers();
             }
         }
-        assertEquals(List.of(why), r.reasons);
+        assertEquals(List.of(reason), host.reasons);
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
@@ -23,23 +23,15 @@
 
     private static BalancerSettings fleet(
             int rank, int replicas, FleetRules rules, boolean warmKeys) {
-        BalancerSettings s =
+        BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        return new BalancerSettings(
-                1000 + rank,
-                rank,
-                replicas,
-                0,
-                s.zones(),
-                s.classes(),
-                s.tenants(),
-                s.overQuotaWeight(),
-                s.limits(),
-                rules,
-                s.loadReportSource(),
-                false,
-                warmKeys,
-                1000);
+        return new SettingsBuilder(defaults)
+                .seed(1000 + rank)
+                .rank(rank)
+                .replicas(replicas)
+                .rules(rules)
+                .cachesKeys(warmKeys)
+                .build();
     }
 
     private static FleetRules plain() {
@@ -47,31 +39,33 @@
     }
 
     /**
-     * 400 instances with a request each second: what all send a cold server is its share, in any
-     * second.
+     * 400 instances with a request each second: what all send a server in slow start is its share,
+     * in any second.
      */
     @Test
     void manyQuietInstancesDoNotBurstAColdServer() {
         List<RecordingActions> all = new ArrayList<>();
         for (int rank = 0; rank < 400; rank++) {
-            RecordingActions r = new RecordingActions(fleet(rank, 400, plain(), false), 20);
-            all.add(r);
+            RecordingActions host = new RecordingActions(fleet(rank, 400, plain(), false), 20);
+            all.add(host);
             for (int i = 0; i < 5; i++) {
-                r.request("warm" + i);
-                r.answer(0, AttemptResult.SERVED, 10_000, true);
+                host.request("warm" + i);
+                host.answer(0, AttemptResult.SERVED, 10_000, true);
             }
-            r.choice.onEndpointList(
-                    r.now, EndpointListKind.CHANGES, List.of(RecordingActions.server(1, 0, r.now)));
+            host.balancer.onEndpointList(
+                    host.now,
+                    EndpointListKind.CHANGES,
+                    List.of(RecordingActions.server(1, 0, host.now)));
         }
         int total = 0;
         for (int second = 0; second < 5; second++) {
             int cold = 0;
-            for (RecordingActions r : all) {
-                int before = r.sent.size();
-                r.now += 900_000;
-                r.request("cold" + second);
-                cold += (int) r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
-                r.answer(0, AttemptResult.SERVED, 10_000, true);
+            for (RecordingActions host : all) {
+                int before = host.sent.size();
+                host.now += 900_000;
+                host.request("cold" + second);
+                cold += (int) host.sent.stream().skip(before).filter(s -> s.server() == 1).count();
+                host.answer(0, AttemptResult.SERVED, 10_000, true);
             }
             // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of
             // it and up.
@@ -85,14 +79,14 @@
 
     /** Full connection tables cost the grown sites most: one of many sidecars keeps few servers. */
     @Test
-    void oneOfManyKeepsFewServers() {
-        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 60);
+    void oneOfManySidecarsUsesFewServers() {
+        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 60);
         for (int i = 0; i < 300; i++) {
-            r.now += 800_000;
-            r.request("r" + i);
-            r.answer(0, AttemptResult.SERVED, 20_000, true);
+            host.now += 800_000;
+            host.request("r" + i);
+            host.answer(0, AttemptResult.SERVED, 20_000, true);
         }
-        long servers = r.sent.stream().map(RecordingActions.Sent::server).distinct().count();
+        long servers = host.sent.stream().map(RecordingActions.Sent::server).distinct().count();
         assertTrue(servers <= 12, servers + " servers of 60");
     }
 
@@ -102,32 +96,32 @@
      */
     @Test
     void silenceAfterAnIdleSpellIsADeadConnection() {
-        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 20);
+        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 40; i++) {
-            r.request("warm" + i);
-            r.answer(0, AttemptResult.SERVED, 20_000, true);
+            host.request("warm" + i);
+            host.answer(0, AttemptResult.SERVED, 20_000, true);
         }
-        r.now += 3_000_000;
-        r.request("silent");
-        long server = r.sent.get(r.sent.size() - 1).server();
-        r.now += 900_000;
-        r.request("next");
+        host.now += 3_000_000;
+        host.request("silent");
+        long server = host.sent.get(host.sent.size() - 1).server();
+        host.now += 900_000;
+        host.request("next");
         assertTrue(
-                r.actions.stream()
+                host.actions.stream()
                         .anyMatch(a -> a.startsWith("log WARN idle_connections_distrusted ")));
         assertTrue(
-                r.actions.stream()
+                host.actions.stream()
                         .noneMatch(
                                 a ->
                                         a.startsWith(
                                                 "log WARN endpoint_ejected endpoint="
                                                         + server
                                                         + " ")));
-        r.answer(0, AttemptResult.SERVED, 20_000, true);
-        r.now += 5_000_000;
-        r.request("later");
+        host.answer(0, AttemptResult.SERVED, 20_000, true);
+        host.now += 5_000_000;
+        host.request("later");
         assertTrue(
-                r.actions.stream().anyMatch(a -> a.startsWith("close ")),
+                host.actions.stream().anyMatch(a -> a.startsWith("close ")),
                 "the idle connection stays");
     }
 
@@ -136,28 +130,32 @@
      * while.
      */
     @Test
-    void refusedConnectionIsNotAnOutlier() {
-        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 20);
+    void failedSetupOfAConnectionIsNoOutlier() {
+        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 6; i++) {
-            r.request("r" + i);
-            int last = r.sent.size();
-            r.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
+            host.request("r" + i);
+            int last = host.sent.size();
+            host.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
             assertTrue(
-                    r.sent.size() == last
-                            || r.sent.get(last).server() != r.sent.get(last - 1).server());
+                    host.sent.size() == last
+                            || host.sent.get(last).server() != host.sent.get(last - 1).server());
         }
-        assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
+        assertTrue(
+                host.actions.stream().noneMatch(a -> a.contains("ejected")),
+                host.actions.toString());
     }
 
     /** Retry abuse on lakes-later: time-outs set by impatient clients got good servers ejected. */
     @Test
     void impatientClientsDoNotEjectServers() {
-        RecordingActions r = new RecordingActions(fleet(3, 400, plain(), false), 20);
+        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 30; i++) {
-            r.request("r" + i);
-            r.answer(0, AttemptResult.TIMED_OUT, 20_000, false);
+            host.request("r" + i);
+            host.answer(0, AttemptResult.TIMED_OUT, 20_000, false);
         }
-        assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
+        assertTrue(
+                host.actions.stream().noneMatch(a -> a.contains("ejected")),
+                host.actions.toString());
     }
 
     /**
@@ -165,65 +163,57 @@
      * cells.
      */
     @Test
-    void keysMeetTheSameServer() {
+    void requestsOfAKeyGoToTheSameServer() {
         Set<Long> servers = new HashSet<>();
         for (int rank = 0; rank < 30; rank++) {
-            RecordingActions r = new RecordingActions(fleet(rank, 400, plain(), true), 60);
-            r.choice.onRequest(r.now, new Request("x", 0, 0, false, 77, r.now + 1_000_000, false));
-            servers.add(r.sent.get(0).server());
+            RecordingActions host = new RecordingActions(fleet(rank, 400, plain(), true), 60);
+            host.balancer.onRequest(
+                    host.now, new Request("x", 0, 0, false, 77, host.now + 1_000_000, false));
+            servers.add(host.sent.get(0).server());
         }
         assertEquals(1, servers.size());
     }
 
-    /** What left the list is used no longer, however often the list changes. */
+    /** An endpoint that left the list is used no longer, however often the list changes. */
     @Test
     void whatLeftTheListIsNotUsed() {
-        RecordingActions r = new RecordingActions(fleet(0, 3, plain(), false), 6);
+        RecordingActions host = new RecordingActions(fleet(0, 3, plain(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100L + round;
-            r.choice.onEndpointList(
-                    r.now,
+            host.balancer.onEndpointList(
+                    host.now,
                     EndpointListKind.COMPLETE,
                     List.of(RecordingActions.server(id, 0, 0), RecordingActions.server(1, 0, 0)));
-            r.request("r" + round);
-            assertTrue(Set.of(id, 1L).contains(r.sent.get(r.sent.size() - 1).server()));
-            r.answer(0, AttemptResult.SERVED, 1000, true);
+            host.request("r" + round);
+            assertTrue(Set.of(id, 1L).contains(host.sent.get(host.sent.size() - 1).server()));
+            host.answer(0, AttemptResult.SERVED, 1000, true);
         }
     }
 
     /**
-     * A pick looks at few servers of a wide node, but at as many as it takes to find one with room.
+     * A pick looks at few servers of a wide node, but at as many as it takes to find one with
+     * capacity.
      */
     @Test
-    void theOnlyServerWithRoomOfManyIsFound() {
-        BalancerSettings s = fleet(0, 3, plain(), false);
-        RecordingActions r =
+    void onlyServerWithCapacityOfManyIsFound() {
+        BalancerSettings defaults = fleet(0, 3, plain(), false);
+        RecordingActions host =
                 new RecordingActions(
-                        new BalancerSettings(
-                                s.seed(),
-                                0,
-                                3,
-                                0,
-                                s.zones(),
-                                s.classes(),
-                                s.tenants(),
-                                s.overQuotaWeight(),
-                                new ServiceLimits(4, true, true, 1_000_000, 60_000_000, 10_000),
-                                s.rules(),
-                                s.loadReportSource(),
-                                false,
-                                false,
-                                1000),
+                        new SettingsBuilder(defaults)
+                                .limits(
+                                        new ServiceLimits(
+                                                4, true, true, 1_000_000, 60_000_000, 10_000))
+                                .build(),
                         200);
         for (int i = 0; i < 900; i++) {
-            r.request("out" + i);
+            host.request("out" + i);
         }
-        int full = r.sent.size();
+        int full = host.sent.size();
         assertTrue(full < 900, "all were sent, so no server was full");
         for (int i = 0; i < 20; i++) {
-            RecordingActions.Sent sent = r.sent.get(i);
-            r.choice.onAttemptOutcome(
-                    r.now,
+            RecordingActions.Sent sent = host.sent.get(i);
+            host.balancer.onAttemptOutcome(
+                    host.now,
                     new AttemptOutcome(
                             sent.request(),
                             0,
@@ -232,8 +222,8 @@
                             1000,
                             true,
                             null));
-            assertEquals(full + i + 1, r.sent.size());
-            assertEquals(sent.server(), r.sent.get(full + i).server());
+            assertEquals(full + i + 1, host.sent.size());
+            assertEquals(sent.server(), host.sent.get(full + i).server());
         }
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/StreamingDecisionsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/StreamingDecisionsTest.java
@@ -13,7 +13,7 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.Request;
 
-/** What the module decides of requests whose bodies pass through as they arrive. */
+/** What the balancer decides on requests whose bodies pass through as they arrive. */
 class StreamingDecisionsTest {
 
     private static final long MINUTE = 60_000_000;
@@ -23,19 +23,20 @@
                 RecordingActions.settings(effect, DeduplicationScope.ZONE), servers);
     }
 
-    private static void upload(RecordingActions r, String id, long buffer) {
-        r.choice.onRequest(
-                r.now, new Request(id, 0, 0, false, -1, r.now + 1_000_000, true, true, buffer, 0));
+    private static void upload(RecordingActions host, String id, long buffer) {
+        host.balancer.onRequest(
+                host.now,
+                new Request(id, 0, 0, false, -1, host.now + 1_000_000, true, true, buffer, 0));
     }
 
-    private static void begin(RecordingActions r, long elapsed) {
-        RecordingActions.Sent last = r.sent.get(r.sent.size() - 1);
-        r.now += elapsed;
-        r.choice.onStreamStarted(r.now, last.request(), 0, last.server(), elapsed);
+    private static void begin(RecordingActions host, long elapsed) {
+        RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
+        host.now += elapsed;
+        host.balancer.onStreamStarted(host.now, last.request(), 0, last.server(), elapsed);
     }
 
-    private static boolean ejected(RecordingActions r) {
-        return r.actions.stream().anyMatch(a -> a.contains("ejected"));
+    private static boolean ejected(RecordingActions host) {
+        return host.actions.stream().anyMatch(a -> a.contains("ejected"));
     }
 
     /**
@@ -44,42 +45,42 @@
      */
     @Test
     void lengthOfAStreamSaysNothingOfItsServer() {
-        RecordingActions r = recorder(Idempotency.IDEMPOTENT, 1);
+        RecordingActions host = recorder(Idempotency.IDEMPOTENT, 1);
         for (int i = 0; i < 20; i++) {
-            r.request("s" + i);
-            assertEquals(i + 1, r.sent.size(), "held back");
-            begin(r, 50_000);
+            host.request("s" + i);
+            assertEquals(i + 1, host.sent.size(), "queued");
+            begin(host, 50_000);
         }
-        r.now += MINUTE;
+        host.now += MINUTE;
         for (int i = 0; i < 20; i++) {
-            RecordingActions.Sent s = r.sent.get(i);
-            r.choice.onAttemptOutcome(
-                    r.now,
+            RecordingActions.Sent s = host.sent.get(i);
+            host.balancer.onAttemptOutcome(
+                    host.now,
                     new AttemptOutcome(
                             s.request(), 0, s.server(), AttemptResult.SERVED, MINUTE, true, null));
         }
-        r.request("next");
-        assertEquals(21, r.sent.size());
-        assertTrue(!ejected(r), r.actions.toString());
+        host.request("next");
+        assertEquals(21, host.sent.size());
+        assertTrue(!ejected(host), host.actions.toString());
     }
 
     @Test
-    void streamThatBreaksIsNeverSentAgainAndCountsAgainstItsServer() {
-        RecordingActions r = recorder(Idempotency.IDEMPOTENT, 4);
+    void brokenStreamIsNeverRetriedAndCountsAgainstItsServer() {
+        RecordingActions host = recorder(Idempotency.IDEMPOTENT, 4);
         for (int i = 0; i < 40; i++) {
-            r.request("s" + i);
-            int sent = r.sent.size();
-            long server = r.sent.get(sent - 1).server();
-            begin(r, 20_000);
-            r.answer(
+            host.request("s" + i);
+            int sent = host.sent.size();
+            long server = host.sent.get(sent - 1).server();
+            begin(host, 20_000);
+            host.answer(
                     0, server % 2 == 1 ? AttemptResult.BROKEN : AttemptResult.SERVED, 50_000, true);
-            assertEquals(sent, r.sent.size());
+            assertEquals(sent, host.sent.size());
         }
-        long broken = r.sent.stream().filter(s -> s.server() % 2 == 1).count();
+        long broken = host.sent.stream().filter(s -> s.server() % 2 == 1).count();
         assertTrue(
                 broken > 0 && broken < 10,
                 broken + " of 40 streams went to the half that breaks them");
-        assertTrue(r.refused.isEmpty() && r.failed.isEmpty());
+        assertTrue(host.rejected.isEmpty() && host.failed.isEmpty());
     }
 
     /**
@@ -93,86 +94,89 @@
         "true, NO_CONNECTION, false, true",
         "true, ERROR, false, false"
     })
-    void bodyThatIsNotKeptIsNotSentAgain(
-            boolean lost, AttemptResult result, boolean again, boolean refused) {
-        RecordingActions r = recorder(Idempotency.NOT_IDEMPOTENT, 4);
-        upload(r, "u", 1);
+    void bodyThatIsNotBufferedIsNotRetried(
+            boolean lost, AttemptResult result, boolean again, boolean rejected) {
+        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+        upload(host, "u", 1);
         if (lost) {
-            r.choice.onReplayBufferExceeded(r.now, "u");
+            host.balancer.onReplayBufferExceeded(host.now, "u");
         }
-        r.answer(0, result, 10_000, false);
-        assertEquals(again, r.sent.size() == 2);
-        assertEquals(refused ? List.of("u") : List.of(), r.refused);
-        assertEquals(again || refused ? List.of() : List.of("u"), r.failed);
+        host.answer(0, result, 10_000, false);
+        assertEquals(again, host.sent.size() == 2);
+        assertEquals(rejected ? List.of("u") : List.of(), host.rejected);
+        assertEquals(again || rejected ? List.of() : List.of("u"), host.failed);
     }
 
     /** A server owes nothing before the last byte; from then on its silence tells. */
     @Test
     void slowUploadIsNotASilentServer() {
-        RecordingActions r = recorder(Idempotency.NOT_IDEMPOTENT, 2);
-        upload(r, "u", 1);
-        r.now += MINUTE;
-        r.request("watch");
-        assertTrue(!ejected(r), r.actions.toString());
+        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 2);
+        upload(host, "u", 1);
+        host.now += MINUTE;
+        host.request("watch");
+        assertTrue(!ejected(host), host.actions.toString());
     }
 
     /**
-     * A body on its way is no work yet, so many may come at once; what has come whole fills the
+     * A body on its way is no work yet, so many may come at once; what is complete fills the
      * server.
      */
     @Test
     void uploadsCountAsWorkFromTheirLastByte() {
-        RecordingActions r = recorder(Idempotency.NOT_IDEMPOTENT, 1);
+        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 1);
         for (int i = 0; i < 20; i++) {
-            upload(r, "u" + i, 1);
+            upload(host, "u" + i, 1);
         }
-        assertEquals(20, r.sent.size());
+        assertEquals(20, host.sent.size());
         for (int i = 0; i < 20; i++) {
-            r.choice.onUploadComplete(r.now, "u" + i, r.now + 1_000_000);
+            host.balancer.onUploadComplete(host.now, "u" + i, host.now + 1_000_000);
         }
-        r.request("held");
-        assertEquals(20, r.sent.size());
+        host.request("queued");
+        assertEquals(20, host.sent.size());
     }
 
-    /** Kept whole, it may go out again within the time that its client has from the last byte. */
+    /**
+     * While its body is buffered, it may be retried within the time that its client has from the
+     * last byte.
+     */
     @Test
     void timeOfAnUploadRunsFromItsLastByte() {
-        RecordingActions r = recorder(Idempotency.NOT_IDEMPOTENT, 4);
-        upload(r, "u", 1);
-        r.now += MINUTE;
-        r.choice.onUploadComplete(r.now, "u", r.now + 1_000_000);
-        r.answer(0, AttemptResult.REJECTED, 10_000, false);
-        assertEquals(2, r.sent.size());
+        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+        upload(host, "u", 1);
+        host.now += MINUTE;
+        host.balancer.onUploadComplete(host.now, "u", host.now + 1_000_000);
+        host.answer(0, AttemptResult.REJECTED, 10_000, false);
+        assertEquals(2, host.sent.size());
         RecordingActions late = recorder(Idempotency.NOT_IDEMPOTENT, 4);
         upload(late, "u", 1);
         late.now += MINUTE;
         late.answer(0, AttemptResult.REJECTED, 10_000, false);
         assertEquals(1, late.sent.size());
-        assertEquals(List.of("u"), late.refused);
+        assertEquals(List.of("u"), late.rejected);
     }
 
     @Test
-    void boundOnBuffersRefusesNewOnesUntilOldOnesHaveEnded() {
-        RecordingActions r = recorder(Idempotency.NOT_IDEMPOTENT, 4);
-        r.choice.onBufferLimit(r.now, 300);
-        upload(r, "a", 100);
-        upload(r, "b", 200);
-        upload(r, "c", 1);
-        assertEquals(List.of("c"), r.refused);
-        r.request("whole");
-        assertEquals(3, r.sent.size(), "what holds no buffer is not refused");
-        RecordingActions.Sent b = r.sent.get(1);
-        r.choice.onStreamStarted(r.now, "b", 0, b.server(), 1000);
-        upload(r, "d", 1);
-        assertEquals(List.of("c", "d"), r.refused);
-        r.choice.onAttemptOutcome(
-                r.now,
+    void bufferLimitRejectsNewRequestsUntilOldOnesHaveEnded() {
+        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+        host.balancer.onBufferLimit(host.now, 300);
+        upload(host, "a", 100);
+        upload(host, "b", 200);
+        upload(host, "c", 1);
+        assertEquals(List.of("c"), host.rejected);
+        host.request("complete");
+        assertEquals(3, host.sent.size(), "what holds no buffer is not rejected");
+        RecordingActions.Sent b = host.sent.get(1);
+        host.balancer.onStreamStarted(host.now, "b", 0, b.server(), 1000);
+        upload(host, "d", 1);
+        assertEquals(List.of("c", "d"), host.rejected);
+        host.balancer.onAttemptOutcome(
+                host.now,
                 new AttemptOutcome("b", 0, b.server(), AttemptResult.BROKEN, 1000, true, null));
-        upload(r, "e", 200);
-        assertEquals(List.of("c", "d"), r.refused);
+        upload(host, "e", 200);
+        assertEquals(List.of("c", "d"), host.rejected);
         // A request that its client has left holds its buffer while its attempt is out.
-        r.choice.onClientDisconnected(r.now, "a");
-        upload(r, "f", 100);
-        assertEquals(List.of("c", "d", "f"), r.refused);
+        host.balancer.onClientDisconnected(host.now, "a");
+        upload(host, "f", 100);
+        assertEquals(List.of("c", "d", "f"), host.rejected);
     }
 }
