--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -1,18 +1,14 @@
 package sagefall.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -452,94 +448,9 @@
     @ParameterizedTest
     @EnumSource(Idempotency.class)
     void randomEventsKeepTheRules(Idempotency effect) {
-        SplittableRandom random = new SplittableRandom(11);
-        RecordingActions host =
-                new RecordingActions(RecordingActions.settings(effect, DeduplicationScope.ZONE), 7);
-        Map<String, Integer> attempts = new HashMap<>();
-        Map<String, Boolean> mayHaveRun = new HashMap<>();
-        Map<String, Boolean> over = new HashMap<>();
-        Map<Long, Boolean> draining = new HashMap<>();
-        int seen = 0;
-        AttemptResult[] results = AttemptResult.values();
-        record Out(String request, int attempt, long server, long at) {}
-        List<Out> out = new java.util.ArrayList<>();
-        for (int step = 0; step < 6000; step++) {
-            host.now += random.nextInt(4000);
-            if (random.nextInt(3) == 0) {
-                String id = "q" + step;
-                over.put(id, false);
-                host.request(id);
-            } else if (!out.isEmpty() && random.nextInt(3) > 0) {
-                Out o = out.remove(random.nextInt(out.size()));
-                boolean served = random.nextInt(4) > 0;
-                AttemptResult result =
-                        served ? AttemptResult.SERVED : results[random.nextInt(results.length)];
-                boolean closed = over.get(o.request) || result == AttemptResult.SERVED;
-                if (!result.provesNotRun) {
-                    mayHaveRun.put(o.request, true);
-                }
-                over.put(o.request, closed);
-                host.balancer.onAttemptOutcome(
-                        host.now,
-                        new AttemptOutcome(
-                                o.request,
-                                o.attempt,
-                                o.server,
-                                result,
-                                host.now - o.at,
-                                closed,
-                                null));
-            } else if (random.nextInt(40) == 0) {
-                long id = 1L + random.nextInt(7);
-                boolean drain = random.nextBoolean();
-                draining.put(id, drain);
-                host.balancer.onEndpointList(
-                        host.now,
-                        EndpointListKind.CHANGES,
-                        List.of(
-                                new ListedEndpoint(
-                                        id,
-                                        (int) (id - 1) % 2,
-                                        0,
-                                        (int) id % 3,
-                                        drain ? EndpointPhase.DRAINING : EndpointPhase.READY,
-                                        0,
-                                        1)));
-            }
-            for (long[] t : List.copyOf(host.timers)) {
-                if (t[0] <= host.now) {
-                    host.timers.remove(t);
-                    host.balancer.onTimer(host.now, t[1]);
-                }
-            }
-            for (; seen < host.actions.size(); seen++) {
-                String[] a = host.actions.get(seen).split(" ", 0);
-                if (a[0].equals("send")) {
-                    assertFalse(over.get(a[1]), "sent after the end");
-                    assertFalse(
-                            draining.getOrDefault(Long.parseLong(a[2]), false),
-                            "sent to a draining server");
-                    assertTrue(
-                            effect != Idempotency.NOT_IDEMPOTENT
-                                    || !mayHaveRun.getOrDefault(a[1], false),
-                            "retried though it may have run");
-                    int n = attempts.merge(a[1], 1, Integer::sum) - 1;
-                    assertTrue(n < 4);
-                    assertTrue(
-                            effect == Idempotency.IDEMPOTENT
-                                    || out.stream().noneMatch(o -> o.request.equals(a[1])));
-                    out.add(new Out(a[1], n, Long.parseLong(a[2]), host.now));
-                } else if (a[0].equals("reject") || a[0].equals("fail")) {
-                    assertFalse(over.put(a[1], true), "a second final answer");
-                    assertTrue(
-                            a[0].equals("fail")
-                                    || effect == Idempotency.IDEMPOTENT
-                                    || !mayHaveRun.getOrDefault(a[1], false),
-                            "rejected what may have run");
-                }
-            }
-        }
-        assertTrue(attempts.size() > 300, "only " + attempts.size() + " were sent");
+        RandomEventRun run = new RandomEventRun(effect);
+        run.play(6000);
+        assertTrue(run.requestsSent() > 300, "only " + run.requestsSent() + " were sent");
     }
 
     @Test
