--- a/sidecar/src/main/java/sagefall/config/ConfigSection.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigSection.java
@@ -21,7 +21,7 @@
     }
 
     /** A whole number between two bounds, or another where it is not given. */
-    public long whole(String name, long otherwise, long least, long most) {
+    public long integer(String name, long otherwise, long least, long most) {
         read.add(name);
         if (!values.containsKey(name)) {
             return otherwise;
@@ -29,11 +29,11 @@
         if (values.get(name) instanceof Long n && n >= least && n <= most) {
             return n;
         }
-        throw wrong(name, "must be a whole number from " + least + " to " + most);
+        throw invalid(name, "must be a whole number from " + least + " to " + most);
     }
 
     /** A text, or another where it is not given. */
-    public String text(String name, String otherwise) {
+    public String string(String name, String otherwise) {
         read.add(name);
         if (!values.containsKey(name)) {
             return otherwise;
@@ -41,11 +41,11 @@
         if (values.get(name) instanceof String s) {
             return s;
         }
-        throw wrong(name, "must be a text");
+        throw invalid(name, "must be a text");
     }
 
     /** The names of an object's entries, in the order of the file. */
-    public Set<String> names() {
+    public Set<String> keys() {
         Set<String> names = new LinkedHashSet<>();
         values.keySet().forEach(k -> names.add(String.valueOf(k)));
         return names;
@@ -58,19 +58,19 @@
         if (value instanceof Map<?, ?> m) {
             return new ConfigSection(path + "." + name, m);
         }
-        throw wrong(name, "must be an object");
+        throw invalid(name, "must be an object");
     }
 
     /** What is wrong with a value, for the owner of the section. */
-    public IllegalArgumentException wrong(String name, String why) {
+    public IllegalArgumentException invalid(String name, String why) {
         return new IllegalArgumentException(path + "." + name + ": " + why);
     }
 
     /** To be called when all has been read that means something. */
-    public void end() {
-        for (String name : names()) {
+    public void rejectUnknownKeys() {
+        for (String name : keys()) {
             if (!read.contains(name)) {
-                throw wrong(name, "unknown name");
+                throw invalid(name, "unknown name");
             }
         }
     }
--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -49,7 +49,7 @@
                             sections.containsKey("duties")
                                     ? LeaderElectionSettings.read(all.section("duties"))
                                     : LeaderElectionSettings.OFF;
-                    all.end();
+                    all.rejectUnknownKeys();
                     return new Extensions(streaming, recovery, duties);
                 });
     }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
@@ -21,17 +21,17 @@
 
     /** Reads the section; what is wrong is told in one plain line. */
     public static LeaderElectionSettings read(ConfigSection section) {
-        String directory = section.text("directory", "");
+        String directory = section.string("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
                 || !Path.of(directory).isAbsolute()) {
-            throw section.wrong("directory", "must be the absolute path of a folder");
+            throw section.invalid("directory", "must be the absolute path of a folder");
         }
         LeaderElectionSettings read =
                 new LeaderElectionSettings(
                         Path.of(directory),
-                        section.whole("lease_ms", LEASE_MILLIS, LEAST_MILLIS, MOST_MILLIS));
-        section.end();
+                        section.integer("lease_ms", LEASE_MILLIS, LEAST_MILLIS, MOST_MILLIS));
+        section.rejectUnknownKeys();
         return read;
     }
 
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -32,24 +32,24 @@
 
     /** Reads the section; what is wrong is told in one plain line. */
     public static PersistenceSettings read(ConfigSection section) {
-        String directory = section.text("directory", "");
+        String directory = section.string("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
                 || !Path.of(directory).isAbsolute()) {
-            throw section.wrong("directory", "must be the absolute path of a folder");
+            throw section.invalid("directory", "must be the absolute path of a folder");
         }
-        String sync = section.text("sync", "each");
+        String sync = section.string("sync", "each");
         if (!sync.equals("each") && !sync.equals("snapshot")) {
-            throw section.wrong("sync", "must be 'each' or 'snapshot'");
+            throw section.invalid("sync", "must be 'each' or 'snapshot'");
         }
         PersistenceSettings read =
                 new PersistenceSettings(
                         Path.of(directory),
-                        section.whole("max_bytes", BYTES, LEAST_BYTES, MOST_BYTES),
-                        section.whole("max_age_ms", AGE_MILLIS, 0, MOST_AGE_MILLIS),
+                        section.integer("max_bytes", BYTES, LEAST_BYTES, MOST_BYTES),
+                        section.integer("max_age_ms", AGE_MILLIS, 0, MOST_AGE_MILLIS),
                         sync.equals("each"),
-                        section.whole("clock_offset_ms", 0, -MOST_AGE_MILLIS, MOST_AGE_MILLIS));
-        section.end();
+                        section.integer("clock_offset_ms", 0, -MOST_AGE_MILLIS, MOST_AGE_MILLIS));
+        section.rejectUnknownKeys();
         return read;
     }
 
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -47,31 +47,31 @@
         ConfigSection named = section.section("classes");
         Map<String, Bounds> classes = new LinkedHashMap<>();
         boolean uploads = false;
-        for (String name : named.names()) {
+        for (String name : named.keys()) {
             RequestClass known =
                     settings.stream()
                             .filter(c -> c.name().equals(name))
                             .findFirst()
                             .orElseThrow(
-                                    () -> named.wrong(name, "the settings have no such class"));
+                                    () -> named.invalid(name, "the settings have no such class"));
             ConfigSection one = named.section(name);
             Bounds bounds =
                     new Bounds(
-                            one.whole("max_request_bytes", 0, 0, MOST_BYTES),
-                            one.whole("max_answer_bytes", 0, 0, MOST_BYTES));
-            one.end();
+                            one.integer("max_request_bytes", 0, 0, MOST_BYTES),
+                            one.integer("max_answer_bytes", 0, 0, MOST_BYTES));
+            one.rejectUnknownKeys();
             if (bounds.answerBytes > 0 && !known.streaming()) {
-                throw one.wrong(
+                throw one.invalid(
                         "max_answer_bytes",
                         "the settings do not let this class stream its answers");
             }
             uploads |= bounds.requestBytes > 0;
             classes.put(name, bounds);
         }
-        int high = (int) section.whole("high_watermark_bytes", WATERMARK, 1, MOST_WATERMARK);
-        int low = (int) section.whole("low_watermark_bytes", high / 2, 0, MOST_WATERMARK);
+        int high = (int) section.integer("high_watermark_bytes", WATERMARK, 1, MOST_WATERMARK);
+        int low = (int) section.integer("low_watermark_bytes", high / 2, 0, MOST_WATERMARK);
         if (low >= high) {
-            throw section.wrong(
+            throw section.invalid(
                     "low_watermark_bytes", "must be below high_watermark_bytes, " + high);
         }
         StreamingSettings read =
@@ -79,15 +79,15 @@
                         Map.copyOf(classes),
                         high,
                         low,
-                        section.whole("read_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
-                        section.whole("write_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
-                        (int) section.whole("replay_bytes", REPLAY, 0, MOST_WATERMARK),
-                        section.whole("max_buffered_bytes", BUFFERED, 0, MOST_BYTES),
-                        section.whole("drain_ms", DRAIN_MILLIS, 0, MOST_MILLIS));
-        section.end();
+                        section.integer("read_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
+                        section.integer("write_stall_ms", STALL_MILLIS, 1, MOST_MILLIS),
+                        (int) section.integer("replay_bytes", REPLAY, 0, MOST_WATERMARK),
+                        section.integer("max_buffered_bytes", BUFFERED, 0, MOST_BYTES),
+                        section.integer("drain_ms", DRAIN_MILLIS, 0, MOST_MILLIS));
+        section.rejectUnknownKeys();
         long window = read.hold(uploads, !uploads);
         if (read.bufferedBytes < window) {
-            throw section.wrong(
+            throw section.invalid(
                     "max_buffered_bytes", "must be at least one stream's window, " + window);
         }
         return read;
