--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -9,6 +9,7 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.ServiceLimits;
 import sagefall.discovery.EndpointList;
+import sagefall.discovery.EndpointListCodec;
 
 /** What one sidecar is told at its start. */
 public record SidecarConfig(
@@ -19,7 +20,7 @@
         BalancerSettings settings,
         long connectMicros,
         EndpointList known,
-        EndpointList.Reader lists,
+        EndpointListCodec lists,
         Extensions extensions) {
 
     /**
@@ -96,8 +97,8 @@
             throw new IOException("'settings' is missing");
         }
         Map<?, ?> limits = Json.object(facts, "policy_limits");
-        EndpointList.Reader lists =
-                new EndpointList.Reader(
+        EndpointListCodec lists =
+                new EndpointListCodec(
                         BalancerSettingsReader.names(facts, "zones"),
                         BalancerSettingsReader.names(facts, "models"));
         EndpointList known =
