--- a/sidecar/src/main/java/sagefall/config/ConfigSection.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigSection.java
@@ -5,72 +5,83 @@
 import java.util.Set;
 
 /**
- * One section of the file of extensions, read strictly: unlike the platform's settings it is
- * written by hand, so a name that nothing reads is a mistake and not a newer figure. Each {@link
- * IllegalArgumentException} is one plain line that names the place.
+ * One section of the extensions file, read strictly: unlike the platform's settings it is written
+ * by hand, so a key that nothing reads is a mistake and not one of a newer version.
  */
 public final class ConfigSection {
 
     private final String path;
     private final Map<?, ?> values;
-    private final Set<String> read = new LinkedHashSet<>();
+    private final Set<String> readKeys = new LinkedHashSet<>();
 
+    /**
+     * A section of a file.
+     *
+     * @param path the keys that lead to the section, with dots between them
+     * @param values the section as JSON
+     */
     public ConfigSection(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
 
-    /** A whole number between two bounds, or another where it is not given. */
-    public long integer(String name, long otherwise, long least, long most) {
-        read.add(name);
-        if (!values.containsKey(name)) {
-            return otherwise;
+    /** An integer between two bounds, both inclusive; the default where the key is absent. */
+    public long integer(String key, long defaultValue, long minimum, long maximum)
+            throws ConfigException {
+        readKeys.add(key);
+        if (!values.containsKey(key)) {
+            return defaultValue;
         }
-        if (values.get(name) instanceof Long n && n >= least && n <= most) {
-            return n;
+        if (values.get(key) instanceof Long number && number >= minimum && number <= maximum) {
+            return number;
         }
-        throw invalid(name, "must be a whole number from " + least + " to " + most);
+        throw invalid(key, "must be a whole number from " + minimum + " to " + maximum);
     }
 
-    /** A text, or another where it is not given. */
-    public String string(String name, String otherwise) {
-        read.add(name);
-        if (!values.containsKey(name)) {
-            return otherwise;
+    /** A string; the default where the key is absent. */
+    public String string(String key, String defaultValue) throws ConfigException {
+        readKeys.add(key);
+        if (!values.containsKey(key)) {
+            return defaultValue;
         }
-        if (values.get(name) instanceof String s) {
-            return s;
+        if (values.get(key) instanceof String string) {
+            return string;
         }
-        throw invalid(name, "must be a text");
+        throw invalid(key, "must be a text");
     }
 
-    /** The names of an object's entries, in the order of the file. */
+    /** All keys of the section, in the order of the file. */
     public Set<String> keys() {
-        Set<String> names = new LinkedHashSet<>();
-        values.keySet().forEach(k -> names.add(String.valueOf(k)));
-        return names;
+        Set<String> keys = new LinkedHashSet<>();
+        values.keySet().forEach(key -> keys.add(String.valueOf(key)));
+        return keys;
     }
 
-    /** An object; an empty one where it is not given. */
-    public ConfigSection section(String name) {
-        read.add(name);
-        Object value = values.containsKey(name) ? values.get(name) : Map.of();
-        if (value instanceof Map<?, ?> m) {
-            return new ConfigSection(path + "." + name, m);
+    /** Whether the section has the key. */
+    public boolean has(String key) {
+        return values.containsKey(key);
+    }
+
+    /** A section inside this one; an empty one where the key is absent. */
+    public ConfigSection section(String key) throws ConfigException {
+        readKeys.add(key);
+        Object value = values.containsKey(key) ? values.get(key) : Map.of();
+        if (value instanceof Map<?, ?> object) {
+            return new ConfigSection(path + "." + key, object);
         }
-        throw invalid(name, "must be an object");
+        throw invalid(key, "must be an object");
     }
 
-    /** What is wrong with a value, for the owner of the section. */
-    public IllegalArgumentException invalid(String name, String why) {
-        return new IllegalArgumentException(path + "." + name + ": " + why);
+    /** The error for a value that the section's reader finds wrong. */
+    public ConfigException invalid(String key, String reason) {
+        return ConfigException.atPath(path + "." + key, reason);
     }
 
-    /** To be called when all has been read that means something. */
-    public void rejectUnknownKeys() {
-        for (String name : keys()) {
-            if (!read.contains(name)) {
-                throw invalid(name, "unknown name");
+    /** Called when all keys with a meaning have been read: any other is an error. */
+    public void rejectUnknownKeys() throws ConfigException {
+        for (String key : keys()) {
+            if (!readKeys.contains(key)) {
+                throw invalid(key, "unknown name");
             }
         }
     }
--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.StreamReadFeature;
-import java.io.IOException;
 import java.util.List;
 import java.util.Map;
 import sagefall.balancer.api.RequestClass;
@@ -12,45 +11,56 @@
 
 /**
  * What the file named by {@code LB_EXTENSIONS} switches on, a section for each subsystem. It is the
- * operators' own and stands beside the platform's configuration, so that none of its names can meet
- * one of the platform's.
+ * operators' own and stands beside the platform's configuration, so that none of its keys can clash
+ * with one of the platform's.
+ *
+ * @param streaming the section {@code streaming}
+ * @param recovery the section {@code recovery}: persistence of the endpoint list
+ * @param duties the section {@code duties}: leader election
  */
 public record Extensions(
         StreamingSettings streaming, PersistenceSettings recovery, LeaderElectionSettings duties) {
 
+    private static final String FILE_VARIABLE = "LB_EXTENSIONS";
+    private static final String ROOT = "extensions";
+    private static final String STREAMING = "streaming";
+    private static final String PERSISTENCE = "recovery";
+    private static final String LEADER_ELECTION = "duties";
+
+    /** All off, as without the file. */
     static final Extensions NONE =
             new Extensions(
                     StreamingSettings.OFF, PersistenceSettings.OFF, LeaderElectionSettings.OFF);
 
-    /** Reads the file, if one is named; the exception's message is one plain line. */
+    /** Reads the file, if the environment names one. */
     static Extensions read(Map<String, String> environment, List<RequestClass> classes)
-            throws IOException {
-        String file = environment.get("LB_EXTENSIONS");
+            throws ConfigException {
+        String file = environment.get(FILE_VARIABLE);
         if (file == null || file.isEmpty()) {
             return NONE;
         }
-        // A name that stands twice would silently lose the first.
+        // A key that stands twice would silently lose the first value.
         JsonFactory strict =
                 JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
         return JsonFile.read(
-                file,
-                strict,
-                sections -> {
-                    ConfigSection all = new ConfigSection("extensions", sections);
-                    StreamingSettings streaming =
-                            sections.containsKey("streaming")
-                                    ? StreamingSettings.read(all.section("streaming"), classes)
-                                    : StreamingSettings.OFF;
-                    PersistenceSettings recovery =
-                            sections.containsKey("recovery")
-                                    ? PersistenceSettings.read(all.section("recovery"))
-                                    : PersistenceSettings.OFF;
-                    LeaderElectionSettings duties =
-                            sections.containsKey("duties")
-                                    ? LeaderElectionSettings.read(all.section("duties"))
-                                    : LeaderElectionSettings.OFF;
-                    all.rejectUnknownKeys();
-                    return new Extensions(streaming, recovery, duties);
-                });
+                file, strict, object -> convert(new ConfigSection(ROOT, object), classes));
+    }
+
+    private static Extensions convert(ConfigSection root, List<RequestClass> classes)
+            throws ConfigException {
+        StreamingSettings streaming =
+                root.has(STREAMING)
+                        ? StreamingSettings.read(root.section(STREAMING), classes)
+                        : StreamingSettings.OFF;
+        PersistenceSettings persistence =
+                root.has(PERSISTENCE)
+                        ? PersistenceSettings.read(root.section(PERSISTENCE))
+                        : PersistenceSettings.OFF;
+        LeaderElectionSettings leaderElection =
+                root.has(LEADER_ELECTION)
+                        ? LeaderElectionSettings.read(root.section(LEADER_ELECTION))
+                        : LeaderElectionSettings.OFF;
+        root.rejectUnknownKeys();
+        return new Extensions(streaming, persistence, leaderElection);
     }
 }
--- a/sidecar/src/main/java/sagefall/config/JsonFile.java
+++ b/sidecar/src/main/java/sagefall/config/JsonFile.java
@@ -9,28 +9,29 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/**
- * A file that holds one JSON object; whatever is wrong with it is told in one plain line that names
- * it.
- */
+/** A configuration file that holds one JSON object; each error names the file. */
 final class JsonFile {
 
-    /** Makes something of the object. */
-    interface Reading<T> {
-        T of(Map<String, Object> object) throws IOException;
+    /** Makes a typed record of the file's object. */
+    interface Converter<T> {
+        T convert(Map<String, Object> object) throws IOException;
     }
 
     private JsonFile() {}
 
-    static <T> T read(String file, JsonFactory json, Reading<T> reading) throws IOException {
+    static <T> T read(String file, JsonFactory json, Converter<T> converter)
+            throws ConfigException {
         try (JsonParser parser = json.createParser(Files.readAllBytes(Path.of(file)))) {
-            return reading.of(Json.document(parser));
+            return converter.convert(Json.document(parser));
+        } catch (ConfigException e) {
+            throw e.inFile(file);
         } catch (JsonProcessingException e) {
-            throw new IOException(file + ": not JSON: " + e.getOriginalMessage(), e);
+            throw ConfigException.ofFile(file, "not JSON: " + e.getOriginalMessage(), e);
         } catch (FileSystemException e) {
-            throw new IOException(file + ": can't be read", e);
+            throw ConfigException.ofFile(file, "can't be read", e);
         } catch (IllegalArgumentException | IOException e) {
-            throw new IOException(file + ": " + e.getMessage(), e);
+            // Such as a path that the platform's encoding cannot express.
+            throw ConfigException.ofFile(file, e.getMessage(), e);
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
@@ -1,6 +1,7 @@
 package sagefall.leaderelection;
 
 import java.nio.file.Path;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 
 /**
@@ -20,7 +21,7 @@
     private static final long MOST_MILLIS = 600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
-    public static LeaderElectionSettings read(ConfigSection section) {
+    public static LeaderElectionSettings read(ConfigSection section) throws ConfigException {
         String directory = section.string("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -1,6 +1,7 @@
 package sagefall.persistence;
 
 import java.nio.file.Path;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 
 /**
@@ -31,7 +32,7 @@
     private static final long MOST_AGE_MILLIS = 30L * 24 * 3_600_000;
 
     /** Reads the section; what is wrong is told in one plain line. */
-    public static PersistenceSettings read(ConfigSection section) {
+    public static PersistenceSettings read(ConfigSection section) throws ConfigException {
         String directory = section.string("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import sagefall.balancer.api.RequestClass;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 
 /**
@@ -43,7 +44,8 @@
     private static final long MOST_MILLIS = 3_600_000;
 
     /** Reads the section; the classes are those of the settings. */
-    public static StreamingSettings read(ConfigSection section, List<RequestClass> settings) {
+    public static StreamingSettings read(ConfigSection section, List<RequestClass> settings)
+            throws ConfigException {
         ConfigSection named = section.section("classes");
         Map<String, Bounds> classes = new LinkedHashMap<>();
         boolean uploads = false;
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 import sagefall.config.Json;
 
@@ -44,8 +45,7 @@
                 "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown name",
             })
     void whatIsWrongIsOneLine(String quoted, String line) {
-        String message =
-                assertThrows(IllegalArgumentException.class, () -> read(quoted)).getMessage();
+        String message = assertThrows(ConfigException.class, () -> read(quoted)).getMessage();
         assertEquals(line, message.substring(0, line.length()));
     }
 }
