--- a/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -12,99 +12,141 @@
 import sagefall.balancer.api.ServiceLimits;
 import sagefall.balancer.api.Tenant;
 
-/** The settings as the simulator and the sidecar's configuration both spell them. */
+/**
+ * Reads the balancer's settings, which the simulator and the sidecar's configuration file spell
+ * alike; the one place that knows their keys. A key that is unknown belongs to a newer version and
+ * is ignored; one that is absent has a default.
+ */
 public final class BalancerSettingsReader {
 
+    private static final String SETTINGS = "settings";
+    private static final String CLASSES = "classes";
+    private static final String TENANTS = "tenants";
+    private static final long DEFAULT_TICK_MICROS = 1000;
+
     private BalancerSettingsReader() {}
 
     /**
-     * Turns the settings object into the module's; an {@link IllegalArgumentException} says what is
-     * off.
+     * Converts the settings object.
+     *
+     * @param seed of the instance, which stands beside the settings
+     * @throws ConfigException if a value is unknown or out of its range
      */
-    public static BalancerSettings read(long seed, Map<?, ?> f) {
-        List<RequestClass> classes = new ArrayList<>();
-        for (Object o : Json.array(f, "classes")) {
-            classes.add(requestClass(entry(o, "classes")));
-        }
-        List<Tenant> tenants = new ArrayList<>();
-        for (Object o : Json.array(f, "tenants")) {
-            Map<?, ?> t = entry(o, "tenants");
-            tenants.add(new Tenant(String.valueOf(t.get("name")), Json.real(t, "share", 0)));
+    public static BalancerSettings read(long seed, Map<?, ?> settings) throws ConfigException {
+        try {
+            return convert(seed, settings);
+        } catch (IllegalArgumentException e) {
+            throw ConfigException.ofReason(SETTINGS, e.getMessage(), e);
         }
-        Map<?, ?> limits = Json.object(f, "policy_limits");
-        Map<?, ?> rules = Json.object(f, "rules");
-        LoadReportSource reports =
-                "answers".equals(Json.object(f, "report").get("source"))
-                        ? LoadReportSource.ANSWERS
-                        : LoadReportSource.NONE;
+    }
+
+    private static BalancerSettings convert(long seed, Map<?, ?> settings) throws ConfigException {
         return new BalancerSettings(
                 seed,
-                (int) Json.whole(f, "rank", 0),
-                (int) Json.whole(f, "replicas_of_me", 1),
-                (int) Json.whole(f, "zone", 0),
-                names(f, "zones"),
-                classes,
-                tenants,
-                Json.real(f, "over_share_worth", 1),
-                new ServiceLimits(
-                        (int) Json.whole(limits, "attempts_cap", 1),
-                        Json.flag(limits, "cancelling"),
-                        Json.flag(limits, "retry_after"),
-                        Json.whole(limits, "max_retry_after_us", 0),
-                        Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
-                        (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE)),
-                new FleetRules(
-                        Json.real(rules, "cold_from", 1),
-                        Json.whole(rules, "cold_us", 0),
-                        Json.whole(rules, "fall_us", 0),
-                        Json.whole(rules, "ask_every_us", 0)),
-                reports,
-                "ask".equals(f.get("discovery")),
-                Json.flag(Json.object(f, "domain"), "warm_keys"),
-                Json.whole(f, "tick_us", 1000));
+                (int) Json.whole(settings, "rank", 0),
+                (int) Json.whole(settings, "replicas_of_me", 1),
+                (int) Json.whole(settings, "zone", 0),
+                names(settings, "zones"),
+                requestClasses(settings),
+                tenants(settings),
+                Json.real(settings, "over_share_worth", 1),
+                serviceLimits(Json.object(settings, "policy_limits")),
+                fleetRules(Json.object(settings, "rules")),
+                loadReportSource(Json.object(settings, "report")),
+                "ask".equals(settings.get("discovery")),
+                Json.flag(Json.object(settings, "domain"), "warm_keys"),
+                Json.whole(settings, "tick_us", DEFAULT_TICK_MICROS));
     }
 
     /** A list of names; its order gives each its number. */
-    public static List<String> names(Map<?, ?> f, String name) {
+    public static List<String> names(Map<?, ?> settings, String key) {
         List<String> names = new ArrayList<>();
-        for (Object o : Json.array(f, name)) {
-            names.add(String.valueOf(o));
+        for (Object name : Json.array(settings, key)) {
+            names.add(String.valueOf(name));
         }
         return names;
     }
 
-    private static Map<?, ?> entry(Object o, String list) {
-        if (o instanceof Map<?, ?> m) {
-            return m;
+    private static List<RequestClass> requestClasses(Map<?, ?> settings) throws ConfigException {
+        List<RequestClass> classes = new ArrayList<>();
+        for (Object entry : Json.array(settings, CLASSES)) {
+            classes.add(requestClass(object(entry, CLASSES)));
+        }
+        return classes;
+    }
+
+    private static List<Tenant> tenants(Map<?, ?> settings) throws ConfigException {
+        List<Tenant> tenants = new ArrayList<>();
+        for (Object entry : Json.array(settings, TENANTS)) {
+            Map<?, ?> tenant = object(entry, TENANTS);
+            tenants.add(
+                    new Tenant(String.valueOf(tenant.get("name")), Json.real(tenant, "share", 0)));
+        }
+        return tenants;
+    }
+
+    private static Map<?, ?> object(Object entry, String list) throws ConfigException {
+        if (entry instanceof Map<?, ?> object) {
+            return object;
         }
-        throw new IllegalArgumentException("settings: '" + list + "' must hold objects");
+        throw invalid(list, "'" + list + "' must hold objects");
+    }
+
+    private static ServiceLimits serviceLimits(Map<?, ?> limits) {
+        return new ServiceLimits(
+                (int) Json.whole(limits, "attempts_cap", 1),
+                Json.flag(limits, "cancelling"),
+                Json.flag(limits, "retry_after"),
+                Json.whole(limits, "max_retry_after_us", 0),
+                Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
+                (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE));
+    }
+
+    private static FleetRules fleetRules(Map<?, ?> rules) {
+        return new FleetRules(
+                Json.real(rules, "cold_from", 1),
+                Json.whole(rules, "cold_us", 0),
+                Json.whole(rules, "fall_us", 0),
+                Json.whole(rules, "ask_every_us", 0));
+    }
+
+    private static LoadReportSource loadReportSource(Map<?, ?> report) {
+        return "answers".equals(report.get("source"))
+                ? LoadReportSource.ANSWERS
+                : LoadReportSource.NONE;
     }
 
-    private static RequestClass requestClass(Map<?, ?> c) {
-        Idempotency effect =
-                switch (String.valueOf(c.get("effect"))) {
-                    case "pure" -> Idempotency.IDEMPOTENT;
-                    case "token" -> Idempotency.IDEMPOTENCY_KEY;
-                    case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
-                    default ->
-                            throw new IllegalArgumentException(
-                                    "settings: unknown effect '" + c.get("effect") + "'");
-                };
-        DeduplicationScope group =
-                switch (String.valueOf(c.get("group"))) {
-                    case "zone" -> DeduplicationScope.ZONE;
-                    case "cell" -> DeduplicationScope.CELL;
-                    default -> DeduplicationScope.ALL;
-                };
+    private static RequestClass requestClass(Map<?, ?> requestClass) throws ConfigException {
         return new RequestClass(
-                String.valueOf(c.get("name")),
-                effect,
-                group,
-                Json.whole(c, "dedup_window_us", 0),
-                Json.whole(c, "aim_us", 0),
-                Json.whole(c, "deadline_us", 0),
-                Json.real(c, "worth", 1),
-                Json.real(c, "late_value", 0),
-                Json.flag(c, "streaming"));
+                String.valueOf(requestClass.get("name")),
+                idempotency(requestClass.get("effect")),
+                deduplicationScope(requestClass.get("group")),
+                Json.whole(requestClass, "dedup_window_us", 0),
+                Json.whole(requestClass, "aim_us", 0),
+                Json.whole(requestClass, "deadline_us", 0),
+                Json.real(requestClass, "worth", 1),
+                Json.real(requestClass, "late_value", 0),
+                Json.flag(requestClass, "streaming"));
+    }
+
+    private static Idempotency idempotency(Object effect) throws ConfigException {
+        return switch (String.valueOf(effect)) {
+            case "pure" -> Idempotency.IDEMPOTENT;
+            case "token" -> Idempotency.IDEMPOTENCY_KEY;
+            case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
+            default -> throw invalid(CLASSES + ".effect", "unknown effect '" + effect + "'");
+        };
+    }
+
+    private static DeduplicationScope deduplicationScope(Object group) {
+        return switch (String.valueOf(group)) {
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
+            default -> DeduplicationScope.ALL;
+        };
+    }
+
+    private static ConfigException invalid(String key, String reason) {
+        return ConfigException.ofReason(SETTINGS + "." + key, SETTINGS + ": " + reason, null);
     }
 }
--- a/sidecar/src/main/java/sagefall/config/Json.java
+++ b/sidecar/src/main/java/sagefall/config/Json.java
@@ -9,23 +9,28 @@
 import java.util.Map;
 
 /**
- * JSON as plain maps and lists, and look-ups that fall back where a value is missing or of another
- * type.
+ * JSON as plain maps and lists, for codecs only, and look-ups that fall back to a default where a
+ * value is absent or of another type. An integer is a {@link Long}, any other number a {@link
+ * Double}.
  */
 public final class Json {
 
     private Json() {}
 
-    /** Reads the object that the parser stands at. */
-    public static void readInto(JsonParser parser, Map<String, Object> into) throws IOException {
+    /** Reads the object whose start the parser is at; a repeated key replaces the value before. */
+    public static void readInto(JsonParser parser, Map<String, Object> object) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
-            String name = parser.currentName();
+            String key = parser.currentName();
             parser.nextToken();
-            into.put(name, value(parser));
+            object.put(key, value(parser));
         }
     }
 
-    /** Reads a text that holds one object and nothing else. */
+    /**
+     * Reads a text that holds one object and nothing else.
+     *
+     * @throws IOException if it holds anything else, with a reason for the user
+     */
     public static Map<String, Object> document(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new IOException("not a JSON object");
@@ -53,7 +58,7 @@
                 yield array;
             }
             case VALUE_STRING -> parser.getText();
-            // Past 64 bits it is not cut to another number but kept as a real one.
+            // One past 64 bits is not cut to another number but read as a floating-point one.
             case VALUE_NUMBER_INT ->
                     parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                             ? (Object) parser.getDoubleValue()
@@ -65,23 +70,28 @@
         };
     }
 
-    public static long whole(Map<?, ?> m, String name, long otherwise) {
-        return m.get(name) instanceof Number n ? n.longValue() : otherwise;
+    /** A number without its fraction; the default where there is none. */
+    public static long whole(Map<?, ?> object, String key, long defaultValue) {
+        return object.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    public static double real(Map<?, ?> m, String name, double otherwise) {
-        return m.get(name) instanceof Number n ? n.doubleValue() : otherwise;
+    /** A number; the default where there is none. */
+    public static double real(Map<?, ?> object, String key, double defaultValue) {
+        return object.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    public static boolean flag(Map<?, ?> m, String name) {
-        return Boolean.TRUE.equals(m.get(name));
+    /** Whether the value is {@code true}. */
+    public static boolean flag(Map<?, ?> object, String key) {
+        return Boolean.TRUE.equals(object.get(key));
     }
 
-    public static Map<?, ?> object(Map<?, ?> m, String name) {
-        return m.get(name) instanceof Map<?, ?> o ? o : Map.of();
+    /** An object; an empty one where there is none. */
+    public static Map<?, ?> object(Map<?, ?> object, String key) {
+        return object.get(key) instanceof Map<?, ?> inner ? inner : Map.of();
     }
 
-    public static List<?> array(Map<?, ?> m, String name) {
-        return m.get(name) instanceof List<?> a ? a : List.of();
+    /** An array; an empty one where there is none. */
+    public static List<?> array(Map<?, ?> object, String key) {
+        return object.get(key) instanceof List<?> array ? array : List.of();
     }
 }
--- a/sidecar/src/main/java/sagefall/config/LoadReportReader.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -3,62 +3,66 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
 import sagefall.balancer.api.LoadReport;
 
 /**
- * A server's word on its load, in the settings' names: as an object, or as the header of an answer.
+ * Reads an endpoint's report on its load, from an object or from the header of an answer; both have
+ * the same keys.
  */
 public final class LoadReportReader {
 
-    private static final String FORM = "TEXT ";
+    /** The one form of the header that is read; others are told apart by another first word. */
+    private static final String TEXT_FORM = "TEXT ";
 
-    private static final double MOST = 1e6;
+    /** A figure above this is no measurement but a fault of the sender. */
+    private static final double MAX_PLAUSIBLE = 1e6;
 
     private LoadReportReader() {}
 
-    /** The report in an object; what it lacks is unknown. */
-    public static LoadReport of(Map<?, ?> m) {
+    /** The report in an object; figures that it lacks are {@link Double#NaN}. */
+    public static LoadReport of(Map<?, ?> object) {
         return new LoadReport(
-                figure(m, "active"),
-                figure(m, "waiting"),
-                figure(m, "cpu"),
-                figure(m, "avg_ms"),
-                figure(m, "rps"),
-                figure(m, "err_rps"));
+                figure(object, "active"),
+                figure(object, "waiting"),
+                figure(object, "cpu"),
+                figure(object, "avg_ms"),
+                figure(object, "rps"),
+                figure(object, "err_rps"));
     }
 
-    private static double figure(Map<?, ?> m, String name) {
-        return Json.real(m, name, Double.NaN);
+    private static double figure(Map<?, ?> object, String key) {
+        return Json.real(object, key, Double.NaN);
     }
 
-    /** The first of the headers that can be read; a broken one may stand before it. */
+    /** The first of the headers that can be read; a broken one may come before it. */
     public static LoadReport parse(List<String> headers) {
-        return headers.stream()
-                .map(LoadReportReader::parse)
-                .filter(Objects::nonNull)
-                .findFirst()
-                .orElse(null);
+        for (String header : headers) {
+            LoadReport report = parse(header);
+            if (report != null) {
+                return report;
+            }
+        }
+        return null;
     }
 
     /**
-     * Reads {@code TEXT cpu=0.61, rps=140}; null where there is nothing to read. A server may be of
-     * another version or broken, so fields that are unknown, no numbers, below 0 or past belief are
-     * passed over: one of them in a mean would stay there.
+     * Reads {@code TEXT cpu=0.61, rps=140}; null where nothing can be read. A server may be of
+     * another version or broken, so fields that are unknown, not numbers, negative or implausible
+     * are ignored: one of them in a mean would stay there.
      */
     public static LoadReport parse(String header) {
-        if (header == null || !header.startsWith(FORM)) {
+        if (header == null || !header.startsWith(TEXT_FORM)) {
             return null;
         }
-        Map<String, Double> fields = new HashMap<>();
-        for (String field : header.substring(FORM.length()).split(",", 0)) {
+        Map<String, Double> figures = new HashMap<>();
+        for (String field : header.substring(TEXT_FORM.length()).split(",", 0)) {
             int equals = field.indexOf('=');
             double value = equals < 0 ? Double.NaN : number(field.substring(equals + 1).trim());
-            if (value >= 0 && value <= MOST) {
-                fields.put(field.substring(0, equals).trim(), value);
+            if (value >= 0 && value <= MAX_PLAUSIBLE) {
+                figures.put(field.substring(0, equals).trim(), value);
             }
         }
-        return fields.isEmpty() ? null : of(fields);
+        return figures.isEmpty() ? null : of(figures);
     }
 
     private static double number(String text) {
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
@@ -0,0 +1,138 @@
+package sagefall.config;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Map;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.ServiceLimits;
+import sagefall.discovery.EndpointList;
+import sagefall.discovery.EndpointListCodec;
+
+/**
+ * Reads the platform's configuration file; the one place that knows its keys and which variable of
+ * the environment goes before which key.
+ */
+final class SidecarConfigReader {
+
+    static final String DISCOVERY_VARIABLE = "LB_DISCOVERY";
+
+    private static final String NAME_VARIABLE = "LB_NAME";
+    private static final String LISTEN_VARIABLE = "LB_LISTEN";
+    private static final String SETTINGS = "settings";
+    private static final String SOCKETS = "sockets";
+    private static final String SEED = "seed";
+    private static final int HEX = 16;
+    private static final long DEFAULT_SOCKETS = 1024;
+    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
+
+    private final Map<?, ?> root;
+    private final Map<String, String> environment;
+
+    private SidecarConfigReader(Map<?, ?> root, Map<String, String> environment) {
+        this.root = root;
+        this.environment = environment;
+    }
+
+    /** Reads the file; the extensions are not read. */
+    static SidecarConfig read(String file, Map<String, String> environment) throws ConfigException {
+        return JsonFile.read(
+                file,
+                new JsonFactory(),
+                object -> new SidecarConfigReader(object, environment).convert());
+    }
+
+    private SidecarConfig convert() throws IOException {
+        if (!(root.get(SETTINGS) instanceof Map<?, ?> settingsObject)) {
+            throw ConfigException.ofKey(SETTINGS, "is missing");
+        }
+        EndpointListCodec codec =
+                new EndpointListCodec(
+                        BalancerSettingsReader.names(settingsObject, "zones"),
+                        BalancerSettingsReader.names(settingsObject, "models"));
+        EndpointList known = knownEndpoints(codec);
+        int sockets = sockets();
+        String name = string("name", NAME_VARIABLE);
+        InetSocketAddress listen = address("listen", LISTEN_VARIABLE);
+        InetSocketAddress discovery = address("discovery", DISCOVERY_VARIABLE);
+        BalancerSettings settings = BalancerSettingsReader.read(seed(), settingsObject);
+        return new SidecarConfig(
+                name,
+                listen,
+                discovery,
+                sockets,
+                onSockets(settings, new DescriptorBudget(sockets)),
+                Json.whole(
+                        Json.object(settingsObject, "policy_limits"),
+                        "connect_timeout_us",
+                        DEFAULT_CONNECT_TIMEOUT_MICROS),
+                known,
+                codec,
+                Extensions.NONE);
+    }
+
+    private EndpointList knownEndpoints(EndpointListCodec codec) throws IOException {
+        return root.get("known") instanceof Map<?, ?> list
+                ? codec.read(list)
+                : new EndpointList(0, true, List.of());
+    }
+
+    private int sockets() throws ConfigException {
+        long configured = Json.whole(Json.object(root, "limits"), SOCKETS, DEFAULT_SOCKETS);
+        int sockets = (int) Math.min(DescriptorBudget.MAXIMUM, configured);
+        if (sockets < DescriptorBudget.MINIMUM) {
+            throw ConfigException.ofKey(
+                    SOCKETS, "must be " + DescriptorBudget.MINIMUM + " or more");
+        }
+        return sockets;
+    }
+
+    /**
+     * The settings with the limits that hold on sockets. Servers close what has been idle for the
+     * site's time, and a request written to such a connection is lost: the pool closes well before,
+     * after two thirds of it. A rejection may always carry a Retry-After: the setting speaks of the
+     * simulator's wire.
+     */
+    private static BalancerSettings onSockets(BalancerSettings settings, DescriptorBudget budget) {
+        ServiceLimits limits = settings.limits();
+        ServiceLimits onSockets =
+                new ServiceLimits(
+                        limits.maxAttempts(),
+                        limits.cancellationAllowed(),
+                        true,
+                        limits.maxRetryAfterMicros(),
+                        limits.idleTimeoutMicros() / 3 * 2,
+                        Math.min(limits.maxOpenRequests(), budget.maxOpenRequests()));
+        return SidecarConfig.copy(settings, onSockets, settings.pollsDiscovery());
+    }
+
+    private InetSocketAddress address(String key, String variable) throws ConfigException {
+        String text = string(key, variable);
+        try {
+            return SocketAddresses.parse(text);
+        } catch (IllegalArgumentException e) {
+            throw ConfigException.ofReason(key, e.getMessage(), e);
+        }
+    }
+
+    private String string(String key, String variable) throws ConfigException {
+        String override = environment.get(variable);
+        return override != null && !override.isEmpty() ? override : string(key);
+    }
+
+    private String string(String key) throws ConfigException {
+        if (root.get(key) instanceof String string && !string.isEmpty()) {
+            return string;
+        }
+        throw ConfigException.ofKey(key, "is missing");
+    }
+
+    private long seed() throws ConfigException {
+        try {
+            return Long.parseUnsignedLong(string(SEED), HEX);
+        } catch (NumberFormatException e) {
+            throw ConfigException.ofKey(SEED, "must be up to 16 hex digits");
+        }
+    }
+}
--- a/sidecar/src/main/java/sagefall/config/SocketAddresses.java
+++ b/sidecar/src/main/java/sagefall/config/SocketAddresses.java
@@ -6,25 +6,27 @@
 import java.net.UnknownHostException;
 
 /**
- * Reads {@code address:port}. There is no DNS, and a look-up would block the loop: literals only.
+ * Socket addresses as text, {@code address:port}. Literals only: there is no DNS, and a look-up
+ * would block the event loop.
  */
 public final class SocketAddresses {
 
+    private static final int MAX_PORT = 65_535;
+    private static final int NO_PORT = -1;
+
     private SocketAddresses() {}
 
+    /**
+     * Parses an address and a port.
+     *
+     * @throws IllegalArgumentException if the text is neither an IPv4 nor an IPv6 literal with a
+     *     port; the message quotes it
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] address =
-                colon < 0
-                        ? null
-                        : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-        int port = -1;
-        try {
-            port = Integer.parseInt(text.substring(colon + 1));
-        } catch (NumberFormatException e) {
-            port = -1;
-        }
-        if (address == null || port < 0 || port > 65_535) {
+        byte[] address = colon < 0 ? null : addressBytes(text.substring(0, colon));
+        int port = port(text.substring(colon + 1));
+        if (address == null || port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("'" + text + "' is not an address and a port");
         }
         try {
@@ -34,6 +36,19 @@
         }
     }
 
+    private static byte[] addressBytes(String literal) {
+        return NetUtil.createByteArrayFromIpAddressString(literal);
+    }
+
+    private static int port(String text) {
+        try {
+            return Integer.parseInt(text);
+        } catch (NumberFormatException e) {
+            return NO_PORT;
+        }
+    }
+
+    /** Formats an address such that {@link #parse} reads it. */
     public static String text(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -15,6 +15,7 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.Request;
 import sagefall.config.BalancerSettingsReader;
+import sagefall.config.ConfigException;
 import sagefall.config.Json;
 import sagefall.config.LoadReportReader;
 
@@ -149,7 +150,7 @@
         return servers;
     }
 
-    BalancerSettings settings() throws MalformedMessageException {
+    BalancerSettings settings() throws MalformedMessageException, ConfigException {
         if (!(values.get("facts") instanceof Map<?, ?> f)) {
             throw bad("facts", "an object");
         }
--- a/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
@@ -17,6 +17,7 @@
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.LoadBalancer;
+import sagefall.config.ConfigException;
 
 /**
  * Hosts one {@link DefaultLoadBalancer} for each sidecar and speaks the simulator's wire. It
@@ -68,6 +69,9 @@
             errors.println("sagefall: " + e.getMessage());
         } catch (JsonParseException e) {
             errors.println("sagefall: not JSON: " + oneLine(e.getOriginalMessage()));
+        } catch (ConfigException e) {
+            errors.println(
+                    "sagefall: bad settings or event: " + oneLine(String.valueOf(e.getMessage())));
         } catch (IOException e) {
             errors.println("sagefall: " + oneLine(String.valueOf(e.getMessage())));
         } catch (IllegalArgumentException e) {
@@ -159,7 +163,7 @@
     }
 
     private void event(long now, String who, MessageWriter replies)
-            throws MalformedMessageException {
+            throws MalformedMessageException, ConfigException {
         String op = fields.text("op");
         if (op.equals("Pool")) {
             lists.set(table(), List.copyOf(fields.rows()));
--- a/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -1,14 +1,22 @@
 package sagefall.config;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import sagefall.proxy.SidecarHarness;
 
-/** What the limits that a sidecar is told turn into. */
+/** What the configuration turns into, and the one line for each that cannot be used. */
 class SidecarConfigTest {
 
     @TempDir Path folder;
@@ -31,4 +39,80 @@
                     config.serverConnections() + config.clientConnections() + 16 <= sockets, "all");
         }
     }
+
+    private ConfigException readFails(String quoted) throws IOException {
+        Path file = folder.resolve("config.json");
+        Files.writeString(file, SidecarHarness.json(quoted));
+        ConfigException e =
+                assertThrows(
+                        ConfigException.class,
+                        () -> SidecarConfig.read(Map.of("LB_CONFIG", file.toString())));
+        assertEquals(file.toString(), e.file());
+        return e;
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            nullValues = "-",
+            value = {
+                "nonsense | - | not JSON: Unrecognized token 'nonsense'",
+                "[] | - | not a JSON object",
+                "{} {} | - | more than one JSON value",
+                "{} | settings | 'settings' is missing",
+                "{'settings':{},'limits':{'sockets':5}} | sockets | 'sockets' must be 128 or more",
+                "{'settings':{}} | name | 'name' is missing",
+                "{'settings':{},'name':'n','listen':'here:1'} | listen | 'here:1' is not an address"
+                        + " and a port",
+                "{'settings':{},'name':'n','listen':'::1:8'} | discovery | 'discovery' is missing",
+                "{'settings':{},'name':'n','listen':'::1:8','discovery':'1.1.1.1:1','seed':'x'}"
+                        + " | seed | 'seed' must be up to 16 hex digits",
+                "{'settings':{},'name':'n','listen':'::1:8','discovery':'1.1.1.1:1','seed':'a'}"
+                        + " | settings | settings: there are no request classes",
+                "{'settings':{'classes':[{'effect':'x'}]},'name':'n','listen':'::1:8',"
+                        + "'discovery':'1.1.1.1:1','seed':'a'}"
+                        + " | settings.classes.effect | settings: unknown effect 'x'",
+                "{'settings':{'tenants':[7]},'name':'n','listen':'::1:8',"
+                        + "'discovery':'1.1.1.1:1','seed':'a'}"
+                        + " | settings.tenants | settings: 'tenants' must hold objects",
+                "{'settings':{},'known':{}} | - | a list without 'rev', 'all' or 'targets'",
+            })
+    void unusableFileIsAnErrorWithFileKeyAndReason(String quoted, String key, String line)
+            throws Exception {
+        ConfigException e = readFails(quoted);
+        assertEquals(key, e.keyPath());
+        String expected = e.file() + ": " + line;
+        assertEquals(
+                expected,
+                e.getMessage().replace('"', '\'').substring(0, expected.length()),
+                e.getMessage());
+    }
+
+    @Test
+    void missingFileIsNamed() {
+        String file = folder.resolve("none.json").toString();
+        ConfigException e =
+                assertThrows(
+                        ConfigException.class, () -> SidecarConfig.read(Map.of("LB_CONFIG", file)));
+        assertEquals(file + ": can't be read", e.getMessage());
+        assertEquals(
+                "LB_CONFIG names no file",
+                assertThrows(ConfigException.class, () -> SidecarConfig.read(Map.of()))
+                        .getMessage());
+    }
+
+    @Test
+    void unknownExtensionIsNamedWithItsPath() throws Exception {
+        Path file = folder.resolve("extensions.json");
+        Files.writeString(file, "{\"recovery\":{\"directory\":\"/a\",\"extra\":1}}");
+        ConfigException e =
+                assertThrows(
+                        ConfigException.class,
+                        () -> Extensions.read(Map.of("LB_EXTENSIONS", file.toString()), List.of()));
+        assertEquals(file + ": extensions.recovery.extra: unknown name", e.getMessage());
+        assertEquals("extensions.recovery.extra", e.keyPath());
+        assertEquals("unknown name", e.reason());
+        assertEquals(file.toString(), e.file());
+    }
 }
--- /dev/null
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -0,0 +1,69 @@
+package sagefall.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import sagefall.balancer.api.EndpointPhase;
+import sagefall.balancer.api.ListedEndpoint;
+
+/** Discovery's form of a list, key by key, and what becomes of a list that is malformed. */
+class EndpointListCodecTest {
+
+    /** Lists that may be asked for null, as those that the configuration makes. */
+    private final EndpointListCodec codec =
+            new EndpointListCodec(Arrays.asList("north", "south"), Arrays.asList("small", "large"));
+
+    private EndpointList read(String quoted) throws IOException {
+        return codec.read(quoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void eachKeyIsRead() throws Exception {
+        EndpointList list =
+                read(
+                        "{'rev':7,'all':false,'targets':[{'uid':'s-1','endpoint':'127.0.0.1:81',"
+                                + "'az':'south','model':'large','pod_group':4,"
+                                + "'state':'terminating','boot_ms':12,'capacity_hint':0.5,"
+                                + "'unknown':{}}]}");
+        assertEquals(7, list.revision());
+        assertFalse(list.complete());
+        assertEquals(
+                List.of(
+                        new ListedEndpoint(
+                                StableIds.of("s-1"), 1, 1, 4, EndpointPhase.DRAINING, 12_000, 0.5)),
+                list.servers());
+        assertEquals("/127.0.0.1:81", list.entries().get(0).address().toString());
+    }
+
+    @Test
+    void idsOfServersAreTheSameInEachVersion() {
+        assertEquals(0x4bf29ce484222325L, StableIds.of(""));
+        assertEquals(0x2f63dc4c8601ec8cL, StableIds.of("a"));
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "{'all':true,'targets':[]} | a list without 'rev', 'all' or 'targets'",
+                "{'rev':1,'all':true,'targets':[{'uid':'a'}]} | a target without 'uid' or"
+                        + " 'endpoint'",
+                "{'rev':1,'all':true,'targets':[{'uid':'a','endpoint':'1.1.1.1:1',"
+                        + "'state':'lost'}]} | unknown state 'lost'",
+                "{'rev':1,'all':true,'targets':[{'uid':'a','endpoint':'name:1',"
+                        + "'state':'in_service'}]} | 'name:1' is not an address and a port",
+            })
+    void malformedListIsRejectedWhole(String quoted, String message) {
+        IOException e = assertThrows(IOException.class, () -> read(quoted));
+        assertEquals(message, e.getMessage().replace('"', '\''));
+    }
+}
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -15,7 +15,6 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.RequestClass;
-import sagefall.config.BalancerSettingsReader;
 import sagefall.emulator.ClientRequest.Attempt;
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
@@ -76,7 +75,7 @@
         first = fleet.first();
         first.forEach(s -> servers.put(s.id, s));
         facts = SettingsMessage.of(scenario);
-        BalancerSettings settings = BalancerSettingsReader.read(0, facts(0));
+        BalancerSettings settings = SettingsMessage.parse(0, facts(0));
         requestClass = settings.classes().get(0);
         rules =
                 new InvariantChecker(
@@ -323,7 +322,7 @@
     public LoadBalancer module(EmulatedSidecar s) {
         long salt = seeds.nextLong() >>> 1;
         Map<String, Object> mine = facts(s.index());
-        return policy.create(BalancerSettingsReader.read(salt, mine), mine, s, this::answerMicros);
+        return policy.create(SettingsMessage.parse(salt, mine), mine, s, this::answerMicros);
     }
 
     /** What an oracle may know. */
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -3,6 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.config.BalancerSettingsReader;
+import sagefall.config.ConfigException;
 import sagefall.scenario.Scenario;
 
 /** The settings of a scenario as an instance is told them, in the words of the wire. */
@@ -10,6 +13,19 @@
 
     private SettingsMessage() {}
 
+    /**
+     * The settings that a message of this class spells.
+     *
+     * @throws IllegalArgumentException if the scenario's figures make no settings
+     */
+    public static BalancerSettings parse(long seed, Map<String, Object> message) {
+        try {
+            return BalancerSettingsReader.read(seed, message);
+        } catch (ConfigException e) {
+            throw new IllegalArgumentException(e.getMessage(), e);
+        }
+    }
+
     private static long micros(double millis) {
         return (long) (1000 * millis);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -30,7 +30,6 @@
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.RequestClass;
-import sagefall.config.BalancerSettingsReader;
 import sagefall.emulator.ClientTraffic;
 import sagefall.emulator.EmulatedDiscovery;
 import sagefall.emulator.EmulatedNetwork;
@@ -127,7 +126,7 @@
         Map<String, Object> facts = SettingsMessage.of(scenario);
         facts.put("rank", 0L);
         facts.put("zone", 0L);
-        requestClass = BalancerSettingsReader.read(0, facts).classes().get(0);
+        requestClass = SettingsMessage.parse(0, facts).classes().get(0);
         ledger =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
