--- /dev/null
+++ b/sidecar/src/main/java/sagefall/package-info.java
@@ -0,0 +1,2 @@
+/** The product's entry point; everything else is in the packages below. */
+package sagefall;
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import sagefall.balancer.api.AttemptOutcome;
@@ -19,141 +18,184 @@
 import sagefall.config.Json;
 import sagefall.config.LoadReportReader;
 
-/** The fields of one message, read in one pass and turned into the library's types. */
+/** Decodes the simulator's messages. */
 final class MessageReader {
 
-    private final Map<String, Object> values = new LinkedHashMap<>();
+    /** Tables that endpoint lists may refer to. */
+    static final int TABLES = 16;
 
-    /** Reads the object that the parser stands at. */
-    void read(JsonParser parser) throws IOException {
-        values.clear();
-        Json.readInto(parser, values);
-    }
+    private static final long NO_KEY = -1;
+
+    /**
+     * Whom a message is for. Checked before the fields of the message are, so that of two faults
+     * the address is the one that is named.
+     */
+    interface Recipient {
+        /** Fails unless the group names an instance. */
+        void requireName() throws MalformedMessageException;
 
-    private MalformedMessageException bad(String name, String want) {
-        Object op = values.get("op");
-        return new MalformedMessageException(
-                (op instanceof String s ? s : "event")
-                        + ": '"
-                        + name
-                        + "' "
-                        + (values.get(name) == null ? "is missing" : "must be " + want));
+        /** Fails unless that instance runs. */
+        void requireInstance(String operation) throws MalformedMessageException;
     }
 
-    String text(String name) throws MalformedMessageException {
-        if (values.get(name) instanceof String s) {
-            return s;
+    private final MessageFields fields = new MessageFields();
+
+    /** Decodes the message whose start the parser is at. */
+    SimulatorMessage read(JsonParser parser, Recipient recipient)
+            throws IOException, MalformedMessageException {
+        fields.read(parser);
+        String operation = fields.string(WireNames.OPERATION);
+        if (operation.equals(WireNames.POOL)) {
+            return new SimulatorMessage.PoolUpdate(table(), endpoints());
         }
-        throw bad(name, "a text");
+        recipient.requireName();
+        if (operation.equals(WireNames.START)) {
+            return new SimulatorMessage.InstanceStart(settings());
+        }
+        recipient.requireInstance(operation);
+        return switch (operation) {
+            case WireNames.POWER_OFF -> new SimulatorMessage.InstanceStop();
+            case WireNames.ENDPOINTS -> endpointList();
+            case WireNames.CALL -> new SimulatorMessage.RequestArrival(request());
+            case WireNames.ESTABLISHED -> streamStart();
+            case WireNames.RESPONSE -> new SimulatorMessage.AttemptEnd(outcome());
+            case WireNames.CLIENT_LEFT ->
+                    new SimulatorMessage.ClientDisconnect(fields.string(WireNames.REQUEST_ID));
+            case WireNames.DEADLINE_HIT ->
+                    new SimulatorMessage.TimerExpiry(fields.integer(WireNames.TIMER_TOKEN));
+            case WireNames.CHECK_RESULT, WireNames.PEER -> new SimulatorMessage.Ignored();
+            default ->
+                    throw MalformedMessageException.ofReason(
+                            operation, WireNames.OPERATION, "unknown op '" + operation + "'");
+        };
     }
 
-    long number(String name) throws MalformedMessageException {
-        if (values.get(name) instanceof Long n) {
-            return n;
-        }
-        throw bad(name, "a whole number");
+    private BalancerSettings settings() throws MalformedMessageException, ConfigException {
+        Map<?, ?> settings = fields.object(WireNames.SETTINGS);
+        return BalancerSettingsReader.read(fields.integer(WireNames.SEED), settings);
     }
 
-    private long number(String name, long otherwise) throws MalformedMessageException {
-        return values.get(name) == null ? otherwise : number(name);
+    private int table() throws MalformedMessageException {
+        long table = fields.integer(WireNames.TABLE);
+        if (table < 0 || table >= TABLES) {
+            throw MalformedMessageException.ofReason(
+                    fields.string(WireNames.OPERATION),
+                    WireNames.TABLE,
+                    "table " + table + " is not between 0 and " + (TABLES - 1));
+        }
+        return (int) table;
     }
 
-    private boolean flag(String name) {
-        return Boolean.TRUE.equals(values.get(name));
+    private SimulatorMessage endpointList() throws MalformedMessageException {
+        EndpointListKind kind = listKind();
+        return kind == EndpointListKind.FAILED
+                ? new SimulatorMessage.EndpointListFailure()
+                : new SimulatorMessage.EndpointListUpdate(kind, table());
     }
 
-    EndpointListKind listKind() throws MalformedMessageException {
-        String how = text("how");
-        return switch (how) {
+    private EndpointListKind listKind() throws MalformedMessageException {
+        String kind = fields.string(WireNames.LIST_KIND);
+        return switch (kind) {
             case "diff" -> EndpointListKind.CHANGES;
             case "snapshot" -> EndpointListKind.COMPLETE;
             case "disk" -> EndpointListKind.CACHED;
             case "error" -> EndpointListKind.FAILED;
             default ->
-                    throw new MalformedMessageException(
-                            "Endpoints: unknown list kind '" + how + "'");
+                    throw MalformedMessageException.ofOperation(
+                            WireNames.ENDPOINTS,
+                            WireNames.LIST_KIND,
+                            "unknown list kind '" + kind + "'");
         };
     }
 
-    AttemptResult result() throws MalformedMessageException {
-        String verdict = text("verdict");
-        return switch (verdict) {
-            case "OK" -> AttemptResult.SERVED;
-            case "INTERNAL" -> AttemptResult.ERROR;
-            case "RESOURCE_EXHAUSTED" -> AttemptResult.REJECTED;
-            case "DEADLINE_EXCEEDED" -> AttemptResult.TIMED_OUT;
-            case "UNAVAILABLE" -> AttemptResult.NO_CONNECTION;
-            case "ABORTED" -> AttemptResult.BROKEN;
-            case "CANCELLED" -> AttemptResult.CANCELLED;
-            case "TOO_LATE" -> AttemptResult.NOT_SENT;
-            default -> throw new MalformedMessageException("unknown verdict '" + verdict + "'");
+    private List<ListedEndpoint> endpoints() throws MalformedMessageException {
+        List<?> rows = fields.array(WireNames.ROWS);
+        List<ListedEndpoint> endpoints = new ArrayList<>(rows.size());
+        for (Object row : rows) {
+            endpoints.add(endpoint(row));
+        }
+        return List.copyOf(endpoints);
+    }
+
+    private static ListedEndpoint endpoint(Object row) throws MalformedMessageException {
+        if (!(row instanceof Map<?, ?> object)
+                || !(object.get(WireNames.ENDPOINT) instanceof Long id)) {
+            throw MalformedMessageException.ofOperation(
+                    WireNames.POOL, WireNames.ENDPOINT, "an entry without a 'server'");
+        }
+        EndpointPhase phase = phase(object.get(WireNames.PHASE));
+        return new ListedEndpoint(
+                id,
+                (int) Json.whole(object, WireNames.ZONE, 0),
+                (int) Json.whole(object, WireNames.MODEL, 0),
+                (int) Json.whole(object, WireNames.CELL, 0),
+                phase,
+                Json.whole(object, WireNames.START_TIME, 0),
+                Json.real(object, WireNames.WEIGHT, 1));
+    }
+
+    private static EndpointPhase phase(Object status) throws MalformedMessageException {
+        return switch (String.valueOf(status)) {
+            case "SERVING" -> EndpointPhase.READY;
+            case "DRAINING" -> EndpointPhase.DRAINING;
+            case "DELETED" -> EndpointPhase.REMOVED;
+            default ->
+                    throw MalformedMessageException.ofOperation(
+                            WireNames.POOL, WireNames.PHASE, "unknown status '" + status + "'");
         };
     }
 
-    Request request() throws MalformedMessageException {
+    private Request request() throws MalformedMessageException {
         return new Request(
-                text("ticket"),
-                (int) number("type"),
-                (int) number("client_group", 0),
-                flag("repeat"),
-                number("target_key", -1),
-                number("drop_dead_us"),
-                flag("mutates"));
+                fields.string(WireNames.REQUEST_ID),
+                (int) fields.integer(WireNames.REQUEST_CLASS),
+                (int) fields.integer(WireNames.TENANT, 0),
+                fields.isTrue(WireNames.REPEAT),
+                fields.integer(WireNames.KEY, NO_KEY),
+                fields.integer(WireNames.DEADLINE),
+                fields.isTrue(WireNames.MUTATES));
     }
 
-    AttemptOutcome outcome() throws MalformedMessageException {
-        return new AttemptOutcome(
-                text("ticket"),
-                (int) number("go"),
-                number("server"),
-                result(),
-                number("cost_time_us"),
-                flag("terminal"),
-                report());
+    private SimulatorMessage streamStart() throws MalformedMessageException {
+        return new SimulatorMessage.StreamStart(
+                fields.string(WireNames.REQUEST_ID),
+                (int) fields.integer(WireNames.ATTEMPT),
+                fields.integer(WireNames.ENDPOINT),
+                fields.integer(WireNames.ELAPSED));
     }
 
-    LoadReport report() {
-        if (!(values.get("server_stats") instanceof Map<?, ?> m)) {
-            return null;
-        }
-        return LoadReportReader.of(m);
+    private AttemptOutcome outcome() throws MalformedMessageException {
+        return new AttemptOutcome(
+                fields.string(WireNames.REQUEST_ID),
+                (int) fields.integer(WireNames.ATTEMPT),
+                fields.integer(WireNames.ENDPOINT),
+                result(),
+                fields.integer(WireNames.ELAPSED),
+                fields.isTrue(WireNames.FINAL),
+                loadReport());
     }
 
-    List<ListedEndpoint> rows() throws MalformedMessageException {
-        if (!(values.get("rows") instanceof List<?> rows)) {
-            throw bad("rows", "an array");
-        }
-        List<ListedEndpoint> servers = new ArrayList<>(rows.size());
-        for (Object row : rows) {
-            if (!(row instanceof Map<?, ?> m) || !(m.get("server") instanceof Long id)) {
-                throw new MalformedMessageException("Pool: an entry without a 'server'");
-            }
-            EndpointPhase phase =
-                    switch (String.valueOf(m.get("status"))) {
-                        case "SERVING" -> EndpointPhase.READY;
-                        case "DRAINING" -> EndpointPhase.DRAINING;
-                        case "DELETED" -> EndpointPhase.REMOVED;
-                        default ->
-                                throw new MalformedMessageException(
-                                        "Pool: unknown status '" + m.get("status") + "'");
-                    };
-            servers.add(
-                    new ListedEndpoint(
-                            id,
-                            (int) Json.whole(m, "failure_domain", 0),
-                            (int) Json.whole(m, "sku", 0),
-                            (int) Json.whole(m, "group", 0),
-                            phase,
-                            Json.whole(m, "start_time_us", 0),
-                            Json.real(m, "share", 1)));
-        }
-        return servers;
+    private AttemptResult result() throws MalformedMessageException {
+        String result = fields.string(WireNames.RESULT);
+        return switch (result) {
+            case "OK" -> AttemptResult.SERVED;
+            case "INTERNAL" -> AttemptResult.ERROR;
+            case "RESOURCE_EXHAUSTED" -> AttemptResult.REJECTED;
+            case "DEADLINE_EXCEEDED" -> AttemptResult.TIMED_OUT;
+            case "UNAVAILABLE" -> AttemptResult.NO_CONNECTION;
+            case "ABORTED" -> AttemptResult.BROKEN;
+            case "CANCELLED" -> AttemptResult.CANCELLED;
+            case "TOO_LATE" -> AttemptResult.NOT_SENT;
+            default ->
+                    throw MalformedMessageException.ofReason(
+                            WireNames.RESPONSE,
+                            WireNames.RESULT,
+                            "unknown verdict '" + result + "'");
+        };
     }
 
-    BalancerSettings settings() throws MalformedMessageException, ConfigException {
-        if (!(values.get("facts") instanceof Map<?, ?> f)) {
-            throw bad("facts", "an object");
-        }
-        return BalancerSettingsReader.read(number("salt"), f);
+    private LoadReport loadReport() {
+        Map<?, ?> report = fields.objectOrNull(WireNames.LOAD_REPORT);
+        return report == null ? null : LoadReportReader.of(report);
     }
 }
--- a/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
@@ -6,68 +6,80 @@
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.RejectionReason;
 
-/** Writes the actions of a batch as they come; a group is opened only once it holds something. */
+/**
+ * Encodes the actions of a batch as they come, with a group for each run of actions of one
+ * instance. A group is begun only once it has an action. The wire has no field for the reason of a
+ * rejection.
+ */
 final class MessageWriter implements BalancerActions {
 
-    private final JsonGenerator out;
+    private final JsonGenerator json;
+
+    /** Whose actions come now. */
     private String instance;
-    private boolean opened;
-    private boolean begun;
 
-    MessageWriter(JsonGenerator out) {
-        this.out = out;
+    private boolean groupBegun;
+    private boolean replyBegun;
+
+    MessageWriter(JsonGenerator json) {
+        this.json = json;
     }
 
-    private interface Body {
+    /** Writes the fields of an action behind its operation. */
+    private interface ActionFields {
         void write() throws IOException;
     }
 
     /** From here on, actions are those of this instance. */
-    void instance(String name) throws IOException {
-        closeGroup();
+    void beginInstance(String name) throws IOException {
+        endGroup();
         instance = name;
     }
 
-    /** Ends the reply and sends it off. */
-    void finish() throws IOException {
-        closeGroup();
-        begin();
-        out.writeEndArray();
-        out.writeEndObject();
-        out.writeRaw('\n');
-        out.flush();
-        begun = false;
+    /** Ends the reply to a batch and flushes it. */
+    void endReply() throws IOException {
+        endGroup();
+        beginReply();
+        json.writeEndArray();
+        json.writeEndObject();
+        json.writeRaw('\n');
+        json.flush();
+        replyBegun = false;
+    }
+
+    private void beginReply() throws IOException {
+        if (!replyBegun) {
+            replyBegun = true;
+            json.writeStartObject();
+            json.writeArrayFieldStart(WireNames.GROUPS);
+        }
     }
 
-    private void begin() throws IOException {
-        if (!begun) {
-            begun = true;
-            out.writeStartObject();
-            out.writeArrayFieldStart("groups");
+    private void beginGroup() throws IOException {
+        if (!groupBegun) {
+            groupBegun = true;
+            json.writeStartObject();
+            json.writeStringField(WireNames.INSTANCE, instance);
+            json.writeArrayFieldStart(WireNames.ACTIONS);
         }
     }
 
-    private void closeGroup() throws IOException {
-        if (opened) {
-            opened = false;
-            out.writeEndArray();
-            out.writeEndObject();
+    private void endGroup() throws IOException {
+        if (groupBegun) {
+            groupBegun = false;
+            json.writeEndArray();
+            json.writeEndObject();
         }
     }
 
-    private void action(String op, Body body) {
+    private void action(String operation, ActionFields fields) {
         try {
-            begin();
-            if (!opened) {
-                opened = true;
-                out.writeStartObject();
-                out.writeStringField("who", instance);
-                out.writeArrayFieldStart("output");
-            }
-            out.writeStartObject();
-            out.writeStringField("op", op);
-            body.write();
-            out.writeEndObject();
+            beginReply();
+            beginGroup();
+            json.writeStartObject();
+            json.writeStringField(WireNames.OPERATION, operation);
+            fields.write();
+            json.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -76,12 +88,12 @@
     @Override
     public void send(String requestId, long server, long timeoutMicros, long latestMicros) {
         action(
-                "Place",
+                WireNames.PLACE,
                 () -> {
-                    out.writeStringField("ticket", requestId);
-                    out.writeNumberField("server", server);
+                    json.writeStringField(WireNames.REQUEST_ID, requestId);
+                    json.writeNumberField(WireNames.ENDPOINT, server);
                     if (timeoutMicros != 0) {
-                        out.writeNumberField("give_up_after_us", timeoutMicros);
+                        json.writeNumberField(WireNames.ATTEMPT_TIMEOUT, timeoutMicros);
                     }
                 });
     }
@@ -89,52 +101,54 @@
     @Override
     public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
         action(
-                "PushBack",
+                WireNames.PUSH_BACK,
                 () -> {
-                    out.writeStringField("ticket", requestId);
+                    json.writeStringField(WireNames.REQUEST_ID, requestId);
                     if (retryAfterMicros > 0) {
-                        out.writeNumberField("retry_in_us", retryAfterMicros);
+                        json.writeNumberField(WireNames.RETRY_AFTER, retryAfterMicros);
                     }
                 });
     }
 
     @Override
     public void fail(String requestId, RejectionReason why) {
-        action("ReportFailure", () -> out.writeStringField("ticket", requestId));
+        action(
+                WireNames.REPORT_FAILURE,
+                () -> json.writeStringField(WireNames.REQUEST_ID, requestId));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
         action(
-                "DropAttempt",
+                WireNames.DROP_ATTEMPT,
                 () -> {
-                    out.writeStringField("ticket", requestId);
-                    out.writeNumberField("go", attempt);
+                    json.writeStringField(WireNames.REQUEST_ID, requestId);
+                    json.writeNumberField(WireNames.ATTEMPT, attempt);
                 });
     }
 
     @Override
     public void scheduleTimer(long atMicros, long token) {
         action(
-                "Defer",
+                WireNames.DEFER,
                 () -> {
-                    out.writeNumberField("time_us", atMicros);
-                    out.writeNumberField("handle", token);
+                    json.writeNumberField(WireNames.TIMER_TIME, atMicros);
+                    json.writeNumberField(WireNames.TIMER_TOKEN, token);
                 });
     }
 
     @Override
     public void closeIdleConnections(long server) {
-        action("LetGo", () -> out.writeNumberField("server", server));
+        action(WireNames.LET_GO, () -> json.writeNumberField(WireNames.ENDPOINT, server));
     }
 
     @Override
     public void requestEndpointUpdates() {
-        action("Subscribe", () -> out.writeBooleanField("want", true));
+        action(WireNames.SUBSCRIBE, () -> json.writeBooleanField(WireNames.WANTED, true));
     }
 
     @Override
     public void log(String line) {
-        action("Print", () -> out.writeStringField("what", line));
+        action(WireNames.PRINT, () -> json.writeStringField(WireNames.LOG_LINE, line));
     }
 }
