--- a/sidecar/src/main/java/sagefall/config/ConfigException.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigException.java
@@ -4,7 +4,7 @@
 
 /**
  * A configuration that cannot be used. The message is the one plain line that the user sees; the
- * parts that it is made of are kept apart as well.
+ * parts that it is made of have accessors of their own.
  */
 public final class ConfigException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
+++ b/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
@@ -11,7 +11,7 @@
     /** The fewest with which each part is of use. */
     static final int MINIMUM = 128;
 
-    /** The most that are used, however many the configuration allows. */
+    /** The number that is used at most, however many the configuration allows. */
     static final int MAXIMUM = 65_536;
 
     /**
--- a/sidecar/src/main/java/sagefall/config/LoadReportReader.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -11,7 +11,7 @@
  */
 public final class LoadReportReader {
 
-    /** The one form of the header that is read; others are told apart by another first word. */
+    /** The one form of the header that is read; other forms begin with another word. */
     private static final String TEXT_FORM = "TEXT ";
 
     /** A figure above this is no measurement but a fault of the sender. */
--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -107,12 +107,12 @@
                 settings.tickMicros());
     }
 
-    /** The most connections to endpoints. */
+    /** Maximum number of connections to endpoints. */
     public int serverConnections() {
         return new DescriptorBudget(sockets).endpointConnections();
     }
 
-    /** The most connections of clients. */
+    /** Maximum number of connections of clients. */
     public int clientConnections() {
         return new DescriptorBudget(sockets).clientConnections();
     }
--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -16,11 +16,11 @@
  *
  * <ul>
  *   <li>An agent on the own machine answers at once. The loss is noticed after 3 + 0.5 s (hold time
- *       and answer timeout); the balancer calls again within 0.15 s, and that call may be lost once
+ *       and answer timeout); the balancer retries within 0.15 s, and that call may be lost once
  *       more, 0.5 s: the list is there at 4.3 s.
  *   <li>A shared service answers in turn, up to 1.75 s late. The loss is noticed after 1 + 1.75 s;
- *       the balancer calls again within 0.6 s, and that call may be lost once more, 1.75 s: the
- *       third call is made at 5.7 s.
+ *       the balancer retries within 0.6 s, and that call may be lost once more, 1.75 s: the third
+ *       call is made at 5.7 s.
  * </ul>
  *
  * <p>However many calls have failed before, a change counts as notified 6 s after discovery had it
@@ -55,7 +55,10 @@
 
     private final DiscoveryClient.Timeouts timeouts;
 
-    /** Whether the last call was answered, so that the next one may be held. */
+    /**
+     * Whether the last call was answered, so that the next answer may be delayed until there is a
+     * change.
+     */
     private boolean lastCallAnswered;
 
     private long holdMillis;
@@ -79,7 +82,7 @@
     /**
      * How long after its begin this call is taken for lost, in milliseconds.
      *
-     * @param completeList whether the complete list is asked for, which is never held
+     * @param completeList whether the complete list is asked for, whose answer is never delayed
      */
     long callTimeoutMillis(boolean completeList) {
         return (completeList ? 0 : holdMillis) + timeouts.answerMillis();
@@ -98,7 +101,7 @@
         return pauses ? EARLY_ANSWER_PAUSE_MILLIS : 0;
     }
 
-    /** The call failed, or the peer is another one: the next call is not held. */
+    /** The call failed, or the peer is another one: the next answer is not to be delayed. */
     void reset() {
         lastCallAnswered = false;
     }
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -8,7 +8,7 @@
 
 /**
  * Watches the list of endpoints. Once started, the watch goes on by itself; when a call fails it
- * ends, and it is the balancer that starts it again. All methods are called on the event loop.
+ * ends, and it is the balancer that restarts it. All methods are called on the event loop.
  */
 public final class DiscoveryClient {
 
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -25,14 +25,17 @@
     static final String REASON_CONNECTION_LOST = "connection lost";
 
     /**
-     * Largest list, in bytes: over a thousand servers with long names, indented; held only while it
-     * is read.
+     * Largest list, in bytes: over a thousand servers with long names, indented; in memory only
+     * while it is read.
      */
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
-    /** What the owner of the calls has to say and is told, always on the event loop. */
+    /**
+     * The owner of the calls: it names the target and receives the results, always on the event
+     * loop.
+     */
     interface Listener {
         /**
          * Path and query of the call. Asked for as the request is written, which may be later than
--- a/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
@@ -12,7 +12,7 @@
 
 /**
  * A series of long polls: each answer is followed by the next call, from the revision of that
- * answer. A failure ends the watch until it is started again. Belongs to the event loop.
+ * answer. A failure ends the watch until it is restarted. Belongs to the event loop.
  */
 final class EndpointWatch implements EndpointPoll.Listener {
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Stops the watch; it may be started again. */
+    /** Stops the watch; it may be restarted. */
     void stop() {
         if (state == State.WATCHING) {
             state = State.STOPPED;
--- a/sidecar/src/main/java/sagefall/simulator/BatchReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/BatchReader.java
@@ -6,7 +6,7 @@
 
 /**
  * Reads batches: an object with the time and groups, each with the name of an instance and its
- * messages. Messages are handed on as they come, so that a batch is never held in memory.
+ * messages. Messages are handed on as they come, so that a batch is never in memory.
  */
 final class BatchReader {
 
--- a/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
+++ b/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
@@ -37,7 +37,7 @@
         return operation;
     }
 
-    /** The field that is malformed; null where it is the message as a whole. */
+    /** The field that is malformed; null where it is the entire message. */
     String field() {
         return field;
     }
--- a/sidecar/src/main/java/sagefall/simulator/MessageFields.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageFields.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
-import java.util.LinkedHashMap;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import sagefall.config.Json;
@@ -13,7 +13,7 @@
     /** Stands for the operation in an error about a message that names none. */
     private static final String ANY_OPERATION = "event";
 
-    private final Map<String, Object> values = new LinkedHashMap<>();
+    private final Map<String, Object> values = new HashMap<>();
 
     /** Reads the object whose start the parser is at, in place of the message before. */
     void read(JsonParser parser) throws IOException {
--- a/sidecar/src/main/java/sagefall/simulator/SimulatorMessage.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorMessage.java
@@ -13,7 +13,7 @@
     /** The endpoints of a table, which later lists refer to; tables belong to the process. */
     record PoolUpdate(int table, List<ListedEndpoint> endpoints) implements SimulatorMessage {}
 
-    /** An instance starts, or starts anew in place of the one of its name. */
+    /** An instance starts, or replaces the one of its name. */
     record InstanceStart(BalancerSettings settings) implements SimulatorMessage {}
 
     /** An instance ends; what it knew is lost. */
