--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import sagefall.config.SocketAddresses;
 import sagefall.http.HttpClientConnection;
+import sagefall.http.HttpConnectionListener;
 
 /**
  * Calls to discovery over one connection, one at a time. Each call ends by an answer or a failure;
@@ -120,7 +121,7 @@
         connection.send(request);
     }
 
-    private final class ConnectionEvents implements HttpClientConnection.Owner {
+    private final class ConnectionEvents implements HttpConnectionListener {
         @Override
         public void opened() {
             connected = true;
