--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
@@ -1,6 +1,7 @@
 package sagefall.leaderelection;
 
 import java.nio.file.Path;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 import sagefall.persistence.PersistenceSettings;
 
@@ -23,17 +24,17 @@
     /**
      * Reads the section.
      *
-     * @throws IllegalArgumentException with one line that names the key and what is wrong with it
+     * @throws ConfigException with one line that names the key and what is wrong with it
      */
-    public static LeaderElectionSettings read(ConfigSection section) {
+    public static LeaderElectionSettings read(ConfigSection section) throws ConfigException {
         Path directory = PersistenceSettings.readDirectory(section);
         long leaseMillis =
-                section.whole(
+                section.integer(
                         "lease_ms",
                         DEFAULT_LEASE_MILLIS,
                         LEAST_LEASE_MILLIS,
                         GREATEST_LEASE_MILLIS);
-        section.end();
+        section.rejectUnknownKeys();
         return new LeaderElectionSettings(directory, leaseMillis);
     }
 
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -1,6 +1,7 @@
 package sagefall.persistence;
 
 import java.nio.file.Path;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 
 /**
@@ -34,41 +35,42 @@
     /**
      * Reads the section.
      *
-     * @throws IllegalArgumentException with one line that names the key and what is wrong with it
+     * @throws ConfigException with one line that names the key and what is wrong with it
      */
-    public static PersistenceSettings read(ConfigSection section) {
+    public static PersistenceSettings read(ConfigSection section) throws ConfigException {
         Path directory = readDirectory(section);
-        String sync = section.text("sync", SYNC_EACH);
+        String sync = section.string("sync", SYNC_EACH);
         if (!sync.equals(SYNC_EACH) && !sync.equals(SYNC_SNAPSHOT)) {
-            throw section.wrong("sync", "must be 'each' or 'snapshot'");
+            throw section.invalid("sync", "must be 'each' or 'snapshot'");
         }
         PersistenceSettings settings =
                 new PersistenceSettings(
                         directory,
-                        section.whole(
+                        section.integer(
                                 "max_bytes",
                                 DEFAULT_MAX_BYTES,
                                 LEAST_MAX_BYTES,
                                 GREATEST_MAX_BYTES),
-                        section.whole("max_age_ms", DEFAULT_MAX_AGE_MILLIS, 0, THIRTY_DAYS_MILLIS),
+                        section.integer(
+                                "max_age_ms", DEFAULT_MAX_AGE_MILLIS, 0, THIRTY_DAYS_MILLIS),
                         sync.equals(SYNC_EACH),
-                        section.whole(
+                        section.integer(
                                 "clock_offset_ms", 0, -THIRTY_DAYS_MILLIS, THIRTY_DAYS_MILLIS));
-        section.end();
+        section.rejectUnknownKeys();
         return settings;
     }
 
     /**
      * Reads the key {@code directory} of a section, which is required.
      *
-     * @throws IllegalArgumentException if it is not the absolute path of a directory
+     * @throws ConfigException if it is not the absolute path of a directory
      */
-    public static Path readDirectory(ConfigSection section) {
-        String directory = section.text("directory", "");
+    public static Path readDirectory(ConfigSection section) throws ConfigException {
+        String directory = section.string("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
                 || !Path.of(directory).isAbsolute()) {
-            throw section.wrong("directory", "must be the absolute path of a folder");
+            throw section.invalid("directory", "must be the absolute path of a folder");
         }
         return Path.of(directory);
     }
