--- /dev/null
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
@@ -0,0 +1,77 @@
+package sagefall.faultinjection;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.load.SidecarProcess;
+import sagefall.scenario.Scenario;
+
+/**
+ * The schedules of all shipped fault injection scenarios, seeds 1 to 3, equal to the byte the ones
+ * that were written before the classes of this package got their present names.
+ */
+class FaultScheduleGoldenTest {
+
+    private static final List<Long> SEEDS = List.of(1L, 2L, 3L);
+
+    @TempDir Path folder;
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "rig-blackout",
+                "rig-calm",
+                "rig-disagree",
+                "rig-discovery",
+                "rig-flap",
+                "rig-kill",
+                "rig-one-way",
+                "rig-owner",
+                "rig-reborn",
+                "rig-restart",
+                "rig-second-loss",
+                "rig-slow-servers",
+                "rig-slow-sidecars",
+                "rig-stop",
+                "rig-zone"
+            })
+    void theSameSeedGivesTheSameSchedule(String scenario) throws Exception {
+        StringBuilder schedules = new StringBuilder();
+        for (long seed : SEEDS) {
+            schedules.append(schedule(scenario, seed));
+        }
+        assertEquals(golden(scenario), schedules.toString());
+    }
+
+    /** The lines that a run with the default fleet of the command line writes to its directory. */
+    private String schedule(String scenario, long seed) throws Exception {
+        Scenario.Source source = Scenario.source(scenario);
+        Path output = folder.resolve(scenario + "-" + seed);
+        RunPlan plan =
+                new RunPlan(
+                        source.file(),
+                        source.text(),
+                        RunPlan.SIZE,
+                        seed,
+                        null,
+                        List.of(SidecarProcess.ROOT));
+        new FaultInjectionRun(plan, output).close();
+        return Files.readString(output.resolve(FaultInjectionRun.SCHEDULE));
+    }
+
+    private static String golden(String scenario) throws IOException {
+        try (InputStream in =
+                FaultScheduleGoldenTest.class.getResourceAsStream(
+                        "/fault-schedules/" + scenario + ".jsonl")) {
+            return new String(in.readAllBytes(), UTF_8);
+        }
+    }
+}
