--- a/testbed/src/main/java/sagefall/cli/FaultInjectionCommand.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionCommand.java
@@ -18,10 +18,10 @@
 import sagefall.emulator.FleetSimulation;
 import sagefall.emulator.SimulationResult;
 import sagefall.faultinjection.FaultInjectionRun;
-import sagefall.faultinjection.RunPlan;
-import sagefall.faultinjection.RunResult;
-import sagefall.faultinjection.RunStatistics;
-import sagefall.faultinjection.ScenarioGenerator;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.plan.ScenarioGenerator;
+import sagefall.faultinjection.report.RunResult;
+import sagefall.faultinjection.report.RunStatistics;
 import sagefall.load.SidecarProcess;
 import sagefall.policy.Policy;
 import sagefall.policy.PolicyRegistry;
@@ -91,7 +91,7 @@
             Scenario.Source source = Scenario.source(nameOrFile);
             List<String> all = new ArrayList<>();
             if (!source.text().contains("sidecars = 12")) {
-                all.addAll(RunPlan.SIZE);
+                all.addAll(RunPlan.ONE_MACHINE_FLEET);
             }
             all.addAll(sets);
             if (sidecars != null) {
@@ -111,11 +111,11 @@
 
         /** Plays it, and keeps its folder if that is wanted or it failed. */
         RunResult play(RunPlan plan, String name) throws Exception {
-            RunResult play = RunResult.of(plan, folder(name));
-            if (out == null && !play.broken() && !play.isVoid()) {
-                play.remove();
+            RunResult play = FaultInjectionRun.execute(plan, folder(name));
+            if (out == null && !play.isViolated() && !play.isVoid()) {
+                play.directory().delete();
             } else {
-                System.out.println("  kept in " + play.folder());
+                System.out.println("  kept in " + play.directory().path());
             }
             return play;
         }
@@ -164,7 +164,7 @@
                     System.out.println(scenario + ", seed " + s);
                     RunResult play = options.play(plan, Path.of(scenario).getFileName() + "-" + s);
                     play.print(System.out);
-                    broken |= play.broken();
+                    broken |= play.isViolated();
                 }
             }
             return status(broken);
@@ -191,7 +191,7 @@
             for (int i = 1; i <= plays; i++) {
                 RunResult play = options.play(RunPlan.read(file), "again-" + i);
                 play.print(System.out);
-                broken |= play.broken();
+                broken |= play.isViolated();
             }
             return status(broken);
         }
@@ -209,10 +209,9 @@
         @Override
         public Integer call() throws Exception {
             RunResult play =
-                    RunResult.judge(
-                            RunPlan.read(folder.resolve(FaultInjectionRun.PLAN)), folder, 0);
+                    RunResult.judge(new sagefall.faultinjection.plan.RunDirectory(folder), 0);
             play.print(System.out);
-            return status(play.broken());
+            return status(play.isViolated());
         }
     }
 
@@ -262,7 +261,7 @@
                                                 1,
                                                 Integer::sum));
                 played++;
-                failed += play.broken() ? 1 : 0;
+                failed += play.isViolated() ? 1 : 0;
                 System.out.printf(
                         Locale.ROOT,
                         "seed %d: %s; served %.3f, worst second %.3f%s%n",
@@ -270,10 +269,10 @@
                         plan.scenario().faults().stream()
                                 .map(f -> f.kind().name().toLowerCase(Locale.ROOT))
                                 .toList(),
-                        play.figures().served(),
-                        play.figures().worstSecond(),
-                        play.isVoid() ? ", VOID" : play.broken() ? ", BROKEN" : "");
-                if (play.broken()) {
+                        play.statistics().served(),
+                        play.statistics().worstSecond(),
+                        play.isVoid() ? ", VOID" : play.isViolated() ? ", BROKEN" : "");
+                if (play.isViolated()) {
                     play.print(System.out);
                 }
             }
@@ -308,7 +307,7 @@
             for (int i = kept.size() - 1; i >= 0; i--) {
                 List<Integer> fewer = new ArrayList<>(kept);
                 fewer.remove(i);
-                int now = fails(plan.only(fewer));
+                int now = fails(plan.withFaults(fewer));
                 System.out.printf(
                         "without fault %d: broken in %d of %d plays%n", kept.get(i), now, TRIES);
                 if (now >= fails) {
@@ -317,7 +316,7 @@
                 }
             }
             Path shrunk = file.resolveSibling("shrunk.json");
-            plan.only(kept).write(shrunk);
+            plan.withFaults(kept).write(shrunk);
             System.out.printf(
                     "faults %s break it in %d of %d plays: ./sagefall rig again %s%n",
                     kept, fails, TRIES, shrunk);
@@ -327,9 +326,9 @@
         private int fails(RunPlan plan) throws Exception {
             int fails = 0;
             for (int i = 0; i < TRIES; i++) {
-                RunResult play = RunResult.of(plan, options.folder("shrink"));
-                fails += play.broken() ? 1 : 0;
-                play.remove();
+                RunResult play = FaultInjectionRun.execute(plan, options.folder("shrink"));
+                fails += play.isViolated() ? 1 : 0;
+                play.directory().delete();
             }
             return fails;
         }
@@ -367,9 +366,11 @@
                                                 plan.scenario().on(Fault.Side.EMULATOR), s, policy)
                                         .play();
                     }
-                    RunResult play = RunResult.of(plan, options.folder("agree-" + name + "-" + s));
-                    RunStatistics f = play.figures();
-                    broken |= play.broken();
+                    RunResult play =
+                            FaultInjectionRun.execute(
+                                    plan, options.folder("agree-" + name + "-" + s));
+                    RunStatistics f = play.statistics();
+                    broken |= play.isViolated();
                     System.out.printf(
                             Locale.ROOT,
                             "%-18s %3d  %.3f %.3f   %.3f %.3f   %.3f %.3f   %.4f %.4f"
@@ -390,9 +391,9 @@
                             f.p50Millis(),
                             e.latency().p95(),
                             f.p95Millis(),
-                            play.isVoid() ? "  VOID" : play.broken() ? "  BROKEN" : "");
-                    if (!play.broken()) {
-                        play.remove();
+                            play.isVoid() ? "  VOID" : play.isViolated() ? "  BROKEN" : "");
+                    if (!play.isViolated()) {
+                        play.directory().delete();
                     }
                 }
             }
--- a/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -23,6 +23,7 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 import java.util.function.Consumer;
+import sagefall.faultinjection.history.AnswerStatus;
 
 /**
  * The application beside one sidecar, as the protocol has it: one request at a time on a
@@ -32,42 +33,42 @@
 final class ClientLoad {
 
     /**
-     * Status of an answer: a connection that was not accepted, and one that ended without an
-     * answer.
+     * What came of a request.
+     *
+     * @param status of HTTP, or one of {@link AnswerStatus}
+     * @param retryMicros what Retry-After says; 0 if it is missing
+     * @param body the text of the answer
      */
-    static final int UNREACHABLE = -1;
-
-    static final int BROKEN = 0;
-
-    /** What came; microseconds to come back in, 0 where none were told. */
     record Reply(int status, long retryMicros, String body) {}
 
-    /** A request in hand. */
+    /** A request in flight. */
     static final class Exchange {
         private final String path;
         private final Map<String, String> headers;
         private final byte[] body;
-        private final Consumer<Reply> taker;
+        private final Consumer<Reply> listener;
         private Channel channel;
-        private boolean again;
-        private boolean over;
+        private boolean resent;
+        private boolean ended;
 
         private Exchange(
-                String path, Map<String, String> headers, byte[] body, Consumer<Reply> taker) {
+                String path, Map<String, String> headers, byte[] body, Consumer<Reply> listener) {
             this.path = path;
             this.headers = headers;
             this.body = body;
-            this.taker = taker;
+            this.listener = listener;
         }
 
         private void end(Reply reply) {
-            if (!over) {
-                over = true;
-                taker.accept(reply);
+            if (!ended) {
+                ended = true;
+                listener.accept(reply);
             }
         }
     }
 
+    private static final int MAX_ANSWER_BYTES = 64 * 1024;
+
     private final EventLoop loop;
     private final InetSocketAddress sidecar;
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
@@ -78,8 +79,8 @@
     }
 
     /** Sends a POST; the reply is given on the event loop, once. */
-    Exchange post(String path, Map<String, String> headers, byte[] body, Consumer<Reply> taker) {
-        Exchange exchange = new Exchange(path, headers, body, taker);
+    Exchange post(String path, Map<String, String> headers, byte[] body, Consumer<Reply> listener) {
+        Exchange exchange = new Exchange(path, headers, body, listener);
         loop.execute(
                 () -> {
                     Channel open = idle.pollFirst();
@@ -95,18 +96,18 @@
         return exchange;
     }
 
-    /** The client leaves: it closes its connection and waits for nothing more. */
-    void leave(Exchange exchange) {
+    /** Closes the connection of a request; it gets no reply. */
+    void abandon(Exchange exchange) {
         loop.execute(
                 () -> {
-                    exchange.over = true;
+                    exchange.ended = true;
                     if (exchange.channel != null) {
                         exchange.channel.close();
                     }
                 });
     }
 
-    /** Closes what is idle. */
+    /** Closes the idle connections. */
     void close() {
         loop.execute(() -> idle.forEach(Channel::close));
     }
@@ -125,7 +126,7 @@
                                         .addLast(
                                                 connection.bytes,
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(64 * 1024),
+                                                new HttpObjectAggregator(MAX_ANSWER_BYTES),
                                                 connection);
                             }
                         })
@@ -134,8 +135,8 @@
                         (ChannelFutureListener)
                                 f -> {
                                     if (!f.isSuccess()) {
-                                        exchange.end(new Reply(UNREACHABLE, 0, ""));
-                                    } else if (exchange.over) {
+                                        exchange.end(new Reply(AnswerStatus.UNREACHABLE, 0, ""));
+                                    } else if (exchange.ended) {
                                         f.channel().close();
                                     } else {
                                         send(f.channel(), exchange);
@@ -145,7 +146,7 @@
 
     private void send(Channel channel, Exchange exchange) {
         Connection connection = channel.pipeline().get(Connection.class);
-        connection.now = exchange;
+        connection.current = exchange;
         connection.answering = false;
         exchange.channel = channel;
         DefaultFullHttpRequest request =
@@ -160,11 +161,11 @@
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Exchange now;
+        private Exchange current;
         private boolean used;
         private boolean answering;
 
-        /** Sees that an answer has begun, before it can be read. */
+        /** Notices that an answer has begun, before it is complete. */
         private final ChannelInboundHandlerAdapter bytes =
                 new ChannelInboundHandlerAdapter() {
                     @Override
@@ -176,8 +177,8 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Exchange exchange = now;
-            now = null;
+            Exchange exchange = current;
+            current = null;
             used = true;
             if (exchange == null) {
                 context.close();
@@ -199,16 +200,16 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idle.remove(context.channel());
-            Exchange exchange = now;
-            now = null;
-            if (exchange == null || exchange.over) {
+            Exchange exchange = current;
+            current = null;
+            if (exchange == null || exchange.ended) {
                 return;
             }
-            if (used && !answering && !exchange.again) {
-                exchange.again = true;
+            if (used && !answering && !exchange.resent) {
+                exchange.resent = true;
                 connect(exchange);
             } else {
-                exchange.end(new Reply(BROKEN, 0, ""));
+                exchange.end(new Reply(AnswerStatus.BROKEN, 0, ""));
             }
         }
 
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -1,522 +1,129 @@
 package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.io.IOException;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
-import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.emulator.EventQueue;
-import sagefall.emulator.StopTheWorldPauses;
+import sagefall.faultinjection.history.JsonLines;
 import sagefall.scenario.Fault;
 
 /**
- * What goes wrong in a play, with all figures and members drawn: the same seed gives the same lines
- * to the byte, and leaving one fault out changes no other. It brings them about on real processes
- * and ways.
+ * The faults of a run, with all figures and members drawn: the same seed gives the same lines to
+ * the byte, and leaving one fault out changes no other.
  */
 final class FaultSchedule {
 
-    private static final long DUTY_MICROS = 100_000;
-    private static final int TENTHS = 10;
+    private static final double LINE_PRECISION = 1000;
 
-    private record Item(
-            int place,
-            Fault.Drawn drawn,
-            List<ServerMember> servers,
-            List<SidecarMember> sidecars) {}
+    private final List<ScheduledFault> faults = new ArrayList<>();
 
-    private final FaultInjectionRun rig;
-    private final List<Item> items = new ArrayList<>();
-
-    FaultSchedule(FaultInjectionRun rig, List<Integer> places) {
-        this.rig = rig;
+    /**
+     * Draws the faults at these places of the scenario.
+     *
+     * @param members the sidecars and the initial servers to draw from
+     */
+    FaultSchedule(RunContext context, RunMembers members, List<Integer> places) {
         for (int place : places) {
-            Fault f = rig.scenario.faults().get(place);
-            Fault.Drawn d = f.draw(rig.draws().stream("fault." + place), rig.scenario.seconds());
-            boolean zonal =
-                    f.kind() == Fault.Kind.KILL_SIDECARS || f.kind() == Fault.Kind.POWER_LOSS;
-            List<SidecarMember> from =
-                    zonal && f.zone() >= 0
-                            ? rig.sidecars().stream().filter(s -> s.zone() == f.zone()).toList()
-                            : rig.sidecars();
-            switch (f.kind()) {
-                case LOSE_SERVERS, SLOW, ERRORS, PAUSES, REPLACE, REBORN, DRAIN ->
-                        items.add(new Item(place, d, List.copyOf(d.some(rig.first())), List.of()));
-                case KILL_SIDECARS,
-                        RESTART_SIDECARS,
-                        DEAF,
-                        STOP_SIDECARS,
-                        SLOW_SIDECARS,
-                        CUT_SIDECARS,
-                        FLAP_LINKS,
-                        DELAY_LINKS,
-                        CUT_BYTES,
-                        POWER_LOSS,
-                        WRONG_CLOCK ->
-                        items.add(new Item(place, d, List.of(), List.copyOf(d.some(from))));
-                default -> items.add(new Item(place, d, List.of(), List.of()));
-            }
-        }
+            faults.add(draw(context, members, place));
+        }
+    }
+
+    private static ScheduledFault draw(RunContext context, RunMembers members, int place) {
+        Fault fault = context.scenario().faults().get(place);
+        Fault.Drawn drawn =
+                fault.draw(
+                        context.randomStreams().stream("fault." + place),
+                        context.scenario().seconds());
+        return switch (fault.kind()) {
+            case LOSE_SERVERS, SLOW, ERRORS, PAUSES, REPLACE, REBORN, DRAIN ->
+                    new ScheduledFault(
+                            place,
+                            drawn,
+                            List.copyOf(drawn.some(members.initialServers())),
+                            List.of());
+            case KILL_SIDECARS,
+                    RESTART_SIDECARS,
+                    DEAF,
+                    STOP_SIDECARS,
+                    SLOW_SIDECARS,
+                    CUT_SIDECARS,
+                    FLAP_LINKS,
+                    DELAY_LINKS,
+                    CUT_BYTES,
+                    POWER_LOSS,
+                    WRONG_CLOCK ->
+                    new ScheduledFault(
+                            place,
+                            drawn,
+                            List.of(),
+                            List.copyOf(drawn.some(candidates(members, fault))));
+            default -> new ScheduledFault(place, drawn, List.of(), List.of());
+        };
+    }
+
+    /** The sidecars that a fault is drawn from: those of its zone, if it takes out machines. */
+    private static List<SidecarMember> candidates(RunMembers members, Fault fault) {
+        boolean zonal =
+                fault.kind() == Fault.Kind.KILL_SIDECARS || fault.kind() == Fault.Kind.POWER_LOSS;
+        if (!zonal || fault.zone() < 0) {
+            return members.sidecars();
+        }
+        return members.sidecars().stream()
+                .filter(sidecar -> sidecar.zone() == fault.zone())
+                .toList();
+    }
+
+    List<ScheduledFault> faults() {
+        return faults;
     }
 
     /** Servers that end on their own, and so need a process of their own. */
-    Set<ServerMember> alone() {
-        Set<ServerMember> alone = new HashSet<>();
-        for (Item i : items) {
-            if (i.drawn.fault().kind() == Fault.Kind.LOSE_SERVERS
-                    || i.drawn.fault().kind() == Fault.Kind.REBORN) {
-                alone.addAll(i.servers);
+    Set<ServerMember> serversWithOwnProcess() {
+        Set<ServerMember> servers = new HashSet<>();
+        for (ScheduledFault fault : faults) {
+            if (fault.isKind(Fault.Kind.LOSE_SERVERS) || fault.isKind(Fault.Kind.REBORN)) {
+                servers.addAll(fault.servers());
             }
         }
-        return alone;
+        return servers;
     }
 
     /** One JSON object for each fault. */
     List<String> lines() {
-        List<String> lines = new ArrayList<>();
-        for (Item i : items) {
-            Fault f = i.drawn.fault();
-            ObjectNode line =
-                    EventHistory.JSON
-                            .createObjectNode()
-                            .put("fault", i.place)
-                            .put("kind", name(f))
-                            .put("at_s", round(i.drawn.from()))
-                            .put("for_s", round(i.drawn.seconds()))
-                            .put("zone", f.zone())
-                            .put("tenant", f.tenant())
-                            .put("part", round(i.drawn.part()))
-                            .put("size", round(i.drawn.size()))
-                            .put("every_s", round(i.drawn.every()))
-                            .put("how", f.how());
-            line.set(
-                    "servers",
-                    EventHistory.JSON.valueToTree(i.servers.stream().map(s -> s.slot).toList()));
-            line.set(
-                    "sidecars",
-                    EventHistory.JSON.valueToTree(
-                            i.sidecars.stream().map(SidecarMember::index).toList()));
-            lines.add(line.toString());
-        }
-        return lines;
+        return faults.stream().map(FaultSchedule::line).toList();
+    }
+
+    private static String line(ScheduledFault scheduled) {
+        Fault fault = scheduled.fault();
+        Fault.Drawn drawn = scheduled.drawn();
+        ObjectNode line =
+                JsonLines.MAPPER
+                        .createObjectNode()
+                        .put("fault", scheduled.place())
+                        .put("kind", scheduled.kindName())
+                        .put("at_s", round(drawn.from()))
+                        .put("for_s", round(drawn.seconds()))
+                        .put("zone", fault.zone())
+                        .put("tenant", fault.tenant())
+                        .put("part", round(drawn.part()))
+                        .put("size", round(drawn.size()))
+                        .put("every_s", round(drawn.every()))
+                        .put("how", fault.how());
+        line.set("servers", JsonLines.MAPPER.valueToTree(scheduled.serverSlots()));
+        line.set("sidecars", JsonLines.MAPPER.valueToTree(scheduled.sidecarIndices()));
+        return line.toString();
     }
 
     private static double round(double value) {
-        return Math.rint(value * 1000) / 1000;
+        return Math.rint(value * LINE_PRECISION) / LINE_PRECISION;
     }
 
-    private static String name(Fault f) {
-        return f.kind().name().toLowerCase(Locale.ROOT);
-    }
-
-    /** When the last of them is over. */
+    /** When the last of them has ended, on the clock of the run. */
     long endMicros() {
-        return items.stream().mapToLong(i -> micros(i.drawn.end())).max().orElse(0);
-    }
-
-    private static long micros(double second) {
-        return EventQueue.BEGIN + (long) (1e6 * second);
-    }
-
-    /** Puts them on the time line. */
-    void begin() {
-        items.forEach(this::begin);
-    }
-
-    private EventQueue loop() {
-        return rig.pace.loop();
-    }
-
-    private interface Change {
-        void now(boolean begins) throws Exception;
-    }
-
-    /** True at its beginning, false at its end; both are written down. */
-    private void spell(Item i, double from, double seconds, Change change) {
-        for (boolean on : new boolean[] {true, false}) {
-            loop().at(
-                            micros(on ? from : from + seconds),
-                            () -> {
-                                rig.history.line(
-                                        "fault",
-                                        "place",
-                                        i.place,
-                                        "what",
-                                        name(i.drawn.fault()),
-                                        "on",
-                                        on,
-                                        "zone",
-                                        i.drawn.fault().zone(),
-                                        "how",
-                                        i.drawn.fault().how(),
-                                        "sidecars",
-                                        i.sidecars.stream().map(SidecarMember::index).toList(),
-                                        "servers",
-                                        i.servers.stream().map(s -> s.slot).toList());
-                                rig.unchecked(() -> change.now(on));
-                            });
-        }
-    }
-
-    private void spell(Item i, Change change) {
-        spell(i, i.drawn.from(), i.drawn.seconds(), change);
-    }
-
-    private void begin(Item i) {
-        Fault f = i.drawn.fault();
-        double size = i.drawn.size();
-        switch (f.kind()) {
-            case LOSE_ZONE -> spell(i, on -> lose(zone(f.zone()), f.how(), on));
-            case FLAP_ZONE -> rounds(i, i.drawn.part(), on -> lose(zone(f.zone()), f.how(), on));
-            case LOSE_SERVERS -> spell(i, on -> lose(processes(i.servers), f.how(), on));
-            case REBORN -> spell(i, on -> reborn(i.servers, f.how(), on));
-            case CUT_ZONE -> spell(i, on -> cutZone(f, on ? 1 : -1));
-            case CUT_SIDECARS -> spell(i, on -> cut(i, on ? 1 : -1));
-            case FLAP_LINKS -> rounds(i, 0.5, on -> cut(i, on ? 1 : -1));
-            case DELAY_LINKS -> spell(i, on -> ways(i, w -> w.moreMillis += on ? size : -size));
-            case CUT_BYTES -> spell(i, on -> ways(i, w -> w.cutAt = on ? (long) size : 0));
-            case SLOW ->
-                    spell(i, on -> i.servers.forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
-            case SHARED_SLOW ->
-                    spell(
-                            i,
-                            on ->
-                                    rig.servers()
-                                            .forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
-            case ERRORS ->
-                    spell(i, on -> i.servers.forEach(s -> s.trouble(1, on ? size : -size, 0)));
-            case PAUSES -> pauses(i);
-            case REPLACE -> replace(i);
-            case DRAIN ->
-                    spell(
-                            i,
-                            on ->
-                                    i.servers.stream()
-                                            .filter(s -> !s.gone)
-                                            .forEach(
-                                                    s -> {
-                                                        if (on) {
-                                                            rig.discovery().draining(s.mirror);
-                                                        } else {
-                                                            drain(s);
-                                                        }
-                                                    }));
-            case WRONG_CLOCK ->
-                    spell(
-                            i,
-                            i.drawn.from(),
-                            0,
-                            on ->
-                                    i.sidecars.forEach(
-                                            s -> s.finds(s.stale(), (long) (1000 * size))));
-            case BURST -> spell(i, on -> rig.traffic().burst *= on ? size : 1 / size);
-            case SHIFT ->
-                    spell(
-                            i,
-                            on -> {
-                                rig.traffic().shift[f.zone()] *= on ? size : 1 / size;
-                                rig.traffic().reweigh();
-                            });
-            case SURGE ->
-                    spell(
-                            i,
-                            on -> {
-                                rig.traffic().surge[f.tenant()] *= on ? size : 1 / size;
-                                rig.traffic().reweigh();
-                            });
-            case LEAVERS ->
-                    spell(i, on -> rig.traffic().leave += on ? i.drawn.part() : -i.drawn.part());
-            case STUBBORN -> spell(i, on -> rig.traffic().stubborn = on ? (int) size : 0);
-            case LOST_ANSWERS -> spell(i, on -> all("lost", on ? i.drawn.part() : 0));
-            case RESETS -> spell(i, on -> all("resets", on ? i.drawn.part() : 0));
-            case KILL_SIDECARS ->
-                    spell(
-                            i,
-                            i.drawn.from(),
-                            size,
-                            on ->
-                                    i.sidecars.forEach(
-                                            s -> {
-                                                if (on) {
-                                                    s.kill((long) (1e6 * size));
-                                                }
-                                            }));
-            case POWER_LOSS -> spell(i, i.drawn.from(), size, on -> power(i, on));
-            case RESTART_SIDECARS -> restarts(i);
-            case STOP_SIDECARS ->
-                    spell(
-                            i,
-                            on -> {
-                                for (SidecarMember s : i.sidecars) {
-                                    s.signal(on ? "STOP" : "CONT");
-                                }
-                            });
-            case SLOW_SIDECARS -> spell(i, on -> duty(i, on));
-            case STOP_OWNER -> {
-                SidecarMember[] who = new SidecarMember[1];
-                spell(
-                        i,
-                        on -> {
-                            who[0] = on ? owner() : who[0];
-                            if (who[0] != null) {
-                                who[0].signal(on ? "STOP" : "CONT");
-                            }
-                        });
-            }
-            case KILL_OWNER ->
-                    spell(
-                            i,
-                            i.drawn.from(),
-                            size,
-                            on -> {
-                                if (on && owner() != null) {
-                                    owner().kill((long) (1e6 * size));
-                                }
-                            });
-            case LATE_LISTS -> spell(i, on -> rig.discovery().late *= on ? size : 1 / size);
-            case DISCOVERY_DOWN ->
-                    spell(
-                            i,
-                            on -> {
-                                rig.discovery().down += on ? 1 : -1;
-                                rig.replicas()
-                                        .forEach(
-                                                r ->
-                                                        r.ask(
-                                                                EventHistory.JSON
-                                                                        .createObjectNode()
-                                                                        .put("do", "mute")
-                                                                        .put("on", on)));
-                            });
-            case DEAF -> spell(i, on -> i.sidecars.forEach(s -> rig.discovery().deaf(s, on)));
-            default -> throw new IllegalStateException("fault " + f.kind());
-        }
-    }
-
-    /** On for a part of each round. */
-    private void rounds(Item i, double part, Change change) {
-        for (double at = 0; at < i.drawn.seconds(); at += i.drawn.every()) {
-            spell(
-                    i,
-                    i.drawn.from() + at,
-                    Math.min(i.drawn.every(), i.drawn.seconds() - at) * part,
-                    change);
-        }
-    }
-
-    // ---- Servers
-
-    private List<ServerProcess> zone(int zone) {
-        return rig.processes().stream().filter(p -> p.zone == zone).toList();
-    }
-
-    private List<ServerProcess> processes(List<ServerMember> servers) {
-        return servers.stream().map(s -> s.process).distinct().toList();
-    }
-
-    private void lose(List<ServerProcess> some, String how, boolean begins) throws Exception {
-        for (ServerProcess p : some) {
-            if (begins) {
-                p.kill(how.equals("silent"));
-            } else {
-                p.again();
-            }
-        }
-    }
-
-    /** Ends, and comes back with other ids at the same addresses. */
-    private void reborn(List<ServerMember> servers, String how, boolean begins) throws Exception {
-        if (begins) {
-            lose(processes(servers), how, true);
-            return;
-        }
-        for (ServerMember old : servers) {
-            old.gone = true;
-            ServerMember fresh = rig.replacement(old, true);
-            old.process.members.add(fresh);
-            old.process.again();
-        }
-    }
-
-    /**
-     * One after another drains, with a new one in its place, and ends once all have heard and it is
-     * empty.
-     */
-    private void replace(Item i) {
-        boolean early = i.drawn.fault().how().equals("early");
-        Map<Integer, ServerMember> fresh = new HashMap<>();
-        for (int n = 0; n < i.servers.size(); n++) {
-            ServerMember old = i.servers.get(n);
-            int number = n;
-            long at = micros(i.drawn.from() + i.drawn.seconds() * n / i.servers.size());
-            // Its ways are made before, as that takes the model's thread a while.
-            rig.unchecked(() -> fresh.put(number, rig.replacement(old, false)));
-            loop().at(
-                            at,
-                            () -> {
-                                ServerMember successor = fresh.get(number);
-                                if (old.gone || old.process.down()) {
-                                    return;
-                                }
-                                rig.history.line(
-                                        "fault",
-                                        "place",
-                                        i.place,
-                                        "what",
-                                        "replace",
-                                        "on",
-                                        true,
-                                        "servers",
-                                        List.of(old.slot),
-                                        "sidecars",
-                                        List.of());
-                                ServerProcess host = zone(old.mirror.zone).get(0);
-                                host.members.add(successor);
-                                host.serve(successor, true)
-                                        .thenRun(() -> rig.pace.run(() -> startMember(successor)));
-                                rig.discovery().draining(old.mirror);
-                                loop().in(early ? 0 : rig.discovery().settled(), () -> drain(old));
-                            });
-        }
-    }
-
-    private void startMember(ServerMember successor) {
-        successor.mirror.start();
-        rig.discovery().started(successor.mirror);
-    }
-
-    private void drain(ServerMember old) {
-        old.process.ask(old.state().put("drain", true));
-        loop().in(
-                        rig.requestClass().deadlineMicros(),
-                        () -> {
-                            old.gone = true;
-                            old.process.end(old);
-                            old.down(false);
-                            rig.discovery().ended(old.mirror);
-                        });
-    }
-
-    private void pauses(Item i) {
-        UniformRandomProvider random = i.drawn.random();
-        spell(
-                i,
-                on -> {
-                    if (on) {
-                        i.servers.forEach(
-                                s ->
-                                        StopTheWorldPauses.begin(
-                                                loop(),
-                                                random,
-                                                (long) (1e6 * i.drawn.every()),
-                                                (long) (1000 * i.drawn.size()),
-                                                micros(i.drawn.from() + i.drawn.seconds()),
-                                                by -> s.trouble(1, 0, by)));
-                    }
-                });
-    }
-
-    private void all(String name, double value) {
-        rig.servers().stream()
-                .filter(s -> s.process != null)
-                .forEach(s -> s.process.ask(s.state().put(name, value)));
-    }
-
-    // ---- Ways
-
-    private void ways(Item i, Consumer<ServerMember.Way> change) throws Exception {
-        for (ServerMember s : rig.servers()) {
-            if (s.mirror.zone == i.drawn.fault().zone()) {
-                for (ServerMember.Way way : s.from(i.sidecars)) {
-                    change.accept(way);
-                    way.apply();
-                }
-            }
-        }
-    }
-
-    private void cut(Item i, int by) throws Exception {
-        String how = i.drawn.fault().how();
-        ways(
-                i,
-                way -> {
-                    way.cutThere += how.equals("out") ? 0 : by;
-                    way.cutBack += how.equals("in") ? 0 : by;
-                });
-    }
-
-    /** Between a zone and all others, for what goes in, out or both. */
-    private void cutZone(Fault f, int by) throws Exception {
-        boolean in = !f.how().equals("out");
-        boolean out = !f.how().equals("in");
-        for (ServerMember s : rig.servers()) {
-            for (SidecarMember from : rig.sidecars()) {
-                boolean inner = s.mirror.zone == f.zone();
-                if (inner == (from.zone() == f.zone())) {
-                    continue;
-                }
-                ServerMember.Way way = s.ways.get(from.index());
-                way.cutThere += inner ? in ? by : 0 : out ? by : 0;
-                way.cutBack += inner ? out ? by : 0 : in ? by : 0;
-                way.apply();
-            }
-        }
-    }
-
-    // ---- Sidecars
-
-    private SidecarMember owner() throws IOException {
-        int index = rig.owners() == null ? -1 : rig.owners().holder();
-        return index < 0 ? null : rig.sidecars().get(index);
-    }
-
-    private void restarts(Item i) {
-        spell(i, on -> {});
-        int steps = Math.min(TENTHS, Math.max(1, i.sidecars.size()));
-        for (int n = 0; n < i.sidecars.size(); n++) {
-            SidecarMember s = i.sidecars.get(n);
-            loop().at(
-                            micros(i.drawn.from() + i.drawn.seconds() * (n % steps) / steps),
-                            () -> s.restart((long) (1e6 * i.drawn.size())));
-        }
-    }
-
-    /** Stopped for a part of each tenth of a second. */
-    private void duty(Item i, boolean on) throws Exception {
-        for (SidecarMember s : i.sidecars) {
-            if (on) {
-                round(s, i.drawn.size(), micros(i.drawn.from() + i.drawn.seconds()));
-            } else {
-                s.signal("CONT");
-            }
-        }
-    }
-
-    private void round(SidecarMember s, double runs, long until) {
-        if (loop().now() >= until) {
-            return;
-        }
-        rig.unchecked(() -> s.signal("STOP"));
-        loop().in((long) (DUTY_MICROS * (1 - runs)), () -> rig.unchecked(() -> s.signal("CONT")));
-        loop().in(DUTY_MICROS, () -> round(s, runs, until));
-    }
-
-    /** A zone's servers, and the sidecars that were drawn, at once. */
-    private void power(Item i, boolean begins) throws Exception {
-        int zone = i.drawn.fault().zone();
-        List<ServerProcess> hosts = zone < 0 ? rig.processes() : zone(zone);
-        lose(hosts, "silent", begins);
-        if (begins) {
-            for (SidecarMember s : i.sidecars) {
-                s.finds(i.drawn.fault().how().equals("stale"), s.clockOffsetMillis());
-                s.kill((long) (1e6 * i.drawn.size()));
-            }
-        }
+        return faults.stream()
+                .mapToLong(fault -> ScheduledFault.clockMicros(fault.drawn().end()))
+                .max()
+                .orElse(0);
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
@@ -2,69 +2,86 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.Objects;
 import java.util.concurrent.locks.LockSupport;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.HistoryWriter;
 import sagefall.leaderelection.DirectoryLeaseStore;
+import sagefall.leaderelection.LeaseGrant;
 import sagefall.leaderelection.LeaseStore;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /**
- * Looks at who holds the duty of a play's sidecars, and at what counts of it, as any other process
- * could.
+ * Observes the lease of the sidecars of a run and the snapshot that they share, as any other
+ * process could.
  */
 final class LeaseObserver {
 
-    private static final long LOOK_NANOS = 5_000_000;
+    private static final long POLL_NANOS = 5_000_000;
 
-    private final Path folder;
+    /** No sidecar holds the lease. */
+    static final int NOBODY = -1;
+
+    /** What is recorded when it changes. */
+    private record Observation(long term, String holder, long snapshotTerm, long revision) {}
+
+    private final Path directory;
     private final LeaseStore store;
 
-    LeaseObserver(Path folder) throws IOException {
-        this.folder = folder;
-        store = new DirectoryLeaseStore(folder);
+    LeaseObserver(Path directory) throws IOException {
+        this.directory = directory;
+        store = new DirectoryLeaseStore(directory);
     }
 
-    Path folder() {
-        return folder;
+    Path directory() {
+        return directory;
     }
 
-    /** The place of whoever holds it; -1 for nobody. */
+    /** The index of the sidecar that holds the lease; {@link #NOBODY} if none does. */
     int holder() throws IOException {
-        var grant = store.status().grant();
-        String owner = grant.owner();
-        return grant.leftNanos() <= 0 || owner.isEmpty()
-                ? -1
-                : Integer.parseInt(owner.substring(1, owner.indexOf('#')));
+        LeaseGrant grant = store.status().grant();
+        String holder = grant.owner();
+        if (grant.leftNanos() <= 0 || holder.isEmpty()) {
+            return NOBODY;
+        }
+        // Instances are called n0, n1, ...; the lease adds # and a number for each start.
+        return Integer.parseInt(holder.substring(1, holder.indexOf('#')));
     }
 
-    /** Writes each change down until the thread is told to end. */
-    void watch(EventHistory history) {
-        String last = "";
+    /** Records each change until the thread is interrupted. */
+    void watch(HistoryWriter history) {
+        Observation previous = null;
         while (!Thread.currentThread().isInterrupted()) {
             try {
-                LeaseStore.Status status = store.status();
-                SharedEndpointSnapshot.Read digest = SharedEndpointSnapshot.read(store);
-                long written = digest == null ? 0 : digest.term();
-                long revision = digest == null ? 0 : digest.kept().revision();
-                String now =
-                        status.grant().term() + status.grant().owner() + written + "," + revision;
-                if (!Objects.equals(now, last)) {
-                    history.line(
-                            "duty",
-                            "term",
-                            status.grant().term(),
-                            "owner",
-                            status.grant().owner(),
-                            "written",
-                            written,
-                            "rev",
-                            revision);
+                Observation now = observe();
+                if (!now.equals(previous)) {
+                    record(history, now);
                 }
-                last = now;
+                previous = now;
             } catch (IOException e) {
-                history.line("duty", "unread", String.valueOf(e.getMessage()));
+                history.write(EntryKind.LEASE, "unread", String.valueOf(e.getMessage()));
             }
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_NANOS);
         }
     }
+
+    private Observation observe() throws IOException {
+        LeaseGrant grant = store.status().grant();
+        SharedEndpointSnapshot.Read snapshot = SharedEndpointSnapshot.read(store);
+        long snapshotTerm = snapshot == null ? 0 : snapshot.term();
+        long revision = snapshot == null ? 0 : snapshot.kept().revision();
+        return new Observation(grant.term(), grant.owner(), snapshotTerm, revision);
+    }
+
+    private static void record(HistoryWriter history, Observation now) {
+        history.write(
+                EntryKind.LEASE,
+                "term",
+                now.term,
+                "owner",
+                now.holder,
+                "written",
+                now.snapshotTerm,
+                "rev",
+                now.revision);
+    }
 }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
@@ -0,0 +1,62 @@
+package sagefall.faultinjection;
+
+import java.util.List;
+import sagefall.balancer.api.RequestClass;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.scenario.Scenario;
+
+/** The first line of a history: the parameters that the invariants and the statistics need. */
+final class RunHeader {
+
+    private final RunContext context;
+    private final RunMembers members;
+
+    RunHeader(RunContext context, RunMembers members) {
+        this.context = context;
+        this.members = members;
+    }
+
+    /** Writes it, with the field names of the first version of the format. */
+    void record() {
+        Scenario scenario = context.scenario();
+        RequestClass requestClass = context.requestClass();
+        List<Integer> sidecarZones = members.sidecars().stream().map(SidecarMember::zone).toList();
+        List<Integer> serverZones =
+                members.initialServers().stream().map(ServerMember::zone).toList();
+        context.history()
+                .write(
+                        EntryKind.RUN,
+                        "scenario",
+                        scenario.name(),
+                        "seed",
+                        context.plan().seed(),
+                        "seconds",
+                        scenario.seconds(),
+                        "zones",
+                        scenario.fleet().zones(),
+                        "sidecars",
+                        sidecarZones,
+                        "servers",
+                        serverZones,
+                        "effect",
+                        scenario.service().effect(),
+                        "group",
+                        scenario.service().group(),
+                        "window_us",
+                        requestClass.deduplicationWindowMicros(),
+                        "aim_us",
+                        requestClass.latencyObjectiveMicros(),
+                        "drain_us",
+                        1000 * scenario.service().drainMillis(),
+                        "attempts",
+                        scenario.service().attempts(),
+                        "fall_multiple",
+                        scenario.service().fallMultiple(),
+                        "fall_us",
+                        1e6 * scenario.service().fallSeconds(),
+                        "mean_work_us",
+                        context.meanWorkMicros(),
+                        "over_share_worth",
+                        scenario.service().overShareWorth());
+    }
+}
--- a/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -1,129 +1,101 @@
 package sagefall.faultinjection;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.Executor;
 import sagefall.emulator.EmulatedServer;
 
-/**
- * A save server as the rig knows it: what it is made of, where it runs, and the ways that lead to
- * it.
- */
+/** A save server of the run: its model, the process that runs it and the links that lead to it. */
 final class ServerMember {
 
-    /** What the emulator's discovery looks at; its work is done by the process. */
-    final EmulatedServer mirror;
+    private final EmulatedServer model;
+    private final int slot;
+    private final List<ServerLink> links;
+    private ServerProcess process;
+    private boolean retired;
+    private double slowFactor = 1;
+    private double errorPart;
+    private int pauses;
 
-    /** Its place among the addresses; a server that is reborn takes over the place of another. */
-    final int slot;
+    /**
+     * A server that no process runs yet.
+     *
+     * @param model what the emulator's discovery sees; the work is done by the process
+     * @param slot its place among the addresses; a server that is reborn takes over another's
+     * @param links by the index of the sidecar
+     */
+    ServerMember(EmulatedServer model, int slot, List<ServerLink> links) {
+        this.model = model;
+        this.slot = slot;
+        this.links = links;
+        errorPart = model.make.errors();
+    }
 
-    final List<Way> ways;
-    ServerProcess process;
+    long id() {
+        return model.id;
+    }
 
-    /** Replaced, reborn or fallen over: it does not come back. */
-    boolean gone;
+    int zone() {
+        return model.zone;
+    }
 
-    private double slow = 1;
-    private double errors;
-    private int pauses;
+    EmulatedServer model() {
+        return model;
+    }
 
-    /** The way from one sidecar to it, and what troubles that. */
-    static final class Way {
-        final LinkRelay link;
-        final LinkRelay.Way there;
-        final LinkRelay.Way back;
-        int cutThere;
-        int cutBack;
-        double moreMillis;
-        long cutAt;
-        private boolean refuse;
-        private boolean silent;
-
-        private final Executor order;
-
-        /**
-         * Changes are made one after another by {@code order}, as to close and to listen takes a
-         * while.
-         */
-        Way(LinkRelay link, Executor order) {
-            this.link = link;
-            this.order = order;
-            there = link.there();
-            back = link.back();
-        }
-
-        /** Brings the link to what has been said of it. */
-        void apply() {
-            boolean cut = cutThere > 0 || cutBack > 0;
-            LinkRelay.Door door =
-                    refuse
-                            ? LinkRelay.Door.REFUSE
-                            : silent || cut ? LinkRelay.Door.NEVER : LinkRelay.Door.OPEN;
-            long more = (long) (1000 * moreMillis);
-            LinkRelay.Way to =
-                    there.delayed(() -> there.delay().getAsLong() + more)
-                            .cutAt(cutAt)
-                            .held(silent || cutThere > 0);
-            LinkRelay.Way from =
-                    back.delayed(() -> back.delay().getAsLong() + more).held(silent || cutBack > 0);
-            order.execute(() -> link.be(door, to, from));
-        }
+    int slot() {
+        return slot;
     }
 
-    ServerMember(EmulatedServer mirror, int slot, List<Way> ways) {
-        this.mirror = mirror;
-        this.slot = slot;
-        this.ways = ways;
-        errors = mirror.make.errors();
+    List<ServerLink> links() {
+        return links;
     }
 
-    long id() {
-        return mirror.id;
+    /** The link from one sidecar. */
+    ServerLink linkFrom(SidecarMember sidecar) {
+        return links.get(sidecar.index());
     }
 
-    /** Its process has ended: refused from now on, or, like a vanished machine, nothing at all. */
+    /** The process that runs it; null before it was started. */
+    ServerProcess process() {
+        return process;
+    }
+
+    void process(ServerProcess runsIt) {
+        process = runsIt;
+    }
+
+    /** Whether it was replaced, reborn or drained: it does not come back. */
+    boolean isRetired() {
+        return retired;
+    }
+
+    void retire() {
+        retired = true;
+    }
+
+    /** Its process has ended: refused from now on, or, like a vanished machine, silent. */
     void down(boolean silently) {
-        for (Way way : ways) {
-            way.refuse = !silently;
-            way.silent = silently;
-            way.apply();
-        }
-        mirror.end(silently);
+        links.forEach(link -> link.serverDown(!silently, silently));
+        links.forEach(ServerLink::apply);
+        model.end(silently);
     }
 
-    /** Its process runs again. */
+    /** Its process runs. */
     void up() {
-        for (Way way : ways) {
-            way.refuse = false;
-            way.silent = false;
-            way.apply();
-        }
+        links.forEach(link -> link.serverDown(false, false));
+        links.forEach(ServerLink::apply);
     }
 
-    /** A trouble of its own begins or ends. */
-    void trouble(double slowBy, double errorsBy, int pausesBy) {
-        slow *= slowBy;
-        errors += errorsBy;
+    /** A fault of its own begins or ends: factors and differences to what there is. */
+    void addFault(double slowBy, double errorsBy, int pausesBy) {
+        slowFactor *= slowBy;
+        errorPart += errorsBy;
         pauses += pausesBy;
-        process.ask(state());
-    }
-
-    /** What troubles it, as a command. */
-    ObjectNode state() {
-        return EventHistory.JSON
-                .createObjectNode()
-                .put("do", "set")
-                .put("id", id())
-                .put("slow", slow)
-                .put("errors", Math.max(0, errors))
-                .put("pauses", pauses);
+        process.ask(setCommand());
     }
 
-    /** The way from each of these sidecars. */
-    List<Way> from(List<SidecarMember> sidecars) {
-        List<Way> some = new ArrayList<>();
-        sidecars.forEach(s -> some.add(ways.get(s.index())));
-        return some;
+    /** The command that sets the faults which are active on it. */
+    ObjectNode setCommand() {
+        return StandInCommands.set(id(), slowFactor, Math.max(0, errorPart), pauses);
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -9,117 +9,148 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.atomic.AtomicInteger;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.process.StandInProcess;
 
 /** A process with one save server in it, or with those of a zone that only ever end together. */
 final class ServerProcess {
 
-    private final FaultInjectionRun rig;
+    private final RunContext context;
+    private final RunMembers members;
+    private final StandInCommands commands;
     private final String name;
-    final int zone;
-    final List<ServerMember> members = new ArrayList<>();
+    private final int zone;
+    private final List<ServerMember> servers = new ArrayList<>();
     private StandInProcess child;
-    private int life;
+    private int starts;
 
-    /** Written by the thread of the model alone. */
-    private final AtomicInteger downs = new AtomicInteger();
+    /** Faults that keep it down. Written on the event loop of the run alone. */
+    private final AtomicInteger activeKills = new AtomicInteger();
 
-    ServerProcess(FaultInjectionRun rig, String name, int zone) {
-        this.rig = rig;
+    ServerProcess(
+            RunContext context,
+            RunMembers members,
+            StandInCommands commands,
+            String name,
+            int zone) {
+        this.context = context;
+        this.members = members;
+        this.commands = commands;
         this.name = name;
         this.zone = zone;
     }
 
-    /** Starts it; done once all its servers listen and the ways lead to them. */
+    int zone() {
+        return zone;
+    }
+
+    /** Places a server in it, to be run from its next start on, or by {@link #serve}. */
+    void add(ServerMember server) {
+        servers.add(server);
+    }
+
+    /** Starts it; done once all its servers listen and the links lead to them. */
     CompletableFuture<Void> start(boolean cold) throws IOException {
-        child = rig.child(name + "-" + ++life);
-        rig.history.line("process", "name", name, "what", "start", "pid", child.process().pid());
-        rig.history.line(
-                "host", "name", name, "servers", members.stream().map(ServerMember::id).toList());
-        List<CompletableFuture<?>> all = new ArrayList<>();
-        members.stream().filter(m -> !m.gone).forEach(m -> all.add(serve(m, cold)));
-        return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
+        child = context.startStandIn(name + "-" + ++starts);
+        context.history()
+                .write(
+                        EntryKind.PROCESS,
+                        "name",
+                        name,
+                        "what",
+                        "start",
+                        "pid",
+                        child.process().pid());
+        List<Long> ids = servers.stream().map(ServerMember::id).toList();
+        context.history().write(EntryKind.HOST, "name", name, "servers", ids);
+        CompletableFuture<?>[] served =
+                running().stream()
+                        .map(server -> serve(server, cold))
+                        .toArray(CompletableFuture<?>[]::new);
+        return CompletableFuture.allOf(served);
     }
 
-    /** Has it serve one more. */
-    CompletableFuture<Void> serve(ServerMember m, boolean cold) {
-        m.process = this;
-        ObjectNode command = rig.serving(m).put("cold", cold);
-        return child.ask(command)
+    private List<ServerMember> running() {
+        return servers.stream().filter(server -> !server.isRetired()).toList();
+    }
+
+    /** Runs one server in the process that there is; done once the links lead to it. */
+    CompletableFuture<Void> serve(ServerMember server, boolean cold) {
+        server.process(this);
+        return child.ask(commands.serve(server, cold))
                 .thenAccept(
                         answer -> {
                             InetSocketAddress at =
                                     new InetSocketAddress(
                                             InetAddress.getLoopbackAddress(),
                                             answer.path("port").asInt());
-                            m.ways.forEach(w -> w.link.target(at));
-                            ask(m.state());
+                            server.links().forEach(link -> link.relay().target(at));
+                            ask(server.setCommand());
                         });
     }
 
+    /** Sends a command, if it was ever started. */
     void ask(ObjectNode command) {
         if (child != null) {
             child.ask(command);
         }
     }
 
-    /** A planned end of one of its servers. */
-    void end(ServerMember m) {
-        ask(EventHistory.JSON.createObjectNode().put("do", "end").put("id", m.id()));
+    /** Ends one of its servers as planned. */
+    void end(ServerMember server) {
+        ask(StandInCommands.end(server.id()));
     }
 
-    /** SIGKILL, with how its address answers from now on. */
+    /** SIGKILL; its addresses refuse connections from now on, or are silent. */
     void kill(boolean silently) {
-        if (downs.getAndIncrement() > 0) {
+        if (activeKills.getAndIncrement() > 0) {
             return;
         }
-        rig.history.line("process", "name", name, "what", "kill");
-        for (ServerMember m : members) {
-            if (!m.gone) {
-                m.down(silently);
-                rig.discovery().ended(m.mirror);
-            }
+        context.history().write(EntryKind.PROCESS, "name", name, "what", "kill");
+        for (ServerMember server : running()) {
+            server.down(silently);
+            members.discovery().ended(server.model());
         }
         StandInProcess killed = child;
-        rig.change(() -> killed.process().destroyForcibly());
+        context.tasks().changeLinks(() -> killed.process().destroyForcibly());
     }
 
-    /** A new process, cold. */
-    void again() {
-        if (downs.decrementAndGet() > 0) {
+    /** A new process, cold, once no fault keeps it down. */
+    void restart() {
+        if (activeKills.decrementAndGet() > 0) {
             return;
         }
-        rig.aside(
-                () -> {
-                    try {
-                        start(true).join();
-                    } catch (CompletionException e) {
-                        if (!down()) {
-                            throw e;
-                        }
-                        return null;
-                    }
-                    rig.pace.run(this::returned);
-                    return null;
-                });
+        context.tasks().runAside(this::startCold);
     }
 
-    private void returned() {
-        if (downs.get() > 0) {
+    private void startCold() throws IOException {
+        try {
+            start(true).join();
+        } catch (CompletionException e) {
+            if (!isDown()) {
+                throw e;
+            }
             return;
         }
-        for (ServerMember m : members) {
-            if (!m.gone) {
-                m.up();
-                m.mirror.start();
-                rig.discovery().started(m.mirror);
-            }
+        context.eventLoop().run(this::restarted);
+    }
+
+    private void restarted() {
+        if (isDown()) {
+            return;
+        }
+        for (ServerMember server : running()) {
+            server.up();
+            server.model().start();
+            members.discovery().started(server.model());
         }
     }
 
-    boolean down() {
-        return downs.get() > 0;
+    boolean isDown() {
+        return activeKills.get() > 0;
     }
 
+    /** Kills it, whatever state it is in. */
     void stop() {
         if (child != null) {
             child.process().destroyForcibly();
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -0,0 +1,98 @@
+package sagefall.faultinjection;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Map;
+import sagefall.faultinjection.history.JsonLines;
+import sagefall.load.SidecarProcess;
+
+/** Starts the process of one sidecar, with its configuration and its extensions. */
+final class SidecarLauncher {
+
+    /** Recovery data older than this is not used. */
+    private static final long MAX_RECOVERY_AGE_MILLIS = 60_000;
+
+    private static final String NO_RECOVERY = "off";
+
+    private final RunContext context;
+    private final SidecarSpec spec;
+    private final InetSocketAddress discovery;
+    private final LeaseObserver leaseObserver;
+
+    /**
+     * The launcher of one sidecar.
+     *
+     * @param discovery where it finds its discovery agent
+     * @param leaseObserver null if the sidecars of the run have no lease
+     */
+    SidecarLauncher(
+            RunContext context,
+            SidecarSpec spec,
+            InetSocketAddress discovery,
+            LeaseObserver leaseObserver) {
+        this.context = context;
+        this.spec = spec;
+        this.discovery = discovery;
+        this.leaseObserver = leaseObserver;
+    }
+
+    /**
+     * Starts it, and waits for nothing.
+     *
+     * @param incarnation its start by number, from 1 on
+     * @param endpoints the complete endpoint list for its configuration
+     * @param clockOffsetMillis how far ahead it takes the wall clock to be
+     */
+    SidecarProcess start(int incarnation, ObjectNode endpoints, long clockOffsetMillis)
+            throws IOException {
+        return new SidecarProcess(
+                SidecarProcess.run(spec.checkout()),
+                spec.checkout(),
+                spec.directory(),
+                spec.listen(),
+                SidecarProcess.config(
+                        "n" + spec.index(),
+                        Addresses.text(discovery),
+                        salt(incarnation),
+                        JsonLines.MAPPER.convertValue(endpoints, JsonLines.MAP),
+                        spec.settings()),
+                extensions(clockOffsetMillis));
+    }
+
+    /** A seed for the sidecar, new with each start. */
+    private String salt(int incarnation) {
+        String stream = "salt." + spec.index() + "." + incarnation;
+        return String.format("%016x", context.randomStreams().stream(stream).nextLong());
+    }
+
+    /** The file of extensions; null for none. */
+    private Map<String, Object> extensions(long clockOffsetMillis) {
+        Map<String, Object> sections = new HashMap<>();
+        String sync = context.scenario().fleet().keeps();
+        if (!sync.equals(NO_RECOVERY)) {
+            sections.put(
+                    "recovery",
+                    Map.of(
+                            "directory",
+                            spec.directory().resolve("kept").toString(),
+                            "sync",
+                            sync,
+                            "max_age_ms",
+                            MAX_RECOVERY_AGE_MILLIS,
+                            "clock_offset_ms",
+                            clockOffsetMillis));
+        }
+        if (leaseObserver != null) {
+            sections.put(
+                    "duties",
+                    Map.of(
+                            "directory",
+                            leaseObserver.directory().toString(),
+                            "lease_ms",
+                            context.scenario().fleet().leaseMillis()));
+        }
+        return sections.isEmpty() ? null : sections;
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
@@ -0,0 +1,84 @@
+package sagefall.faultinjection;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Collection;
+import java.util.List;
+import sagefall.faultinjection.history.JsonLines;
+
+/** The commands that stand-in processes take, one JSON object a line. */
+final class StandInCommands {
+
+    private final RunContext context;
+    private final double setupMicros;
+
+    /**
+     * Commands of a run.
+     *
+     * @param setupMicros cost of a new connection at a server
+     */
+    StandInCommands(RunContext context, double setupMicros) {
+        this.context = context;
+        this.setupMicros = setupMicros;
+    }
+
+    private static ObjectNode command(String name) {
+        return JsonLines.MAPPER.createObjectNode().put("do", name);
+    }
+
+    /** Run a server; the answer tells its port. */
+    ObjectNode serve(ServerMember server, boolean cold) {
+        ObjectNode command =
+                command("serve")
+                        .put("id", server.id())
+                        .put("zone", server.zone())
+                        .put("cell", server.model().cell)
+                        .put("fall_multiple", context.scenario().service().fallMultiple())
+                        .put("fall_us", (long) (1e6 * context.scenario().service().fallSeconds()))
+                        .put("mean_work_us", context.meanWorkMicros())
+                        .put("setup_us", setupMicros)
+                        .put("window_us", context.requestClass().deduplicationWindowMicros())
+                        .put("seed", context.plan().seed());
+        command.set("make", JsonLines.MAPPER.valueToTree(server.model().make));
+        return command.put("cold", cold);
+    }
+
+    /** Set the faults of a server. */
+    static ObjectNode set(long server, double slowFactor, double errorPart, int pauses) {
+        return command("set")
+                .put("id", server)
+                .put("slow", slowFactor)
+                .put("errors", errorPart)
+                .put("pauses", pauses);
+    }
+
+    /** End a server as planned. */
+    static ObjectNode end(long server) {
+        return command("end").put("id", server);
+    }
+
+    /** Run the discovery agents of these sidecars; the answer tells their ports, in order. */
+    static ObjectNode agents(List<SidecarMember> sidecars) {
+        ObjectNode command = command("views");
+        ArrayNode indices = command.putArray("who");
+        sidecars.forEach(sidecar -> indices.add(sidecar.index()));
+        return command;
+    }
+
+    /** Discovery says nothing, or speaks. */
+    static ObjectNode mute(boolean on) {
+        return command("mute").put("on", on);
+    }
+
+    /** Hand an endpoint list to the agent of a sidecar. */
+    static ObjectNode list(int sidecar, ObjectNode list) {
+        return list.put("do", "list").put("who", sidecar);
+    }
+
+    /** An endpoint list: all endpoints, or those that changed. */
+    static ObjectNode endpointList(long revision, boolean all, Collection<ObjectNode> endpoints) {
+        ObjectNode list = JsonLines.MAPPER.createObjectNode().put("rev", revision).put("all", all);
+        list.putArray("targets").addAll(endpoints);
+        return list;
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/AttemptLimitInvariant.java
@@ -0,0 +1,40 @@
+package sagefall.faultinjection.invariant;
+
+import java.util.Set;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.HistoryEntry;
+
+/** No request has more attempts than its class allows. */
+final class AttemptLimitInvariant implements Invariant {
+
+    private final ObservedRun run;
+    private final Violations violations;
+
+    AttemptLimitInvariant(ObservedRun run, Violations violations) {
+        this.run = run;
+        this.violations = violations;
+    }
+
+    @Override
+    public InvariantName name() {
+        return InvariantName.ATTEMPTS;
+    }
+
+    @Override
+    public Set<EntryKind> reads() {
+        return Set.of(EntryKind.SEND);
+    }
+
+    @Override
+    public void observe(HistoryEntry send) {
+        int attempts = run.request(send).attempts().size();
+        if (attempts >= run.parameters().attemptLimit()) {
+            violations.add(
+                    name(),
+                    send.at(),
+                    "request %s was sent %d times",
+                    send.requestId(),
+                    attempts + 1);
+        }
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ListedEndpointInvariant.java
@@ -0,0 +1,41 @@
+package sagefall.faultinjection.invariant;
+
+import java.util.Set;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.HistoryEntry;
+
+/** Attempts go only to addresses that a list of the same sidecar has named. */
+final class ListedEndpointInvariant implements Invariant {
+
+    private final ObservedRun run;
+    private final Violations violations;
+
+    ListedEndpointInvariant(ObservedRun run, Violations violations) {
+        this.run = run;
+        this.violations = violations;
+    }
+
+    @Override
+    public InvariantName name() {
+        return InvariantName.LISTED;
+    }
+
+    @Override
+    public Set<EntryKind> reads() {
+        return Set.of(EntryKind.SEND);
+    }
+
+    @Override
+    public void observe(HistoryEntry send) {
+        String endpoint = send.text("to");
+        if (run.endpoints().notice(send.sidecar(), endpoint) == null) {
+            violations.add(
+                    name(),
+                    send.at(),
+                    "sidecar %d sent %s to %s, which no list of its named",
+                    send.sidecar(),
+                    send.requestId(),
+                    endpoint);
+        }
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/Violations.java
@@ -0,0 +1,24 @@
+package sagefall.faultinjection.invariant;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** Collects the violations of one history in the order in which they are found. */
+final class Violations {
+
+    private final List<Violation> found = new ArrayList<>();
+
+    // Error Prone asks for an annotation that would be a dependency of its own for this one method.
+    @SuppressWarnings("AnnotateFormatMethod")
+    void add(InvariantName invariant, long at, String format, Object... values) {
+        found.add(new Violation(invariant, String.format(format, values), at));
+    }
+
+    /** In order of time; those of one time in the order in which they were found. */
+    List<Violation> sorted() {
+        List<Violation> sorted = new ArrayList<>(found);
+        sorted.sort(Comparator.comparingLong(Violation::at));
+        return sorted;
+    }
+}
--- a/testbed/src/main/java/sagefall/faultinjection/BlackholeAddress.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.link;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /**
- * An address at which connections never come up: it listens with the shortest queue, fills that
- * itself and accepts nobody, so that the system drops what asks to connect, as a vanished machine
- * would.
+ * An address at which connections are never established: it listens with the shortest backlog,
+ * fills that itself and accepts nobody, so that the operating system drops further SYN packets, as
+ * a vanished machine would.
  */
 final class BlackholeAddress implements AutoCloseable {
 
-    /** The system's queue holds one more than it is told; one above that to be sure. */
+    /** The backlog holds one more than it is given; one above that to be sure. */
     private static final int FILLERS = 3;
 
     private final ServerSocketChannel listening = ServerSocketChannel.open();
--- a/testbed/src/main/java/sagefall/faultinjection/DatagramRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/DatagramRelay.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.link;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -13,27 +13,19 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The way of datagrams from one member to another, which may lose, double, delay and so reorder
- * them. The other side sees this way's address as the sender's.
+ * A link for datagrams from one member to another, which may lose, duplicate, delay and so reorder
+ * them. The other side sees the address of the relay as the sender's.
  */
 final class DatagramRelay implements AutoCloseable {
 
-    /**
-     * @param lost part that never arrives; {@code doubled} part that arrives twice
-     * @param delayMicros drawn evenly from 0 up to this for each, so that a larger one reorders
-     */
-    record Way(double lost, double doubled, long delayMicros) {
-        static final Way FREE = new Way(0, 0, 0);
-    }
-
     private final Channel channel;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private volatile InetSocketAddress target;
-    private volatile Way way = Way.FREE;
+    private volatile DatagramConditions conditions = DatagramConditions.PERFECT;
 
-    DatagramRelay(EventLoopGroup group, InetAddress at, DoubleSupplier chance)
+    DatagramRelay(EventLoopGroup group, InetAddress at, DoubleSupplier random)
             throws InterruptedException {
-        this.chance = chance;
+        this.random = random;
         channel =
                 new Bootstrap()
                         .group(group)
@@ -43,7 +35,7 @@
                                     @Override
                                     protected void channelRead0(
                                             ChannelHandlerContext context, DatagramPacket packet) {
-                                        pass(packet);
+                                        relay(packet);
                                     }
                                 })
                         .bind(at, 0)
@@ -55,27 +47,28 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
+    /** Where datagrams are relayed to; none are before it is set. */
     void target(InetSocketAddress to) {
         target = to;
     }
 
-    void way(Way now) {
-        way = now;
+    void conditions(DatagramConditions now) {
+        conditions = now;
     }
 
-    private void pass(DatagramPacket packet) {
-        Way now = way;
+    private void relay(DatagramPacket packet) {
+        DatagramConditions now = conditions;
         InetSocketAddress to = target;
-        if (to == null || chance.getAsDouble() < now.lost) {
+        if (to == null || random.getAsDouble() < now.lostPart()) {
             return;
         }
-        int copies = chance.getAsDouble() < now.doubled ? 2 : 1;
+        int copies = random.getAsDouble() < now.duplicatedPart() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             DatagramPacket copy = new DatagramPacket(packet.content().copy(), to);
             channel.eventLoop()
                     .schedule(
                             () -> channel.writeAndFlush(copy),
-                            (long) (now.delayMicros * chance.getAsDouble()),
+                            (long) (now.maxDelayMicros() * random.getAsDouble()),
                             TimeUnit.MICROSECONDS);
         }
     }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RelayedConnection.java
@@ -0,0 +1,135 @@
+package sagefall.faultinjection.link;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.InetSocketAddress;
+
+/** A client's connection to a link and the one to the target that it is relayed to. */
+final class RelayedConnection {
+
+    private final LinkRelay link;
+    private final Channel client;
+    private final RequestIdScanner scanner;
+    private final RelayDirection toServer;
+    private final RelayDirection toClient;
+    private Channel server;
+
+    /** Whether the client met {@link ConnectMode#SILENT}. */
+    private boolean silenced;
+
+    RelayedConnection(LinkRelay link, Channel client, RequestListener listener) {
+        this.link = link;
+        this.client = client;
+        scanner = new RequestIdScanner(listener);
+        toServer = new RelayDirection(this, true);
+        toClient = new RelayDirection(this, false);
+    }
+
+    LinkRelay link() {
+        return link;
+    }
+
+    RequestIdScanner scanner() {
+        return scanner;
+    }
+
+    /** The channel that a direction reads from. */
+    Channel source(RelayDirection direction) {
+        return direction == toServer ? client : server;
+    }
+
+    /** Relays the connection, on the event loop of the client's channel. */
+    void open() {
+        client.closeFuture().addListener(f -> sourceClosed(toServer));
+        client.pipeline().addLast(toServer);
+        if (link.mode() == ConnectMode.SILENT) {
+            silenced = true;
+            return;
+        }
+        InetSocketAddress target = link.target();
+        if (target == null) {
+            reset();
+            return;
+        }
+        new Bootstrap()
+                .group(client.eventLoop())
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.AUTO_READ, false)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                .handler(toClient)
+                .connect(target)
+                .addListener((ChannelFutureListener) this::connected);
+    }
+
+    private void connected(ChannelFuture connect) {
+        if (!connect.isSuccess()) {
+            reset();
+            return;
+        }
+        server = connect.channel();
+        server.closeFuture().addListener(f -> sourceClosed(toClient));
+        if (!client.isOpen()) {
+            reset();
+            return;
+        }
+        toServer.destination(server);
+        toClient.destination(client);
+        client.read();
+        server.read();
+    }
+
+    /** One side is gone: the other is reset as soon as what was in flight has passed. */
+    private void sourceClosed(RelayDirection direction) {
+        if (direction.sourceClosed()) {
+            reset();
+        }
+    }
+
+    /** Both sides have closed their output. */
+    void closeIfEnded() {
+        if (toServer.isEnded() && toClient.isEnded()) {
+            client.close();
+            server.close();
+        }
+    }
+
+    /** A fault of the link has begun or ended; from any thread. */
+    void conditionsChanged() {
+        client.eventLoop()
+                .execute(
+                        () -> {
+                            boolean silenceEnded = silenced && link.mode() != ConnectMode.SILENT;
+                            if (silenceEnded || toServer.mustReset() || toClient.mustReset()) {
+                                reset();
+                            }
+                        });
+    }
+
+    /** Resets both sides and releases what is blocked; from any thread. */
+    void reset() {
+        link.closed(this);
+        resetChannel(client);
+        resetChannel(server);
+        toServer.releaseBlocked();
+        toClient.releaseBlocked();
+    }
+
+    private static void resetChannel(Channel channel) {
+        if (channel == null || !channel.isOpen()) {
+            return;
+        }
+        try {
+            channel.config().setOption(ChannelOption.SO_LINGER, 0);
+        } catch (ChannelException e) {
+            // Its event loop has closed it meanwhile.
+            return;
+        }
+        channel.close();
+    }
+}
--- a/testbed/src/main/java/sagefall/faultinjection/ScenarioGenerator.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.plan;
 
 import java.util.List;
 import java.util.Locale;
--- a/testbed/src/main/java/sagefall/faultinjection/ProcessGuard.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
@@ -1,15 +1,16 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.process;
 
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sees to it that nothing outlives the rig, not even one that is killed: a shell that is told the
- * id of each process at its start and its end, and that kills those still running once the rig is
- * gone. Signals go through it too, as starting a program for each would cost more than the signal.
+ * Ensures that no child process outlives this one, even if this one is killed: a shell that reads
+ * the id of each process at its start and its end, and that kills those still running once its
+ * standard input is closed. Signals go through it too, as starting a program for each would cost
+ * more than the signal.
  */
-final class ProcessGuard implements AutoCloseable {
+public final class ProcessGuard implements AutoCloseable {
 
     private static final String WATCH =
             "trap '' INT TERM HUP; all=' '; while read -r what pid; do case "
@@ -21,7 +22,8 @@
     private final Process shell;
     private final OutputStream to;
 
-    ProcessGuard() throws IOException {
+    /** Starts the shell. */
+    public ProcessGuard() throws IOException {
         shell =
                 new ProcessBuilder("/bin/sh", "-c", WATCH)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -30,33 +32,33 @@
         to = shell.getOutputStream();
     }
 
-    /** From now on it would be killed, until it has ended. */
-    void watch(Process process) throws IOException {
-        tell("add " + process.pid());
+    /** Has a process killed with the others, until it has ended. */
+    public void watch(Process process) throws IOException {
+        send("add " + process.pid());
         process.onExit()
                 .thenRun(
                         () -> {
                             try {
-                                tell("del " + process.pid());
+                                send("del " + process.pid());
                             } catch (IOException e) {
-                                // The guard has done its work.
+                                // The shell has ended already.
                             }
                         });
     }
 
     /** Sends a signal, such as STOP, to a process that it watches. */
-    void signal(String name, Process process) throws IOException {
+    public void signal(String name, Process process) throws IOException {
         if (process.isAlive()) {
-            tell(name + " " + process.pid());
+            send(name + " " + process.pid());
         }
     }
 
-    private synchronized void tell(String line) throws IOException {
+    private synchronized void send(String line) throws IOException {
         to.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
         to.flush();
     }
 
-    /** Whatever it still watches is killed. */
+    /** Kills whatever it still watches. */
     @Override
     public void close() throws IOException {
         to.close();
--- a/testbed/src/main/java/sagefall/faultinjection/StandInProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.process;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,11 +13,13 @@
 import java.util.List;
 import java.util.Queue;
 import java.util.concurrent.CompletableFuture;
+import sagefall.faultinjection.history.JsonLines;
 
 /**
- * A {@link StandInHost} process, as the rig sees it: commands go in, and each is answered in turn.
+ * A stand-in process, as the run sees it: commands are written to its standard input, and it
+ * answers them in order on its standard output. Safe for use by several threads.
  */
-final class StandInProcess {
+public final class StandInProcess {
 
     private static final List<String> OPTIONS =
             List.of(
@@ -31,17 +33,26 @@
 
     private final Process process;
     private final OutputStream in;
-    private final Queue<CompletableFuture<JsonNode>> asked = new ArrayDeque<>();
+    private final Queue<CompletableFuture<JsonNode>> pending = new ArrayDeque<>();
     private volatile boolean ended;
 
-    StandInProcess(ProcessGuard guard, Path history, Path log) throws IOException {
+    /**
+     * Starts a process.
+     *
+     * @param guard kills it if this process has ended
+     * @param mainClass its main class; its only argument is its history
+     * @param history the file that it writes its history to
+     * @param log where its standard error is appended
+     */
+    public StandInProcess(ProcessGuard guard, String mainClass, Path history, Path log)
+            throws IOException {
         List<String> command = new ArrayList<>(OPTIONS);
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(
                 List.of(
                         "-cp",
                         System.getProperty("java.class.path"),
-                        StandInHost.class.getName(),
+                        mainClass,
                         history.toString()));
         process =
                 new ProcessBuilder(command)
@@ -54,7 +65,8 @@
         reader.start();
     }
 
-    Process process() {
+    /** The process itself. */
+    public Process process() {
         return process;
     }
 
@@ -62,36 +74,41 @@
         try (BufferedReader out =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String line; (line = out.readLine()) != null; ) {
-                JsonNode answer = EventHistory.JSON.readTree(line);
-                CompletableFuture<JsonNode> future;
-                synchronized (asked) {
-                    future = asked.remove();
-                }
-                if (answer.has("error")) {
-                    future.completeExceptionally(new IOException(answer.path("error").asText()));
-                } else {
-                    future.complete(answer);
-                }
+            String line = out.readLine();
+            while (line != null) {
+                complete(JsonLines.MAPPER.readTree(line));
+                line = out.readLine();
             }
         } catch (IOException e) {
             // It was killed.
         }
-        synchronized (asked) {
+        synchronized (pending) {
             ended = true;
-            asked.forEach(f -> f.completeExceptionally(new IOException("the process has ended")));
-            asked.clear();
+            pending.forEach(f -> f.completeExceptionally(new IOException("the process has ended")));
+            pending.clear();
         }
     }
 
-    /** Sends a command; what it answers, or a failure where it is gone. */
-    CompletableFuture<JsonNode> ask(ObjectNode command) {
+    private void complete(JsonNode answer) {
+        CompletableFuture<JsonNode> future;
+        synchronized (pending) {
+            future = pending.remove();
+        }
+        if (answer.has("error")) {
+            future.completeExceptionally(new IOException(answer.path("error").asText()));
+        } else {
+            future.complete(answer);
+        }
+    }
+
+    /** Sends a command; what it answers, or a failure if it has ended. */
+    public CompletableFuture<JsonNode> ask(ObjectNode command) {
         CompletableFuture<JsonNode> future = new CompletableFuture<>();
-        synchronized (asked) {
+        synchronized (pending) {
             if (ended) {
                 return CompletableFuture.failedFuture(new IOException("the process has ended"));
             }
-            asked.add(future);
+            pending.add(future);
             try {
                 in.write((command + "\n").getBytes(StandardCharsets.UTF_8));
                 in.flush();
--- /dev/null
+++ b/testbed/src/main/java/sagefall/faultinjection/report/package-info.java
@@ -0,0 +1,2 @@
+/** What came of a fault injection run: violations, statistics and an HTML page. */
+package sagefall.faultinjection.report;
--- a/testbed/src/main/java/sagefall/faultinjection/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.standin;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -14,6 +14,7 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
+import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.Locale;
@@ -25,29 +26,33 @@
 import sagefall.emulator.Job;
 import sagefall.emulator.RandomStreams;
 import sagefall.emulator.SlowStartBudget;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.HistoryWriter;
+import sagefall.faultinjection.history.JsonLines;
 
 /**
- * The emulator's save server on a real socket: what a request costs comes in its body, as the
- * emulator's requests bring it along, and slots, waiting room, cold start, thrash and reports are
- * the emulator's.
+ * The emulator's save server on a real socket: the cost of a request comes in its body, as the
+ * emulator's requests carry it, and slots, queue, cold start, thrashing and load reports are the
+ * emulator's. Its state belongs to the event loop of the process.
  */
 final class SocketServer implements EmulatedServer.Floor {
 
-    /** A request, and whom to answer. */
-    private static final class Asked extends Job {
+    /** A request, and the connection to answer on. */
+    private static final class ReceivedRequest extends Job {
         private final String id;
         private final String key;
-        private final Connection from;
-        private boolean gone;
+        private final Connection connection;
+        private boolean cancelled;
 
-        Asked(String id, String key, Connection from) {
+        ReceivedRequest(String id, String key, Connection connection) {
             this.id = id;
             this.key = key;
-            this.from = from;
+            this.connection = connection;
         }
 
         /**
-         * Whether senders knew is judged from the history; here all count, as a machine can't ask.
+         * Whether the senders had been notified is judged from the history; here all count, as a
+         * server can't know.
          */
         @Override
         protected boolean knowsStart(EmulatedServer server) {
@@ -56,32 +61,35 @@
     }
 
     private final EmulatedServer model;
-    private final RealTimeEventLoop pace;
-    private final EventHistory history;
-    private final Map<String, Long> ran;
+    private final RealTimeEventLoop eventLoop;
+    private final HistoryWriter history;
+    private final Map<String, Long> executedAt;
     private final double setupMicros;
-    private final long windowMicros;
-    private final UniformRandomProvider chances;
+    private final long deduplicationMicros;
+    private final UniformRandomProvider random;
     private final Set<Connection> connections = new HashSet<>();
-    private double lost;
-    private double resets;
-    Channel listening;
+    private double lostPart;
+    private double resetPart;
+    private Channel listening;
 
     SocketServer(
-            JsonNode command, RealTimeEventLoop pace, EventHistory history, Map<String, Long> ran)
+            JsonNode command,
+            RealTimeEventLoop eventLoop,
+            HistoryWriter history,
+            Map<String, Long> executedAt)
             throws JsonProcessingException {
-        this.pace = pace;
+        this.eventLoop = eventLoop;
         this.history = history;
-        this.ran = ran;
+        this.executedAt = executedAt;
         long id = command.path("id").asLong();
         model =
                 new EmulatedServer(
                         id,
                         command.path("zone").asInt(),
                         command.path("cell").asInt(),
-                        EventHistory.JSON.treeToValue(
+                        JsonLines.MAPPER.treeToValue(
                                 command.path("make"), EmulatedServer.Make.class),
-                        pace.loop(),
+                        eventLoop.queue(),
                         new double[] {1},
                         this);
         model.bears(
@@ -90,21 +98,31 @@
                         command.path("fall_us").asLong(),
                         command.path("mean_work_us").asDouble()));
         setupMicros = command.path("setup_us").asDouble();
-        windowMicros = command.path("window_us").asLong();
-        chances = new RandomStreams(command.path("seed").asLong()).stream("server." + id);
+        deduplicationMicros = command.path("window_us").asLong();
+        random = new RandomStreams(command.path("seed").asLong()).stream("server." + id);
+    }
+
+    /** Where it listens; set before it begins. */
+    void listening(Channel channel) {
+        listening = channel;
+    }
+
+    int port() {
+        return ((InetSocketAddress) listening.localAddress()).getPort();
     }
 
     long id() {
         return model.id;
     }
 
+    /** Begins to serve, with the load of a start or without it. */
     void begin(boolean cold) {
         if (cold) {
             model.start();
         }
         EmulatedServer.Make m = model.make;
-        history.line(
-                "server",
+        history.write(
+                EntryKind.SERVER,
                 "server",
                 model.id,
                 "zone",
@@ -119,86 +137,100 @@
                 m.coldMicros());
     }
 
-    /** What troubles it from now on. */
-    void set(JsonNode c) {
-        model.slow = c.path("slow").asDouble(model.slow);
-        model.stolen = c.path("stolen").asDouble(model.stolen);
-        model.errors = c.path("errors").asDouble(model.errors);
-        model.pauses = c.path("pauses").asInt(model.pauses);
-        lost = c.path("lost").asDouble(lost);
-        resets = c.path("resets").asDouble(resets);
-        if (c.path("drain").asBoolean()) {
+    /** The faults that it has from now on; a figure that the command lacks stays. */
+    void set(JsonNode command) {
+        model.slow = command.path("slow").asDouble(model.slow);
+        model.stolen = command.path("stolen").asDouble(model.stolen);
+        model.errors = command.path("errors").asDouble(model.errors);
+        model.pauses = command.path("pauses").asInt(model.pauses);
+        lostPart = command.path("lost").asDouble(lostPart);
+        resetPart = command.path("resets").asDouble(resetPart);
+        if (command.path("drain").asBoolean()) {
             model.state = EmulatedServer.State.DRAINING;
         }
         model.settle();
     }
 
-    /** Its process ends, as planned. */
+    /** Ends as planned. */
     void end() {
         listening.close();
         model.end(false);
         Set.copyOf(connections).forEach(Connection::reset);
-        history.line("server", "server", model.id, "zone", model.zone, "what", "end");
+        history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "end");
     }
 
     ChannelHandler connection() {
         return new Connection();
     }
 
-    /** In the thread of the model. */
-    private void take(
-            Connection from, String id, String key, String subject, double work, boolean fresh) {
-        Asked asked = new Asked(id, key, from);
-        long now = pace.loop().now();
-        Long before = ran.get(model.zone + " " + key);
-        boolean repeat = before != null && now - before <= windowMicros;
-        asked.work =
-                (repeat ? 0 : work * model.keyed(subject.hashCode())) + (fresh ? setupMicros : 0);
-        asked.left = asked.work;
-        boolean taken = model.state == EmulatedServer.State.UP && model.take(asked);
-        history.line(
-                "arrive",
+    /** A request has arrived; on the event loop. */
+    private void receive(
+            Connection connection,
+            String id,
+            String key,
+            String subject,
+            double work,
+            boolean newConnection) {
+        ReceivedRequest request = new ReceivedRequest(id, key, connection);
+        long now = eventLoop.queue().now();
+        Long before = executedAt.get(model.zone + " " + key);
+        boolean duplicate = before != null && now - before <= deduplicationMicros;
+        request.work =
+                (duplicate ? 0 : work * model.keyed(subject.hashCode()))
+                        + (newConnection ? setupMicros : 0);
+        request.left = request.work;
+        boolean accepted = model.state == EmulatedServer.State.UP && model.take(request);
+        history.write(
+                EntryKind.ARRIVE,
                 "id",
                 id,
                 "server",
                 model.id,
                 "taken",
-                taken,
+                accepted,
                 "warmth",
                 model.warmth(now));
         if (model.state == EmulatedServer.State.DEAD) {
-            from.reset();
-        } else if (!taken) {
-            history.line("reply", "id", id, "server", model.id, "status", 503);
-            from.answer(asked, 503, "Not-Started", "1", "");
+            connection.reset();
+        } else if (!accepted) {
+            history.write(EntryKind.REPLY, "id", id, "server", model.id, "status", 503);
+            connection.answer(request, 503, "Not-Started", "1", "");
         } else {
-            if (!repeat) {
-                ran.put(model.zone + " " + key, now);
+            if (!duplicate) {
+                executedAt.put(model.zone + " " + key, now);
             }
-            from.inHand = asked;
+            connection.inFlight = request;
         }
     }
 
     @Override
     public void done(Job job) {
-        Asked asked = (Asked) job;
-        history.line(
-                "effect", "id", asked.id, "key", asked.key, "server", model.id, "zone", model.zone);
-        if (asked.gone) {
+        ReceivedRequest request = (ReceivedRequest) job;
+        history.write(
+                EntryKind.EFFECT,
+                "id",
+                request.id,
+                "key",
+                request.key,
+                "server",
+                model.id,
+                "zone",
+                model.zone);
+        if (request.cancelled) {
             return;
         }
-        double luck = chances.nextDouble();
-        if (luck < resets) {
-            asked.from.reset();
-        } else if (luck >= resets + lost) {
-            int status = luck > 1 - model.errors ? 500 : 200;
-            history.line("reply", "id", asked.id, "server", model.id, "status", status);
-            asked.from.answer(
-                    asked,
+        double chance = random.nextDouble();
+        if (chance < resetPart) {
+            request.connection.reset();
+        } else if (chance >= resetPart + lostPart) {
+            int status = chance > 1 - model.errors ? 500 : 200;
+            history.write(EntryKind.REPLY, "id", request.id, "server", model.id, "status", status);
+            request.connection.answer(
+                    request,
                     status,
                     "Server-Load",
                     report(),
-                    status == 200 ? "done " + asked.id : "");
+                    status == 200 ? "done " + request.id : "");
         }
     }
 
@@ -214,26 +246,26 @@
 
     @Override
     public void broken(Job job) {
-        ((Asked) job).from.reset();
+        ((ReceivedRequest) job).connection.reset();
     }
 
     @Override
     public void fell(EmulatedServer server, double told) {
-        history.line("server", "server", model.id, "zone", model.zone, "what", "fell");
+        history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "fell");
         listening.close();
         Set.copyOf(connections).forEach(Connection::reset);
     }
 
-    /** One connection of a sidecar's, one request at a time. */
+    /** A connection of a sidecar, one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private volatile Channel channel;
-        private boolean fresh = true;
-        private Asked inHand;
+        private boolean firstRequest = true;
+        private ReceivedRequest inFlight;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
-            pace.run(
+            eventLoop.run(
                     () -> {
                         connections.add(this);
                         if (++model.connections > model.make.connections()
@@ -246,7 +278,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (request.uri().equals("/healthz") || request.uri().equals("/load")) {
-                pace.run(() -> answer(null, 200, "Server-Load", report(), ""));
+                eventLoop.run(() -> answer(null, 200, "Server-Load", report(), ""));
                 return;
             }
             String id = request.headers().get("Request-Id", "");
@@ -254,15 +286,15 @@
             String body = request.content().toString(StandardCharsets.US_ASCII);
             String uri = request.uri();
             if (id.isEmpty() || !body.startsWith("work=")) {
-                pace.run(() -> answer(null, 400, "", "", ""));
+                eventLoop.run(() -> answer(null, 400, "", "", ""));
                 return;
             }
             double work = Double.parseDouble(body.substring(5, body.indexOf('\n')));
-            boolean first = fresh;
-            fresh = false;
-            pace.run(
+            boolean first = firstRequest;
+            firstRequest = false;
+            eventLoop.run(
                     () ->
-                            take(
+                            receive(
                                     this,
                                     id,
                                     key,
@@ -271,9 +303,10 @@
                                     first));
         }
 
-        private void answer(Asked asked, int status, String name, String value, String text) {
-            if (asked != null && inHand == asked) {
-                inHand = null;
+        private void answer(
+                ReceivedRequest request, int status, String name, String value, String text) {
+            if (request != null && inFlight == request) {
+                inFlight = null;
             }
             ByteBuf content = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
             FullHttpResponse answer =
@@ -293,14 +326,14 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            pace.run(
+            eventLoop.run(
                     () -> {
                         connections.remove(this);
                         model.connections = Math.max(0, model.connections - 1);
-                        if (inHand != null) {
-                            inHand.gone = true;
-                            history.line("cancel", "id", inHand.id, "server", model.id);
-                            inHand = null;
+                        if (inFlight != null) {
+                            inFlight.cancelled = true;
+                            history.write(EntryKind.CANCEL, "id", inFlight.id, "server", model.id);
+                            inFlight = null;
                         }
                     });
         }
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -24,6 +24,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.cli.CommandLineMain;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.HistoryReader;
+import sagefall.faultinjection.invariant.InvariantChecks;
+import sagefall.faultinjection.invariant.InvariantName;
+import sagefall.faultinjection.invariant.Violation;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.plan.ScenarioGenerator;
+import sagefall.faultinjection.report.RunResult;
 import sagefall.load.SidecarProcess;
 import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
@@ -38,6 +46,9 @@
 
     private static final Path ROOT = SidecarProcess.ROOT;
 
+    private static final String HISTORY = "history";
+    private static final String SCHEDULE = "schedule.jsonl";
+
     @TempDir Path folder;
 
     private static RunPlan plan(String name, long seed, String... more) throws Exception {
@@ -59,12 +70,13 @@
         "rig-reborn, 17"
     })
     void noRuleBreaks(String scenario, long seed) throws Exception {
-        RunResult play =
-                RunResult.of(plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
+        RunResult result =
+                FaultInjectionRun.execute(
+                        plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        play.print(new PrintStream(printed, true));
-        assertFalse(play.broken(), printed::toString);
-        assertTrue(play.figures().requests() > 200, printed::toString);
+        result.print(new PrintStream(printed, true));
+        assertFalse(result.isViolated(), printed::toString);
+        assertTrue(result.statistics().requests() > 200, printed::toString);
         assertTrue(Files.readString(folder.resolve("report.html")).contains("sidecar 5"));
     }
 
@@ -74,10 +86,10 @@
      */
     @Test
     void whatWasKeptOutlivesABlackout() throws Exception {
-        RunResult play = RunResult.of(plan("rig-blackout", 21), folder);
+        RunResult result = FaultInjectionRun.execute(plan("rig-blackout", 21), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        play.print(new PrintStream(printed, true));
-        assertFalse(play.broken(), printed::toString);
+        result.print(new PrintStream(printed, true));
+        assertFalse(result.isViolated(), printed::toString);
         for (int i = 0; i < 6; i++) {
             String log = Files.readString(folder.resolve("sidecar-" + i).resolve("log"));
             assertTrue(log.contains("recovery: epoch 1, nothing was kept"), log);
@@ -90,13 +102,13 @@
     /** The owner of the duty is stopped past its lease and woken, and the next one killed. */
     @Test
     void anOwnerThatWakesUpLateDoesNoHarm() throws Exception {
-        RunResult play = RunResult.of(plan("rig-owner", 23), folder);
+        RunResult result = FaultInjectionRun.execute(plan("rig-owner", 23), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        play.print(new PrintStream(printed, true));
-        assertFalse(play.broken(), printed::toString);
+        result.print(new PrintStream(printed, true));
+        assertFalse(result.isViolated(), printed::toString);
         long terms =
-                EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY)).stream()
-                        .filter(e -> e.kind().equals("duty"))
+                HistoryReader.read(folder.resolve(HISTORY)).stream()
+                        .filter(e -> e.kind() == EntryKind.LEASE)
                         .mapToLong(e -> e.number("term"))
                         .max()
                         .orElse(0);
@@ -112,16 +124,16 @@
     @Test
     void aCrashIsSeen() throws Exception {
         RunPlan plan = plan("rig-calm", 3, "seconds=6", "fleet.sidecars=2", "fleet.servers=3");
-        try (FaultInjectionRun rig = new FaultInjectionRun(plan, folder)) {
-            rig.start();
-            rig.sidecars().get(1).process().destroyForcibly();
-            rig.sidecars().get(1).process().onExit().join();
+        try (FaultInjectionRun run = new FaultInjectionRun(plan, folder)) {
+            run.start();
+            run.sidecars().get(1).control().process().destroyForcibly();
+            run.sidecars().get(1).control().process().onExit().join();
         }
-        List<InvariantChecks.Breach> breaches =
-                InvariantChecks.of(EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY)));
+        List<Violation> violations =
+                InvariantChecks.violations(HistoryReader.read(folder.resolve(HISTORY)));
         assertEquals(
-                List.of(InvariantChecks.Rule.CRASH),
-                breaches.stream().map(InvariantChecks.Breach::rule).toList());
+                List.of(InvariantName.CRASH),
+                violations.stream().map(Violation::invariant).toList());
     }
 
     @Test
@@ -130,29 +142,29 @@
         for (int i = 0; i < 3; i++) {
             Path mine = folder.resolve("p" + i);
             new FaultInjectionRun(plan("rig-disagree", i == 2 ? 8 : 7), mine).close();
-            lines[i] = Files.readAllBytes(mine.resolve(FaultInjectionRun.SCHEDULE));
+            lines[i] = Files.readAllBytes(mine.resolve(SCHEDULE));
         }
         assertArrayEquals(lines[0], lines[1]);
         assertFalse(new String(lines[0], UTF_8).equals(new String(lines[2], UTF_8)));
         // Leaving out one fault changes no other.
-        new FaultInjectionRun(plan("rig-disagree", 7).only(List.of(0, 2)), folder.resolve("fewer"))
+        new FaultInjectionRun(
+                        plan("rig-disagree", 7).withFaults(List.of(0, 2)), folder.resolve("fewer"))
                 .close();
-        List<String> all =
-                Files.readAllLines(folder.resolve("p0").resolve(FaultInjectionRun.SCHEDULE));
+        List<String> all = Files.readAllLines(folder.resolve("p0").resolve(SCHEDULE));
         assertEquals(
                 List.of(all.get(0), all.get(2)),
-                Files.readAllLines(folder.resolve("fewer").resolve(FaultInjectionRun.SCHEDULE)));
+                Files.readAllLines(folder.resolve("fewer").resolve(SCHEDULE)));
     }
 
     @Test
     void aPlanIsReadAsItWasWritten() throws Exception {
-        RunPlan plan = plan("rig-discovery", 99).only(List.of(1));
+        RunPlan plan = plan("rig-discovery", 99).withFaults(List.of(1));
         plan.write(folder.resolve("plan.json"));
         assertEquals(plan, RunPlan.read(folder.resolve("plan.json")));
         assertEquals(List.of(1), plan.faults());
     }
 
-    /** Drawn scenarios are ones that the rig can play. */
+    /** Drawn scenarios are ones that the rig can result. */
     @Test
     void campaignsDrawWhatCanBePlayed() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
@@ -197,10 +209,7 @@
         try (BufferedReader out =
                 new BufferedReader(new InputStreamReader(rig.getInputStream(), UTF_8))) {
             assertTrue(out.readLine().contains("rig-calm"));
-            Path history =
-                    folder.resolve("rig-calm-1")
-                            .resolve(FaultInjectionRun.HISTORY)
-                            .resolve("rig.jsonl");
+            Path history = folder.resolve("rig-calm-1").resolve(HISTORY).resolve("rig.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"begin\"")) {
                 assertTrue(rig.isAlive());
                 rig.waitFor(50, TimeUnit.MILLISECONDS);
@@ -253,7 +262,7 @@
                 errors::toString);
     }
 
-    /** Each side says which faults it can't play. */
+    /** Each side says which faults it can't result. */
     @Test
     void theEmulatorCantStopProcesses() throws Exception {
         assertEquals(
--- a/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
@@ -11,6 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.faultinjection.plan.RunDirectory;
+import sagefall.faultinjection.plan.RunPlan;
 import sagefall.load.SidecarProcess;
 import sagefall.scenario.Scenario;
 
@@ -59,12 +61,12 @@
                 new RunPlan(
                         source.file(),
                         source.text(),
-                        RunPlan.SIZE,
+                        RunPlan.ONE_MACHINE_FLEET,
                         seed,
                         null,
                         List.of(SidecarProcess.ROOT));
         new FaultInjectionRun(plan, output).close();
-        return Files.readString(output.resolve(FaultInjectionRun.SCHEDULE));
+        return Files.readString(new RunDirectory(output).schedule());
     }
 
     private static String golden(String scenario) throws IOException {
--- a/testbed/src/test/java/sagefall/faultinjection/InvariantChecksTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
@@ -1,18 +1,21 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.invariant;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sagefall.faultinjection.HistoryText;
 
-/** Each check is red on a history that breaks it, and on that alone. Times are milliseconds. */
+/**
+ * Each invariant is violated by a history that breaks it, and by that alone. Times are
+ * milliseconds.
+ */
 class InvariantChecksTest {
 
-    private static final String PLAY =
+    private static final String RUN =
             """
             0 play effect token group zone window_us 2500000 drain_us 500000 attempts 3 \
             fall_multiple 3 \
@@ -25,43 +28,6 @@
             1 begin
             """;
 
-    /**
-     * A line is: milliseconds, kind, then names and values; targets are endpoint:id:state[:boot].
-     */
-    private static List<EventHistory.Entry> history(String text) throws Exception {
-        StringBuilder lines = new StringBuilder();
-        for (String line : text.replace("; ", "\n").split("\n", 0)) {
-            String[] words = line.trim().split(" +", 0);
-            var node =
-                    EventHistory.JSON
-                            .createObjectNode()
-                            .put("t", (long) (1e6 * Double.parseDouble(words[0])))
-                            .put("k", words[1]);
-            for (int i = 2; i + 1 < words.length; i += 2) {
-                String value = words[i + 1].replace('_', ' ');
-                if (words[i].equals("targets")) {
-                    var targets = node.putArray("targets");
-                    for (String target : words[i + 1].split(",", 0)) {
-                        String[] t = target.split(":", 0);
-                        targets.addObject()
-                                .put("endpoint", t[0])
-                                .put("id", Long.parseLong(t[1]))
-                                .put("state", t[2])
-                                .put("boot_ms", t.length > 3 ? Long.parseLong(t[3]) : 0);
-                    }
-                } else if (words[i + 1].matches("-?[0-9.]+")) {
-                    node.put(words[i], Double.parseDouble(words[i + 1]));
-                } else if (words[i + 1].matches("true|false")) {
-                    node.put(words[i], Boolean.parseBoolean(words[i + 1]));
-                } else {
-                    node.put(words[i], words[i].equals("body") ? value : words[i + 1]);
-                }
-            }
-            lines.append(node).append('\n');
-        }
-        return EventHistory.parse(lines.toString());
-    }
-
     private static final String ASKED = "100 intent id r who 0 key k wish 1 timeout_us 1000000; ";
     private static final String SENT =
             ASKED + "101 send id r who 0 to A; 102 arrive id r server 1 warmth 1; ";
@@ -156,7 +122,7 @@
                 "at rest as before | 900 rest who 0 when after descriptors 22 rss_kib 60000 |",
                 "a request that nobody asked for | 60 arrive id x server 1 warmth 1 | STAND_IN",
             })
-    void red(String name, String more, String rule) throws Exception {
+    void violated(String name, String more, String invariant) throws Exception {
         String text =
                 more == null
                         ? SERVED
@@ -169,11 +135,11 @@
                                         "(^|; )T ",
                                         "$150 told who 0 all false targets A:1:terminating; "
                                                 + ASKED);
-        List<InvariantChecks.Breach> breaches = InvariantChecks.of(history(PLAY + text));
+        List<Violation> violations = InvariantChecks.violations(HistoryText.parse(RUN + text));
         assertEquals(
-                rule == null ? Map.of() : Map.of(InvariantChecks.Rule.valueOf(rule.trim()), 1L),
-                InvariantChecks.count(breaches),
-                breaches.toString());
+                invariant == null ? Map.of() : Map.of(InvariantName.valueOf(invariant.trim()), 1L),
+                InvariantChecks.count(violations),
+                violations.toString());
     }
 
     /** Ten requests within a second are more than a cold server of one core at a third bears. */
@@ -182,7 +148,7 @@
     void aColdServerBearsSoMuchFromThoseThatKnew(boolean told, int count, boolean broken)
             throws Exception {
         StringBuilder text =
-                new StringBuilder(PLAY)
+                new StringBuilder(RUN)
                         .append(
                                 "10 server server 1 zone 0 what cold capacity 1 "
                                         + "cold_from 0.3 cold_us 8000000; ");
@@ -210,52 +176,23 @@
         }
         text.setLength(text.length() - 2);
         assertEquals(
-                broken ? Map.of(InvariantChecks.Rule.COLD, 1L) : Map.of(),
-                InvariantChecks.count(InvariantChecks.of(history(text.toString()))));
+                broken ? Map.of(InvariantName.COLD, 1L) : Map.of(),
+                InvariantChecks.count(
+                        InvariantChecks.violations(HistoryText.parse(text.toString()))));
     }
 
     /** A server that reports itself colder than its make allows would hide what it bears. */
     @Test
     void aServerIsNoColderThanItsMake() throws Exception {
         String text =
-                PLAY
+                RUN
                         + "10 server server 1 zone 0 what cold capacity 1 cold_from 0.3 cold_us"
                         + " 1000000; "
                         + ASKED
                         + "101 send id r who 0 to A; 800 arrive id r server 1 warmth 0.3; "
                         + "900 answer id r who 0 status 504";
         assertEquals(
-                Map.of(InvariantChecks.Rule.STAND_IN, 1L),
-                InvariantChecks.count(InvariantChecks.of(history(text))));
-    }
-
-    /** Two of ten seconds without service, one second until it is whole again. */
-    @Test
-    void figuresTellHowLongServiceWasAway() throws Exception {
-        StringBuilder text =
-                new StringBuilder(
-                        "0 play aim_us 500000 seconds 10 over_share_worth 0.1\n"
-                                + "0 begin\n"
-                                + "4000 fault what x on true\n"
-                                + "6000 fault what x on false\n");
-        for (int i = 0; i < 1000; i++) {
-            int at = 10 * i;
-            text.append(at)
-                    .append(" intent id r")
-                    .append(i)
-                    .append(" wish ")
-                    .append(i)
-                    .append('\n');
-            boolean lost = at >= 4000 && at < 7000 && (at < 6000 || i % 2 == 0);
-            text.append(at + (lost ? 900 : 50))
-                    .append(" answer id r")
-                    .append(i)
-                    .append(" status 200\n");
-        }
-        RunStatistics f = RunStatistics.of(history(text.toString().trim()));
-        assertEquals(0.75, f.served(), 1e-9);
-        assertEquals(0, f.worstSecond(), 1e-9);
-        assertEquals(1, f.back(), 1e-9);
-        assertTrue(f.p99Millis() > 800, f.toString());
+                Map.of(InvariantName.STAND_IN, 1L),
+                InvariantChecks.count(InvariantChecks.violations(HistoryText.parse(text))));
     }
 }
--- a/testbed/src/test/java/sagefall/faultinjection/InvariantWordsTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantNameTest.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.invariant;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The words of a play's checks, written as they are to its page and after {@code BROKEN}. */
-class InvariantWordsTest {
+/** The names of the invariants, written as they are to the report and after {@code BROKEN}. */
+class InvariantNameTest {
 
     @Test
     void rules() {
@@ -24,6 +24,6 @@
                         "REST",
                         "OWNER",
                         "STAND_IN"),
-                Arrays.stream(InvariantChecks.Rule.values()).map(String::valueOf).toList());
+                Arrays.stream(InvariantName.values()).map(String::valueOf).toList());
     }
 }
--- a/testbed/src/test/java/sagefall/faultinjection/LinkRelayTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/link/LinkRelayTest.java
@@ -1,4 +1,4 @@
-package sagefall.faultinjection;
+package sagefall.faultinjection.link;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Timeout;
 import sagefall.emulator.RandomStreams;
 
-/** What can go wrong on a way, on real sockets. */
+/** The faults of links, on real sockets. */
 @Timeout(120)
 class LinkRelayTest {
 
@@ -42,8 +42,8 @@
             new LinkRelay(
                     group,
                     InetAddress.getByName("127.9.9.9"),
-                    LinkRelay.Way.FREE,
-                    LinkRelay.Way.FREE,
+                    LinkConditions.PERFECT,
+                    LinkConditions.PERFECT,
                     sent::add);
 
     LinkRelayTest() throws Exception {
@@ -127,20 +127,20 @@
     }
 
     @Test
-    void doorsRefuseStaySilentAndNeverOpen() throws Exception {
-        link.door(LinkRelay.Door.REFUSE);
+    void newConnectionsAreRefusedSilencedOrDropped() throws Exception {
+        link.mode(ConnectMode.REFUSE);
         assertThrows(SocketException.class, this::connect);
-        link.door(LinkRelay.Door.NEVER);
+        link.mode(ConnectMode.BLACKHOLE);
         try (Socket s = new Socket()) {
             assertThrows(SocketTimeoutException.class, () -> s.connect(link.address(), 300));
         }
-        link.door(LinkRelay.Door.SILENT);
+        link.mode(ConnectMode.SILENT);
         try (Socket s = connect()) {
             s.getOutputStream().write(1);
             s.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, () -> s.getInputStream().read());
             s.setSoTimeout(30_000);
-            link.door(LinkRelay.Door.OPEN);
+            link.mode(ConnectMode.FORWARD);
             assertThrows(SocketException.class, () -> s.getInputStream().read());
         }
         try (Socket s = connect()) {
@@ -150,65 +150,69 @@
 
     /** The selector lets a closed listener go late: who is refused must not depend on when. */
     @Test
-    void aRefusingDoorRefusesAtOnce() throws Exception {
+    void refusingTakesEffectAtOnce() throws Exception {
         for (int i = 0; i < 300; i++) {
-            link.door(LinkRelay.Door.REFUSE);
+            link.mode(ConnectMode.REFUSE);
             assertThrows(SocketException.class, this::connect);
-            link.door(LinkRelay.Door.OPEN);
+            link.mode(ConnectMode.FORWARD);
             connect().close();
         }
     }
 
     /**
-     * One way is cut: what goes there is held; once it heals, whoever had something held is reset.
+     * One direction is blocked: data is buffered; once it ends, connections with buffered data are
+     * reset.
      */
     @Test
-    void aCutOfOneWayHoldsAndThenResets() throws Exception {
+    void aBlockedDirectionBuffersAndThenResets() throws Exception {
         try (Socket busy = connect();
                 Socket idle = connect()) {
             exchange(busy, new byte[] {1});
             exchange(idle, new byte[] {1});
-            link.ways(LinkRelay.Way.FREE.held(true), LinkRelay.Way.FREE);
+            link.conditions(LinkConditions.PERFECT.blocked(true), LinkConditions.PERFECT);
             busy.getOutputStream().write(2);
             busy.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, () -> busy.getInputStream().read());
             busy.setSoTimeout(30_000);
-            link.ways(LinkRelay.Way.FREE, LinkRelay.Way.FREE);
+            link.conditions(LinkConditions.PERFECT, LinkConditions.PERFECT);
             assertThrows(SocketException.class, () -> busy.getInputStream().read());
             assertArrayEquals(new byte[] {3}, exchange(idle, new byte[] {3}));
         }
     }
 
     @Test
-    void waysDelayLimitCutAndHalfClose() throws Exception {
-        link.ways(
-                LinkRelay.Way.FREE.delayed(() -> 30_000), LinkRelay.Way.FREE.delayed(() -> 20_000));
+    void linksDelayLimitResetAndHalfClose() throws Exception {
+        link.conditions(
+                LinkConditions.PERFECT.delayed(() -> 30_000),
+                LinkConditions.PERFECT.delayed(() -> 20_000));
         long began = System.nanoTime();
         try (Socket s = connect()) {
             exchange(s, new byte[] {1});
             assertTrue(System.nanoTime() - began >= 50_000_000);
         }
-        link.ways(new LinkRelay.Way(() -> 0, 10_000, false, 0, 0), LinkRelay.Way.FREE);
+        link.conditions(new LinkConditions(() -> 0, 10_000, false, 0, 0), LinkConditions.PERFECT);
         began = System.nanoTime();
         try (Socket s = connect()) {
             exchange(s, new byte[2000]);
             assertTrue(System.nanoTime() - began >= 200_000_000);
         }
-        link.ways(LinkRelay.Way.FREE, LinkRelay.Way.FREE.cutAt(10));
+        link.conditions(LinkConditions.PERFECT, LinkConditions.PERFECT.resetAfter(10));
         try (Socket s = connect()) {
             s.getOutputStream().write(new byte[25]);
             assertThrows(SocketException.class, () -> s.getInputStream().readNBytes(25));
         }
-        link.ways(LinkRelay.Way.FREE, new LinkRelay.Way(() -> 0, 0, false, 0, 10));
+        link.conditions(LinkConditions.PERFECT, new LinkConditions(() -> 0, 0, false, 0, 10));
         try (Socket s = connect()) {
             s.getOutputStream().write(new byte[25]);
             assertEquals(10, s.getInputStream().readAllBytes().length);
         }
     }
 
-    /** The relay's own cost: the difference of round trips, halved, as a way is half of one. */
+    /**
+     * The relay's own cost: the difference of round trips, halved, as a direction is half of one.
+     */
     @Test
-    void aWayCostsLittle() throws Exception {
+    void aRelayCostsLittle() throws Exception {
         Histogram[] micros = {new Histogram(3), new Histogram(3)};
         try (Socket relayed = connect();
                 Socket direct = new Socket(echo.getInetAddress(), echo.getLocalPort())) {
@@ -225,7 +229,7 @@
             }
         }
         System.out.printf(
-                "a way costs %.0f us at the median, %.0f us at p99%n",
+                "a relay costs %.0f us at the median, %.0f us at p99%n",
                 Arrays.stream(new double[] {50})
                         .map(
                                 p ->
@@ -241,24 +245,24 @@
     }
 
     @Test
-    void datagramsAreLostDoubledAndReordered() throws Exception {
+    void datagramsAreLostDuplicatedAndReordered() throws Exception {
         var random = new RandomStreams(4).stream("udp");
         try (DatagramSocket from = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket to = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramRelay way =
+                DatagramRelay relay =
                         new DatagramRelay(
                                 group, InetAddress.getByName("127.9.9.8"), random::nextDouble)) {
             to.setSoTimeout(5_000);
-            way.target((InetSocketAddress) to.getLocalSocketAddress());
-            for (DatagramRelay.Way w :
+            relay.target((InetSocketAddress) to.getLocalSocketAddress());
+            for (DatagramConditions conditions :
                     List.of(
-                            DatagramRelay.Way.FREE,
-                            new DatagramRelay.Way(0, 1, 0),
-                            new DatagramRelay.Way(0, 0, 20_000))) {
-                way.way(w);
-                int expected = w.doubled() == 1 ? 40 : 20;
+                            DatagramConditions.PERFECT,
+                            new DatagramConditions(0, 1, 0),
+                            new DatagramConditions(0, 0, 20_000))) {
+                relay.conditions(conditions);
+                int expected = conditions.duplicatedPart() == 1 ? 40 : 20;
                 for (byte i = 0; i < 20; i++) {
-                    from.send(new DatagramPacket(new byte[] {i}, 1, way.address()));
+                    from.send(new DatagramPacket(new byte[] {i}, 1, relay.address()));
                 }
                 byte[] got = new byte[expected];
                 for (int i = 0; i < expected; i++) {
@@ -271,10 +275,10 @@
                 for (int i = 0; i < expected; i++) {
                     assertEquals(expected == 40 ? i / 2 : i, sorted[i]);
                 }
-                assertEquals(w.delayMicros() > 0, !Arrays.equals(sorted, got));
+                assertEquals(conditions.maxDelayMicros() > 0, !Arrays.equals(sorted, got));
             }
-            way.way(new DatagramRelay.Way(1, 0, 0));
-            from.send(new DatagramPacket(new byte[1], 1, way.address()));
+            relay.conditions(new DatagramConditions(1, 0, 0));
+            from.send(new DatagramPacket(new byte[1], 1, relay.address()));
             to.setSoTimeout(300);
             assertThrows(
                     SocketTimeoutException.class,
