--- a/deploy/update-class-list.sh
+++ b/deploy/update-class-list.sh
@@ -24,7 +24,7 @@
 # The load generator posts to the class "save" as the tenant "one".
 sed -e 's/"ingest"/"save"/' -e 's/"aula-digital"/"one"/' deploy/example/config.json >"$config"
 
-./sagefall lab stand-in --port "$discovery_port" >/dev/null &
+./sagefall stand-in --port "$discovery_port" >/dev/null &
 stand_in_pid=$!
 LB_CONFIG="$config" LB_LISTEN=127.0.0.1:$sidecar_port \
     java -XX:+UseSerialGC -Xshare:off -XX:DumpLoadedClassList="$list" -XX:TieredStopAtLevel=1 \
@@ -32,9 +32,9 @@
     -XX:-UsePerfData -Xms24m -Xmx64m -jar "$sidecar_jar" serve &
 sidecar_pid=$!
 sleep 8
-./sagefall lab load --port "$sidecar_port" --rate 400 --seconds 8
+./sagefall load --port "$sidecar_port" --rate 400 --seconds 8
 kill -HUP "$sidecar_pid"
-./sagefall lab load --port "$sidecar_port" --rate 200 --seconds 3
+./sagefall load --port "$sidecar_port" --rate 200 --seconds 3
 kill -TERM "$sidecar_pid"
 wait "$sidecar_pid" || true
 sidecar_pid=
--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -12,59 +12,68 @@
 import sagefall.experiment.PolicyComparison;
 import sagefall.policy.Mechanism;
 
-/** Each mechanism of the module off in turn. */
+/** {@code sagefall ablate}: each mechanism of the module off in turn. */
 @Command(
         name = "ablate",
         mixinStandardHelpOptions = true,
-        description = "Switches each mechanism of the module off in turn and tells what it earns.")
-public final class AblateCommand implements Callable<Integer> {
+        description =
+                "Switches each mechanism of the module off in turn, and prints what it"
+                        + " contributes.")
+final class AblateCommand implements Callable<Integer> {
+
+    private static final String MODULE = "module";
+    private static final String WITHOUT = "module-without:";
 
     @Parameters(
             paramLabel = "SCENARIO",
             arity = "1..*",
-            description = "shipped scenarios, or TOML files")
+            description = ExperimentOptions.SCENARIO_HELP)
     private List<String> scenarios;
 
-    @Mixin private ExperimentOptions setting;
+    @Mixin private ExperimentOptions experiment;
 
     @Override
     public Integer call() throws Exception {
-        int status = 0;
+        int status = ExitStatus.OK;
         for (String scenario : scenarios) {
             System.out.println(
                     scenario
                             + ": G of the module as it is (A), without the mechanism (B), "
-                            + setting.seeds().size()
+                            + experiment.seeds().size()
                             + " seeds");
-            CompareCommand.header();
-            for (Mechanism m : Mechanism.values()) {
-                PolicyComparison c =
-                        PolicyComparison.of(
-                                setting.plays(),
-                                setting.scenario(scenario),
-                                setting.seeds(),
-                                "module",
-                                "module-without:" + m.word(),
-                                setting.listener());
-                PairedDifference g = c.figures().get(0);
-                System.out.printf(
-                        Locale.ROOT,
-                        "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
-                        m.word(),
-                        g.meanA(),
-                        g.meanB(),
-                        g.mean(),
-                        g.low(),
-                        g.high(),
-                        verdict(g));
-                List<SimulationResult> all = new ArrayList<>(c.b());
-                all.addAll(c.a());
-                status |= setting.breaches(all, scenario);
+            CompareCommand.printHeader();
+            for (Mechanism mechanism : Mechanism.values()) {
+                status |= ablate(scenario, mechanism);
             }
         }
         return status;
     }
 
+    private int ablate(String scenario, Mechanism mechanism) throws Exception {
+        PolicyComparison comparison =
+                PolicyComparison.of(
+                        experiment.simulations(),
+                        experiment.scenario(scenario),
+                        experiment.seeds(),
+                        MODULE,
+                        WITHOUT + mechanism.word(),
+                        experiment.listener());
+        PairedDifference g = comparison.figures().get(0);
+        System.out.printf(
+                Locale.ROOT,
+                "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
+                mechanism.word(),
+                g.meanA(),
+                g.meanB(),
+                g.mean(),
+                g.low(),
+                g.high(),
+                verdict(g));
+        List<SimulationResult> results = new ArrayList<>(comparison.b());
+        results.addAll(comparison.a());
+        return experiment.printViolations(results, scenario);
+    }
+
     private static String verdict(PairedDifference g) {
         return g.verdict().replace("B is better", "it costs").replace("B is worse", "it earns");
     }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -0,0 +1,118 @@
+package sagefall.cli;
+
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Parameters;
+import sagefall.emulator.FleetSimulation;
+import sagefall.emulator.SimulationResult;
+import sagefall.faultinjection.FaultInjectionRun;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.report.RunResult;
+import sagefall.faultinjection.report.RunStatistics;
+import sagefall.load.SidecarProcess;
+import sagefall.policy.Policy;
+import sagefall.policy.PolicyRegistry;
+import sagefall.scenario.Fault;
+
+/** {@code sagefall inject-faults agree}. */
+@Command(
+        name = "agree",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs scenarios in the emulator and with real processes, and prints both"
+                        + " figures side"
+                        + " by side.")
+final class AgreeCommand implements Callable<Integer> {
+
+    private static final String REFUSED = "refused";
+    private static final String FAILED = "failed";
+
+    @Parameters(
+            arity = "1..*",
+            paramLabel = "SCENARIO",
+            description = "scenarios whose faults both can have")
+    private List<String> scenarios;
+
+    @Mixin private SeedOptions seeds;
+
+    @Mixin private FaultInjectionOptions options;
+
+    @Override
+    public Integer call() throws Exception {
+        System.out.println(
+                "scenario, seed               served        attempts       crossings      "
+                        + "refused        failed         p50 ms       p95 ms");
+        boolean violated = false;
+        for (String scenario : scenarios) {
+            for (long seed : seeds.all()) {
+                violated |= compare(scenario, seed);
+            }
+        }
+        return ExitStatus.of(violated);
+    }
+
+    private boolean compare(String scenario, long seed) throws Exception {
+        RunPlan plan = options.plan(scenario, seed);
+        SimulationResult emulated = simulate(plan, seed);
+        RunResult real =
+                FaultInjectionRun.execute(
+                        plan, options.directory("agree-" + scenario + "-" + seed));
+        print(scenario, seed, emulated, real);
+        if (!real.isViolated()) {
+            real.directory().delete();
+        }
+        return real.isViolated();
+    }
+
+    private static SimulationResult simulate(RunPlan plan, long seed) throws Exception {
+        try (Policy policy = PolicyRegistry.of("module", SidecarProcess.ROOT)) {
+            return new FleetSimulation(plan.scenario().on(Fault.Side.EMULATOR), seed, policy)
+                    .play();
+        }
+    }
+
+    private static void print(
+            String scenario, long seed, SimulationResult emulated, RunResult result) {
+        RunStatistics real = result.statistics();
+        String verdict = result.verdict();
+        System.out.printf(
+                Locale.ROOT,
+                "%-18s %3d  %.3f %.3f   %.3f %.3f   %.3f %.3f   %.4f %.4f"
+                        + "   %.4f %.4f   %4.0f %4.0f   %4.0f %4.0f%s%n",
+                scenario,
+                seed,
+                emulated.served(),
+                real.served(),
+                emulated.attemptsPerRequest(),
+                real.attempts(),
+                emulated.crossingsPerRequest(),
+                real.crossings(),
+                part(emulated, REFUSED),
+                part(real, REFUSED),
+                part(emulated, FAILED),
+                part(real, FAILED),
+                emulated.latency().p50(),
+                real.p50Millis(),
+                emulated.latency().p95(),
+                real.p95Millis(),
+                verdict.isEmpty() ? "" : "  " + verdict);
+    }
+
+    /** The part of the answers whose word begins so. */
+    private static double part(SimulationResult result, String word) {
+        long count =
+                result.answers().entrySet().stream()
+                        .filter(answer -> answer.getKey().startsWith(word))
+                        .mapToLong(Map.Entry::getValue)
+                        .sum();
+        return count / (double) result.requests();
+    }
+
+    private static double part(RunStatistics statistics, String word) {
+        return statistics.answers().getOrDefault(word, 0L) / (double) statistics.requests();
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/CampaignCommand.java
@@ -0,0 +1,89 @@
+package sagefall.cli;
+
+import java.util.List;
+import java.util.Locale;
+import java.util.TreeMap;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.plan.ScenarioGenerator;
+import sagefall.faultinjection.report.RunResult;
+import sagefall.scenario.ScenarioException;
+
+/** {@code sagefall inject-faults campaign}. */
+@Command(
+        name = "campaign",
+        mixinStandardHelpOptions = true,
+        description = "Draws scenarios from a seed, and runs them until the time is over.")
+final class CampaignCommand implements Callable<Integer> {
+
+    private static final double NANOS_PER_MINUTE = 60e9;
+
+    @Option(
+            names = "--minutes",
+            defaultValue = "30",
+            description = "after this no run is begun (${DEFAULT-VALUE})")
+    private double minutes;
+
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "seed of the first run; each has the next (${DEFAULT-VALUE})")
+    private long firstSeed;
+
+    @Mixin private FaultInjectionOptions options;
+
+    @Override
+    public Integer call() throws Exception {
+        long until = System.nanoTime() + (long) (NANOS_PER_MINUTE * minutes);
+        TreeMap<String, Integer> injected = new TreeMap<>();
+        int runs = 0;
+        int failed = 0;
+        for (long seed = firstSeed; System.nanoTime() < until; seed++) {
+            RunPlan plan = plan(seed);
+            RunResult result = options.execute(plan, "campaign-" + seed);
+            List<String> kinds = faultKinds(plan);
+            kinds.forEach(kind -> injected.merge(kind, 1, Integer::sum));
+            runs++;
+            failed += result.isViolated() ? 1 : 0;
+            print(seed, kinds, result);
+        }
+        System.out.println(
+                runs + " runs, " + failed + " violated an invariant; faults injected: " + injected);
+        return ExitStatus.of(failed > 0);
+    }
+
+    private RunPlan plan(long seed) {
+        return new RunPlan(
+                "campaign-" + seed + ".toml",
+                ScenarioGenerator.text(seed),
+                options.overrides(),
+                seed,
+                null,
+                options.builds());
+    }
+
+    private static List<String> faultKinds(RunPlan plan) throws ScenarioException {
+        return plan.scenario().faults().stream()
+                .map(fault -> fault.kind().name().toLowerCase(Locale.ROOT))
+                .toList();
+    }
+
+    private static void print(long seed, List<String> kinds, RunResult result) {
+        String verdict = result.verdict();
+        System.out.printf(
+                Locale.ROOT,
+                "seed %d: %s; served %.3f, worst second %.3f%s%n",
+                seed,
+                kinds,
+                result.statistics().served(),
+                result.statistics().worstSecond(),
+                verdict.isEmpty() ? "" : ", " + verdict);
+        if (result.isViolated()) {
+            result.print(System.out);
+        }
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
@@ -0,0 +1,29 @@
+package sagefall.cli;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Parameters;
+import sagefall.faultinjection.plan.RunDirectory;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.report.RunResult;
+
+/** {@code sagefall inject-faults check}. */
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = "Checks the recorded history of an earlier run, and writes its report again.")
+final class CheckHistoryCommand implements Callable<Integer> {
+
+    @Parameters(paramLabel = "DIR", description = "the directory of an earlier run")
+    private Path path;
+
+    @Override
+    public Integer call() throws Exception {
+        RunDirectory directory = new RunDirectory(path);
+        RunPlan.read(directory.plan());
+        RunResult result = RunResult.judge(directory, 0);
+        result.print(System.out);
+        return ExitStatus.of(result.isViolated());
+    }
+}
--- a/testbed/src/main/java/sagefall/cli/CommandLineMain.java
+++ b/testbed/src/main/java/sagefall/cli/CommandLineMain.java
@@ -1,68 +1,103 @@
 package sagefall.cli;
 
+import java.io.PrintWriter;
+import java.nio.file.NoSuchFileException;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import sagefall.load.DemoCommand;
-import sagefall.load.LoadCommand;
-import sagefall.load.StandInCommand;
-import sagefall.load.StreamLoadCommand;
+import picocli.CommandLine.IParameterExceptionHandler;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.ParseResult;
+import picocli.CommandLine.UnmatchedArgumentException;
+import sagefall.faultinjection.history.HistoryException;
 import sagefall.policy.PolicyException;
 import sagefall.scenario.ScenarioException;
 
-/** The laboratory's command line. */
+/** The command line of the test bed, as the script {@code ./sagefall} starts it. */
 @Command(
-        name = "sagefall lab",
+        name = "./sagefall",
         mixinStandardHelpOptions = true,
-        version = "sagefall lab 0.1.0",
-        description = "Plays days of an emulated fleet and compares policies on them.",
-        exitCodeListHeading = "Exit status:%n",
+        version = "sagefall test bed 0.1.0",
+        description = {
+            "Simulates fleets of sidecars, injects faults into real ones, and puts load on one.",
+            ""
+        },
+        synopsisSubcommandLabel = "COMMAND",
+        commandListHeading = "%nCommands:%n",
+        footer = {"", "./sagefall COMMAND --help tells the options of a command."},
+        exitCodeListHeading = "%nExit status:%n",
         exitCodeList = {
             "0:done",
-            "1:a rule was broken, or it failed",
-            "2:a scenario, a policy or an option is wrong"
+            "1:an invariant was violated, or the command failed",
+            "2:a command, an option, a scenario, a policy or a file is wrong"
         },
         subcommands = {
+            DemoCommand.class,
             SimulateCommand.class,
             CompareCommand.class,
             AblateCommand.class,
             SweepCommand.class,
             RankCommand.class,
+            ScalingCommand.class,
             ListScenariosCommand.class,
-            SpeedCommand.class,
-            DemoCommand.class,
+            InjectFaultsCommand.class,
+            LeaseCommand.class,
             LoadCommand.class,
             StandInCommand.class,
-            StreamLoadCommand.class,
-            CompareWindowsCommand.class,
-            FaultInjectionCommand.class,
-            LeaseCommand.class
+            StreamsCommand.class,
+            WindowsCommand.class
         })
 public final class CommandLineMain {
 
+    /** What the line about an error begins with. */
+    static final String ERROR_PREFIX = "sagefall: ";
+
     private CommandLineMain() {}
 
+    /** Runs the command of the arguments, and exits with its status. */
     public static void main(String[] arguments) {
         System.exit(command().execute(arguments));
     }
 
-    /**
-     * The whole command; what is wrong with a scenario or a policy costs one line and exit status
-     * 2.
-     */
+    /** All commands; wrong input costs one line and exit status 2. */
     public static CommandLine command() {
-        return new CommandLine(new CommandLineMain())
-                .setCaseInsensitiveEnumValuesAllowed(true)
-                .setExecutionExceptionHandler(
-                        (e, command, parsed) -> {
-                            boolean input =
-                                    e instanceof ScenarioException
-                                            || e instanceof PolicyException
-                                            || FaultInjectionCommand.isInput(e);
-                            command.getErr()
-                                    .println(
-                                            "sagefall lab: "
-                                                    + (input ? e.getMessage() : e.toString()));
-                            return input ? 2 : 1;
-                        });
+        CommandLine command = new CommandLine(new CommandLineMain());
+        IParameterExceptionHandler defaultHandler = command.getParameterExceptionHandler();
+        return command.setCaseInsensitiveEnumValuesAllowed(true)
+                .setParameterExceptionHandler(
+                        (e, arguments) -> handleWrongArguments(e, arguments, defaultHandler))
+                .setExecutionExceptionHandler(CommandLineMain::handleFailure);
+    }
+
+    private static int handleWrongArguments(
+            ParameterException e, String[] arguments, IParameterExceptionHandler defaultHandler)
+            throws Exception {
+        Optional<String> renamed = RenamedWords.commandMessage(Arrays.asList(arguments));
+        if (renamed.isEmpty() && e instanceof UnmatchedArgumentException unmatched) {
+            List<String> unknown = unmatched.getUnmatched();
+            renamed = RenamedWords.optionMessage(unknown);
+        }
+        if (renamed.isEmpty()) {
+            return defaultHandler.handleParseException(e, arguments);
+        }
+        PrintWriter err = e.getCommandLine().getErr();
+        err.println(ERROR_PREFIX + renamed.get());
+        return ExitStatus.USAGE;
+    }
+
+    private static int handleFailure(Exception e, CommandLine command, ParseResult parsed) {
+        boolean wrongInput = isWrongInput(e);
+        String message = wrongInput ? e.getMessage() : e.toString();
+        command.getErr().println(ERROR_PREFIX + message);
+        return wrongInput ? ExitStatus.USAGE : ExitStatus.FAILED;
+    }
+
+    private static boolean isWrongInput(Exception e) {
+        return e instanceof ScenarioException
+                || e instanceof PolicyException
+                || e instanceof HistoryException
+                || e instanceof NoSuchFileException;
     }
 }
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -14,56 +14,73 @@
 import sagefall.policy.PolicyRegistry;
 import sagefall.report.HtmlReport;
 
-/** Two policies on the same days. */
+/** {@code sagefall compare}: two policies on the same seeds. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         description =
-                "Plays two policies on the same seeds and tells the difference with an interval.")
-public final class CompareCommand implements Callable<Integer> {
+                "Simulates two policies on the same seeds, and prints the difference with a"
+                        + " confidence interval.")
+final class CompareCommand implements Callable<Integer> {
 
-    private static final double SMALL = 0.001;
+    private static final double NEGLIGIBLE = 0.001;
 
-    @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
+    @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
     private String scenario;
 
-    @Option(names = "--a", defaultValue = "module", description = PolicyRegistry.HELP)
-    private String a;
+    @Option(
+            names = "--a",
+            defaultValue = "module",
+            paramLabel = "POLICY",
+            description = PolicyRegistry.HELP)
+    private String policyA;
 
-    @Option(names = "--b", required = true, description = "the same")
-    private String b;
+    @Option(
+            names = "--b",
+            required = true,
+            paramLabel = "POLICY",
+            description = "compared with it; the same forms")
+    private String policyB;
 
-    @Mixin private ExperimentOptions setting;
+    @Mixin private ExperimentOptions experiment;
 
     @Override
     public Integer call() throws Exception {
-        PolicyComparison c =
+        PolicyComparison comparison =
                 PolicyComparison.of(
-                        setting.plays(),
-                        setting.scenario(scenario),
-                        setting.seeds(),
-                        a,
-                        b,
-                        setting.listener());
-        System.out.println("A: " + a + "; B: " + b + "; " + c.a().size() + " seeds of " + scenario);
-        header();
-        c.figures().forEach(CompareCommand::row);
-        for (PairedDifference p : c.lost().values()) {
-            if (Math.abs(p.meanA()) > SMALL || Math.abs(p.meanB()) > SMALL) {
-                row(p);
+                        experiment.simulations(),
+                        experiment.scenario(scenario),
+                        experiment.seeds(),
+                        policyA,
+                        policyB,
+                        experiment.listener());
+        System.out.println(
+                "A: "
+                        + policyA
+                        + "; B: "
+                        + policyB
+                        + "; "
+                        + comparison.a().size()
+                        + " seeds of "
+                        + scenario);
+        printHeader();
+        comparison.figures().forEach(CompareCommand::printRow);
+        for (PairedDifference p : comparison.lost().values()) {
+            if (Math.abs(p.meanA()) > NEGLIGIBLE || Math.abs(p.meanB()) > NEGLIGIBLE) {
+                printRow(p);
             }
         }
-        setting.report(HtmlReport.of(c));
-        List<SimulationResult> all = new ArrayList<>(c.a());
-        all.addAll(c.b());
-        return setting.breaches(all, scenario);
+        experiment.report(HtmlReport.of(comparison));
+        List<SimulationResult> all = new ArrayList<>(comparison.a());
+        all.addAll(comparison.b());
+        return experiment.printViolations(all, scenario);
     }
 
-    static void header() {
+    static void printHeader() {
         System.out.printf("%-34s %7s %7s %7s  %-17s%n", "", "A", "B", "B - A", "95 % interval");
     }
 
-    static void row(PairedDifference p) {
+    static void printRow(PairedDifference p) {
         System.out.printf(
                 Locale.ROOT,
                 "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
--- a/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
+++ b/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
@@ -20,9 +20,14 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
-/** What all experiments take. */
+/** The options of all commands that simulate: a picocli mixin. */
 final class ExperimentOptions {
 
+    /** Help text of a scenario parameter. */
+    static final String SCENARIO_HELP = "a shipped scenario, or a TOML file";
+
+    private static final int MAX_VIOLATIONS = 3;
+
     @Option(
             names = "--seeds",
             defaultValue = "1-8",
@@ -34,40 +39,42 @@
             names = "--threads",
             defaultValue = "0",
             paramLabel = "N",
-            description = "days at a time; 0: one for each core")
+            description = "simulations at a time; 0: one for each core")
     private int threads;
 
     @Option(
             names = "--root",
             defaultValue = "${sys:sagefall.root:-.}",
             paramLabel = "DIR",
-            description = "checkout whose policy files are tried with changes (${DEFAULT-VALUE})")
+            description = "checkout of the module's sources, for tunables (${DEFAULT-VALUE})")
     private Path root;
 
     @Option(
             names = "--set",
             paramLabel = "NAME=VALUE",
-            description = "a figure in the place of the scenario's, such as fleet.servers=60")
-    private List<String> sets = new ArrayList<>();
+            description = "overrides a figure of the scenario, such as fleet.servers=60")
+    private List<String> overrides = new ArrayList<>();
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "writes days.jsonl, a line for each day as it is done, and report.html")
+            description =
+                    "writes days.jsonl, a line for each simulation once it is done, and"
+                            + " report.html")
     private Path out;
 
-    @Option(names = "--module-log", description = "prints what the module logs, to standard error")
-    void moduleLog(boolean on) {
+    @Option(names = "--policy-log", description = "prints what the module logs, to standard error")
+    void policyLog(boolean on) {
         ((Logger) LoggerFactory.getLogger("module")).setLevel(on ? Level.DEBUG : Level.INFO);
     }
 
     Scenario scenario(String name) throws IOException, ScenarioException {
-        return Scenario.load(name, sets).on(Fault.Side.EMULATOR);
+        return Scenario.load(name, overrides).on(Fault.Side.EMULATOR);
     }
 
-    Scenario scenario(String name, String set) throws IOException, ScenarioException {
-        List<String> all = new ArrayList<>(sets);
-        all.add(set);
+    Scenario scenario(String name, String override) throws IOException, ScenarioException {
+        List<String> all = new ArrayList<>(overrides);
+        all.add(override);
         return Scenario.load(name, all).on(Fault.Side.EMULATOR);
     }
 
@@ -93,7 +100,7 @@
 
     // On Java 17 the console is null where the output is no terminal.
     @SuppressWarnings("SystemConsoleNull")
-    ParallelSimulations plays() {
+    ParallelSimulations simulations() {
         int cores = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
         return new ParallelSimulations(cores, root, System.console() == null ? null : System.err);
     }
@@ -102,7 +109,7 @@
         return out == null ? result -> {} : new SimulationResultWriter(out);
     }
 
-    /** Writes the page, if one is wanted. */
+    /** Writes the HTML report, if {@code --out} was given. */
     void report(String html) throws IOException {
         if (out != null) {
             Files.write(out.resolve("report.html"), html.getBytes(StandardCharsets.UTF_8));
@@ -110,19 +117,19 @@
         }
     }
 
-    /** Tells broken rules, each with the command that plays it again; the exit status. */
-    int breaches(List<SimulationResult> results, String scenario) {
+    /** Prints violations, each with the command that reproduces it; the exit status. */
+    int printViolations(List<SimulationResult> results, String scenario) {
         long count = 0;
         StringBuilder options = new StringBuilder();
-        sets.forEach(set -> options.append(" --set '").append(set).append('\''));
+        overrides.forEach(override -> options.append(" --set '").append(override).append('\''));
         for (SimulationResult r : results) {
             count += r.breachCount();
             for (InvariantChecker.Breach b :
-                    r.breaches().subList(0, Math.min(3, r.breaches().size()))) {
+                    r.breaches().subList(0, Math.min(MAX_VIOLATIONS, r.breaches().size()))) {
                 System.out.printf(
                         Locale.ROOT,
-                        "BROKEN %s: request %s, server %d, sidecar %d, at %.3f s; again by: "
-                                + "./sagefall lab run %s --seeds %d --policy '%s'%s%n",
+                        "BROKEN %s: request %s, server %d, sidecar %d, at %.3f s; reproduce with: "
+                                + "./sagefall simulate %s --seeds %d --policy '%s'%s%n",
                         b.rule(),
                         b.request(),
                         b.server(),
@@ -135,8 +142,9 @@
             }
         }
         if (count > 0) {
-            System.out.println(count + " breaches of rules: these days count for nothing");
+            System.out.println(
+                    count + " violations of invariants: these simulations prove nothing");
         }
-        return count > 0 ? 1 : 0;
+        return ExitStatus.of(count > 0);
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/InjectFaultsCommand.java
@@ -0,0 +1,22 @@
+package sagefall.cli;
+
+import picocli.CommandLine.Command;
+
+/** {@code sagefall inject-faults}: docs/FAULT_INJECTION.md. */
+@Command(
+        name = "inject-faults",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs many real processes with faults of processes and links, and checks the"
+                        + " recorded"
+                        + " history for violated invariants.",
+        subcommands = {
+            RunFaultsCommand.class,
+            ReplayCommand.class,
+            CheckHistoryCommand.class,
+            CampaignCommand.class,
+            ShrinkCommand.class,
+            AgreeCommand.class,
+            ListFaultScenariosCommand.class
+        })
+final class InjectFaultsCommand {}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
@@ -0,0 +1,29 @@
+package sagefall.cli;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.time.Instant;
+import picocli.CommandLine.Command;
+import sagefall.leaderelection.LeaseStore;
+
+/** {@code sagefall lease history}. */
+@Command(
+        name = "history",
+        mixinStandardHelpOptions = true,
+        description = "Prints the latest terms and their holders.")
+final class LeaseHistoryCommand extends LeaseDirectoryCommand {
+
+    @Override
+    void run(LeaseStore store, PrintWriter out) throws IOException {
+        for (LeaseStore.Past past : store.status().past()) {
+            String holder = past.owner().isEmpty() ? "given back" : past.owner();
+            out.println(
+                    "term "
+                            + past.term()
+                            + " from "
+                            + Instant.ofEpochMilli(past.atMillis())
+                            + " on, "
+                            + holder);
+        }
+    }
+}
--- a/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -8,14 +8,14 @@
 import sagefall.policy.PolicyRegistry;
 import sagefall.scenario.Scenario;
 
-/** What there is to play. */
+/** {@code sagefall scenarios}. */
 @Command(
         name = "scenarios",
         mixinStandardHelpOptions = true,
         description =
-                "Lists the shipped scenarios, the policies and the mechanisms that can be switched "
-                        + "off.")
-public final class ListScenariosCommand implements Callable<Integer> {
+                "Lists the shipped scenarios of the emulator, the policies, and the mechanisms that"
+                        + " can be switched off.")
+final class ListScenariosCommand implements Callable<Integer> {
 
     @Override
     public Integer call() throws Exception {
@@ -24,9 +24,9 @@
                     Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
         }
         System.out.println("policies: " + PolicyRegistry.HELP);
-        for (Mechanism m : Mechanism.values()) {
-            System.out.printf(Locale.ROOT, "%-16s %s%n", m.word(), m.about());
+        for (Mechanism mechanism : Mechanism.values()) {
+            System.out.printf(Locale.ROOT, "%-16s %s%n", mechanism.word(), mechanism.about());
         }
-        return 0;
+        return ExitStatus.OK;
     }
 }
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -2,6 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -16,13 +17,13 @@
 import sagefall.experiment.SimulationRequest;
 import sagefall.scenario.BenchmarkFigures;
 
-/** Whether builds rank in the laboratory as they did on the operators' bench. */
+/** {@code sagefall rank}: whether builds rank in the emulator as on the operators' bench. */
 @Command(
         name = "rank",
         mixinStandardHelpOptions = true,
         description =
-                "Plays builds on scenarios and compares their order with the bench's figures.")
-public final class RankCommand implements Callable<Integer> {
+                "Simulates builds on scenarios, and compares their order with the bench's figures.")
+final class RankCommand implements Callable<Integer> {
 
     @Option(
             names = "--figures",
@@ -34,103 +35,115 @@
     @Option(
             names = "--build",
             paramLabel = "NAME=DIR",
-            description = "a folder that $NAME in the file's policies stands for")
-    private Map<String, String> folders = new LinkedHashMap<>();
+            description = "a checkout that $NAME in the policies of the file stands for")
+    private Map<String, String> builds = new LinkedHashMap<>();
 
     @Option(
             names = "--spread",
             defaultValue = "0.02",
+            paramLabel = "G",
             description =
-                    "differences on the bench that are none: what "
-                            + "two plays of one build differ by (${DEFAULT-VALUE})")
+                    "differences on the bench up to this count as none: what two runs of one build"
+                            + " differ by (${DEFAULT-VALUE})")
     private double spread;
 
-    @Mixin private ExperimentOptions setting;
+    @Mixin private ExperimentOptions experiment;
+
+    /** A build on a scenario. */
+    private record Cell(String scenario, String build) {
+        static Cell of(BenchmarkFigures.Play play) {
+            return new Cell(play.scenario(), play.build());
+        }
+    }
 
     @Override
     public Integer call() throws Exception {
         BenchmarkFigures bench = BenchmarkFigures.load(figures);
-        Map<String, Double> lab = play(bench);
+        Map<Cell, Double> simulated = simulate(bench);
         double[] onBench = new double[bench.plays().size()];
-        double[] inLab = new double[onBench.length];
+        double[] inEmulator = new double[onBench.length];
         System.out.printf(
                 "%-10s %-22s %-24s %8s %8s%n",
-                "scenario", "build", "day of the bench", "bench G", "lab G");
+                "scenario", "build", "day of the bench", "bench G", "emul. G");
         for (int i = 0; i < onBench.length; i++) {
-            BenchmarkFigures.Play p = bench.plays().get(i);
-            onBench[i] = p.g();
-            inLab[i] = lab.get(p.scenario() + "\n" + p.build());
+            BenchmarkFigures.Play play = bench.plays().get(i);
+            onBench[i] = play.g();
+            inEmulator[i] = simulated.get(Cell.of(play));
             System.out.printf(
                     Locale.ROOT,
                     "%-10s %-22s %-24s %8.3f %8.3f%n",
-                    p.scenario(),
-                    p.build(),
-                    p.day(),
+                    play.scenario(),
+                    play.build(),
+                    play.day(),
                     onBench[i],
-                    inLab[i]);
+                    inEmulator[i]);
         }
         System.out.printf(
                 Locale.ROOT,
                 "Spearman's rank correlation over all %d: %.2f%n",
                 onBench.length,
-                new SpearmansCorrelation().correlation(onBench, inLab));
-        pairs(bench, lab);
-        return 0;
+                new SpearmansCorrelation().correlation(onBench, inEmulator));
+        printPairs(bench, simulated);
+        return ExitStatus.OK;
     }
 
     /** Mean G of each build on each scenario. */
-    private Map<String, Double> play(BenchmarkFigures bench) throws Exception {
-        TreeSet<String> cells = new TreeSet<>();
-        bench.plays().forEach(p -> cells.add(p.scenario() + "\n" + p.build()));
-        List<SimulationRequest> plays = new ArrayList<>();
-        for (String cell : cells) {
-            String build = cell.substring(cell.indexOf('\n') + 1);
-            String policy =
-                    bench.builds().stream()
-                            .filter(b -> b.name().equals(build))
-                            .findFirst()
-                            .orElseThrow()
-                            .policy();
-            for (Map.Entry<String, String> folder : folders.entrySet()) {
-                policy = policy.replace("$" + folder.getKey(), folder.getValue());
-            }
-            for (long seed : setting.seeds()) {
-                plays.add(
+    private Map<Cell, Double> simulate(BenchmarkFigures bench) throws Exception {
+        TreeSet<Cell> cells =
+                new TreeSet<>(Comparator.comparing(Cell::scenario).thenComparing(Cell::build));
+        bench.plays().forEach(play -> cells.add(Cell.of(play)));
+        List<SimulationRequest> requests = new ArrayList<>();
+        for (Cell cell : cells) {
+            for (long seed : experiment.seeds()) {
+                requests.add(
                         new SimulationRequest(
-                                setting.scenario(cell.substring(0, cell.indexOf('\n'))),
+                                experiment.scenario(cell.scenario),
                                 seed,
-                                policy));
+                                policy(bench, cell.build)));
             }
         }
-        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
-        Map<String, Double> means = new LinkedHashMap<>();
-        int seeds = setting.seeds().size();
-        int at = 0;
-        for (String cell : cells) {
-            means.put(
-                    cell,
-                    results.subList(at, at + seeds).stream()
-                            .mapToDouble(SimulationResult::g)
-                            .average()
-                            .orElse(0));
-            at += seeds;
+        List<SimulationResult> results =
+                experiment.simulations().all(requests, experiment.listener());
+        Map<Cell, Double> means = new LinkedHashMap<>();
+        int seeds = experiment.seeds().size();
+        int from = 0;
+        for (Cell cell : cells) {
+            means.put(cell, meanG(results.subList(from, from + seeds)));
+            from += seeds;
         }
         return means;
     }
 
-    /** Of all pairs of builds on the same day, how many stand in the same order here. */
-    private void pairs(BenchmarkFigures bench, Map<String, Double> lab) {
+    private static double meanG(List<SimulationResult> results) {
+        return results.stream().mapToDouble(SimulationResult::g).average().orElse(0);
+    }
+
+    /** The policy of a build, with the checkouts of {@code --build} put in. */
+    private String policy(BenchmarkFigures bench, String build) {
+        String policy =
+                bench.builds().stream()
+                        .filter(each -> each.name().equals(build))
+                        .findFirst()
+                        .orElseThrow()
+                        .policy();
+        for (Map.Entry<String, String> checkout : builds.entrySet()) {
+            policy = policy.replace("$" + checkout.getKey(), checkout.getValue());
+        }
+        return policy;
+    }
+
+    /** Of all pairs of builds on the same day, how many rank in the same order here. */
+    private void printPairs(BenchmarkFigures bench, Map<Cell, Double> simulated) {
         int same = 0;
         int all = 0;
         for (BenchmarkFigures.Play a : bench.plays()) {
             for (BenchmarkFigures.Play b : bench.plays()) {
-                if (a.day().equals(b.day()) && a.g() + spread < b.g()) {
-                    all++;
-                    same +=
-                            lab.get(a.scenario() + "\n" + a.build())
-                                            < lab.get(b.scenario() + "\n" + b.build())
-                                    ? 1
-                                    : 0;
+                if (!a.day().equals(b.day()) || a.g() + spread >= b.g()) {
+                    continue;
+                }
+                all++;
+                if (simulated.get(Cell.of(a)) < simulated.get(Cell.of(b))) {
+                    same++;
                 }
             }
         }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/ReplayCommand.java
@@ -0,0 +1,41 @@
+package sagefall.cli;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.report.RunResult;
+
+/** {@code sagefall inject-faults replay}. */
+@Command(
+        name = "replay",
+        mixinStandardHelpOptions = true,
+        description = "Runs the plan of an earlier run: the same faults at the same times.")
+final class ReplayCommand implements Callable<Integer> {
+
+    @Parameters(paramLabel = "PLAN", description = "plan.json of an earlier run")
+    private Path file;
+
+    @Option(
+            names = "--runs",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "number of runs (${DEFAULT-VALUE})")
+    private int runs;
+
+    @Mixin private FaultInjectionOptions options;
+
+    @Override
+    public Integer call() throws Exception {
+        boolean violated = false;
+        for (int i = 1; i <= runs; i++) {
+            RunResult result = options.execute(RunPlan.read(file), "replay-" + i);
+            result.print(System.out);
+            violated |= result.isViolated();
+        }
+        return ExitStatus.of(violated);
+    }
+}
--- a/testbed/src/main/java/sagefall/cli/SimulateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -14,31 +14,32 @@
 import sagefall.report.HtmlReport;
 import sagefall.scenario.Scenario;
 
-/** One policy on one scenario. */
+/** {@code sagefall simulate}: one policy on one scenario. */
 @Command(
-        name = "run",
+        name = "simulate",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario and tells what was served and why the rest was lost.")
-public final class SimulateCommand implements Callable<Integer> {
+        description = "Simulates a scenario, and prints what was served and why the rest was lost.")
+final class SimulateCommand implements Callable<Integer> {
 
-    private static final int CAUSES = 4;
+    private static final int MAX_CAUSES = 4;
 
-    @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
+    @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
     private String scenario;
 
     @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
     private String policy;
 
-    @Mixin private ExperimentOptions setting;
+    @Mixin private ExperimentOptions experiment;
 
     @Override
     public Integer call() throws Exception {
-        Scenario loaded = setting.scenario(scenario);
-        List<SimulationRequest> plays = new ArrayList<>();
-        for (long seed : setting.seeds()) {
-            plays.add(new SimulationRequest(loaded, seed, policy));
+        Scenario loaded = experiment.scenario(scenario);
+        List<SimulationRequest> requests = new ArrayList<>();
+        for (long seed : experiment.seeds()) {
+            requests.add(new SimulationRequest(loaded, seed, policy));
         }
-        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results =
+                experiment.simulations().all(requests, experiment.listener());
         System.out.println(
                 " seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
                         + "most by");
@@ -57,16 +58,16 @@
                     r.latency().p95(),
                     losses(r));
         }
-        setting.report(HtmlReport.of(results));
-        return setting.breaches(results, scenario);
+        experiment.report(HtmlReport.of(results));
+        return experiment.printViolations(results, scenario);
     }
 
-    /** The largest causes of loss, as parts of what was asked for. */
+    /** The largest causes of loss, as parts of the offered value. */
     private static String losses(SimulationResult r) {
         return String.join(
                 ", ",
                 r.losses().stream()
-                        .limit(CAUSES)
+                        .limit(MAX_CAUSES)
                         .map(e -> String.format(Locale.ROOT, "%s %.3f", e.getKey(), e.getValue()))
                         .toList());
     }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/StandInCommand.java
@@ -0,0 +1,97 @@
+package sagefall.cli;
+
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import sagefall.load.StandInDiscovery;
+import sagefall.load.StandInServer;
+
+/** {@code sagefall stand-in}. */
+@Command(
+        name = "stand-in",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs stand-in save servers and discovery on loopback, for a sidecar that is"
+                        + " started"
+                        + " by hand, until it is ended.")
+final class StandInCommand implements Callable<Integer> {
+
+    private static final int QUEUE_PER_SLOT = 10;
+    private static final String ZONE = "a";
+
+    @Option(
+            names = "--port",
+            defaultValue = "9001",
+            paramLabel = "PORT",
+            description = "port of discovery (${DEFAULT-VALUE})")
+    private int port;
+
+    @Option(
+            names = "--servers",
+            defaultValue = "4",
+            description = "number of save servers (${DEFAULT-VALUE})")
+    private int count;
+
+    @Option(
+            names = "--slots",
+            defaultValue = "4",
+            description = "requests that a server works on at a time (${DEFAULT-VALUE})")
+    private int slots;
+
+    @Option(
+            names = "--mean-ms",
+            defaultValue = "0",
+            description = "mean processing time of a POST (${DEFAULT-VALUE})")
+    private double meanMillis;
+
+    @Option(
+            names = "--errors",
+            defaultValue = "0",
+            paramLabel = "PART",
+            description = "part of the POSTs answered with an error, 0 to 1")
+    private double errors;
+
+    @Option(
+            names = "--unanswered",
+            defaultValue = "0",
+            paramLabel = "PART",
+            description = "part of the POSTs never answered")
+    private double unanswered;
+
+    @Option(
+            names = "--resets",
+            defaultValue = "0",
+            paramLabel = "PART",
+            description = "part of the POSTs whose connection is reset")
+    private double resets;
+
+    @Option(
+            names = "--malformed",
+            defaultValue = "0",
+            paramLabel = "PART",
+            description = "part of the POSTs answered with what is not HTTP")
+    private double malformed;
+
+    @Override
+    public Integer call() throws Exception {
+        StandInDiscovery discovery = new StandInDiscovery();
+        StandInServer.Service service =
+                new StandInServer.Service(slots, QUEUE_PER_SLOT * slots, meanMillis);
+        StandInServer.Faults faults =
+                new StandInServer.Faults(errors, unanswered, resets, malformed);
+        for (int i = 0; i < count; i++) {
+            new StandInServer(0, ZONE, service, discovery).faults(faults);
+        }
+        StandInServer discoveryServer =
+                new StandInServer(port, ZONE, StandInServer.Service.NONE, discovery);
+        discoveryServer.deregister();
+        System.out.println(
+                "discovery on 127.0.0.1:"
+                        + discoveryServer.port()
+                        + ", "
+                        + count
+                        + " save servers");
+        Thread.currentThread().join();
+        return ExitStatus.OK;
+    }
+}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/StreamsCommand.java
@@ -0,0 +1,58 @@
+package sagefall.cli;
+
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import sagefall.load.SidecarProcess;
+import sagefall.load.StreamBenchmark;
+
+/** {@code sagefall streams}. */
+@Command(
+        name = "streams",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measures the streaming of a real sidecar: correct bodies, memory, time to the"
+                        + " first"
+                        + " byte, cost of small requests.")
+final class StreamsCommand implements Callable<Integer> {
+
+    @Parameters(
+            paramLabel = "MODE",
+            description =
+                    "streams: 200 of 64 MiB at once, both ways; first_byte: time to the first byte,"
+                            + " streamed and buffered; small: uploads of 300 bytes, beside another"
+                            + " build")
+    private Mode mode;
+
+    @Option(
+            names = "--jar",
+            defaultValue = SidecarProcess.JAR,
+            paramLabel = "FILE",
+            description = "archive of this build (${DEFAULT-VALUE})")
+    private String jar;
+
+    @Option(
+            names = "--baseline",
+            paramLabel = "FILE",
+            description = "archive of the other build of 'small'; this build if it is missing")
+    private String baselineJar;
+
+    /** What is measured. */
+    enum Mode {
+        STREAMS,
+        FIRST_BYTE,
+        SMALL
+    }
+
+    @Override
+    public Integer call() throws Exception {
+        StreamBenchmark benchmark = new StreamBenchmark();
+        switch (mode) {
+            case STREAMS -> benchmark.measureStreams(jar);
+            case FIRST_BYTE -> benchmark.measureFirstByte(jar);
+            default -> benchmark.measureSmall(jar, baselineJar == null ? jar : baselineJar);
+        }
+        return ExitStatus.of(!benchmark.isCorrect());
+    }
+}
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -13,16 +13,16 @@
 import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 
-/** A range of values of one tunable, or of one figure of the scenario. */
+/** {@code sagefall sweep}: a range of values of one tunable, or of one figure of the scenario. */
 @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a range of values of a tunable of the module or of a figure of the"
+                "Simulates a range of values of a tunable of the module or of a figure of the"
                         + " scenario.")
-public final class SweepCommand implements Callable<Integer> {
+final class SweepCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario, or a TOML file")
+    @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
     private String scenario;
 
     @Option(
@@ -32,10 +32,14 @@
             description = "a tunable such as SPILL or ZoneLimit.CUT, or a figure such as load.use")
     private String vary;
 
-    @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
+    @Option(
+            names = "--policy",
+            defaultValue = "module",
+            paramLabel = "POLICY",
+            description = PolicyRegistry.HELP)
     private String policy;
 
-    @Mixin private ExperimentOptions setting;
+    @Mixin private ExperimentOptions experiment;
 
     @Override
     public Integer call() throws Exception {
@@ -43,37 +47,44 @@
             throw new PolicyException("--vary: '" + vary + "' is not NAME=V1,V2,...");
         }
         String name = vary.substring(0, vary.indexOf('='));
-        boolean tunable = name.substring(name.indexOf('.') + 1).matches("[A-Z0-9_]+");
         String[] values = vary.substring(vary.indexOf('=') + 1).split(",", 0);
-        List<SimulationRequest> plays = new ArrayList<>();
+        List<SimulationRequest> requests = new ArrayList<>();
         for (String value : values) {
-            for (long seed : setting.seeds()) {
-                plays.add(
-                        new SimulationRequest(
-                                tunable
-                                        ? setting.scenario(scenario)
-                                        : setting.scenario(scenario, name + "=" + value),
-                                seed,
-                                tunable ? "module:" + name + "=" + value : policy));
+            for (long seed : experiment.seeds()) {
+                requests.add(request(name, value, seed));
             }
         }
-        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
-        int seeds = setting.seeds().size();
+        List<SimulationResult> results =
+                experiment.simulations().all(requests, experiment.listener());
+        int seeds = experiment.seeds().size();
         System.out.printf("%-12s %7s %7s %9s %9s%n", name, "G", "served", "worst10s", "least G");
-        for (int v = 0; v < values.length; v++) {
-            List<SimulationResult> days = results.subList(v * seeds, (v + 1) * seeds);
-            System.out.printf(
-                    Locale.ROOT,
-                    "%-12s %7.3f %7.3f %9.3f %9.3f%n",
-                    values[v],
-                    days.stream().mapToDouble(SimulationResult::g).average().orElse(0),
-                    days.stream().mapToDouble(SimulationResult::served).average().orElse(0),
-                    days.stream()
-                            .mapToDouble(SimulationResult::worstTenSeconds)
-                            .average()
-                            .orElse(0),
-                    days.stream().mapToDouble(SimulationResult::g).min().orElse(0));
+        for (int i = 0; i < values.length; i++) {
+            printRow(values[i], results.subList(i * seeds, (i + 1) * seeds));
+        }
+        return experiment.printViolations(results, scenario);
+    }
+
+    private SimulationRequest request(String name, String value, long seed) throws Exception {
+        String setting = name + "=" + value;
+        if (isTunable(name)) {
+            return new SimulationRequest(experiment.scenario(scenario), seed, "module:" + setting);
         }
-        return setting.breaches(results, scenario);
+        return new SimulationRequest(experiment.scenario(scenario, setting), seed, policy);
+    }
+
+    /** Tunables are constants of classes; the figures of scenarios are lower case. */
+    private static boolean isTunable(String name) {
+        return name.substring(name.indexOf('.') + 1).matches("[A-Z0-9_]+");
+    }
+
+    private static void printRow(String value, List<SimulationResult> results) {
+        System.out.printf(
+                Locale.ROOT,
+                "%-12s %7.3f %7.3f %9.3f %9.3f%n",
+                value,
+                results.stream().mapToDouble(SimulationResult::g).average().orElse(0),
+                results.stream().mapToDouble(SimulationResult::served).average().orElse(0),
+                results.stream().mapToDouble(SimulationResult::worstTenSeconds).average().orElse(0),
+                results.stream().mapToDouble(SimulationResult::g).min().orElse(0));
     }
 }
--- /dev/null
+++ b/testbed/src/main/java/sagefall/cli/WindowsCommand.java
@@ -0,0 +1,77 @@
+package sagefall.cli;
+
+import java.io.IOException;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/**
+ * {@code sagefall windows}: compares runs of a long day on the operators' bench window by window,
+ * also where one was cut off before its end.
+ */
+@Command(
+        name = "windows",
+        mixinStandardHelpOptions = true,
+        description =
+                "Compares reports of one day of the bench over a span that all of them reached.")
+final class WindowsCommand implements Callable<Integer> {
+
+    private static final double PERCENT = 100;
+
+    @Parameters(
+            arity = "1..*",
+            paramLabel = "REPORT",
+            description = "what the bench printed of a day")
+    private List<Path> files;
+
+    @Option(
+            names = "--until",
+            defaultValue = "1e9",
+            paramLabel = "SECOND",
+            description = "windows that begin at this second or later are left out")
+    private double untilSecond;
+
+    @Override
+    public Integer call() throws IOException {
+        System.out.printf(
+                "%-28s %7s %8s %18s %7s %9s %8s %9s%n",
+                "report",
+                "windows",
+                "worth",
+                "worst 10 s",
+                "late %",
+                "refused %",
+                "failed %",
+                "mean p99");
+        for (Path file : files) {
+            printRow(file);
+        }
+        return ExitStatus.OK;
+    }
+
+    private void printRow(Path file) throws IOException {
+        BenchWindows windows = BenchWindows.read(file).until(untilSecond);
+        if (windows.isEmpty()) {
+            throw new NoSuchFileException(
+                    file + ": holds no windows of a day before " + untilSecond + " s");
+        }
+        BenchWindows.WorstSpan worst = windows.worstTenSeconds();
+        System.out.printf(
+                Locale.ROOT,
+                "%-28s %7d %8.4f %7.3f at %6.0f s %7.3f %9.3f %8.3f %9.0f%n",
+                file.getFileName(),
+                windows.count(),
+                windows.mean(BenchWindows.Column.WORTH) / PERCENT,
+                worst.value(),
+                worst.fromSecond(),
+                windows.mean(BenchWindows.Column.LATE),
+                windows.mean(BenchWindows.Column.REFUSED),
+                windows.mean(BenchWindows.Column.FAILED),
+                windows.mean(BenchWindows.Column.P99));
+    }
+}
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -154,12 +154,13 @@
     /** Whether its descriptors are about what they were before the first request, or it ended. */
     boolean isAtRest() throws IOException {
         return !process.process().isAlive()
-                || process.descriptors() <= baseDescriptors + REST_TOLERANCE_DESCRIPTORS;
+                || process.statistics().descriptors()
+                        <= baseDescriptors + REST_TOLERANCE_DESCRIPTORS;
     }
 
     /** Records its resources before the first request, to compare with. */
     void recordBase() throws IOException {
-        baseDescriptors = process.descriptors();
+        baseDescriptors = process.statistics().descriptors();
         recordRest("before");
     }
 
@@ -177,9 +178,9 @@
                         "when",
                         when,
                         "descriptors",
-                        process.descriptors(),
+                        process.statistics().descriptors(),
                         "rss_kib",
-                        process.status("VmRSS"));
+                        process.statistics().status("VmRSS"));
     }
 
     /** SIGKILL; started again after so long. */
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import sagefall.faultinjection.history.JsonLines;
+import sagefall.load.SidecarConfig;
 import sagefall.load.SidecarProcess;
 
 /** Starts the process of one sidecar, with its configuration and its extensions. */
@@ -52,7 +53,7 @@
                 spec.checkout(),
                 spec.directory(),
                 spec.listen(),
-                SidecarProcess.config(
+                SidecarConfig.config(
                         "n" + spec.index(),
                         Addresses.text(discovery),
                         salt(incarnation),
--- a/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
+++ b/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
@@ -15,15 +15,34 @@
 import sagefall.emulator.RandomStreams;
 
 /**
- * Requests at times that are drawn ahead and wait for no answer. A latency runs from the time at
- * which its request was meant to be sent, so a spell in which nothing is answered costs all that it
- * delays.
+ * Open-loop load: requests at random times (Poisson arrivals) that do not wait for answers. A
+ * latency runs from the time at which its request was due, so that a time in which nothing is
+ * answered counts for all requests that it delays (no coordinated omission).
  */
 public final class OpenLoopLoadGenerator {
 
-    /** What came of the requests of a spell, and of those before. */
-    public record Figures(
-            long sent, long served, long refused, long failed, long unsent, Histogram micros) {}
+    /**
+     * What came of the requests.
+     *
+     * @param sent requests that were due so far
+     * @param served answered with status 200
+     * @param rejected answered with status 429 or 503
+     * @param failed answered with another status, or not in time
+     * @param unsent not sent, as too many were open
+     * @param latencyMicros of what was served since the previous call
+     */
+    public record Statistics(
+            long sent,
+            long served,
+            long rejected,
+            long failed,
+            long unsent,
+            Histogram latencyMicros) {}
+
+    private static final int OK = 200;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int NANOS_PER_MICRO = 1000;
 
     private final HttpClient client =
             HttpClient.newBuilder()
@@ -33,31 +52,36 @@
     private final URI base;
     private final double perSecond;
     private final int timeoutMillis;
-    private final int most;
+    private final int maxOpen;
     private final UniformRandomProvider random;
     private final Recorder latencies = new Recorder(3);
-    private final AtomicInteger out = new AtomicInteger();
+    private final AtomicInteger open = new AtomicInteger();
     private final AtomicLong sent = new AtomicLong();
     private final AtomicLong served = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong unsent = new AtomicLong();
     private volatile boolean ended;
 
     /**
+     * Load that has not begun.
+     *
      * @param port of the sidecar, on loopback
-     * @param most requests out at a time; one that would pass it is counted as unsent
+     * @param perSecond mean rate
+     * @param timeoutMillis the timeout that clients state
+     * @param maxOpen requests open at a time; one beyond is counted as unsent
+     * @param seed of times and keys
      */
     public OpenLoopLoadGenerator(
-            int port, double perSecond, int timeoutMillis, int most, long seed) {
+            int port, double perSecond, int timeoutMillis, int maxOpen, long seed) {
         base = URI.create("http://127.0.0.1:" + port);
         this.perSecond = perSecond;
         this.timeoutMillis = timeoutMillis;
-        this.most = most;
+        this.maxOpen = maxOpen;
         random = new RandomStreams(seed).stream("open-loop");
     }
 
-    /** Sends for so long, in the calling thread. */
+    /** Sends for so long, on the calling thread. */
     public void run(double seconds) {
         long begin = System.nanoTime();
         double at = 0;
@@ -67,22 +91,28 @@
                 return;
             }
             long due = begin + (long) (1e9 * at);
-            for (long left; (left = due - System.nanoTime()) > 0 && !ended; ) {
-                LockSupport.parkNanos(left);
-            }
+            parkUntil(due);
             send(due);
         }
     }
 
-    /** Sends nothing more. */
+    private void parkUntil(long due) {
+        long left = due - System.nanoTime();
+        while (left > 0 && !ended) {
+            LockSupport.parkNanos(left);
+            left = due - System.nanoTime();
+        }
+    }
+
+    /** Sends nothing more; from any thread. */
     public void end() {
         ended = true;
     }
 
     private void send(long due) {
         sent.incrementAndGet();
-        if (out.incrementAndGet() > most) {
-            out.decrementAndGet();
+        if (open.incrementAndGet() > maxOpen) {
+            open.decrementAndGet();
             unsent.incrementAndGet();
             return;
         }
@@ -100,36 +130,37 @@
                         .build();
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
                 .whenComplete(
-                        (answer, error) -> {
-                            out.decrementAndGet();
-                            int status = error == null ? answer.statusCode() : 0;
-                            if (status == 200) {
-                                served.incrementAndGet();
-                                latencies.recordValue(
-                                        Math.max(1, (System.nanoTime() - due) / 1000));
-                            } else if (status == 429 || status == 503) {
-                                refused.incrementAndGet();
-                            } else {
-                                failed.incrementAndGet();
-                            }
-                        });
+                        (answer, error) -> count(due, error == null ? answer.statusCode() : 0));
+    }
+
+    private void count(long due, int status) {
+        open.decrementAndGet();
+        switch (status) {
+            case OK -> {
+                served.incrementAndGet();
+                long micros = (System.nanoTime() - due) / NANOS_PER_MICRO;
+                latencies.recordValue(Math.max(1, micros));
+            }
+            case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> rejected.incrementAndGet();
+            default -> failed.incrementAndGet();
+        }
     }
 
-    /** Waits until all is answered; how many requests are still out after so long. */
+    /** Waits until all are answered, at most so long; how many requests are still open then. */
     public int settle(long millis) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (out.get() > 0 && System.nanoTime() < until) {
+        while (open.get() > 0 && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        return out.get();
+        return open.get();
     }
 
-    /** Counts since the beginning; latencies, in microseconds, since the last call. */
-    public Figures figures() {
-        return new Figures(
+    /** Counts since the begin; latencies since the previous call. */
+    public Statistics statistics() {
+        return new Statistics(
                 sent.get(),
                 served.get(),
-                refused.get(),
+                rejected.get(),
                 failed.get(),
                 unsent.get(),
                 latencies.getIntervalHistogram());
--- a/testbed/src/main/java/sagefall/load/StandInServer.java
+++ b/testbed/src/main/java/sagefall/load/StandInServer.java
@@ -1,8 +1,6 @@
 package sagefall.load;
 
 import java.io.BufferedInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.FilterInputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -12,10 +10,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import java.util.Map;
-import java.util.Random;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.ThreadLocalRandom;
@@ -24,14 +19,14 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import java.util.zip.CRC32;
 
 /**
  * A stand-in for a save server and for discovery, on loopback, to try and to measure a sidecar
- * with. {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is answered with so many bytes of a pattern, any
- * {@code POST} with the length and the CRC-32 of its body, and {@code /v1/servers} with the
- * directory. A {@link Service} gives it slots that work takes time in, and a report of its load;
- * {@link Faults} what a socket can do wrong.
+ * with. {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is answered with so many bytes of a {@link
+ * BytePattern}, any {@code POST} with the length and the CRC-32 of its body, and {@code
+ * /v1/servers} with the endpoint list. A {@link Service} gives it slots that work takes time in,
+ * and a report of its load; {@link Faults} what a server can do wrong. It has a thread for each
+ * connection.
  */
 public final class StandInServer {
 
@@ -39,55 +34,86 @@
      * How it works on a {@code POST}.
      *
      * @param slots requests in work at a time
-     * @param queue how many may wait; what comes beyond is turned away unseen
-     * @param millis mean time of one, exponentially spread; 0: at once
+     * @param queue how many may wait; what comes beyond is rejected before it begins
+     * @param millis mean time of one, exponentially distributed; 0: at once
+     * @param reportsLoad whether answers carry a load report
      */
-    public record Service(int slots, int queue, double millis) {
+    public record Service(int slots, int queue, double millis, boolean reportsLoad) {
+
         /** At once, without a report. */
-        static final Service NONE = new Service(Integer.MAX_VALUE, Integer.MAX_VALUE, 0);
+        public static final Service NONE =
+                new Service(Integer.MAX_VALUE, Integer.MAX_VALUE, 0, false);
+
+        /** With a report. */
+        public Service(int slots, int queue, double millis) {
+            this(slots, queue, millis, true);
+        }
     }
 
-    /** Parts of the {@code POST}s that end as an error, with silence, by a reset, or with noise. */
-    public record Faults(double errors, double silences, double resets, double noises) {
+    /**
+     * Parts of the {@code POST}s that do not end with an answer that counts.
+     *
+     * @param errors part answered with status 500
+     * @param unanswered part never answered
+     * @param resets part whose connection is reset
+     * @param malformed part answered with what is not HTTP
+     */
+    public record Faults(double errors, double unanswered, double resets, double malformed) {
+
         /** None. */
         public static final Faults NONE = new Faults(0, 0, 0, 0);
     }
 
-    private static final int MIB = 1024 * 1024;
-    private static final byte[] PATTERN = new byte[MIB];
-
-    static {
-        new Random(5).nextBytes(PATTERN);
+    private enum Outcome {
+        ANSWERED,
+        ERROR,
+        UNANSWERED,
+        RESET,
+        MALFORMED
     }
 
-    private final StandInDiscovery directory;
+    private static final int BACKLOG = 1000;
+    private static final int BUFFER_BYTES = 64 * 1024;
+    private static final int FIRST_BYTES = 100;
+    private static final double MICROS_PER_MILLI = 1000;
+    private static final double NANOS_PER_MICRO = 1000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long ANY_REVISION = -1;
+
+    private final StandInDiscovery discovery;
     private final String id;
     private final String zone;
     private final int port;
     private final Service service;
     private final Semaphore slots;
-    private final AtomicInteger held = new AtomicInteger();
+    private final AtomicInteger inFlight = new AtomicInteger();
     private final AtomicLong served = new AtomicLong();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final long madeAt = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private volatile Faults faults = Faults.NONE;
     private ServerSocket listening;
 
-    /** On a loopback port, 0 for one that is free; it enters itself into the directory. */
-    public StandInServer(int port, String zone, Service service, StandInDiscovery directory)
+    /**
+     * Listens on a loopback port, and registers with discovery.
+     *
+     * @param port 0 for one that is free
+     */
+    public StandInServer(int port, String zone, Service service, StandInDiscovery discovery)
             throws IOException {
-        this.directory = directory;
+        this.discovery = discovery;
         this.zone = zone;
         this.service = service;
         slots = new Semaphore(service.slots, true);
-        listening = new ServerSocket(port, 1000, InetAddress.getLoopbackAddress());
+        listening = new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
         this.port = listening.getLocalPort();
         id = "s-" + this.port;
-        enter(0);
-        daemon(() -> accept(listening));
+        register(0);
+        ServerSocket first = listening;
+        DaemonThreads.start(() -> accept(first));
     }
 
-    int port() {
+    /** The port that it listens on. */
+    public int port() {
         return port;
     }
 
@@ -95,18 +121,18 @@
         return zone;
     }
 
-    /** What goes wrong from now on. */
-    void faults(Faults now) {
+    /** The faults that it has from now on. */
+    public void faults(Faults now) {
         faults = now;
     }
 
-    private void enter(long bootMillis) {
-        directory.put(id, port, zone, "in_service", bootMillis);
+    private void register(long bootMillis) {
+        discovery.put(id, port, zone, "in_service", bootMillis);
     }
 
     /**
-     * The process dies: it refuses, its connections are reset; discovery notices when it is told
-     * to.
+     * Its process dies: it refuses connections, and open ones are reset. Discovery lists it until
+     * {@link #deregister}.
      */
     synchronized void kill() throws IOException {
         listening.close();
@@ -116,33 +142,19 @@
         }
     }
 
-    /** It is back at the same address, as a new process, and discovery knows. */
+    /** Listens at the same address, as a new process, and registers with discovery. */
     synchronized void restart() throws IOException {
-        ServerSocket again = new ServerSocket();
-        again.setReuseAddress(true);
-        again.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
-        listening = again;
-        daemon(() -> accept(again));
-        enter(System.currentTimeMillis());
-    }
-
-    /** Discovery has noticed that it is gone. */
-    void leave() {
-        directory.remove(id);
-    }
-
-    static void daemon(Runnable task) {
-        Thread thread = new Thread(null, task, "load", 256 * 1024);
-        thread.setDaemon(true);
-        thread.start();
+        ServerSocket socket = new ServerSocket();
+        socket.setReuseAddress(true);
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
+        listening = socket;
+        DaemonThreads.start(() -> accept(socket));
+        register(System.currentTimeMillis());
     }
 
-    static void sleep(long millis) {
-        try {
-            Thread.sleep(millis);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    /** Discovery lists it no more. */
+    public void deregister() {
+        discovery.remove(id);
     }
 
     private void accept(ServerSocket from) {
@@ -151,42 +163,28 @@
                 Socket socket = from.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                daemon(() -> serve(socket));
+                DaemonThreads.start(() -> serve(socket));
             }
         } catch (IOException e) {
-            // It was killed, or the program is over.
+            // It was killed, or the program ends.
         }
     }
 
     private void serve(Socket socket) {
         try (socket) {
-            InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * 1024);
+            InputStream in = new BufferedInputStream(socket.getInputStream(), BUFFER_BYTES);
             OutputStream out = socket.getOutputStream();
-            for (Map<String, String> head; (head = head(in)) != null; ) {
-                String[] first = head.get("").split(" ", 0);
-                String[] path = first[1].split("/");
-                if (first[1].startsWith("/v1/servers")) {
-                    long hold = query(first[1], "hold_ms");
-                    text(out, directory.watch(hold == 0 ? -1 : query(first[1], "from"), hold), "");
-                } else if (first[0].equals("GET")) {
-                    answer(out, Long.parseLong(path[2]), number(path, 3), number(path, 4));
-                } else {
-                    boolean chunked = head.containsKey("Transfer-Encoding");
-                    String sum =
-                            chunked
-                                    ? sum(new Chunks(in), Long.MAX_VALUE)
-                                    : sum(
-                                            in,
-                                            Long.parseLong(
-                                                    head.getOrDefault("Content-Length", "0")));
-                    if (!work(socket, out, sum)) {
-                        return;
-                    }
+            HttpHead request = HttpHead.read(in);
+            boolean open = true;
+            while (request != null && open) {
+                open = answer(request, socket, in, out);
+                if (open) {
+                    out.flush();
+                    request = HttpHead.read(in);
                 }
-                out.flush();
             }
         } catch (IOException | RuntimeException e) {
-            // The sidecar hung up, or asked for what this server does not know.
+            // The sidecar closed the connection, or requested what this server does not know.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -194,216 +192,138 @@
         }
     }
 
+    /** Answers a request; whether its connection goes on. */
+    private boolean answer(HttpHead request, Socket socket, InputStream in, OutputStream out)
+            throws IOException, InterruptedException {
+        String uri = request.uri();
+        if (uri.startsWith("/v1/servers")) {
+            long hold = query(uri, "hold_ms");
+            long from = hold == 0 ? ANY_REVISION : query(uri, "from");
+            writeText(out, discovery.watch(from, hold), "");
+            return true;
+        }
+        if (request.method().equals("GET")) {
+            writePattern(out, uri.split("/"));
+            return true;
+        }
+        String description =
+                request.has("Transfer-Encoding")
+                        ? BytePattern.readDescription(new ChunkedInputStream(in), Long.MAX_VALUE)
+                        : BytePattern.readDescription(in, request.contentLength());
+        return work(socket, out, description);
+    }
+
     private static long query(String uri, String name) {
-        Matcher m = Pattern.compile("[?&]" + name + "=(\\d{1,18})").matcher(uri);
-        return m.find() ? Long.parseLong(m.group(1)) : 0;
+        Matcher matcher = Pattern.compile("[?&]" + name + "=(\\d{1,18})").matcher(uri);
+        return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
     }
 
-    /** One request in a slot; whether its connection may go on. */
-    // NONE is told by identity: a service with the same figures does report.
-    @SuppressWarnings("ReferenceEquality")
-    private boolean work(Socket socket, OutputStream out, String sum)
+    /** One request in a slot; whether its connection goes on. */
+    private boolean work(Socket socket, OutputStream out, String description)
             throws IOException, InterruptedException {
-        if (held.incrementAndGet() > (long) service.slots + service.queue) {
-            held.decrementAndGet();
-            out.write(
-                    "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-                            .getBytes(StandardCharsets.US_ASCII));
+        if (inFlight.incrementAndGet() > (long) service.slots + service.queue) {
+            inFlight.decrementAndGet();
+            write(out, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
         slots.acquire();
         try {
-            if (service.millis > 0) {
-                double micros =
-                        -1000
-                                * service.millis
-                                * Math.log(1 - ThreadLocalRandom.current().nextDouble());
-                LockSupport.parkNanos((long) (1000 * micros));
-            }
+            parkForWork();
         } finally {
             slots.release();
-            held.decrementAndGet();
-        }
-        double luck = ThreadLocalRandom.current().nextDouble();
-        Faults now = faults;
-        if ((luck -= now.errors) < 0) {
-            out.write(
-                    "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-                            .getBytes(StandardCharsets.US_ASCII));
-        } else if ((luck -= now.silences) < 0) {
-            socket.getInputStream().read();
-            return false;
-        } else if ((luck -= now.resets) < 0) {
-            socket.setSoLinger(true, 0);
-            return false;
-        } else if (luck - now.noises < 0) {
-            out.write("\u0007noise\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        } else {
-            served.incrementAndGet();
-            text(out, sum, service == Service.NONE ? "" : report());
+            inFlight.decrementAndGet();
         }
-        return true;
-    }
-
-    private String report() {
-        double seconds = (System.nanoTime() - madeAt) / 1e9;
-        return String.format(
-                Locale.ROOT,
-                "Server-Load: TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f\r\n",
-                Math.min(1, held.get() / (double) service.slots),
-                served.get() / seconds,
-                service.millis);
+        return end(drawOutcome(), socket, out, description);
     }
 
-    private static int number(String[] path, int place) {
-        return path.length > place ? Integer.parseInt(path[place]) : 0;
-    }
-
-    private static void text(OutputStream out, String text, String header) throws IOException {
-        out.write(
-                ("HTTP/1.1 200 OK\r\n"
-                                + header
-                                + "Content-Length: "
-                                + text.length()
-                                + "\r\n\r\n"
-                                + text)
-                        .getBytes(StandardCharsets.US_ASCII));
-    }
-
-    /** So many bytes of the pattern; with a pause behind the first of them. */
-    private static void answer(OutputStream out, long length, int seed, long pauseMillis)
-            throws IOException {
-        out.write(
-                ("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
-        long at = 0;
-        if (pauseMillis > 0) {
-            out.write(PATTERN, seed % MIB, 100);
-            at = 100;
-            sleep(pauseMillis);
+    private void parkForWork() {
+        if (service.millis > 0) {
+            double draw = -Math.log(1 - ThreadLocalRandom.current().nextDouble());
+            double micros = MICROS_PER_MILLI * service.millis * draw;
+            LockSupport.parkNanos((long) (NANOS_PER_MICRO * micros));
         }
-        body(out, at, length, seed);
     }
 
-    static void body(OutputStream out, long from, long length, int seed) throws IOException {
-        for (long at = from; at < length; ) {
-            int start = (int) ((at + seed) % MIB);
-            int part = (int) Math.min(Math.min(64 * 1024, MIB - start), length - at);
-            out.write(PATTERN, start, part);
-            at += part;
+    private Outcome drawOutcome() {
+        Faults now = faults;
+        double draw = ThreadLocalRandom.current().nextDouble();
+        draw -= now.errors;
+        if (draw < 0) {
+            return Outcome.ERROR;
         }
-    }
-
-    static long expected(long length, int seed) {
-        CRC32 sum = new CRC32();
-        for (long at = 0; at < length; ) {
-            int start = (int) ((at + seed) % MIB);
-            int part = (int) Math.min(MIB - start, length - at);
-            sum.update(PATTERN, start, part);
-            at += part;
+        draw -= now.unanswered;
+        if (draw < 0) {
+            return Outcome.UNANSWERED;
         }
-        return sum.getValue();
+        draw -= now.resets;
+        if (draw < 0) {
+            return Outcome.RESET;
+        }
+        return draw - now.malformed < 0 ? Outcome.MALFORMED : Outcome.ANSWERED;
     }
 
-    /** Reads so many bytes, if wanted with a rest after each 256 KiB. */
-    static long checksum(InputStream in, long length, long restMillis) throws IOException {
-        byte[] buffer = new byte[64 * 1024];
-        CRC32 sum = new CRC32();
-        long rested = 0;
-        for (long at = 0; at < length; ) {
-            int count = in.read(buffer, 0, (int) Math.min(buffer.length, length - at));
-            if (count < 0) {
-                throw new IOException("ended after " + at + " of " + length);
+    private boolean end(Outcome outcome, Socket socket, OutputStream out, String description)
+            throws IOException {
+        switch (outcome) {
+            case ERROR -> write(out, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
+            case MALFORMED -> write(out, "\u0007noise\r\n\r\n");
+            case UNANSWERED -> {
+                socket.getInputStream().read();
+                return false;
+            }
+            case RESET -> {
+                socket.setSoLinger(true, 0);
+                return false;
             }
-            sum.update(buffer, 0, count);
-            at += count;
-            if (restMillis > 0 && at - rested > 256 * 1024) {
-                rested = at;
-                sleep(restMillis);
+            default -> {
+                served.incrementAndGet();
+                writeText(out, description, service.reportsLoad ? loadReport() : "");
             }
         }
-        return sum.getValue();
+        return true;
     }
 
-    /** The length and the CRC-32 of a body, as a line of text. */
-    private static String sum(InputStream in, long most) throws IOException {
-        byte[] buffer = new byte[64 * 1024];
-        CRC32 sum = new CRC32();
-        long at = 0;
-        int count = 0;
-        while (at < most && count >= 0) {
-            count = in.read(buffer, 0, (int) Math.min(buffer.length, most - at));
-            sum.update(buffer, 0, Math.max(0, count));
-            at += Math.max(0, count);
-        }
-        if (most != Long.MAX_VALUE && at < most) {
-            throw new IOException("ended after " + at + " of " + most);
-        }
-        return at + " " + Long.toHexString(sum.getValue()) + "\n";
+    private String loadReport() {
+        double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+        return String.format(
+                Locale.ROOT,
+                "Server-Load: TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f\r\n",
+                Math.min(1, inFlight.get() / (double) service.slots),
+                served.get() / seconds,
+                service.millis);
     }
 
-    static Map<String, String> head(InputStream in) throws IOException {
-        Map<String, String> head = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; (line = line(in)) != null; ) {
-            if (line.isEmpty()) {
-                return head;
-            }
-            int colon = line.indexOf(':');
-            head.put(
-                    head.isEmpty() ? "" : line.substring(0, colon),
-                    head.isEmpty() ? line : line.substring(colon + 1).trim());
-        }
-        return null;
+    private static void write(OutputStream out, String text) throws IOException {
+        out.write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String line(InputStream in) throws IOException {
-        ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int c; (c = in.read()) != '\n'; ) {
-            if (c < 0) {
-                return null;
-            }
-            if (c != '\r') {
-                line.write(c);
-            }
-        }
-        return line.toString(StandardCharsets.US_ASCII);
+    private static void writeText(OutputStream out, String text, String header) throws IOException {
+        write(
+                out,
+                "HTTP/1.1 200 OK\r\n"
+                        + header
+                        + "Content-Length: "
+                        + text.length()
+                        + "\r\n\r\n"
+                        + text);
     }
 
-    /** A body in chunks, up to and with its trailers. */
-    private static final class Chunks extends FilterInputStream {
-        private long left;
-        private boolean begun;
-        private boolean ended;
-
-        Chunks(InputStream in) {
-            super(in);
-        }
-
-        @Override
-        public int read() throws IOException {
-            byte[] one = new byte[1];
-            return read(one, 0, 1) < 0 ? -1 : one[0] & 0xff;
+    /** The bytes that a path names; with a pause behind the first of them. */
+    private static void writePattern(OutputStream out, String[] path) throws IOException {
+        long length = Long.parseLong(path[2]);
+        int seed = number(path, 3);
+        long pauseMillis = number(path, 4);
+        write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n");
+        long at = 0;
+        if (pauseMillis > 0) {
+            BytePattern.writeBegin(out, FIRST_BYTES, seed);
+            at = FIRST_BYTES;
+            DaemonThreads.sleep(pauseMillis);
         }
+        BytePattern.write(out, at, length, seed);
+    }
 
-        @Override
-        public int read(byte[] into, int from, int most) throws IOException {
-            if (left == 0 && !ended) {
-                if (begun) {
-                    line(in);
-                }
-                begun = true;
-                left = Long.parseLong(String.valueOf(line(in)), 16);
-                ended = left == 0;
-                for (String trailer = "x"; ended && trailer != null && !trailer.isEmpty(); ) {
-                    trailer = line(in);
-                }
-            }
-            int count = ended ? -1 : in.read(into, from, (int) Math.min(most, left));
-            if (count < 0 && !ended) {
-                throw new IOException("ended within a chunk");
-            }
-            left -= Math.max(0, count);
-            return count;
-        }
+    private static int number(String[] path, int place) {
+        return path.length > place ? Integer.parseInt(path[place]) : 0;
     }
 }
--- a/testbed/src/test/java/sagefall/cli/CommandLineTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -26,7 +26,7 @@
 
     private final StringWriter errors = new StringWriter();
 
-    private int lab(String... arguments) {
+    private int sagefall(String... arguments) {
         CommandLine command = CommandLineMain.command();
         command.setErr(new PrintWriter(errors));
         return command.execute(arguments);
@@ -37,7 +37,7 @@
     void aComparisonLeavesDaysAndAPage() throws Exception {
         assertEquals(
                 0,
-                lab(
+                sagefall(
                         "compare",
                         "calm",
                         "--a",
@@ -81,7 +81,8 @@
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         System.setOut(new PrintStream(printed, true));
         try {
-            assertEquals(0, lab("windows", "--until", "10", report.toString()), errors.toString());
+            assertEquals(
+                    0, sagefall("windows", "--until", "10", report.toString()), errors.toString());
         } finally {
             System.setOut(before);
         }
@@ -92,27 +93,27 @@
                         .orElse("")
                         .replaceAll(" +", " ");
         assertEquals("report.log 2 0.9750 0.975 at 0 s 0.500 0.250 0.000 400", last);
-        assertEquals(2, lab("windows", folder.resolve("none").toString()));
+        assertEquals(2, sagefall("windows", folder.resolve("none").toString()));
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
             value = {
-                "run;nowhere;nowhere:1: no such file, and none of the shipped scenarios",
-                "run;calm --set load.use=99;--set: load.use: must lie from 0 to 10",
-                "run;calm --set colour=1;--set: colour: unknown name",
-                "run;calm --policy best;best: no such policy",
-                "run;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
+                "simulate;nowhere;nowhere:1: no such file, and none of the shipped scenarios",
+                "simulate;calm --set load.use=99;--set: load.use: must lie from 0 to 10",
+                "simulate;calm --set colour=1;--set: colour: unknown name",
+                "simulate;calm --policy best;best: no such policy",
+                "simulate;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
                 "compare;calm --b module:X=1;module:X=1: X is no tunable"
             })
     void wrongInputCostsOneLineAndStatusTwo(String command, String options, String line) {
         assertEquals(
                 2,
-                lab(
+                sagefall(
                         (command + " " + options + (options.contains("X=1") ? " --root .." : ""))
                                 .split(" ")));
-        assertTrue(errors.toString().startsWith("sagefall lab: " + line), errors.toString());
+        assertTrue(errors.toString().startsWith("sagefall: " + line), errors.toString());
         assertEquals(1, errors.toString().lines().count());
     }
 
@@ -126,7 +127,7 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 "sagefall.cli.CommandLineMain",
-                                "run",
+                                "simulate",
                                 "flap",
                                 "--seeds",
                                 "1-9999",
--- a/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
@@ -17,7 +17,7 @@
 import sagefall.leaderelection.SharedEndpointSnapshot;
 import sagefall.persistence.SnapshotChange;
 
-/** What {@code sagefall duties} prints of a folder whose first term was given back. */
+/** What {@code sagefall lease} prints of a folder whose first term was given back. */
 class LeaseCommandWordsTest {
 
     private static final long LONG_LEASE = 3_600_000_000_000L;
@@ -38,16 +38,16 @@
         store.acquire("n2", LONG_LEASE);
     }
 
-    private List<String> duties(String command) {
-        CommandLine duties = new CommandLine(new LeaseCommand());
-        duties.setOut(new PrintWriter(out));
-        assertEquals(0, duties.execute(command, folder.toString()));
+    private List<String> lease(String command) {
+        CommandLine lease = new CommandLine(new LeaseCommand());
+        lease.setOut(new PrintWriter(out));
+        assertEquals(0, lease.execute(command, folder.toString()));
         return out.toString().lines().toList();
     }
 
     @Test
     void status() {
-        List<String> lines = duties("status");
+        List<String> lines = lease("status");
         assertEquals(
                 "term 2, held by n2 for MILLIS ms more",
                 lines.get(0).replaceFirst("for [0-9]+ ms", "for MILLIS ms"));
@@ -59,7 +59,7 @@
     @Test
     void statusOfNobody() throws IOException {
         store.release("n2", 2);
-        assertEquals("term 2, held by nobody", duties("status").get(0));
+        assertEquals("term 2, held by nobody", lease("status").get(0));
     }
 
     @Test
@@ -70,12 +70,12 @@
                 List.of(
                         "term 1 from " + first + " on, given back",
                         "term 2 from " + second + " on, n2"),
-                duties("history"));
+                lease("history"));
     }
 
     @Test
     void release() throws IOException {
-        assertEquals(List.of("term 2 has ended"), duties("release"));
+        assertEquals(List.of("term 2 has ended"), lease("release"));
         assertEquals("", store.status().grant().owner());
     }
 }
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -192,7 +192,7 @@
                                 System.getProperty("java.class.path"),
                                 "-Dsagefall.root=" + ROOT,
                                 CommandLineMain.class.getName(),
-                                "rig",
+                                "inject-faults",
                                 "run",
                                 "rig-calm",
                                 "--sidecars",
@@ -236,8 +236,8 @@
                 "run flap --set seconds=[1,2] | --set: seconds: must be one number",
                 "run OWN | OWN:3: fault[0].kind: the rig can't play neighbour",
                 "run BAD | BAD:4: fault[0].zone: the fleet has no such zone",
-                "again nope.json | nope.json: no such plan",
-                "again OWN | not a plan",
+                "replay nope.json | nope.json: no such plan",
+                "replay OWN | not a plan",
                 "shrink nope.json | nope.json: no such plan",
                 "dance | Unmatched argument",
                 "run | Missing required parameter",
@@ -249,7 +249,10 @@
         Files.writeString(bad, "name = \"bad\"\n[[fault]]\nkind = \"lose_zone\"\nzone = \"z\"\n");
         StringWriter errors = new StringWriter();
         String[] words =
-                ("rig " + arguments.replace("OWN", toml.toString()).replace("BAD", bad.toString()))
+                ("inject-faults "
+                                + arguments
+                                        .replace("OWN", toml.toString())
+                                        .replace("BAD", bad.toString()))
                         .split(" ");
         assertEquals(
                 2,
--- a/testbed/src/test/java/sagefall/load/LoadTest.java
+++ b/testbed/src/test/java/sagefall/load/LoadTest.java
@@ -24,11 +24,11 @@
                     new OpenLoopLoadGenerator(server.port(), 400, 5000, 1000, 7);
             load.run(0.5);
             assertEquals(0, load.settle(30_000));
-            OpenLoopLoadGenerator.Figures f = load.figures();
+            OpenLoopLoadGenerator.Statistics f = load.statistics();
             assertTrue(f.sent() > 100, "sent " + f.sent());
-            assertEquals(f.sent(), f.served() + f.refused() + f.failed() + f.unsent());
+            assertEquals(f.sent(), f.served() + f.rejected() + f.failed() + f.unsent());
             assertEquals(errors > 0, f.served() < f.sent() / 2);
-            assertEquals(f.served(), f.micros().getTotalCount());
+            assertEquals(f.served(), f.latencyMicros().getTotalCount());
         }
         server.kill();
     }
