--- a/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
@@ -12,7 +12,7 @@
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks the recorded history of an earlier run, and writes its report again.")
+        description = "Checks the recorded history of an earlier run, and rewrites its report.")
 final class CheckHistoryCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "DIR", description = "the directory of an earlier run")
--- a/testbed/src/main/java/sagefall/cli/CommandLineMain.java
+++ b/testbed/src/main/java/sagefall/cli/CommandLineMain.java
@@ -26,7 +26,7 @@
         },
         synopsisSubcommandLabel = "COMMAND",
         commandListHeading = "%nCommands:%n",
-        footer = {"", "./sagefall COMMAND --help tells the options of a command."},
+        footer = {"", "./sagefall COMMAND --help lists the options of a command."},
         exitCodeListHeading = "%nExit status:%n",
         exitCodeList = {
             "0:done",
--- a/testbed/src/main/java/sagefall/cli/SimulateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -26,7 +26,11 @@
     @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
     private String scenario;
 
-    @Option(names = "--policy", defaultValue = "module", description = PolicyRegistry.HELP)
+    @Option(
+            names = "--policy",
+            defaultValue = "module",
+            paramLabel = "POLICY",
+            description = PolicyRegistry.HELP)
     private String policy;
 
     @Mixin private ExperimentOptions experiment;
--- a/testbed/src/main/java/sagefall/cli/StandInCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StandInCommand.java
@@ -4,7 +4,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import sagefall.load.StandInDiscovery;
+import sagefall.load.StandInFaults;
 import sagefall.load.StandInServer;
+import sagefall.load.StandInService;
 
 /** {@code sagefall stand-in}. */
 @Command(
@@ -75,15 +77,13 @@
     @Override
     public Integer call() throws Exception {
         StandInDiscovery discovery = new StandInDiscovery();
-        StandInServer.Service service =
-                new StandInServer.Service(slots, QUEUE_PER_SLOT * slots, meanMillis);
-        StandInServer.Faults faults =
-                new StandInServer.Faults(errors, unanswered, resets, malformed);
+        StandInService service = new StandInService(slots, QUEUE_PER_SLOT * slots, meanMillis);
+        StandInFaults faults = new StandInFaults(errors, unanswered, resets, malformed);
         for (int i = 0; i < count; i++) {
             new StandInServer(0, ZONE, service, discovery).faults(faults);
         }
         StandInServer discoveryServer =
-                new StandInServer(port, ZONE, StandInServer.Service.NONE, discovery);
+                new StandInServer(port, ZONE, StandInService.NONE, discovery);
         discoveryServer.deregister();
         System.out.println(
                 "discovery on 127.0.0.1:"
--- a/testbed/src/main/java/sagefall/cli/StreamsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StreamsCommand.java
@@ -20,7 +20,7 @@
     @Parameters(
             paramLabel = "MODE",
             description =
-                    "streams: 200 of 64 MiB at once, both ways; first_byte: time to the first byte,"
+                    "streams: 200 of 64 MiB at once, both directions; first_byte: time to the first byte,"
                             + " streamed and buffered; small: uploads of 300 bytes, beside another"
                             + " build")
     private Mode mode;
--- a/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
+++ b/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
@@ -34,7 +34,7 @@
         return StandInCommands.endpointList(revision, true, listed.values());
     }
 
-    /** Takes in a list, and returns it with the next revision, as the agent is told it. */
+    /** Takes in a list, and returns it with the next revision, as the agent gets it. */
     synchronized ObjectNode update(EndpointListKind kind, List<ListedEndpoint> endpoints) {
         revision++;
         if (kind != EndpointListKind.CHANGES) {
@@ -54,7 +54,7 @@
                 revision, kind != EndpointListKind.CHANGES, changed.values());
     }
 
-    /** An endpoint as this sidecar is told it, whose link to the server is its own. */
+    /** An endpoint as this sidecar sees it, whose link to the server is its own. */
     private ObjectNode target(ListedEndpoint endpoint) {
         ServerLink link = members.server(endpoint.id()).links().get(sidecar);
         return JsonLines.MAPPER
--- a/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
@@ -9,7 +9,7 @@
 /** Measures the processes of sidecars: their wait for a core, and their resources at rest. */
 final class RestMeasurement {
 
-    /** Rest is awaited at most so many times as long as idle connections are kept open. */
+    /** Rest is awaited at most so many times the idle timeout of connections. */
     private static final double MAX_IDLE_TIMEOUTS = 4;
 
     private static final long REST_POLL_MILLIS = 50;
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -183,7 +183,7 @@
                         process.statistics().status("VmRSS"));
     }
 
-    /** SIGKILL; started again after so long. */
+    /** SIGKILL; restarted after so long. */
     void kill(long downMicros) {
         if (!up) {
             return;
@@ -208,8 +208,7 @@
     }
 
     /**
-     * A planned restart: SIGTERM, then new connections for a while, then none until it is started
-     * again.
+     * A planned restart: SIGTERM, then new connections for a while, then none until the next start.
      */
     void restart(long downMicros) {
         if (!up) {
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -67,7 +67,7 @@
         return fault.sidecars().stream().map(SidecarMember::control).toList();
     }
 
-    /** A killed sidecar starts again on its own. */
+    /** A killed sidecar is restarted by its control. */
     private static void kill(ScheduledFault fault, boolean begins) {
         if (begins) {
             controls(fault).forEach(sidecar -> sidecar.kill(fault.sizeMicros()));
--- a/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
@@ -26,7 +26,7 @@
         return JsonLines.MAPPER.createObjectNode().put("do", name);
     }
 
-    /** Run a server; the answer tells its port. */
+    /** Run a server; its answer has the port. */
     ObjectNode serve(ServerMember server, boolean cold) {
         ObjectNode command =
                 command("serve")
@@ -57,7 +57,7 @@
         return command("end").put("id", server);
     }
 
-    /** Run the discovery agents of these sidecars; the answer tells their ports, in order. */
+    /** Run the discovery agents of these sidecars; its answer has their ports, in order. */
     static ObjectNode agents(List<SidecarMember> sidecars) {
         ObjectNode command = command("views");
         ArrayNode indices = command.putArray("who");
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryReader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryReader.java
@@ -19,7 +19,7 @@
     /**
      * All lines of the files of a directory. A last line that was cut off by a kill is ignored.
      *
-     * @throws HistoryException if there is no such directory, a line is not JSON, or no line tells
+     * @throws HistoryException if there is no such directory, a line is not JSON, or no line has
      *     the parameters of the run
      */
     public static List<HistoryEntry> read(Path directory) throws IOException {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/Invariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/Invariant.java
@@ -18,12 +18,12 @@
     Set<EntryKind> reads();
 
     /**
-     * Judges an entry. The {@link ObservedRun} holds what the history told before this entry, and
-     * not yet the entry itself.
+     * Judges an entry. The {@link ObservedRun} holds the state before this entry, and not yet the
+     * entry itself.
      */
     void observe(HistoryEntry entry);
 
-    /** Judges what can only be told once the whole history was read. */
+    /** Judges what only the complete history shows. */
     default void finish() {}
 
     /**
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantChecks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantChecks.java
@@ -7,8 +7,8 @@
 
 /**
  * Judges a history by all invariants. Times are those at which something was seen on a link or at a
- * server, with room for how late this machine ran; a run on a machine that stood still for longer
- * proves nothing, and is void.
+ * server, with tolerance for how late this machine ran; a run on a machine that stood still for
+ * longer proves nothing, and is void.
  */
 public final class InvariantChecks {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/MachineDelays.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/MachineDelays.java
@@ -33,7 +33,7 @@
     private final List<Delay> delays = new ArrayList<>();
     private long longestStallNanos;
 
-    /** Reads the delays of a whole history. */
+    /** Reads the delays of a complete history. */
     MachineDelays(List<HistoryEntry> history) {
         for (HistoryEntry entry : history) {
             long nanos = NANOS_PER_MILLI * entry.number("ms");
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
@@ -18,7 +18,7 @@
      *
      * @param server the id of the server at the address
      * @param state the state by the list
-     * @param bootMillis the start of the server by the list; 0 if it did not tell
+     * @param bootMillis the start of the server by the list; 0 if it is missing
      * @param at when the notice was written; the first one that the server leaves counts
      */
     record Notice(long server, String state, long bootMillis, long at) {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
@@ -7,7 +7,7 @@
 import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.HistoryEntry;
 
-/** What a history tells of one request. */
+/** What a history has about one request. */
 final class ObservedRequest {
 
     private static final long NANOS_PER_MICRO = 1000;
@@ -80,7 +80,7 @@
         return answer == null || answer.number("status") == AnswerStatus.BROKEN;
     }
 
-    /** When the client knew that no answer would come; its deadline if nothing told it. */
+    /** When the client knew that no answer would come; its deadline if nothing showed it. */
     long unansweredAt() {
         return answer == null ? deadline() : answer.at();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
@@ -10,7 +10,7 @@
 
 /**
  * The state of a run as far as its history was read: requests, processes, endpoint lists and
- * servers. The parameters and the delays of the machine are those of the whole history.
+ * servers. The parameters and the delays of the machine are those of the complete history.
  */
 final class ObservedRun {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/PlannedRestartInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/PlannedRestartInvariant.java
@@ -27,7 +27,7 @@
 
     @Override
     public void observe(HistoryEntry entry) {
-        // Only the whole history tells which requests stay unanswered.
+        // Only the complete history shows which requests stay unanswered.
     }
 
     @Override
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/RunParameters.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/RunParameters.java
@@ -7,7 +7,7 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * What the first line of a history tells of the run.
+ * What the first line of a history has about the run.
  *
  * @param pure whether the requests have no effect, so that they may run any number of times
  * @param keyed whether requests carry an idempotency key
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
@@ -45,7 +45,7 @@
     /**
      * Listens on a free port at that address.
      *
-     * @param listener is told of each request; null for nobody
+     * @param listener is called for each request; null for none
      */
     public LinkRelay(
             EventLoopGroup group,
--- a/testbed/src/main/java/sagefall/faultinjection/link/RequestIdScanner.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RequestIdScanner.java
@@ -18,7 +18,7 @@
     private final StringBuilder head = new StringBuilder();
     private boolean awaitingHead = true;
 
-    /** Tells the listener of each id; a null listener is told of none. */
+    /** Reports each id to the listener; null for none. */
     RequestIdScanner(RequestListener listener) {
         this.listener = listener;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
@@ -13,7 +13,7 @@
  */
 public record RunDirectory(Path path) {
 
-    /** The plan that can be run again. */
+    /** The plan, which can be replayed. */
     public Path plan() {
         return path.resolve("plan.json");
     }
--- a/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
@@ -5,14 +5,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import sagefall.emulator.RandomStreams;
 
-/** Scenarios drawn from a seed, as the text of a file, so that one can be kept, read and cut. */
+/**
+ * Scenarios drawn from a seed, as the text of a file, so that one can be stored, read and shrunk.
+ */
 public final class ScenarioGenerator {
 
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final double SECONDS = 22;
 
-    /** Faults are over by then, so that the fleet is seen to come back. */
-    private static final double QUIET = 16;
+    /** Faults have ended by then, so that the recovery of the fleet is seen. */
+    private static final double QUIET_SECONDS = 16;
 
     private ScenarioGenerator() {}
 
@@ -41,9 +43,9 @@
         int count = 2 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
             double at = 3 + 8 * random.nextDouble();
-            double most = QUIET - at;
+            double longest = QUIET_SECONDS - at;
             text.append(String.format(Locale.ROOT, "%n[[fault]]%nat_s = %.2f%n", at));
-            text.append(fault(random, Math.min(most, 1 + 5 * random.nextDouble())));
+            text.append(fault(random, Math.min(longest, 1 + 5 * random.nextDouble())));
         }
         return text.toString();
     }
@@ -53,11 +55,12 @@
         String span = String.format(Locale.ROOT, "for_s = %.2f%n", length);
         String part = String.format(Locale.ROOT, "part = %.2f%n", 0.1 + 0.5 * random.nextDouble());
         String ends = random.nextBoolean() ? "how = \"silent\"\n" : "how = \"refuse\"\n";
-        String ways = "how = \"" + List.of("both", "in", "out").get(random.nextInt(3)) + "\"\n";
+        String directions =
+                "how = \"" + List.of("both", "in", "out").get(random.nextInt(3)) + "\"\n";
         return switch (random.nextInt(18)) {
             case 0 -> "kind = \"lose_zone\"\n" + span + zone + ends;
             case 1 -> "kind = \"lose_servers\"\n" + span + part + ends;
-            case 2 -> "kind = \"cut_zone\"\n" + span + zone + ways;
+            case 2 -> "kind = \"cut_zone\"\n" + span + zone + directions;
             case 3 -> "kind = \"slow\"\n" + span + part + "size = [3, 10]\n";
             case 4 -> "kind = \"errors\"\n" + span + part + "size = [0.1, 0.5]\n";
             case 5 -> "kind = \"pauses\"\n" + span + part + "size = [100, 500]\nevery_s = 1\n";
@@ -69,9 +72,14 @@
             case 11 -> "kind = \"deaf\"\n" + span + part;
             case 12 -> "kind = \"reborn\"\n" + span + "part = 0.15\n" + ends;
             case 13 -> "kind = \"stop_sidecars\"\n" + span + part;
-            case 14 -> "kind = \"cut_sidecars\"\n" + span + part + zone + ways;
+            case 14 -> "kind = \"cut_sidecars\"\n" + span + part + zone + directions;
             case 15 ->
-                    "kind = \"flap_links\"\n" + span + part + zone + "every_s = [0.6, 2]\n" + ways;
+                    "kind = \"flap_links\"\n"
+                            + span
+                            + part
+                            + zone
+                            + "every_s = [0.6, 2]\n"
+                            + directions;
             case 16 -> "kind = \"lost_answers\"\n" + span + "part = [0.01, 0.05]\n";
             default -> "kind = \"resets\"\n" + span + "part = [0.01, 0.05]\n";
         };
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -72,7 +72,10 @@
         return isViolated() ? "BROKEN" : "";
     }
 
-    /** Prints the statistics, the first violations of each invariant, and how to run it again. */
+    /**
+     * Prints the statistics, the first violations of each invariant, and the command that replays
+     * it.
+     */
     public void print(PrintStream to) {
         statistics.lines().forEach(line -> to.println("  " + line));
         if (readySeconds > 0) {
--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -19,7 +19,7 @@
     private static final long NANOS_PER_MICRO = 1000;
     private static final long NOT_ARMED = Long.MAX_VALUE;
 
-    /** Is told how late the thread was. */
+    /** Is called when the thread was late. */
     @FunctionalInterface
     public interface StallListener {
 
--- a/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -2,20 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.Locale;
 import java.util.Map;
@@ -37,28 +26,9 @@
  */
 final class SocketServer implements EmulatedServer.Floor {
 
-    /** A request, and the connection to answer on. */
-    private static final class ReceivedRequest extends Job {
-        private final String id;
-        private final String key;
-        private final Connection connection;
-        private boolean cancelled;
-
-        ReceivedRequest(String id, String key, Connection connection) {
-            this.id = id;
-            this.key = key;
-            this.connection = connection;
-        }
-
-        /**
-         * Whether the senders had been notified is judged from the history; here all count, as a
-         * server can't know.
-         */
-        @Override
-        protected boolean knowsStart(EmulatedServer server) {
-            return true;
-        }
-    }
+    private static final int OK = 200;
+    private static final int ERROR = 500;
+    private static final int NOT_STARTED = 503;
 
     private final EmulatedServer model;
     private final RealTimeEventLoop eventLoop;
@@ -67,7 +37,7 @@
     private final double setupMicros;
     private final long deduplicationMicros;
     private final UniformRandomProvider random;
-    private final Set<Connection> connections = new HashSet<>();
+    private final Set<ServerConnection> connections = new HashSet<>();
     private double lostPart;
     private double resetPart;
     private Channel listening;
@@ -115,7 +85,7 @@
         return model.id;
     }
 
-    /** Begins to serve, with the load of a start or without it. */
+    /** Begins to serve, cold or warm. */
     void begin(boolean cold) {
         if (cold) {
             model.start();
@@ -155,52 +125,84 @@
     void end() {
         listening.close();
         model.end(false);
-        Set.copyOf(connections).forEach(Connection::reset);
+        resetConnections();
         history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "end");
     }
 
+    /** The handler of a new connection. */
     ChannelHandler connection() {
-        return new Connection();
+        return new ServerConnection(this, eventLoop);
+    }
+
+    /** A connection was accepted; one too many is reset. */
+    void connectionOpened(ServerConnection connection) {
+        connections.add(connection);
+        model.connections++;
+        boolean tooMany = model.connections > model.make.connections();
+        if (tooMany || model.state == EmulatedServer.State.DEAD) {
+            connection.reset();
+        }
+    }
+
+    void connectionClosed(ServerConnection connection) {
+        connections.remove(connection);
+        model.connections = Math.max(0, model.connections - 1);
+    }
+
+    /** The connection of a request was closed before it was answered. */
+    void recordCancel(ReceivedRequest request) {
+        history.write(EntryKind.CANCEL, "id", request.id(), "server", model.id);
     }
 
-    /** A request has arrived; on the event loop. */
-    private void receive(
-            Connection connection,
-            String id,
-            String key,
-            String subject,
-            double work,
-            boolean newConnection) {
-        ReceivedRequest request = new ReceivedRequest(id, key, connection);
+    /**
+     * Takes a request in, or rejects it.
+     *
+     * @param subject what the request is about; some cost more than others
+     * @param work its cost in microseconds
+     * @param newConnection whether it pays for the connection as well
+     */
+    void receive(ReceivedRequest request, String subject, double work, boolean newConnection) {
         long now = eventLoop.queue().now();
-        Long before = executedAt.get(model.zone + " " + key);
+        Long before = executedAt.get(deduplicationKey(request));
         boolean duplicate = before != null && now - before <= deduplicationMicros;
         request.work =
                 (duplicate ? 0 : work * model.keyed(subject.hashCode()))
                         + (newConnection ? setupMicros : 0);
         request.left = request.work;
         boolean accepted = model.state == EmulatedServer.State.UP && model.take(request);
+        recordArrival(request, accepted, now);
+        if (model.state == EmulatedServer.State.DEAD) {
+            request.connection().reset();
+        } else if (!accepted) {
+            recordReply(request, NOT_STARTED);
+            request.connection().answerNotStarted(request);
+        } else {
+            if (!duplicate) {
+                executedAt.put(deduplicationKey(request), now);
+            }
+            request.connection().begin(request);
+        }
+    }
+
+    private String deduplicationKey(ReceivedRequest request) {
+        return model.zone + " " + request.key();
+    }
+
+    private void recordArrival(ReceivedRequest request, boolean accepted, long now) {
         history.write(
                 EntryKind.ARRIVE,
                 "id",
-                id,
+                request.id(),
                 "server",
                 model.id,
                 "taken",
                 accepted,
                 "warmth",
                 model.warmth(now));
-        if (model.state == EmulatedServer.State.DEAD) {
-            connection.reset();
-        } else if (!accepted) {
-            history.write(EntryKind.REPLY, "id", id, "server", model.id, "status", 503);
-            connection.answer(request, 503, "Not-Started", "1", "");
-        } else {
-            if (!duplicate) {
-                executedAt.put(model.zone + " " + key, now);
-            }
-            connection.inFlight = request;
-        }
+    }
+
+    private void recordReply(ReceivedRequest request, int status) {
+        history.write(EntryKind.REPLY, "id", request.id(), "server", model.id, "status", status);
     }
 
     @Override
@@ -209,138 +211,52 @@
         history.write(
                 EntryKind.EFFECT,
                 "id",
-                request.id,
+                request.id(),
                 "key",
-                request.key,
+                request.key(),
                 "server",
                 model.id,
                 "zone",
                 model.zone);
-        if (request.cancelled) {
+        if (request.isCancelled()) {
             return;
         }
         double chance = random.nextDouble();
         if (chance < resetPart) {
-            request.connection.reset();
+            request.connection().reset();
         } else if (chance >= resetPart + lostPart) {
-            int status = chance > 1 - model.errors ? 500 : 200;
-            history.write(EntryKind.REPLY, "id", request.id, "server", model.id, "status", status);
-            request.connection.answer(
-                    request,
-                    status,
-                    "Server-Load",
-                    report(),
-                    status == 200 ? "done " + request.id : "");
+            boolean failed = chance > 1 - model.errors;
+            int status = failed ? ERROR : OK;
+            recordReply(request, status);
+            String text = failed ? "" : "done " + request.id();
+            request.connection().answerExecuted(request, status, text);
         }
     }
 
-    private String report() {
-        LoadReport r = model.report();
+    /** The load report of the moment, as answers carry it. */
+    String loadReport() {
+        LoadReport report = model.report();
         return String.format(
                 Locale.ROOT,
                 "TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f",
-                r.utilization(),
-                r.rate(),
-                r.latencyMillis());
+                report.utilization(),
+                report.rate(),
+                report.latencyMillis());
     }
 
     @Override
     public void broken(Job job) {
-        ((ReceivedRequest) job).connection.reset();
+        ((ReceivedRequest) job).connection().reset();
     }
 
     @Override
     public void fell(EmulatedServer server, double told) {
         history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "fell");
         listening.close();
-        Set.copyOf(connections).forEach(Connection::reset);
+        resetConnections();
     }
 
-    /** A connection of a sidecar, one request at a time. */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private volatile Channel channel;
-        private boolean firstRequest = true;
-        private ReceivedRequest inFlight;
-
-        @Override
-        public void channelActive(ChannelHandlerContext context) {
-            channel = context.channel();
-            eventLoop.run(
-                    () -> {
-                        connections.add(this);
-                        if (++model.connections > model.make.connections()
-                                || model.state == EmulatedServer.State.DEAD) {
-                            reset();
-                        }
-                    });
-        }
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (request.uri().equals("/healthz") || request.uri().equals("/load")) {
-                eventLoop.run(() -> answer(null, 200, "Server-Load", report(), ""));
-                return;
-            }
-            String id = request.headers().get("Request-Id", "");
-            String key = request.headers().get("Idempotency-Key", "");
-            String body = request.content().toString(StandardCharsets.US_ASCII);
-            String uri = request.uri();
-            if (id.isEmpty() || !body.startsWith("work=")) {
-                eventLoop.run(() -> answer(null, 400, "", "", ""));
-                return;
-            }
-            double work = Double.parseDouble(body.substring(5, body.indexOf('\n')));
-            boolean first = firstRequest;
-            firstRequest = false;
-            eventLoop.run(
-                    () ->
-                            receive(
-                                    this,
-                                    id,
-                                    key,
-                                    uri.substring(uri.lastIndexOf('/') + 1),
-                                    work,
-                                    first));
-        }
-
-        private void answer(
-                ReceivedRequest request, int status, String name, String value, String text) {
-            if (request != null && inFlight == request) {
-                inFlight = null;
-            }
-            ByteBuf content = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
-            FullHttpResponse answer =
-                    new DefaultFullHttpResponse(
-                            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
-            answer.headers().set("Content-Length", content.readableBytes());
-            if (!name.isEmpty()) {
-                answer.headers().set(name, value);
-            }
-            channel.writeAndFlush(answer);
-        }
-
-        private void reset() {
-            channel.config().setOption(ChannelOption.SO_LINGER, 0);
-            channel.close();
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            eventLoop.run(
-                    () -> {
-                        connections.remove(this);
-                        model.connections = Math.max(0, model.connections - 1);
-                        if (inFlight != null) {
-                            inFlight.cancelled = true;
-                            history.write(EntryKind.CANCEL, "id", inFlight.id, "server", model.id);
-                            inFlight = null;
-                        }
-                    });
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
-        }
+    private void resetConnections() {
+        Set.copyOf(connections).forEach(ServerConnection::reset);
     }
 }
--- a/testbed/src/main/java/sagefall/load/HttpHead.java
+++ b/testbed/src/main/java/sagefall/load/HttpHead.java
@@ -65,7 +65,7 @@
         return headers.containsKey(header);
     }
 
-    /** The length of the body; 0 if the head does not tell. */
+    /** The length of the body; 0 if the head has none. */
     long contentLength() {
         return Long.parseLong(headers.getOrDefault("Content-Length", "0"));
     }
--- a/testbed/src/main/java/sagefall/load/OutageDemo.java
+++ b/testbed/src/main/java/sagefall/load/OutageDemo.java
@@ -15,7 +15,7 @@
     private static final int SERVERS_IN_ZONE = 4;
     private static final String SAFE_ZONE = "a";
     private static final String LOST_ZONE = "b";
-    private static final StandInServer.Service SERVICE = new StandInServer.Service(4, 40, 40);
+    private static final StandInService SERVICE = new StandInService(4, 40, 40);
     private static final int TIMEOUT_MILLIS = 1250;
     private static final int MAX_OPEN = 2000;
     private static final int SEED = 1;
@@ -53,7 +53,7 @@
             servers.add(new StandInServer(0, zone, SERVICE, discovery));
         }
         StandInServer discoveryServer =
-                new StandInServer(0, SAFE_ZONE, StandInServer.Service.NONE, discovery);
+                new StandInServer(0, SAFE_ZONE, StandInService.NONE, discovery);
         discoveryServer.deregister();
         try (SidecarProcess sidecar =
                 new SidecarProcess(
--- a/testbed/src/main/java/sagefall/load/ProcessStatistics.java
+++ b/testbed/src/main/java/sagefall/load/ProcessStatistics.java
@@ -49,7 +49,7 @@
         return process.toHandle().info().totalCpuDuration().orElseThrow().toMillis();
     }
 
-    /** The heap in use by its generations, as its JVM tells. */
+    /** The heap in use by its generations, as its JVM reports. */
     private String heap() throws IOException, InterruptedException {
         Process jcmd =
                 new ProcessBuilder(
--- a/testbed/src/main/java/sagefall/load/SidecarProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarProcess.java
@@ -173,7 +173,7 @@
         return socket;
     }
 
-    /** What the operating system tells of it. */
+    /** Its use of memory, descriptors and processor time. */
     public ProcessStatistics statistics() {
         return new ProcessStatistics(process);
     }
--- a/testbed/src/main/java/sagefall/load/StandInServer.java
+++ b/testbed/src/main/java/sagefall/load/StandInServer.java
@@ -24,54 +24,12 @@
  * A stand-in for a save server and for discovery, on loopback, to try and to measure a sidecar
  * with. {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is answered with so many bytes of a {@link
  * BytePattern}, any {@code POST} with the length and the CRC-32 of its body, and {@code
- * /v1/servers} with the endpoint list. A {@link Service} gives it slots that work takes time in,
- * and a report of its load; {@link Faults} what a server can do wrong. It has a thread for each
- * connection.
+ * /v1/servers} with the endpoint list. A {@link StandInService} gives it slots that work takes time
+ * in, and a report of its load; {@link StandInFaults} what a server can do wrong. It has a thread
+ * for each connection.
  */
 public final class StandInServer {
 
-    /**
-     * How it works on a {@code POST}.
-     *
-     * @param slots requests in work at a time
-     * @param queue how many may wait; what comes beyond is rejected before it begins
-     * @param millis mean time of one, exponentially distributed; 0: at once
-     * @param reportsLoad whether answers carry a load report
-     */
-    public record Service(int slots, int queue, double millis, boolean reportsLoad) {
-
-        /** At once, without a report. */
-        public static final Service NONE =
-                new Service(Integer.MAX_VALUE, Integer.MAX_VALUE, 0, false);
-
-        /** With a report. */
-        public Service(int slots, int queue, double millis) {
-            this(slots, queue, millis, true);
-        }
-    }
-
-    /**
-     * Parts of the {@code POST}s that do not end with an answer that counts.
-     *
-     * @param errors part answered with status 500
-     * @param unanswered part never answered
-     * @param resets part whose connection is reset
-     * @param malformed part answered with what is not HTTP
-     */
-    public record Faults(double errors, double unanswered, double resets, double malformed) {
-
-        /** None. */
-        public static final Faults NONE = new Faults(0, 0, 0, 0);
-    }
-
-    private enum Outcome {
-        ANSWERED,
-        ERROR,
-        UNANSWERED,
-        RESET,
-        MALFORMED
-    }
-
     private static final int BACKLOG = 1000;
     private static final int BUFFER_BYTES = 64 * 1024;
     private static final int FIRST_BYTES = 100;
@@ -84,13 +42,13 @@
     private final String id;
     private final String zone;
     private final int port;
-    private final Service service;
+    private final StandInService service;
     private final Semaphore slots;
     private final AtomicInteger inFlight = new AtomicInteger();
     private final AtomicLong served = new AtomicLong();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final long startNanos = System.nanoTime();
-    private volatile Faults faults = Faults.NONE;
+    private volatile StandInFaults faults = StandInFaults.NONE;
     private ServerSocket listening;
 
     /**
@@ -98,12 +56,12 @@
      *
      * @param port 0 for one that is free
      */
-    public StandInServer(int port, String zone, Service service, StandInDiscovery discovery)
+    public StandInServer(int port, String zone, StandInService service, StandInDiscovery discovery)
             throws IOException {
         this.discovery = discovery;
         this.zone = zone;
         this.service = service;
-        slots = new Semaphore(service.slots, true);
+        slots = new Semaphore(service.slots(), true);
         listening = new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
         this.port = listening.getLocalPort();
         id = "s-" + this.port;
@@ -122,7 +80,7 @@
     }
 
     /** The faults that it has from now on. */
-    public void faults(Faults now) {
+    public void faults(StandInFaults now) {
         faults = now;
     }
 
@@ -221,7 +179,7 @@
     /** One request in a slot; whether its connection goes on. */
     private boolean work(Socket socket, OutputStream out, String description)
             throws IOException, InterruptedException {
-        if (inFlight.incrementAndGet() > (long) service.slots + service.queue) {
+        if (inFlight.incrementAndGet() > (long) service.slots() + service.queue()) {
             inFlight.decrementAndGet();
             write(out, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
@@ -233,36 +191,19 @@
             slots.release();
             inFlight.decrementAndGet();
         }
-        return end(drawOutcome(), socket, out, description);
+        return end(faults.drawOutcome(), socket, out, description);
     }
 
     private void parkForWork() {
-        if (service.millis > 0) {
+        if (service.millis() > 0) {
             double draw = -Math.log(1 - ThreadLocalRandom.current().nextDouble());
-            double micros = MICROS_PER_MILLI * service.millis * draw;
+            double micros = MICROS_PER_MILLI * service.millis() * draw;
             LockSupport.parkNanos((long) (NANOS_PER_MICRO * micros));
         }
     }
 
-    private Outcome drawOutcome() {
-        Faults now = faults;
-        double draw = ThreadLocalRandom.current().nextDouble();
-        draw -= now.errors;
-        if (draw < 0) {
-            return Outcome.ERROR;
-        }
-        draw -= now.unanswered;
-        if (draw < 0) {
-            return Outcome.UNANSWERED;
-        }
-        draw -= now.resets;
-        if (draw < 0) {
-            return Outcome.RESET;
-        }
-        return draw - now.malformed < 0 ? Outcome.MALFORMED : Outcome.ANSWERED;
-    }
-
-    private boolean end(Outcome outcome, Socket socket, OutputStream out, String description)
+    private boolean end(
+            StandInFaults.Outcome outcome, Socket socket, OutputStream out, String description)
             throws IOException {
         switch (outcome) {
             case ERROR -> write(out, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
@@ -277,7 +218,7 @@
             }
             default -> {
                 served.incrementAndGet();
-                writeText(out, description, service.reportsLoad ? loadReport() : "");
+                writeText(out, description, service.reportsLoad() ? loadReport() : "");
             }
         }
         return true;
@@ -288,9 +229,9 @@
         return String.format(
                 Locale.ROOT,
                 "Server-Load: TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f\r\n",
-                Math.min(1, inFlight.get() / (double) service.slots),
+                Math.min(1, inFlight.get() / (double) service.slots()),
                 served.get() / seconds,
-                service.millis);
+                service.millis());
     }
 
     private static void write(OutputStream out, String text) throws IOException {
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -49,7 +49,7 @@
     /** Starts the stand-in servers. */
     public StreamBenchmark() throws IOException {
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new StandInServer(0, "a", StandInServer.Service.NONE, discovery));
+            servers.add(new StandInServer(0, "a", StandInService.NONE, discovery));
         }
     }
 
@@ -102,7 +102,7 @@
                 Map.of("classes", classes, "replay_bytes", 0, "max_buffered_bytes", 14_000_000));
     }
 
-    /** 200 streams of 64 MiB at once, both ways, one in ten of the readers slow. */
+    /** 200 streams of 64 MiB at once, both directions, one in ten of the readers slow. */
     public void measureStreams(String jar) throws IOException, InterruptedException {
         for (boolean upload : new boolean[] {false, true}) {
             System.out.println(
--- a/testbed/src/test/java/sagefall/load/LoadTest.java
+++ b/testbed/src/test/java/sagefall/load/LoadTest.java
@@ -16,10 +16,9 @@
     @Test
     void everyRequestIsCountedOnce() throws Exception {
         StandInServer server =
-                new StandInServer(
-                        0, "a", new StandInServer.Service(4, 40, 1), new StandInDiscovery());
+                new StandInServer(0, "a", new StandInService(4, 40, 1), new StandInDiscovery());
         for (double errors : new double[] {0, 1}) {
-            server.faults(new StandInServer.Faults(errors, 0, 0, 0));
+            server.faults(new StandInFaults(errors, 0, 0, 0));
             OpenLoopLoadGenerator load =
                     new OpenLoopLoadGenerator(server.port(), 400, 5000, 1000, 7);
             load.run(0.5);
