--- a/testbed/src/test/java/sagefall/cli/CommandLineTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -34,7 +34,7 @@
 
     /** A comparison leaves a line for each day and a page that asks for nothing from elsewhere. */
     @Test
-    void aComparisonLeavesDaysAndAPage() throws Exception {
+    void aComparisonWritesResultsAndAReport() throws Exception {
         assertEquals(
                 0,
                 sagefall(
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -59,7 +59,7 @@
         return new RunPlan(source.file(), source.text(), sets, seed, null, List.of(ROOT));
     }
 
-    /** The bounded set: what the campaign plays longer, larger and with more seeds. */
+    /** A small set; a campaign runs more kinds, longer, larger and with more seeds. */
     @ParameterizedTest
     @CsvSource({
         "rig-kill, 11",
@@ -69,7 +69,7 @@
         "rig-stop, 16",
         "rig-reborn, 17"
     })
-    void noRuleBreaks(String scenario, long seed) throws Exception {
+    void noInvariantIsViolated(String scenario, long seed) throws Exception {
         RunResult result =
                 FaultInjectionRun.execute(
                         plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
@@ -81,11 +81,11 @@
     }
 
     /**
-     * All lose power, find old lists, and discovery is silent until later: what each kept keeps it
-     * from the servers that it had been told to leave, and tells the others.
+     * All lose power, find old lists, and discovery is silent until later: what each persisted keeps
+     * it from the servers that it had been notified to leave, and gives it the others.
      */
     @Test
-    void whatWasKeptOutlivesABlackout() throws Exception {
+    void persistedEndpointsSurviveABlackout() throws Exception {
         RunResult result = FaultInjectionRun.execute(plan("rig-blackout", 21), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
@@ -99,9 +99,9 @@
         }
     }
 
-    /** The owner of the duty is stopped past its lease and woken, and the next one killed. */
+    /** The lease holder is stopped past its lease and resumed, and the next one killed. */
     @Test
-    void anOwnerThatWakesUpLateDoesNoHarm() throws Exception {
+    void aLeaseHolderThatResumesLateDoesNoHarm() throws Exception {
         RunResult result = FaultInjectionRun.execute(plan("rig-owner", 23), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
@@ -164,9 +164,9 @@
         assertEquals(List.of(1), plan.faults());
     }
 
-    /** Drawn scenarios are ones that the rig can result. */
+    /** Drawn scenarios are ones that real processes can have. */
     @Test
-    void campaignsDrawWhatCanBePlayed() throws Exception {
+    void campaignsDrawWhatCanBeRun() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
             Scenario s =
                     new RunPlan(
@@ -182,10 +182,10 @@
         assertEquals(ScenarioGenerator.text(5), ScenarioGenerator.text(5));
     }
 
-    /** The rig is killed with everything running: nothing that it started is left. */
+    /** The run is killed with all processes running: none of them is left. */
     @Test
     void nothingIsLeftBehind() throws Exception {
-        Process rig =
+        Process run =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
@@ -207,17 +207,17 @@
                         .start();
         List<ProcessHandle> started = List.of();
         try (BufferedReader out =
-                new BufferedReader(new InputStreamReader(rig.getInputStream(), UTF_8))) {
+                new BufferedReader(new InputStreamReader(run.getInputStream(), UTF_8))) {
             assertTrue(out.readLine().contains("rig-calm"));
             Path history = folder.resolve("rig-calm-1").resolve(HISTORY).resolve("rig.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"begin\"")) {
-                assertTrue(rig.isAlive());
-                rig.waitFor(50, TimeUnit.MILLISECONDS);
+                assertTrue(run.isAlive());
+                run.waitFor(50, TimeUnit.MILLISECONDS);
             }
-            started = rig.descendants().toList();
+            started = run.descendants().toList();
             assertTrue(started.size() >= 8, started.toString());
         } finally {
-            rig.destroyForcibly();
+            run.destroyForcibly();
         }
         for (ProcessHandle p : started) {
             p.onExit().get(60, TimeUnit.SECONDS);
@@ -267,7 +267,7 @@
 
     /** Each side says which faults it can't result. */
     @Test
-    void theEmulatorCantStopProcesses() throws Exception {
+    void theEmulatorRejectsStoppedProcesses() throws Exception {
         assertEquals(
                 "rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
                 assertThrows(
--- a/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
@@ -142,17 +142,17 @@
                 violations.toString());
     }
 
-    /** Ten requests within a second are more than a cold server of one core at a third bears. */
+    /** Forty requests are more than the capacity of a cold server of one core; eight are not. */
     @ParameterizedTest
     @CsvSource({"true, 40, true", "true, 8, false", "false, 40, false"})
-    void aColdServerBearsSoMuchFromThoseThatKnew(boolean told, int count, boolean broken)
+    void aColdServerIsSentNoMoreThanItsCapacity(boolean notified, int count, boolean broken)
             throws Exception {
         StringBuilder text =
                 new StringBuilder(RUN)
                         .append(
                                 "10 server server 1 zone 0 what cold capacity 1 "
                                         + "cold_from 0.3 cold_us 8000000; ");
-        text.append(told ? "20 told who 0 all false targets A:1:in_service:77; " : "");
+        text.append(notified ? "20 told who 0 all false targets A:1:in_service:77; " : "");
         for (int i = 0; i < count; i++) {
             String at = 100 + i + " ";
             text.append(at)
@@ -181,7 +181,7 @@
                         InvariantChecks.violations(HistoryText.parse(text.toString()))));
     }
 
-    /** A server that reports itself colder than its make allows would hide what it bears. */
+    /** A server that reports itself colder than its make allows would hide what it is sent. */
     @Test
     void aServerIsNoColderThanItsMake() throws Exception {
         String text =
--- a/testbed/src/test/java/sagefall/faultinjection/report/RunStatisticsTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/report/RunStatisticsTest.java
@@ -9,9 +9,9 @@
 /** The statistics of a run, counted from a history. */
 class RunStatisticsTest {
 
-    /** Two of ten seconds without service, one second until it is whole again. */
+    /** Two of ten seconds without service, one second until it has recovered. */
     @Test
-    void figuresTellHowLongServiceWasAway() throws Exception {
+    void statisticsShowHowLongServiceWasLost() throws Exception {
         StringBuilder text =
                 new StringBuilder(
                         "0 play aim_us 500000 seconds 10 over_share_worth 0.1\n"
