--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -56,7 +56,9 @@
 import sagefall.persistence.PersistenceSettings;
 import sagefall.persistence.SnapshotStore;
 import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
+import sagefall.proxy.upstream.AttemptListener;
 import sagefall.proxy.upstream.ConnectionPool;
 import sagefall.streaming.FlowControl;
 import sagefall.streaming.StreamedUpload;
@@ -68,10 +70,7 @@
  * loop.
  */
 public final class SidecarServer
-        implements BalancerActions,
-                DownstreamListener.Service,
-                ConnectionPool.Listener,
-                DiscoveryClient.Listener {
+        implements BalancerActions, RequestHandler, AttemptListener, DiscoveryClient.Listener {
 
     /** The module ends its requests at their deadline; past this much more the sidecar does. */
     private static final long OVERDUE_MICROS = 5_000;
