--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -11,6 +12,8 @@
 import sagefall.experiment.PairedDifference;
 import sagefall.experiment.PolicyComparison;
 import sagefall.policy.Mechanism;
+import sagefall.policy.PolicyException;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall ablate}: each mechanism of the module off in turn. */
 @Command(
@@ -33,7 +36,7 @@
     @Mixin private ExperimentOptions experiment;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, PolicyException {
         int status = ExitStatus.OK;
         for (String scenario : scenarios) {
             System.out.println(
@@ -49,7 +52,8 @@
         return status;
     }
 
-    private int ablate(String scenario, Mechanism mechanism) throws Exception {
+    private int ablate(String scenario, Mechanism mechanism)
+            throws IOException, ScenarioException, PolicyException {
         PolicyComparison comparison =
                 PolicyComparison.of(
                         experiment.simulations(),
--- a/testbed/src/main/java/sagefall/cli/AgreeCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -15,8 +16,10 @@
 import sagefall.faultinjection.report.RunStatistics;
 import sagefall.load.SidecarProcess;
 import sagefall.policy.Policy;
+import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 import sagefall.scenario.Fault;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall inject-faults agree}. */
 @Command(
@@ -42,7 +45,8 @@
     @Mixin private FaultInjectionOptions options;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call()
+            throws IOException, ScenarioException, PolicyException, InterruptedException {
         System.out.println(
                 "scenario, seed               served        attempts       crossings      "
                         + "refused        failed         p50 ms       p95 ms");
@@ -55,7 +59,8 @@
         return ExitStatus.of(violated);
     }
 
-    private boolean compare(String scenario, long seed) throws Exception {
+    private boolean compare(String scenario, long seed)
+            throws IOException, ScenarioException, PolicyException, InterruptedException {
         RunPlan plan = options.plan(scenario, seed);
         SimulationResult emulated = simulate(plan, seed);
         RunResult real =
@@ -68,7 +73,8 @@
         return real.isViolated();
     }
 
-    private static SimulationResult simulate(RunPlan plan, long seed) throws Exception {
+    private static SimulationResult simulate(RunPlan plan, long seed)
+            throws IOException, ScenarioException, PolicyException, InterruptedException {
         try (Policy policy = PolicyRegistry.of("module", SidecarProcess.ROOT)) {
             return new FleetSimulation(plan.scenario().on(Fault.Side.EMULATOR), seed, policy)
                     .play();
--- a/testbed/src/main/java/sagefall/cli/CampaignCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CampaignCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
 import java.util.TreeMap;
@@ -37,7 +38,7 @@
     @Mixin private FaultInjectionOptions options;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, InterruptedException {
         long until = System.nanoTime() + (long) (NANOS_PER_MINUTE * minutes);
         TreeMap<String, Integer> injected = new TreeMap<>();
         int runs = 0;
--- a/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -7,6 +8,7 @@
 import sagefall.faultinjection.plan.RunDirectory;
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.report.RunResult;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall inject-faults check}. */
 @Command(
@@ -19,7 +21,7 @@
     private Path path;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException {
         RunDirectory directory = new RunDirectory(path);
         RunPlan.read(directory.plan());
         RunResult result = RunResult.judge(directory, 0);
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -11,8 +12,10 @@
 import sagefall.emulator.SimulationResult;
 import sagefall.experiment.PairedDifference;
 import sagefall.experiment.PolicyComparison;
+import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 import sagefall.report.HtmlReport;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall compare}: two policies on the same seeds. */
 @Command(
@@ -45,7 +48,7 @@
     @Mixin private ExperimentOptions experiment;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, PolicyException {
         PolicyComparison comparison =
                 PolicyComparison.of(
                         experiment.simulations(),
--- a/testbed/src/main/java/sagefall/cli/DemoCommand.java
+++ b/testbed/src/main/java/sagefall/cli/DemoCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -27,7 +28,7 @@
     private double rate;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, InterruptedException {
         boolean served = new OutageDemo(seconds, rate, System.out).run();
         return served ? ExitStatus.OK : ExitStatus.FAILED;
     }
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -89,7 +89,8 @@
     }
 
     /** Executes a plan; its directory stays if {@code --out} was given, or it failed or is void. */
-    RunResult execute(RunPlan plan, String name) throws Exception {
+    RunResult execute(RunPlan plan, String name)
+            throws IOException, ScenarioException, InterruptedException {
         RunResult result = FaultInjectionRun.execute(plan, directory(name));
         if (output == null && !result.isViolated() && !result.isVoid()) {
             result.directory().delete();
--- a/testbed/src/main/java/sagefall/cli/ListFaultScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListFaultScenariosCommand.java
@@ -1,9 +1,11 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall inject-faults scenarios}. */
 @Command(
@@ -13,7 +15,7 @@
 final class ListFaultScenariosCommand implements Callable<Integer> {
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException {
         for (String name : Scenario.RIG) {
             System.out.printf("%-18s %s%n", name, Scenario.load(name, List.of()).about());
         }
--- a/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -7,6 +8,7 @@
 import sagefall.policy.Mechanism;
 import sagefall.policy.PolicyRegistry;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall scenarios}. */
 @Command(
@@ -18,7 +20,7 @@
 final class ListScenariosCommand implements Callable<Integer> {
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException {
         for (String name : Scenario.SHIPPED) {
             System.out.printf(
                     Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
--- a/testbed/src/main/java/sagefall/cli/LoadCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LoadCommand.java
@@ -51,7 +51,7 @@
     private long seed;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws InterruptedException {
         OpenLoopLoadGenerator load =
                 new OpenLoopLoadGenerator(port, rate, timeoutMillis, MAX_OPEN, seed);
         load.run(seconds);
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,7 +16,9 @@
 import picocli.CommandLine.Option;
 import sagefall.emulator.SimulationResult;
 import sagefall.experiment.SimulationRequest;
+import sagefall.policy.PolicyException;
 import sagefall.scenario.BenchmarkFigures;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall rank}: whether builds rank in the emulator as on the operators' bench. */
 @Command(
@@ -57,7 +60,7 @@
     }
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, PolicyException {
         BenchmarkFigures bench = BenchmarkFigures.load(figures);
         Map<Cell, Double> simulated = simulate(bench);
         double[] onBench = new double[bench.plays().size()];
@@ -88,7 +91,8 @@
     }
 
     /** Mean G of each build on each scenario. */
-    private Map<Cell, Double> simulate(BenchmarkFigures bench) throws Exception {
+    private Map<Cell, Double> simulate(BenchmarkFigures bench)
+            throws IOException, ScenarioException, PolicyException {
         TreeSet<Cell> cells =
                 new TreeSet<>(Comparator.comparing(Cell::scenario).thenComparing(Cell::build));
         bench.plays().forEach(play -> cells.add(Cell.of(play)));
--- a/testbed/src/main/java/sagefall/cli/ReplayCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ReplayCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -8,6 +9,7 @@
 import picocli.CommandLine.Parameters;
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.report.RunResult;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall inject-faults replay}. */
 @Command(
@@ -29,7 +31,7 @@
     @Mixin private FaultInjectionOptions options;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, InterruptedException {
         boolean violated = false;
         for (int i = 1; i <= runs; i++) {
             RunResult result = options.execute(RunPlan.read(file), "replay-" + i);
--- a/testbed/src/main/java/sagefall/cli/RunFaultsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RunFaultsCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -8,6 +9,7 @@
 import picocli.CommandLine.Parameters;
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.report.RunResult;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall inject-faults run}. */
 @Command(
@@ -27,7 +29,7 @@
     @Mixin private FaultInjectionOptions options;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, InterruptedException {
         boolean violated = false;
         for (String scenario : scenarios) {
             for (long seed : seeds.all()) {
--- a/testbed/src/main/java/sagefall/cli/ScalingCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ScalingCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,9 +13,11 @@
 import sagefall.emulator.FleetSimulation;
 import sagefall.emulator.SimulationResult;
 import sagefall.policy.Policy;
+import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 import sagefall.report.ScalingPlot;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall scaling}: the time that simulations of growing fleets take on one thread. */
 @Command(
@@ -55,7 +58,7 @@
     private Path plot;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, PolicyException {
         List<ScalingPlot.Point> points = new ArrayList<>();
         simulate(sizes.get(0));
         System.out.println(
@@ -92,7 +95,8 @@
                 heapBytes >> BYTES_TO_MIB_SHIFT);
     }
 
-    private SimulationResult simulate(int size) throws Exception {
+    private SimulationResult simulate(int size)
+            throws IOException, ScenarioException, PolicyException {
         List<String> overrides = List.of("fleet.sidecars=" + size, "fleet.servers=" + 2 * size);
         try (Policy policy = PolicyRegistry.of(policyName, Path.of("."))) {
             return new FleetSimulation(Scenario.load(scenario, overrides), SEED, policy).play();
--- a/testbed/src/main/java/sagefall/cli/ShrinkCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ShrinkCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,6 +11,7 @@
 import sagefall.faultinjection.FaultInjectionRun;
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.report.RunResult;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall inject-faults shrink}. */
 @Command(
@@ -29,7 +31,7 @@
     @Mixin private FaultInjectionOptions options;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, InterruptedException {
         RunPlan plan = RunPlan.read(file);
         List<Integer> faults = plan.faults();
         int failures = failures(plan);
@@ -57,7 +59,7 @@
         return ExitStatus.FAILED;
     }
 
-    private int failures(RunPlan plan) throws Exception {
+    private int failures(RunPlan plan) throws IOException, ScenarioException, InterruptedException {
         int failures = 0;
         for (int i = 0; i < RUNS; i++) {
             RunResult result = FaultInjectionRun.execute(plan, options.directory("shrink"));
--- a/testbed/src/main/java/sagefall/cli/SimulateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -10,9 +11,11 @@
 import picocli.CommandLine.Parameters;
 import sagefall.emulator.SimulationResult;
 import sagefall.experiment.SimulationRequest;
+import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 import sagefall.report.HtmlReport;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall simulate}: one policy on one scenario. */
 @Command(
@@ -36,7 +39,7 @@
     @Mixin private ExperimentOptions experiment;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, PolicyException {
         Scenario loaded = experiment.scenario(scenario);
         List<SimulationRequest> requests = new ArrayList<>();
         for (long seed : experiment.seeds()) {
--- a/testbed/src/main/java/sagefall/cli/StandInCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StandInCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -75,7 +76,7 @@
     private double malformed;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, InterruptedException {
         StandInDiscovery discovery = new StandInDiscovery();
         StandInService service = new StandInService(slots, QUEUE_PER_SLOT * slots, meanMillis);
         StandInFaults faults = new StandInFaults(errors, unanswered, resets, malformed);
--- a/testbed/src/main/java/sagefall/cli/StreamsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StreamsCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -20,9 +21,9 @@
     @Parameters(
             paramLabel = "MODE",
             description =
-                    "streams: 200 of 64 MiB at once, both directions; first_byte: time to the first byte,"
-                            + " streamed and buffered; small: uploads of 300 bytes, beside another"
-                            + " build")
+                    "streams: 200 of 64 MiB at once, in both directions; first_byte: time to the"
+                            + " first byte, streamed and buffered; small: uploads of 300 bytes,"
+                            + " beside another build")
     private Mode mode;
 
     @Option(
@@ -46,7 +47,7 @@
     }
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, InterruptedException {
         StreamBenchmark benchmark = new StreamBenchmark();
         switch (mode) {
             case STREAMS -> benchmark.measureStreams(jar);
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -1,5 +1,6 @@
 package sagefall.cli;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -12,6 +13,7 @@
 import sagefall.experiment.SimulationRequest;
 import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
+import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall sweep}: a range of values of one tunable, or of one figure of the scenario. */
 @Command(
@@ -42,7 +44,7 @@
     @Mixin private ExperimentOptions experiment;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ScenarioException, PolicyException {
         if (!vary.matches("[^=]+=[^=]+")) {
             throw new PolicyException("--vary: '" + vary + "' is not NAME=V1,V2,...");
         }
@@ -64,7 +66,8 @@
         return experiment.printViolations(results, scenario);
     }
 
-    private SimulationRequest request(String name, String value, long seed) throws Exception {
+    private SimulationRequest request(String name, String value, long seed)
+            throws IOException, ScenarioException, PolicyException {
         String setting = name + "=" + value;
         if (isTunable(name)) {
             return new SimulationRequest(experiment.scenario(scenario), seed, "module:" + setting);
--- a/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
@@ -1,5 +1,6 @@
 package sagefall.faultinjection;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -14,7 +15,7 @@
     /** A step of the run that may fail. */
     @FunctionalInterface
     interface Step {
-        void run() throws Exception;
+        void run() throws IOException, InterruptedException;
     }
 
     private final ExecutorService workers =
@@ -61,7 +62,7 @@
     void runHere(Step step) {
         try {
             step.run();
-        } catch (Exception e) {
+        } catch (IOException | InterruptedException | RuntimeException e) {
             failure = e;
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import sagefall.balancer.api.RequestClass;
 import sagefall.config.BalancerSettingsReader;
 import sagefall.emulator.ClientTraffic;
@@ -30,6 +32,7 @@
 import sagefall.faultinjection.standin.RealTimeEventLoop;
 import sagefall.load.SidecarProcess;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioException;
 
 /**
  * One run of a plan with real processes: sidecars by the deploy file's {@code run}, save servers
@@ -56,7 +59,8 @@
     private final Thread shutdownHook = new Thread(this::killAll, "fault-injection-end");
 
     /** Makes all that listens, and starts no process yet. */
-    FaultInjectionRun(RunPlan plan, Path output) throws Exception {
+    FaultInjectionRun(RunPlan plan, Path output)
+            throws IOException, ScenarioException, InterruptedException {
         Scenario scenario = plan.scenario();
         for (Path build : plan.builds()) {
             SidecarProcess.run(build);
@@ -87,7 +91,7 @@
     }
 
     private static RunContext context(RunPlan plan, Scenario scenario, RunDirectory directory)
-            throws Exception {
+            throws IOException {
         HistoryWriter history = new HistoryWriter(directory.testBedHistory());
         RealTimeEventLoop eventLoop =
                 new RealTimeEventLoop(
@@ -104,7 +108,7 @@
                 requestClass(scenario));
     }
 
-    private static RequestClass requestClass(Scenario scenario) throws Exception {
+    private static RequestClass requestClass(Scenario scenario) {
         Map<String, Object> settings = SettingsMessage.of(scenario);
         settings.put("rank", 0L);
         settings.put("zone", 0L);
@@ -115,12 +119,17 @@
      * Executes a plan and judges what was recorded.
      *
      * @param output the directory that everything is written to
+     * @throws IOException if the plan could not be executed, or a step of it failed
+     * @throws ScenarioException if the scenario of the plan is wrong
      */
-    public static RunResult execute(RunPlan plan, Path output) throws Exception {
+    public static RunResult execute(RunPlan plan, Path output)
+            throws IOException, ScenarioException, InterruptedException {
         double readySeconds;
         try (FaultInjectionRun run = new FaultInjectionRun(plan, output)) {
             readySeconds = run.start();
             run.run();
+        } catch (ExecutionException | TimeoutException e) {
+            throw new IOException("the fault injection itself failed: " + e, e);
         }
         return RunResult.judge(new RunDirectory(output), readySeconds);
     }
@@ -130,7 +139,7 @@
     }
 
     /** Starts all processes and waits until all are ready; how long that took, in seconds. */
-    double start() throws Exception {
+    double start() throws IOException, InterruptedException, ExecutionException, TimeoutException {
         long begin = System.nanoTime();
         new RunHeader(context, members).record();
         new RunStartup(context, members).startAll();
@@ -142,7 +151,7 @@
     }
 
     /** Runs clients and faults, to the end of all processes. */
-    void run() throws Exception {
+    void run() throws IOException, InterruptedException, ExecutionException {
         context.eventLoop().begin();
         context.history().write(EntryKind.BEGIN);
         RestMeasurement rest = new RestMeasurement(context, members);
@@ -197,7 +206,7 @@
     }
 
     /** Waits until load and faults have ended, no request is open and each sidecar is back. */
-    private void awaitSettled() throws Exception {
+    private void awaitSettled() throws InterruptedException, ExecutionException {
         CompletableFuture<Void> settled = new CompletableFuture<>();
         long end = Math.max(loadEndMicros(), schedule.endMicros());
         EventQueue queue = context.eventLoop().queue();
--- a/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
@@ -1,5 +1,6 @@
 package sagefall.faultinjection;
 
+import java.io.IOException;
 import sagefall.emulator.EventQueue;
 import sagefall.faultinjection.history.EntryKind;
 
@@ -12,7 +13,7 @@
     /** Begins or ends a fault. */
     @FunctionalInterface
     interface Action {
-        void apply(boolean begins) throws Exception;
+        void apply(boolean begins) throws IOException, InterruptedException;
     }
 
     private final RunContext context;
--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -2,6 +2,7 @@
 
 import io.netty.channel.DefaultEventLoop;
 import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import sagefall.emulator.EventQueue;
@@ -67,9 +68,9 @@
     /**
      * The same, and waits for its result.
      *
-     * @throws Exception the failure of the task, as the cause
+     * @throws ExecutionException the failure of the task, as the cause
      */
-    public <T> T call(Callable<T> task) throws Exception {
+    public <T> T call(Callable<T> task) throws InterruptedException, ExecutionException {
         return thread.submit(
                         () -> {
                             advance();
--- a/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
@@ -86,7 +86,8 @@
         System.out.println(answer);
     }
 
-    private void execute(JsonNode command, ObjectNode answer) throws Exception {
+    private void execute(JsonNode command, ObjectNode answer)
+            throws IOException, InterruptedException {
         switch (command.path("do").asText()) {
             case "serve" -> {
                 SocketServer server = new SocketServer(command, eventLoop, history, executedAt);
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * All lose power, find old lists, and discovery is silent until later: what each persisted keeps
-     * it from the servers that it had been notified to leave, and gives it the others.
+     * All lose power, find old lists, and discovery is silent until later: what each persisted
+     * keeps it from the servers that it had been notified to leave, and gives it the others.
      */
     @Test
     void persistedEndpointsSurviveABlackout() throws Exception {
