--- a/testbed/src/main/java/sagefall/cli/StreamsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StreamsCommand.java
@@ -14,8 +14,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Measures the streaming of a real sidecar: correct bodies, memory, time to the"
-                        + " first"
-                        + " byte, cost of small requests.")
+                        + " first byte, cost of small requests.")
 final class StreamsCommand implements Callable<Integer> {
 
     @Parameters(
