--- a/testbed/src/main/java/sagefall/load/SidecarProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarProcess.java
@@ -29,7 +29,9 @@
     public static final Path ROOT = Path.of(System.getProperty("sagefall.root", "."));
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String INSTANCE_NAME = "sidecar";
     private static final long READY_SECONDS = 60;
+    private static final long END_SECONDS = 20;
 
     private static final Pattern ARCHIVE = Pattern.compile("-jar (\\S+)");
 
@@ -58,7 +60,7 @@
                 Files.createTempDirectory("sidecar"),
                 free(InetAddress.getLoopbackAddress()),
                 SidecarConfig.config(
-                        "lab",
+                        INSTANCE_NAME,
                         "127.0.0.1:" + discoveryPort,
                         "8c1f30d27a5be964",
                         discovery.list(),
@@ -178,14 +180,14 @@
         return new ProcessStatistics(process);
     }
 
-    /** Ends it as a planned restart does, by SIGTERM; its exit status. */
+    /** Ends it by SIGTERM, and by SIGKILL if that takes too long; its exit status. */
     int end() {
         process.destroy();
-        return process.onExit()
-                .orTimeout(20, TimeUnit.SECONDS)
+        process.onExit()
+                .orTimeout(END_SECONDS, TimeUnit.SECONDS)
                 .exceptionally(late -> process.destroyForcibly())
-                .join()
-                .exitValue();
+                .join();
+        return process.onExit().join().exitValue();
     }
 
     /** Ends it and prints what it logged. */
