--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import sagefall.balancer.api.RequestClass;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 
 /**
@@ -55,17 +56,18 @@
     private static final long LONGEST_MILLIS = 3_600_000;
 
     /**
-     * Reads the section. A value that is malformed or out of bounds ends it with the exception of
-     * {@link ConfigSection#wrong}, which names the place.
+     * Reads the section.
      *
      * @param settings the classes that the fleet's settings define
+     * @throws ConfigException if a value is malformed or out of bounds
      */
-    public static StreamingSettings read(ConfigSection section, List<RequestClass> settings) {
+    public static StreamingSettings read(ConfigSection section, List<RequestClass> settings)
+            throws ConfigException {
         Map<String, Bounds> classes = readClasses(section.section("classes"), settings);
         int high = bufferBytes(section, "high_watermark_bytes", DEFAULT_HIGH_WATERMARK_BYTES, 1);
         int low = bufferBytes(section, "low_watermark_bytes", high / 2, 0);
         if (low >= high) {
-            throw section.wrong(
+            throw section.invalid(
                     "low_watermark_bytes", "must be below high_watermark_bytes, " + high);
         }
         StreamingSettings read =
@@ -76,58 +78,61 @@
                         millis(section, "read_stall_ms", DEFAULT_STALL_MILLIS, 1),
                         millis(section, "write_stall_ms", DEFAULT_STALL_MILLIS, 1),
                         bufferBytes(section, "replay_bytes", DEFAULT_REPLAY_BYTES, 0),
-                        section.whole(
+                        section.integer(
                                 "max_buffered_bytes",
                                 DEFAULT_BUFFERED_BYTES,
                                 0,
                                 LARGEST_BODY_BYTES),
                         millis(section, "drain_ms", DEFAULT_DRAIN_MILLIS, 0));
-        section.end();
+        section.rejectUnknownKeys();
         read.checkBufferHoldsOneStream(section);
         return read;
     }
 
-    private static int bufferBytes(ConfigSection section, String name, int fallback, int min) {
-        return (int) section.whole(name, fallback, min, LARGEST_BUFFER_BYTES);
+    private static int bufferBytes(ConfigSection section, String name, int fallback, int min)
+            throws ConfigException {
+        return (int) section.integer(name, fallback, min, LARGEST_BUFFER_BYTES);
     }
 
-    private static long millis(ConfigSection section, String name, long fallback, long min) {
-        return section.whole(name, fallback, min, LONGEST_MILLIS);
+    private static long millis(ConfigSection section, String name, long fallback, long min)
+            throws ConfigException {
+        return section.integer(name, fallback, min, LONGEST_MILLIS);
     }
 
     private static Map<String, Bounds> readClasses(
-            ConfigSection section, List<RequestClass> settings) {
+            ConfigSection section, List<RequestClass> settings) throws ConfigException {
         Map<String, Bounds> classes = new LinkedHashMap<>();
-        for (String name : section.names()) {
+        for (String name : section.keys()) {
             RequestClass requestClass =
                     settings.stream()
                             .filter(c -> c.name().equals(name))
                             .findFirst()
                             .orElseThrow(
-                                    () -> section.wrong(name, "the settings have no such class"));
+                                    () -> section.invalid(name, "the settings have no such class"));
             classes.put(name, readBounds(section.section(name), requestClass));
         }
         return classes;
     }
 
-    private static Bounds readBounds(ConfigSection section, RequestClass requestClass) {
+    private static Bounds readBounds(ConfigSection section, RequestClass requestClass)
+            throws ConfigException {
         Bounds bounds =
                 new Bounds(
-                        section.whole("max_request_bytes", 0, 0, LARGEST_BODY_BYTES),
-                        section.whole("max_answer_bytes", 0, 0, LARGEST_BODY_BYTES));
-        section.end();
+                        section.integer("max_request_bytes", 0, 0, LARGEST_BODY_BYTES),
+                        section.integer("max_answer_bytes", 0, 0, LARGEST_BODY_BYTES));
+        section.rejectUnknownKeys();
         if (bounds.answerBytes > 0 && !requestClass.streaming()) {
-            throw section.wrong(
+            throw section.invalid(
                     "max_answer_bytes", "the settings do not let this class stream its answers");
         }
         return bounds;
     }
 
-    private void checkBufferHoldsOneStream(ConfigSection section) {
+    private void checkBufferHoldsOneStream(ConfigSection section) throws ConfigException {
         boolean uploads = classes.values().stream().anyMatch(b -> b.requestBytes > 0);
         long window = hold(uploads, !uploads);
         if (bufferedBytes < window) {
-            throw section.wrong(
+            throw section.invalid(
                     "max_buffered_bytes", "must be at least one stream's window, " + window);
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -13,7 +13,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import sagefall.balancer.api.RequestClass;
-import sagefall.config.BalancerSettingsReader;
 import sagefall.emulator.ClientTraffic;
 import sagefall.emulator.EmulatedNetwork;
 import sagefall.emulator.EventQueue;
@@ -112,7 +111,7 @@
         Map<String, Object> settings = SettingsMessage.of(scenario);
         settings.put("rank", 0L);
         settings.put("zone", 0L);
-        return BalancerSettingsReader.read(0, settings).classes().get(0);
+        return SettingsMessage.parse(0, settings).classes().get(0);
     }
 
     /**
