--- a/testbed/src/test/java/sagefall/load/LoadTest.java
+++ b/testbed/src/test/java/sagefall/load/LoadTest.java
@@ -16,19 +16,18 @@
     @Test
     void everyRequestIsCountedOnce() throws Exception {
         StandInServer server =
-                new StandInServer(
-                        0, "a", new StandInServer.Service(4, 40, 1), new StandInDiscovery());
+                new StandInServer(0, "a", new StandInService(4, 40, 1), new StandInDiscovery());
         for (double errors : new double[] {0, 1}) {
-            server.faults(new StandInServer.Faults(errors, 0, 0, 0));
+            server.faults(new StandInFaults(errors, 0, 0, 0));
             OpenLoopLoadGenerator load =
                     new OpenLoopLoadGenerator(server.port(), 400, 5000, 1000, 7);
             load.run(0.5);
             assertEquals(0, load.settle(30_000));
-            OpenLoopLoadGenerator.Figures f = load.figures();
+            OpenLoopLoadGenerator.Statistics f = load.statistics();
             assertTrue(f.sent() > 100, "sent " + f.sent());
-            assertEquals(f.sent(), f.served() + f.refused() + f.failed() + f.unsent());
+            assertEquals(f.sent(), f.served() + f.rejected() + f.failed() + f.unsent());
             assertEquals(errors > 0, f.served() < f.sent() / 2);
-            assertEquals(f.served(), f.micros().getTotalCount());
+            assertEquals(f.served(), f.latencyMicros().getTotalCount());
         }
         server.kill();
     }
