--- a/sidecar/src/test/java/sagefall/logging/LogEventCatalogueTest.java
+++ b/sidecar/src/test/java/sagefall/logging/LogEventCatalogueTest.java
@@ -9,9 +9,12 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** The table of log events in docs/OPERATIONS.md and {@link LogEvent} are the same list. */
@@ -22,6 +25,9 @@
     private static final String NEXT_SECTION = "\n## ";
     private static final Pattern ROW = Pattern.compile("(?m)^\\| `(\\w+)` \\| (.*) \\|$");
     private static final int COLUMNS_AFTER_EVENT = 4;
+    private static final Path SOURCES = Path.of("src/main/java");
+    private static final Pattern FIELD = Pattern.compile("\\.with\\(\\s*\"([a-z_]+)\"");
+    private static final Pattern CODE = Pattern.compile("`([a-z_]+)`");
 
     /** A row of the table, without the event. */
     private record Row(String event, List<String> columns) {}
@@ -56,6 +62,26 @@
         }
     }
 
+    /** Keys that are composed, such as {@code known_revision}, are not found here. */
+    @Test
+    void tableHasEachFieldThatTheCodeWrites() throws IOException {
+        Set<String> written = new TreeSet<>();
+        try (Stream<Path> files = Files.walk(SOURCES)) {
+            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
+                FIELD.matcher(Files.readString(file))
+                        .results()
+                        .forEach(r -> written.add(r.group(1)));
+            }
+        }
+        assertFalse(written.isEmpty(), "no field was found: the pattern is wrong");
+        Set<String> documented = new TreeSet<>();
+        for (Row row : rows()) {
+            CODE.matcher(row.columns().get(1)).results().forEach(r -> documented.add(r.group(1)));
+        }
+        written.removeAll(documented);
+        assertEquals(Set.of(), written);
+    }
+
     private static List<Row> rows() throws IOException {
         String page = Files.readString(PAGE);
         String section = page.substring(page.indexOf(SECTION) + SECTION.length());
