--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -62,7 +62,7 @@
                         MODULE,
                         WITHOUT + mechanism.word(),
                         experiment.listener());
-        PairedDifference g = comparison.figures().get(0);
+        PairedDifference g = comparison.differences().get(0);
         System.out.printf(
                 Locale.ROOT,
                 "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
--- a/testbed/src/main/java/sagefall/cli/AgreeCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -18,8 +18,8 @@
 import sagefall.policy.Policy;
 import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
-import sagefall.scenario.Fault;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
 
 /** {@code sagefall inject-faults agree}. */
 @Command(
@@ -76,8 +76,11 @@
     private static SimulationResult simulate(RunPlan plan, long seed)
             throws IOException, ScenarioException, PolicyException, InterruptedException {
         try (Policy policy = PolicyRegistry.of("module", SidecarProcess.ROOT)) {
-            return new FleetSimulation(plan.scenario().on(Fault.Side.EMULATOR), seed, policy)
-                    .play();
+            return new FleetSimulation(
+                            plan.scenario().requireSupportedBy(ScenarioRunner.EMULATOR),
+                            seed,
+                            policy)
+                    .run();
         }
     }
 
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -67,7 +67,7 @@
                         + " seeds of "
                         + scenario);
         printHeader();
-        comparison.figures().forEach(CompareCommand::printRow);
+        comparison.differences().forEach(CompareCommand::printRow);
         for (PairedDifference p : comparison.lost().values()) {
             if (Math.abs(p.meanA()) > NEGLIGIBLE || Math.abs(p.meanB()) > NEGLIGIBLE) {
                 printRow(p);
--- a/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
+++ b/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
@@ -16,9 +16,9 @@
 import sagefall.experiment.ParallelSimulations;
 import sagefall.policy.PolicyException;
 import sagefall.report.SimulationResultWriter;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
 
 /** The options of all commands that simulate: a picocli mixin. */
 final class ExperimentOptions {
@@ -69,13 +69,13 @@
     }
 
     Scenario scenario(String name) throws IOException, ScenarioException {
-        return Scenario.load(name, overrides).on(Fault.Side.EMULATOR);
+        return Scenario.load(name, overrides).requireSupportedBy(ScenarioRunner.EMULATOR);
     }
 
     Scenario scenario(String name, String override) throws IOException, ScenarioException {
         List<String> all = new ArrayList<>(overrides);
         all.add(override);
-        return Scenario.load(name, all).on(Fault.Side.EMULATOR);
+        return Scenario.load(name, all).requireSupportedBy(ScenarioRunner.EMULATOR);
     }
 
     List<Long> seeds() throws PolicyException {
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -12,6 +12,7 @@
 import sagefall.load.SidecarProcess;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioSource;
 
 /** The options of all commands that inject faults: a picocli mixin. */
 final class FaultInjectionOptions {
@@ -66,7 +67,7 @@
         for (Path build : builds()) {
             SidecarProcess.run(build);
         }
-        Scenario.Source source = Scenario.source(nameOrFile);
+        ScenarioSource source = Scenario.source(nameOrFile);
         List<String> all = new ArrayList<>();
         if (!source.text().contains(ONE_MACHINE_MARK)) {
             all.addAll(RunPlan.ONE_MACHINE_FLEET);
--- a/testbed/src/main/java/sagefall/cli/ListFaultScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListFaultScenariosCommand.java
@@ -16,8 +16,8 @@
 
     @Override
     public Integer call() throws IOException, ScenarioException {
-        for (String name : Scenario.RIG) {
-            System.out.printf("%-18s %s%n", name, Scenario.load(name, List.of()).about());
+        for (String name : Scenario.FAULT_INJECTION_NAMES) {
+            System.out.printf("%-18s %s%n", name, Scenario.load(name, List.of()).description());
         }
         return ExitStatus.OK;
     }
--- a/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -21,9 +21,9 @@
 
     @Override
     public Integer call() throws IOException, ScenarioException {
-        for (String name : Scenario.SHIPPED) {
+        for (String name : Scenario.EMULATOR_NAMES) {
             System.out.printf(
-                    Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
+                    Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).description());
         }
         System.out.println("policies: " + PolicyRegistry.HELP);
         for (Mechanism mechanism : Mechanism.values()) {
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -18,6 +18,7 @@
 import sagefall.experiment.SimulationRequest;
 import sagefall.policy.PolicyException;
 import sagefall.scenario.BenchmarkFigures;
+import sagefall.scenario.BenchmarkFigures$Measurement;
 import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall rank}: whether builds rank in the emulator as on the operators' bench. */
@@ -54,7 +55,7 @@
 
     /** A build on a scenario. */
     private record Cell(String scenario, String build) {
-        static Cell of(BenchmarkFigures.Play play) {
+        static Cell of(BenchmarkFigures$Measurement play) {
             return new Cell(play.scenario(), play.build());
         }
     }
@@ -63,13 +64,13 @@
     public Integer call() throws IOException, ScenarioException, PolicyException {
         BenchmarkFigures bench = BenchmarkFigures.load(figures);
         Map<Cell, Double> simulated = simulate(bench);
-        double[] onBench = new double[bench.plays().size()];
+        double[] onBench = new double[bench.measurements().size()];
         double[] inEmulator = new double[onBench.length];
         System.out.printf(
                 "%-10s %-22s %-24s %8s %8s%n",
                 "scenario", "build", "day of the bench", "bench G", "emul. G");
         for (int i = 0; i < onBench.length; i++) {
-            BenchmarkFigures.Play play = bench.plays().get(i);
+            BenchmarkFigures$Measurement play = bench.measurements().get(i);
             onBench[i] = play.g();
             inEmulator[i] = simulated.get(Cell.of(play));
             System.out.printf(
@@ -95,7 +96,7 @@
             throws IOException, ScenarioException, PolicyException {
         TreeSet<Cell> cells =
                 new TreeSet<>(Comparator.comparing(Cell::scenario).thenComparing(Cell::build));
-        bench.plays().forEach(play -> cells.add(Cell.of(play)));
+        bench.measurements().forEach(play -> cells.add(Cell.of(play)));
         List<SimulationRequest> requests = new ArrayList<>();
         for (Cell cell : cells) {
             for (long seed : experiment.seeds()) {
@@ -107,7 +108,7 @@
             }
         }
         List<SimulationResult> results =
-                experiment.simulations().all(requests, experiment.listener());
+                experiment.simulations().runAll(requests, experiment.listener());
         Map<Cell, Double> means = new LinkedHashMap<>();
         int seeds = experiment.seeds().size();
         int from = 0;
@@ -140,8 +141,8 @@
     private void printPairs(BenchmarkFigures bench, Map<Cell, Double> simulated) {
         int same = 0;
         int all = 0;
-        for (BenchmarkFigures.Play a : bench.plays()) {
-            for (BenchmarkFigures.Play b : bench.plays()) {
+        for (BenchmarkFigures$Measurement a : bench.measurements()) {
+            for (BenchmarkFigures$Measurement b : bench.measurements()) {
                 if (!a.day().equals(b.day()) || a.g() + spread >= b.g()) {
                     continue;
                 }
--- a/testbed/src/main/java/sagefall/cli/ScalingCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ScalingCommand.java
@@ -99,7 +99,7 @@
             throws IOException, ScenarioException, PolicyException {
         List<String> overrides = List.of("fleet.sidecars=" + size, "fleet.servers=" + 2 * size);
         try (Policy policy = PolicyRegistry.of(policyName, Path.of("."))) {
-            return new FleetSimulation(Scenario.load(scenario, overrides), SEED, policy).play();
+            return new FleetSimulation(Scenario.load(scenario, overrides), SEED, policy).run();
         }
     }
 }
--- a/testbed/src/main/java/sagefall/cli/SimulateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -46,7 +46,7 @@
             requests.add(new SimulationRequest(loaded, seed, policy));
         }
         List<SimulationResult> results =
-                experiment.simulations().all(requests, experiment.listener());
+                experiment.simulations().runAll(requests, experiment.listener());
         System.out.println(
                 " seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
                         + "most by");
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -59,7 +59,7 @@
             }
         }
         List<SimulationResult> results =
-                experiment.simulations().all(requests, experiment.listener());
+                experiment.simulations().runAll(requests, experiment.listener());
         int seeds = experiment.seeds().size();
         System.out.printf("%-12s %7s %7s %9s %9s%n", name, "G", "served", "worst10s", "least G");
         for (int i = 0; i < values.length; i++) {
--- /dev/null
+++ b/testbed/src/main/java/sagefall/emulator/ClientAnswer.java
@@ -0,0 +1,8 @@
+package sagefall.emulator;
+
+/** Final answers. */
+public enum ClientAnswer {
+    SERVED,
+    REJECTED,
+    FAILED
+}
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
@@ -6,12 +6,14 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.config.BalancerSettingsReader;
 import sagefall.config.ConfigException;
+import sagefall.scenario.MachineType;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ServiceSettings;
 
 /** The settings of a scenario as an instance is told them, in the words of the wire. */
-public final class SettingsMessage {
+public final class SettingsMessageCodec {
 
-    private SettingsMessage() {}
+    private SettingsMessageCodec() {}
 
     /**
      * The settings that a message of this class spells.
@@ -30,8 +32,8 @@
         return (long) (1000 * millis);
     }
 
-    public static Map<String, Object> of(Scenario scenario) {
-        Scenario.Service s = scenario.service();
+    public static Map<String, Object> encode(Scenario scenario) {
+        ServiceSettings s = scenario.service();
         Map<String, Object> facts = new LinkedHashMap<>();
         facts.put(
                 "classes",
@@ -40,13 +42,13 @@
                                 "name",
                                 "save",
                                 "effect",
-                                s.effect(),
+                                s.idempotency(),
                                 "group",
-                                s.group(),
+                                s.deduplicationScope(),
                                 "dedup_window_us",
-                                micros(s.windowMillis()),
+                                micros(s.deduplicationWindowMillis()),
                                 "aim_us",
-                                micros(s.aimMillis()),
+                                micros(s.latencyObjectiveMillis()),
                                 "deadline_us",
                                 micros(s.deadlineMillis()),
                                 "worth",
@@ -61,11 +63,11 @@
                         .map(t -> Map.of("name", t.name(), "share", t.share()))
                         .toList());
         facts.put("zones", scenario.fleet().zones());
-        facts.put("models", scenario.kinds().stream().map(Scenario.Kind::name).toList());
-        facts.put("over_share_worth", s.overShareWorth());
+        facts.put("models", scenario.machineTypes().stream().map(MachineType::name).toList());
+        facts.put("over_share_worth", s.overQuotaWeight());
         facts.put("replicas_of_me", (long) scenario.fleet().sidecars());
         facts.put("discovery", "push");
-        facts.put("domain", Map.of("warm_keys", s.keyGain().high() > 0));
+        facts.put("domain", Map.of("warm_keys", s.cachedKeySaving().high() > 0));
         facts.put("report", Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms")));
         facts.put("charges", Map.of("probe", 0.0088));
         facts.put(
@@ -74,36 +76,36 @@
                         "probing",
                         true,
                         "attempts_cap",
-                        (long) s.attempts(),
+                        (long) s.maxAttempts(),
                         "cancelling",
-                        s.cancelling(),
+                        s.cancellationAllowed(),
                         "retry_after",
-                        s.retryAdvice(),
+                        s.retryAfterAllowed(),
                         "max_retry_after_us",
                         2_000_000L,
                         "conn_idle_us",
-                        (long) (1e6 * scenario.net().idleSeconds()),
+                        (long) (1e6 * scenario.network().idleTimeoutSeconds()),
                         "connect_timeout_us",
-                        micros(scenario.net().setupLimitMillis()),
+                        micros(scenario.network().connectTimeoutMillis()),
                         "open_cap",
                         100_000L));
         facts.put(
                 "rules",
                 Map.of(
                         "cold_from",
-                        s.coldFrom(),
+                        s.slowStartInitialShare(),
                         "cold_us",
-                        (long) (1e6 * s.coldSeconds()),
+                        (long) (1e6 * s.slowStartSeconds()),
                         "fall_us",
-                        (long) (1e6 * s.fallSeconds()),
+                        (long) (1e6 * s.slowStartLimitSeconds()),
                         "fall_multiple",
-                        s.fallMultiple(),
+                        s.slowStartLimitFactor(),
                         "drain_grace_us",
-                        micros(s.drainMillis()),
+                        micros(s.drainGraceMillis()),
                         "ask_every_us",
                         10_000_000L,
                         "grace_to_answer_us",
-                        micros(s.graceMillis())));
+                        micros(s.answerGraceMillis())));
         facts.put("tick_us", micros(s.tickMillis()));
         return facts;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
@@ -20,13 +20,16 @@
     @Override
     public boolean begin(ScheduledFault fault) {
         double size = fault.size();
-        double part = fault.drawn().part();
+        double part = fault.drawn().fraction();
         switch (fault.fault().kind()) {
-            case BURST -> timeline.during(fault, on -> traffic().burst *= factor(on, size));
-            case SHIFT -> timeline.during(fault, on -> shift(fault, factor(on, size)));
-            case SURGE -> timeline.during(fault, on -> surge(fault, factor(on, size)));
-            case LEAVERS -> timeline.during(fault, on -> traffic().leave += on ? part : -part);
-            case STUBBORN -> timeline.during(fault, on -> traffic().stubborn = on ? (int) size : 0);
+            case TRAFFIC_BURST ->
+                    timeline.during(fault, on -> traffic().rateFactor *= factor(on, size));
+            case ZONE_TRAFFIC_SHIFT -> timeline.during(fault, on -> shift(fault, factor(on, size)));
+            case TENANT_SURGE -> timeline.during(fault, on -> surge(fault, factor(on, size)));
+            case CLIENT_DISCONNECTS ->
+                    timeline.during(fault, on -> traffic().disconnectShare += on ? part : -part);
+            case IMMEDIATE_RETRIES ->
+                    timeline.during(fault, on -> traffic().immediateRetries = on ? (int) size : 0);
             default -> {
                 return false;
             }
@@ -39,12 +42,12 @@
     }
 
     private void shift(ScheduledFault fault, double factor) {
-        traffic().shift[fault.fault().zone()] *= factor;
-        traffic().reweigh();
+        traffic().zoneFactors[fault.fault().zone()] *= factor;
+        traffic().updateWeights();
     }
 
     private void surge(ScheduledFault fault, double factor) {
-        traffic().surge[fault.fault().tenant()] *= factor;
-        traffic().reweigh();
+        traffic().tenantFactors[fault.fault().tenant()] *= factor;
+        traffic().updateWeights();
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
@@ -15,10 +15,11 @@
     public boolean begin(ScheduledFault fault) {
         double size = fault.size();
         switch (fault.fault().kind()) {
-            case LATE_LISTS ->
-                    timeline.during(fault, on -> members.discovery().late *= on ? size : 1 / size);
-            case DISCOVERY_DOWN -> timeline.during(fault, this::mute);
-            case DEAF -> timeline.during(fault, on -> deafen(fault, on));
+            case SLOW_DISCOVERY ->
+                    timeline.during(
+                            fault, on -> members.discovery().delayFactor *= on ? size : 1 / size);
+            case DISCOVERY_OUTAGE -> timeline.during(fault, this::mute);
+            case SUPPRESSED_UPDATES -> timeline.during(fault, on -> deafen(fault, on));
             default -> {
                 return false;
             }
@@ -27,11 +28,11 @@
     }
 
     private void mute(boolean on) {
-        members.discovery().down += on ? 1 : -1;
+        members.discovery().outages += on ? 1 : -1;
         members.discoveryReplicas().forEach(replica -> replica.ask(StandInCommands.mute(on)));
     }
 
     private void deafen(ScheduledFault fault, boolean on) {
-        fault.sidecars().forEach(sidecar -> members.discovery().deaf(sidecar, on));
+        fault.sidecars().forEach(sidecar -> members.discovery().setUpdatesSuppressed(sidecar, on));
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -17,7 +17,7 @@
 import sagefall.emulator.EmulatedNetwork;
 import sagefall.emulator.EventQueue;
 import sagefall.emulator.RandomStreams;
-import sagefall.emulator.SettingsMessage;
+import sagefall.emulator.SettingsMessageCodec;
 import sagefall.emulator.StopTheWorldPauses;
 import sagefall.emulator.ValueAccounting;
 import sagefall.faultinjection.history.EntryKind;
@@ -71,7 +71,7 @@
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         group = new MultiThreadIoEventLoopGroup(RELAY_THREADS, NioIoHandler.newFactory());
         int zones = scenario.fleet().zones().size();
-        network = new EmulatedNetwork(scenario.net(), context.randomStreams(), zones);
+        network = new EmulatedNetwork(scenario.network(), context.randomStreams(), zones);
         leaseObserver =
                 scenario.fleet().leaseMillis() == 0
                         ? null
@@ -81,7 +81,7 @@
                         (int) Math.ceil(scenario.seconds()),
                         zones,
                         scenario.tenants().size(),
-                        scenario.service().overShareWorth());
+                        scenario.service().overQuotaWeight());
         factory = new MemberFactory(context, members, group, network, leaseObserver);
         factory.makeInitialMembers();
         schedule = new FaultSchedule(context, members, plan.faults());
@@ -108,10 +108,10 @@
     }
 
     private static RequestClass requestClass(Scenario scenario) {
-        Map<String, Object> settings = SettingsMessage.of(scenario);
+        Map<String, Object> settings = SettingsMessageCodec.encode(scenario);
         settings.put("rank", 0L);
         settings.put("zone", 0L);
-        return SettingsMessage.parse(0, settings).classes().get(0);
+        return SettingsMessageCodec.parse(0, settings).classes().get(0);
     }
 
     /**
@@ -185,23 +185,23 @@
                         factory.capacity()));
         members.initialServers().forEach(this::beginPauses);
         new FaultInjector(context, members, factory, leaseObserver).begin(schedule);
-        members.traffic().begin();
+        members.traffic().start();
         return null;
     }
 
     /** The pauses that a server has by its make. */
     private void beginPauses(ServerMember server) {
-        StopTheWorldPauses.begin(
+        StopTheWorldPauses.schedule(
                 context.eventLoop().queue(),
                 context.randomStreams().stream("pauses." + server.slot()),
-                server.model().make.pauseEvery(),
-                server.model().make.pauseMicros(),
+                server.model().spec.pauseIntervalMicros(),
+                server.model().spec.pauseMicros(),
                 loadEndMicros(),
                 pausesBy -> server.addFault(1, 0, pausesBy));
     }
 
     private long loadEndMicros() {
-        return EventQueue.BEGIN + (long) (1e6 * context.scenario().seconds());
+        return EventQueue.START_MICROS + (long) (1e6 * context.scenario().seconds());
     }
 
     /** Waits until load and faults have ended, no request is open and each sidecar is back. */
@@ -209,17 +209,20 @@
         CompletableFuture<Void> settled = new CompletableFuture<>();
         long end = Math.max(loadEndMicros(), schedule.endMicros());
         EventQueue queue = context.eventLoop().queue();
-        context.eventLoop().run(() -> queue.at(end, () -> completeOnceSettled(settled)));
+        context.eventLoop().run(() -> queue.scheduleAt(end, () -> completeOnceSettled(settled)));
         settled.get();
     }
 
     private void completeOnceSettled(CompletableFuture<Void> settled) {
         boolean allBack =
-                members.sidecars().stream().allMatch(sidecar -> sidecar.up() && !sidecar.isBusy());
+                members.sidecars().stream()
+                        .allMatch(sidecar -> sidecar.isUp() && !sidecar.isBusy());
         if (allBack || context.tasks().failure() != null) {
             settled.complete(null);
         } else {
-            context.eventLoop().queue().in(SETTLE_POLL_MICROS, () -> completeOnceSettled(settled));
+            context.eventLoop()
+                    .queue()
+                    .scheduleAfter(SETTLE_POLL_MICROS, () -> completeOnceSettled(settled));
         }
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Set;
 import sagefall.faultinjection.history.JsonLines;
+import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
+import sagefall.scenario.FaultKind;
 
 /**
  * The faults of a run, with all figures and members drawn: the same seed gives the same lines to
@@ -31,20 +33,26 @@
 
     private static ScheduledFault draw(RunContext context, RunMembers members, int place) {
         Fault fault = context.scenario().faults().get(place);
-        Fault.Drawn drawn =
+        DrawnFault drawn =
                 fault.draw(
                         context.randomStreams().stream("fault." + place),
                         context.scenario().seconds());
         return switch (fault.kind()) {
-            case LOSE_SERVERS, SLOW, ERRORS, PAUSES, REPLACE, REBORN, DRAIN ->
+            case LOSE_SERVERS,
+                    SLOW_SERVERS,
+                    SERVER_ERRORS,
+                    SERVER_PAUSES,
+                    REPLACE_SERVERS,
+                    RESTART_WITH_NEW_IDS,
+                    DRAIN_SERVERS ->
                     new ScheduledFault(
                             place,
                             drawn,
-                            List.copyOf(drawn.some(members.initialServers())),
+                            List.copyOf(drawn.pickFraction(members.initialServers())),
                             List.of());
             case KILL_SIDECARS,
                     RESTART_SIDECARS,
-                    DEAF,
+                    SUPPRESSED_UPDATES,
                     STOP_SIDECARS,
                     SLOW_SIDECARS,
                     CUT_SIDECARS,
@@ -57,7 +65,7 @@
                             place,
                             drawn,
                             List.of(),
-                            List.copyOf(drawn.some(candidates(members, fault))));
+                            List.copyOf(drawn.pickFraction(candidates(members, fault))));
             default -> new ScheduledFault(place, drawn, List.of(), List.of());
         };
     }
@@ -65,7 +73,7 @@
     /** The sidecars that a fault is drawn from: those of its zone, if it takes out machines. */
     private static List<SidecarMember> candidates(RunMembers members, Fault fault) {
         boolean zonal =
-                fault.kind() == Fault.Kind.KILL_SIDECARS || fault.kind() == Fault.Kind.POWER_LOSS;
+                fault.kind() == FaultKind.KILL_SIDECARS || fault.kind() == FaultKind.POWER_LOSS;
         if (!zonal || fault.zone() < 0) {
             return members.sidecars();
         }
@@ -82,7 +90,8 @@
     Set<ServerMember> serversWithOwnProcess() {
         Set<ServerMember> servers = new HashSet<>();
         for (ScheduledFault fault : faults) {
-            if (fault.isKind(Fault.Kind.LOSE_SERVERS) || fault.isKind(Fault.Kind.REBORN)) {
+            if (fault.isKind(FaultKind.LOSE_SERVERS)
+                    || fault.isKind(FaultKind.RESTART_WITH_NEW_IDS)) {
                 servers.addAll(fault.servers());
             }
         }
@@ -96,20 +105,20 @@
 
     private static String line(ScheduledFault scheduled) {
         Fault fault = scheduled.fault();
-        Fault.Drawn drawn = scheduled.drawn();
+        DrawnFault drawn = scheduled.drawn();
         ObjectNode line =
                 JsonLines.MAPPER
                         .createObjectNode()
                         .put("fault", scheduled.place())
                         .put("kind", scheduled.kindName())
-                        .put("at_s", round(drawn.from()))
-                        .put("for_s", round(drawn.seconds()))
+                        .put("at_s", round(drawn.startSeconds()))
+                        .put("for_s", round(drawn.durationSeconds()))
                         .put("zone", fault.zone())
                         .put("tenant", fault.tenant())
-                        .put("part", round(drawn.part()))
-                        .put("size", round(drawn.size()))
-                        .put("every_s", round(drawn.every()))
-                        .put("how", fault.how());
+                        .put("part", round(drawn.fraction()))
+                        .put("size", round(drawn.magnitude()))
+                        .put("every_s", round(drawn.periodSeconds()))
+                        .put("how", fault.mode());
         line.set("servers", JsonLines.MAPPER.valueToTree(scheduled.serverSlots()));
         line.set("sidecars", JsonLines.MAPPER.valueToTree(scheduled.sidecarIndices()));
         return line.toString();
@@ -122,7 +131,7 @@
     /** When the last of them has ended, on the clock of the run. */
     long endMicros() {
         return faults.stream()
-                .mapToLong(fault -> ScheduledFault.clockMicros(fault.drawn().end()))
+                .mapToLong(fault -> ScheduledFault.clockMicros(fault.drawn().endSeconds()))
                 .max()
                 .orElse(0);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
@@ -28,20 +28,20 @@
 
     /** For the time that the fault was drawn with. */
     void during(ScheduledFault fault, Action action) {
-        during(fault, fault.drawn().from(), fault.drawn().seconds(), action);
+        during(fault, fault.drawn().startSeconds(), fault.drawn().durationSeconds(), action);
     }
 
     /** At the begin of the fault; it is recorded to last for a time. */
     void onceAt(ScheduledFault fault, double recordedSeconds, Action action) {
-        during(fault, fault.drawn().from(), recordedSeconds, action);
+        during(fault, fault.drawn().startSeconds(), recordedSeconds, action);
     }
 
     /** In each of its rounds for a part of the round. */
     void inRounds(ScheduledFault fault, double part, Action action) {
-        double round = fault.drawn().every();
-        for (double at = 0; at < fault.drawn().seconds(); at += round) {
-            double length = Math.min(round, fault.drawn().seconds() - at) * part;
-            during(fault, fault.drawn().from() + at, length, action);
+        double round = fault.drawn().periodSeconds();
+        for (double at = 0; at < fault.drawn().durationSeconds(); at += round) {
+            double length = Math.min(round, fault.drawn().durationSeconds() - at) * part;
+            during(fault, fault.drawn().startSeconds() + at, length, action);
         }
     }
 
@@ -51,7 +51,7 @@
     }
 
     private void change(ScheduledFault fault, double second, boolean begins, Action action) {
-        queue().at(
+        queue().scheduleAt(
                         ScheduledFault.clockMicros(second),
                         () -> {
                             record(fault, begins);
@@ -72,7 +72,7 @@
                         "zone",
                         fault.fault().zone(),
                         "how",
-                        fault.fault().how(),
+                        fault.fault().mode(),
                         "sidecars",
                         fault.sidecarIndices(),
                         "servers",
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -16,7 +16,8 @@
 import sagefall.emulator.EmulatedServer;
 import sagefall.emulator.Job;
 import sagefall.emulator.ServerFactory;
-import sagefall.emulator.SettingsMessage;
+import sagefall.emulator.ServerListener;
+import sagefall.emulator.SettingsMessageCodec;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.link.LinkConditions;
 import sagefall.faultinjection.link.LinkRelay;
@@ -37,15 +38,15 @@
     }
 
     /** The models of servers do no work here: the stand-in processes do. */
-    private static final class IdleFloor implements EmulatedServer.Floor {
+    private static final class IdleFloor implements ServerListener {
         @Override
-        public void done(Job job) {}
+        public void onJobDone(Job job) {}
 
         @Override
-        public void broken(Job job) {}
+        public void onJobAborted(Job job) {}
 
         @Override
-        public void fell(EmulatedServer server, double told) {}
+        public void onSlowStartOverload(EmulatedServer server, double told) {}
     }
 
     private final RunContext context;
@@ -80,7 +81,10 @@
         this.network = network;
         this.leaseObserver = leaseObserver;
         double setupMicros =
-                context.scenario().net().setupMicros().draw(context.randomStreams(), "net.setup");
+                context.scenario()
+                        .network()
+                        .connectCostMicros()
+                        .draw(context.randomStreams(), "net.setup");
         commands = new StandInCommands(context, setupMicros);
         servers =
                 new ServerFactory(
@@ -93,7 +97,7 @@
 
     /** Capacity of all initial servers together. */
     double capacity() {
-        return servers.capacity();
+        return servers.totalCapacity();
     }
 
     /** Makes all sidecars and the servers that the run begins with. */
@@ -102,7 +106,7 @@
         for (int i = 0; i < context.scenario().fleet().sidecars(); i++) {
             members.sidecars().add(sidecar(i, i % zones));
         }
-        for (EmulatedServer model : servers.first()) {
+        for (EmulatedServer model : servers.initialServers()) {
             members.initialServers().add(server(model));
         }
     }
@@ -117,7 +121,7 @@
                         LinkConditions.PERFECT,
                         LinkConditions.PERFECT,
                         null);
-        Map<String, Object> settings = SettingsMessage.of(context.scenario());
+        Map<String, Object> settings = SettingsMessageCodec.encode(context.scenario());
         settings.put("rank", (long) index);
         settings.put("zone", (long) zone);
         List<Path> builds = context.plan().builds();
@@ -165,13 +169,13 @@
     }
 
     private LinkConditions conditions(int fromZone, int toZone) {
-        return LinkConditions.withDelay(() -> network.way(fromZone, toZone, jitter));
+        return LinkConditions.withDelay(() -> network.oneWayMicros(fromZone, toZone, jitter));
     }
 
     /** A server of the same kind, with another id. */
     ServerMember replacement(ServerMember old, Placement placement)
             throws IOException, InterruptedException {
-        EmulatedServer model = servers.replacement(old.model());
+        EmulatedServer model = servers.createReplacement(old.model());
         if (placement == Placement.NEW_SLOT) {
             return server(model);
         }
--- a/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
@@ -56,7 +56,7 @@
 
     /** Measures each sidecar once its idle connections are closed, or should long be. */
     void recordAll() throws IOException, InterruptedException {
-        double idleSeconds = context.scenario().net().idleSeconds();
+        double idleSeconds = context.scenario().network().idleTimeoutSeconds();
         long until =
                 System.nanoTime() + (long) (NANOS_PER_SECOND * MAX_IDLE_TIMEOUTS * idleSeconds);
         for (SidecarMember sidecar : members.sidecars()) {
--- a/testbed/src/main/java/sagefall/faultinjection/RunStartup.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunStartup.java
@@ -33,7 +33,7 @@
     void startAll() throws IOException, InterruptedException, ExecutionException, TimeoutException {
         members.discovery(
                 new EmulatedDiscovery(
-                        context.scenario().listing(),
+                        context.scenario().discovery(),
                         context.randomStreams(),
                         context.eventLoop().queue(),
                         members.sidecars()));
@@ -73,9 +73,10 @@
 
     private void publishInitialList() {
         members.discovery()
-                .first(members.initialServers().stream().map(ServerMember::model).toList());
-        List<ListedEndpoint> list = new ArrayList<>(members.discovery().list());
-        members.sidecars().forEach(sidecar -> sidecar.list(EndpointListKind.COMPLETE, list));
+                .initialize(members.initialServers().stream().map(ServerMember::model).toList());
+        List<ListedEndpoint> list = new ArrayList<>(members.discovery().endpointList());
+        members.sidecars()
+                .forEach(sidecar -> sidecar.onEndpointList(EndpointListKind.COMPLETE, list));
     }
 
     private void startSidecars() throws InterruptedException, ExecutionException {
--- a/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import java.util.Locale;
 import sagefall.emulator.EventQueue;
+import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
+import sagefall.scenario.FaultKind;
 
 /**
  * A fault with its figures and its members drawn.
@@ -14,7 +16,7 @@
  * @param sidecars the sidecars that it concerns; empty if the kind does not draw sidecars
  */
 record ScheduledFault(
-        int place, Fault.Drawn drawn, List<ServerMember> servers, List<SidecarMember> sidecars) {
+        int place, DrawnFault drawn, List<ServerMember> servers, List<SidecarMember> sidecars) {
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -27,27 +29,27 @@
         return fault().kind().name().toLowerCase(Locale.ROOT);
     }
 
-    boolean isKind(Fault.Kind kind) {
+    boolean isKind(FaultKind kind) {
         return fault().kind() == kind;
     }
 
     /** Whether the word that the fault takes is this one. */
     boolean isHow(String how) {
-        return fault().how().equals(how);
+        return fault().mode().equals(how);
     }
 
     double size() {
-        return drawn.size();
+        return drawn.magnitude();
     }
 
     /** Its size, if that is a time in seconds. */
     long sizeMicros() {
-        return (long) (MICROS_PER_SECOND * drawn.size());
+        return (long) (MICROS_PER_SECOND * drawn.magnitude());
     }
 
     /** When it ends, on the clock of the run. */
     long endMicros() {
-        return clockMicros(drawn.from() + drawn.seconds());
+        return clockMicros(drawn.startSeconds() + drawn.durationSeconds());
     }
 
     List<Integer> serverSlots() {
@@ -60,6 +62,6 @@
 
     /** A second of the run on the clock of its event loop. */
     static long clockMicros(double second) {
-        return EventQueue.BEGIN + (long) (MICROS_PER_SECOND * second);
+        return EventQueue.START_MICROS + (long) (MICROS_PER_SECOND * second);
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -33,7 +33,7 @@
     public boolean begin(ScheduledFault fault) {
         int zone = fault.fault().zone();
         boolean silent = fault.isHow(SILENT);
-        double part = fault.drawn().part();
+        double part = fault.drawn().fraction();
         double size = fault.size();
         switch (fault.fault().kind()) {
             case LOSE_ZONE ->
@@ -43,20 +43,22 @@
                             fault, part, on -> lose(members.processesOf(zone), silent, on));
             case LOSE_SERVERS ->
                     timeline.during(fault, on -> lose(processes(fault.servers()), silent, on));
-            case REBORN -> timeline.during(fault, on -> reborn(fault.servers(), silent, on));
-            case SLOW -> timeline.during(fault, on -> slowDown(fault.servers(), on, size));
-            case SHARED_SLOW -> timeline.during(fault, on -> slowDown(members.servers(), on, size));
-            case ERRORS ->
+            case RESTART_WITH_NEW_IDS ->
+                    timeline.during(fault, on -> reborn(fault.servers(), silent, on));
+            case SLOW_SERVERS -> timeline.during(fault, on -> slowDown(fault.servers(), on, size));
+            case SLOW_SHARED_DEPENDENCY ->
+                    timeline.during(fault, on -> slowDown(members.servers(), on, size));
+            case SERVER_ERRORS ->
                     timeline.during(
                             fault,
                             on ->
                                     fault.servers()
                                             .forEach(s -> s.addFault(1, on ? size : -size, 0)));
-            case PAUSES -> pauses(fault);
-            case REPLACE -> replace(fault);
-            case DRAIN -> timeline.during(fault, on -> drain(fault.servers(), on));
-            case LOST_ANSWERS -> timeline.during(fault, on -> setAll("lost", on ? part : 0));
-            case RESETS -> timeline.during(fault, on -> setAll("resets", on ? part : 0));
+            case SERVER_PAUSES -> pauses(fault);
+            case REPLACE_SERVERS -> replace(fault);
+            case DRAIN_SERVERS -> timeline.during(fault, on -> drain(fault.servers(), on));
+            case LOST_RESPONSES -> timeline.during(fault, on -> setAll("lost", on ? part : 0));
+            case CONNECTION_RESETS -> timeline.during(fault, on -> setAll("resets", on ? part : 0));
             default -> {
                 return false;
             }
@@ -117,10 +119,10 @@
 
     private void beginPauses(ScheduledFault fault, ServerMember server) {
         UniformRandomProvider random = fault.drawn().random();
-        StopTheWorldPauses.begin(
+        StopTheWorldPauses.schedule(
                 timeline.queue(),
                 random,
-                (long) (MICROS_PER_SECOND * fault.drawn().every()),
+                (long) (MICROS_PER_SECOND * fault.drawn().periodSeconds()),
                 (long) (MICROS_PER_MILLI * fault.size()),
                 fault.endMicros(),
                 pausesBy -> server.addFault(1, 0, pausesBy));
@@ -133,7 +135,7 @@
                 continue;
             }
             if (begins) {
-                members.discovery().draining(server.model());
+                members.discovery().serverDraining(server.model());
             } else {
                 drainAndEnd(server);
             }
@@ -150,7 +152,8 @@
         for (int i = 0; i < count; i++) {
             ServerMember old = fault.servers().get(i);
             int number = i;
-            double second = fault.drawn().from() + fault.drawn().seconds() * i / count;
+            double second =
+                    fault.drawn().startSeconds() + fault.drawn().durationSeconds() * i / count;
             // Its links are made before, as that takes the thread of the model a while.
             context.tasks()
                     .runHere(
@@ -160,7 +163,7 @@
                                             factory.replacement(
                                                     old, MemberFactory.Placement.NEW_SLOT)));
             timeline.queue()
-                    .at(
+                    .scheduleAt(
                             ScheduledFault.clockMicros(second),
                             () -> replace(fault, old, successors.get(number)));
         }
@@ -187,27 +190,27 @@
         host.add(successor);
         host.serve(successor, true)
                 .thenRun(() -> context.eventLoop().run(() -> started(successor)));
-        members.discovery().draining(old.model());
-        long settledMicros = fault.isHow(EARLY) ? 0 : members.discovery().settled();
-        timeline.queue().in(settledMicros, () -> drainAndEnd(old));
+        members.discovery().serverDraining(old.model());
+        long settledMicros = fault.isHow(EARLY) ? 0 : members.discovery().propagationMicros();
+        timeline.queue().scheduleAfter(settledMicros, () -> drainAndEnd(old));
     }
 
     private void started(ServerMember server) {
         server.model().start();
-        members.discovery().started(server.model());
+        members.discovery().serverStarted(server.model());
     }
 
     /** Rejects new requests from now on, and ends once those in flight must be over. */
     private void drainAndEnd(ServerMember server) {
         server.process().ask(server.setCommand().put("drain", true));
         timeline.queue()
-                .in(
+                .scheduleAfter(
                         context.requestClass().deadlineMicros(),
                         () -> {
                             server.retire();
                             server.process().end(server);
                             server.down(false);
-                            members.discovery().ended(server.model());
+                            members.discovery().serverStopped(server.model());
                         });
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -27,7 +27,7 @@
         this.model = model;
         this.slot = slot;
         this.links = links;
-        errorPart = model.make.errors();
+        errorPart = model.spec.errorRate();
     }
 
     long id() {
@@ -77,7 +77,7 @@
     void down(boolean silently) {
         links.forEach(link -> link.serverDown(!silently, silently));
         links.forEach(ServerLink::apply);
-        model.end(silently);
+        model.stop(silently);
     }
 
     /** Its process runs. */
--- a/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -109,7 +109,7 @@
         context.history().write(EntryKind.PROCESS, "name", name, "what", "kill");
         for (ServerMember server : running()) {
             server.down(silently);
-            members.discovery().ended(server.model());
+            members.discovery().serverStopped(server.model());
         }
         StandInProcess killed = child;
         context.tasks().changeLinks(() -> killed.process().destroyForcibly());
@@ -142,7 +142,7 @@
         for (ServerMember server : running()) {
             server.up();
             server.model().start();
-            members.discovery().started(server.model());
+            members.discovery().serverStarted(server.model());
         }
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -198,7 +198,7 @@
     private void startAfter(long downMicros) {
         context.eventLoop()
                 .queue()
-                .in(downMicros, () -> context.tasks().runAside(this::startOnceEnded));
+                .scheduleAfter(downMicros, () -> context.tasks().runAside(this::startOnceEnded));
     }
 
     private void startOnceEnded() throws IOException, InterruptedException {
@@ -217,7 +217,7 @@
         ending = true;
         recordProcess("term");
         process.process().destroy();
-        context.eventLoop().queue().in(LEAVING_DELAY_MICROS, () -> leaving = true);
+        context.eventLoop().queue().scheduleAfter(LEAVING_DELAY_MICROS, () -> leaving = true);
         process.process()
                 .onExit()
                 .thenRun(
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -54,8 +54,9 @@
             case SLOW_SIDECARS -> timeline.during(fault, on -> slowDown(fault, on));
             case WRONG_CLOCK -> timeline.onceAt(fault, 0, on -> setClock(fault));
             case POWER_LOSS -> timeline.onceAt(fault, fault.size(), on -> losePower(fault, on));
-            case STOP_OWNER -> timeline.during(fault, on -> setHolderStopped(fault, on));
-            case KILL_OWNER -> timeline.onceAt(fault, fault.size(), on -> killHolder(fault, on));
+            case STOP_LEASE_HOLDER -> timeline.during(fault, on -> setHolderStopped(fault, on));
+            case KILL_LEASE_HOLDER ->
+                    timeline.onceAt(fault, fault.size(), on -> killHolder(fault, on));
             default -> {
                 return false;
             }
@@ -95,9 +96,11 @@
         int steps = Math.min(MAX_RESTART_STEPS, Math.max(1, sidecars.size()));
         for (int i = 0; i < sidecars.size(); i++) {
             SidecarControl sidecar = sidecars.get(i);
-            double second = fault.drawn().from() + fault.drawn().seconds() * (i % steps) / steps;
+            double second =
+                    fault.drawn().startSeconds()
+                            + fault.drawn().durationSeconds() * (i % steps) / steps;
             timeline.queue()
-                    .at(
+                    .scheduleAt(
                             ScheduledFault.clockMicros(second),
                             () -> sidecar.restart(fault.sizeMicros()));
         }
@@ -120,9 +123,11 @@
         }
         context.tasks().runHere(sidecar::stop);
         long stoppedMicros = (long) (DUTY_CYCLE_MICROS * (1 - runningPart));
-        timeline.queue().in(stoppedMicros, () -> context.tasks().runHere(sidecar::resume));
         timeline.queue()
-                .in(DUTY_CYCLE_MICROS, () -> runDutyCycle(sidecar, runningPart, untilMicros));
+                .scheduleAfter(stoppedMicros, () -> context.tasks().runHere(sidecar::resume));
+        timeline.queue()
+                .scheduleAfter(
+                        DUTY_CYCLE_MICROS, () -> runDutyCycle(sidecar, runningPart, untilMicros));
     }
 
     /** The servers of a zone, or all, and the sidecars that were drawn, at once. */
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -71,7 +71,7 @@
     /** The file of extensions; null for none. */
     private Map<String, Object> extensions(long clockOffsetMillis) {
         Map<String, Object> sections = new HashMap<>();
-        String sync = context.scenario().fleet().keeps();
+        String sync = context.scenario().fleet().persistence();
         if (!sync.equals(NO_RECOVERY)) {
             sections.put(
                     "recovery",
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
@@ -54,23 +54,23 @@
     }
 
     @Override
-    public boolean up() {
+    public boolean isUp() {
         return control.isUp();
     }
 
     @Override
-    public boolean leaving() {
+    public boolean isDraining() {
         return control.isLeaving();
     }
 
     @Override
-    public String prefix() {
+    public String requestIdPrefix() {
         return String.format("%04x%02x", spec.index(), control.incarnation() & 0xff);
     }
 
     /** Of the agent, which outlives the sidecar. */
     @Override
-    public int life() {
+    public int incarnation() {
         return 0;
     }
 
@@ -90,12 +90,12 @@
     }
 
     @Override
-    public void take(ClientRequest call, boolean repeat) {
+    public void submit(ClientRequest call, boolean repeat) {
         requests.send(call, repeat);
     }
 
     @Override
-    public void missed(ClientOperation wish) {
+    public void onUnreachable(ClientOperation wish) {
         context.history()
                 .write(
                         EntryKind.MISSED,
@@ -104,16 +104,16 @@
                         "wish",
                         wish.number,
                         "beyond",
-                        wish.beyondShare);
+                        wish.overQuota);
     }
 
     @Override
-    public void leave(ClientRequest call) {
+    public void disconnectClient(ClientRequest call) {
         requests.abandon(call);
     }
 
     @Override
-    public void list(EndpointListKind kind, List<ListedEndpoint> lines) {
+    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> lines) {
         ObjectNode list = endpoints.update(kind, lines);
         members.discoveryReplicaOf(spec.index()).ask(StandInCommands.list(spec.index(), list));
     }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import sagefall.emulator.ClientAnswer;
 import sagefall.emulator.ClientRequest;
-import sagefall.emulator.EmulatedSidecar.Answer;
 import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.EntryKind;
 
@@ -51,19 +51,20 @@
 
     /** Sends a request; its answer goes to the emulator's clients. */
     void send(ClientRequest request, boolean retry) {
-        long timeoutMicros = request.deadline - request.takenAt;
+        long timeoutMicros = request.deadlineMicros - request.receivedAtMicros;
         String key = idempotencyKey(request);
         recordIntent(request, key, timeoutMicros);
         ClientLoad.Exchange exchange =
                 application.post(
-                        "/save/" + Long.toHexString(request.wish.key),
+                        "/save/" + Long.toHexString(request.operation.key),
                         headers(request, key, timeoutMicros, retry),
                         body(request),
                         reply -> context.eventLoop().run(() -> replied(request, reply)));
         open.put(request.id, new OpenRequest(exchange, control.incarnation()));
         context.eventLoop()
                 .queue()
-                .at(request.deadline + UNANSWERED_AFTER_MICROS, () -> giveUp(request));
+                .scheduleAt(
+                        request.deadlineMicros + UNANSWERED_AFTER_MICROS, () -> giveUp(request));
     }
 
     private void recordIntent(ClientRequest request, String key, long timeoutMicros) {
@@ -77,23 +78,23 @@
                         "key",
                         key,
                         "wish",
-                        request.wish.number,
+                        request.operation.number,
                         "timeout_us",
                         timeoutMicros,
                         "beyond",
-                        request.wish.beyondShare);
+                        request.operation.overQuota);
     }
 
     /** All requests of a client's operation carry one key. */
     private String idempotencyKey(ClientRequest request) {
-        return String.format("%016x%016x", context.plan().seed(), request.wish.number);
+        return String.format("%016x%016x", context.plan().seed(), request.operation.number);
     }
 
     private Map<String, String> headers(
             ClientRequest request, String key, long timeoutMicros, boolean retry) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Request-Id", request.id);
-        headers.put("Tenant", context.scenario().tenants().get(request.wish.tenant).name());
+        headers.put("Tenant", context.scenario().tenants().get(request.operation.tenant).name());
         long timeoutMillis = Math.max(1, timeoutMicros / MICROS_PER_MILLI);
         headers.put("Request-Timeout-Ms", String.valueOf(timeoutMillis));
         headers.put("Idempotency-Key", key);
@@ -107,7 +108,8 @@
     private static byte[] body(ClientRequest request) {
         byte[] body = new byte[BODY_BYTES];
         Arrays.fill(body, (byte) '.');
-        byte[] work = ("work=" + request.wish.work + "\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] work =
+                ("work=" + request.operation.workMicros + "\n").getBytes(StandardCharsets.US_ASCII);
         System.arraycopy(work, 0, body, 0, work.length);
         return body;
     }
@@ -139,8 +141,8 @@
                         reply.retryMicros(),
                         "body",
                         reply.body());
-        if (!request.over) {
-            request.over = true;
+        if (!request.finished) {
+            request.finished = true;
             tellClient(request, reply, sidecarEnded);
         }
     }
@@ -148,22 +150,23 @@
     private void tellClient(ClientRequest request, ClientLoad.Reply reply, boolean sidecarEnded) {
         int status = reply.status();
         if (status == AnswerStatus.OK) {
-            members.traffic().answer(request, Answer.SERVED, "", 0);
+            members.traffic().deliverAnswer(request, ClientAnswer.SERVED, "", 0);
         } else if (AnswerStatus.isRejected(status)) {
-            members.traffic().answer(request, Answer.REFUSED, "refused", reply.retryMicros());
+            members.traffic()
+                    .deliverAnswer(request, ClientAnswer.REJECTED, "refused", reply.retryMicros());
         } else if (status == AnswerStatus.UNREACHABLE) {
-            members.traffic().answer(request, Answer.REFUSED, "sidecar down", 0);
+            members.traffic().deliverAnswer(request, ClientAnswer.REJECTED, "sidecar down", 0);
         } else if (status == AnswerStatus.BROKEN && sidecarEnded) {
-            members.traffic().dropped(request);
+            members.traffic().onSidecarKilled(request);
         } else {
             String reason = status == AnswerStatus.BROKEN ? "unanswered" : "failed";
-            members.traffic().answer(request, Answer.FAILED, reason, 0);
+            members.traffic().deliverAnswer(request, ClientAnswer.FAILED, reason, 0);
         }
     }
 
     /** The client closes its connection. */
     void abandon(ClientRequest request) {
-        request.over = true;
+        request.finished = true;
         OpenRequest abandoned = open.remove(request.id);
         context.history().write(EntryKind.ABANDONED, "id", request.id, "who", sidecar);
         if (abandoned != null) {
--- a/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
@@ -33,13 +33,15 @@
                         .put("id", server.id())
                         .put("zone", server.zone())
                         .put("cell", server.model().cell)
-                        .put("fall_multiple", context.scenario().service().fallMultiple())
-                        .put("fall_us", (long) (1e6 * context.scenario().service().fallSeconds()))
+                        .put("fall_multiple", context.scenario().service().slowStartLimitFactor())
+                        .put(
+                                "fall_us",
+                                (long) (1e6 * context.scenario().service().slowStartLimitSeconds()))
                         .put("mean_work_us", context.meanWorkMicros())
                         .put("setup_us", setupMicros)
                         .put("window_us", context.requestClass().deduplicationWindowMicros())
                         .put("seed", context.plan().seed());
-        command.set("make", JsonLines.MAPPER.valueToTree(server.model().make));
+        command.set("make", JsonLines.MAPPER.valueToTree(server.model().spec));
         return command.put("cold", cold);
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import sagefall.faultinjection.history.JsonLines;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
 
 /**
  * Everything that is needed to execute a run, and to execute it a second time.
@@ -53,7 +53,8 @@
      * @throws ScenarioException if it is wrong, or has a fault that real processes can't have
      */
     public Scenario scenario() throws ScenarioException {
-        return Scenario.read(file, text, overrides).on(Fault.Side.RIG);
+        return Scenario.read(file, text, overrides)
+                .requireSupportedBy(ScenarioRunner.FAULT_INJECTION);
     }
 
     /** The same with fewer faults. */
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryEntry;
+import sagefall.faultinjection.history.HistoryException;
 import sagefall.faultinjection.history.HistoryReader;
 import sagefall.faultinjection.invariant.InvariantChecks;
 import sagefall.faultinjection.invariant.Violation;
@@ -35,7 +36,7 @@
     /**
      * Judges the directory that a run has left, and writes its page.
      *
-     * @throws sagefall.faultinjection.history.HistoryException if it holds no history of a run
+     * @throws HistoryException if it holds no history of a run
      */
     public static RunResult judge(RunDirectory directory, double readySeconds) throws IOException {
         List<HistoryEntry> history = HistoryReader.read(directory.history());
--- a/testbed/src/main/java/sagefall/faultinjection/standin/DiscoveryAgent.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/DiscoveryAgent.java
@@ -110,7 +110,7 @@
             deadlineMicros = eventLoop.queue().now() + MICROS_PER_MILLI * holdMillis;
             pending = true;
             pendingWatches.add(this);
-            eventLoop.queue().at(deadlineMicros, this::answerIfDue);
+            eventLoop.queue().scheduleAt(deadlineMicros, this::answerIfDue);
             answerIfDue();
         }
 
--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -88,12 +88,12 @@
     private void advance() {
         if (isRunning()) {
             long elapsedMicros = (System.nanoTime() - beginNanos) / NANOS_PER_MICRO;
-            queue.runUntil(EventQueue.BEGIN + elapsedMicros);
+            queue.runUntil(EventQueue.START_MICROS + elapsedMicros);
         }
     }
 
     private void arm() {
-        long next = queue.nextAt();
+        long next = queue.nextEventAt();
         if (next >= timerMicros || !isRunning()) {
             return;
         }
@@ -101,7 +101,7 @@
             timer.cancel(false);
         }
         timerMicros = next;
-        long due = beginNanos + (next - EventQueue.BEGIN) * NANOS_PER_MICRO;
+        long due = beginNanos + (next - EventQueue.START_MICROS) * NANOS_PER_MICRO;
         timer = thread.schedule(() -> fire(due), due - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
@@ -44,7 +44,7 @@
      * can't know.
      */
     @Override
-    protected boolean knowsStart(EmulatedServer server) {
+    protected boolean senderKnowsStart(EmulatedServer server) {
         return true;
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -14,6 +14,8 @@
 import sagefall.emulator.EmulatedServer;
 import sagefall.emulator.Job;
 import sagefall.emulator.RandomStreams;
+import sagefall.emulator.ServerListener;
+import sagefall.emulator.ServerSpec;
 import sagefall.emulator.SlowStartBudget;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryWriter;
@@ -24,7 +26,7 @@
  * emulator's requests carry it, and slots, queue, cold start, thrashing and load reports are the
  * emulator's. Its state belongs to the event loop of the process.
  */
-final class SocketServer implements EmulatedServer.Floor {
+final class SocketServer implements ServerListener {
 
     private static final int OK = 200;
     private static final int ERROR = 500;
@@ -57,12 +59,11 @@
                         id,
                         command.path("zone").asInt(),
                         command.path("cell").asInt(),
-                        JsonLines.MAPPER.treeToValue(
-                                command.path("make"), EmulatedServer.Make.class),
+                        JsonLines.MAPPER.treeToValue(command.path("make"), ServerSpec.class),
                         eventLoop.queue(),
                         new double[] {1},
                         this);
-        model.bears(
+        model.setSlowStartBudget(
                 new SlowStartBudget(
                         command.path("fall_multiple").asDouble(),
                         command.path("fall_us").asLong(),
@@ -90,7 +91,7 @@
         if (cold) {
             model.start();
         }
-        EmulatedServer.Make m = model.make;
+        ServerSpec m = model.spec;
         history.write(
                 EntryKind.SERVER,
                 "server",
@@ -102,29 +103,29 @@
                 "capacity",
                 Math.min(m.cores(), m.slots()) * m.speed(),
                 "cold_from",
-                m.coldFrom(),
+                m.initialCapacityShare(),
                 "cold_us",
-                m.coldMicros());
+                m.slowStartMicros());
     }
 
     /** The faults that it has from now on; a figure that the command lacks stays. */
     void set(JsonNode command) {
-        model.slow = command.path("slow").asDouble(model.slow);
-        model.stolen = command.path("stolen").asDouble(model.stolen);
-        model.errors = command.path("errors").asDouble(model.errors);
-        model.pauses = command.path("pauses").asInt(model.pauses);
+        model.slowdown = command.path("slow").asDouble(model.slowdown);
+        model.stolenShare = command.path("stolen").asDouble(model.stolenShare);
+        model.errorRate = command.path("errors").asDouble(model.errorRate);
+        model.activePauses = command.path("pauses").asInt(model.activePauses);
         lostPart = command.path("lost").asDouble(lostPart);
         resetPart = command.path("resets").asDouble(resetPart);
         if (command.path("drain").asBoolean()) {
             model.state = EmulatedServer.State.DRAINING;
         }
-        model.settle();
+        model.reschedule();
     }
 
     /** Ends as planned. */
     void end() {
         listening.close();
-        model.end(false);
+        model.stop(false);
         resetConnections();
         history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "end");
     }
@@ -138,7 +139,7 @@
     void connectionOpened(ServerConnection connection) {
         connections.add(connection);
         model.connections++;
-        boolean tooMany = model.connections > model.make.connections();
+        boolean tooMany = model.connections > model.spec.maxConnections();
         if (tooMany || model.state == EmulatedServer.State.DEAD) {
             connection.reset();
         }
@@ -165,11 +166,11 @@
         long now = eventLoop.queue().now();
         Long before = executedAt.get(deduplicationKey(request));
         boolean duplicate = before != null && now - before <= deduplicationMicros;
-        request.work =
-                (duplicate ? 0 : work * model.keyed(subject.hashCode()))
+        request.workMicros =
+                (duplicate ? 0 : work * model.workFactorForKey(subject.hashCode()))
                         + (newConnection ? setupMicros : 0);
-        request.left = request.work;
-        boolean accepted = model.state == EmulatedServer.State.UP && model.take(request);
+        request.remainingMicros = request.workMicros;
+        boolean accepted = model.state == EmulatedServer.State.UP && model.accept(request);
         recordArrival(request, accepted, now);
         if (model.state == EmulatedServer.State.DEAD) {
             request.connection().reset();
@@ -198,7 +199,7 @@
                 "taken",
                 accepted,
                 "warmth",
-                model.warmth(now));
+                model.capacityShareAt(now));
     }
 
     private void recordReply(ReceivedRequest request, int status) {
@@ -206,7 +207,7 @@
     }
 
     @Override
-    public void done(Job job) {
+    public void onJobDone(Job job) {
         ReceivedRequest request = (ReceivedRequest) job;
         history.write(
                 EntryKind.EFFECT,
@@ -225,7 +226,7 @@
         if (chance < resetPart) {
             request.connection().reset();
         } else if (chance >= resetPart + lostPart) {
-            boolean failed = chance > 1 - model.errors;
+            boolean failed = chance > 1 - model.errorRate;
             int status = failed ? ERROR : OK;
             recordReply(request, status);
             String text = failed ? "" : "done " + request.id();
@@ -235,7 +236,7 @@
 
     /** The load report of the moment, as answers carry it. */
     String loadReport() {
-        LoadReport report = model.report();
+        LoadReport report = model.loadReport();
         return String.format(
                 Locale.ROOT,
                 "TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f",
@@ -245,12 +246,12 @@
     }
 
     @Override
-    public void broken(Job job) {
+    public void onJobAborted(Job job) {
         ((ReceivedRequest) job).connection().reset();
     }
 
     @Override
-    public void fell(EmulatedServer server, double told) {
+    public void onSlowStartOverload(EmulatedServer server, double told) {
         history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "fell");
         listening.close();
         resetConnections();
--- a/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
@@ -68,7 +68,7 @@
             BalancerSettings settings,
             Map<String, Object> facts,
             BalancerActions actions,
-            Truth truth) {
+            GroundTruth truth) {
         Instance instance = new Instance("sidecar_" + made++, actions);
         Map<String, Object> start = op("Start");
         start.put("salt", settings.seed());
--- a/testbed/src/main/java/sagefall/policy/ModulePolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ModulePolicy.java
@@ -19,7 +19,7 @@
             BalancerSettings settings,
             Map<String, Object> facts,
             BalancerActions actions,
-            Truth truth) {
+            GroundTruth truth) {
         return new DefaultLoadBalancer(settings, actions);
     }
 }
--- a/testbed/src/main/java/sagefall/policy/Policy.java
+++ b/testbed/src/main/java/sagefall/policy/Policy.java
@@ -8,15 +8,6 @@
 /** Something that decides for a fleet: sagefall's module, a build of it, or a baseline. */
 public interface Policy extends AutoCloseable {
 
-    /** What only an oracle may look at. */
-    interface Truth {
-        /**
-         * Microseconds until a request that is sent now would be answered, without its own work's
-         * spread; infinity where it would not.
-         */
-        double answerMicros(long server, int fromZone);
-    }
-
     /** How it is written on the command line, and in results. */
     String name();
 
@@ -28,7 +19,7 @@
             BalancerSettings settings,
             Map<String, Object> facts,
             BalancerActions actions,
-            Truth truth);
+            GroundTruth truth);
 
     @Override
     default void close() {}
--- a/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -247,7 +247,7 @@
             BalancerSettings settings,
             Map<String, Object> facts,
             BalancerActions actions,
-            Truth truth) {
+            GroundTruth truth) {
         try {
             return module.getConstructor(BalancerSettings.class, BalancerActions.class)
                     .newInstance(settings, actions);
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -46,33 +46,33 @@
         }
 
         @Override
-        public boolean up() {
+        public boolean isUp() {
             return true;
         }
 
         @Override
-        public boolean leaving() {
+        public boolean isDraining() {
             return false;
         }
 
         @Override
-        public String prefix() {
+        public String requestIdPrefix() {
             return "000000";
         }
 
         @Override
-        public void take(ClientRequest call, boolean repeat) {
+        public void submit(ClientRequest call, boolean repeat) {
             throw new AssertionError("tried again");
         }
 
         @Override
-        public void leave(ClientRequest call) {
+        public void disconnectClient(ClientRequest call) {
             throw new AssertionError("left");
         }
     }
 
     /** The ledger once a request, too late for a further try, has been answered so. */
-    private static ValueAccounting answered(EmulatedSidecar.Answer answer, RejectionReason reason)
+    private static ValueAccounting answered(ClientAnswer answer, RejectionReason reason)
             throws Exception {
         Scenario scenario = Scenario.load("calm", List.of());
         EventQueue loop = new EventQueue();
@@ -90,18 +90,29 @@
                         loop,
                         sidecars,
                         ledger,
-                        new EmulatedNetwork(scenario.net(), draws, zones),
+                        new EmulatedNetwork(scenario.network(), draws, zones),
                         UNSAFE,
                         1);
         ClientOperation wish =
                 new ClientOperation(
-                        0, EventQueue.BEGIN, EventQueue.BEGIN, 0, 0, false, 1, 1, zones);
+                        0,
+                        EventQueue.START_MICROS,
+                        EventQueue.START_MICROS,
+                        0,
+                        0,
+                        false,
+                        1,
+                        1,
+                        zones);
         wish.sidecar = sidecar;
         ClientRequest call =
                 new ClientRequest(
-                        "0000000000000000", wish, EventQueue.BEGIN, EventQueue.BEGIN + SECOND);
-        traffic.answer(call, answer, reason, 0);
-        loop.runUntil(EventQueue.BEGIN + SECOND);
+                        "0000000000000000",
+                        wish,
+                        EventQueue.START_MICROS,
+                        EventQueue.START_MICROS + SECOND);
+        traffic.deliverAnswer(call, answer, reason, 0);
+        loop.runUntil(EventQueue.START_MICROS + SECOND);
         return ledger;
     }
 
@@ -128,7 +139,7 @@
         "FAILED, RETRY_BUDGET, failed retry_budget",
         "FAILED, , unanswered"
     })
-    void answersAndCausesOfLoss(EmulatedSidecar.Answer answer, RejectionReason reason, String word)
+    void answersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
             throws Exception {
         ValueAccounting ledger = answered(answer, reason);
         assertEquals(Map.of(word, 1L), ledger.answers);
@@ -139,7 +150,7 @@
     void theTableHasAllAnswersAndReasons() {
         assertEquals(
                 List.of("SERVED", "REFUSED", "FAILED"),
-                Arrays.stream(EmulatedSidecar.Answer.values()).map(Enum::name).toList());
+                Arrays.stream(ClientAnswer.values()).map(Enum::name).toList());
         assertEquals(
                 List.of(
                         "admission",
@@ -160,10 +171,10 @@
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
         try (Policy policy = PolicyRegistry.of("module", Path.of("."))) {
-            SimulationResult result = new FleetSimulation(scenario, 1, policy).play();
+            SimulationResult result = new FleetSimulation(scenario, 1, policy).run();
             assertEquals(
                     List.of("burst", "shift"),
-                    result.troubles().stream().map(SimulationResult.Trouble::what).toList());
+                    result.faults().stream().map(InjectedFault::what).toList());
         }
     }
 
--- a/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
@@ -15,6 +15,7 @@
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.load.SidecarProcess;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioSource;
 
 /**
  * The schedules of all shipped fault injection scenarios, seeds 1 to 3, equal to the byte the ones
@@ -55,7 +56,7 @@
 
     /** The lines that a run with the default fleet of the command line writes to its directory. */
     private String schedule(String scenario, long seed) throws Exception {
-        Scenario.Source source = Scenario.source(scenario);
+        ScenarioSource source = Scenario.source(scenario);
         Path output = folder.resolve(scenario + "-" + seed);
         RunPlan plan =
                 new RunPlan(
