--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -46,7 +46,7 @@
                                 "module",
                                 "module-without:" + m.word(),
                                 setting.listener());
-                PairedDifference g = c.figures().get(0);
+                PairedDifference g = c.differences().get(0);
                 System.out.printf(
                         Locale.ROOT,
                         "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -47,7 +47,7 @@
                         setting.listener());
         System.out.println("A: " + a + "; B: " + b + "; " + c.a().size() + " seeds of " + scenario);
         header();
-        c.figures().forEach(CompareCommand::row);
+        c.differences().forEach(CompareCommand::row);
         for (PairedDifference p : c.lost().values()) {
             if (Math.abs(p.meanA()) > SMALL || Math.abs(p.meanB()) > SMALL) {
                 row(p);
--- a/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
+++ b/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
@@ -16,9 +16,9 @@
 import sagefall.experiment.ParallelSimulations;
 import sagefall.policy.PolicyException;
 import sagefall.report.SimulationResultWriter;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
 
 /** What all experiments take. */
 final class ExperimentOptions {
@@ -62,13 +62,13 @@
     }
 
     Scenario scenario(String name) throws IOException, ScenarioException {
-        return Scenario.load(name, sets).on(Fault.Side.EMULATOR);
+        return Scenario.load(name, sets).requireSupportedBy(ScenarioRunner.EMULATOR);
     }
 
     Scenario scenario(String name, String set) throws IOException, ScenarioException {
         List<String> all = new ArrayList<>(sets);
         all.add(set);
-        return Scenario.load(name, all).on(Fault.Side.EMULATOR);
+        return Scenario.load(name, all).requireSupportedBy(ScenarioRunner.EMULATOR);
     }
 
     List<Long> seeds() throws PolicyException {
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionCommand.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionCommand.java
@@ -25,9 +25,10 @@
 import sagefall.load.SidecarProcess;
 import sagefall.policy.Policy;
 import sagefall.policy.PolicyRegistry;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
+import sagefall.scenario.ScenarioSource;
 
 /** Many real processes with faults between them: docs/RIG.md. */
 @Command(
@@ -88,7 +89,7 @@
             for (Path build : builds()) {
                 SidecarProcess.run(build);
             }
-            Scenario.Source source = Scenario.source(nameOrFile);
+            ScenarioSource source = Scenario.source(nameOrFile);
             List<String> all = new ArrayList<>();
             if (!source.text().contains("sidecars = 12")) {
                 all.addAll(RunPlan.SIZE);
@@ -364,8 +365,12 @@
                     try (Policy policy = PolicyRegistry.of("module", SidecarProcess.ROOT)) {
                         e =
                                 new FleetSimulation(
-                                                plan.scenario().on(Fault.Side.EMULATOR), s, policy)
-                                        .play();
+                                                plan.scenario()
+                                                        .requireSupportedBy(
+                                                                ScenarioRunner.EMULATOR),
+                                                s,
+                                                policy)
+                                        .run();
                     }
                     RunResult play = RunResult.of(plan, options.folder("agree-" + name + "-" + s));
                     RunStatistics f = play.figures();
@@ -420,8 +425,8 @@
     static final class Scenarios implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            for (String name : Scenario.RIG) {
-                System.out.printf("%-18s %s%n", name, Scenario.load(name, List.of()).about());
+            for (String name : Scenario.FAULT_INJECTION_NAMES) {
+                System.out.printf("%-18s %s%n", name, Scenario.load(name, List.of()).description());
             }
             return 0;
         }
--- a/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -19,9 +19,9 @@
 
     @Override
     public Integer call() throws Exception {
-        for (String name : Scenario.SHIPPED) {
+        for (String name : Scenario.EMULATOR_NAMES) {
             System.out.printf(
-                    Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).about());
+                    Locale.ROOT, "%-16s %s%n", name, Scenario.load(name, List.of()).description());
         }
         System.out.println("policies: " + PolicyRegistry.HELP);
         for (Mechanism m : Mechanism.values()) {
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -15,6 +15,7 @@
 import sagefall.emulator.SimulationResult;
 import sagefall.experiment.SimulationRequest;
 import sagefall.scenario.BenchmarkFigures;
+import sagefall.scenario.BenchmarkMeasurement;
 
 /** Whether builds rank in the laboratory as they did on the operators' bench. */
 @Command(
@@ -51,13 +52,13 @@
     public Integer call() throws Exception {
         BenchmarkFigures bench = BenchmarkFigures.load(figures);
         Map<String, Double> lab = play(bench);
-        double[] onBench = new double[bench.plays().size()];
+        double[] onBench = new double[bench.measurements().size()];
         double[] inLab = new double[onBench.length];
         System.out.printf(
                 "%-10s %-22s %-24s %8s %8s%n",
                 "scenario", "build", "day of the bench", "bench G", "lab G");
         for (int i = 0; i < onBench.length; i++) {
-            BenchmarkFigures.Play p = bench.plays().get(i);
+            BenchmarkMeasurement p = bench.measurements().get(i);
             onBench[i] = p.g();
             inLab[i] = lab.get(p.scenario() + "\n" + p.build());
             System.out.printf(
@@ -81,7 +82,7 @@
     /** Mean G of each build on each scenario. */
     private Map<String, Double> play(BenchmarkFigures bench) throws Exception {
         TreeSet<String> cells = new TreeSet<>();
-        bench.plays().forEach(p -> cells.add(p.scenario() + "\n" + p.build()));
+        bench.measurements().forEach(p -> cells.add(p.scenario() + "\n" + p.build()));
         List<SimulationRequest> plays = new ArrayList<>();
         for (String cell : cells) {
             String build = cell.substring(cell.indexOf('\n') + 1);
@@ -102,7 +103,7 @@
                                 policy));
             }
         }
-        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results = setting.plays().runAll(plays, setting.listener());
         Map<String, Double> means = new LinkedHashMap<>();
         int seeds = setting.seeds().size();
         int at = 0;
@@ -122,8 +123,8 @@
     private void pairs(BenchmarkFigures bench, Map<String, Double> lab) {
         int same = 0;
         int all = 0;
-        for (BenchmarkFigures.Play a : bench.plays()) {
-            for (BenchmarkFigures.Play b : bench.plays()) {
+        for (BenchmarkMeasurement a : bench.measurements()) {
+            for (BenchmarkMeasurement b : bench.measurements()) {
                 if (a.day().equals(b.day()) && a.g() + spread < b.g()) {
                     all++;
                     same +=
--- a/testbed/src/main/java/sagefall/cli/SimulateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -38,7 +38,7 @@
         for (long seed : setting.seeds()) {
             plays.add(new SimulationRequest(loaded, seed, policy));
         }
-        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results = setting.plays().runAll(plays, setting.listener());
         System.out.println(
                 " seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
                         + "most by");
--- a/testbed/src/main/java/sagefall/cli/SpeedCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SpeedCommand.java
@@ -81,7 +81,7 @@
                                     List.of("fleet.sidecars=" + size, "fleet.servers=" + 2 * size)),
                             1,
                             policy)
-                    .play();
+                    .run();
         }
     }
 }
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -57,7 +57,7 @@
                                 tunable ? "module:" + name + "=" + value : policy));
             }
         }
-        List<SimulationResult> results = setting.plays().all(plays, setting.listener());
+        List<SimulationResult> results = setting.plays().runAll(plays, setting.listener());
         int seeds = setting.seeds().size();
         System.out.printf("%-12s %7s %7s %9s %9s%n", name, "G", "served", "worst10s", "least G");
         for (int v = 0; v < values.length; v++) {
--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -6,24 +6,24 @@
  */
 public final class ClientOperation {
     public final int number;
-    public final long arrivedAt;
-    final long endsAt;
+    public final long arrivedAtMicros;
+    final long deadlineMicros;
     public final long key;
     public final int tenant;
-    public final boolean beyondShare;
+    public final boolean overQuota;
 
     /** Microseconds on a core of speed 1. */
-    public final double work;
+    public final double workMicros;
 
     /** Between 0 and 1: what the client's own chances are drawn from. */
-    final double luck;
+    final double clientDraw;
 
     public SidecarHandle sidecar;
-    int tries;
-    boolean over;
+    int tryCount;
+    boolean finished;
 
     /** Where and when it ran first, for what servers drop as a repeat; in a zone or, at 0, not. */
-    final long[] ranAt;
+    final long[] executedAtByZone;
 
     ClientOperation(
             int number,
@@ -36,13 +36,13 @@
             double luck,
             int zones) {
         this.number = number;
-        this.arrivedAt = arrivedAt;
-        this.endsAt = endsAt;
+        this.arrivedAtMicros = arrivedAt;
+        this.deadlineMicros = endsAt;
         this.key = key;
         this.tenant = tenant;
-        this.beyondShare = beyondShare;
-        this.work = work;
-        this.luck = luck;
-        ranAt = new long[zones];
+        this.overQuota = beyondShare;
+        this.workMicros = work;
+        this.clientDraw = luck;
+        executedAtByZone = new long[zones];
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/ClientRequest.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientRequest.java
@@ -7,21 +7,21 @@
 /** One try of a client at one sidecar: a request with an id of its own. */
 public final class ClientRequest {
     public final String id;
-    public final ClientOperation wish;
-    public final long takenAt;
-    public final long deadline;
+    public final ClientOperation operation;
+    public final long receivedAtMicros;
+    public final long deadlineMicros;
 
     /** It has its final answer, or its client has gone. */
-    public boolean over;
+    public boolean finished;
 
-    int out;
+    int inFlight;
     final List<Attempt> attempts = new ArrayList<>(1);
 
     ClientRequest(String id, ClientOperation wish, long takenAt, long deadline) {
         this.id = id;
-        this.wish = wish;
-        this.takenAt = takenAt;
-        this.deadline = deadline;
+        this.operation = wish;
+        this.receivedAtMicros = takenAt;
+        this.deadlineMicros = deadline;
     }
 
     /** One sending of it to one server. */
@@ -54,14 +54,14 @@
                 long sentAt) {
             this.call = call;
             this.sidecar = sidecar;
-            this.life = sidecar.life();
+            this.life = sidecar.incarnation();
             this.number = number;
             this.server = server;
             this.sentAt = sentAt;
         }
 
         @Override
-        protected boolean knowsStart(EmulatedServer server) {
+        protected boolean senderKnowsStart(EmulatedServer server) {
             return sidecar.knowsStart(server);
         }
     }
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -2,7 +2,6 @@
 
 import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.AliasMethodDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
@@ -13,8 +12,11 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.RequestClass;
-import sagefall.emulator.EmulatedSidecar.Answer;
+import sagefall.scenario.ClientSettings;
+import sagefall.scenario.LoadSettings;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ServiceSettings;
+import sagefall.scenario.TenantSettings;
 
 /**
  * The clients: open arrivals at rates that change, and what each client does with the answer it
@@ -22,13 +24,27 @@
  */
 public final class ClientTraffic {
 
+    /**
+     * What the clients live in.
+     *
+     * @param events the clock, and the events to come
+     * @param sidecars one for each application
+     * @param accounting where the outcome of each operation is recorded
+     * @param network the links between clients and sidecars
+     */
+    public record Environment(
+            EventQueue events,
+            List<? extends SidecarHandle> sidecars,
+            ValueAccounting accounting,
+            EmulatedNetwork network) {}
+
     private final EventQueue loop;
     private final List<? extends SidecarHandle> sidecars;
     private final ValueAccounting ledger;
     private final EmulatedNetwork network;
     private final RequestClass rules;
-    private final Scenario.Clients clients;
-    private final Scenario.Service service;
+    private final ClientSettings clients;
+    private final ServiceSettings service;
     private final boolean repeatsAnything;
     private final long end;
 
@@ -38,13 +54,13 @@
     private final double swing;
     private final double wavePeriod;
     private final double perMicro;
-    private final double meanWork;
+    private final double meanWorkMicros;
     private final double spread;
     private final double[] sidecarWeight;
     private final double[] tenantWeight;
     private final double[] quota;
     private final double[] credit;
-    private long creditedAt = EventQueue.BEGIN;
+    private long creditedAt = EventQueue.START_MICROS;
 
     private final UniformRandomProvider arrivals;
     private final UniformRandomProvider figures;
@@ -61,26 +77,23 @@
      * What troubles change: all rates, those of zones and tenants, leavers, and clients that
      * insist.
      */
-    public double burst = 1;
+    public double rateFactor = 1;
 
-    public final double[] shift;
-    public final double[] surge;
-    public double leave;
-    public int stubborn;
+    public final double[] zoneFactors;
+    public final double[] tenantFactors;
+    public double disconnectShare;
+    public int immediateRetries;
 
     public ClientTraffic(
             Scenario scenario,
             RandomStreams draws,
-            EventQueue loop,
-            List<? extends SidecarHandle> sidecars,
-            ValueAccounting ledger,
-            EmulatedNetwork network,
+            Environment environment,
             RequestClass rules,
             double capacity) {
-        this.loop = loop;
-        this.sidecars = sidecars;
-        this.ledger = ledger;
-        this.network = network;
+        loop = environment.events();
+        sidecars = environment.sidecars();
+        ledger = environment.accounting();
+        network = environment.network();
         this.rules = rules;
         clients = scenario.clients();
         service = scenario.service();
@@ -88,17 +101,18 @@
                 rules.idempotency() == Idempotency.IDEMPOTENT
                         || (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                 && rules.deduplicationScope() == DeduplicationScope.ALL);
-        end = EventQueue.BEGIN + (long) (1e6 * scenario.seconds());
-        tryMicros = rules.deadlineMicros() * clients.tryShare().draw(draws, "clients.try");
-        waitMicros = 1000 * clients.waitMillis().draw(draws, "clients.wait");
-        honour = clients.honour().draw(draws, "clients.honour");
-        leave = clients.leave().draw(draws, "clients.leave");
-        Scenario.Load load = scenario.load();
-        swing = load.swing().draw(draws, "load.swing");
+        end = EventQueue.START_MICROS + (long) (1e6 * scenario.seconds());
+        tryMicros =
+                rules.deadlineMicros() * clients.attemptTimeoutShare().draw(draws, "clients.try");
+        waitMicros = 1000 * clients.backoffMillis().draw(draws, "clients.wait");
+        honour = clients.retryAfterCompliance().draw(draws, "clients.honour");
+        disconnectShare = clients.disconnectShare().draw(draws, "clients.leave");
+        LoadSettings load = scenario.load();
+        swing = load.rateSwing().draw(draws, "load.swing");
         wavePeriod = 1e6 * (10 + 20 * draws.stream("load.period").nextDouble());
-        meanWork = 1000 * service.workMillis().draw(draws, "service.work");
-        spread = service.spread().draw(draws, "service.spread");
-        perMicro = load.use().draw(draws, "load.use") * capacity / meanWork;
+        meanWorkMicros = 1000 * service.workMillis().draw(draws, "service.work");
+        spread = service.workVariation().draw(draws, "service.spread");
+        perMicro = load.utilization().draw(draws, "load.use") * capacity / meanWorkMicros;
 
         arrivals = draws.stream("arrivals");
         figures = draws.stream("figures");
@@ -106,13 +120,13 @@
         exponential = ZigguratSampler.Exponential.of(arrivals);
         keys =
                 RejectionInversionZipfSampler.of(
-                        figures, load.keys(), load.zipf().draw(draws, "load.zipf"));
+                        figures, load.keys(), load.zipfExponent().draw(draws, "load.zipf"));
         sidecarWeight = sidecarWeights(scenario, draws);
-        List<Scenario.Tenant> tenants = scenario.tenants();
+        List<TenantSettings> tenants = scenario.tenants();
         tenantWeight = new double[tenants.size()];
         quota = new double[tenants.size()];
         double quotas =
-                service.quotaOfCapacity().draw(draws, "service.quota") * capacity / meanWork;
+                service.quotaOfCapacity().draw(draws, "service.quota") * capacity / meanWorkMicros;
         for (int t = 0; t < quota.length; t++) {
             tenantWeight[t] =
                     tenants.get(t).share()
@@ -123,9 +137,9 @@
         for (int t = 0; t < credit.length; t++) {
             credit[t] *= 1e6;
         }
-        shift = ones(scenario.fleet().zones().size());
-        surge = ones(quota.length);
-        reweigh();
+        zoneFactors = ones(scenario.fleet().zones().size());
+        tenantFactors = ones(quota.length);
+        updateWeights();
     }
 
     private static double[] ones(int count) {
@@ -143,7 +157,7 @@
                         zones,
                         scenario.load().zoneSkew().draw(draws, "load.zone_skew"),
                         draws.stream("load.zones"));
-        double cv = scenario.load().unlike().draw(draws, "load.unlike");
+        double cv = scenario.load().sidecarVariation().draw(draws, "load.unlike");
         double sigma = Math.sqrt(Math.log(1 + cv * cv));
         double[] weights = new double[scenario.fleet().sidecars()];
         double[] sums = new double[zones];
@@ -158,18 +172,18 @@
     }
 
     /** Mean work of a request, in microseconds on a core of speed 1. */
-    public double meanWork() {
-        return meanWork;
+    public double meanWorkMicros() {
+        return meanWorkMicros;
     }
 
     /** A trouble has changed who has how much traffic. */
-    public void reweigh() {
+    public void updateWeights() {
         double[] bySidecar = sidecarWeight.clone();
         double all = 0;
         double shifted = 0;
         for (int i = 0; i < bySidecar.length; i++) {
             all += bySidecar[i];
-            bySidecar[i] *= shift[sidecars.get(i).zone()];
+            bySidecar[i] *= zoneFactors[sidecars.get(i).zone()];
             shifted += bySidecar[i];
         }
         double[] byTenant = tenantWeight.clone();
@@ -177,7 +191,7 @@
         double surged = 0;
         for (int t = 0; t < byTenant.length; t++) {
             tenants += byTenant[t];
-            byTenant[t] *= surge[t];
+            byTenant[t] *= tenantFactors[t];
             surged += byTenant[t];
         }
         weight = shifted / all * surged / tenants;
@@ -185,20 +199,26 @@
         whichTenant = AliasMethodDiscreteSampler.of(figures, byTenant);
     }
 
-    public void begin() {
+    public void start() {
         next();
     }
 
     private void next() {
         double wave =
-                1 + swing * Math.sin(2 * Math.PI * (loop.now() - EventQueue.BEGIN) / wavePeriod);
-        double rate = perMicro * weight * burst * wave;
+                1
+                        + swing
+                                * Math.sin(
+                                        2
+                                                * Math.PI
+                                                * (loop.now() - EventQueue.START_MICROS)
+                                                / wavePeriod);
+        double rate = perMicro * weight * rateFactor * wave;
         long at =
                 rate <= 0
                         ? loop.now() + 1000
                         : loop.now() + (long) Math.ceil(exponential.sample() / rate);
         if (at < end) {
-            loop.at(
+            loop.scheduleAt(
                     at,
                     () -> {
                         if (rate > 0) {
@@ -211,11 +231,11 @@
 
     private double work() {
         return switch (service.distribution()) {
-            case "constant" -> meanWork;
-            case "exponential" -> meanWork * -Math.log(1 - figures.nextDouble());
+            case "constant" -> meanWorkMicros;
+            case "exponential" -> meanWorkMicros * -Math.log(1 - figures.nextDouble());
             default -> {
                 double sigma = Math.sqrt(Math.log(1 + spread * spread));
-                yield meanWork * Math.exp(sigma * gauss.sample() - sigma * sigma / 2);
+                yield meanWorkMicros * Math.exp(sigma * gauss.sample() - sigma * sigma / 2);
             }
         };
     }
@@ -233,7 +253,7 @@
                         beyond(tenant),
                         work(),
                         figures.nextDouble(),
-                        shift.length);
+                        zoneFactors.length);
         wish.sidecar = sidecars.get(whichSidecar.sample());
         ledger.asked(wish);
         tryOnce(wish);
@@ -253,68 +273,68 @@
     }
 
     private void tryOnce(ClientOperation wish) {
-        wish.tries++;
+        wish.tryCount++;
         ledger.tries++;
         SidecarHandle sidecar = at(wish.sidecar);
-        if (!sidecar.up()) {
-            sidecar.missed(wish);
+        if (!sidecar.isUp()) {
+            sidecar.onUnreachable(wish);
             ledger.answer("unreachable");
             again(wish, 0, "sidecar down");
             return;
         }
-        long deadline = Math.min(wish.endsAt, loop.now() + (long) tryMicros);
+        long deadline = Math.min(wish.deadlineMicros, loop.now() + (long) tryMicros);
         ClientRequest call =
                 new ClientRequest(
-                        sidecar.prefix() + String.format("%010x", ++ids),
+                        sidecar.requestIdPrefix() + String.format("%010x", ++ids),
                         wish,
                         loop.now(),
                         deadline);
-        double mine = (wish.luck * 7919 + wish.tries * 0.618) % 1;
-        if (mine < leave) {
-            loop.in(
-                    (long) (tryMicros * mine / Math.max(leave, 1e-9)),
+        double mine = (wish.clientDraw * 7919 + wish.tryCount * 0.618) % 1;
+        if (mine < disconnectShare) {
+            loop.scheduleAfter(
+                    (long) (tryMicros * mine / Math.max(disconnectShare, 1e-9)),
                     () -> {
-                        if (!call.over) {
-                            sidecar.leave(call);
+                        if (!call.finished) {
+                            sidecar.disconnectClient(call);
                             lose(wish, "client left");
                         }
                     });
         }
-        sidecar.take(call, wish.tries > 1 && clients.marksRetries());
+        sidecar.submit(call, wish.tryCount > 1 && clients.marksRetries());
     }
 
     /** A planned restart takes the application with it: its clients go to the next of its zone. */
     private SidecarHandle at(SidecarHandle sidecar) {
-        int zones = shift.length;
-        for (int i = 0; sidecar.leaving() && i < sidecars.size(); i++) {
+        int zones = zoneFactors.length;
+        for (int i = 0; sidecar.isDraining() && i < sidecars.size(); i++) {
             sidecar = sidecars.get((sidecar.index() + zones) % sidecars.size());
         }
         return sidecar;
     }
 
     /** The client of a call hears its final answer. */
-    public void answer(ClientRequest call, Answer kind, RejectionReason why, long retryMicros) {
-        answer(
+    public void deliverAnswer(
+            ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros) {
+        deliverAnswer(
                 call,
                 kind,
-                why == null
-                        ? "unanswered"
-                        : kind.name().toLowerCase(Locale.ROOT) + " " + why.label(),
+                why == null ? "unanswered" : kind.label() + " " + why.label(),
                 retryMicros);
     }
 
     /** The same in words, where no more than a status is told. */
-    public void answer(ClientRequest call, Answer kind, String word, long retryMicros) {
-        loop.in(
+    public void deliverAnswer(
+            ClientRequest call, ClientAnswer kind, String word, long retryMicros) {
+        loop.scheduleAfter(
                 network.clientWay(),
                 () -> {
-                    ClientOperation wish = call.wish;
-                    if (kind == Answer.SERVED) {
+                    ClientOperation wish = call.operation;
+                    if (kind == ClientAnswer.SERVED) {
                         served(wish);
                         return;
                     }
                     ledger.answer(word);
-                    if (kind == Answer.REFUSED || repeatsAnything) {
+                    if (kind == ClientAnswer.REJECTED || repeatsAnything) {
                         again(wish, retryMicros, word);
                     } else {
                         lose(wish, word);
@@ -323,11 +343,11 @@
     }
 
     private void served(ClientOperation wish) {
-        if (wish.over) {
+        if (wish.finished) {
             return;
         }
-        wish.over = true;
-        long micros = loop.now() - wish.arrivedAt;
+        wish.finished = true;
+        long micros = loop.now() - wish.arrivedAtMicros;
         ledger.answered(wish, micros);
         if (micros <= rules.latencyObjectiveMicros()) {
             ledger.served(wish);
@@ -337,37 +357,39 @@
     }
 
     /** The sidecar died with the call in hand. */
-    public void dropped(ClientRequest call) {
+    public void onSidecarKilled(ClientRequest call) {
         if (repeatsAnything) {
-            again(call.wish, 0, "sidecar killed");
+            again(call.operation, 0, "sidecar killed");
         } else {
-            lose(call.wish, "sidecar killed");
+            lose(call.operation, "sidecar killed");
         }
     }
 
     private void again(ClientOperation wish, long retryMicros, String why) {
-        if (wish.over) {
+        if (wish.finished) {
             return;
         }
-        boolean insists = stubborn > 0;
+        boolean insists = immediateRetries > 0;
         double wait = insists ? 0 : waitMicros;
-        if (!insists && wish.luck < honour) {
+        if (!insists && wish.clientDraw < honour) {
             wait = Math.max(wait, (double) retryMicros);
         }
-        if (wish.tries > (insists ? stubborn : clients.retries())
+        if (wish.tryCount > (insists ? immediateRetries : clients.maxRetries())
                 || loop.now() + wait
                         >= Math.min(
-                                wish.endsAt, wish.arrivedAt + rules.latencyObjectiveMicros() * 2)) {
+                                wish.deadlineMicros,
+                                wish.arrivedAtMicros + rules.latencyObjectiveMicros() * 2)) {
             lose(wish, why);
             return;
         }
-        loop.in((long) wait + 1, () -> tryOnce(wish));
+        loop.scheduleAfter((long) wait + 1, () -> tryOnce(wish));
     }
 
     private void lose(ClientOperation wish, String why) {
-        if (!wish.over) {
-            wish.over = true;
-            ledger.lost(wish, why, loop.now() - wish.arrivedAt > rules.latencyObjectiveMicros());
+        if (!wish.finished) {
+            wish.finished = true;
+            ledger.lost(
+                    wish, why, loop.now() - wish.arrivedAtMicros > rules.latencyObjectiveMicros());
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
@@ -8,7 +8,7 @@
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
-import sagefall.scenario.Scenario;
+import sagefall.scenario.DiscoverySettings;
 
 /**
  * What is known of the servers, and when each sidecar hears of it: a change is noticed after a
@@ -31,42 +31,42 @@
     private final long[] lag;
 
     /** Who hears of no change; how many troubles keep it from that. */
-    private final int[] deaf;
+    private final int[] suppressions;
 
     /**
      * How many times as long everything takes; and how many troubles keep it from saying anything.
      */
-    public double late = 1;
+    public double delayFactor = 1;
 
-    public int down;
+    public int outages;
 
     public EmulatedDiscovery(
-            Scenario.Listing listing,
+            DiscoverySettings listing,
             RandomStreams draws,
             EventQueue loop,
             List<? extends EndpointListSubscriber> sidecars) {
         this.loop = loop;
         this.sidecars = sidecars;
-        notice = 1e6 * listing.noticeSeconds().draw(draws, "discovery.notice");
-        silent = 1e6 * listing.silentSeconds().draw(draws, "discovery.silent");
-        add = 1e6 * listing.addSeconds().draw(draws, "discovery.add");
-        period = (long) (1000 * listing.periodMillis().draw(draws, "discovery.period"));
-        double spread = 1000 * listing.spreadMillis().draw(draws, "discovery.spread");
+        notice = 1e6 * listing.detectionSeconds().draw(draws, "discovery.notice");
+        silent = 1e6 * listing.silentDetectionSeconds().draw(draws, "discovery.silent");
+        add = 1e6 * listing.registrationSeconds().draw(draws, "discovery.add");
+        period = (long) (1000 * listing.publishIntervalMillis().draw(draws, "discovery.period"));
+        double spread = 1000 * listing.propagationSpreadMillis().draw(draws, "discovery.spread");
         random = draws.stream("discovery.lag");
         lag = new long[sidecars.size()];
-        deaf = new int[lag.length];
+        suppressions = new int[lag.length];
         for (int i = 0; i < lag.length; i++) {
             lag[i] = (long) (spread * random.nextDouble());
         }
     }
 
     /** Before the day begins. */
-    public void first(Iterable<EmulatedServer> servers) {
+    public void initialize(Iterable<EmulatedServer> servers) {
         servers.forEach(s -> known.put(s.id, line(s, EndpointPhase.READY)));
-        loop.in(period, this::publish);
+        loop.scheduleAfter(period, this::publish);
     }
 
-    public List<ListedEndpoint> list() {
+    public List<ListedEndpoint> endpointList() {
         return new ArrayList<>(known.values());
     }
 
@@ -74,17 +74,17 @@
         return new ListedEndpoint(
                 s.id,
                 s.zone,
-                s.make.kind(),
+                s.spec.machineType(),
                 s.cell,
                 phase,
-                s.startedAt,
-                s.make.cores() * s.make.speed());
+                s.startedAtMicros,
+                s.spec.cores() * s.spec.speed());
     }
 
     /** A server has started. */
-    public void started(EmulatedServer s) {
+    public void serverStarted(EmulatedServer s) {
         int epoch = s.epoch;
-        loop.in(
+        loop.scheduleAfter(
                 after(add),
                 () -> {
                     if (epoch == s.epoch && s.state == EmulatedServer.State.UP) {
@@ -94,8 +94,8 @@
     }
 
     /** A server is to be replaced. */
-    public void draining(EmulatedServer s) {
-        loop.in(
+    public void serverDraining(EmulatedServer s) {
+        loop.scheduleAfter(
                 after(notice),
                 () -> {
                     ListedEndpoint now = known.get(s.id);
@@ -109,9 +109,9 @@
      * A server's process has ended; known once it is noticed that it does not run, if it still does
      * not.
      */
-    public void ended(EmulatedServer s) {
+    public void serverStopped(EmulatedServer s) {
         int epoch = s.epoch;
-        loop.in(
+        loop.scheduleAfter(
                 after(s.state == EmulatedServer.State.SILENT ? silent : notice),
                 () -> {
                     if (epoch == s.epoch
@@ -124,12 +124,12 @@
 
     /** One server is noticed sooner, another later. */
     private long after(double micros) {
-        return (long) (micros * late * (1 - UNLIKE + 2 * UNLIKE * random.nextDouble()));
+        return (long) (micros * delayFactor * (1 - UNLIKE + 2 * UNLIKE * random.nextDouble()));
     }
 
     /** From when all sidecars have heard of what is to drain, at the latest. */
-    public long settled() {
-        return (long) (notice * late * (1 + UNLIKE)) + period + 1_000_000;
+    public long propagationMicros() {
+        return (long) (notice * delayFactor * (1 + UNLIKE)) + period + 1_000_000;
     }
 
     private void change(ListedEndpoint line) {
@@ -142,44 +142,44 @@
     }
 
     private void publish() {
-        if (!changed.isEmpty() && down == 0) {
+        if (!changed.isEmpty() && outages == 0) {
             List<ListedEndpoint> lines = List.copyOf(changed.values());
             changed.clear();
             for (EndpointListSubscriber s : sidecars) {
-                int life = s.life();
-                loop.in(
-                        (long) (lag[s.index()] * late),
+                int life = s.incarnation();
+                loop.scheduleAfter(
+                        (long) (lag[s.index()] * delayFactor),
                         () -> {
-                            if (life == s.life() && deaf[s.index()] == 0) {
-                                s.list(EndpointListKind.CHANGES, lines);
+                            if (life == s.incarnation() && suppressions[s.index()] == 0) {
+                                s.onEndpointList(EndpointListKind.CHANGES, lines);
                             }
                         });
             }
         }
-        loop.in(period, this::publish);
+        loop.scheduleAfter(period, this::publish);
     }
 
     /** From now on, or no longer, one hears of no change; in the end it gets the whole list. */
-    public void deaf(EndpointListSubscriber s, boolean on) {
-        deaf[s.index()] += on ? 1 : -1;
-        if (!on && deaf[s.index()] == 0) {
-            ask(s);
+    public void setUpdatesSuppressed(EndpointListSubscriber s, boolean on) {
+        suppressions[s.index()] += on ? 1 : -1;
+        if (!on && suppressions[s.index()] == 0) {
+            requestFullList(s);
         }
     }
 
     /** A sidecar that has just started asks for the whole list. */
-    public void ask(EndpointListSubscriber s) {
-        int life = s.life();
-        loop.in(
+    public void requestFullList(EndpointListSubscriber s) {
+        int life = s.incarnation();
+        loop.scheduleAfter(
                 lag[s.index()] / 4 + 1,
                 () -> {
-                    if (life != s.life()) {
+                    if (life != s.incarnation()) {
                         return;
                     }
-                    if (down > 0 || deaf[s.index()] > 0) {
-                        ask(s);
+                    if (outages > 0 || suppressions[s.index()] > 0) {
+                        requestFullList(s);
                     } else {
-                        s.list(EndpointListKind.COMPLETE, list());
+                        s.onEndpointList(EndpointListKind.COMPLETE, endpointList());
                     }
                 });
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
@@ -1,7 +1,7 @@
 package sagefall.emulator;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import sagefall.scenario.Scenario;
+import sagefall.scenario.NetworkSettings;
 
 /**
  * The ways between zones: latency, jitter, and cuts in one or both directions. What meets a cut is
@@ -17,9 +17,9 @@
     private final UniformRandomProvider random;
     private final int[][] cuts;
 
-    public EmulatedNetwork(Scenario.Net net, RandomStreams draws, int zones) {
-        same = 1000 * net.sameMillis().draw(draws, "net.same");
-        cross = 1000 * net.crossMillis().draw(draws, "net.cross");
+    public EmulatedNetwork(NetworkSettings net, RandomStreams draws, int zones) {
+        same = 1000 * net.sameZoneMillis().draw(draws, "net.same");
+        cross = 1000 * net.crossZoneMillis().draw(draws, "net.cross");
         client = 1000 * net.clientMillis().draw(draws, "net.client");
         jitter = net.jitter().draw(draws, "net.jitter");
         random = draws.stream("net");
@@ -27,12 +27,12 @@
     }
 
     /** Microseconds of one way. */
-    public long way(int from, int to) {
-        return way(from, to, random);
+    public long oneWayMicros(int from, int to) {
+        return oneWayMicros(from, to, random);
     }
 
     /** The same by other random numbers. */
-    public long way(int from, int to, UniformRandomProvider chances) {
+    public long oneWayMicros(int from, int to, UniformRandomProvider chances) {
         double base = from == to ? same : cross;
         return 1 + (long) (base * (1 - jitter * Math.log(1 - chances.nextDouble())));
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -22,43 +22,6 @@
         DEAD
     }
 
-    /** What a server is made of. Speeds are relative to a core of 1. */
-    public record Make(
-            int kind,
-            int cores,
-            double speed,
-            int slots,
-            int queue,
-            double thrash,
-            double thrashAt,
-            double coldFrom,
-            long coldMicros,
-            boolean warmsByWork,
-            double errors,
-            long pauseEvery,
-            long pauseMicros,
-            int connections,
-            double tableTax,
-            int keys,
-            double keyGain,
-            long keyMicros,
-            long reportMicros) {}
-
-    /** What becomes of attempts at a server. */
-    public interface Floor {
-        /** An attempt has been worked on to its end. */
-        void done(Job job);
-
-        /** The process ended under an attempt, and the other side hears of it. */
-        void broken(Job job);
-
-        /**
-         * A cold server was sent more than it bears; told is the part from sidecars that knew it as
-         * new.
-         */
-        void fell(EmulatedServer server, double told);
-    }
-
     private static final long COLD_STEP = 50_000;
 
     /**
@@ -70,25 +33,25 @@
     public final long id;
     public final int zone;
     public final int cell;
-    public final Make make;
+    public final ServerSpec spec;
     private final EventQueue loop;
-    private final Floor floor;
-    private final double[] sharedSlow;
+    private final ServerListener floor;
+    private final SharedSlowdown sharedSlow;
 
     public State state = State.UP;
     int epoch;
 
     /** Of its process; 0 means long ago. */
-    public long startedAt;
+    public long startedAtMicros;
 
     /** Whether its last end was told to the other side of its connections. */
     boolean endedSilently;
 
     public int connections;
-    public double slow = 1;
-    public double stolen;
-    public double errors;
-    public int pauses;
+    public double slowdown = 1;
+    public double stolenShare;
+    public double errorRate;
+    public int activePauses;
 
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
@@ -103,23 +66,21 @@
     private double warmed;
 
     public EmulatedServer(
-            long id,
-            int zone,
-            int cell,
-            Make make,
+            ServerIdentity identity,
+            ServerSpec spec,
             EventQueue loop,
-            double[] sharedSlow,
-            Floor floor) {
-        this.id = id;
-        this.zone = zone;
-        this.cell = cell;
-        this.make = make;
+            SharedSlowdown sharedSlow,
+            ServerListener floor) {
+        this.id = identity.id();
+        this.zone = identity.zone();
+        this.cell = identity.cell();
+        this.spec = spec;
         this.loop = loop;
         this.sharedSlow = sharedSlow;
         this.floor = floor;
-        errors = make.errors;
+        errorRate = spec.errorRate();
         advancedAt = loop.now();
-        figures = new LoadReportSampler(make.cores, make.reportMicros, loop.now());
+        figures = new LoadReportSampler(spec.cores(), spec.reportIntervalMicros(), loop.now());
         rate = rate();
         keys =
                 new LinkedHashMap<>(16, 0.75f, true) {
@@ -127,13 +88,13 @@
 
                     @Override
                     protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-                        return size() > make.keys;
+                        return size() > spec.cachedKeys();
                     }
                 };
     }
 
     /** What it bears while it is cold; without one it bears anything. */
-    public void bears(SlowStartBudget cold) {
+    public void setSlowStartBudget(SlowStartBudget cold) {
         budget = cold;
     }
 
@@ -141,41 +102,48 @@
 
     /** Work that a core gets done in a microsecond. */
     private double rate() {
-        if (pauses > 0) {
+        if (activePauses > 0) {
             return 0;
         }
         double held = running.size() + waiting.size();
-        double crowd = Math.max(0, held / make.cores - make.thrashAt);
-        double table = 1 - make.tableTax * Math.min(1, connections / (double) make.connections);
-        return make.speed
-                * warmth(loop.now() + COLD_STEP / 2)
-                * (1 - stolen)
+        double crowd = Math.max(0, held / spec.cores() - spec.contentionThreshold());
+        double table =
+                1
+                        - spec.connectionTableCost()
+                                * Math.min(1, connections / (double) spec.maxConnections());
+        return spec.speed()
+                * capacityShareAt(loop.now() + COLD_STEP / 2)
+                * (1 - stolenShare)
                 * table
-                / (slow * sharedSlow[0] * (1 + make.thrash * crowd));
+                / (slowdown * sharedSlow.factor * (1 + spec.contentionPenalty() * crowd));
     }
 
     /**
      * From its cold share to 1, evenly in time or, if that is sooner, in the work that it has done.
      */
-    public double warmth(long at) {
-        if (startedAt == 0) {
+    public double capacityShareAt(long at) {
+        if (startedAtMicros == 0) {
             return 1;
         }
-        double time = (at - startedAt) / (double) Math.max(1, make.coldMicros);
+        double time = (at - startedAtMicros) / (double) Math.max(1, spec.slowStartMicros());
         double work =
-                make.warmsByWork
-                        ? warmed / (WARM_WORK * make.coldMicros * make.cores * make.speed)
+                spec.warmsUpByWork()
+                        ? warmed
+                                / (WARM_WORK * spec.slowStartMicros() * spec.cores() * spec.speed())
                         : 0;
-        return Math.min(1, make.coldFrom + (1 - make.coldFrom) * Math.max(time, work));
+        return Math.min(
+                1,
+                spec.initialCapacityShare()
+                        + (1 - spec.initialCapacityShare()) * Math.max(time, work));
     }
 
     private boolean cold() {
-        return startedAt != 0 && warmth(loop.now()) < 1;
+        return startedAtMicros != 0 && capacityShareAt(loop.now()) < 1;
     }
 
     /** Work that all cores together get done in a microsecond, as it is now; 0 while it can't. */
     double capacity() {
-        return state == State.UP ? Math.min(make.slots, make.cores) * rate() : 0;
+        return state == State.UP ? Math.min(spec.slots(), spec.cores()) * rate() : 0;
     }
 
     /** Work that it has taken and not done. */
@@ -183,43 +151,45 @@
         advance();
         double sum = 0;
         for (Job a : running) {
-            sum += a.left;
+            sum += a.remainingMicros;
         }
         for (Job a : waiting) {
-            sum += a.left;
+            sum += a.remainingMicros;
         }
         return sum;
     }
 
     /** Requests that it holds. */
-    public int held() {
+    public int heldRequests() {
         return running.size() + waiting.size();
     }
 
     // ---- Work
 
     /** A request has come whole; whether there is room for it. */
-    public boolean take(Job a) {
+    public boolean accept(Job a) {
         if (cold() && fall(a)) {
             return false;
         }
-        if (running.size() >= make.slots && waiting.size() >= make.queue) {
+        if (running.size() >= spec.slots() && waiting.size() >= spec.queueCapacity()) {
             return false;
         }
         advance();
-        if (running.size() < make.slots) {
+        if (running.size() < spec.slots()) {
             running.add(a);
         } else {
             waiting.add(a);
         }
-        settle();
+        reschedule();
         return true;
     }
 
     /** Whether a key was met so lately that its work is less; it has been met now. */
-    public double keyed(long key) {
-        Long last = make.keys == 0 ? null : keys.put(key, loop.now());
-        return last != null && loop.now() - last <= make.keyMicros ? 1 - make.keyGain : 1;
+    public double workFactorForKey(long key) {
+        Long last = spec.cachedKeys() == 0 ? null : keys.put(key, loop.now());
+        return last != null && loop.now() - last <= spec.keyLifetimeMicros()
+                ? 1 - spec.cachedKeySaving()
+                : 1;
     }
 
     private void advance() {
@@ -229,17 +199,17 @@
             return;
         }
         // A slot is a core or a part of one.
-        double each = micros * rate * Math.min(1, make.cores / (double) running.size());
+        double each = micros * rate * Math.min(1, spec.cores() / (double) running.size());
         for (Job a : running) {
-            a.left -= each;
+            a.remainingMicros -= each;
         }
-        double cores = Math.min(make.cores, running.size());
+        double cores = Math.min(spec.cores(), running.size());
         figures.busy(micros * cores);
         warmed += micros * rate * cores;
     }
 
     /** Something has changed: plans when the next request will be done. */
-    public void settle() {
+    public void reschedule() {
         advance();
         rate = rate();
         int mine = ++plan;
@@ -248,15 +218,15 @@
         }
         double least = Double.POSITIVE_INFINITY;
         for (Job a : running) {
-            least = Math.min(least, a.left);
+            least = Math.min(least, a.remainingMicros);
         }
-        double each = rate * Math.min(1, make.cores / (double) Math.max(1, running.size()));
+        double each = rate * Math.min(1, spec.cores() / (double) Math.max(1, running.size()));
         double micros = rate == 0 ? Double.POSITIVE_INFINITY : Math.ceil(Math.max(0, least) / each);
         if (cold()) {
             micros = Math.min(micros, COLD_STEP);
         }
         if (micros < 1e15) {
-            loop.in(
+            loop.scheduleAfter(
                     (long) micros,
                     () -> {
                         if (mine == plan) {
@@ -270,24 +240,24 @@
         advance();
         for (int i = 0; i < running.size(); ) {
             Job a = running.get(i);
-            if (a.left > 1e-6) {
+            if (a.remainingMicros > 1e-6) {
                 i++;
                 continue;
             }
             running.remove(i);
-            figures.served(a.work / Math.max(1e-9, rate));
+            figures.served(a.workMicros / Math.max(1e-9, rate));
             if (!waiting.isEmpty()) {
                 running.add(waiting.poll());
             }
-            floor.done(a);
+            floor.onJobDone(a);
         }
-        settle();
+        reschedule();
     }
 
     // ---- Its process
 
     /** The process ends, or its machine vanishes; what it held is gone. */
-    public void end(boolean silently) {
+    public void stop(boolean silently) {
         advance();
         state = silently ? State.SILENT : State.DEAD;
         endedSilently = silently;
@@ -301,7 +271,7 @@
         if (silently) {
             hanging.addAll(lost);
         } else {
-            lost.forEach(floor::broken);
+            lost.forEach(floor::onJobAborted);
         }
     }
 
@@ -314,7 +284,7 @@
     public void start() {
         state = State.UP;
         epoch++;
-        startedAt = loop.now();
+        startedAtMicros = loop.now();
         warmed = 0;
         if (budget != null) {
             budget.clear();
@@ -322,24 +292,25 @@
         advancedAt = loop.now();
         List<Job> lost = new ArrayList<>(hanging);
         hanging.clear();
-        lost.forEach(floor::broken);
-        settle();
+        lost.forEach(floor::onJobAborted);
+        reschedule();
     }
 
     /** Books what is sent to it while it is cold; whether it falls over by that. */
     private boolean fall(Job a) {
-        double capacity = make.cores * make.speed * warmth(loop.now());
-        if (budget == null || !budget.spent(loop.now(), a.knowsStart(this), capacity)) {
+        double capacity = spec.cores() * spec.speed() * capacityShareAt(loop.now());
+        if (budget == null
+                || !budget.recordAndCheckExceeded(loop.now(), a.senderKnowsStart(this), capacity)) {
             return false;
         }
-        double told = budget.told();
-        end(false);
-        floor.fell(this, told);
+        double told = budget.informedShare();
+        stop(false);
+        floor.onSlowStartOverload(this, told);
         return true;
     }
 
     /** What it reports of itself. */
-    public LoadReport report() {
+    public LoadReport loadReport() {
         advance();
         return figures.report(loop.now());
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -47,7 +47,7 @@
         void carry(Attempt attempt);
 
         /** The client hears. */
-        void answer(ClientRequest call, Answer kind, RejectionReason why, long retryMicros);
+        void answer(ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros);
 
         double idleMicros();
 
@@ -58,13 +58,6 @@
         long graceMicros();
     }
 
-    /** Final answers. */
-    public enum Answer {
-        SERVED,
-        REFUSED,
-        FAILED
-    }
-
     /** Idle connections to one server's process, the one used last on top. */
     private static final class Idle {
         final ArrayDeque<long[]> since = new ArrayDeque<>();
@@ -102,22 +95,22 @@
     }
 
     @Override
-    public boolean up() {
+    public boolean isUp() {
         return up;
     }
 
     @Override
-    public boolean leaving() {
+    public boolean isDraining() {
         return leaving;
     }
 
     @Override
-    public String prefix() {
+    public String requestIdPrefix() {
         return prefix;
     }
 
     @Override
-    public int life() {
+    public int incarnation() {
         return life;
     }
 
@@ -127,7 +120,7 @@
 
     boolean knowsStart(EmulatedServer server) {
         Told t = told.get(server.id);
-        return t != null && t.startMicros == server.startedAt;
+        return t != null && t.startMicros == server.startedAtMicros;
     }
 
     // ---- Its life
@@ -141,7 +134,8 @@
         told.clear();
         calls.clear();
         module = world.module(this);
-        list(EndpointListKind.CACHED, held.isEmpty() ? first : new ArrayList<>(held.values()));
+        onEndpointList(
+                EndpointListKind.CACHED, held.isEmpty() ? first : new ArrayList<>(held.values()));
     }
 
     /** The process ends at once; its connections end with it, and clients hear nothing more. */
@@ -175,7 +169,7 @@
     // ---- Events
 
     @Override
-    public void list(EndpointListKind kind, List<ListedEndpoint> lines) {
+    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> lines) {
         if (module == null) {
             return;
         }
@@ -211,12 +205,12 @@
     }
 
     @Override
-    public void take(ClientRequest call, boolean repeat) {
+    public void submit(ClientRequest call, boolean repeat) {
         EventQueue loop = world.loop();
         calls.put(call.id, call);
         int mine = life;
-        loop.at(
-                call.deadline,
+        loop.scheduleAt(
+                call.deadlineMicros,
                 () -> {
                     if (mine == life) {
                         deadline(call);
@@ -225,7 +219,13 @@
         module.onRequest(
                 loop.now(),
                 new Request(
-                        call.id, 0, call.wish.tenant, repeat, call.wish.key, call.deadline, true));
+                        call.id,
+                        0,
+                        call.operation.tenant,
+                        repeat,
+                        call.operation.key,
+                        call.deadlineMicros,
+                        true));
     }
 
     private void deadline(ClientRequest call) {
@@ -237,34 +237,34 @@
         }
         int mine = life;
         world.loop()
-                .in(
+                .scheduleAfter(
                         world.graceMicros(),
                         () -> {
-                            if (mine == life && !call.over) {
+                            if (mine == life && !call.finished) {
                                 world.rules()
                                         .breach(
                                                 InvariantChecker.Rule.ONE_ANSWER,
                                                 call.id,
                                                 -1,
                                                 index);
-                                leave(call);
-                                world.answer(call, Answer.FAILED, null, 0);
+                                disconnectClient(call);
+                                world.answer(call, ClientAnswer.FAILED, null, 0);
                             }
                         });
     }
 
     @Override
-    public void leave(ClientRequest call) {
-        if (call.over || module == null) {
+    public void disconnectClient(ClientRequest call) {
+        if (call.finished || module == null) {
             return;
         }
-        call.over = true;
+        call.finished = true;
         module.onClientDisconnected(world.loop().now(), call.id);
         forget(call);
     }
 
     private void forget(ClientRequest call) {
-        if (call.over && call.out == 0) {
+        if (call.finished && call.inFlight == 0) {
             calls.remove(call.id);
         }
     }
@@ -276,7 +276,7 @@
         }
         a.result = result;
         ClientRequest call = a.call;
-        call.out--;
+        call.inFlight--;
         long now = world.loop().now();
         boolean keep =
                 result == AttemptResult.SERVED
@@ -289,15 +289,21 @@
         } else {
             disconnect(a.server, a.epoch);
         }
-        if (result == AttemptResult.SERVED && !call.over) {
-            call.over = true;
+        if (result == AttemptResult.SERVED && !call.finished) {
+            call.finished = true;
             a.used = true;
-            world.answer(call, Answer.SERVED, null, 0);
+            world.answer(call, ClientAnswer.SERVED, null, 0);
         }
         module.onAttemptOutcome(
                 now,
                 new AttemptOutcome(
-                        call.id, a.number, a.server.id, result, now - a.sentAt, call.over, report));
+                        call.id,
+                        a.number,
+                        a.server.id,
+                        result,
+                        now - a.sentAt,
+                        call.finished,
+                        report));
         forget(call);
     }
 
@@ -341,21 +347,22 @@
         }
         a.fresh = true;
         EmulatedNetwork net = world.network();
-        long there = net.way(zone, server.zone);
+        long there = net.oneWayMicros(zone, server.zone);
         if (net.cut(zone, server.zone)
                 || net.cut(server.zone, zone)
                 || server.state == EmulatedServer.State.SILENT) {
-            loop.in(world.setupLimitMicros(), () -> end(a, AttemptResult.NO_CONNECTION, null));
+            loop.scheduleAfter(
+                    world.setupLimitMicros(), () -> end(a, AttemptResult.NO_CONNECTION, null));
             return;
         }
         if (server.state == EmulatedServer.State.DEAD
-                || server.connections >= server.make.connections()) {
-            loop.in(2 * there, () -> end(a, AttemptResult.NO_CONNECTION, null));
+                || server.connections >= server.spec.maxConnections()) {
+            loop.scheduleAfter(2 * there, () -> end(a, AttemptResult.NO_CONNECTION, null));
             return;
         }
         a.epoch = server.epoch;
         server.connections++;
-        loop.in(
+        loop.scheduleAfter(
                 (long) (2 * there * world.setupTrips()),
                 () -> {
                     if (a.result == null && a.life == life) {
@@ -382,13 +389,13 @@
         Attempt a = new Attempt(call, this, call.attempts.size(), server, loop.now());
         a.latestAt = latestMicros;
         call.attempts.add(a);
-        call.out++;
-        if (call.over || loop.now() >= call.deadline) {
-            loop.in(1, () -> end(a, AttemptResult.NOT_SENT, null));
+        call.inFlight++;
+        if (call.finished || loop.now() >= call.deadlineMicros) {
+            loop.scheduleAfter(1, () -> end(a, AttemptResult.NOT_SENT, null));
             return;
         }
-        if (timeoutMicros > 0 && loop.now() + timeoutMicros < call.deadline) {
-            loop.in(timeoutMicros, () -> end(a, AttemptResult.TIMED_OUT, null));
+        if (timeoutMicros > 0 && loop.now() + timeoutMicros < call.deadlineMicros) {
+            loop.scheduleAfter(timeoutMicros, () -> end(a, AttemptResult.TIMED_OUT, null));
         }
         connect(a);
     }
@@ -397,21 +404,22 @@
     public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
         ClientRequest call = calls.get(requestId);
         world.rules().refused(this, call, requestId);
-        finish(call, Answer.REFUSED, why, retryAfterMicros);
+        finish(call, ClientAnswer.REJECTED, why, retryAfterMicros);
     }
 
     @Override
     public void fail(String requestId, RejectionReason why) {
         ClientRequest call = calls.get(requestId);
         world.rules().named(this, requestId);
-        finish(call, Answer.FAILED, why, 0);
+        finish(call, ClientAnswer.FAILED, why, 0);
     }
 
-    private void finish(ClientRequest call, Answer kind, RejectionReason why, long retryMicros) {
-        if (call == null || call.over) {
+    private void finish(
+            ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros) {
+        if (call == null || call.finished) {
             return;
         }
-        call.over = true;
+        call.finished = true;
         world.answer(call, kind, why, retryMicros);
         forget(call);
     }
@@ -421,7 +429,9 @@
         ClientRequest call = calls.get(requestId);
         if (call != null && attempt >= 0 && attempt < call.attempts.size()) {
             world.loop()
-                    .in(1, () -> end(call.attempts.get(attempt), AttemptResult.CANCELLED, null));
+                    .scheduleAfter(
+                            1,
+                            () -> end(call.attempts.get(attempt), AttemptResult.CANCELLED, null));
         }
     }
 
@@ -430,7 +440,7 @@
         int mine = life;
         // Never within the event that is being answered.
         world.loop()
-                .at(
+                .scheduleAt(
                         Math.max(atMicros, world.loop().now() + 1),
                         () -> {
                             if (mine == life) {
@@ -452,11 +462,12 @@
     public void requestEndpointUpdates() {
         int mine = life;
         world.loop()
-                .in(
+                .scheduleAfter(
                         1,
                         () -> {
                             if (mine == life) {
-                                list(EndpointListKind.COMPLETE, new ArrayList<>(held.values()));
+                                onEndpointList(
+                                        EndpointListKind.COMPLETE, new ArrayList<>(held.values()));
                             }
                         });
     }
@@ -465,6 +476,9 @@
     @Override
     public void log(String line) {
         LOG.debug(
-                "{} s, sidecar {}: {}", (world.loop().now() - EventQueue.BEGIN) / 1e6, index, line);
+                "{} s, sidecar {}: {}",
+                (world.loop().now() - EventQueue.START_MICROS) / 1e6,
+                index,
+                line);
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EndpointListSubscriber.java
+++ b/testbed/src/main/java/sagefall/emulator/EndpointListSubscriber.java
@@ -11,8 +11,8 @@
     int index();
 
     /** Grows with each start; what was meant for an earlier life is not delivered. */
-    int life();
+    int incarnation();
 
     /** Some lines that changed, or the whole list. */
-    void list(EndpointListKind kind, List<ListedEndpoint> lines);
+    void onEndpointList(EndpointListKind kind, List<ListedEndpoint> lines);
 }
--- a/testbed/src/main/java/sagefall/emulator/EventQueue.java
+++ b/testbed/src/main/java/sagefall/emulator/EventQueue.java
@@ -10,7 +10,7 @@
 public final class EventQueue {
 
     /** When a day begins. */
-    public static final long BEGIN = 1_000_000;
+    public static final long START_MICROS = 1_000_000;
 
     private record Event(long at, long number, Runnable run) implements Comparable<Event> {
         @Override
@@ -20,30 +20,30 @@
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(4096);
-    private long now = BEGIN;
+    private long now = START_MICROS;
     private long asked;
-    private long done;
+    private long processedEvents;
 
     public long now() {
         return now;
     }
 
     /** How many events have taken place. */
-    public long done() {
-        return done;
+    public long processedEvents() {
+        return processedEvents;
     }
 
     /** At that time; at once, but not within this event, if it has passed. */
-    public void at(long micros, Runnable run) {
+    public void scheduleAt(long micros, Runnable run) {
         events.add(new Event(Math.max(now, micros), asked++, run));
     }
 
-    public void in(long micros, Runnable run) {
-        at(now + micros, run);
+    public void scheduleAfter(long micros, Runnable run) {
+        scheduleAt(now + micros, run);
     }
 
     /** When the next event is due; the end of time where there is none. */
-    public long nextAt() {
+    public long nextEventAt() {
         return events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
     }
 
@@ -52,7 +52,7 @@
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
             now = event.at;
-            done++;
+            processedEvents++;
             event.run.run();
         }
         now = Math.max(now, end);
--- a/testbed/src/main/java/sagefall/emulator/FaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultInjector.java
@@ -2,10 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
+import sagefall.scenario.FaultMode;
 
 /** Brings about what a scenario says goes wrong, and ends it. */
 final class FaultInjector {
@@ -38,25 +39,23 @@
     }
 
     private void plan(Fault f, String name) {
-        Fault.Drawn d = f.draw(draws.stream(name), daySeconds);
-        double part = d.part();
-        double size = d.size();
-        long begin = EventQueue.BEGIN + (long) (1e6 * d.from());
-        long micros = (long) (1e6 * d.seconds());
-        long period = (long) (1e6 * d.every());
+        DrawnFault d = f.draw(draws.stream(name), daySeconds);
+        double part = d.fraction();
+        double size = d.magnitude();
+        long begin = EventQueue.START_MICROS + (long) (1e6 * d.startSeconds());
+        long micros = (long) (1e6 * d.durationSeconds());
+        long period = (long) (1e6 * d.periodSeconds());
         drawn.add(
                 new Drawn(
-                        f.kind().name().toLowerCase(Locale.ROOT),
-                        d.from(),
-                        Math.min(d.end(), daySeconds)));
+                        f.kind().label(), d.startSeconds(), Math.min(d.endSeconds(), daySeconds)));
         switch (f.kind()) {
-            case LOSE_ZONE -> spell(begin, micros, on -> lose(inZone(f.zone()), f.how(), on));
+            case LOSE_ZONE -> spell(begin, micros, on -> lose(inZone(f.zone()), f.mode(), on));
             case FLAP_ZONE -> {
                 for (long at = 0; at < micros; at += period) {
                     spell(
                             begin + at,
                             (long) (period * part),
-                            on -> lose(inZone(f.zone()), f.how(), on));
+                            on -> lose(inZone(f.zone()), f.mode(), on));
                 }
             }
             case CUT_ZONE ->
@@ -67,29 +66,30 @@
                                     day.network()
                                             .cut(
                                                     f.zone(),
-                                                    !f.how().equals("out"),
-                                                    !f.how().equals("in"),
+                                                    f.mode() != FaultMode.OUT,
+                                                    f.mode() != FaultMode.IN,
                                                     on ? 1 : -1));
-            case LOSE_SERVERS -> onSome(d, begin, micros, (s, on) -> lose(s, f.how(), on));
-            case SLOW ->
+            case LOSE_SERVERS -> onSome(d, begin, micros, (s, on) -> lose(s, f.mode(), on));
+            case SLOW_SERVERS ->
                     onSome(
                             d,
                             begin,
                             micros,
                             (s, on) -> {
-                                s.slow *= on ? size : 1 / size;
-                                s.settle();
+                                s.slowdown *= on ? size : 1 / size;
+                                s.reschedule();
                             });
-            case SHARED_SLOW ->
+            case SLOW_SHARED_DEPENDENCY ->
                     spell(
                             begin,
                             micros,
                             on -> {
-                                day.sharedSlow[0] *= on ? size : 1 / size;
-                                day.servers().forEach(EmulatedServer::settle);
+                                day.sharedSlow.factor *= on ? size : 1 / size;
+                                day.servers().forEach(EmulatedServer::reschedule);
                             });
-            case ERRORS -> onSome(d, begin, micros, (s, on) -> s.errors += on ? size : -size);
-            case PAUSES ->
+            case SERVER_ERRORS ->
+                    onSome(d, begin, micros, (s, on) -> s.errorRate += on ? size : -size);
+            case SERVER_PAUSES ->
                     onSome(
                             d,
                             begin,
@@ -99,7 +99,7 @@
                                     day.pauses(s, period, (long) (1000 * size), begin + micros);
                                 }
                             });
-            case NEIGHBOUR ->
+            case NOISY_NEIGHBOUR ->
                     onSome(
                             d,
                             begin,
@@ -114,80 +114,86 @@
                                             d.random().nextDouble());
                                 }
                             });
-            case BURST -> spell(begin, micros, on -> day.traffic().burst *= on ? size : 1 / size);
-            case SHIFT ->
+            case TRAFFIC_BURST ->
+                    spell(begin, micros, on -> day.traffic().rateFactor *= on ? size : 1 / size);
+            case ZONE_TRAFFIC_SHIFT ->
                     spell(
                             begin,
                             micros,
                             on -> {
-                                day.traffic().shift[f.zone()] *= on ? size : 1 / size;
-                                day.traffic().reweigh();
+                                day.traffic().zoneFactors[f.zone()] *= on ? size : 1 / size;
+                                day.traffic().updateWeights();
                             });
-            case SURGE ->
+            case TENANT_SURGE ->
                     spell(
                             begin,
                             micros,
                             on -> {
-                                day.traffic().surge[f.tenant()] *= on ? size : 1 / size;
-                                day.traffic().reweigh();
+                                day.traffic().tenantFactors[f.tenant()] *= on ? size : 1 / size;
+                                day.traffic().updateWeights();
                             });
-            case REPLACE -> {
-                List<EmulatedServer> some = d.some(day.first());
+            case REPLACE_SERVERS -> {
+                List<EmulatedServer> some = d.pickFraction(day.first());
                 for (int i = 0; i < some.size(); i++) {
                     EmulatedServer s = some.get(i);
-                    loop.at(
+                    loop.scheduleAt(
                             begin + micros * i / some.size(),
-                            () -> day.replace(s, f.how().equals("early")));
+                            () -> day.replace(s, f.mode() == FaultMode.EARLY));
                 }
             }
             case KILL_SIDECARS ->
-                    loop.at(begin, () -> killSidecars(d, f.zone(), (long) (1e6 * size)));
+                    loop.scheduleAt(begin, () -> killSidecars(d, f.zone(), (long) (1e6 * size)));
             case RESTART_SIDECARS -> {
-                List<EmulatedSidecar> some = d.some(day.sidecars());
+                List<EmulatedSidecar> some = d.pickFraction(day.sidecars());
                 int steps = Math.min(10, some.size());
                 for (int i = 0; i < some.size(); i++) {
                     EmulatedSidecar s = some.get(i);
-                    loop.at(
+                    loop.scheduleAt(
                             begin + micros * (i % steps) / steps,
                             () -> day.restart(s, (long) (1e6 * size)));
                 }
             }
-            case DEAF -> {
-                for (EmulatedSidecar s : d.some(day.sidecars())) {
-                    spell(begin, micros, on -> day.discovery().deaf(s, on));
+            case SUPPRESSED_UPDATES -> {
+                for (EmulatedSidecar s : d.pickFraction(day.sidecars())) {
+                    spell(begin, micros, on -> day.discovery().setUpdatesSuppressed(s, on));
                 }
             }
-            case LATE_LISTS ->
-                    spell(begin, micros, on -> day.discovery().late *= on ? size : 1 / size);
-            case DISCOVERY_DOWN -> spell(begin, micros, on -> day.discovery().down += on ? 1 : -1);
-            case LOST_ANSWERS -> spell(begin, micros, on -> day.lostAnswers += on ? part : -part);
-            case RESETS -> spell(begin, micros, on -> day.resets += on ? part : -part);
-            case LEAVERS -> spell(begin, micros, on -> day.traffic().leave += on ? part : -part);
-            case STUBBORN ->
-                    spell(begin, micros, on -> day.traffic().stubborn = on ? (int) size : 0);
+            case SLOW_DISCOVERY ->
+                    spell(begin, micros, on -> day.discovery().delayFactor *= on ? size : 1 / size);
+            case DISCOVERY_OUTAGE ->
+                    spell(begin, micros, on -> day.discovery().outages += on ? 1 : -1);
+            case LOST_RESPONSES -> spell(begin, micros, on -> day.lostAnswers += on ? part : -part);
+            case CONNECTION_RESETS -> spell(begin, micros, on -> day.resets += on ? part : -part);
+            case CLIENT_DISCONNECTS ->
+                    spell(begin, micros, on -> day.traffic().disconnectShare += on ? part : -part);
+            case IMMEDIATE_RETRIES ->
+                    spell(
+                            begin,
+                            micros,
+                            on -> day.traffic().immediateRetries = on ? (int) size : 0);
             default -> throw new IllegalStateException("fault " + f.kind());
         }
     }
 
     /** True at its beginning, false at its end. */
     /** Kills a drawn part of the sidecars of a zone, or of all zones where it is negative. */
-    private void killSidecars(Fault.Drawn d, int zone, long downMicros) {
+    private void killSidecars(DrawnFault d, int zone, long downMicros) {
         List<EmulatedSidecar> candidates =
                 day.sidecars().stream().filter(s -> zone < 0 || s.zone() == zone).toList();
-        d.some(candidates).forEach(s -> day.kill(s, downMicros));
+        d.pickFraction(candidates).forEach(s -> day.kill(s, downMicros));
     }
 
     private void spell(long begin, long micros, Consumer<Boolean> change) {
-        loop.at(begin, () -> change.accept(true));
-        loop.at(begin + micros, () -> change.accept(false));
+        loop.scheduleAt(begin, () -> change.accept(true));
+        loop.scheduleAt(begin + micros, () -> change.accept(false));
     }
 
     private interface Change {
         void on(EmulatedServer server, boolean begins);
     }
 
-    private void onSome(Fault.Drawn d, long begin, long micros, Change change) {
-        for (EmulatedServer s : d.some(day.first())) {
+    private void onSome(DrawnFault d, long begin, long micros, Change change) {
+        for (EmulatedServer s : d.pickFraction(day.first())) {
             spell(begin, micros, on -> change.on(s, on));
         }
     }
@@ -196,22 +202,22 @@
         return s -> s.zone == zone;
     }
 
-    private void lose(Predicate<EmulatedServer> which, String how, boolean begins) {
+    private void lose(Predicate<EmulatedServer> which, FaultMode how, boolean begins) {
         day.servers().stream().filter(which).toList().forEach(s -> lose(s, how, begins));
     }
 
-    private void lose(EmulatedServer s, String how, boolean begins) {
+    private void lose(EmulatedServer s, FaultMode how, boolean begins) {
         if (begins
                 && (s.state == EmulatedServer.State.UP
                         || s.state == EmulatedServer.State.DRAINING)) {
-            s.end(how.equals("silent"));
-            day.discovery().ended(s);
+            s.stop(how == FaultMode.SILENT);
+            day.discovery().serverStopped(s);
         } else if (!begins
                 && !day.gone(s)
                 && (s.state == EmulatedServer.State.SILENT
                         || s.state == EmulatedServer.State.DEAD)) {
             s.start();
-            day.discovery().started(s);
+            day.discovery().serverStarted(s);
         }
     }
 
@@ -219,16 +225,16 @@
         if (loop.now() + period * phase >= end) {
             return;
         }
-        loop.in(
+        loop.scheduleAfter(
                 (long) (period * phase),
                 () -> {
-                    s.stolen = share;
-                    s.settle();
-                    loop.at(
+                    s.stolenShare = share;
+                    s.reschedule();
+                    loop.scheduleAt(
                             Math.min(end, loop.now() + period),
                             () -> {
-                                s.stolen = 0;
-                                s.settle();
+                                s.stolenShare = 0;
+                                s.reschedule();
                                 neighbour(s, share, period, end, 1);
                             });
                 });
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -25,7 +25,7 @@
  * Everything happens in one thread and by one clock, so the same three give the same result on any
  * machine.
  */
-public final class FleetSimulation implements EmulatedSidecar.World, EmulatedServer.Floor {
+public final class FleetSimulation implements EmulatedSidecar.World, ServerListener {
 
     /** How long after the last arrival a day goes on: longer than any client waits. */
     private static final long AFTER = 10_000_000;
@@ -42,7 +42,6 @@
     private final EmulatedDiscovery discovery;
     private final FaultInjector troubles;
     private final RequestClass requestClass;
-    private final Map<String, Object> facts;
     private final List<EmulatedSidecar> sidecars = new ArrayList<>();
     private final Map<Long, EmulatedServer> servers = new LinkedHashMap<>();
     private final List<EmulatedServer> first;
@@ -58,7 +57,7 @@
     private final double setupTrips;
     private final List<double[]> heat = new ArrayList<>();
 
-    final double[] sharedSlow = {1};
+    final SharedSlowdown sharedSlow = new SharedSlowdown();
     double lostAnswers;
     double resets;
 
@@ -68,39 +67,37 @@
         this.policy = policy;
         draws = new RandomStreams(seed);
         int zones = scenario.fleet().zones().size();
-        network = new EmulatedNetwork(scenario.net(), draws, zones);
+        network = new EmulatedNetwork(scenario.network(), draws, zones);
         for (int i = 0; i < scenario.fleet().sidecars(); i++) {
             sidecars.add(new EmulatedSidecar(this, i, i % zones));
         }
         fleet = new ServerFactory(scenario, draws, loop, sharedSlow, this);
-        first = fleet.first();
+        first = fleet.initialServers();
         first.forEach(s -> servers.put(s.id, s));
-        facts = SettingsMessage.of(scenario);
-        BalancerSettings settings = BalancerSettingsReader.read(0, facts(0));
+        BalancerSettings settings =
+                BalancerSettingsReader.read(
+                        0, SettingsMessageCodec.encode(SettingsMessage.of(scenario, 0)));
         requestClass = settings.classes().get(0);
         rules =
                 new InvariantChecker(
                         loop,
                         requestClass,
                         settings.limits(),
-                        (long) (1000 * scenario.service().drainMillis()));
+                        (long) (1000 * scenario.service().drainGraceMillis()));
         ledger =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
                         zones,
                         scenario.tenants().size(),
-                        scenario.service().overShareWorth());
-        discovery = new EmulatedDiscovery(scenario.listing(), draws, loop, sidecars);
+                        scenario.service().overQuotaWeight());
+        discovery = new EmulatedDiscovery(scenario.discovery(), draws, loop, sidecars);
         traffic =
                 new ClientTraffic(
                         scenario,
                         draws,
-                        loop,
-                        sidecars,
-                        ledger,
-                        network,
+                        new ClientTraffic.Environment(loop, sidecars, ledger, network),
                         requestClass,
-                        fleet.capacity());
+                        fleet.totalCapacity());
         first.forEach(this::bears);
         troubles = new FaultInjector(this, loop, draws, scenario.seconds());
         chances = draws.stream("chances");
@@ -109,8 +106,8 @@
         starts = draws.stream("starts");
         attemptNoise = scenario.service().attemptNoise().draw(draws, "service.attempt_noise");
         reportNoise = scenario.service().reportNoise().draw(draws, "service.report_noise");
-        setupMicros = scenario.net().setupMicros().draw(draws, "net.setup");
-        setupTrips = scenario.net().setupTrips().draw(draws, "net.trips");
+        setupMicros = scenario.network().connectCostMicros().draw(draws, "net.setup");
+        setupTrips = scenario.network().connectRoundTrips().draw(draws, "net.trips");
     }
 
     /** Parts of a whole that are unlike; a skew of 0 makes them alike, one of 1 far apart. */
@@ -127,39 +124,31 @@
         return parts;
     }
 
-    /** What the sidecar of that place is told. */
-    private Map<String, Object> facts(int index) {
-        Map<String, Object> mine = new LinkedHashMap<>(facts);
-        mine.put("rank", (long) index);
-        mine.put("zone", (long) (index % scenario.fleet().zones().size()));
-        return mine;
-    }
-
     private void bears(EmulatedServer s) {
-        s.bears(
+        s.setSlowStartBudget(
                 new SlowStartBudget(
-                        scenario.service().fallMultiple(),
-                        (long) (1e6 * scenario.service().fallSeconds()),
-                        traffic.meanWork()));
+                        scenario.service().slowStartLimitFactor(),
+                        (long) (1e6 * scenario.service().slowStartLimitSeconds()),
+                        traffic.meanWorkMicros()));
     }
 
     /** Plays it. */
-    public SimulationResult play() {
-        discovery.first(first);
-        List<ListedEndpoint> list = discovery.list();
+    public SimulationResult run() {
+        discovery.initialize(first);
+        List<ListedEndpoint> list = discovery.endpointList();
         for (EmulatedSidecar s : sidecars) {
             s.start(list);
-            discovery.ask(s);
+            discovery.requestFullList(s);
         }
         for (EmulatedServer s : first) {
             fleet.pausesOf(s, this);
         }
         troubles.plan(scenario.faults());
-        traffic.begin();
+        traffic.start();
         for (int second = 1; second <= ledger.seconds; second++) {
-            loop.at(EventQueue.BEGIN + second * 1_000_000L, this::sample);
+            loop.scheduleAt(EventQueue.START_MICROS + second * 1_000_000L, this::sample);
         }
-        loop.runUntil(EventQueue.BEGIN + (long) (1e6 * scenario.seconds()) + AFTER);
+        loop.runUntil(EventQueue.START_MICROS + (long) (1e6 * scenario.seconds()) + AFTER);
         return SimulationResult.of(
                 scenario,
                 seed,
@@ -169,7 +158,7 @@
                 troubles.drawn(),
                 heat,
                 first.stream().map(s -> s.zone).toList(),
-                loop.done());
+                loop.processedEvents());
     }
 
     /** How full each of the first servers is, in requests a core; -1 where it is down. */
@@ -177,7 +166,10 @@
         double[] row = new double[first.size()];
         for (int i = 0; i < row.length; i++) {
             EmulatedServer s = first.get(i);
-            row[i] = s.state == EmulatedServer.State.UP ? s.held() / (double) s.make.cores() : -1;
+            row[i] =
+                    s.state == EmulatedServer.State.UP
+                            ? s.heldRequests() / (double) s.spec.cores()
+                            : -1;
         }
         heat.add(row);
     }
@@ -212,15 +204,15 @@
 
     /** It stands still for a while, every so often, until then. */
     void pauses(EmulatedServer s, long every, long micros, long until) {
-        StopTheWorldPauses.begin(
+        StopTheWorldPauses.schedule(
                 loop,
                 chances,
                 every,
                 micros,
                 until,
                 by -> {
-                    s.pauses += by;
-                    s.settle();
+                    s.activePauses += by;
+                    s.reschedule();
                 });
     }
 
@@ -232,25 +224,25 @@
         if (gone(old)) {
             return;
         }
-        EmulatedServer fresh = fleet.replacement(old);
+        EmulatedServer fresh = fleet.createReplacement(old);
         servers.put(fresh.id, fresh);
         bears(fresh);
         fresh.start();
-        discovery.started(fresh);
-        discovery.draining(old);
+        discovery.serverStarted(fresh);
+        discovery.serverDraining(old);
         gone.put(old.id, true);
-        loop.in(
-                early ? 0 : discovery.settled(),
+        loop.scheduleAfter(
+                early ? 0 : discovery.propagationMicros(),
                 () -> {
                     if (old.state == EmulatedServer.State.UP) {
                         old.state = EmulatedServer.State.DRAINING;
                     }
-                    loop.in(
+                    loop.scheduleAfter(
                             requestClass.deadlineMicros(),
                             () -> {
                                 if (old.state != EmulatedServer.State.DEAD) {
-                                    old.end(false);
-                                    discovery.ended(old);
+                                    old.stop(false);
+                                    discovery.serverStopped(old);
                                 }
                             });
                 });
@@ -263,19 +255,19 @@
         s.kill()
                 .forEach(
                         call -> {
-                            if (!call.over) {
-                                call.over = true;
-                                traffic.dropped(call);
+                            if (!call.finished) {
+                                call.finished = true;
+                                traffic.onSidecarKilled(call);
                             }
                         });
         double start = scenario.fleet().startSeconds().at(starts.nextDouble());
-        loop.in(downMicros + (long) (1e6 * start), () -> back(s));
+        loop.scheduleAfter(downMicros + (long) (1e6 * start), () -> back(s));
     }
 
     private void back(EmulatedSidecar s) {
         if (!s.up) {
-            s.start(discovery.list());
-            discovery.ask(s);
+            s.start(discovery.endpointList());
+            discovery.requestFullList(s);
         }
     }
 
@@ -288,7 +280,7 @@
             return;
         }
         s.leaving = true;
-        loop.in(
+        loop.scheduleAfter(
                 requestClass.deadlineMicros() + 700_000,
                 () -> {
                     if (s.up) {
@@ -322,8 +314,10 @@
     @Override
     public LoadBalancer module(EmulatedSidecar s) {
         long salt = seeds.nextLong() >>> 1;
-        Map<String, Object> mine = facts(s.index());
-        return policy.create(BalancerSettingsReader.read(salt, mine), mine, s, this::answerMicros);
+        SettingsMessage message = SettingsMessage.of(scenario, s.index());
+        BalancerSettings settings =
+                BalancerSettingsReader.read(salt, SettingsMessageCodec.encode(message));
+        return policy.create(settings, message, s, this::answerMicros);
     }
 
     /** What an oracle may know. */
@@ -335,22 +329,23 @@
                 || network.cut(s.zone, fromZone)) {
             return Double.POSITIVE_INFINITY;
         }
-        double cores = Math.max(1, Math.min(s.make.slots(), s.make.cores()));
+        double cores = Math.max(1, Math.min(s.spec.slots(), s.spec.cores()));
         double each = s.capacity() / cores;
-        double wait = s.held() < s.make.slots() ? 0 : s.backlog() / Math.max(1e-9, s.capacity());
+        double wait =
+                s.heldRequests() < s.spec.slots() ? 0 : s.backlog() / Math.max(1e-9, s.capacity());
         return wait
-                + traffic.meanWork() / Math.max(1e-9, each)
-                + (fromZone == s.zone ? 0 : 2000 * scenario.net().crossMillis().high());
+                + traffic.meanWorkMicros() / Math.max(1e-9, each)
+                + (fromZone == s.zone ? 0 : 2000 * scenario.network().crossZoneMillis().high());
     }
 
     @Override
     public double idleMicros() {
-        return 1e6 * scenario.net().idleSeconds();
+        return 1e6 * scenario.network().idleTimeoutSeconds();
     }
 
     @Override
     public long setupLimitMicros() {
-        return (long) (1000 * scenario.net().setupLimitMillis());
+        return (long) (1000 * scenario.network().connectTimeoutMillis());
     }
 
     @Override
@@ -360,16 +355,13 @@
 
     @Override
     public long graceMicros() {
-        return (long) (1000 * scenario.service().graceMillis());
+        return (long) (1000 * scenario.service().answerGraceMillis());
     }
 
     @Override
     public void answer(
-            ClientRequest call,
-            EmulatedSidecar.Answer kind,
-            RejectionReason why,
-            long retryMicros) {
-        traffic.answer(call, kind, why, retryMicros);
+            ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros) {
+        traffic.deliverAnswer(call, kind, why, retryMicros);
     }
 
     // ---- The way to a server and back
@@ -382,7 +374,7 @@
         if (network.cut(a.sidecar.zone(), a.server.zone)) {
             return;
         }
-        loop.in(network.way(a.sidecar.zone(), a.server.zone), () -> arrive(a));
+        loop.scheduleAfter(network.oneWayMicros(a.sidecar.zone(), a.server.zone), () -> arrive(a));
     }
 
     private void arrive(Attempt a) {
@@ -396,17 +388,17 @@
             return;
         }
         double sigma = Math.sqrt(Math.log(1 + attemptNoise * attemptNoise));
-        ClientOperation wish = a.call.wish;
-        a.work =
-                wish.work
+        ClientOperation wish = a.call.operation;
+        a.workMicros =
+                wish.workMicros
                         * Math.exp(sigma * noise.sample() - sigma * sigma / 2)
-                        * s.keyed(wish.key);
+                        * s.workFactorForKey(wish.key);
         if (repeat(wish, s)) {
-            a.work = 0;
+            a.workMicros = 0;
         }
-        a.work += a.fresh ? setupMicros : 0;
-        a.left = a.work;
-        if (s.state == EmulatedServer.State.DRAINING || !s.take(a)) {
+        a.workMicros += a.fresh ? setupMicros : 0;
+        a.remainingMicros = a.workMicros;
+        if (s.state == EmulatedServer.State.DRAINING || !s.accept(a)) {
             reply(
                     a,
                     s.state == EmulatedServer.State.DEAD
@@ -420,47 +412,47 @@
         if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return false;
         }
-        long before = wish.ranAt[s.zone];
+        long before = wish.executedAtByZone[s.zone];
         if (before != 0 && loop.now() - before <= requestClass.deduplicationWindowMicros()) {
             return true;
         }
-        wish.ranAt[s.zone] = loop.now();
+        wish.executedAtByZone[s.zone] = loop.now();
         return false;
     }
 
     @Override
-    public void done(Job job) {
+    public void onJobDone(Job job) {
         Attempt a = (Attempt) job;
-        ledger.workDone += a.work;
+        ledger.workDone += a.workMicros;
         double luck = chances.nextDouble();
         if (luck < resets) {
             reply(a, AttemptResult.BROKEN);
         } else if (luck < resets + lostAnswers) {
-            ledger.workWasted += a.work;
+            ledger.workWasted += a.workMicros;
         } else {
-            reply(a, luck > 1 - a.server.errors ? AttemptResult.ERROR : AttemptResult.SERVED);
+            reply(a, luck > 1 - a.server.errorRate ? AttemptResult.ERROR : AttemptResult.SERVED);
         }
     }
 
     private void reply(Attempt a, AttemptResult result) {
         if (network.cut(a.server.zone, a.sidecar.zone())) {
-            ledger.workWasted += a.work;
+            ledger.workWasted += a.workMicros;
             return;
         }
         LoadReport report =
                 result == AttemptResult.SERVED || result == AttemptResult.ERROR
                         ? told(a.server)
                         : null;
-        loop.in(
-                network.way(a.server.zone, a.sidecar.zone()),
+        loop.scheduleAfter(
+                network.oneWayMicros(a.server.zone, a.sidecar.zone()),
                 () -> {
                     a.sidecar.end(a, result, report);
-                    ledger.workWasted += a.used ? 0 : a.work;
+                    ledger.workWasted += a.used ? 0 : a.workMicros;
                 });
     }
 
     private LoadReport told(EmulatedServer s) {
-        LoadReport exact = s.report();
+        LoadReport exact = s.loadReport();
         double factor = Math.max(0, 1 + reportNoise * noise.sample());
         return new LoadReport(
                 exact.inFlight(),
@@ -472,20 +464,20 @@
     }
 
     @Override
-    public void broken(Job job) {
+    public void onJobAborted(Job job) {
         Attempt a = (Attempt) job;
-        ledger.workWasted += a.work;
+        ledger.workWasted += a.workMicros;
         if (!network.cut(a.server.zone, a.sidecar.zone())) {
-            loop.in(
-                    network.way(a.server.zone, a.sidecar.zone()),
+            loop.scheduleAfter(
+                    network.oneWayMicros(a.server.zone, a.sidecar.zone()),
                     () -> a.sidecar.end(a, AttemptResult.BROKEN, null));
         }
     }
 
     @Override
-    public void fell(EmulatedServer s, double told) {
+    public void onSlowStartOverload(EmulatedServer s, double told) {
         gone.put(s.id, true);
-        discovery.ended(s);
+        discovery.serverStopped(s);
         if (told >= 2.0 / 3) {
             rules.breach(InvariantChecker.Rule.COLD, "-", s.id, -1);
         }
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -64,7 +64,11 @@
         if (breaches.size() < KEPT) {
             breaches.add(
                     new Breach(
-                            rule, request, server, sidecar, (loop.now() - EventQueue.BEGIN) / 1e6));
+                            rule,
+                            request,
+                            server,
+                            sidecar,
+                            (loop.now() - EventQueue.START_MICROS) / 1e6));
         }
     }
 
@@ -75,7 +79,7 @@
             String id,
             EmulatedServer server,
             long serverId) {
-        if (call == null || call.over) {
+        if (call == null || call.finished) {
             breach(Rule.ONE_ANSWER, id, serverId, sidecar.index());
             return;
         }
@@ -122,7 +126,7 @@
     void refused(EmulatedSidecar sidecar, ClientRequest call, String id) {
         named(sidecar, id);
         if (call != null
-                && !call.over
+                && !call.finished
                 && rules.idempotency() != Idempotency.IDEMPOTENT
                 && mayHaveRun(call) != null
                 && !(rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
@@ -136,7 +140,7 @@
      * over.
      */
     void named(EmulatedSidecar sidecar, String id) {
-        if (!id.startsWith(sidecar.prefix())) {
+        if (!id.startsWith(sidecar.requestIdPrefix())) {
             breach(Rule.ONE_ANSWER, id, -1, sidecar.index());
         }
     }
--- a/testbed/src/main/java/sagefall/emulator/ServerFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
+import sagefall.scenario.MachineType;
+import sagefall.scenario.NetworkSettings;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ServiceSettings;
 import sagefall.scenario.ValueRange;
 
 /**
@@ -16,18 +19,18 @@
     private final Scenario scenario;
     private final RandomStreams draws;
     private final EventQueue loop;
-    private final double[] sharedSlow;
-    private final EmulatedServer.Floor floor;
+    private final SharedSlowdown sharedSlow;
+    private final ServerListener floor;
     private final UniformRandomProvider random;
     private final Set<Long> ids = new HashSet<>();
-    private final List<EmulatedServer> first = new ArrayList<>();
+    private final List<EmulatedServer> initialServers = new ArrayList<>();
 
     public ServerFactory(
             Scenario scenario,
             RandomStreams draws,
             EventQueue loop,
-            double[] sharedSlow,
-            EmulatedServer.Floor floor) {
+            SharedSlowdown sharedSlow,
+            ServerListener floor) {
         this.scenario = scenario;
         this.draws = draws;
         this.loop = loop;
@@ -47,18 +50,24 @@
                 }
             }
             int cell = zone + zones * (inZone[zone]++ / scenario.fleet().cellServers());
-            first.add(new EmulatedServer(id(), zone, cell, make(kind(i)), loop, sharedSlow, floor));
+            initialServers.add(
+                    new EmulatedServer(
+                            new ServerIdentity(id(), zone, cell),
+                            make(kind(i)),
+                            loop,
+                            sharedSlow,
+                            floor));
         }
     }
 
-    public List<EmulatedServer> first() {
-        return first;
+    public List<EmulatedServer> initialServers() {
+        return initialServers;
     }
 
     /** Work that all servers together get done in a microsecond, warm and untroubled. */
-    public double capacity() {
-        return first.stream()
-                .mapToDouble(s -> Math.min(s.make.slots(), s.make.cores()) * s.make.speed())
+    public double totalCapacity() {
+        return initialServers.stream()
+                .mapToDouble(s -> Math.min(s.spec.slots(), s.spec.cores()) * s.spec.speed())
                 .sum();
     }
 
@@ -72,11 +81,12 @@
 
     /** Kinds in their shares, mixed. */
     private int kind(int i) {
-        double sum = scenario.kinds().stream().mapToDouble(Scenario.Kind::share).sum();
+        double sum = scenario.machineTypes().stream().mapToDouble(MachineType::share).sum();
         double place = (i * 0.6180339887 + 0.5) % 1 * sum;
         int kind = 0;
-        while (kind + 1 < scenario.kinds().size() && place >= scenario.kinds().get(kind).share()) {
-            place -= scenario.kinds().get(kind++).share();
+        while (kind + 1 < scenario.machineTypes().size()
+                && place >= scenario.machineTypes().get(kind).share()) {
+            place -= scenario.machineTypes().get(kind++).share();
         }
         return kind;
     }
@@ -85,41 +95,45 @@
         return range.at(random.nextDouble());
     }
 
-    private EmulatedServer.Make make(int kind) {
-        Scenario.Kind k = scenario.kinds().get(kind);
-        Scenario.Service service = scenario.service();
-        Scenario.Net net = scenario.net();
+    private ServerSpec make(int kind) {
+        MachineType k = scenario.machineTypes().get(kind);
+        ServiceSettings service = scenario.service();
+        NetworkSettings net = scenario.network();
         int cores = k.cores();
-        return new EmulatedServer.Make(
+        return new ServerSpec(
                 kind,
                 cores,
                 of(k.speed()),
                 (int) Math.round(cores * of(k.slotsPerCore())),
                 (int) Math.round(cores * of(k.queuePerCore())),
-                of(k.thrash()),
-                of(k.thrashAt()),
-                of(k.coldFrom()),
-                (long) (1e6 * of(k.coldSeconds())),
-                k.warmBy().equals("work"),
-                of(k.errors()),
-                (long) (1e6 * of(k.pauseEverySeconds())),
+                of(k.contentionPenalty()),
+                of(k.contentionThreshold()),
+                of(k.initialCapacityShare()),
+                (long) (1e6 * of(k.slowStartSeconds())),
+                k.warmUpBy().equals("work"),
+                of(k.errorRate()),
+                (long) (1e6 * of(k.pauseIntervalSeconds())),
                 (long) (1000 * of(k.pauseMillis())),
                 (int) (cores * net.connectionsPerCore().draw(draws, "net.connections")),
-                net.tableTax().draw(draws, "net.table_tax"),
-                (int) (cores * service.keysPerCore().draw(draws, "service.keys")),
-                service.keyGain().draw(draws, "service.key_gain"),
-                (long) (1e6 * service.keySeconds().draw(draws, "service.key_s")),
-                (long) (1000 * service.reportMillis().draw(draws, "service.report")));
+                net.connectionTableCost().draw(draws, "net.table_tax"),
+                (int) (cores * service.cachedKeysPerCore().draw(draws, "service.keys")),
+                service.cachedKeySaving().draw(draws, "service.key_gain"),
+                (long) (1e6 * service.keyLifetimeSeconds().draw(draws, "service.key_s")),
+                (long) (1000 * service.reportIntervalMillis().draw(draws, "service.report")));
     }
 
     /** Its own small pauses, all day. */
     void pausesOf(EmulatedServer s, FleetSimulation day) {
-        day.pauses(s, s.make.pauseEvery(), s.make.pauseMicros(), Long.MAX_VALUE);
+        day.pauses(s, s.spec.pauseIntervalMicros(), s.spec.pauseMicros(), Long.MAX_VALUE);
     }
 
     /** A machine of the same kind in the same place, with another id. */
-    public EmulatedServer replacement(EmulatedServer old) {
+    public EmulatedServer createReplacement(EmulatedServer old) {
         return new EmulatedServer(
-                id(), old.zone, old.cell, make(old.make.kind()), loop, sharedSlow, floor);
+                new ServerIdentity(id(), old.zone, old.cell),
+                make(old.spec.machineType()),
+                loop,
+                sharedSlow,
+                floor);
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -10,20 +10,20 @@
     int zone();
 
     /** Whether its process runs. */
-    boolean up();
+    boolean isUp();
 
     /** Whether it is about to be restarted as planned, so that its application goes too. */
-    boolean leaving();
+    boolean isDraining();
 
     /** Six hex digits that the ids of all requests of this life begin with. */
-    String prefix();
+    String requestIdPrefix();
 
     /** A client came while its process did not run. */
-    default void missed(ClientOperation wish) {}
+    default void onUnreachable(ClientOperation wish) {}
 
-    /** A client's request; its answer comes by {@link ClientTraffic#answer}. */
-    void take(ClientRequest call, boolean repeat);
+    /** A client's request; its answer comes by {@link ClientTraffic#deliverAnswer}. */
+    void submit(ClientRequest call, boolean repeat);
 
     /** The client has gone. */
-    void leave(ClientRequest call);
+    void disconnectClient(ClientRequest call);
 }
--- a/testbed/src/main/java/sagefall/emulator/SimulationResult.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResult.java
@@ -1,5 +1,6 @@
 package sagefall.emulator;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -31,7 +32,7 @@
         double worstTenSeconds,
         double worstTenant,
         double price,
-        double askedWorth,
+        @JsonProperty("askedWorth") double offeredValue,
         long requests,
         Map<String, Loss> lost,
         Map<String, Long> answers,
@@ -44,7 +45,7 @@
         Series series,
         List<double[]> heat,
         List<Integer> serverZones,
-        List<Trouble> troubles,
+        @JsonProperty("troubles") List<InjectedFault> faults,
         List<InvariantChecker.Breach> breaches,
         long breachCount,
         long events) {
@@ -75,9 +76,6 @@
         }
     }
 
-    /** Something that went wrong, in seconds of the day. */
-    public record Trouble(String what, double from, double to) {}
-
     /** By second; asked, served and p95 milliseconds by zone too. */
     public record Series(
             double[] asked,
@@ -151,7 +149,7 @@
                 series,
                 List.copyOf(heat),
                 serverZones,
-                troubles.stream().map(t -> new Trouble(t.what(), t.from(), t.to())).toList(),
+                troubles.stream().map(t -> new InjectedFault(t.what(), t.from(), t.to())).toList(),
                 rules.breaches(),
                 rules.count(),
                 events);
@@ -208,7 +206,7 @@
         List<Map.Entry<String, Double>> parts = new ArrayList<>();
         lost.forEach(
                 (cause, loss) ->
-                        parts.add(Map.entry(cause, loss.worth / Math.max(1e-9, askedWorth))));
+                        parts.add(Map.entry(cause, loss.worth / Math.max(1e-9, offeredValue))));
         parts.sort(Map.Entry.<String, Double>comparingByValue().reversed());
         return parts;
     }
--- a/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
+++ b/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
@@ -15,7 +15,7 @@
     private final long spanMicros;
     private final double meanWork;
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-    private int told;
+    private int informedShare;
 
     /** Spans in microseconds, work in microseconds on a core of speed 1. */
     public SlowStartBudget(double multiple, long spanMicros, double meanWork) {
@@ -27,7 +27,7 @@
     /** A new process has been sent nothing. */
     void clear() {
         sent.clear();
-        told = 0;
+        informedShare = 0;
     }
 
     /**
@@ -36,18 +36,18 @@
      * @param byOneThatKnew whether its sidecar knew the server as new
      * @param capacity work that the server gets done in a microsecond, as cold as it is now
      */
-    public boolean spent(long now, boolean byOneThatKnew, double capacity) {
+    public boolean recordAndCheckExceeded(long now, boolean byOneThatKnew, double capacity) {
         sent.add(new Sent(now, byOneThatKnew));
-        told += byOneThatKnew ? 1 : 0;
+        informedShare += byOneThatKnew ? 1 : 0;
         while (sent.peek().at < now - spanMicros) {
-            told -= sent.poll().told ? 1 : 0;
+            informedShare -= sent.poll().told ? 1 : 0;
         }
         double allowed = multiple * capacity * spanMicros / meanWork;
         return sent.size() > allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
     /** The part of the span's work that came from sidecars that knew the server as new. */
-    public double told() {
-        return told / (double) sent.size();
+    public double informedShare() {
+        return informedShare / (double) sent.size();
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
+++ b/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
@@ -13,7 +13,7 @@
      *
      * @param change is given 1 where one begins and -1 where it ends
      */
-    public static void begin(
+    public static void schedule(
             EventQueue loop,
             UniformRandomProvider chances,
             long every,
@@ -24,15 +24,15 @@
         if (micros <= 0 || next >= until) {
             return;
         }
-        loop.at(
+        loop.scheduleAt(
                 next,
                 () -> {
                     change.accept(1);
-                    loop.in(
+                    loop.scheduleAfter(
                             micros,
                             () -> {
                                 change.accept(-1);
-                                begin(loop, chances, every, micros, until, change);
+                                schedule(loop, chances, every, micros, until, change);
                             });
                 });
     }
--- a/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
+++ b/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
@@ -76,24 +76,25 @@
     }
 
     double worth(ClientOperation wish) {
-        return overShareWorth[wish.beyondShare ? 1 : 0];
+        return overShareWorth[wish.overQuota ? 1 : 0];
     }
 
     private int second(ClientOperation wish) {
-        return (int) Math.min(seconds - 1, (wish.arrivedAt - EventQueue.BEGIN) / 1_000_000);
+        return (int)
+                Math.min(seconds - 1, (wish.arrivedAtMicros - EventQueue.START_MICROS) / 1_000_000);
     }
 
     void asked(ClientOperation wish) {
         firstTries++;
         asked[second(wish)][wish.sidecar.zone()] += worth(wish);
-        if (!wish.beyondShare) {
+        if (!wish.overQuota) {
             tenantAsked[wish.tenant]++;
         }
     }
 
     void served(ClientOperation wish) {
         served[second(wish)][wish.sidecar.zone()] += worth(wish);
-        if (!wish.beyondShare) {
+        if (!wish.overQuota) {
             tenantServed[wish.tenant]++;
         }
     }
@@ -112,7 +113,7 @@
     void lost(ClientOperation wish, String cause, boolean late) {
         double worth = worth(wish);
         lost.computeIfAbsent(cause, c -> new Sum()).add(worth);
-        if (wish.beyondShare) {
+        if (wish.overQuota) {
             lostBeyond.computeIfAbsent(cause, c -> new Sum()).add(worth);
         }
         lostBySecond.computeIfAbsent(cause, c -> new double[seconds])[second(wish)] += worth;
--- a/testbed/src/main/java/sagefall/experiment/PairedDifference.java
+++ b/testbed/src/main/java/sagefall/experiment/PairedDifference.java
@@ -29,7 +29,7 @@
         double high) {
 
     /** Fewest seeds that a verdict rests on. */
-    public static final int LEAST = 5;
+    public static final int MIN_SEEDS = 5;
 
     /** The part of the means that the interval holds. */
     public static final double CONFIDENCE = 0.95;
@@ -68,8 +68,8 @@
 
     /** In words; a difference whose interval holds 0 is none. */
     public String verdict() {
-        if (seeds < LEAST) {
-            return "no verdict under " + LEAST + " seeds";
+        if (seeds < MIN_SEEDS) {
+            return "no verdict under " + MIN_SEEDS + " seeds";
         }
         return low > 0 ? "B is better" : high < 0 ? "B is worse" : "no difference seen";
     }
--- a/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
+++ b/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
@@ -34,11 +34,11 @@
 
     /** What hears of each day as it is done, in the order of their end. */
     public interface Listener {
-        void done(SimulationResult result);
+        void onResult(SimulationResult result);
     }
 
     /** Plays all; the results stand in the order of the days. A day that fails ends the whole. */
-    public List<SimulationResult> all(List<SimulationRequest> plays, Listener listener)
+    public List<SimulationResult> runAll(List<SimulationRequest> plays, Listener listener)
             throws PolicyException {
         for (String policy : plays.stream().map(SimulationRequest::policy).distinct().toList()) {
             PolicyRegistry.of(policy, root).close();
@@ -57,9 +57,9 @@
                                                                 play.scenario(),
                                                                 play.seed(),
                                                                 policy)
-                                                        .play();
+                                                        .run();
                                         synchronized (done) {
-                                            listener.done(result);
+                                            listener.onResult(result);
                                             bar(++done[0], plays.size());
                                         }
                                         return result;
--- a/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
+++ b/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
@@ -14,7 +14,7 @@
         String scenario,
         String policyA,
         String policyB,
-        List<PairedDifference> figures,
+        List<PairedDifference> differences,
         Map<String, PairedDifference> lost,
         List<SimulationResult> a,
         List<SimulationResult> b) {
@@ -33,7 +33,7 @@
             all.add(new SimulationRequest(scenario, seed, policyA));
             all.add(new SimulationRequest(scenario, seed, policyB));
         }
-        List<SimulationResult> results = plays.all(all, listener);
+        List<SimulationResult> results = plays.runAll(all, listener);
         List<SimulationResult> a = new ArrayList<>();
         List<SimulationResult> b = new ArrayList<>();
         for (int i = 0; i < results.size(); i += 2) {
@@ -65,6 +65,6 @@
 
     private static double part(SimulationResult r, String cause) {
         SimulationResult.Loss loss = r.lost().get(cause);
-        return loss == null ? 0 : loss.worth() / r.askedWorth();
+        return loss == null ? 0 : loss.worth() / r.offeredValue();
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/DiscoveryAgent.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DiscoveryAgent.java
@@ -92,7 +92,7 @@
                         until = pace.loop().now() + 1000 * hold;
                         asked = true;
                         waiting.add(this);
-                        pace.loop().at(until, this::look);
+                        pace.loop().scheduleAt(until, this::look);
                         look();
                     });
         }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -39,7 +39,10 @@
 import sagefall.emulator.Job;
 import sagefall.emulator.RandomStreams;
 import sagefall.emulator.ServerFactory;
+import sagefall.emulator.ServerListener;
 import sagefall.emulator.SettingsMessage;
+import sagefall.emulator.SettingsMessageCodec;
+import sagefall.emulator.SharedSlowdown;
 import sagefall.emulator.StopTheWorldPauses;
 import sagefall.emulator.ValueAccounting;
 import sagefall.load.SidecarProcess;
@@ -118,27 +121,27 @@
         group = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
         draws = new RandomStreams(plan.seed());
         int zones = scenario.fleet().zones().size();
-        network = new EmulatedNetwork(scenario.net(), draws, zones);
-        setupMicros = scenario.net().setupMicros().draw(draws, "net.setup");
+        network = new EmulatedNetwork(scenario.network(), draws, zones);
+        setupMicros = scenario.network().connectCostMicros().draw(draws, "net.setup");
         owners =
                 scenario.fleet().leaseMillis() == 0
                         ? null
                         : new LeaseObserver(out.resolve("shared").toAbsolutePath());
-        Map<String, Object> facts = SettingsMessage.of(scenario);
-        facts.put("rank", 0L);
-        facts.put("zone", 0L);
+        Map<String, Object> facts = SettingsMessageCodec.encode(SettingsMessage.of(scenario, 0));
         requestClass = BalancerSettingsReader.read(0, facts).classes().get(0);
         ledger =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
                         zones,
                         scenario.tenants().size(),
-                        scenario.service().overShareWorth());
-        fleet = new ServerFactory(scenario, draws, pace.loop(), new double[] {1}, new Nothing());
+                        scenario.service().overQuotaWeight());
+        fleet =
+                new ServerFactory(
+                        scenario, draws, pace.loop(), new SharedSlowdown(), new Nothing());
         for (int i = 0; i < scenario.fleet().sidecars(); i++) {
             sidecars.add(sidecar(i, i % zones));
         }
-        for (EmulatedServer s : fleet.first()) {
+        for (EmulatedServer s : fleet.initialServers()) {
             first.add(member(s, slots++));
         }
         schedule = new FaultSchedule(this, plan.faults());
@@ -147,15 +150,15 @@
     }
 
     /** Of servers' mirrors, which do no work. */
-    private static final class Nothing implements EmulatedServer.Floor {
+    private static final class Nothing implements ServerListener {
         @Override
-        public void done(Job job) {}
+        public void onJobDone(Job job) {}
 
         @Override
-        public void broken(Job job) {}
+        public void onJobAborted(Job job) {}
 
         @Override
-        public void fell(EmulatedServer server, double told) {}
+        public void onSlowStartOverload(EmulatedServer server, double told) {}
     }
 
     private static Thread daemon(Runnable task) {
@@ -181,9 +184,8 @@
                         LinkRelay.Way.FREE,
                         LinkRelay.Way.FREE,
                         null);
-        Map<String, Object> facts = SettingsMessage.of(scenario);
-        facts.put("rank", (long) index);
-        facts.put("zone", (long) zone);
+        Map<String, Object> facts =
+                SettingsMessageCodec.encode(SettingsMessage.of(scenario, index));
         Path root = plan.builds().get(index % plan.builds().size()).toAbsolutePath();
         return new SidecarMember(
                 this,
@@ -219,7 +221,7 @@
     }
 
     private LinkRelay.Way way(int from, int to) {
-        return new LinkRelay.Way(() -> network.way(from, to, noise), 0, false, 0, 0);
+        return new LinkRelay.Way(() -> network.oneWayMicros(from, to, noise), 0, false, 0, 0);
     }
 
     private static String text(InetSocketAddress at) {
@@ -262,26 +264,26 @@
                 "servers",
                 first.stream().map(m -> m.mirror.zone).toList(),
                 "effect",
-                scenario.service().effect(),
+                scenario.service().idempotency(),
                 "group",
-                scenario.service().group(),
+                scenario.service().deduplicationScope(),
                 "window_us",
                 requestClass.deduplicationWindowMicros(),
                 "aim_us",
                 requestClass.latencyObjectiveMicros(),
                 "drain_us",
-                1000 * scenario.service().drainMillis(),
+                1000 * scenario.service().drainGraceMillis(),
                 "attempts",
-                scenario.service().attempts(),
+                scenario.service().maxAttempts(),
                 "fall_multiple",
-                scenario.service().fallMultiple(),
+                scenario.service().slowStartLimitFactor(),
                 "fall_us",
-                1e6 * scenario.service().fallSeconds(),
+                1e6 * scenario.service().slowStartLimitSeconds(),
                 "mean_work_us",
                 meanWork(),
                 "over_share_worth",
-                scenario.service().overShareWorth());
-        discovery = new EmulatedDiscovery(scenario.listing(), draws, pace.loop(), sidecars);
+                scenario.service().overQuotaWeight());
+        discovery = new EmulatedDiscovery(scenario.discovery(), draws, pace.loop(), sidecars);
         List<Future<?>> all = new ArrayList<>();
         for (int r = 0; r < REPLICAS; r++) {
             StandInProcess child = child("discovery-" + r);
@@ -316,9 +318,9 @@
             ready.get(END_SECONDS, TimeUnit.SECONDS);
         }
         List<ListedEndpoint> list = new ArrayList<>();
-        discovery.first(first.stream().map(m -> m.mirror).toList());
-        list.addAll(discovery.list());
-        sidecars.forEach(s -> s.list(EndpointListKind.COMPLETE, list));
+        discovery.initialize(first.stream().map(m -> m.mirror).toList());
+        list.addAll(discovery.endpointList());
+        sidecars.forEach(s -> s.onEndpointList(EndpointListKind.COMPLETE, list));
         List<Future<?>> starts = new ArrayList<>();
         for (SidecarMember s : sidecars) {
             starts.add(
@@ -353,30 +355,28 @@
                             new ClientTraffic(
                                     scenario,
                                     draws,
-                                    pace.loop(),
-                                    sidecars,
-                                    ledger,
-                                    network,
+                                    new ClientTraffic.Environment(
+                                            pace.loop(), sidecars, ledger, network),
                                     requestClass,
-                                    fleet.capacity());
+                                    fleet.totalCapacity());
                     for (ServerMember m : first) {
-                        StopTheWorldPauses.begin(
+                        StopTheWorldPauses.schedule(
                                 pace.loop(),
                                 draws.stream("pauses." + m.slot),
-                                m.mirror.make.pauseEvery(),
-                                m.mirror.make.pauseMicros(),
+                                m.mirror.spec.pauseIntervalMicros(),
+                                m.mirror.spec.pauseMicros(),
                                 endMicros(),
                                 by -> m.trouble(1, 0, by));
                     }
                     schedule.begin();
-                    traffic.begin();
+                    traffic.start();
                     return null;
                 });
         CompletableFuture<Void> over = new CompletableFuture<>();
         pace.run(
                 () ->
                         pace.loop()
-                                .at(
+                                .scheduleAt(
                                         Math.max(endMicros(), schedule.endMicros()),
                                         () -> settle(over)));
         over.get();
@@ -410,7 +410,9 @@
 
     /** Looks at each sidecar once its idle connections are closed, or when they should long be. */
     private void rest() throws IOException, InterruptedException {
-        long until = System.nanoTime() + (long) (1e9 * REST_PARTS * scenario.net().idleSeconds());
+        long until =
+                System.nanoTime()
+                        + (long) (1e9 * REST_PARTS * scenario.network().idleTimeoutSeconds());
         for (SidecarMember s : sidecars) {
             while (!s.rested() && System.nanoTime() < until) {
                 s.process().waitFor(LOOK_MILLIS, TimeUnit.MILLISECONDS);
@@ -423,16 +425,16 @@
 
     /** Once nothing is in hand any more and every process is back. */
     private void settle(CompletableFuture<Void> over) {
-        boolean back = sidecars.stream().allMatch(s -> s.up() && !s.busy());
+        boolean back = sidecars.stream().allMatch(s -> s.isUp() && !s.busy());
         if (back || failure != null) {
             over.complete(null);
         } else {
-            pace.loop().in(50_000, () -> settle(over));
+            pace.loop().scheduleAfter(50_000, () -> settle(over));
         }
     }
 
     long endMicros() {
-        return EventQueue.BEGIN + (long) (1e6 * scenario.seconds());
+        return EventQueue.START_MICROS + (long) (1e6 * scenario.seconds());
     }
 
     // ---- For its parts
@@ -493,7 +495,7 @@
      * old.
      */
     ServerMember replacement(ServerMember old, boolean samePlace) throws Exception {
-        EmulatedServer fresh = fleet.replacement(old.mirror);
+        EmulatedServer fresh = fleet.createReplacement(old.mirror);
         if (!samePlace) {
             return member(fresh, slots++);
         }
@@ -511,13 +513,13 @@
                         .put("id", m.id())
                         .put("zone", m.mirror.zone)
                         .put("cell", m.mirror.cell)
-                        .put("fall_multiple", scenario.service().fallMultiple())
-                        .put("fall_us", (long) (1e6 * scenario.service().fallSeconds()))
+                        .put("fall_multiple", scenario.service().slowStartLimitFactor())
+                        .put("fall_us", (long) (1e6 * scenario.service().slowStartLimitSeconds()))
                         .put("mean_work_us", meanWork())
                         .put("setup_us", setupMicros)
                         .put("window_us", requestClass.deduplicationWindowMicros())
                         .put("seed", plan.seed());
-        command.set("make", EventHistory.JSON.valueToTree(m.mirror.make));
+        command.set("make", EventHistory.JSON.valueToTree(m.mirror.spec));
         return command;
     }
 
@@ -534,7 +536,7 @@
                 .put("id", s.id())
                 .put("endpoint", text(m.ways.get(to.index()).link.address()))
                 .put("az", scenario.fleet().zones().get(s.zone()))
-                .put("model", scenario.kinds().get(s.kind()).name())
+                .put("model", scenario.machineTypes().get(s.kind()).name())
                 .put("pod_group", s.cell())
                 .put(
                         "state",
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -6,14 +6,16 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import sagefall.emulator.EventQueue;
 import sagefall.emulator.StopTheWorldPauses;
+import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
+import sagefall.scenario.FaultKind;
+import sagefall.scenario.FaultMode;
 
 /**
  * What goes wrong in a play, with all figures and members drawn: the same seed gives the same lines
@@ -27,7 +29,7 @@
 
     private record Item(
             int place,
-            Fault.Drawn drawn,
+            DrawnFault drawn,
             List<ServerMember> servers,
             List<SidecarMember> sidecars) {}
 
@@ -38,19 +40,29 @@
         this.rig = rig;
         for (int place : places) {
             Fault f = rig.scenario.faults().get(place);
-            Fault.Drawn d = f.draw(rig.draws().stream("fault." + place), rig.scenario.seconds());
-            boolean zonal =
-                    f.kind() == Fault.Kind.KILL_SIDECARS || f.kind() == Fault.Kind.POWER_LOSS;
+            DrawnFault d = f.draw(rig.draws().stream("fault." + place), rig.scenario.seconds());
+            boolean zonal = f.kind() == FaultKind.KILL_SIDECARS || f.kind() == FaultKind.POWER_LOSS;
             List<SidecarMember> from =
                     zonal && f.zone() >= 0
                             ? rig.sidecars().stream().filter(s -> s.zone() == f.zone()).toList()
                             : rig.sidecars();
             switch (f.kind()) {
-                case LOSE_SERVERS, SLOW, ERRORS, PAUSES, REPLACE, REBORN, DRAIN ->
-                        items.add(new Item(place, d, List.copyOf(d.some(rig.first())), List.of()));
+                case LOSE_SERVERS,
+                        SLOW_SERVERS,
+                        SERVER_ERRORS,
+                        SERVER_PAUSES,
+                        REPLACE_SERVERS,
+                        RESTART_WITH_NEW_IDS,
+                        DRAIN_SERVERS ->
+                        items.add(
+                                new Item(
+                                        place,
+                                        d,
+                                        List.copyOf(d.pickFraction(rig.first())),
+                                        List.of()));
                 case KILL_SIDECARS,
                         RESTART_SIDECARS,
-                        DEAF,
+                        SUPPRESSED_UPDATES,
                         STOP_SIDECARS,
                         SLOW_SIDECARS,
                         CUT_SIDECARS,
@@ -59,7 +71,7 @@
                         CUT_BYTES,
                         POWER_LOSS,
                         WRONG_CLOCK ->
-                        items.add(new Item(place, d, List.of(), List.copyOf(d.some(from))));
+                        items.add(new Item(place, d, List.of(), List.copyOf(d.pickFraction(from))));
                 default -> items.add(new Item(place, d, List.of(), List.of()));
             }
         }
@@ -69,8 +81,8 @@
     Set<ServerMember> alone() {
         Set<ServerMember> alone = new HashSet<>();
         for (Item i : items) {
-            if (i.drawn.fault().kind() == Fault.Kind.LOSE_SERVERS
-                    || i.drawn.fault().kind() == Fault.Kind.REBORN) {
+            if (i.drawn.fault().kind() == FaultKind.LOSE_SERVERS
+                    || i.drawn.fault().kind() == FaultKind.RESTART_WITH_NEW_IDS) {
                 alone.addAll(i.servers);
             }
         }
@@ -87,14 +99,14 @@
                             .createObjectNode()
                             .put("fault", i.place)
                             .put("kind", name(f))
-                            .put("at_s", round(i.drawn.from()))
-                            .put("for_s", round(i.drawn.seconds()))
+                            .put("at_s", round(i.drawn.startSeconds()))
+                            .put("for_s", round(i.drawn.durationSeconds()))
                             .put("zone", f.zone())
                             .put("tenant", f.tenant())
-                            .put("part", round(i.drawn.part()))
-                            .put("size", round(i.drawn.size()))
-                            .put("every_s", round(i.drawn.every()))
-                            .put("how", f.how());
+                            .put("part", round(i.drawn.fraction()))
+                            .put("size", round(i.drawn.magnitude()))
+                            .put("every_s", round(i.drawn.periodSeconds()))
+                            .put("how", f.mode().label());
             line.set(
                     "servers",
                     EventHistory.JSON.valueToTree(i.servers.stream().map(s -> s.slot).toList()));
@@ -112,16 +124,16 @@
     }
 
     private static String name(Fault f) {
-        return f.kind().name().toLowerCase(Locale.ROOT);
+        return f.kind().label();
     }
 
     /** When the last of them is over. */
     long endMicros() {
-        return items.stream().mapToLong(i -> micros(i.drawn.end())).max().orElse(0);
+        return items.stream().mapToLong(i -> micros(i.drawn.endSeconds())).max().orElse(0);
     }
 
     private static long micros(double second) {
-        return EventQueue.BEGIN + (long) (1e6 * second);
+        return EventQueue.START_MICROS + (long) (1e6 * second);
     }
 
     /** Puts them on the time line. */
@@ -140,7 +152,7 @@
     /** True at its beginning, false at its end; both are written down. */
     private void spell(Item i, double from, double seconds, Change change) {
         for (boolean on : new boolean[] {true, false}) {
-            loop().at(
+            loop().scheduleAt(
                             micros(on ? from : from + seconds),
                             () -> {
                                 rig.history.line(
@@ -154,7 +166,7 @@
                                         "zone",
                                         i.drawn.fault().zone(),
                                         "how",
-                                        i.drawn.fault().how(),
+                                        i.drawn.fault().mode().label(),
                                         "sidecars",
                                         i.sidecars.stream().map(SidecarMember::index).toList(),
                                         "servers",
@@ -165,35 +177,36 @@
     }
 
     private void spell(Item i, Change change) {
-        spell(i, i.drawn.from(), i.drawn.seconds(), change);
+        spell(i, i.drawn.startSeconds(), i.drawn.durationSeconds(), change);
     }
 
     private void begin(Item i) {
         Fault f = i.drawn.fault();
-        double size = i.drawn.size();
+        double size = i.drawn.magnitude();
         switch (f.kind()) {
-            case LOSE_ZONE -> spell(i, on -> lose(zone(f.zone()), f.how(), on));
-            case FLAP_ZONE -> rounds(i, i.drawn.part(), on -> lose(zone(f.zone()), f.how(), on));
-            case LOSE_SERVERS -> spell(i, on -> lose(processes(i.servers), f.how(), on));
-            case REBORN -> spell(i, on -> reborn(i.servers, f.how(), on));
+            case LOSE_ZONE -> spell(i, on -> lose(zone(f.zone()), f.mode(), on));
+            case FLAP_ZONE ->
+                    rounds(i, i.drawn.fraction(), on -> lose(zone(f.zone()), f.mode(), on));
+            case LOSE_SERVERS -> spell(i, on -> lose(processes(i.servers), f.mode(), on));
+            case RESTART_WITH_NEW_IDS -> spell(i, on -> reborn(i.servers, f.mode(), on));
             case CUT_ZONE -> spell(i, on -> cutZone(f, on ? 1 : -1));
             case CUT_SIDECARS -> spell(i, on -> cut(i, on ? 1 : -1));
             case FLAP_LINKS -> rounds(i, 0.5, on -> cut(i, on ? 1 : -1));
             case DELAY_LINKS -> spell(i, on -> ways(i, w -> w.moreMillis += on ? size : -size));
             case CUT_BYTES -> spell(i, on -> ways(i, w -> w.cutAt = on ? (long) size : 0));
-            case SLOW ->
+            case SLOW_SERVERS ->
                     spell(i, on -> i.servers.forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
-            case SHARED_SLOW ->
+            case SLOW_SHARED_DEPENDENCY ->
                     spell(
                             i,
                             on ->
                                     rig.servers()
                                             .forEach(s -> s.trouble(on ? size : 1 / size, 0, 0)));
-            case ERRORS ->
+            case SERVER_ERRORS ->
                     spell(i, on -> i.servers.forEach(s -> s.trouble(1, on ? size : -size, 0)));
-            case PAUSES -> pauses(i);
-            case REPLACE -> replace(i);
-            case DRAIN ->
+            case SERVER_PAUSES -> pauses(i);
+            case REPLACE_SERVERS -> replace(i);
+            case DRAIN_SERVERS ->
                     spell(
                             i,
                             on ->
@@ -202,7 +215,8 @@
                                             .forEach(
                                                     s -> {
                                                         if (on) {
-                                                            rig.discovery().draining(s.mirror);
+                                                            rig.discovery()
+                                                                    .serverDraining(s.mirror);
                                                         } else {
                                                             drain(s);
                                                         }
@@ -210,35 +224,40 @@
             case WRONG_CLOCK ->
                     spell(
                             i,
-                            i.drawn.from(),
+                            i.drawn.startSeconds(),
                             0,
                             on ->
                                     i.sidecars.forEach(
                                             s -> s.finds(s.stale(), (long) (1000 * size))));
-            case BURST -> spell(i, on -> rig.traffic().burst *= on ? size : 1 / size);
-            case SHIFT ->
+            case TRAFFIC_BURST -> spell(i, on -> rig.traffic().rateFactor *= on ? size : 1 / size);
+            case ZONE_TRAFFIC_SHIFT ->
                     spell(
                             i,
                             on -> {
-                                rig.traffic().shift[f.zone()] *= on ? size : 1 / size;
-                                rig.traffic().reweigh();
+                                rig.traffic().zoneFactors[f.zone()] *= on ? size : 1 / size;
+                                rig.traffic().updateWeights();
                             });
-            case SURGE ->
+            case TENANT_SURGE ->
                     spell(
                             i,
                             on -> {
-                                rig.traffic().surge[f.tenant()] *= on ? size : 1 / size;
-                                rig.traffic().reweigh();
+                                rig.traffic().tenantFactors[f.tenant()] *= on ? size : 1 / size;
+                                rig.traffic().updateWeights();
                             });
-            case LEAVERS ->
-                    spell(i, on -> rig.traffic().leave += on ? i.drawn.part() : -i.drawn.part());
-            case STUBBORN -> spell(i, on -> rig.traffic().stubborn = on ? (int) size : 0);
-            case LOST_ANSWERS -> spell(i, on -> all("lost", on ? i.drawn.part() : 0));
-            case RESETS -> spell(i, on -> all("resets", on ? i.drawn.part() : 0));
+            case CLIENT_DISCONNECTS ->
+                    spell(
+                            i,
+                            on ->
+                                    rig.traffic().disconnectShare +=
+                                            on ? i.drawn.fraction() : -i.drawn.fraction());
+            case IMMEDIATE_RETRIES ->
+                    spell(i, on -> rig.traffic().immediateRetries = on ? (int) size : 0);
+            case LOST_RESPONSES -> spell(i, on -> all("lost", on ? i.drawn.fraction() : 0));
+            case CONNECTION_RESETS -> spell(i, on -> all("resets", on ? i.drawn.fraction() : 0));
             case KILL_SIDECARS ->
                     spell(
                             i,
-                            i.drawn.from(),
+                            i.drawn.startSeconds(),
                             size,
                             on ->
                                     i.sidecars.forEach(
@@ -247,7 +266,7 @@
                                                     s.kill((long) (1e6 * size));
                                                 }
                                             }));
-            case POWER_LOSS -> spell(i, i.drawn.from(), size, on -> power(i, on));
+            case POWER_LOSS -> spell(i, i.drawn.startSeconds(), size, on -> power(i, on));
             case RESTART_SIDECARS -> restarts(i);
             case STOP_SIDECARS ->
                     spell(
@@ -258,7 +277,7 @@
                                 }
                             });
             case SLOW_SIDECARS -> spell(i, on -> duty(i, on));
-            case STOP_OWNER -> {
+            case STOP_LEASE_HOLDER -> {
                 SidecarMember[] who = new SidecarMember[1];
                 spell(
                         i,
@@ -269,22 +288,23 @@
                             }
                         });
             }
-            case KILL_OWNER ->
+            case KILL_LEASE_HOLDER ->
                     spell(
                             i,
-                            i.drawn.from(),
+                            i.drawn.startSeconds(),
                             size,
                             on -> {
                                 if (on && owner() != null) {
                                     owner().kill((long) (1e6 * size));
                                 }
                             });
-            case LATE_LISTS -> spell(i, on -> rig.discovery().late *= on ? size : 1 / size);
-            case DISCOVERY_DOWN ->
+            case SLOW_DISCOVERY ->
+                    spell(i, on -> rig.discovery().delayFactor *= on ? size : 1 / size);
+            case DISCOVERY_OUTAGE ->
                     spell(
                             i,
                             on -> {
-                                rig.discovery().down += on ? 1 : -1;
+                                rig.discovery().outages += on ? 1 : -1;
                                 rig.replicas()
                                         .forEach(
                                                 r ->
@@ -294,18 +314,23 @@
                                                                         .put("do", "mute")
                                                                         .put("on", on)));
                             });
-            case DEAF -> spell(i, on -> i.sidecars.forEach(s -> rig.discovery().deaf(s, on)));
+            case SUPPRESSED_UPDATES ->
+                    spell(
+                            i,
+                            on ->
+                                    i.sidecars.forEach(
+                                            s -> rig.discovery().setUpdatesSuppressed(s, on)));
             default -> throw new IllegalStateException("fault " + f.kind());
         }
     }
 
     /** On for a part of each round. */
     private void rounds(Item i, double part, Change change) {
-        for (double at = 0; at < i.drawn.seconds(); at += i.drawn.every()) {
+        for (double at = 0; at < i.drawn.durationSeconds(); at += i.drawn.periodSeconds()) {
             spell(
                     i,
-                    i.drawn.from() + at,
-                    Math.min(i.drawn.every(), i.drawn.seconds() - at) * part,
+                    i.drawn.startSeconds() + at,
+                    Math.min(i.drawn.periodSeconds(), i.drawn.durationSeconds() - at) * part,
                     change);
         }
     }
@@ -320,10 +345,10 @@
         return servers.stream().map(s -> s.process).distinct().toList();
     }
 
-    private void lose(List<ServerProcess> some, String how, boolean begins) throws Exception {
+    private void lose(List<ServerProcess> some, FaultMode how, boolean begins) throws Exception {
         for (ServerProcess p : some) {
             if (begins) {
-                p.kill(how.equals("silent"));
+                p.kill(how == FaultMode.SILENT);
             } else {
                 p.again();
             }
@@ -331,7 +356,8 @@
     }
 
     /** Ends, and comes back with other ids at the same addresses. */
-    private void reborn(List<ServerMember> servers, String how, boolean begins) throws Exception {
+    private void reborn(List<ServerMember> servers, FaultMode how, boolean begins)
+            throws Exception {
         if (begins) {
             lose(processes(servers), how, true);
             return;
@@ -349,15 +375,18 @@
      * empty.
      */
     private void replace(Item i) {
-        boolean early = i.drawn.fault().how().equals("early");
+        boolean early = i.drawn.fault().mode() == FaultMode.EARLY;
         Map<Integer, ServerMember> fresh = new HashMap<>();
         for (int n = 0; n < i.servers.size(); n++) {
             ServerMember old = i.servers.get(n);
             int number = n;
-            long at = micros(i.drawn.from() + i.drawn.seconds() * n / i.servers.size());
+            long at =
+                    micros(
+                            i.drawn.startSeconds()
+                                    + i.drawn.durationSeconds() * n / i.servers.size());
             // Its ways are made before, as that takes the model's thread a while.
             rig.unchecked(() -> fresh.put(number, rig.replacement(old, false)));
-            loop().at(
+            loop().scheduleAt(
                             at,
                             () -> {
                                 ServerMember successor = fresh.get(number);
@@ -380,26 +409,28 @@
                                 host.members.add(successor);
                                 host.serve(successor, true)
                                         .thenRun(() -> rig.pace.run(() -> startMember(successor)));
-                                rig.discovery().draining(old.mirror);
-                                loop().in(early ? 0 : rig.discovery().settled(), () -> drain(old));
+                                rig.discovery().serverDraining(old.mirror);
+                                loop().scheduleAfter(
+                                                early ? 0 : rig.discovery().propagationMicros(),
+                                                () -> drain(old));
                             });
         }
     }
 
     private void startMember(ServerMember successor) {
         successor.mirror.start();
-        rig.discovery().started(successor.mirror);
+        rig.discovery().serverStarted(successor.mirror);
     }
 
     private void drain(ServerMember old) {
         old.process.ask(old.state().put("drain", true));
-        loop().in(
+        loop().scheduleAfter(
                         rig.requestClass().deadlineMicros(),
                         () -> {
                             old.gone = true;
                             old.process.end(old);
                             old.down(false);
-                            rig.discovery().ended(old.mirror);
+                            rig.discovery().serverStopped(old.mirror);
                         });
     }
 
@@ -411,12 +442,14 @@
                     if (on) {
                         i.servers.forEach(
                                 s ->
-                                        StopTheWorldPauses.begin(
+                                        StopTheWorldPauses.schedule(
                                                 loop(),
                                                 random,
-                                                (long) (1e6 * i.drawn.every()),
-                                                (long) (1000 * i.drawn.size()),
-                                                micros(i.drawn.from() + i.drawn.seconds()),
+                                                (long) (1e6 * i.drawn.periodSeconds()),
+                                                (long) (1000 * i.drawn.magnitude()),
+                                                micros(
+                                                        i.drawn.startSeconds()
+                                                                + i.drawn.durationSeconds()),
                                                 by -> s.trouble(1, 0, by)));
                     }
                 });
@@ -442,19 +475,19 @@
     }
 
     private void cut(Item i, int by) throws Exception {
-        String how = i.drawn.fault().how();
+        FaultMode how = i.drawn.fault().mode();
         ways(
                 i,
                 way -> {
-                    way.cutThere += how.equals("out") ? 0 : by;
-                    way.cutBack += how.equals("in") ? 0 : by;
+                    way.cutThere += how == FaultMode.OUT ? 0 : by;
+                    way.cutBack += how == FaultMode.IN ? 0 : by;
                 });
     }
 
     /** Between a zone and all others, for what goes in, out or both. */
     private void cutZone(Fault f, int by) throws Exception {
-        boolean in = !f.how().equals("out");
-        boolean out = !f.how().equals("in");
+        boolean in = f.mode() != FaultMode.OUT;
+        boolean out = f.mode() != FaultMode.IN;
         for (ServerMember s : rig.servers()) {
             for (SidecarMember from : rig.sidecars()) {
                 boolean inner = s.mirror.zone == f.zone();
@@ -481,9 +514,11 @@
         int steps = Math.min(TENTHS, Math.max(1, i.sidecars.size()));
         for (int n = 0; n < i.sidecars.size(); n++) {
             SidecarMember s = i.sidecars.get(n);
-            loop().at(
-                            micros(i.drawn.from() + i.drawn.seconds() * (n % steps) / steps),
-                            () -> s.restart((long) (1e6 * i.drawn.size())));
+            loop().scheduleAt(
+                            micros(
+                                    i.drawn.startSeconds()
+                                            + i.drawn.durationSeconds() * (n % steps) / steps),
+                            () -> s.restart((long) (1e6 * i.drawn.magnitude())));
         }
     }
 
@@ -491,7 +526,10 @@
     private void duty(Item i, boolean on) throws Exception {
         for (SidecarMember s : i.sidecars) {
             if (on) {
-                round(s, i.drawn.size(), micros(i.drawn.from() + i.drawn.seconds()));
+                round(
+                        s,
+                        i.drawn.magnitude(),
+                        micros(i.drawn.startSeconds() + i.drawn.durationSeconds()));
             } else {
                 s.signal("CONT");
             }
@@ -503,19 +541,21 @@
             return;
         }
         rig.unchecked(() -> s.signal("STOP"));
-        loop().in((long) (DUTY_MICROS * (1 - runs)), () -> rig.unchecked(() -> s.signal("CONT")));
-        loop().in(DUTY_MICROS, () -> round(s, runs, until));
+        loop().scheduleAfter(
+                        (long) (DUTY_MICROS * (1 - runs)),
+                        () -> rig.unchecked(() -> s.signal("CONT")));
+        loop().scheduleAfter(DUTY_MICROS, () -> round(s, runs, until));
     }
 
     /** A zone's servers, and the sidecars that were drawn, at once. */
     private void power(Item i, boolean begins) throws Exception {
         int zone = i.drawn.fault().zone();
         List<ServerProcess> hosts = zone < 0 ? rig.processes() : zone(zone);
-        lose(hosts, "silent", begins);
+        lose(hosts, FaultMode.SILENT, begins);
         if (begins) {
             for (SidecarMember s : i.sidecars) {
-                s.finds(i.drawn.fault().how().equals("stale"), s.clockOffsetMillis());
-                s.kill((long) (1e6 * i.drawn.size()));
+                s.finds(i.drawn.fault().mode() == FaultMode.STALE, s.clockOffsetMillis());
+                s.kill((long) (1e6 * i.drawn.magnitude()));
             }
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RealTimeEventLoop.java
@@ -70,11 +70,11 @@
         if (zero == 0) {
             return;
         }
-        loop.runUntil(EventQueue.BEGIN + (System.nanoTime() - zero) / 1000);
+        loop.runUntil(EventQueue.START_MICROS + (System.nanoTime() - zero) / 1000);
     }
 
     private void arm() {
-        long next = loop.nextAt();
+        long next = loop.nextEventAt();
         if (next >= armedFor || zero == 0) {
             return;
         }
@@ -82,7 +82,7 @@
             armed.cancel(false);
         }
         armedFor = next;
-        long due = zero + (next - EventQueue.BEGIN) * 1000;
+        long due = zero + (next - EventQueue.START_MICROS) * 1000;
         armed =
                 thread.schedule(
                         () -> {
--- a/testbed/src/main/java/sagefall/faultinjection/RunPlan.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunPlan.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
 
 /**
  * What is to be played, whole enough to be played again.
@@ -39,7 +39,7 @@
 
     /** The scenario, unless it has a fault that real processes can't play. */
     public Scenario scenario() throws ScenarioException {
-        return Scenario.read(file, text, sets).on(Fault.Side.RIG);
+        return Scenario.read(file, text, sets).requireSupportedBy(ScenarioRunner.FAULT_INJECTION);
     }
 
     /** The same with fewer faults. */
--- a/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -75,7 +75,7 @@
         this.mirror = mirror;
         this.slot = slot;
         this.ways = ways;
-        errors = mirror.make.errors();
+        errors = mirror.spec.errorRate();
     }
 
     long id() {
@@ -89,7 +89,7 @@
             way.silent = silently;
             way.apply();
         }
-        mirror.end(silently);
+        mirror.stop(silently);
     }
 
     /** Its process runs again. */
--- a/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -76,7 +76,7 @@
         for (ServerMember m : members) {
             if (!m.gone) {
                 m.down(silently);
-                rig.discovery().ended(m.mirror);
+                rig.discovery().serverStopped(m.mirror);
             }
         }
         StandInProcess killed = child;
@@ -111,7 +111,7 @@
             if (!m.gone) {
                 m.up();
                 m.mirror.start();
-                rig.discovery().started(m.mirror);
+                rig.discovery().serverStarted(m.mirror);
             }
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
@@ -14,9 +14,9 @@
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
+import sagefall.emulator.ClientAnswer;
 import sagefall.emulator.ClientOperation;
 import sagefall.emulator.ClientRequest;
-import sagefall.emulator.EmulatedSidecar.Answer;
 import sagefall.emulator.EndpointListSubscriber;
 import sagefall.emulator.EventQueue;
 import sagefall.emulator.SidecarHandle;
@@ -95,23 +95,23 @@
     }
 
     @Override
-    public boolean up() {
+    public boolean isUp() {
         return up;
     }
 
     @Override
-    public boolean leaving() {
+    public boolean isDraining() {
         return leaving;
     }
 
     @Override
-    public String prefix() {
+    public String requestIdPrefix() {
         return String.format("%04x%02x", index, life & 0xff);
     }
 
     /** Of the agent, which outlives the sidecar. */
     @Override
-    public int life() {
+    public int incarnation() {
         return 0;
     }
 
@@ -193,7 +193,7 @@
 
     private Map<String, Object> extensions() {
         Map<String, Object> sections = new HashMap<>();
-        String keeps = rig.scenario.fleet().keeps();
+        String keeps = rig.scenario.fleet().persistence();
         if (!keeps.equals("off")) {
             sections.put(
                     "recovery",
@@ -273,7 +273,7 @@
     private void back(long downMicros) {
         rig.pace
                 .loop()
-                .in(
+                .scheduleAfter(
                         downMicros,
                         () ->
                                 rig.aside(
@@ -295,7 +295,7 @@
         ending = true;
         rig.history.line("process", "who", index, "what", "term");
         process.process().destroy();
-        rig.pace.loop().in(300_000, () -> leaving = true);
+        rig.pace.loop().scheduleAfter(300_000, () -> leaving = true);
         process.process()
                 .onExit()
                 .thenRun(
@@ -336,13 +336,13 @@
     // ---- Its application
 
     @Override
-    public void take(ClientRequest call, boolean repeat) {
+    public void submit(ClientRequest call, boolean repeat) {
         EventQueue loop = rig.pace.loop();
         Map<String, String> headers = new LinkedHashMap<>();
-        String key = rig.key(call.wish.number);
-        long micros = call.deadline - call.takenAt;
+        String key = rig.key(call.operation.number);
+        long micros = call.deadlineMicros - call.receivedAtMicros;
         headers.put("Request-Id", call.id);
-        headers.put("Tenant", rig.tenant(call.wish.tenant));
+        headers.put("Tenant", rig.tenant(call.operation.tenant));
         headers.put("Request-Timeout-Ms", String.valueOf(Math.max(1, micros / 1000)));
         headers.put("Idempotency-Key", key);
         if (repeat) {
@@ -350,7 +350,8 @@
         }
         byte[] body = new byte[BODY];
         Arrays.fill(body, (byte) '.');
-        byte[] work = ("work=" + call.wish.work + "\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] work =
+                ("work=" + call.operation.workMicros + "\n").getBytes(StandardCharsets.US_ASCII);
         System.arraycopy(work, 0, body, 0, work.length);
         rig.history.line(
                 "intent",
@@ -361,22 +362,22 @@
                 "key",
                 key,
                 "wish",
-                call.wish.number,
+                call.operation.number,
                 "timeout_us",
                 micros,
                 "beyond",
-                call.wish.beyondShare);
+                call.operation.overQuota);
         open.put(
                 call.id,
                 new Open(
                         application.post(
-                                "/save/" + Long.toHexString(call.wish.key),
+                                "/save/" + Long.toHexString(call.operation.key),
                                 headers,
                                 body,
                                 reply -> rig.pace.run(() -> replied(call, reply))),
                         life));
-        loop.at(
-                call.deadline + PATIENCE,
+        loop.scheduleAt(
+                call.deadlineMicros + PATIENCE,
                 () -> {
                     if (open.containsKey(call.id)) {
                         application.leave(open.get(call.id).exchange);
@@ -386,8 +387,8 @@
     }
 
     @Override
-    public void missed(ClientOperation wish) {
-        rig.history.line("missed", "who", index, "wish", wish.number, "beyond", wish.beyondShare);
+    public void onUnreachable(ClientOperation wish) {
+        rig.history.line("missed", "who", index, "wish", wish.number, "beyond", wish.overQuota);
     }
 
     private void replied(ClientRequest call, ClientLoad.Reply reply) {
@@ -408,32 +409,33 @@
                 reply.retryMicros(),
                 "body",
                 reply.body());
-        if (call.over) {
+        if (call.finished) {
             return;
         }
-        call.over = true;
+        call.finished = true;
         int status = reply.status();
         if (status == 200) {
-            rig.traffic().answer(call, Answer.SERVED, "", 0);
+            rig.traffic().deliverAnswer(call, ClientAnswer.SERVED, "", 0);
         } else if (status == 429 || status == 503) {
-            rig.traffic().answer(call, Answer.REFUSED, "refused", reply.retryMicros());
+            rig.traffic()
+                    .deliverAnswer(call, ClientAnswer.REJECTED, "refused", reply.retryMicros());
         } else if (status == ClientLoad.UNREACHABLE) {
-            rig.traffic().answer(call, Answer.REFUSED, "sidecar down", 0);
+            rig.traffic().deliverAnswer(call, ClientAnswer.REJECTED, "sidecar down", 0);
         } else if (status == ClientLoad.BROKEN && died) {
-            rig.traffic().dropped(call);
+            rig.traffic().onSidecarKilled(call);
         } else {
             rig.traffic()
-                    .answer(
+                    .deliverAnswer(
                             call,
-                            Answer.FAILED,
+                            ClientAnswer.FAILED,
                             status == ClientLoad.BROKEN ? "unanswered" : "failed",
                             0);
         }
     }
 
     @Override
-    public void leave(ClientRequest call) {
-        call.over = true;
+    public void disconnectClient(ClientRequest call) {
+        call.finished = true;
         Open was = open.remove(call.id);
         rig.history.line("left", "id", call.id, "who", index);
         if (was != null) {
@@ -448,7 +450,7 @@
     // ---- Its agent
 
     @Override
-    public void list(EndpointListKind kind, List<ListedEndpoint> lines) {
+    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> lines) {
         ObjectNode command;
         synchronized (held) {
             revision++;
--- a/testbed/src/main/java/sagefall/faultinjection/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SocketServer.java
@@ -24,6 +24,10 @@
 import sagefall.emulator.EmulatedServer;
 import sagefall.emulator.Job;
 import sagefall.emulator.RandomStreams;
+import sagefall.emulator.ServerIdentity;
+import sagefall.emulator.ServerListener;
+import sagefall.emulator.ServerSpec;
+import sagefall.emulator.SharedSlowdown;
 import sagefall.emulator.SlowStartBudget;
 
 /**
@@ -31,7 +35,7 @@
  * emulator's requests bring it along, and slots, waiting room, cold start, thrash and reports are
  * the emulator's.
  */
-final class SocketServer implements EmulatedServer.Floor {
+final class SocketServer implements ServerListener {
 
     /** A request, and whom to answer. */
     private static final class Asked extends Job {
@@ -50,7 +54,7 @@
          * Whether senders knew is judged from the history; here all count, as a machine can't ask.
          */
         @Override
-        protected boolean knowsStart(EmulatedServer server) {
+        protected boolean senderKnowsStart(EmulatedServer server) {
             return true;
         }
     }
@@ -76,15 +80,13 @@
         long id = command.path("id").asLong();
         model =
                 new EmulatedServer(
-                        id,
-                        command.path("zone").asInt(),
-                        command.path("cell").asInt(),
-                        EventHistory.JSON.treeToValue(
-                                command.path("make"), EmulatedServer.Make.class),
+                        new ServerIdentity(
+                                id, command.path("zone").asInt(), command.path("cell").asInt()),
+                        EventHistory.JSON.treeToValue(command.path("make"), ServerSpec.class),
                         pace.loop(),
-                        new double[] {1},
+                        new SharedSlowdown(),
                         this);
-        model.bears(
+        model.setSlowStartBudget(
                 new SlowStartBudget(
                         command.path("fall_multiple").asDouble(),
                         command.path("fall_us").asLong(),
@@ -102,7 +104,7 @@
         if (cold) {
             model.start();
         }
-        EmulatedServer.Make m = model.make;
+        ServerSpec m = model.spec;
         history.line(
                 "server",
                 "server",
@@ -114,29 +116,29 @@
                 "capacity",
                 Math.min(m.cores(), m.slots()) * m.speed(),
                 "cold_from",
-                m.coldFrom(),
+                m.initialCapacityShare(),
                 "cold_us",
-                m.coldMicros());
+                m.slowStartMicros());
     }
 
     /** What troubles it from now on. */
     void set(JsonNode c) {
-        model.slow = c.path("slow").asDouble(model.slow);
-        model.stolen = c.path("stolen").asDouble(model.stolen);
-        model.errors = c.path("errors").asDouble(model.errors);
-        model.pauses = c.path("pauses").asInt(model.pauses);
+        model.slowdown = c.path("slow").asDouble(model.slowdown);
+        model.stolenShare = c.path("stolen").asDouble(model.stolenShare);
+        model.errorRate = c.path("errors").asDouble(model.errorRate);
+        model.activePauses = c.path("pauses").asInt(model.activePauses);
         lost = c.path("lost").asDouble(lost);
         resets = c.path("resets").asDouble(resets);
         if (c.path("drain").asBoolean()) {
             model.state = EmulatedServer.State.DRAINING;
         }
-        model.settle();
+        model.reschedule();
     }
 
     /** Its process ends, as planned. */
     void end() {
         listening.close();
-        model.end(false);
+        model.stop(false);
         Set.copyOf(connections).forEach(Connection::reset);
         history.line("server", "server", model.id, "zone", model.zone, "what", "end");
     }
@@ -152,10 +154,11 @@
         long now = pace.loop().now();
         Long before = ran.get(model.zone + " " + key);
         boolean repeat = before != null && now - before <= windowMicros;
-        asked.work =
-                (repeat ? 0 : work * model.keyed(subject.hashCode())) + (fresh ? setupMicros : 0);
-        asked.left = asked.work;
-        boolean taken = model.state == EmulatedServer.State.UP && model.take(asked);
+        asked.workMicros =
+                (repeat ? 0 : work * model.workFactorForKey(subject.hashCode()))
+                        + (fresh ? setupMicros : 0);
+        asked.remainingMicros = asked.workMicros;
+        boolean taken = model.state == EmulatedServer.State.UP && model.accept(asked);
         history.line(
                 "arrive",
                 "id",
@@ -165,7 +168,7 @@
                 "taken",
                 taken,
                 "warmth",
-                model.warmth(now));
+                model.capacityShareAt(now));
         if (model.state == EmulatedServer.State.DEAD) {
             from.reset();
         } else if (!taken) {
@@ -180,7 +183,7 @@
     }
 
     @Override
-    public void done(Job job) {
+    public void onJobDone(Job job) {
         Asked asked = (Asked) job;
         history.line(
                 "effect", "id", asked.id, "key", asked.key, "server", model.id, "zone", model.zone);
@@ -191,7 +194,7 @@
         if (luck < resets) {
             asked.from.reset();
         } else if (luck >= resets + lost) {
-            int status = luck > 1 - model.errors ? 500 : 200;
+            int status = luck > 1 - model.errorRate ? 500 : 200;
             history.line("reply", "id", asked.id, "server", model.id, "status", status);
             asked.from.answer(
                     asked,
@@ -203,7 +206,7 @@
     }
 
     private String report() {
-        LoadReport r = model.report();
+        LoadReport r = model.loadReport();
         return String.format(
                 Locale.ROOT,
                 "TEXT cpu=%.3f, rps=%.1f, avg_ms=%.1f",
@@ -213,12 +216,12 @@
     }
 
     @Override
-    public void broken(Job job) {
+    public void onJobAborted(Job job) {
         ((Asked) job).from.reset();
     }
 
     @Override
-    public void fell(EmulatedServer server, double told) {
+    public void onSlowStartOverload(EmulatedServer server, double told) {
         history.line("server", "server", model.id, "zone", model.zone, "what", "fell");
         listening.close();
         Set.copyOf(connections).forEach(Connection::reset);
@@ -236,7 +239,7 @@
             pace.run(
                     () -> {
                         connections.add(this);
-                        if (++model.connections > model.make.connections()
+                        if (++model.connections > model.spec.maxConnections()
                                 || model.state == EmulatedServer.State.DEAD) {
                             reset();
                         }
--- a/testbed/src/main/java/sagefall/policy/BaselinePolicies.java
+++ b/testbed/src/main/java/sagefall/policy/BaselinePolicies.java
@@ -7,6 +7,7 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.Request;
+import sagefall.emulator.SettingsMessage;
 
 /**
  * The textbook policies, and an oracle that sees the true state. Random gives a scenario its floor
@@ -15,7 +16,7 @@
 public final class BaselinePolicies {
 
     private interface Maker {
-        LoadBalancer make(BalancerSettings settings, BalancerActions actions, Policy.Truth truth);
+        LoadBalancer make(BalancerSettings settings, BalancerActions actions, GroundTruth truth);
     }
 
     private static final Map<String, Maker> ALL =
@@ -46,9 +47,9 @@
             @Override
             public LoadBalancer create(
                     BalancerSettings settings,
-                    Map<String, Object> facts,
+                    SettingsMessage message,
                     BalancerActions actions,
-                    Truth truth) {
+                    GroundTruth truth) {
                 return maker.make(settings, actions, truth);
             }
         };
@@ -139,9 +140,9 @@
     private static final class Oracle extends BaselinePolicy {
         private static final double REACH = 0.5;
 
-        private final Policy.Truth truth;
+        private final GroundTruth truth;
 
-        Oracle(BalancerSettings settings, BalancerActions actions, Policy.Truth truth) {
+        Oracle(BalancerSettings settings, BalancerActions actions, GroundTruth truth) {
             super(settings, actions);
             this.truth = truth;
         }
@@ -151,7 +152,7 @@
             Known best = null;
             double least = REACH * settings.classes().get(0).latencyObjectiveMicros();
             for (Known s : ready) {
-                double micros = truth.answerMicros(s.id, settings.zone());
+                double micros = truth.expectedAnswerMicros(s.id, settings.zone());
                 if (micros < least) {
                     least = micros;
                     best = s;
--- a/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
@@ -24,6 +24,8 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.Request;
+import sagefall.emulator.SettingsMessage;
+import sagefall.emulator.SettingsMessageCodec;
 
 /**
  * Another build, by its {@code sim} command: one process for a day, spoken to over the simulator's
@@ -66,13 +68,13 @@
     @Override
     public LoadBalancer create(
             BalancerSettings settings,
-            Map<String, Object> facts,
+            SettingsMessage message,
             BalancerActions actions,
-            Truth truth) {
+            GroundTruth truth) {
         Instance instance = new Instance("sidecar_" + made++, actions);
         Map<String, Object> start = op("Start");
         start.put("salt", settings.seed());
-        start.put("facts", facts);
+        start.put("facts", SettingsMessageCodec.encode(message));
         instance.tell(0, List.of(start));
         return instance;
     }
--- a/testbed/src/main/java/sagefall/policy/ModulePolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ModulePolicy.java
@@ -1,10 +1,10 @@
 package sagefall.policy;
 
-import java.util.Map;
 import sagefall.balancer.DefaultLoadBalancer;
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.LoadBalancer;
+import sagefall.emulator.SettingsMessage;
 
 /** The decision module as it stands in this build. */
 public final class ModulePolicy implements Policy {
@@ -17,9 +17,9 @@
     @Override
     public LoadBalancer create(
             BalancerSettings settings,
-            Map<String, Object> facts,
+            SettingsMessage message,
             BalancerActions actions,
-            Truth truth) {
+            GroundTruth truth) {
         return new DefaultLoadBalancer(settings, actions);
     }
 }
--- a/testbed/src/main/java/sagefall/policy/Policy.java
+++ b/testbed/src/main/java/sagefall/policy/Policy.java
@@ -1,34 +1,22 @@
 package sagefall.policy;
 
-import java.util.Map;
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.LoadBalancer;
+import sagefall.emulator.SettingsMessage;
 
 /** Something that decides for a fleet: sagefall's module, a build of it, or a baseline. */
 public interface Policy extends AutoCloseable {
 
-    /** What only an oracle may look at. */
-    interface Truth {
-        /**
-         * Microseconds until a request that is sent now would be answered, without its own work's
-         * spread; infinity where it would not.
-         */
-        double answerMicros(long server, int fromZone);
-    }
-
     /** How it is written on the command line, and in results. */
     String name();
 
-    /**
-     * A fresh instance for one sidecar's life. The settings and the facts say the same; the latter
-     * as they stand on the wire.
-     */
+    /** A fresh instance for one sidecar's life. The settings and the message say the same. */
     LoadBalancer create(
             BalancerSettings settings,
-            Map<String, Object> facts,
+            SettingsMessage message,
             BalancerActions actions,
-            Truth truth);
+            GroundTruth truth);
 
     @Override
     default void close() {}
--- a/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -28,6 +28,7 @@
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.LoadBalancer;
+import sagefall.emulator.SettingsMessage;
 
 /**
  * The module compiled anew from the policy files with some of its tunables changed. The tunables
@@ -245,9 +246,9 @@
     @Override
     public LoadBalancer create(
             BalancerSettings settings,
-            Map<String, Object> facts,
+            SettingsMessage message,
             BalancerActions actions,
-            Truth truth) {
+            GroundTruth truth) {
         try {
             return module.getConstructor(BalancerSettings.class, BalancerActions.class)
                     .newInstance(settings, actions);
--- a/testbed/src/main/java/sagefall/report/HtmlReport.java
+++ b/testbed/src/main/java/sagefall/report/HtmlReport.java
@@ -68,7 +68,7 @@
                         + " seeds, with the bootstrap interval that holds 95 % of the means. Below:"
                         + " the worth that B kept from being lost by each cause, as a part of what"
                         + " was asked.</p>");
-        report.paired(c.figures());
+        report.paired(c.differences());
         report.paired(new ArrayList<>(c.lost().values()));
         report.add("<h2>Days</h2>");
         List<SimulationResult> all = new ArrayList<>(c.a());
@@ -183,7 +183,7 @@
                                 seconds,
                                 1.1 * Arrays.stream(s.asked()).max().orElse(1),
                                 "worth/s")
-                        .troubles(r.troubles())
+                        .troubles(r.faults())
                         .line(s.asked(), SvgChart.COLOURS.get(0))
                         .line(s.served(), SvgChart.COLOURS.get(1))
                         .end(List.of("asked", "served")));
@@ -195,7 +195,7 @@
                         .orElse(1);
         add(
                 new SvgChart("Worth lost, by cause", seconds, 1.1 * most, "worth/s")
-                        .troubles(r.troubles())
+                        .troubles(r.faults())
                         .stack(lost)
                         .end(new ArrayList<>(lost.keySet())));
         add(losses(r));
@@ -205,7 +205,7 @@
                                 seconds,
                                 1.1 * Arrays.stream(s.p99()).max().orElse(1),
                                 "ms")
-                        .troubles(r.troubles())
+                        .troubles(r.faults())
                         .level(AIM_SHOWN, "1,200 ms")
                         .line(s.p50(), SvgChart.COLOURS.get(0))
                         .line(s.p95(), SvgChart.COLOURS.get(1))
@@ -264,7 +264,7 @@
                     text(loss.getKey()),
                     f(loss.getValue()),
                     String.valueOf(l.count()),
-                    f(l.beyondShareWorth() / r.askedWorth()));
+                    f(l.beyondShareWorth() / r.offeredValue()));
         }
         table.add("</table>");
         return table.out.toString();
--- a/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
+++ b/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void done(SimulationResult result) {
+    public void onResult(SimulationResult result) {
         try {
             Files.write(
                     file,
--- a/testbed/src/main/java/sagefall/report/SvgChart.java
+++ b/testbed/src/main/java/sagefall/report/SvgChart.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import sagefall.emulator.SimulationResult;
+import sagefall.emulator.InjectedFault;
 
 /**
  * Charts over the seconds of a day, as SVG text. Drawn here and not by a plotting library: the
@@ -70,9 +70,9 @@
     }
 
     /** The troubles of the day, shaded, with their names on lines of their own. */
-    SvgChart troubles(List<SimulationResult.Trouble> troubles) {
+    SvgChart troubles(List<InjectedFault> troubles) {
         int line = 0;
-        for (SimulationResult.Trouble t : troubles) {
+        for (InjectedFault t : troubles) {
             add(
                     "<rect x='%.1f' y='%d' width='%.1f' height='%d' class='trouble'/>",
                     x(t.from()), TOP, Math.max(1, x(t.to()) - x(t.from())), HEIGHT - TOP - BOTTOM);
