--- a/testbed/src/main/java/sagefall/scenario/Scenario.java
+++ b/testbed/src/main/java/sagefall/scenario/Scenario.java
@@ -11,35 +11,34 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 
 /**
  * A kind of day: a fleet, its load and what goes wrong, with figures left open as ranges that a
  * seed draws. A scenario and a seed give one day, and one day one result.
  *
  * @param name what it is called
- * @param about one sentence
+ * @param description one sentence
  * @param seconds how long requests arrive
  */
 public record Scenario(
         String name,
-        String about,
+        String description,
         double seconds,
-        Fleet fleet,
-        Load load,
-        Clients clients,
-        Net net,
-        Listing listing,
-        Service service,
-        List<Kind> kinds,
-        List<Tenant> tenants,
+        FleetSettings fleet,
+        LoadSettings load,
+        ClientSettings clients,
+        NetworkSettings network,
+        DiscoverySettings discovery,
+        ServiceSettings service,
+        List<MachineType> machineTypes,
+        List<TenantSettings> tenants,
         List<Fault> faults) {
 
     /**
      * Scenarios that come with the laboratory for real processes: those of the rig alone, and
      * shared ones.
      */
-    public static final List<String> RIG =
+    public static final List<String> FAULT_INJECTION_NAMES =
             List.of(
                     "rig-calm",
                     "rig-kill",
@@ -57,11 +56,8 @@
                     "rig-second-loss",
                     "rig-owner");
 
-    /** A scenario's text, and what messages call it. */
-    public record Source(String file, String text) {}
-
     /** Scenarios that come with the laboratory. */
-    public static final List<String> SHIPPED =
+    public static final List<String> EMULATOR_NAMES =
             List.of(
                     "calm",
                     "roll",
@@ -76,155 +72,6 @@
 
     private static final double DAY = 3600;
 
-    /**
-     * The sidecars and servers, and how they are spread over the zones.
-     *
-     * @param cellServers servers that a cell holds
-     * @param serverSkew how unevenly the zones share the servers, 0 to 1
-     * @param startSeconds from a sidecar's start until it is ready; real processes take what they
-     *     take
-     * @param keeps whether real sidecars keep what they are told: off, or the section's word for
-     *     how
-     * @param leaseMillis of the duty that real sidecars stand for; 0: none
-     */
-    public record Fleet(
-            int sidecars,
-            int servers,
-            List<String> zones,
-            double serverSkew,
-            int cellServers,
-            ValueRange startSeconds,
-            String keeps,
-            int leaseMillis) {}
-
-    /**
-     * The offered traffic.
-     *
-     * @param use offered work as a part of what all servers can do
-     * @param swing a wave of that part of the mean
-     * @param zoneSkew how unevenly the zones share the traffic, 0 to 1
-     * @param unlike coefficient of variation of the sidecars' traffic
-     */
-    public record Load(
-            ValueRange use,
-            ValueRange swing,
-            ValueRange zoneSkew,
-            ValueRange unlike,
-            int keys,
-            ValueRange zipf) {}
-
-    /**
-     * How clients try again and give up.
-     *
-     * @param retries most further tries of a client
-     * @param tryShare part of the whole deadline after which a client gives a try up
-     * @param waitMillis wait before a further try
-     * @param honour part of the clients that heed when they are told to come back
-     * @param leave part of the tries that their client leaves early
-     */
-    public record Clients(
-            int retries,
-            ValueRange tryShare,
-            ValueRange waitMillis,
-            ValueRange honour,
-            ValueRange leave,
-            boolean marksRetries) {}
-
-    /**
-     * Times are one way. Idle seconds and the price of set-up are those of a connection to a
-     * server.
-     */
-    public record Net(
-            ValueRange sameMillis,
-            ValueRange crossMillis,
-            ValueRange clientMillis,
-            ValueRange jitter,
-            ValueRange setupTrips,
-            ValueRange setupMicros,
-            double idleSeconds,
-            double setupLimitMillis,
-            ValueRange connectionsPerCore,
-            ValueRange tableTax) {}
-
-    /**
-     * What discovery knows, and when.
-     *
-     * @param noticeSeconds from a planned change, or a process's death, to its being known
-     * @param silentSeconds the same where a machine falls silent
-     * @param addSeconds the same for a server that has started
-     * @param periodMillis between two lists that bring changes
-     * @param spreadMillis by which sidecars hear of one list after another
-     */
-    public record Listing(
-            ValueRange noticeSeconds,
-            ValueRange silentSeconds,
-            ValueRange addSeconds,
-            ValueRange periodMillis,
-            ValueRange spreadMillis) {}
-
-    /**
-     * The class of requests, the rules and the prices.
-     *
-     * @param workMillis mean work on a core of speed 1
-     * @param spread coefficient of variation of the work; 1 with {@code exponential}
-     * @param keyGain part of the work that a key spares that the server met in the last seconds
-     * @param reportMillis between two figures that a server reports
-     */
-    public record Service(
-            String effect,
-            String group,
-            double aimMillis,
-            double deadlineMillis,
-            double windowMillis,
-            int attempts,
-            boolean cancelling,
-            boolean retryAdvice,
-            ValueRange workMillis,
-            String distribution,
-            ValueRange spread,
-            ValueRange attemptNoise,
-            ValueRange keyGain,
-            ValueRange keySeconds,
-            ValueRange keysPerCore,
-            ValueRange reportMillis,
-            ValueRange reportNoise,
-            double overShareWorth,
-            ValueRange quotaOfCapacity,
-            double coldFrom,
-            double coldSeconds,
-            double fallMultiple,
-            double fallSeconds,
-            double drainMillis,
-            double graceMillis,
-            double tickMillis) {}
-
-    /**
-     * A kind of machine.
-     *
-     * @param queuePerCore places to wait for each core; what comes beyond is turned away unseen
-     * @param thrash part by which each request a core beyond {@code thrashAt} slows the machine
-     *     down
-     * @param warmBy whether a cold start warms by time alone or by work done as well
-     */
-    public record Kind(
-            String name,
-            double share,
-            int cores,
-            ValueRange speed,
-            ValueRange slotsPerCore,
-            ValueRange queuePerCore,
-            ValueRange thrash,
-            ValueRange thrashAt,
-            ValueRange coldFrom,
-            ValueRange coldSeconds,
-            String warmBy,
-            ValueRange pauseEverySeconds,
-            ValueRange pauseMillis,
-            ValueRange errors) {}
-
-    /** A tenant: its share, and how much of it it uses. */
-    public record Tenant(String name, double share, ValueRange usage) {}
-
     /**
      * Reads a shipped scenario by its name, or a file by its path.
      *
@@ -232,16 +79,16 @@
      */
     public static Scenario load(String nameOrFile, List<String> sets)
             throws IOException, ScenarioException {
-        Source source = source(nameOrFile);
-        return read(source.file, source.text, sets);
+        ScenarioSource source = source(nameOrFile);
+        return read(source.file(), source.text(), sets);
     }
 
     /** The text of a shipped scenario, or of a file. */
-    public static Source source(String nameOrFile) throws IOException, ScenarioException {
-        if (SHIPPED.contains(nameOrFile) || RIG.contains(nameOrFile)) {
+    public static ScenarioSource source(String nameOrFile) throws IOException, ScenarioException {
+        if (EMULATOR_NAMES.contains(nameOrFile) || FAULT_INJECTION_NAMES.contains(nameOrFile)) {
             String resource = "/sagefall/scenario/" + nameOrFile + ".toml";
             try (InputStream in = Scenario.class.getResourceAsStream(resource)) {
-                return new Source(
+                return new ScenarioSource(
                         nameOrFile + ".toml",
                         new String(in.readAllBytes(), StandardCharsets.UTF_8));
             }
@@ -251,23 +98,19 @@
             throw new ScenarioException(
                     nameOrFile
                             + ":1: no such file, and none of the shipped scenarios "
-                            + String.join(", ", SHIPPED)
+                            + String.join(", ", EMULATOR_NAMES)
                             + ", "
-                            + String.join(", ", RIG));
+                            + String.join(", ", FAULT_INJECTION_NAMES));
         }
-        return new Source(nameOrFile, Files.readString(path));
+        return new ScenarioSource(nameOrFile, Files.readString(path));
     }
 
     /** This scenario, unless it has a fault that the side can't play. */
-    public Scenario on(Fault.Side side) throws ScenarioException {
+    public Scenario requireSupportedBy(ScenarioRunner side) throws ScenarioException {
         for (Fault f : faults) {
-            if (!f.kind().on(side)) {
+            if (!f.kind().isSupportedBy(side)) {
                 throw new ScenarioException(
-                        f.place()
-                                + ": the "
-                                + side.name().toLowerCase(Locale.ROOT)
-                                + " can't play "
-                                + f.kind().name().toLowerCase(Locale.ROOT));
+                        f.location() + ": the " + side.label() + " can't play " + f.kind().label());
             }
         }
         return this;
@@ -328,12 +171,13 @@
 
     private static Scenario read(TomlTable all) throws ScenarioException {
         double seconds = all.number("seconds", 50, 1, DAY);
-        Fleet fleet = fleet(all.table("fleet"));
-        List<Tenant> tenants = tenants(all);
-        List<Kind> kinds = kinds(all);
+        FleetSettings fleet = fleet(all.table("fleet"));
+        List<TenantSettings> tenants = tenants(all);
+        List<MachineType> kinds = machineTypes(all);
+        FaultReader faultReader = new FaultReader(fleet, tenants, seconds);
         List<Fault> faults = new ArrayList<>();
         for (TomlTable t : all.tables("fault")) {
-            faults.add(Fault.read(t, fleet, tenants, seconds));
+            faults.add(faultReader.read(t));
         }
         Scenario scenario =
                 new Scenario(
@@ -343,63 +187,63 @@
                         fleet,
                         load(all.table("load")),
                         clients(all.table("clients")),
-                        net(all.table("net")),
-                        listing(all.table("discovery")),
+                        network(all.table("net")),
+                        discovery(all.table("discovery")),
                         service(all.table("service")),
                         kinds,
                         tenants,
                         faults);
-        all.end();
+        all.requireNoUnknownKeys();
         return scenario;
     }
 
-    private static Fleet fleet(TomlTable t) throws ScenarioException {
-        Fleet fleet =
-                new Fleet(
-                        t.whole("sidecars", 100, 1, 10_000),
-                        t.whole("servers", 200, 1, 20_000),
-                        t.words("zones", List.of("a", "b", "c", "d")),
+    private static FleetSettings fleet(TomlTable t) throws ScenarioException {
+        FleetSettings fleet =
+                new FleetSettings(
+                        t.integer("sidecars", 100, 1, 10_000),
+                        t.integer("servers", 200, 1, 20_000),
+                        t.strings("zones", List.of("a", "b", "c", "d")),
                         t.number("server_skew", 0.3, 0, 1),
-                        t.whole("cell_servers", 8, 1, 1000),
+                        t.integer("cell_servers", 8, 1, 1000),
                         t.range("start_s", ValueRange.of(0), 0, 60),
                         t.word("keeps", "off", List.of("off", "each", "snapshot")),
-                        t.whole("lease_ms", 0, 0, 600_000));
-        t.end();
-        if (fleet.zones.size() > fleet.servers) {
-            throw t.wrong("servers", "must be one for each zone at the least");
+                        t.integer("lease_ms", 0, 0, 600_000));
+        t.requireNoUnknownKeys();
+        if (fleet.zones().size() > fleet.servers()) {
+            throw t.error("servers", "must be one for each zone at the least");
         }
         return fleet;
     }
 
-    private static Load load(TomlTable t) throws ScenarioException {
-        Load load =
-                new Load(
+    private static LoadSettings load(TomlTable t) throws ScenarioException {
+        LoadSettings load =
+                new LoadSettings(
                         t.range("use", new ValueRange(0.55, 0.75), 0, 10),
                         t.range("swing", new ValueRange(0.05, 0.15), 0, 1),
                         t.range("zone_skew", new ValueRange(0.1, 0.4), 0, 1),
                         t.range("unlike", new ValueRange(0.6, 1.4), 0, 5),
-                        t.whole("keys", 1000, 1, 10_000_000),
+                        t.integer("keys", 1000, 1, 10_000_000),
                         t.range("zipf", new ValueRange(0.9, 1.1), 0.01, 3));
-        t.end();
+        t.requireNoUnknownKeys();
         return load;
     }
 
-    private static Clients clients(TomlTable t) throws ScenarioException {
-        Clients clients =
-                new Clients(
-                        t.whole("retries", 2, 0, 20),
+    private static ClientSettings clients(TomlTable t) throws ScenarioException {
+        ClientSettings clients =
+                new ClientSettings(
+                        t.integer("retries", 2, 0, 20),
                         t.range("try_share", new ValueRange(0.48, 0.58), 0.01, 1),
                         t.range("wait_ms", new ValueRange(60, 480), 0, 60_000),
                         t.range("honour", new ValueRange(0.1, 0.3), 0, 1),
                         t.range("leave", ValueRange.of(0), 0, 1),
                         t.flag("marks_retries", true));
-        t.end();
+        t.requireNoUnknownKeys();
         return clients;
     }
 
-    private static Net net(TomlTable t) throws ScenarioException {
-        Net net =
-                new Net(
+    private static NetworkSettings network(TomlTable t) throws ScenarioException {
+        NetworkSettings net =
+                new NetworkSettings(
                         t.range("same_ms", new ValueRange(0.1, 0.35), 0, 10_000),
                         t.range("cross_ms", new ValueRange(10, 20), 0, 10_000),
                         t.range("client_ms", new ValueRange(0.03, 0.09), 0, 10_000),
@@ -410,31 +254,31 @@
                         t.number("setup_limit_ms", 250, 1, 60_000),
                         t.range("connections_per_core", new ValueRange(60, 150), 1, 1e6),
                         t.range("table_tax", new ValueRange(0.16, 0.35), 0, 0.99));
-        t.end();
+        t.requireNoUnknownKeys();
         return net;
     }
 
-    private static Listing listing(TomlTable t) throws ScenarioException {
-        Listing listing =
-                new Listing(
+    private static DiscoverySettings discovery(TomlTable t) throws ScenarioException {
+        DiscoverySettings listing =
+                new DiscoverySettings(
                         t.range("notice_s", new ValueRange(1.3, 4.8), 0, DAY),
                         t.range("silent_s", new ValueRange(4.2, 14), 0, DAY),
                         t.range("add_s", new ValueRange(0.3, 2.1), 0, DAY),
                         t.range("period_ms", new ValueRange(340, 1400), 1, 1e6),
                         t.range("spread_ms", new ValueRange(140, 460), 0, 1e6));
-        t.end();
+        t.requireNoUnknownKeys();
         return listing;
     }
 
-    private static Service service(TomlTable t) throws ScenarioException {
-        Service service =
-                new Service(
+    private static ServiceSettings service(TomlTable t) throws ScenarioException {
+        ServiceSettings service =
+                new ServiceSettings(
                         t.word("effect", "token", List.of("pure", "token", "side_effect")),
                         t.word("group", "zone", List.of("all", "zone", "cell")),
                         t.number("aim_ms", 1200, 1, 1e6),
                         t.number("deadline_ms", 2500, 1, 1e6),
                         t.number("window_ms", 2500, 0, 1e6),
-                        t.whole("attempts", 5, 1, 100),
+                        t.integer("attempts", 5, 1, 100),
                         t.flag("cancelling", true),
                         t.flag("retry_advice", true),
                         t.range("work_ms", new ValueRange(97, 180), 0.001, 1e5),
@@ -458,18 +302,18 @@
                         t.number("drain_ms", 500, 0, 1e6),
                         t.number("grace_ms", 20, 0, 1e6),
                         t.number("tick_ms", 1, 0.001, 1000));
-        t.end();
+        t.requireNoUnknownKeys();
         return service;
     }
 
-    private static List<Kind> kinds(TomlTable all) throws ScenarioException {
-        List<Kind> kinds = new ArrayList<>();
+    private static List<MachineType> machineTypes(TomlTable all) throws ScenarioException {
+        List<MachineType> kinds = new ArrayList<>();
         for (TomlTable t : all.tables("kind")) {
             kinds.add(
-                    new Kind(
+                    new MachineType(
                             t.word("name", null, List.of()),
                             t.number("share", 1, 0, 1e6),
-                            t.whole("cores", 1, 1, 1024),
+                            t.integer("cores", 1, 1, 1024),
                             t.range("speed", ValueRange.of(1), 0.001, 1000),
                             t.range("slots_per_core", ValueRange.of(1), 1, 1000),
                             t.range("queue_per_core", new ValueRange(11, 34), 0, 1e6),
@@ -481,14 +325,14 @@
                             t.range("pause_every_s", new ValueRange(5, 11), 0.01, DAY),
                             t.range("pause_ms", new ValueRange(0, 250), 0, 60_000),
                             t.range("errors", new ValueRange(0, 0.002), 0, 1)));
-            t.end();
+            t.requireNoUnknownKeys();
         }
         if (!kinds.isEmpty()) {
             return kinds;
         }
         ValueRange thrash = new ValueRange(0.12, 0.25);
         return List.of(
-                new Kind(
+                new MachineType(
                         "single-fast",
                         0.42,
                         1,
@@ -503,7 +347,7 @@
                         new ValueRange(4.5, 10),
                         new ValueRange(0, 230),
                         new ValueRange(0, 0.0005)),
-                new Kind(
+                new MachineType(
                         "dual-slow",
                         0.58,
                         2,
@@ -520,21 +364,21 @@
                         new ValueRange(0, 0.002)));
     }
 
-    private static List<Tenant> tenants(TomlTable all) throws ScenarioException {
-        List<Tenant> tenants = new ArrayList<>();
+    private static List<TenantSettings> tenants(TomlTable all) throws ScenarioException {
+        List<TenantSettings> tenants = new ArrayList<>();
         for (TomlTable t : all.tables("tenant")) {
             tenants.add(
-                    new Tenant(
+                    new TenantSettings(
                             t.word("name", null, List.of()),
                             t.number("share", 1, 0, 1),
                             t.range("usage", ValueRange.of(1), 0, 100)));
-            t.end();
+            t.requireNoUnknownKeys();
         }
         return tenants.isEmpty()
                 ? List.of(
-                        new Tenant("one", 0.5, new ValueRange(0.6, 1.2)),
-                        new Tenant("two", 0.34, new ValueRange(0.7, 1.3)),
-                        new Tenant("three", 0.16, new ValueRange(0.8, 1.3)))
+                        new TenantSettings("one", 0.5, new ValueRange(0.6, 1.2)),
+                        new TenantSettings("two", 0.34, new ValueRange(0.7, 1.3)),
+                        new TenantSettings("three", 0.16, new ValueRange(0.8, 1.3)))
                 : tenants;
     }
 }
--- a/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
@@ -52,7 +52,7 @@
      * Where a path such as {@code fault[2].zone} stands: the file and a line of it, or the command
      * line.
      */
-    String place(String file, String path) {
+    String location(String file, String path) {
         return overridden.contains(path) ? "--set" : file + ":" + of(path);
     }
 
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -32,13 +32,13 @@
     }
 
     /** Where a name stands: file, line and the whole name. */
-    String place(String name) {
-        return lines.place(file, at(name)) + ": " + at(name);
+    String location(String name) {
+        return lines.location(file, at(name)) + ": " + at(name);
     }
 
     /** What is wrong with one of the names. */
-    public ScenarioException wrong(String name, String why) {
-        return new ScenarioException(place(name) + ": " + why);
+    public ScenarioException error(String name, String why) {
+        return new ScenarioException(location(name) + ": " + why);
     }
 
     private JsonNode get(String name) {
@@ -69,10 +69,10 @@
                                         value.get(0).doubleValue(), value.get(1).doubleValue())
                                 : null;
         if (range == null) {
-            throw wrong(name, "must be a number or [low, high]");
+            throw error(name, "must be a number or [low, high]");
         }
         if (!(range.low() >= least && range.high() <= most && range.low() <= range.high())) {
-            throw wrong(
+            throw error(
                     name,
                     "must lie from "
                             + plain(least)
@@ -88,16 +88,16 @@
             throws ScenarioException {
         ValueRange range = range(name, ValueRange.of(otherwise), least, most);
         if (range.low() != range.high()) {
-            throw wrong(name, "must be one number");
+            throw error(name, "must be one number");
         }
         return range.low();
     }
 
     /** A whole number. */
-    public int whole(String name, int otherwise, int least, int most) throws ScenarioException {
+    public int integer(String name, int otherwise, int least, int most) throws ScenarioException {
         double value = number(name, otherwise, least, most);
         if (value != Math.rint(value)) {
-            throw wrong(name, "must be a whole number");
+            throw error(name, "must be a whole number");
         }
         return (int) value;
     }
@@ -106,7 +106,7 @@
     public boolean flag(String name, boolean otherwise) throws ScenarioException {
         JsonNode value = get(name);
         if (value != null && !value.isBoolean()) {
-            throw wrong(name, "must be true or false");
+            throw error(name, "must be true or false");
         }
         return value == null ? otherwise : value.booleanValue();
     }
@@ -116,20 +116,20 @@
             throws ScenarioException {
         JsonNode value = get(name);
         if (value != null && !value.isTextual()) {
-            throw wrong(name, "must be a text");
+            throw error(name, "must be a text");
         }
         String word = value == null ? otherwise : value.textValue();
         if (word == null) {
-            throw wrong(name, "is missing");
+            throw error(name, "is missing");
         }
         if (!allowed.isEmpty() && !allowed.contains(word)) {
-            throw wrong(name, "'" + word + "' is none of " + String.join(", ", allowed));
+            throw error(name, "'" + word + "' is none of " + String.join(", ", allowed));
         }
         return word;
     }
 
     /** A list of texts. */
-    public List<String> words(String name, List<String> otherwise) throws ScenarioException {
+    public List<String> strings(String name, List<String> otherwise) throws ScenarioException {
         JsonNode value = get(name);
         if (value == null) {
             return otherwise;
@@ -142,7 +142,7 @@
                 || words.isEmpty()
                 || words.contains(null)
                 || new LinkedHashSet<>(words).size() < words.size()) {
-            throw wrong(name, "must be a list of texts that differ");
+            throw error(name, "must be a list of texts that differ");
         }
         return words;
     }
@@ -151,7 +151,7 @@
     public TomlTable table(String name) throws ScenarioException {
         JsonNode value = get(name);
         if (value != null && !value.isObject()) {
-            throw wrong(name, "must be a table");
+            throw error(name, "must be a table");
         }
         return new TomlTable(
                 file,
@@ -168,11 +168,11 @@
             return tables;
         }
         if (!value.isArray()) {
-            throw wrong(name, "must be a list of tables: [[" + name + "]]");
+            throw error(name, "must be a list of tables: [[" + name + "]]");
         }
         for (JsonNode one : value) {
             if (!one.isObject()) {
-                throw wrong(name, "must be a list of tables: [[" + name + "]]");
+                throw error(name, "must be a list of tables: [[" + name + "]]");
             }
             tables.add(new TomlTable(file, lines, at(name) + "[" + tables.size() + "]", one));
         }
@@ -180,11 +180,11 @@
     }
 
     /** To be called when all has been read that means something. */
-    public void end() throws ScenarioException {
+    public void requireNoUnknownKeys() throws ScenarioException {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!read.contains(name)) {
-                throw wrong(name, "unknown name");
+                throw error(name, "unknown name");
             }
         }
     }
--- a/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
+++ b/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import sagefall.experiment.ParallelSimulations;
 import sagefall.experiment.SimulationRequest;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
+import sagefall.scenario.ScenarioRunner;
 
 /**
  * The emulator's figures of the shipped scenarios, to the last digit, as the build of commit
@@ -104,8 +104,8 @@
     @Test
     void resourceNamesEachShippedDayOnce() throws IOException {
         List<String> expected = new ArrayList<>();
-        for (String scenario : Scenario.SHIPPED) {
-            for (int seed = 1; seed <= DAYS / Scenario.SHIPPED.size(); seed++) {
+        for (String scenario : Scenario.EMULATOR_NAMES) {
+            for (int seed = 1; seed <= DAYS / Scenario.EMULATOR_NAMES.size(); seed++) {
                 expected.add(scenario + " " + seed);
             }
         }
@@ -118,11 +118,13 @@
         assertFalse(days.isEmpty());
         List<SimulationRequest> plays = new ArrayList<>();
         for (Golden day : days) {
-            Scenario scenario = Scenario.load(day.scenario, List.of()).on(Fault.Side.EMULATOR);
+            Scenario scenario =
+                    Scenario.load(day.scenario, List.of())
+                            .requireSupportedBy(ScenarioRunner.EMULATOR);
             plays.add(new SimulationRequest(scenario, day.seed, POLICY));
         }
         List<SimulationResult> results =
-                new ParallelSimulations(THREADS, Path.of("."), null).all(plays, result -> {});
+                new ParallelSimulations(THREADS, Path.of("."), null).runAll(plays, result -> {});
         List<String> mismatches = new ArrayList<>();
         for (int i = 0; i < days.size(); i++) {
             mismatches.addAll(days.get(i).mismatches(Golden.of(results.get(i))));
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -24,6 +24,7 @@
 import sagefall.balancer.api.Request;
 import sagefall.emulator.InvariantChecker.Rule;
 import sagefall.policy.BaselinePolicies;
+import sagefall.policy.GroundTruth;
 import sagefall.policy.ModulePolicy;
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
@@ -146,16 +147,16 @@
             @Override
             public LoadBalancer create(
                     BalancerSettings settings,
-                    Map<String, Object> facts,
+                    SettingsMessage message,
                     BalancerActions actions,
-                    Truth truth) {
+                    GroundTruth truth) {
                 return (LoadBalancer)
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(),
                                 new Class<?>[] {LoadBalancer.class},
                                 new Mutant(
                                         rule,
-                                        random.create(settings, facts, actions, truth),
+                                        random.create(settings, message, actions, truth),
                                         actions));
             }
         };
@@ -164,7 +165,7 @@
     @ParameterizedTest
     @EnumSource(Rule.class)
     void aMutantIsCaught(Rule rule) throws Exception {
-        SimulationResult r = new FleetSimulation(scenario(), 3, mutant(rule)).play();
+        SimulationResult r = new FleetSimulation(scenario(), 3, mutant(rule)).run();
         assertTrue(
                 r.breaches().stream().anyMatch(b -> b.rule() == rule),
                 rule + " not among " + r.breachCount());
@@ -175,7 +176,7 @@
         for (long seed = 1; seed <= 4; seed++) {
             assertEquals(
                     List.of(),
-                    new FleetSimulation(scenario(), seed, new ModulePolicy()).play().breaches());
+                    new FleetSimulation(scenario(), seed, new ModulePolicy()).run().breaches());
         }
     }
 }
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -23,10 +23,8 @@
 
     private EmulatedServer server(int cores, double coldFrom, long coldMicros) {
         return new EmulatedServer(
-                1,
-                0,
-                0,
-                new EmulatedServer.Make(
+                new ServerIdentity(1, 0, 0),
+                new ServerSpec(
                         0,
                         cores,
                         1,
@@ -47,27 +45,27 @@
                         0,
                         1000),
                 loop,
-                new double[] {1},
-                new EmulatedServer.Floor() {
+                new SharedSlowdown(),
+                new ServerListener() {
                     @Override
-                    public void done(Job job) {
+                    public void onJobDone(Job job) {
                         done.add((Attempt) job);
                         doneAt.add(loop.now());
                     }
 
                     @Override
-                    public void broken(Job job) {}
+                    public void onJobAborted(Job job) {}
 
                     @Override
-                    public void fell(EmulatedServer server, double told) {}
+                    public void onSlowStartOverload(EmulatedServer server, double told) {}
                 });
     }
 
     private void take(EmulatedServer server, double work) {
         Attempt a = new Attempt(null, nobody, 0, server, loop.now());
-        a.work = work;
-        a.left = work;
-        assertTrue(server.take(a));
+        a.workMicros = work;
+        a.remainingMicros = work;
+        assertTrue(server.accept(a));
     }
 
     /** M/M/c: the mean wait is Erlang's C formula's. */
@@ -83,12 +81,12 @@
         for (int i = 0; i < count; i++) {
             at -= between * Math.log(1 - random.nextDouble());
             double work = -service * Math.log(1 - random.nextDouble());
-            loop.at((long) at, () -> take(server, work));
+            loop.scheduleAt((long) at, () -> take(server, work));
         }
         loop.runUntil((long) at + 100_000_000);
         double sum = 0;
         for (int i = 0; i < count; i++) {
-            sum += doneAt.get(i) - done.get(i).sentAt - done.get(i).work;
+            sum += doneAt.get(i) - done.get(i).sentAt - done.get(i).workMicros;
         }
         double load = c * use;
         double inverse = 0;
@@ -156,7 +154,7 @@
                         for_s = 3
                         """,
                         List.of());
-        SimulationResult r = new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).play();
+        SimulationResult r = new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).run();
         for (int second = 0; second < 12; second++) {
             double lost = 1 - r.series().served()[second] / r.series().asked()[second];
             boolean cut = second >= 4 && second < 7;
--- a/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -20,12 +20,12 @@
     private static List<SimulationResult> play(int threads, List<String> policies)
             throws Exception {
         List<SimulationRequest> plays = new ArrayList<>();
-        for (String name : Scenario.SHIPPED) {
+        for (String name : Scenario.EMULATOR_NAMES) {
             for (String policy : policies) {
                 plays.add(new SimulationRequest(Scenario.load(name, List.of()), 11, policy));
             }
         }
-        return new ParallelSimulations(threads, Path.of(".."), null).all(plays, result -> {});
+        return new ParallelSimulations(threads, Path.of(".."), null).runAll(plays, result -> {});
     }
 
     @Test
@@ -36,9 +36,9 @@
             double lost =
                     r.lost().values().stream().mapToDouble(SimulationResult.Loss::worth).sum();
             assertEquals(
-                    r.askedWorth() * (1 - r.served()),
+                    r.offeredValue() * (1 - r.served()),
                     lost,
-                    1e-6 * r.askedWorth(),
+                    1e-6 * r.offeredValue(),
                     "each loss has a cause");
         }
     }
@@ -51,11 +51,15 @@
         }
         List<String> one =
                 new ParallelSimulations(1, Path.of(".."), null)
-                        .all(plays, r -> {}).stream().map(ShippedScenariosTest::figures).toList();
+                        .runAll(plays, r -> {}).stream()
+                                .map(ShippedScenariosTest::figures)
+                                .toList();
         assertEquals(
                 one,
                 new ParallelSimulations(8, Path.of(".."), null)
-                        .all(plays, r -> {}).stream().map(ShippedScenariosTest::figures).toList());
+                        .runAll(plays, r -> {}).stream()
+                                .map(ShippedScenariosTest::figures)
+                                .toList());
     }
 
     private static String figures(SimulationResult r) {
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -2,7 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
@@ -46,33 +49,33 @@
         }
 
         @Override
-        public boolean up() {
+        public boolean isUp() {
             return true;
         }
 
         @Override
-        public boolean leaving() {
+        public boolean isDraining() {
             return false;
         }
 
         @Override
-        public String prefix() {
+        public String requestIdPrefix() {
             return "000000";
         }
 
         @Override
-        public void take(ClientRequest call, boolean repeat) {
+        public void submit(ClientRequest call, boolean repeat) {
             throw new AssertionError("tried again");
         }
 
         @Override
-        public void leave(ClientRequest call) {
+        public void disconnectClient(ClientRequest call) {
             throw new AssertionError("left");
         }
     }
 
     /** The ledger once a request, too late for a further try, has been answered so. */
-    private static ValueAccounting answered(EmulatedSidecar.Answer answer, RejectionReason reason)
+    private static ValueAccounting answered(ClientAnswer answer, RejectionReason reason)
             throws Exception {
         Scenario scenario = Scenario.load("calm", List.of());
         EventQueue loop = new EventQueue();
@@ -87,36 +90,48 @@
                 new ClientTraffic(
                         scenario,
                         draws,
-                        loop,
-                        sidecars,
-                        ledger,
-                        new EmulatedNetwork(scenario.net(), draws, zones),
+                        new ClientTraffic.Environment(
+                                loop,
+                                sidecars,
+                                ledger,
+                                new EmulatedNetwork(scenario.network(), draws, zones)),
                         UNSAFE,
                         1);
         ClientOperation wish =
                 new ClientOperation(
-                        0, EventQueue.BEGIN, EventQueue.BEGIN, 0, 0, false, 1, 1, zones);
+                        0,
+                        EventQueue.START_MICROS,
+                        EventQueue.START_MICROS,
+                        0,
+                        0,
+                        false,
+                        1,
+                        1,
+                        zones);
         wish.sidecar = sidecar;
         ClientRequest call =
                 new ClientRequest(
-                        "0000000000000000", wish, EventQueue.BEGIN, EventQueue.BEGIN + SECOND);
-        traffic.answer(call, answer, reason, 0);
-        loop.runUntil(EventQueue.BEGIN + SECOND);
+                        "0000000000000000",
+                        wish,
+                        EventQueue.START_MICROS,
+                        EventQueue.START_MICROS + SECOND);
+        traffic.deliverAnswer(call, answer, reason, 0);
+        loop.runUntil(EventQueue.START_MICROS + SECOND);
         return ledger;
     }
 
     @ParameterizedTest
     @CsvSource({
-        "REFUSED, ADMISSION, refused admission",
-        "REFUSED, ZONE_FULL, refused zone_full",
-        "REFUSED, QUEUE_TIMEOUT, refused waited",
-        "REFUSED, OPEN_REQUESTS, refused in_hand",
-        "REFUSED, BUFFER_LIMIT, refused buffers",
-        "REFUSED, TOO_LATE, refused too_late",
-        "REFUSED, NOT_RETRYABLE, refused effect",
-        "REFUSED, MAX_ATTEMPTS, refused attempts",
-        "REFUSED, RETRY_BUDGET, refused retry_budget",
-        "REFUSED, , unanswered",
+        "REJECTED, ADMISSION, refused admission",
+        "REJECTED, ZONE_FULL, refused zone_full",
+        "REJECTED, QUEUE_TIMEOUT, refused waited",
+        "REJECTED, OPEN_REQUESTS, refused in_hand",
+        "REJECTED, BUFFER_LIMIT, refused buffers",
+        "REJECTED, TOO_LATE, refused too_late",
+        "REJECTED, NOT_RETRYABLE, refused effect",
+        "REJECTED, MAX_ATTEMPTS, refused attempts",
+        "REJECTED, RETRY_BUDGET, refused retry_budget",
+        "REJECTED, , unanswered",
         "FAILED, ADMISSION, failed admission",
         "FAILED, ZONE_FULL, failed zone_full",
         "FAILED, QUEUE_TIMEOUT, failed waited",
@@ -128,7 +143,7 @@
         "FAILED, RETRY_BUDGET, failed retry_budget",
         "FAILED, , unanswered"
     })
-    void answersAndCausesOfLoss(EmulatedSidecar.Answer answer, RejectionReason reason, String word)
+    void answersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
             throws Exception {
         ValueAccounting ledger = answered(answer, reason);
         assertEquals(Map.of(word, 1L), ledger.answers);
@@ -138,8 +153,8 @@
     @Test
     void theTableHasAllAnswersAndReasons() {
         assertEquals(
-                List.of("SERVED", "REFUSED", "FAILED"),
-                Arrays.stream(EmulatedSidecar.Answer.values()).map(Enum::name).toList());
+                List.of("served", "refused", "failed"),
+                Arrays.stream(ClientAnswer.values()).map(ClientAnswer::label).toList());
         assertEquals(
                 List.of(
                         "admission",
@@ -160,13 +175,77 @@
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
         try (Policy policy = PolicyRegistry.of("module", Path.of("."))) {
-            SimulationResult result = new FleetSimulation(scenario, 1, policy).play();
+            SimulationResult result = new FleetSimulation(scenario, 1, policy).run();
             assertEquals(
                     List.of("burst", "shift"),
-                    result.troubles().stream().map(SimulationResult.Trouble::what).toList());
+                    result.faults().stream().map(InjectedFault::what).toList());
         }
     }
 
+    /** The keys of {@code days.jsonl}, which scripts read. */
+    @Test
+    void keysOfADay() throws Exception {
+        Scenario scenario =
+                Scenario.load(
+                        "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
+        try (Policy policy = PolicyRegistry.of("module", Path.of("."))) {
+            JsonNode day =
+                    new ObjectMapper().valueToTree(new FleetSimulation(scenario, 1, policy).run());
+            assertEquals(
+                    List.of(
+                            "scenario",
+                            "seed",
+                            "policy",
+                            "g",
+                            "served",
+                            "worstTenSeconds",
+                            "worstTenant",
+                            "price",
+                            "askedWorth",
+                            "requests",
+                            "lost",
+                            "answers",
+                            "attemptsPerRequest",
+                            "crossingsPerRequest",
+                            "setupsPerRequest",
+                            "wastedWork",
+                            "latency",
+                            "zones",
+                            "series",
+                            "heat",
+                            "serverZones",
+                            "troubles",
+                            "breaches",
+                            "breachCount",
+                            "events"),
+                    keys(day));
+            assertEquals(List.of("what", "from", "to"), keys(day.path("troubles").path(0)));
+            assertEquals(List.of("p50", "p95", "p99"), keys(day.path("latency")));
+            assertEquals(
+                    List.of("worth", "count", "beyondShareWorth"),
+                    keys(day.path("lost").elements().next()));
+            assertEquals(
+                    List.of(
+                            "asked",
+                            "served",
+                            "lost",
+                            "p50",
+                            "p95",
+                            "p99",
+                            "zoneAsked",
+                            "zoneServed",
+                            "zoneP95",
+                            "lostByZone"),
+                    keys(day.path("series")));
+        }
+    }
+
+    private static List<String> keys(JsonNode object) {
+        List<String> keys = new ArrayList<>();
+        object.fieldNames().forEachRemaining(keys::add);
+        return keys;
+    }
+
     /** Written as they are, to {@code days.jsonl} and after {@code BROKEN}. */
     @Test
     void rules() {
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -25,9 +25,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.cli.CommandLineMain;
 import sagefall.load.SidecarProcess;
-import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
+import sagefall.scenario.ScenarioRunner;
+import sagefall.scenario.ScenarioSource;
 
 /**
  * Real sidecars, servers and discovery with faults between them; what is judged is written down
@@ -41,7 +42,7 @@
     @TempDir Path folder;
 
     private static RunPlan plan(String name, long seed, String... more) throws Exception {
-        Scenario.Source source = Scenario.source(name);
+        ScenarioSource source = Scenario.source(name);
         List<String> sets =
                 new ArrayList<>(List.of("fleet.sidecars=6", "fleet.servers=12", "load.use=0.45"));
         sets.addAll(List.of(more));
@@ -260,7 +261,9 @@
                 "rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
                 assertThrows(
                                 ScenarioException.class,
-                                () -> Scenario.load("rig-stop", List.of()).on(Fault.Side.EMULATOR))
+                                () ->
+                                        Scenario.load("rig-stop", List.of())
+                                                .requireSupportedBy(ScenarioRunner.EMULATOR))
                         .getMessage());
     }
 }
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -23,7 +23,7 @@
                 Scenario.load(
                         "overload", List.of("fleet.sidecars=40", "fleet.servers=20", "seconds=32"));
         try (Policy p = PolicyRegistry.of(policy, ROOT)) {
-            return new FleetSimulation(scenario, 5, p).play();
+            return new FleetSimulation(scenario, 5, p).run();
         }
     }
 
--- a/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
@@ -43,11 +43,11 @@
     @Test
     void kindsOfEachWord() throws ScenarioException {
         List<String> words = List.of(ALL_KINDS.split(", ", -1));
-        List<Fault.Kind> kinds = new ArrayList<>();
+        List<FaultKind> kinds = new ArrayList<>();
         for (String word : words) {
             kinds.add(read(word, "").faults().get(0).kind());
         }
-        assertEquals(List.of(Fault.Kind.values()), kinds);
+        assertEquals(List.of(FaultKind.values()), kinds);
     }
 
     @ParameterizedTest
@@ -118,20 +118,24 @@
             })
     void kindsThatTheEmulatorCannotPlay(String kind) throws ScenarioException {
         Scenario scenario = read(kind, "");
-        assertSame(scenario, scenario.on(Fault.Side.RIG));
+        assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION));
         assertEquals(
                 "f.toml:4: fault[0].kind: the emulator can't play " + kind,
-                assertThrows(ScenarioException.class, () -> scenario.on(Fault.Side.EMULATOR))
+                assertThrows(
+                                ScenarioException.class,
+                                () -> scenario.requireSupportedBy(ScenarioRunner.EMULATOR))
                         .getMessage());
     }
 
     @Test
     void kindThatTheRigCannotPlay() throws ScenarioException {
         Scenario scenario = read("neighbour", "");
-        assertSame(scenario, scenario.on(Fault.Side.EMULATOR));
+        assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.EMULATOR));
         assertEquals(
                 "f.toml:4: fault[0].kind: the rig can't play neighbour",
-                assertThrows(ScenarioException.class, () -> scenario.on(Fault.Side.RIG))
+                assertThrows(
+                                ScenarioException.class,
+                                () -> scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION))
                         .getMessage());
     }
 
@@ -153,8 +157,8 @@
         assertEquals(
                 "f.toml:5: fault[0].how: 'x' is none of " + words, messageOf(kind, "how='x'\n"));
         for (String word : words.split(", ", -1)) {
-            assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).how());
+            assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).mode().label());
         }
-        assertEquals(words.split(", ", -1)[0], read(kind, "").faults().get(0).how());
+        assertEquals(words.split(", ", -1)[0], read(kind, "").faults().get(0).mode().label());
     }
 }
