--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -1,13 +1,36 @@
 package sagefall.emulator;
 
 /**
- * What a client wants, from its first try to the answer that it accepts or to its giving up. All of
- * its random figures are drawn at its arrival, so no decision of a balancer changes them.
+ * What a client wants, from its first request to the answer that it accepts or to its giving up.
+ * All of its random values are drawn at its arrival, so no decision of a load balancer changes
+ * them.
  */
 public final class ClientOperation {
+
+    /**
+     * The values that are drawn at the arrival.
+     *
+     * @param number of the operation, from 0 on
+     * @param arrivedAtMicros when the client made its first request
+     * @param deadlineMicros when the client gives up
+     * @param key identifies repeated operations
+     * @param tenant index of the tenant
+     * @param overQuota whether the tenant had used up its quota
+     * @param workMicros of the server, on a core of speed 1
+     * @param clientDraw from 0 to 1, what the client's own behaviour is derived from
+     */
+    record Arrival(
+            int number,
+            long arrivedAtMicros,
+            long deadlineMicros,
+            long key,
+            int tenant,
+            boolean overQuota,
+            double workMicros,
+            double clientDraw) {}
+
     public final int number;
     public final long arrivedAtMicros;
-    final long deadlineMicros;
     public final long key;
     public final int tenant;
     public final boolean overQuota;
@@ -15,34 +38,30 @@
     /** Microseconds on a core of speed 1. */
     public final double workMicros;
 
-    /** Between 0 and 1: what the client's own chances are drawn from. */
+    final long deadlineMicros;
     final double clientDraw;
 
+    /** The sidecar that the client is attached to. */
     public SidecarHandle sidecar;
-    int tryCount;
+
+    /** Requests made so far. */
+    int requestCount;
+
+    /** Whether it was answered or given up. */
     boolean finished;
 
-    /** Where and when it ran first, for what servers drop as a repeat; in a zone or, at 0, not. */
+    /** When it first ran in each zone, 0 if it did not: servers drop a repeated key for a while. */
     final long[] executedAtByZone;
 
-    ClientOperation(
-            int number,
-            long arrivedAt,
-            long endsAt,
-            long key,
-            int tenant,
-            boolean beyondShare,
-            double work,
-            double luck,
-            int zones) {
-        this.number = number;
-        this.arrivedAtMicros = arrivedAt;
-        this.deadlineMicros = endsAt;
-        this.key = key;
-        this.tenant = tenant;
-        this.overQuota = beyondShare;
-        this.workMicros = work;
-        this.clientDraw = luck;
+    ClientOperation(Arrival arrival, int zones) {
+        number = arrival.number;
+        arrivedAtMicros = arrival.arrivedAtMicros;
+        deadlineMicros = arrival.deadlineMicros;
+        key = arrival.key;
+        tenant = arrival.tenant;
+        overQuota = arrival.overQuota;
+        workMicros = arrival.workMicros;
+        clientDraw = arrival.clientDraw;
         executedAtByZone = new long[zones];
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -1,12 +1,7 @@
 package sagefall.emulator;
 
-import java.util.Arrays;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.distribution.AliasMethodDiscreteSampler;
-import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
-import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import sagefall.balancer.api.DeduplicationScope;
 import sagefall.balancer.api.Idempotency;
@@ -15,8 +10,6 @@
 import sagefall.scenario.ClientSettings;
 import sagefall.scenario.LoadSettings;
 import sagefall.scenario.Scenario;
-import sagefall.scenario.ServiceSettings;
-import sagefall.scenario.TenantSettings;
 
 /**
  * The clients: open arrivals at rates that change, and what each client does with the answer it
@@ -38,137 +31,105 @@
             ValueAccounting accounting,
             EmulatedNetwork network) {}
 
-    private final EventQueue loop;
+    private static final double MIN_WAVE_SECONDS = 10;
+    private static final double WAVE_SPREAD_SECONDS = 20;
+
+    /** While the rate is 0 it is recomputed after this time. */
+    private static final long IDLE_STEP_MICROS = 1000;
+
+    /** A retry later than this many latency objectives after the arrival is of no use. */
+    private static final int MAX_OBJECTIVES = 2;
+
+    private static final String CAUSE_LATE = "late";
+    private static final String CAUSE_SIDECAR_DOWN = "sidecar down";
+    private static final String CAUSE_SIDECAR_KILLED = "sidecar killed";
+    private static final String CAUSE_DISCONNECTED = "client left";
+    private static final String ANSWER_UNREACHABLE = "unreachable";
+    private static final String ANSWER_NONE = "unanswered";
+
+    private final EventQueue events;
     private final List<? extends SidecarHandle> sidecars;
-    private final ValueAccounting ledger;
+    private final ValueAccounting accounting;
     private final EmulatedNetwork network;
-    private final RequestClass rules;
+    private final RequestClass requestClass;
     private final ClientSettings clients;
-    private final ServiceSettings service;
-    private final boolean repeatsAnything;
-    private final long end;
-
-    private final double tryMicros;
-    private final double waitMicros;
-    private final double honour;
-    private final double swing;
-    private final double wavePeriod;
-    private final double perMicro;
+    private final int zones;
+    private final boolean retriesFailures;
+    private final long endMicros;
+
+    private final double attemptTimeoutMicros;
+    private final double backoffMicros;
+    private final double retryAfterCompliance;
+    private final double rateSwing;
+    private final double wavePeriodMicros;
     private final double meanWorkMicros;
-    private final double spread;
-    private final double[] sidecarWeight;
-    private final double[] tenantWeight;
-    private final double[] quota;
-    private final double[] credit;
-    private long creditedAt = EventQueue.START_MICROS;
-
-    private final UniformRandomProvider arrivals;
-    private final UniformRandomProvider figures;
-    private final ZigguratSampler.NormalizedGaussian gauss;
-    private final ZigguratSampler.Exponential exponential;
-    private final DiscreteSampler keys;
-    private SharedStateDiscreteSampler whichSidecar;
-    private SharedStateDiscreteSampler whichTenant;
-    private double weight = 1;
-    private int made;
-    private long ids;
 
-    /**
-     * What troubles change: all rates, those of zones and tenants, leavers, and clients that
-     * insist.
-     */
+    /** Arrivals in a microsecond, before all factors. */
+    private final double baseRate;
+
+    private final ZigguratSampler.Exponential interarrival;
+    private final OperationGenerator operations;
+    private long requestsSent;
+
+    /** Factor of the rate of all arrivals. */
     public double rateFactor = 1;
 
+    /** Factors of the rate by zone; {@link #updateWeights()} puts them into effect. */
     public final double[] zoneFactors;
+
+    /** Factors of the rate by tenant; {@link #updateWeights()} puts them into effect. */
     public final double[] tenantFactors;
+
+    /** Share of the requests that their client disconnects from early. */
     public double disconnectShare;
+
+    /** How many times clients retry immediately, regardless of Retry-After; 0: they do not. */
     public int immediateRetries;
 
+    /**
+     * Draws the values of a run.
+     *
+     * @param capacity work that all servers get done in a microsecond
+     */
     public ClientTraffic(
             Scenario scenario,
-            RandomStreams draws,
+            RandomStreams streams,
             Environment environment,
-            RequestClass rules,
+            RequestClass requestClass,
             double capacity) {
-        loop = environment.events();
+        events = environment.events();
         sidecars = environment.sidecars();
-        ledger = environment.accounting();
+        accounting = environment.accounting();
         network = environment.network();
-        this.rules = rules;
+        this.requestClass = requestClass;
         clients = scenario.clients();
-        service = scenario.service();
-        repeatsAnything =
-                rules.idempotency() == Idempotency.IDEMPOTENT
-                        || (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                                && rules.deduplicationScope() == DeduplicationScope.ALL);
-        end = EventQueue.START_MICROS + (long) (1e6 * scenario.seconds());
-        tryMicros =
-                rules.deadlineMicros() * clients.attemptTimeoutShare().draw(draws, "clients.try");
-        waitMicros = 1000 * clients.backoffMillis().draw(draws, "clients.wait");
-        honour = clients.retryAfterCompliance().draw(draws, "clients.honour");
-        disconnectShare = clients.disconnectShare().draw(draws, "clients.leave");
+        zones = scenario.fleet().zones().size();
+        retriesFailures = isRetryHarmless(requestClass);
+        endMicros = EventQueue.START_MICROS + (long) (1e6 * scenario.seconds());
+        attemptTimeoutMicros =
+                requestClass.deadlineMicros()
+                        * clients.attemptTimeoutShare().draw(streams, "clients.try");
+        backoffMicros = 1000 * clients.backoffMillis().draw(streams, "clients.wait");
+        retryAfterCompliance = clients.retryAfterCompliance().draw(streams, "clients.honour");
+        disconnectShare = clients.disconnectShare().draw(streams, "clients.leave");
         LoadSettings load = scenario.load();
-        swing = load.rateSwing().draw(draws, "load.swing");
-        wavePeriod = 1e6 * (10 + 20 * draws.stream("load.period").nextDouble());
-        meanWorkMicros = 1000 * service.workMillis().draw(draws, "service.work");
-        spread = service.workVariation().draw(draws, "service.spread");
-        perMicro = load.utilization().draw(draws, "load.use") * capacity / meanWorkMicros;
-
-        arrivals = draws.stream("arrivals");
-        figures = draws.stream("figures");
-        gauss = ZigguratSampler.NormalizedGaussian.of(figures);
-        exponential = ZigguratSampler.Exponential.of(arrivals);
-        keys =
-                RejectionInversionZipfSampler.of(
-                        figures, load.keys(), load.zipfExponent().draw(draws, "load.zipf"));
-        sidecarWeight = sidecarWeights(scenario, draws);
-        List<TenantSettings> tenants = scenario.tenants();
-        tenantWeight = new double[tenants.size()];
-        quota = new double[tenants.size()];
-        double quotas =
-                service.quotaOfCapacity().draw(draws, "service.quota") * capacity / meanWorkMicros;
-        for (int t = 0; t < quota.length; t++) {
-            tenantWeight[t] =
-                    tenants.get(t).share()
-                            * tenants.get(t).usage().draw(draws, "tenant." + tenants.get(t).name());
-            quota[t] = quotas * tenants.get(t).share();
-        }
-        credit = quota.clone();
-        for (int t = 0; t < credit.length; t++) {
-            credit[t] *= 1e6;
-        }
-        zoneFactors = ones(scenario.fleet().zones().size());
-        tenantFactors = ones(quota.length);
-        updateWeights();
+        rateSwing = load.rateSwing().draw(streams, "load.swing");
+        UniformRandomProvider waves = streams.stream("load.period");
+        wavePeriodMicros = 1e6 * (MIN_WAVE_SECONDS + WAVE_SPREAD_SECONDS * waves.nextDouble());
+        meanWorkMicros = 1000 * scenario.service().workMillis().draw(streams, "service.work");
+        baseRate = load.utilization().draw(streams, "load.use") * capacity / meanWorkMicros;
+        interarrival = ZigguratSampler.Exponential.of(streams.stream("arrivals"));
+        operations =
+                new OperationGenerator(
+                        scenario, streams, sidecars, requestClass, capacity, meanWorkMicros);
+        zoneFactors = operations.weights().zoneFactors;
+        tenantFactors = operations.weights().tenantFactors;
     }
 
-    private static double[] ones(int count) {
-        double[] ones = new double[count];
-        Arrays.fill(ones, 1);
-        return ones;
-    }
-
-    private static double[] sidecarWeights(Scenario scenario, RandomStreams draws) {
-        UniformRandomProvider random = draws.stream("load.sidecars");
-        ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
-        int zones = scenario.fleet().zones().size();
-        double[] zone =
-                FleetSimulation.uneven(
-                        zones,
-                        scenario.load().zoneSkew().draw(draws, "load.zone_skew"),
-                        draws.stream("load.zones"));
-        double cv = scenario.load().sidecarVariation().draw(draws, "load.unlike");
-        double sigma = Math.sqrt(Math.log(1 + cv * cv));
-        double[] weights = new double[scenario.fleet().sidecars()];
-        double[] sums = new double[zones];
-        for (int i = 0; i < weights.length; i++) {
-            weights[i] = Math.exp(sigma * normal.sample());
-            sums[i % zones] += weights[i];
-        }
-        for (int i = 0; i < weights.length; i++) {
-            weights[i] *= zone[i % zones] / sums[i % zones];
-        }
-        return weights;
+    private static boolean isRetryHarmless(RequestClass requestClass) {
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /** Mean work of a request, in microseconds on a core of speed 1. */
@@ -176,220 +137,185 @@
         return meanWorkMicros;
     }
 
-    /** A trouble has changed who has how much traffic. */
+    /** Puts changed factors of zones and tenants into effect. */
     public void updateWeights() {
-        double[] bySidecar = sidecarWeight.clone();
-        double all = 0;
-        double shifted = 0;
-        for (int i = 0; i < bySidecar.length; i++) {
-            all += bySidecar[i];
-            bySidecar[i] *= zoneFactors[sidecars.get(i).zone()];
-            shifted += bySidecar[i];
-        }
-        double[] byTenant = tenantWeight.clone();
-        double tenants = 0;
-        double surged = 0;
-        for (int t = 0; t < byTenant.length; t++) {
-            tenants += byTenant[t];
-            byTenant[t] *= tenantFactors[t];
-            surged += byTenant[t];
-        }
-        weight = shifted / all * surged / tenants;
-        whichSidecar = AliasMethodDiscreteSampler.of(figures, bySidecar);
-        whichTenant = AliasMethodDiscreteSampler.of(figures, byTenant);
+        operations.weights().update();
     }
 
+    // Arrivals.
+
+    /** Begins the arrivals. */
     public void start() {
-        next();
+        scheduleNextArrival();
     }
 
-    private void next() {
+    private void scheduleNextArrival() {
+        long now = events.now();
         double wave =
                 1
-                        + swing
+                        + rateSwing
                                 * Math.sin(
                                         2
                                                 * Math.PI
-                                                * (loop.now() - EventQueue.START_MICROS)
-                                                / wavePeriod);
-        double rate = perMicro * weight * rateFactor * wave;
-        long at =
+                                                * (now - EventQueue.START_MICROS)
+                                                / wavePeriodMicros);
+        double rate = baseRate * operations.weights().totalFactor() * rateFactor * wave;
+        long atMicros =
                 rate <= 0
-                        ? loop.now() + 1000
-                        : loop.now() + (long) Math.ceil(exponential.sample() / rate);
-        if (at < end) {
-            loop.scheduleAt(
-                    at,
+                        ? now + IDLE_STEP_MICROS
+                        : now + (long) Math.ceil(interarrival.sample() / rate);
+        if (atMicros < endMicros) {
+            events.scheduleAt(
+                    atMicros,
                     () -> {
                         if (rate > 0) {
                             arrive();
                         }
-                        next();
+                        scheduleNextArrival();
                     });
         }
     }
 
-    private double work() {
-        return switch (service.distribution()) {
-            case "constant" -> meanWorkMicros;
-            case "exponential" -> meanWorkMicros * -Math.log(1 - figures.nextDouble());
-            default -> {
-                double sigma = Math.sqrt(Math.log(1 + spread * spread));
-                yield meanWorkMicros * Math.exp(sigma * gauss.sample() - sigma * sigma / 2);
-            }
-        };
-    }
-
     private void arrive() {
-        long now = loop.now();
-        int tenant = whichTenant.sample();
-        ClientOperation wish =
-                new ClientOperation(
-                        made++,
-                        now,
-                        now + rules.deadlineMicros(),
-                        keys.sample(),
-                        tenant,
-                        beyond(tenant),
-                        work(),
-                        figures.nextDouble(),
-                        zoneFactors.length);
-        wish.sidecar = sidecars.get(whichSidecar.sample());
-        ledger.asked(wish);
-        tryOnce(wish);
+        ClientOperation operation = operations.next(events.now());
+        accounting.recordArrival(operation);
+        sendRequest(operation);
     }
 
-    private boolean beyond(int tenant) {
-        double micros = loop.now() - creditedAt;
-        creditedAt = loop.now();
-        for (int t = 0; t < credit.length; t++) {
-            credit[t] = Math.min(quota[t] * 1e6, credit[t] + quota[t] * micros);
-        }
-        if (credit[tenant] < 1) {
-            return true;
-        }
-        credit[tenant]--;
-        return false;
-    }
+    // Requests.
 
-    private void tryOnce(ClientOperation wish) {
-        wish.tryCount++;
-        ledger.tries++;
-        SidecarHandle sidecar = at(wish.sidecar);
+    private void sendRequest(ClientOperation operation) {
+        operation.requestCount++;
+        SidecarHandle sidecar = sidecarFor(operation.sidecar);
         if (!sidecar.isUp()) {
-            sidecar.onUnreachable(wish);
-            ledger.answer("unreachable");
-            again(wish, 0, "sidecar down");
+            sidecar.onUnreachable(operation);
+            accounting.recordAnswer(ANSWER_UNREACHABLE);
+            retryOrGiveUp(operation, 0, CAUSE_SIDECAR_DOWN);
             return;
         }
-        long deadline = Math.min(wish.deadlineMicros, loop.now() + (long) tryMicros);
-        ClientRequest call =
+        long now = events.now();
+        ClientRequest request =
                 new ClientRequest(
-                        sidecar.requestIdPrefix() + String.format("%010x", ++ids),
-                        wish,
-                        loop.now(),
-                        deadline);
-        double mine = (wish.clientDraw * 7919 + wish.tryCount * 0.618) % 1;
-        if (mine < disconnectShare) {
-            loop.scheduleAfter(
-                    (long) (tryMicros * mine / Math.max(disconnectShare, 1e-9)),
-                    () -> {
-                        if (!call.finished) {
-                            sidecar.disconnectClient(call);
-                            lose(wish, "client left");
-                        }
-                    });
+                        sidecar.requestIdPrefix() + String.format("%010x", ++requestsSent),
+                        operation,
+                        now,
+                        Math.min(operation.deadlineMicros, now + (long) attemptTimeoutMicros));
+        scheduleDisconnect(request, sidecar);
+        sidecar.submit(request, operation.requestCount > 1 && clients.marksRetries());
+    }
+
+    /** Derived from the client's draw, so that it does not depend on earlier requests. */
+    private void scheduleDisconnect(ClientRequest request, SidecarHandle sidecar) {
+        ClientOperation operation = request.operation;
+        double draw = (operation.clientDraw * 7919 + operation.requestCount * 0.618) % 1;
+        if (draw >= disconnectShare) {
+            return;
         }
-        sidecar.submit(call, wish.tryCount > 1 && clients.marksRetries());
+        events.scheduleAfter(
+                (long) (attemptTimeoutMicros * draw / Math.max(disconnectShare, 1e-9)),
+                () -> {
+                    if (!request.finished) {
+                        sidecar.disconnectClient(request);
+                        giveUp(operation, CAUSE_DISCONNECTED);
+                    }
+                });
     }
 
     /** A planned restart takes the application with it: its clients go to the next of its zone. */
-    private SidecarHandle at(SidecarHandle sidecar) {
-        int zones = zoneFactors.length;
+    private SidecarHandle sidecarFor(SidecarHandle preferred) {
+        SidecarHandle sidecar = preferred;
         for (int i = 0; sidecar.isDraining() && i < sidecars.size(); i++) {
             sidecar = sidecars.get((sidecar.index() + zones) % sidecars.size());
         }
         return sidecar;
     }
 
-    /** The client of a call hears its final answer. */
+    // Answers.
+
+    /** The client of a request gets its final answer. */
     public void deliverAnswer(
-            ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros) {
-        deliverAnswer(
-                call,
-                kind,
-                why == null ? "unanswered" : kind.label() + " " + why.label(),
-                retryMicros);
+            ClientRequest request,
+            ClientAnswer answer,
+            RejectionReason reason,
+            long retryAfterMicros) {
+        String word = reason == null ? ANSWER_NONE : answer.label() + " " + reason.label();
+        deliverAnswer(request, answer, word, retryAfterMicros);
     }
 
-    /** The same in words, where no more than a status is told. */
+    /** The same in words, where no more than a status is known. */
     public void deliverAnswer(
-            ClientRequest call, ClientAnswer kind, String word, long retryMicros) {
-        loop.scheduleAfter(
-                network.clientWay(),
-                () -> {
-                    ClientOperation wish = call.operation;
-                    if (kind == ClientAnswer.SERVED) {
-                        served(wish);
-                        return;
-                    }
-                    ledger.answer(word);
-                    if (kind == ClientAnswer.REJECTED || repeatsAnything) {
-                        again(wish, retryMicros, word);
-                    } else {
-                        lose(wish, word);
-                    }
-                });
+            ClientRequest request, ClientAnswer answer, String word, long retryAfterMicros) {
+        events.scheduleAfter(
+                network.clientLatencyMicros(),
+                () -> onAnswer(request.operation, answer, word, retryAfterMicros));
     }
 
-    private void served(ClientOperation wish) {
-        if (wish.finished) {
+    private void onAnswer(
+            ClientOperation operation, ClientAnswer answer, String word, long retryAfterMicros) {
+        if (answer == ClientAnswer.SERVED) {
+            onServed(operation);
             return;
         }
-        wish.finished = true;
-        long micros = loop.now() - wish.arrivedAtMicros;
-        ledger.answered(wish, micros);
-        if (micros <= rules.latencyObjectiveMicros()) {
-            ledger.served(wish);
+        accounting.recordAnswer(word);
+        if (answer == ClientAnswer.REJECTED || retriesFailures) {
+            retryOrGiveUp(operation, retryAfterMicros, word);
         } else {
-            ledger.lost(wish, "late", true);
+            giveUp(operation, word);
         }
     }
 
-    /** The sidecar died with the call in hand. */
-    public void onSidecarKilled(ClientRequest call) {
-        if (repeatsAnything) {
-            again(call.operation, 0, "sidecar killed");
+    private void onServed(ClientOperation operation) {
+        if (operation.finished) {
+            return;
+        }
+        operation.finished = true;
+        long latencyMicros = events.now() - operation.arrivedAtMicros;
+        accounting.recordLatency(operation, latencyMicros);
+        if (latencyMicros <= requestClass.latencyObjectiveMicros()) {
+            accounting.recordServed(operation);
+        } else {
+            accounting.recordLoss(operation, CAUSE_LATE, true);
+        }
+    }
+
+    /** The sidecar was killed with the request open. */
+    public void onSidecarKilled(ClientRequest request) {
+        if (retriesFailures) {
+            retryOrGiveUp(request.operation, 0, CAUSE_SIDECAR_KILLED);
         } else {
-            lose(call.operation, "sidecar killed");
+            giveUp(request.operation, CAUSE_SIDECAR_KILLED);
         }
     }
 
-    private void again(ClientOperation wish, long retryMicros, String why) {
-        if (wish.finished) {
+    private void retryOrGiveUp(ClientOperation operation, long retryAfterMicros, String cause) {
+        if (operation.finished) {
             return;
         }
-        boolean insists = immediateRetries > 0;
-        double wait = insists ? 0 : waitMicros;
-        if (!insists && wish.clientDraw < honour) {
-            wait = Math.max(wait, (double) retryMicros);
+        boolean immediately = immediateRetries > 0;
+        int maxRetries = immediately ? immediateRetries : clients.maxRetries();
+        double delayMicros = immediately ? 0 : backoffMicros;
+        if (!immediately && operation.clientDraw < retryAfterCompliance) {
+            delayMicros = Math.max(delayMicros, (double) retryAfterMicros);
         }
-        if (wish.tryCount > (insists ? immediateRetries : clients.maxRetries())
-                || loop.now() + wait
-                        >= Math.min(
-                                wish.deadlineMicros,
-                                wish.arrivedAtMicros + rules.latencyObjectiveMicros() * 2)) {
-            lose(wish, why);
+        long lastRetryMicros =
+                Math.min(
+                        operation.deadlineMicros,
+                        operation.arrivedAtMicros
+                                + requestClass.latencyObjectiveMicros() * MAX_OBJECTIVES);
+        if (operation.requestCount > maxRetries || events.now() + delayMicros >= lastRetryMicros) {
+            giveUp(operation, cause);
             return;
         }
-        loop.scheduleAfter((long) wait + 1, () -> tryOnce(wish));
+        events.scheduleAfter((long) delayMicros + 1, () -> sendRequest(operation));
     }
 
-    private void lose(ClientOperation wish, String why) {
-        if (!wish.finished) {
-            wish.finished = true;
-            ledger.lost(
-                    wish, why, loop.now() - wish.arrivedAtMicros > rules.latencyObjectiveMicros());
+    private void giveUp(ClientOperation operation, String cause) {
+        if (operation.finished) {
+            return;
         }
+        operation.finished = true;
+        long elapsedMicros = events.now() - operation.arrivedAtMicros;
+        accounting.recordLoss(
+                operation, cause, elapsedMicros > requestClass.latencyObjectiveMicros());
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
@@ -11,175 +11,198 @@
 import sagefall.scenario.DiscoverySettings;
 
 /**
- * What is known of the servers, and when each sidecar hears of it: a change is noticed after a
- * while, goes into the next list, and reaches one sidecar after another.
+ * What is known of the servers, and when each sidecar gets it: a change is detected after a while,
+ * goes into the next list, and reaches one sidecar after another.
  */
 public final class EmulatedDiscovery {
 
-    /** By which part of the usual time one server is noticed sooner or later than another. */
-    private static final double UNLIKE = 0.3;
+    /** By which share of the mean time a change is detected sooner or later. */
+    private static final double DETECTION_SPREAD = 0.3;
 
-    private final EventQueue loop;
+    /** Time that is left for the delivery of a list, beyond its being published. */
+    private static final long DELIVERY_MARGIN_MICROS = 1_000_000;
+
+    /** A complete list that is requested takes this part of the time of a pushed one. */
+    private static final int REQUEST_SPEEDUP = 4;
+
+    private final EventQueue events;
     private final List<? extends EndpointListSubscriber> sidecars;
-    private final Map<Long, ListedEndpoint> known = new LinkedHashMap<>();
-    private final Map<Long, ListedEndpoint> changed = new LinkedHashMap<>();
+    private final Map<Long, ListedEndpoint> current = new LinkedHashMap<>();
+    private final Map<Long, ListedEndpoint> unpublished = new LinkedHashMap<>();
     private final UniformRandomProvider random;
-    private final double notice;
-    private final double silent;
-    private final double add;
-    private final long period;
-    private final long[] lag;
+    private final double detectionMicros;
+    private final double silentDetectionMicros;
+    private final double registrationMicros;
+    private final long publishIntervalMicros;
 
-    /** Who hears of no change; how many troubles keep it from that. */
+    /** By sidecar, from the publication of a list to its delivery. */
+    private final long[] deliveryMicros;
+
+    /** By sidecar, how many faults suppress its updates. */
     private final int[] suppressions;
 
-    /**
-     * How many times as long everything takes; and how many troubles keep it from saying anything.
-     */
+    /** By how many times everything takes longer; 1 is undisturbed. */
     public double delayFactor = 1;
 
+    /** How many faults stop discovery. */
     public int outages;
 
+    /** Draws the times of a run. */
     public EmulatedDiscovery(
-            DiscoverySettings listing,
-            RandomStreams draws,
-            EventQueue loop,
+            DiscoverySettings settings,
+            RandomStreams streams,
+            EventQueue events,
             List<? extends EndpointListSubscriber> sidecars) {
-        this.loop = loop;
+        this.events = events;
         this.sidecars = sidecars;
-        notice = 1e6 * listing.detectionSeconds().draw(draws, "discovery.notice");
-        silent = 1e6 * listing.silentDetectionSeconds().draw(draws, "discovery.silent");
-        add = 1e6 * listing.registrationSeconds().draw(draws, "discovery.add");
-        period = (long) (1000 * listing.publishIntervalMillis().draw(draws, "discovery.period"));
-        double spread = 1000 * listing.propagationSpreadMillis().draw(draws, "discovery.spread");
-        random = draws.stream("discovery.lag");
-        lag = new long[sidecars.size()];
-        suppressions = new int[lag.length];
-        for (int i = 0; i < lag.length; i++) {
-            lag[i] = (long) (spread * random.nextDouble());
+        detectionMicros = 1e6 * settings.detectionSeconds().draw(streams, "discovery.notice");
+        silentDetectionMicros =
+                1e6 * settings.silentDetectionSeconds().draw(streams, "discovery.silent");
+        registrationMicros = 1e6 * settings.registrationSeconds().draw(streams, "discovery.add");
+        publishIntervalMicros =
+                (long) (1000 * settings.publishIntervalMillis().draw(streams, "discovery.period"));
+        double spreadMicros =
+                1000 * settings.propagationSpreadMillis().draw(streams, "discovery.spread");
+        random = streams.stream("discovery.lag");
+        deliveryMicros = new long[sidecars.size()];
+        suppressions = new int[deliveryMicros.length];
+        for (int i = 0; i < deliveryMicros.length; i++) {
+            deliveryMicros[i] = (long) (spreadMicros * random.nextDouble());
         }
     }
 
-    /** Before the day begins. */
+    /** Lists the servers of the start, and begins to publish changes. */
     public void initialize(Iterable<EmulatedServer> servers) {
-        servers.forEach(s -> known.put(s.id, line(s, EndpointPhase.READY)));
-        loop.scheduleAfter(period, this::publish);
+        servers.forEach(server -> current.put(server.id, listed(server, EndpointPhase.READY)));
+        events.scheduleAfter(publishIntervalMicros, this::publish);
     }
 
+    /** The complete list as it is known now. */
     public List<ListedEndpoint> endpointList() {
-        return new ArrayList<>(known.values());
+        return new ArrayList<>(current.values());
     }
 
-    private static ListedEndpoint line(EmulatedServer s, EndpointPhase phase) {
+    private static ListedEndpoint listed(EmulatedServer server, EndpointPhase phase) {
         return new ListedEndpoint(
-                s.id,
-                s.zone,
-                s.spec.machineType(),
-                s.cell,
+                server.id,
+                server.zone,
+                server.spec.machineType(),
+                server.cell,
                 phase,
-                s.startedAtMicros,
-                s.spec.cores() * s.spec.speed());
+                server.startedAtMicros,
+                server.spec.cores() * server.spec.speed());
     }
 
-    /** A server has started. */
-    public void serverStarted(EmulatedServer s) {
-        int epoch = s.epoch;
-        loop.scheduleAfter(
-                after(add),
+    /** A server has started; it is listed unless it has stopped until then. */
+    public void serverStarted(EmulatedServer server) {
+        int epoch = server.epoch;
+        events.scheduleAfter(
+                drawDelayMicros(registrationMicros),
                 () -> {
-                    if (epoch == s.epoch && s.state == EmulatedServer.State.UP) {
-                        change(line(s, EndpointPhase.READY));
+                    if (epoch == server.epoch && server.state == EmulatedServer.State.UP) {
+                        change(listed(server, EndpointPhase.READY));
                     }
                 });
     }
 
     /** A server is to be replaced. */
-    public void serverDraining(EmulatedServer s) {
-        loop.scheduleAfter(
-                after(notice),
+    public void serverDraining(EmulatedServer server) {
+        events.scheduleAfter(
+                drawDelayMicros(detectionMicros),
                 () -> {
-                    ListedEndpoint now = known.get(s.id);
-                    if (now != null) {
-                        change(line(s, EndpointPhase.DRAINING));
+                    if (current.containsKey(server.id)) {
+                        change(listed(server, EndpointPhase.DRAINING));
                     }
                 });
     }
 
-    /**
-     * A server's process has ended; known once it is noticed that it does not run, if it still does
-     * not.
-     */
-    public void serverStopped(EmulatedServer s) {
-        int epoch = s.epoch;
-        loop.scheduleAfter(
-                after(s.state == EmulatedServer.State.SILENT ? silent : notice),
+    /** A server's process has ended; it is removed unless it has restarted by then. */
+    public void serverStopped(EmulatedServer server) {
+        int epoch = server.epoch;
+        boolean silent = server.state == EmulatedServer.State.SILENT;
+        events.scheduleAfter(
+                drawDelayMicros(silent ? silentDetectionMicros : detectionMicros),
                 () -> {
-                    if (epoch == s.epoch
-                            && s.state != EmulatedServer.State.UP
-                            && known.containsKey(s.id)) {
-                        change(line(s, EndpointPhase.REMOVED));
+                    if (epoch == server.epoch
+                            && server.state != EmulatedServer.State.UP
+                            && current.containsKey(server.id)) {
+                        change(listed(server, EndpointPhase.REMOVED));
                     }
                 });
     }
 
-    /** One server is noticed sooner, another later. */
-    private long after(double micros) {
-        return (long) (micros * delayFactor * (1 - UNLIKE + 2 * UNLIKE * random.nextDouble()));
+    private long drawDelayMicros(double meanMicros) {
+        return (long)
+                (meanMicros
+                        * delayFactor
+                        * (1 - DETECTION_SPREAD + 2 * DETECTION_SPREAD * random.nextDouble()));
     }
 
-    /** From when all sidecars have heard of what is to drain, at the latest. */
+    /** Microseconds after which all sidecars know at the latest that a server drains. */
     public long propagationMicros() {
-        return (long) (notice * delayFactor * (1 + UNLIKE)) + period + 1_000_000;
+        return (long) (detectionMicros * delayFactor * (1 + DETECTION_SPREAD))
+                + publishIntervalMicros
+                + DELIVERY_MARGIN_MICROS;
     }
 
-    private void change(ListedEndpoint line) {
-        if (line.phase() == EndpointPhase.REMOVED) {
-            known.remove(line.id());
+    private void change(ListedEndpoint endpoint) {
+        if (endpoint.phase() == EndpointPhase.REMOVED) {
+            current.remove(endpoint.id());
         } else {
-            known.put(line.id(), line);
+            current.put(endpoint.id(), endpoint);
         }
-        changed.put(line.id(), line);
+        unpublished.put(endpoint.id(), endpoint);
     }
 
     private void publish() {
-        if (!changed.isEmpty() && outages == 0) {
-            List<ListedEndpoint> lines = List.copyOf(changed.values());
-            changed.clear();
-            for (EndpointListSubscriber s : sidecars) {
-                int life = s.incarnation();
-                loop.scheduleAfter(
-                        (long) (lag[s.index()] * delayFactor),
-                        () -> {
-                            if (life == s.incarnation() && suppressions[s.index()] == 0) {
-                                s.onEndpointList(EndpointListKind.CHANGES, lines);
-                            }
-                        });
+        if (!unpublished.isEmpty() && outages == 0) {
+            List<ListedEndpoint> changes = List.copyOf(unpublished.values());
+            unpublished.clear();
+            for (EndpointListSubscriber sidecar : sidecars) {
+                push(sidecar, changes);
             }
         }
-        loop.scheduleAfter(period, this::publish);
+        events.scheduleAfter(publishIntervalMicros, this::publish);
+    }
+
+    private void push(EndpointListSubscriber sidecar, List<ListedEndpoint> changes) {
+        int incarnation = sidecar.incarnation();
+        events.scheduleAfter(
+                (long) (deliveryMicros[sidecar.index()] * delayFactor),
+                () -> {
+                    if (incarnation == sidecar.incarnation() && !isSuppressed(sidecar)) {
+                        sidecar.onEndpointList(EndpointListKind.CHANGES, changes);
+                    }
+                });
     }
 
-    /** From now on, or no longer, one hears of no change; in the end it gets the whole list. */
-    public void setUpdatesSuppressed(EndpointListSubscriber s, boolean on) {
-        suppressions[s.index()] += on ? 1 : -1;
-        if (!on && suppressions[s.index()] == 0) {
-            requestFullList(s);
+    private boolean isSuppressed(EndpointListSubscriber sidecar) {
+        return suppressions[sidecar.index()] > 0;
+    }
+
+    /**
+     * From now on, or no longer, a sidecar gets no change; at the end it gets the complete list.
+     */
+    public void setUpdatesSuppressed(EndpointListSubscriber sidecar, boolean suppressed) {
+        suppressions[sidecar.index()] += suppressed ? 1 : -1;
+        if (!suppressed && suppressions[sidecar.index()] == 0) {
+            requestFullList(sidecar);
         }
     }
 
-    /** A sidecar that has just started asks for the whole list. */
-    public void requestFullList(EndpointListSubscriber s) {
-        int life = s.incarnation();
-        loop.scheduleAfter(
-                lag[s.index()] / 4 + 1,
+    /** A sidecar that has just started requests the complete list, and retries until it gets it. */
+    public void requestFullList(EndpointListSubscriber sidecar) {
+        int incarnation = sidecar.incarnation();
+        events.scheduleAfter(
+                deliveryMicros[sidecar.index()] / REQUEST_SPEEDUP + 1,
                 () -> {
-                    if (life != s.incarnation()) {
+                    if (incarnation != sidecar.incarnation()) {
                         return;
                     }
-                    if (outages > 0 || suppressions[s.index()] > 0) {
-                        requestFullList(s);
+                    if (outages > 0 || isSuppressed(sidecar)) {
+                        requestFullList(sidecar);
                     } else {
-                        s.onEndpointList(EndpointListKind.COMPLETE, endpointList());
+                        sidecar.onEndpointList(EndpointListKind.COMPLETE, endpointList());
                     }
                 });
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
@@ -4,56 +4,77 @@
 import sagefall.scenario.NetworkSettings;
 
 /**
- * The ways between zones: latency, jitter, and cuts in one or both directions. What meets a cut is
- * lost and not sent anew later; a real TCP would repeat it after the cut, mostly too late for its
- * aim.
+ * The links between zones: latency, jitter, and cuts in one or both directions. What meets a cut is
+ * lost and not retransmitted; a real TCP would do so after the cut, mostly too late for the latency
+ * objective.
  */
 public final class EmulatedNetwork {
 
-    private final double same;
-    private final double cross;
+    private final double sameZoneMicros;
+    private final double crossZoneMicros;
+    private final double clientMicros;
     private final double jitter;
-    private final double client;
     private final UniformRandomProvider random;
+
+    /** How many faults cut the link from one zone to another. */
     private final int[][] cuts;
 
-    public EmulatedNetwork(NetworkSettings net, RandomStreams draws, int zones) {
-        same = 1000 * net.sameZoneMillis().draw(draws, "net.same");
-        cross = 1000 * net.crossZoneMillis().draw(draws, "net.cross");
-        client = 1000 * net.clientMillis().draw(draws, "net.client");
-        jitter = net.jitter().draw(draws, "net.jitter");
-        random = draws.stream("net");
+    /** Draws the latencies of a run; all links work. */
+    public EmulatedNetwork(NetworkSettings network, RandomStreams streams, int zones) {
+        sameZoneMicros = 1000 * network.sameZoneMillis().draw(streams, "net.same");
+        crossZoneMicros = 1000 * network.crossZoneMillis().draw(streams, "net.cross");
+        clientMicros = 1000 * network.clientMillis().draw(streams, "net.client");
+        jitter = network.jitter().draw(streams, "net.jitter");
+        random = streams.stream("net");
         cuts = new int[zones][zones];
     }
 
-    /** Microseconds of one way. */
-    public long oneWayMicros(int from, int to) {
-        return oneWayMicros(from, to, random);
+    /** Draws the latency of one message between two zones, in microseconds. */
+    public long oneWayMicros(int fromZone, int toZone) {
+        return oneWayMicros(fromZone, toZone, random);
+    }
+
+    /** The same with the caller's own random numbers. */
+    public long oneWayMicros(int fromZone, int toZone, UniformRandomProvider ownRandom) {
+        double base = fromZone == toZone ? sameZoneMicros : crossZoneMicros;
+        return 1 + (long) (base * (1 - jitter * Math.log(1 - ownRandom.nextDouble())));
     }
 
-    /** The same by other random numbers. */
-    public long oneWayMicros(int from, int to, UniformRandomProvider chances) {
-        double base = from == to ? same : cross;
-        return 1 + (long) (base * (1 - jitter * Math.log(1 - chances.nextDouble())));
+    /** Latency between a client and its sidecar, in microseconds. */
+    long clientLatencyMicros() {
+        return 1 + (long) clientMicros;
     }
 
-    /** Microseconds between a client and its sidecar. */
-    long clientWay() {
-        return 1 + (long) client;
+    /** Whether nothing passes from one zone to the other. */
+    public boolean isCut(int fromZone, int toZone) {
+        return cuts[fromZone][toZone] > 0;
     }
 
-    public boolean cut(int from, int to) {
-        return cuts[from][to] > 0;
+    /** Whether nothing passes between the zones in at least one direction. */
+    boolean isCutBetween(int zone, int otherZone) {
+        return isCut(zone, otherZone) || isCut(otherZone, zone);
     }
 
     /**
-     * Begins or, with -1, ends a cut between a zone and all others, for what goes in, out, or both.
+     * Begins a cut between a zone and all others.
+     *
+     * @param inbound whether it cuts what enters the zone
+     * @param outbound whether it cuts what leaves the zone
      */
-    public void cut(int zone, boolean in, boolean out, int by) {
+    public void cut(int zone, boolean inbound, boolean outbound) {
+        addCuts(zone, inbound, outbound, 1);
+    }
+
+    /** Ends a cut that was begun with the same arguments. */
+    public void restore(int zone, boolean inbound, boolean outbound) {
+        addCuts(zone, inbound, outbound, -1);
+    }
+
+    private void addCuts(int zone, boolean inbound, boolean outbound, int count) {
         for (int other = 0; other < cuts.length; other++) {
             if (other != zone) {
-                cuts[other][zone] += in ? by : 0;
-                cuts[zone][other] += out ? by : 0;
+                cuts[other][zone] += inbound ? count : 0;
+                cuts[zone][other] += outbound ? count : 0;
             }
         }
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -2,316 +2,333 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import sagefall.balancer.api.LoadReport;
 
 /**
- * A save server: slots that work side by side, a bounded waiting room, and a capacity that depends
- * on how cold it is, how many requests and connections it holds, and what troubles it. Work that
- * was taken is done to its end, whatever its client does meanwhile.
+ * A server: slots that work side by side, a bounded queue, and a capacity that depends on how cold
+ * it is, how many requests and connections it holds, and which faults it has. Work that was
+ * accepted is done to its end, whatever its client does meanwhile.
  */
 public final class EmulatedServer {
 
-    /** What its process does. */
+    /** The state of its process. */
     public enum State {
+        /** It accepts requests. */
         UP,
+        /** It rejects new requests and finishes those it has. */
         DRAINING,
+        /** Its machine is gone; peers get no answer. */
         SILENT,
+        /** Its process has ended; peers are refused. */
         DEAD
     }
 
-    private static final long COLD_STEP = 50_000;
+    /** While it warms up its rate is recomputed after this time. */
+    private static final long WARM_UP_STEP_MICROS = 50_000;
 
-    /**
-     * Where work warms as well: part of what a warm server does in that time after which it is
-     * warm.
-     */
-    private static final double WARM_WORK = 0.3;
+    /** Work that is less than this is done: rounding leaves a rest. */
+    private static final double DONE_MICROS = 1e-6;
+
+    /** No event is scheduled later: nothing runs at that rate. */
+    private static final double NEVER_MICROS = 1e15;
 
     public final long id;
     public final int zone;
     public final int cell;
     public final ServerSpec spec;
-    private final EventQueue loop;
-    private final ServerListener floor;
-    private final SharedSlowdown sharedSlow;
+    private final EventQueue events;
+    private final ServerListener listener;
+    private final SharedSlowdown sharedSlowdown;
 
     public State state = State.UP;
+
+    /** Grows with each start of the process. */
     int epoch;
 
-    /** Of its process; 0 means long ago. */
+    /** Start of its process; 0 means long ago. */
     public long startedAtMicros;
 
-    /** Whether its last end was told to the other side of its connections. */
-    boolean endedSilently;
+    /** Whether the peers of its last process were not notified of its end. */
+    boolean stoppedSilently;
 
+    /** Open connections. */
     public int connections;
+
+    /** By how many times each request takes longer. */
     public double slowdown = 1;
+
+    /** Share of its capacity that another program takes. */
     public double stolenShare;
+
+    /** Share of the requests that it answers with an error. */
     public double errorRate;
+
+    /** How many pauses stop it at the moment. */
     public int activePauses;
 
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private final List<Job> hanging = new ArrayList<>();
-    private final Map<Long, Long> keys;
+
+    /** Requests that were sent to a machine that is gone; their connections are reset later. */
+    private final List<Job> unanswered = new ArrayList<>();
+
+    private final RecentKeyCache recentKeys;
+    private final WarmUp warmUp;
+    private final LoadReportSampler reports;
+    private SlowStartBudget slowStartBudget;
+
+    /** Work that a core gets done in a microsecond, since the last event. */
     private double rate;
-    private long advancedAt;
-    private int plan;
 
-    private final LoadReportSampler figures;
-    private SlowStartBudget budget;
-    private double warmed;
+    private long advancedAtMicros;
+
+    /** Number of the last plan; a completion that an earlier one scheduled is dropped. */
+    private int planNumber;
 
+    /** A server that is up, and warm until {@link #start()} is called. */
     public EmulatedServer(
             ServerIdentity identity,
             ServerSpec spec,
-            EventQueue loop,
-            SharedSlowdown sharedSlow,
-            ServerListener floor) {
+            EventQueue events,
+            SharedSlowdown sharedSlowdown,
+            ServerListener listener) {
         this.id = identity.id();
         this.zone = identity.zone();
         this.cell = identity.cell();
         this.spec = spec;
-        this.loop = loop;
-        this.sharedSlow = sharedSlow;
-        this.floor = floor;
+        this.events = events;
+        this.sharedSlowdown = sharedSlowdown;
+        this.listener = listener;
         errorRate = spec.errorRate();
-        advancedAt = loop.now();
-        figures = new LoadReportSampler(spec.cores(), spec.reportIntervalMicros(), loop.now());
-        rate = rate();
-        keys =
-                new LinkedHashMap<>(16, 0.75f, true) {
-                    private static final long serialVersionUID = 1;
-
-                    @Override
-                    protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-                        return size() > spec.cachedKeys();
-                    }
-                };
+        advancedAtMicros = events.now();
+        reports = new LoadReportSampler(spec.cores(), spec.reportIntervalMicros(), events.now());
+        warmUp = new WarmUp(spec);
+        recentKeys = new RecentKeyCache(spec);
+        rate = currentRate();
     }
 
-    /** What it bears while it is cold; without one it bears anything. */
-    public void setSlowStartBudget(SlowStartBudget cold) {
-        budget = cold;
+    /** What it can handle while it is cold; without a budget it handles anything. */
+    public void setSlowStartBudget(SlowStartBudget budget) {
+        slowStartBudget = budget;
     }
 
-    // ---- Its capacity
+    // Capacity.
 
-    /** Work that a core gets done in a microsecond. */
-    private double rate() {
+    /** Work that a core gets done in a microsecond, as it is now. */
+    private double currentRate() {
         if (activePauses > 0) {
             return 0;
         }
-        double held = running.size() + waiting.size();
-        double crowd = Math.max(0, held / spec.cores() - spec.contentionThreshold());
-        double table =
+        double requests = running.size() + queue.size();
+        double crowd = Math.max(0, requests / spec.cores() - spec.contentionThreshold());
+        double connectionFactor =
                 1
                         - spec.connectionTableCost()
                                 * Math.min(1, connections / (double) spec.maxConnections());
         return spec.speed()
-                * capacityShareAt(loop.now() + COLD_STEP / 2)
+                * capacityShareAt(events.now() + WARM_UP_STEP_MICROS / 2)
                 * (1 - stolenShare)
-                * table
-                / (slowdown * sharedSlow.factor * (1 + spec.contentionPenalty() * crowd));
+                * connectionFactor
+                / (slowdown * sharedSlowdown.factor * (1 + spec.contentionPenalty() * crowd));
     }
 
-    /**
-     * From its cold share to 1, evenly in time or, if that is sooner, in the work that it has done.
-     */
-    public double capacityShareAt(long at) {
-        if (startedAtMicros == 0) {
-            return 1;
-        }
-        double time = (at - startedAtMicros) / (double) Math.max(1, spec.slowStartMicros());
-        double work =
-                spec.warmsUpByWork()
-                        ? warmed
-                                / (WARM_WORK * spec.slowStartMicros() * spec.cores() * spec.speed())
-                        : 0;
-        return Math.min(
-                1,
-                spec.initialCapacityShare()
-                        + (1 - spec.initialCapacityShare()) * Math.max(time, work));
+    /** Share of its capacity that it has at that time, by its warming up. */
+    public double capacityShareAt(long atMicros) {
+        return warmUp.capacityShare(startedAtMicros, atMicros);
     }
 
-    private boolean cold() {
-        return startedAtMicros != 0 && capacityShareAt(loop.now()) < 1;
+    private boolean isWarmingUp() {
+        return startedAtMicros != 0 && capacityShareAt(events.now()) < 1;
     }
 
-    /** Work that all cores together get done in a microsecond, as it is now; 0 while it can't. */
+    /** Work that all cores together get done in a microsecond; 0 while it is not up. */
     double capacity() {
-        return state == State.UP ? Math.min(spec.slots(), spec.cores()) * rate() : 0;
+        return state == State.UP ? Math.min(spec.slots(), spec.cores()) * currentRate() : 0;
     }
 
-    /** Work that it has taken and not done. */
-    double backlog() {
+    /** Work that it has accepted and not done, in microseconds on a core of speed 1. */
+    double backlogMicros() {
         advance();
         double sum = 0;
-        for (Job a : running) {
-            sum += a.remainingMicros;
+        for (Job job : running) {
+            sum += job.remainingMicros;
         }
-        for (Job a : waiting) {
-            sum += a.remainingMicros;
+        for (Job job : queue) {
+            sum += job.remainingMicros;
         }
         return sum;
     }
 
-    /** Requests that it holds. */
+    /** Requests that it holds, running and queued. */
     public int heldRequests() {
-        return running.size() + waiting.size();
+        return running.size() + queue.size();
     }
 
-    // ---- Work
+    // Work.
 
-    /** A request has come whole; whether there is room for it. */
-    public boolean accept(Job a) {
-        if (cold() && fall(a)) {
+    /** A request has arrived; whether it is accepted. A cold server may stop by that. */
+    public boolean accept(Job job) {
+        if (isWarmingUp() && stopsByOverload(job)) {
             return false;
         }
-        if (running.size() >= spec.slots() && waiting.size() >= spec.queueCapacity()) {
+        if (running.size() >= spec.slots() && queue.size() >= spec.queueCapacity()) {
             return false;
         }
         advance();
         if (running.size() < spec.slots()) {
-            running.add(a);
+            running.add(job);
         } else {
-            waiting.add(a);
+            queue.add(job);
         }
         reschedule();
         return true;
     }
 
-    /** Whether a key was met so lately that its work is less; it has been met now. */
+    /** The factor of the work of a request with that key, which is recent from now on. */
     public double workFactorForKey(long key) {
-        Long last = spec.cachedKeys() == 0 ? null : keys.put(key, loop.now());
-        return last != null && loop.now() - last <= spec.keyLifetimeMicros()
-                ? 1 - spec.cachedKeySaving()
-                : 1;
+        return recentKeys.workFactor(key, events.now());
     }
 
+    /** Does the work since the last event. */
     private void advance() {
-        double micros = loop.now() - advancedAt;
-        advancedAt = loop.now();
+        double micros = events.now() - advancedAtMicros;
+        advancedAtMicros = events.now();
         if (micros == 0 || running.isEmpty()) {
             return;
         }
         // A slot is a core or a part of one.
-        double each = micros * rate * Math.min(1, spec.cores() / (double) running.size());
-        for (Job a : running) {
-            a.remainingMicros -= each;
+        double workOfEach = micros * rate * Math.min(1, spec.cores() / (double) running.size());
+        for (Job job : running) {
+            job.remainingMicros -= workOfEach;
         }
-        double cores = Math.min(spec.cores(), running.size());
-        figures.busy(micros * cores);
-        warmed += micros * rate * cores;
+        double busyCores = Math.min(spec.cores(), running.size());
+        reports.addBusy(micros * busyCores);
+        warmUp.addWork(micros * rate * busyCores);
     }
 
-    /** Something has changed: plans when the next request will be done. */
+    /** Something has changed: computes when the next request will be done. */
     public void reschedule() {
         advance();
-        rate = rate();
-        int mine = ++plan;
-        if (running.isEmpty() && !cold()) {
+        rate = currentRate();
+        int plan = ++planNumber;
+        if (running.isEmpty() && !isWarmingUp()) {
             return;
         }
-        double least = Double.POSITIVE_INFINITY;
-        for (Job a : running) {
-            least = Math.min(least, a.remainingMicros);
-        }
-        double each = rate * Math.min(1, spec.cores() / (double) Math.max(1, running.size()));
-        double micros = rate == 0 ? Double.POSITIVE_INFINITY : Math.ceil(Math.max(0, least) / each);
-        if (cold()) {
-            micros = Math.min(micros, COLD_STEP);
+        double micros = microsToNextCompletion();
+        if (isWarmingUp()) {
+            micros = Math.min(micros, WARM_UP_STEP_MICROS);
         }
-        if (micros < 1e15) {
-            loop.scheduleAfter(
+        if (micros < NEVER_MICROS) {
+            events.scheduleAfter(
                     (long) micros,
                     () -> {
-                        if (mine == plan) {
-                            complete();
+                        if (plan == planNumber) {
+                            completeJobs();
                         }
                     });
         }
     }
 
-    private void complete() {
+    private double microsToNextCompletion() {
+        if (rate == 0) {
+            return Double.POSITIVE_INFINITY;
+        }
+        double least = Double.POSITIVE_INFINITY;
+        for (Job job : running) {
+            least = Math.min(least, job.remainingMicros);
+        }
+        double rateOfEach = rate * Math.min(1, spec.cores() / (double) Math.max(1, running.size()));
+        return Math.ceil(Math.max(0, least) / rateOfEach);
+    }
+
+    private void completeJobs() {
         advance();
-        for (int i = 0; i < running.size(); ) {
-            Job a = running.get(i);
-            if (a.remainingMicros > 1e-6) {
-                i++;
+        int next = 0;
+        while (next < running.size()) {
+            Job job = running.get(next);
+            if (job.remainingMicros > DONE_MICROS) {
+                next++;
                 continue;
             }
-            running.remove(i);
-            figures.served(a.workMicros / Math.max(1e-9, rate));
-            if (!waiting.isEmpty()) {
-                running.add(waiting.poll());
+            running.remove(next);
+            reports.addServed(job.workMicros / Math.max(1e-9, rate));
+            if (!queue.isEmpty()) {
+                running.add(queue.poll());
             }
-            floor.onJobDone(a);
+            listener.onJobDone(job);
         }
         reschedule();
     }
 
-    // ---- Its process
+    // Process.
+
+    /** Whether its process accepts requests or finishes those it has. */
+    boolean isRunning() {
+        return state == State.UP || state == State.DRAINING;
+    }
 
-    /** The process ends, or its machine vanishes; what it held is gone. */
+    /**
+     * The process ends and loses its requests.
+     *
+     * @param silently whether the machine is gone with it, so that its peers are not notified
+     */
     public void stop(boolean silently) {
         advance();
         state = silently ? State.SILENT : State.DEAD;
-        endedSilently = silently;
+        stoppedSilently = silently;
         List<Job> lost = new ArrayList<>(running);
-        lost.addAll(waiting);
+        lost.addAll(queue);
         running.clear();
-        waiting.clear();
-        keys.clear();
+        queue.clear();
+        recentKeys.clear();
         connections = 0;
-        plan++;
+        planNumber++;
         if (silently) {
-            hanging.addAll(lost);
+            unanswered.addAll(lost);
         } else {
-            lost.forEach(floor::onJobAborted);
+            lost.forEach(listener::onJobAborted);
         }
     }
 
-    /** A request was written to a machine that says nothing. */
-    void hang(Job a) {
-        hanging.add(a);
+    /** A request was sent to a machine that is gone. */
+    void addUnanswered(Job job) {
+        unanswered.add(job);
     }
 
     /** A new process, cold; connections to the old one are reset now at the latest. */
     public void start() {
         state = State.UP;
         epoch++;
-        startedAtMicros = loop.now();
-        warmed = 0;
-        if (budget != null) {
-            budget.clear();
+        startedAtMicros = events.now();
+        warmUp.restart();
+        if (slowStartBudget != null) {
+            slowStartBudget.clear();
         }
-        advancedAt = loop.now();
-        List<Job> lost = new ArrayList<>(hanging);
-        hanging.clear();
-        lost.forEach(floor::onJobAborted);
+        advancedAtMicros = events.now();
+        List<Job> lost = new ArrayList<>(unanswered);
+        unanswered.clear();
+        lost.forEach(listener::onJobAborted);
         reschedule();
     }
 
-    /** Books what is sent to it while it is cold; whether it falls over by that. */
-    private boolean fall(Job a) {
-        double capacity = spec.cores() * spec.speed() * capacityShareAt(loop.now());
-        if (budget == null
-                || !budget.recordAndCheckExceeded(loop.now(), a.senderKnowsStart(this), capacity)) {
+    /** Records a request to the cold server; whether the server stops by that. */
+    private boolean stopsByOverload(Job job) {
+        double capacity = spec.cores() * spec.speed() * capacityShareAt(events.now());
+        if (slowStartBudget == null
+                || !slowStartBudget.recordAndCheckExceeded(
+                        events.now(), job.senderKnowsStart(this), capacity)) {
             return false;
         }
-        double told = budget.informedShare();
+        double informedShare = slowStartBudget.informedShare();
         stop(false);
-        floor.onSlowStartOverload(this, told);
+        listener.onSlowStartOverload(this, informedShare);
         return true;
     }
 
-    /** What it reports of itself. */
+    /** Its last load report, or a new one if that is old. */
     public LoadReport loadReport() {
         advance();
-        return figures.report(loop.now());
+        return reports.report(events.now());
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -1,6 +1,5 @@
 package sagefall.emulator;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,75 +10,37 @@
 import sagefall.balancer.api.AttemptResult;
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.EndpointListKind;
-import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.Request;
-import sagefall.emulator.ClientRequest.Attempt;
 
 /**
- * The host of one instance of the module, as the real host and the simulator's are: it turns what
- * happens into events and actions into what happens, and decides nothing. It keeps the connections
+ * The host of one load balancer, as the real sidecar and the simulator's adapter are: it turns what
+ * happens into events and actions into what happens, and decides nothing. It holds the connections
  * to servers.
  */
 public final class EmulatedSidecar
         implements BalancerActions, SidecarHandle, EndpointListSubscriber {
 
-    /** What this life of the sidecar has been told of a server; gone at 0 is not gone. */
-    record Told(long startMicros, long goneAt) {}
-
-    /** What a sidecar needs of the world round it. */
-    interface World {
-        EventQueue loop();
-
-        EmulatedNetwork network();
-
-        InvariantChecker rules();
-
-        EmulatedServer server(long id);
-
-        /** A fresh module for a life of a sidecar. */
-        LoadBalancer module(EmulatedSidecar sidecar);
-
-        /** A request to a server, on its way over a connection that is open. */
-        void carry(Attempt attempt);
-
-        /** The client hears. */
-        void answer(ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros);
-
-        double idleMicros();
-
-        long setupLimitMicros();
-
-        double setupTrips();
-
-        long graceMicros();
-    }
-
-    /** Idle connections to one server's process, the one used last on top. */
-    private static final class Idle {
-        final ArrayDeque<long[]> since = new ArrayDeque<>();
-    }
-
+    /** The module's own log lines, for whoever turns this logger on. */
     private static final Logger LOG = LoggerFactory.getLogger("module");
 
-    private final World world;
+    private final SidecarEnvironment environment;
     private final int index;
     private final int zone;
-    private final Map<String, ClientRequest> calls = new HashMap<>();
-    private final Map<Long, Idle> idle = new HashMap<>();
-    private final Map<Long, Told> told = new HashMap<>();
-    private final Map<Long, ListedEndpoint> held = new HashMap<>();
-    private LoadBalancer module;
-    private int life;
-    private String prefix = "";
-    boolean up;
-    boolean leaving;
-
-    EmulatedSidecar(World world, int index, int zone) {
-        this.world = world;
+    private final Map<String, ClientRequest> openRequests = new HashMap<>();
+    private final IdleConnections idleConnections = new IdleConnections();
+    private final EndpointView endpoints = new EndpointView();
+    private LoadBalancer balancer;
+    private int incarnation;
+    private String requestIdPrefix = "";
+    private boolean up;
+    private boolean draining;
+
+    EmulatedSidecar(SidecarEnvironment environment, int index, int zone) {
+        this.environment = environment;
         this.index = index;
         this.zone = zone;
     }
@@ -101,384 +62,342 @@
 
     @Override
     public boolean isDraining() {
-        return leaving;
+        return draining;
     }
 
     @Override
     public String requestIdPrefix() {
-        return prefix;
+        return requestIdPrefix;
     }
 
     @Override
     public int incarnation() {
-        return life;
+        return incarnation;
     }
 
-    Told told(long server) {
-        return told.get(server);
+    /** What its present process knows of a server, or null. */
+    EndpointView.Knowledge knowledgeOf(long server) {
+        return endpoints.of(server);
     }
 
+    /** Whether its present process knows when the server started. */
     boolean knowsStart(EmulatedServer server) {
-        Told t = told.get(server.id);
-        return t != null && t.startMicros == server.startedAtMicros;
+        EndpointView.Knowledge known = endpoints.of(server.id);
+        return known != null && known.startMicros() == server.startedAtMicros;
     }
 
-    // ---- Its life
-
-    /** A new process that knows the list that the last one had. */
-    void start(List<ListedEndpoint> first) {
-        life++;
-        prefix = String.format("%04x%02x", index, life & 0xff);
+    /** Starts a new process, which knows the list that the last one had. */
+    void start(List<ListedEndpoint> firstList) {
+        incarnation++;
+        requestIdPrefix = String.format("%04x%02x", index, incarnation & 0xff);
         up = true;
-        leaving = false;
-        told.clear();
-        calls.clear();
-        module = world.module(this);
-        onEndpointList(
-                EndpointListKind.CACHED, held.isEmpty() ? first : new ArrayList<>(held.values()));
+        draining = false;
+        endpoints.forgetKnowledge();
+        openRequests.clear();
+        balancer = environment.createLoadBalancer(this);
+        onEndpointList(EndpointListKind.CACHED, endpoints.isEmpty() ? firstList : endpoints.list());
     }
 
-    /** The process ends at once; its connections end with it, and clients hear nothing more. */
+    /** The process drains before a planned restart: its clients go elsewhere. */
+    void drain() {
+        draining = true;
+    }
+
+    /** Ends the process at once with all its connections; returns the requests that were open. */
     List<ClientRequest> kill() {
-        List<ClientRequest> open = new ArrayList<>(calls.values());
+        List<ClientRequest> aborted = new ArrayList<>(openRequests.values());
         up = false;
-        life++;
-        module = null;
-        for (Map.Entry<Long, Idle> e : idle.entrySet()) {
-            EmulatedServer server = world.server(e.getKey());
-            for (long[] c : e.getValue().since) {
-                disconnect(server, (int) c[1]);
-            }
-        }
-        idle.clear();
-        for (ClientRequest call : open) {
-            for (Attempt a : call.attempts) {
-                if (a.result == null) {
-                    disconnect(a.server, a.epoch);
+        incarnation++;
+        balancer = null;
+        idleConnections.closeAll(environment::server);
+        for (ClientRequest request : aborted) {
+            for (EmulatedAttempt attempt : request.attempts) {
+                if (attempt.isInFlight()) {
+                    IdleConnections.release(attempt.server, attempt.serverEpoch);
                 }
             }
         }
-        calls.clear();
-        return open;
-    }
-
-    boolean busy() {
-        return !calls.isEmpty();
+        openRequests.clear();
+        return aborted;
     }
 
-    // ---- Events
+    // Events for the load balancer.
 
     @Override
-    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> lines) {
-        if (module == null) {
+    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> list) {
+        if (balancer == null) {
             return;
         }
-        long now = world.loop().now();
-        if (kind != EndpointListKind.CHANGES) {
-            Map<Long, ListedEndpoint> gone = new HashMap<>(held);
-            lines.forEach(line -> gone.remove(line.id()));
-            gone.keySet()
-                    .forEach(
-                            id ->
-                                    told.computeIfPresent(
-                                            id,
-                                            (i, t) ->
-                                                    t.goneAt != 0
-                                                            ? t
-                                                            : new Told(t.startMicros, now)));
-            held.clear();
-        }
-        for (ListedEndpoint line : lines) {
-            Told before = told.get(line.id());
-            long goneAt =
-                    line.phase() == EndpointPhase.READY
-                            ? 0
-                            : before != null && before.goneAt != 0 ? before.goneAt : now;
-            told.put(line.id(), new Told(line.startMicros(), goneAt));
-            if (line.phase() == EndpointPhase.REMOVED) {
-                held.remove(line.id());
-            } else {
-                held.put(line.id(), line);
-            }
-        }
-        module.onEndpointList(now, kind, lines);
+        long nowMicros = environment.events().now();
+        endpoints.apply(nowMicros, kind, list);
+        balancer.onEndpointList(nowMicros, kind, list);
     }
 
     @Override
-    public void submit(ClientRequest call, boolean repeat) {
-        EventQueue loop = world.loop();
-        calls.put(call.id, call);
-        int mine = life;
-        loop.scheduleAt(
-                call.deadlineMicros,
-                () -> {
-                    if (mine == life) {
-                        deadline(call);
-                    }
-                });
-        module.onRequest(
-                loop.now(),
+    public void submit(ClientRequest request, boolean markedAsRetry) {
+        EventQueue events = environment.events();
+        openRequests.put(request.id, request);
+        atInThisIncarnation(request.deadlineMicros, () -> onDeadline(request));
+        ClientOperation operation = request.operation;
+        balancer.onRequest(
+                events.now(),
                 new Request(
-                        call.id,
+                        request.id,
                         0,
-                        call.operation.tenant,
-                        repeat,
-                        call.operation.key,
-                        call.deadlineMicros,
+                        operation.tenant,
+                        markedAsRetry,
+                        operation.key,
+                        request.deadlineMicros,
                         true));
     }
 
-    private void deadline(ClientRequest call) {
-        for (int i = 0; i < call.attempts.size(); i++) {
-            Attempt a = call.attempts.get(i);
-            if (a.result == null) {
-                end(a, AttemptResult.TIMED_OUT, null);
+    private void onDeadline(ClientRequest request) {
+        for (int i = 0; i < request.attempts.size(); i++) {
+            EmulatedAttempt attempt = request.attempts.get(i);
+            if (attempt.isInFlight()) {
+                endAttempt(attempt, AttemptResult.TIMED_OUT, null);
             }
         }
-        int mine = life;
-        world.loop()
-                .scheduleAfter(
-                        world.graceMicros(),
-                        () -> {
-                            if (mine == life && !call.finished) {
-                                world.rules()
-                                        .breach(
-                                                InvariantChecker.Rule.ONE_ANSWER,
-                                                call.id,
-                                                -1,
-                                                index);
-                                disconnectClient(call);
-                                world.answer(call, ClientAnswer.FAILED, null, 0);
-                            }
-                        });
+        afterInThisIncarnation(
+                environment.limits().answerGraceMicros(),
+                () -> {
+                    if (!request.finished) {
+                        reportUnanswered(request);
+                    }
+                });
+    }
+
+    private void reportUnanswered(ClientRequest request) {
+        environment
+                .invariants()
+                .breach(InvariantChecker.Rule.ONE_ANSWER, request.id, InvariantChecker.NONE, index);
+        disconnectClient(request);
+        environment.answer(request, ClientAnswer.FAILED, null, 0);
     }
 
     @Override
-    public void disconnectClient(ClientRequest call) {
-        if (call.finished || module == null) {
+    public void disconnectClient(ClientRequest request) {
+        if (request.finished || balancer == null) {
             return;
         }
-        call.finished = true;
-        module.onClientDisconnected(world.loop().now(), call.id);
-        forget(call);
+        request.finished = true;
+        balancer.onClientDisconnected(environment.events().now(), request.id);
+        removeIfDone(request);
     }
 
-    private void forget(ClientRequest call) {
-        if (call.finished && call.inFlight == 0) {
-            calls.remove(call.id);
+    private void removeIfDone(ClientRequest request) {
+        if (request.finished && request.inFlight == 0) {
+            openRequests.remove(request.id);
         }
     }
 
     /** An attempt has ended, as this side sees it. */
-    void end(Attempt a, AttemptResult result, LoadReport report) {
-        if (a.result != null || a.life != life) {
+    void endAttempt(EmulatedAttempt attempt, AttemptResult result, LoadReport report) {
+        if (!attempt.isInFlight() || attempt.incarnation != incarnation) {
             return;
         }
-        a.result = result;
-        ClientRequest call = a.call;
-        call.inFlight--;
-        long now = world.loop().now();
-        boolean keep =
-                result == AttemptResult.SERVED
-                        || result == AttemptResult.ERROR
-                        || result == AttemptResult.REJECTED;
-        if (keep && a.epoch == a.server.epoch && a.server.state != EmulatedServer.State.DEAD) {
-            idle.computeIfAbsent(a.server.id, s -> new Idle())
-                    .since
-                    .push(new long[] {now, a.epoch});
+        attempt.end(result);
+        ClientRequest request = attempt.request;
+        request.inFlight--;
+        long nowMicros = environment.events().now();
+        if (isReusable(attempt, result)) {
+            idleConnections.add(
+                    attempt.server, new IdleConnections.Connection(nowMicros, attempt.serverEpoch));
         } else {
-            disconnect(a.server, a.epoch);
+            IdleConnections.release(attempt.server, attempt.serverEpoch);
         }
-        if (result == AttemptResult.SERVED && !call.finished) {
-            call.finished = true;
-            a.used = true;
-            world.answer(call, ClientAnswer.SERVED, null, 0);
+        if (result == AttemptResult.SERVED && !request.finished) {
+            request.finished = true;
+            attempt.answeredClient = true;
+            environment.answer(request, ClientAnswer.SERVED, null, 0);
         }
-        module.onAttemptOutcome(
-                now,
+        balancer.onAttemptOutcome(
+                nowMicros,
                 new AttemptOutcome(
-                        call.id,
-                        a.number,
-                        a.server.id,
+                        request.id,
+                        attempt.number,
+                        attempt.server.id,
                         result,
-                        now - a.sentAt,
-                        call.finished,
+                        nowMicros - attempt.startedAtMicros,
+                        request.finished,
                         report));
-        forget(call);
+        removeIfDone(request);
     }
 
-    private static void disconnect(EmulatedServer server, int epoch) {
-        if (server != null && epoch == server.epoch && server.connections > 0) {
-            server.connections--;
-        }
+    private static boolean isReusable(EmulatedAttempt attempt, AttemptResult result) {
+        boolean answered =
+                result == AttemptResult.SERVED
+                        || result == AttemptResult.ERROR
+                        || result == AttemptResult.REJECTED;
+        return answered
+                && attempt.serverEpoch == attempt.server.epoch
+                && attempt.server.state != EmulatedServer.State.DEAD;
     }
 
-    // ---- Connections
+    // Connections.
 
-    /** A connection that may be used, most recently used first; null where a new one is needed. */
-    private long[] reuse(EmulatedServer server) {
-        Idle mine = idle.get(server.id);
-        if (mine == null) {
-            return null;
-        }
-        // Closed before the server's own time, as the real host does.
-        double oldest = world.loop().now() - world.idleMicros() * 2 / 3;
-        while (!mine.since.isEmpty() && mine.since.peekLast()[0] < oldest) {
-            disconnect(server, (int) mine.since.pollLast()[1]);
-        }
-        while (!mine.since.isEmpty()) {
-            long[] connection = mine.since.pop();
-            if ((connection[1] == server.epoch && server.state != EmulatedServer.State.DEAD)
-                    || server.endedSilently) {
-                return connection;
-            }
-        }
-        return null;
-    }
-
-    private void connect(Attempt a) {
-        EventQueue loop = world.loop();
-        EmulatedServer server = a.server;
-        long[] connection = reuse(server);
+    private void connect(EmulatedAttempt attempt) {
+        EventQueue events = environment.events();
+        EmulatedServer server = attempt.server;
+        SidecarEnvironment.Limits limits = environment.limits();
+        // Closed before the server's own timeout, as the real host does.
+        double oldestMicros = events.now() - limits.idleTimeoutMicros() * 2 / 3;
+        IdleConnections.Connection connection = idleConnections.take(server, oldestMicros);
         if (connection != null) {
-            a.epoch = (int) connection[1];
-            world.carry(a);
+            attempt.serverEpoch = connection.serverEpoch();
+            environment.transmit(attempt);
             return;
         }
-        a.fresh = true;
-        EmulatedNetwork net = world.network();
-        long there = net.oneWayMicros(zone, server.zone);
-        if (net.cut(zone, server.zone)
-                || net.cut(server.zone, zone)
+        attempt.openedConnection = true;
+        EmulatedNetwork network = environment.network();
+        long latencyMicros = network.oneWayMicros(zone, server.zone);
+        if (network.isCutBetween(zone, server.zone)
                 || server.state == EmulatedServer.State.SILENT) {
-            loop.scheduleAfter(
-                    world.setupLimitMicros(), () -> end(a, AttemptResult.NO_CONNECTION, null));
+            failToConnect(attempt, limits.connectTimeoutMicros());
             return;
         }
         if (server.state == EmulatedServer.State.DEAD
                 || server.connections >= server.spec.maxConnections()) {
-            loop.scheduleAfter(2 * there, () -> end(a, AttemptResult.NO_CONNECTION, null));
+            failToConnect(attempt, 2 * latencyMicros);
             return;
         }
-        a.epoch = server.epoch;
+        attempt.serverEpoch = server.epoch;
         server.connections++;
-        loop.scheduleAfter(
-                (long) (2 * there * world.setupTrips()),
-                () -> {
-                    if (a.result == null && a.life == life) {
-                        if (loop.now() >= a.latestAt) {
-                            end(a, AttemptResult.NOT_SENT, null);
-                        } else {
-                            world.carry(a);
-                        }
-                    }
-                });
+        events.scheduleAfter(
+                (long) (2 * latencyMicros * limits.connectRoundTrips()),
+                () -> onConnected(attempt));
     }
 
-    // ---- Actions
+    private void failToConnect(EmulatedAttempt attempt, long afterMicros) {
+        environment
+                .events()
+                .scheduleAfter(
+                        afterMicros, () -> endAttempt(attempt, AttemptResult.NO_CONNECTION, null));
+    }
+
+    private void onConnected(EmulatedAttempt attempt) {
+        if (!attempt.isInFlight() || attempt.incarnation != incarnation) {
+            return;
+        }
+        if (environment.events().now() >= attempt.sendDeadlineMicros) {
+            endAttempt(attempt, AttemptResult.NOT_SENT, null);
+        } else {
+            environment.transmit(attempt);
+        }
+    }
+
+    // Actions of the load balancer.
 
     @Override
     public void send(String requestId, long serverId, long timeoutMicros, long latestMicros) {
-        EventQueue loop = world.loop();
-        ClientRequest call = calls.get(requestId);
-        EmulatedServer server = world.server(serverId);
-        world.rules().sent(this, call, requestId, server, serverId);
-        if (call == null || server == null) {
+        EventQueue events = environment.events();
+        ClientRequest request = openRequests.get(requestId);
+        EmulatedServer server = environment.server(serverId);
+        environment.invariants().onSend(this, request, requestId, server, serverId);
+        if (request == null || server == null) {
             return;
         }
-        Attempt a = new Attempt(call, this, call.attempts.size(), server, loop.now());
-        a.latestAt = latestMicros;
-        call.attempts.add(a);
-        call.inFlight++;
-        if (call.finished || loop.now() >= call.deadlineMicros) {
-            loop.scheduleAfter(1, () -> end(a, AttemptResult.NOT_SENT, null));
+        EmulatedAttempt attempt =
+                new EmulatedAttempt(request, this, request.attempts.size(), server, events.now());
+        attempt.sendDeadlineMicros = latestMicros;
+        request.attempts.add(attempt);
+        request.inFlight++;
+        if (request.finished || events.now() >= request.deadlineMicros) {
+            events.scheduleAfter(1, () -> endAttempt(attempt, AttemptResult.NOT_SENT, null));
             return;
         }
-        if (timeoutMicros > 0 && loop.now() + timeoutMicros < call.deadlineMicros) {
-            loop.scheduleAfter(timeoutMicros, () -> end(a, AttemptResult.TIMED_OUT, null));
+        if (timeoutMicros > 0 && events.now() + timeoutMicros < request.deadlineMicros) {
+            events.scheduleAfter(
+                    timeoutMicros, () -> endAttempt(attempt, AttemptResult.TIMED_OUT, null));
         }
-        connect(a);
+        connect(attempt);
     }
 
     @Override
-    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
-        ClientRequest call = calls.get(requestId);
-        world.rules().refused(this, call, requestId);
-        finish(call, ClientAnswer.REJECTED, why, retryAfterMicros);
+    public void reject(String requestId, long retryAfterMicros, RejectionReason reason) {
+        ClientRequest request = openRequests.get(requestId);
+        environment.invariants().onReject(this, request, requestId);
+        finish(request, ClientAnswer.REJECTED, reason, retryAfterMicros);
     }
 
     @Override
-    public void fail(String requestId, RejectionReason why) {
-        ClientRequest call = calls.get(requestId);
-        world.rules().named(this, requestId);
-        finish(call, ClientAnswer.FAILED, why, 0);
+    public void fail(String requestId, RejectionReason reason) {
+        ClientRequest request = openRequests.get(requestId);
+        environment.invariants().onAnswer(this, requestId);
+        finish(request, ClientAnswer.FAILED, reason, 0);
     }
 
     private void finish(
-            ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros) {
-        if (call == null || call.finished) {
+            ClientRequest request,
+            ClientAnswer answer,
+            RejectionReason reason,
+            long retryAfterMicros) {
+        if (request == null || request.finished) {
             return;
         }
-        call.finished = true;
-        world.answer(call, kind, why, retryMicros);
-        forget(call);
+        request.finished = true;
+        environment.answer(request, answer, reason, retryAfterMicros);
+        removeIfDone(request);
     }
 
     @Override
-    public void cancel(String requestId, int attempt) {
-        ClientRequest call = calls.get(requestId);
-        if (call != null && attempt >= 0 && attempt < call.attempts.size()) {
-            world.loop()
-                    .scheduleAfter(
-                            1,
-                            () -> end(call.attempts.get(attempt), AttemptResult.CANCELLED, null));
+    public void cancel(String requestId, int attemptNumber) {
+        ClientRequest request = openRequests.get(requestId);
+        if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts.size()) {
+            return;
         }
+        environment
+                .events()
+                .scheduleAfter(
+                        1,
+                        () ->
+                                endAttempt(
+                                        request.attempts.get(attemptNumber),
+                                        AttemptResult.CANCELLED,
+                                        null));
     }
 
+    /** Never within the event that is being handled. */
     @Override
     public void scheduleTimer(long atMicros, long token) {
-        int mine = life;
-        // Never within the event that is being answered.
-        world.loop()
-                .scheduleAt(
-                        Math.max(atMicros, world.loop().now() + 1),
-                        () -> {
-                            if (mine == life) {
-                                module.onTimer(world.loop().now(), token);
-                            }
-                        });
+        EventQueue events = environment.events();
+        atInThisIncarnation(
+                Math.max(atMicros, events.now() + 1), () -> balancer.onTimer(events.now(), token));
     }
 
     @Override
-    public void closeIdleConnections(long server) {
-        Idle mine = idle.remove(server);
-        if (mine != null) {
-            mine.since.forEach(c -> disconnect(world.server(server), (int) c[1]));
-        }
+    public void closeIdleConnections(long serverId) {
+        idleConnections.close(serverId, environment.server(serverId));
     }
 
-    /** Lists are pushed; a call for one brings the list as it is held. */
+    /** Lists are pushed; a request for one brings the list that the sidecar has. */
     @Override
     public void requestEndpointUpdates() {
-        int mine = life;
-        world.loop()
-                .scheduleAfter(
-                        1,
-                        () -> {
-                            if (mine == life) {
-                                onEndpointList(
-                                        EndpointListKind.COMPLETE, new ArrayList<>(held.values()));
-                            }
-                        });
+        afterInThisIncarnation(
+                1, () -> onEndpointList(EndpointListKind.COMPLETE, endpoints.list()));
     }
 
-    /** The module's own words, for whoever turns this logger on. */
     @Override
     public void log(String line) {
-        LOG.debug(
-                "{} s, sidecar {}: {}",
-                (world.loop().now() - EventQueue.START_MICROS) / 1e6,
-                index,
-                line);
+        long sinceStartMicros = environment.events().now() - EventQueue.START_MICROS;
+        LOG.debug("{} s, sidecar {}: {}", sinceStartMicros / 1e6, index, line);
+    }
+
+    private void afterInThisIncarnation(long micros, Runnable action) {
+        atInThisIncarnation(environment.events().now() + micros, action);
+    }
+
+    /** Drops the action if this process has ended until then. */
+    private void atInThisIncarnation(long atMicros, Runnable action) {
+        int scheduledBy = incarnation;
+        environment
+                .events()
+                .scheduleAt(
+                        atMicros,
+                        () -> {
+                            if (scheduledBy == incarnation) {
+                                action.run();
+                            }
+                        });
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EventQueue.java
+++ b/testbed/src/main/java/sagefall/emulator/EventQueue.java
@@ -3,58 +3,65 @@
 import java.util.PriorityQueue;
 
 /**
- * The clock of a day and what is still to come, in order of time and, at the same time, of its
- * being asked for: so one day has one course. Times are microseconds; the clock begins at a second,
- * as a start time of 0 means "long ago" to the module.
+ * The virtual clock of a run and the events to come, in order of their time and, at the same time,
+ * in the order in which they were scheduled: so a run is deterministic. Times are microseconds; the
+ * clock begins at one second, as a start time of 0 means "long ago" to the load balancer.
  */
 public final class EventQueue {
 
-    /** When a day begins. */
+    /** The time at which a run begins. */
     public static final long START_MICROS = 1_000_000;
 
-    private record Event(long at, long number, Runnable run) implements Comparable<Event> {
+    private static final int INITIAL_CAPACITY = 4096;
+
+    private record Event(long atMicros, long sequence, Runnable action)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+            return atMicros != other.atMicros
+                    ? Long.compare(atMicros, other.atMicros)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>(4096);
-    private long now = START_MICROS;
-    private long asked;
-    private long processedEvents;
+    private final PriorityQueue<Event> events = new PriorityQueue<>(INITIAL_CAPACITY);
+    private long nowMicros = START_MICROS;
+    private long scheduled;
+    private long processed;
 
+    /** The time, in microseconds. */
     public long now() {
-        return now;
+        return nowMicros;
     }
 
-    /** How many events have taken place. */
+    /** How many events have been processed. */
     public long processedEvents() {
-        return processedEvents;
+        return processed;
     }
 
-    /** At that time; at once, but not within this event, if it has passed. */
-    public void scheduleAt(long micros, Runnable run) {
-        events.add(new Event(Math.max(now, micros), asked++, run));
+    /** Schedules an action; if the time has passed, after the event that is being processed. */
+    public void scheduleAt(long atMicros, Runnable action) {
+        events.add(new Event(Math.max(nowMicros, atMicros), scheduled++, action));
     }
 
-    public void scheduleAfter(long micros, Runnable run) {
-        scheduleAt(now + micros, run);
+    /** Schedules an action that many microseconds from now. */
+    public void scheduleAfter(long micros, Runnable action) {
+        scheduleAt(nowMicros + micros, action);
     }
 
-    /** When the next event is due; the end of time where there is none. */
+    /** When the next event is due; {@link Long#MAX_VALUE} where there is none. */
     public long nextEventAt() {
-        return events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
+        return events.isEmpty() ? Long.MAX_VALUE : events.peek().atMicros;
     }
 
-    /** Lets everything happen that is due until then. */
-    public void runUntil(long end) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+    /** Processes all events that are due until then, and sets the clock to it. */
+    public void runUntil(long endMicros) {
+        while (!events.isEmpty() && events.peek().atMicros <= endMicros) {
             Event event = events.poll();
-            now = event.at;
-            processedEvents++;
-            event.run.run();
+            nowMicros = event.atMicros;
+            processed++;
+            event.action.run();
         }
-        now = Math.max(now, end);
+        nowMicros = Math.max(nowMicros, endMicros);
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -1,485 +1,237 @@
 package sagefall.emulator;
 
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import sagefall.balancer.api.AttemptResult;
 import sagefall.balancer.api.BalancerSettings;
-import sagefall.balancer.api.Idempotency;
-import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.LoadBalancer;
-import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.RequestClass;
 import sagefall.config.BalancerSettingsReader;
-import sagefall.emulator.ClientRequest.Attempt;
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
 
 /**
- * One day: a scenario, a seed and a policy, played from the first request to the last answer.
- * Everything happens in one thread and by one clock, so the same three give the same result on any
- * machine.
+ * One run: a scenario, a seed and a policy, from the first request to the last answer. Everything
+ * happens in one thread and by one clock, so the same three give the same result on any machine.
  */
-public final class FleetSimulation implements EmulatedSidecar.World, ServerListener {
+public final class FleetSimulation {
 
-    /** How long after the last arrival a day goes on: longer than any client waits. */
-    private static final long AFTER = 10_000_000;
+    /** How long a run goes on after the last arrival: longer than any client waits. */
+    private static final long TAIL_MICROS = 10_000_000;
+
+    /** In the heat map, a server that is not up. */
+    private static final double DOWN = -1;
 
     private final Scenario scenario;
     private final long seed;
     private final Policy policy;
-    private final RandomStreams draws;
-    private final EventQueue loop = new EventQueue();
+    private final EventQueue events = new EventQueue();
     private final EmulatedNetwork network;
-    private final InvariantChecker rules;
-    private final ValueAccounting ledger;
+    private final InvariantChecker invariants;
+    private final ValueAccounting accounting;
     private final ClientTraffic traffic;
-    private final EmulatedDiscovery discovery;
-    private final FaultInjector troubles;
-    private final RequestClass requestClass;
-    private final List<EmulatedSidecar> sidecars = new ArrayList<>();
-    private final Map<Long, EmulatedServer> servers = new LinkedHashMap<>();
-    private final List<EmulatedServer> first;
-    private final Map<Long, Boolean> gone = new HashMap<>();
-    private final ServerFactory fleet;
-    private final UniformRandomProvider chances;
-    private final ZigguratSampler.NormalizedGaussian noise;
-    private final UniformRandomProvider seeds;
-    private final UniformRandomProvider starts;
-    private final double attemptNoise;
-    private final double reportNoise;
-    private final double setupMicros;
-    private final double setupTrips;
-    private final List<double[]> heat = new ArrayList<>();
+    private final EmulatedFleet fleet;
+    private final RequestTransport transport;
+    private final FaultInjector faults;
+    private final SidecarEnvironment.Limits limits;
+    private final UniformRandomProvider balancerSeeds;
 
-    final SharedSlowdown sharedSlow = new SharedSlowdown();
-    double lostAnswers;
-    double resets;
+    /** Requests a core of each server of the start, by second. */
+    private final List<double[]> heat = new ArrayList<>();
 
+    /** Prepares a run. */
     public FleetSimulation(Scenario scenario, long seed, Policy policy) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
-        draws = new RandomStreams(seed);
+        RandomStreams streams = new RandomStreams(seed);
         int zones = scenario.fleet().zones().size();
-        network = new EmulatedNetwork(scenario.network(), draws, zones);
-        for (int i = 0; i < scenario.fleet().sidecars(); i++) {
-            sidecars.add(new EmulatedSidecar(this, i, i % zones));
-        }
-        fleet = new ServerFactory(scenario, draws, loop, sharedSlow, this);
-        first = fleet.initialServers();
-        first.forEach(s -> servers.put(s.id, s));
+        network = new EmulatedNetwork(scenario.network(), streams, zones);
+        balancerSeeds = streams.stream("seeds");
+        limits = limits(scenario, streams);
+
+        SettingsMessage message = SettingsMessage.of(scenario, 0);
         BalancerSettings settings =
-                BalancerSettingsReader.read(
-                        0, SettingsMessageCodec.encode(SettingsMessage.of(scenario, 0)));
-        requestClass = settings.classes().get(0);
-        rules =
+                BalancerSettingsReader.read(0, SettingsMessageCodec.encode(message));
+        RequestClass requestClass = settings.classes().get(0);
+        invariants =
                 new InvariantChecker(
-                        loop,
+                        events,
                         requestClass,
                         settings.limits(),
-                        (long) (1000 * scenario.service().drainGraceMillis()));
-        ledger =
+                        message.hostRules().drainGraceMicros());
+        accounting =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
                         zones,
                         scenario.tenants().size(),
                         scenario.service().overQuotaWeight());
-        discovery = new EmulatedDiscovery(scenario.discovery(), draws, loop, sidecars);
+
+        SharedSlowdown sharedSlowdown = new SharedSlowdown();
+        ServerFactory factory =
+                new ServerFactory(scenario, streams, events, sharedSlowdown, new ServerEvents());
+        List<EmulatedSidecar> sidecars = createSidecars();
+        EmulatedDiscovery discovery =
+                new EmulatedDiscovery(scenario.discovery(), streams, events, sidecars);
+        ClientTraffic.Environment environment =
+                new ClientTraffic.Environment(events, sidecars, accounting, network);
         traffic =
                 new ClientTraffic(
-                        scenario,
-                        draws,
-                        new ClientTraffic.Environment(loop, sidecars, ledger, network),
-                        requestClass,
-                        fleet.totalCapacity());
-        first.forEach(this::bears);
-        troubles = new FaultInjector(this, loop, draws, scenario.seconds());
-        chances = draws.stream("chances");
-        noise = ZigguratSampler.NormalizedGaussian.of(draws.stream("noise"));
-        seeds = draws.stream("seeds");
-        starts = draws.stream("starts");
-        attemptNoise = scenario.service().attemptNoise().draw(draws, "service.attempt_noise");
-        reportNoise = scenario.service().reportNoise().draw(draws, "service.report_noise");
-        setupMicros = scenario.network().connectCostMicros().draw(draws, "net.setup");
-        setupTrips = scenario.network().connectRoundTrips().draw(draws, "net.trips");
-    }
-
-    /** Parts of a whole that are unlike; a skew of 0 makes them alike, one of 1 far apart. */
-    static double[] uneven(int count, double skew, UniformRandomProvider random) {
-        double[] parts = new double[count];
-        double sum = 0;
-        for (int i = 0; i < count; i++) {
-            parts[i] = 1 + skew * (2 * random.nextDouble() - 1);
-            sum += parts[i];
-        }
-        for (int i = 0; i < count; i++) {
-            parts[i] /= sum;
+                        scenario, streams, environment, requestClass, factory.totalCapacity());
+        UniformRandomProvider chances = streams.stream("chances");
+        transport = new RequestTransport(scenario, streams, environment, requestClass, chances);
+        EmulatedFleet.Parts parts =
+                new EmulatedFleet.Parts(events, factory, sidecars, discovery, traffic, invariants);
+        fleet = new EmulatedFleet(parts, scenario, requestClass, streams, chances);
+        FaultTargets targets =
+                new FaultTargets(fleet, network, transport, discovery, traffic, sharedSlowdown);
+        faults = new FaultInjector(events, streams, scenario.seconds(), targets);
+    }
+
+    private static SidecarEnvironment.Limits limits(Scenario scenario, RandomStreams streams) {
+        return new SidecarEnvironment.Limits(
+                1e6 * scenario.network().idleTimeoutSeconds(),
+                (long) (1000 * scenario.network().connectTimeoutMillis()),
+                scenario.network().connectRoundTrips().draw(streams, "net.trips"),
+                (long) (1000 * scenario.service().answerGraceMillis()));
+    }
+
+    private List<EmulatedSidecar> createSidecars() {
+        int zones = scenario.fleet().zones().size();
+        SidecarEnvironment environment = new Environment();
+        List<EmulatedSidecar> sidecars = new ArrayList<>();
+        for (int i = 0; i < scenario.fleet().sidecars(); i++) {
+            sidecars.add(new EmulatedSidecar(environment, i, i % zones));
         }
-        return parts;
-    }
-
-    private void bears(EmulatedServer s) {
-        s.setSlowStartBudget(
-                new SlowStartBudget(
-                        scenario.service().slowStartLimitFactor(),
-                        (long) (1e6 * scenario.service().slowStartLimitSeconds()),
-                        traffic.meanWorkMicros()));
+        return sidecars;
     }
 
-    /** Plays it. */
+    /** Runs it; to be called once. */
     public SimulationResult run() {
-        discovery.initialize(first);
-        List<ListedEndpoint> list = discovery.endpointList();
-        for (EmulatedSidecar s : sidecars) {
-            s.start(list);
-            discovery.requestFullList(s);
-        }
-        for (EmulatedServer s : first) {
-            fleet.pausesOf(s, this);
-        }
-        troubles.plan(scenario.faults());
+        fleet.start();
+        faults.schedule(scenario.faults());
         traffic.start();
-        for (int second = 1; second <= ledger.seconds; second++) {
-            loop.scheduleAt(EventQueue.START_MICROS + second * 1_000_000L, this::sample);
+        for (int second = 1; second <= accounting.seconds; second++) {
+            events.scheduleAt(EventQueue.START_MICROS + second * 1_000_000L, this::sampleHeat);
         }
-        loop.runUntil(EventQueue.START_MICROS + (long) (1e6 * scenario.seconds()) + AFTER);
-        return SimulationResult.of(
+        events.runUntil(EventQueue.START_MICROS + (long) (1e6 * scenario.seconds()) + TAIL_MICROS);
+        return SimulationResultFactory.create(
                 scenario,
                 seed,
                 policy.name(),
-                ledger,
-                rules,
-                troubles.drawn(),
-                heat,
-                first.stream().map(s -> s.zone).toList(),
-                loop.processedEvents());
-    }
-
-    /** How full each of the first servers is, in requests a core; -1 where it is down. */
-    private void sample() {
-        double[] row = new double[first.size()];
+                new SimulationResultFactory.Observations(
+                        accounting,
+                        invariants,
+                        faults.injectedFaults(),
+                        heat,
+                        fleet.initialServers().stream().map(server -> server.zone).toList(),
+                        events.processedEvents()));
+    }
+
+    private void sampleHeat() {
+        List<EmulatedServer> servers = fleet.initialServers();
+        double[] row = new double[servers.size()];
         for (int i = 0; i < row.length; i++) {
-            EmulatedServer s = first.get(i);
+            EmulatedServer server = servers.get(i);
             row[i] =
-                    s.state == EmulatedServer.State.UP
-                            ? s.heldRequests() / (double) s.spec.cores()
-                            : -1;
+                    server.state == EmulatedServer.State.UP
+                            ? server.heldRequests() / (double) server.spec.cores()
+                            : DOWN;
         }
         heat.add(row);
     }
 
-    // ---- What troubles do
-
-    ClientTraffic traffic() {
-        return traffic;
-    }
-
-    EmulatedDiscovery discovery() {
-        return discovery;
-    }
-
-    List<EmulatedSidecar> sidecars() {
-        return sidecars;
-    }
-
-    List<EmulatedServer> servers() {
-        return new ArrayList<>(servers.values());
-    }
-
-    /** Those of the day's beginning. */
-    List<EmulatedServer> first() {
-        return first;
-    }
-
-    /** Whether it was replaced or fell over: such a one does not come back. */
-    boolean gone(EmulatedServer s) {
-        return gone.containsKey(s.id);
-    }
-
-    /** It stands still for a while, every so often, until then. */
-    void pauses(EmulatedServer s, long every, long micros, long until) {
-        StopTheWorldPauses.schedule(
-                loop,
-                chances,
-                every,
-                micros,
-                until,
-                by -> {
-                    s.activePauses += by;
-                    s.reschedule();
-                });
-    }
-
-    /**
-     * A new server takes the place of one that drains; that one turns new work away before it ends,
-     * either early, from its beginning to drain, or once all sidecars have heard of it.
-     */
-    void replace(EmulatedServer old, boolean early) {
-        if (gone(old)) {
-            return;
+    /** What an oracle may know; see {@link sagefall.policy.GroundTruth}. */
+    private double expectedAnswerMicros(long serverId, int fromZone) {
+        EmulatedServer server = fleet.server(serverId);
+        if (server == null
+                || server.state != EmulatedServer.State.UP
+                || network.isCutBetween(fromZone, server.zone)) {
+            return Double.POSITIVE_INFINITY;
         }
-        EmulatedServer fresh = fleet.createReplacement(old);
-        servers.put(fresh.id, fresh);
-        bears(fresh);
-        fresh.start();
-        discovery.serverStarted(fresh);
-        discovery.serverDraining(old);
-        gone.put(old.id, true);
-        loop.scheduleAfter(
-                early ? 0 : discovery.propagationMicros(),
-                () -> {
-                    if (old.state == EmulatedServer.State.UP) {
-                        old.state = EmulatedServer.State.DRAINING;
-                    }
-                    loop.scheduleAfter(
-                            requestClass.deadlineMicros(),
-                            () -> {
-                                if (old.state != EmulatedServer.State.DEAD) {
-                                    old.stop(false);
-                                    discovery.serverStopped(old);
-                                }
-                            });
-                });
+        double cores = Math.max(1, Math.min(server.spec.slots(), server.spec.cores()));
+        double capacityOfEach = server.capacity() / cores;
+        double waitMicros =
+                server.heldRequests() < server.spec.slots()
+                        ? 0
+                        : server.backlogMicros() / Math.max(1e-9, server.capacity());
+        double roundTripMicros =
+                fromZone == server.zone ? 0 : 2000 * scenario.network().crossZoneMillis().high();
+        return waitMicros
+                + traffic.meanWorkMicros() / Math.max(1e-9, capacityOfEach)
+                + roundTripMicros;
     }
 
-    void kill(EmulatedSidecar s, long downMicros) {
-        if (!s.up) {
-            return;
-        }
-        s.kill()
-                .forEach(
-                        call -> {
-                            if (!call.finished) {
-                                call.finished = true;
-                                traffic.onSidecarKilled(call);
-                            }
-                        });
-        double start = scenario.fleet().startSeconds().at(starts.nextDouble());
-        loop.scheduleAfter(downMicros + (long) (1e6 * start), () -> back(s));
-    }
+    /** What servers report, passed on to where it matters. */
+    private final class ServerEvents implements ServerListener {
 
-    private void back(EmulatedSidecar s) {
-        if (!s.up) {
-            s.start(discovery.endpointList());
-            discovery.requestFullList(s);
+        @Override
+        public void onJobDone(Job job) {
+            transport.onJobDone((EmulatedAttempt) job);
         }
-    }
 
-    /**
-     * Planned: nothing new comes, what is in hand is answered, then the process ends and another
-     * starts.
-     */
-    void restart(EmulatedSidecar s, long downMicros) {
-        if (!s.up) {
-            return;
+        @Override
+        public void onJobAborted(Job job) {
+            transport.onJobAborted((EmulatedAttempt) job);
         }
-        s.leaving = true;
-        loop.scheduleAfter(
-                requestClass.deadlineMicros() + 700_000,
-                () -> {
-                    if (s.up) {
-                        kill(s, downMicros);
-                    }
-                });
-    }
-
-    // ---- What a sidecar needs
-
-    @Override
-    public EventQueue loop() {
-        return loop;
-    }
-
-    @Override
-    public EmulatedNetwork network() {
-        return network;
-    }
-
-    @Override
-    public InvariantChecker rules() {
-        return rules;
-    }
 
-    @Override
-    public EmulatedServer server(long id) {
-        return servers.get(id);
-    }
-
-    @Override
-    public LoadBalancer module(EmulatedSidecar s) {
-        long salt = seeds.nextLong() >>> 1;
-        SettingsMessage message = SettingsMessage.of(scenario, s.index());
-        BalancerSettings settings =
-                BalancerSettingsReader.read(salt, SettingsMessageCodec.encode(message));
-        return policy.create(settings, message, s, this::answerMicros);
-    }
-
-    /** What an oracle may know. */
-    private double answerMicros(long id, int fromZone) {
-        EmulatedServer s = servers.get(id);
-        if (s == null
-                || s.state != EmulatedServer.State.UP
-                || network.cut(fromZone, s.zone)
-                || network.cut(s.zone, fromZone)) {
-            return Double.POSITIVE_INFINITY;
+        @Override
+        public void onSlowStartOverload(EmulatedServer server, double informedShare) {
+            fleet.onSlowStartOverload(server, informedShare);
         }
-        double cores = Math.max(1, Math.min(s.spec.slots(), s.spec.cores()));
-        double each = s.capacity() / cores;
-        double wait =
-                s.heldRequests() < s.spec.slots() ? 0 : s.backlog() / Math.max(1e-9, s.capacity());
-        return wait
-                + traffic.meanWorkMicros() / Math.max(1e-9, each)
-                + (fromZone == s.zone ? 0 : 2000 * scenario.network().crossZoneMillis().high());
-    }
-
-    @Override
-    public double idleMicros() {
-        return 1e6 * scenario.network().idleTimeoutSeconds();
-    }
-
-    @Override
-    public long setupLimitMicros() {
-        return (long) (1000 * scenario.network().connectTimeoutMillis());
-    }
-
-    @Override
-    public double setupTrips() {
-        return setupTrips;
-    }
-
-    @Override
-    public long graceMicros() {
-        return (long) (1000 * scenario.service().answerGraceMillis());
     }
 
-    @Override
-    public void answer(
-            ClientRequest call, ClientAnswer kind, RejectionReason why, long retryMicros) {
-        traffic.deliverAnswer(call, kind, why, retryMicros);
-    }
-
-    // ---- The way to a server and back
+    /** The simulation as the sidecars see it. */
+    private final class Environment implements SidecarEnvironment {
 
-    @Override
-    public void carry(Attempt a) {
-        ledger.attempts++;
-        ledger.crossings += a.sidecar.zone() == a.server.zone ? 0 : 1;
-        ledger.setups += a.fresh ? 1 : 0;
-        if (network.cut(a.sidecar.zone(), a.server.zone)) {
-            return;
+        @Override
+        public EventQueue events() {
+            return events;
         }
-        loop.scheduleAfter(network.oneWayMicros(a.sidecar.zone(), a.server.zone), () -> arrive(a));
-    }
 
-    private void arrive(Attempt a) {
-        EmulatedServer s = a.server;
-        if (s.state == EmulatedServer.State.SILENT) {
-            s.hang(a);
-            return;
-        }
-        if (s.state == EmulatedServer.State.DEAD || a.epoch != s.epoch) {
-            reply(a, AttemptResult.BROKEN);
-            return;
-        }
-        double sigma = Math.sqrt(Math.log(1 + attemptNoise * attemptNoise));
-        ClientOperation wish = a.call.operation;
-        a.workMicros =
-                wish.workMicros
-                        * Math.exp(sigma * noise.sample() - sigma * sigma / 2)
-                        * s.workFactorForKey(wish.key);
-        if (repeat(wish, s)) {
-            a.workMicros = 0;
+        @Override
+        public EmulatedNetwork network() {
+            return network;
         }
-        a.workMicros += a.fresh ? setupMicros : 0;
-        a.remainingMicros = a.workMicros;
-        if (s.state == EmulatedServer.State.DRAINING || !s.accept(a)) {
-            reply(
-                    a,
-                    s.state == EmulatedServer.State.DEAD
-                            ? AttemptResult.BROKEN
-                            : AttemptResult.REJECTED);
-        }
-    }
 
-    /** The servers of a zone drop the repeat of a key for a while. */
-    private boolean repeat(ClientOperation wish, EmulatedServer s) {
-        if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
-            return false;
-        }
-        long before = wish.executedAtByZone[s.zone];
-        if (before != 0 && loop.now() - before <= requestClass.deduplicationWindowMicros()) {
-            return true;
+        @Override
+        public InvariantChecker invariants() {
+            return invariants;
         }
-        wish.executedAtByZone[s.zone] = loop.now();
-        return false;
-    }
 
-    @Override
-    public void onJobDone(Job job) {
-        Attempt a = (Attempt) job;
-        ledger.workDone += a.workMicros;
-        double luck = chances.nextDouble();
-        if (luck < resets) {
-            reply(a, AttemptResult.BROKEN);
-        } else if (luck < resets + lostAnswers) {
-            ledger.workWasted += a.workMicros;
-        } else {
-            reply(a, luck > 1 - a.server.errorRate ? AttemptResult.ERROR : AttemptResult.SERVED);
+        @Override
+        public Limits limits() {
+            return limits;
         }
-    }
 
-    private void reply(Attempt a, AttemptResult result) {
-        if (network.cut(a.server.zone, a.sidecar.zone())) {
-            ledger.workWasted += a.workMicros;
-            return;
+        @Override
+        public EmulatedServer server(long id) {
+            return fleet.server(id);
         }
-        LoadReport report =
-                result == AttemptResult.SERVED || result == AttemptResult.ERROR
-                        ? told(a.server)
-                        : null;
-        loop.scheduleAfter(
-                network.oneWayMicros(a.server.zone, a.sidecar.zone()),
-                () -> {
-                    a.sidecar.end(a, result, report);
-                    ledger.workWasted += a.used ? 0 : a.workMicros;
-                });
-    }
 
-    private LoadReport told(EmulatedServer s) {
-        LoadReport exact = s.loadReport();
-        double factor = Math.max(0, 1 + reportNoise * noise.sample());
-        return new LoadReport(
-                exact.inFlight(),
-                exact.queue(),
-                Math.min(1, exact.utilization() * factor),
-                exact.latencyMillis() * factor,
-                exact.rate() * factor,
-                exact.errorRate());
-    }
+        @Override
+        public LoadBalancer createLoadBalancer(EmulatedSidecar sidecar) {
+            long balancerSeed = balancerSeeds.nextLong() >>> 1;
+            SettingsMessage message = SettingsMessage.of(scenario, sidecar.index());
+            BalancerSettings settings =
+                    BalancerSettingsReader.read(balancerSeed, SettingsMessageCodec.encode(message));
+            return policy.create(
+                    settings, message, sidecar, FleetSimulation.this::expectedAnswerMicros);
+        }
 
-    @Override
-    public void onJobAborted(Job job) {
-        Attempt a = (Attempt) job;
-        ledger.workWasted += a.workMicros;
-        if (!network.cut(a.server.zone, a.sidecar.zone())) {
-            loop.scheduleAfter(
-                    network.oneWayMicros(a.server.zone, a.sidecar.zone()),
-                    () -> a.sidecar.end(a, AttemptResult.BROKEN, null));
+        @Override
+        public void transmit(EmulatedAttempt attempt) {
+            transport.transmit(attempt);
         }
-    }
 
-    @Override
-    public void onSlowStartOverload(EmulatedServer s, double told) {
-        gone.put(s.id, true);
-        discovery.serverStopped(s);
-        if (told >= 2.0 / 3) {
-            rules.breach(InvariantChecker.Rule.COLD, "-", s.id, -1);
+        @Override
+        public void answer(
+                ClientRequest request,
+                ClientAnswer answer,
+                RejectionReason reason,
+                long retryAfterMicros) {
+            traffic.deliverAnswer(request, answer, reason, retryAfterMicros);
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -6,23 +6,22 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.RequestClass;
 import sagefall.balancer.api.ServiceLimits;
-import sagefall.emulator.ClientRequest.Attempt;
 
 /**
- * What must hold whatever happens, checked on each event. A breach is a defect of the policy, or of
- * the model; either way the day's figures count for nothing.
+ * What must hold whatever happens, checked on each action. A breach is a defect of the policy, or
+ * of the emulator; either way the figures of the run are void.
  */
 public final class InvariantChecker {
 
-    /** What is checked. */
+    /** What is checked. The names stand in results. */
     public enum Rule {
         /** One final answer to each request, in time, and nothing sent for it after that. */
         ONE_ANSWER,
-        /** What may have run is sent again, or refused, only as its class allows. */
+        /** What may have run is retried, or rejected, only as its class allows. */
         EFFECT,
-        /** Nothing new to a server later than told that it drains or is gone, and the grace. */
+        /** Nothing new to a server that is known to drain or to be gone, after the grace. */
         DRAIN,
-        /** No cold server pushed over by the sum of all sidecars that knew it to be new. */
+        /** No cold server overloaded by the sum of all sidecars that knew it to be new. */
         COLD,
         /** Only servers that this sidecar's lists have named. */
         LISTED,
@@ -30,118 +29,147 @@
         ATTEMPTS
     }
 
-    /** One breach, and how to see it again. */
+    /**
+     * One breach, and how to reproduce it.
+     *
+     * @param rule what was broken
+     * @param request id of the request, or {@link #NO_REQUEST}
+     * @param server id of the server, or {@link #NONE}
+     * @param sidecar index of the sidecar, or {@link #NONE}
+     * @param second of the run
+     */
     public record Breach(Rule rule, String request, long server, int sidecar, double second) {}
 
-    private static final int KEPT = 100;
+    /** In place of a server or a sidecar where there is none. */
+    static final int NONE = -1;
+
+    /** In place of a request where there is none. */
+    static final String NO_REQUEST = "-";
 
-    private final EventQueue loop;
-    private final RequestClass rules;
+    private static final int MAX_RECORDED = 100;
+
+    private final EventQueue events;
+    private final RequestClass requestClass;
     private final ServiceLimits limits;
-    private final long drainMicros;
+    private final long drainGraceMicros;
     private final List<Breach> breaches = new ArrayList<>();
     private long count;
 
-    InvariantChecker(EventQueue loop, RequestClass rules, ServiceLimits limits, long drainMicros) {
-        this.loop = loop;
-        this.rules = rules;
+    InvariantChecker(
+            EventQueue events,
+            RequestClass requestClass,
+            ServiceLimits limits,
+            long drainGraceMicros) {
+        this.events = events;
+        this.requestClass = requestClass;
         this.limits = limits;
-        this.drainMicros = drainMicros;
+        this.drainGraceMicros = drainGraceMicros;
     }
 
-    /** The first of them. */
+    /** The first {@value #MAX_RECORDED} breaches. */
     public List<Breach> breaches() {
         return List.copyOf(breaches);
     }
 
-    /** How many there were. */
+    /** How many breaches there were. */
     public long count() {
         return count;
     }
 
+    /** Records a breach. */
     void breach(Rule rule, String request, long server, int sidecar) {
         count++;
-        if (breaches.size() < KEPT) {
-            breaches.add(
-                    new Breach(
-                            rule,
-                            request,
-                            server,
-                            sidecar,
-                            (loop.now() - EventQueue.START_MICROS) / 1e6));
+        if (breaches.size() < MAX_RECORDED) {
+            double second = (events.now() - EventQueue.START_MICROS) / 1e6;
+            breaches.add(new Breach(rule, request, server, sidecar, second));
         }
     }
 
-    /** An attempt is about to be made. */
-    void sent(
+    /**
+     * A sidecar is about to make an attempt.
+     *
+     * @param request null where no open request has the id
+     * @param server null where no server has the id
+     */
+    void onSend(
             EmulatedSidecar sidecar,
-            ClientRequest call,
-            String id,
+            ClientRequest request,
+            String requestId,
             EmulatedServer server,
             long serverId) {
-        if (call == null || call.finished) {
-            breach(Rule.ONE_ANSWER, id, serverId, sidecar.index());
+        if (request == null || request.finished) {
+            breach(Rule.ONE_ANSWER, requestId, serverId, sidecar.index());
             return;
         }
-        EmulatedSidecar.Told told = sidecar.told(serverId);
-        if (told == null || server == null) {
-            breach(Rule.LISTED, id, serverId, sidecar.index());
+        EndpointView.Knowledge known = sidecar.knowledgeOf(serverId);
+        if (known == null || server == null) {
+            breach(Rule.LISTED, requestId, serverId, sidecar.index());
             return;
         }
-        if (told.goneAt() != 0 && loop.now() > told.goneAt() + drainMicros) {
-            breach(Rule.DRAIN, id, serverId, sidecar.index());
+        if (known.isGone() && events.now() > known.goneAtMicros() + drainGraceMicros) {
+            breach(Rule.DRAIN, requestId, serverId, sidecar.index());
         }
-        if (call.attempts.size() >= limits.maxAttempts()) {
-            breach(Rule.ATTEMPTS, id, serverId, sidecar.index());
+        if (request.attempts.size() >= limits.maxAttempts()) {
+            breach(Rule.ATTEMPTS, requestId, serverId, sidecar.index());
         }
-        if (!mayRun(call, server)) {
-            breach(Rule.EFFECT, id, serverId, sidecar.index());
+        if (!mayExecute(request, server)) {
+            breach(Rule.EFFECT, requestId, serverId, sidecar.index());
         }
     }
 
-    private boolean mayRun(ClientRequest call, EmulatedServer server) {
-        Attempt first = mayHaveRun(call);
-        if (first == null || rules.idempotency() == Idempotency.IDEMPOTENT) {
+    /** Whether the request may be executed there, after what its attempts may have executed. */
+    private boolean mayExecute(ClientRequest request, EmulatedServer server) {
+        EmulatedAttempt first = firstThatMayHaveExecuted(request);
+        if (first == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        return rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && loop.now() - first.sentAt <= rules.deduplicationWindowMicros()
-                && switch (rules.deduplicationScope()) {
-                    case ALL -> true;
-                    case ZONE -> first.server.zone == server.zone;
-                    case CELL -> first.server.cell == server.cell;
-                };
+        return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && events.now() - first.startedAtMicros <= requestClass.deduplicationWindowMicros()
+                && sharesDeduplication(first.server, server);
     }
 
-    private static Attempt mayHaveRun(ClientRequest call) {
-        for (Attempt a : call.attempts) {
-            if (a.result == null || !a.result.provesNotRun) {
-                return a;
+    private boolean sharesDeduplication(EmulatedServer first, EmulatedServer second) {
+        return switch (requestClass.deduplicationScope()) {
+            case ALL -> true;
+            case ZONE -> first.zone == second.zone;
+            case CELL -> first.cell == second.cell;
+        };
+    }
+
+    private static EmulatedAttempt firstThatMayHaveExecuted(ClientRequest request) {
+        for (EmulatedAttempt attempt : request.attempts) {
+            if (attempt.mayHaveExecuted()) {
+                return attempt;
             }
         }
         return null;
     }
 
-    /** A refusal tells the client that to ask again is harmless. */
-    void refused(EmulatedSidecar sidecar, ClientRequest call, String id) {
-        named(sidecar, id);
-        if (call != null
-                && !call.finished
-                && rules.idempotency() != Idempotency.IDEMPOTENT
-                && mayHaveRun(call) != null
-                && !(rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && rules.deduplicationScope() == DeduplicationScope.ALL)) {
-            breach(Rule.EFFECT, id, mayHaveRun(call).server.id, sidecar.index());
+    /** A rejection tells the client that a retry is harmless. */
+    void onReject(EmulatedSidecar sidecar, ClientRequest request, String requestId) {
+        onAnswer(sidecar, requestId);
+        if (request == null || request.finished || isRetryHarmless()) {
+            return;
         }
+        EmulatedAttempt first = firstThatMayHaveExecuted(request);
+        if (first != null) {
+            breach(Rule.EFFECT, requestId, first.server.id, sidecar.index());
+        }
+    }
+
+    private boolean isRetryHarmless() {
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /**
-     * A final answer names a request that this sidecar was given; one that has its answer is passed
-     * over.
+     * A final answer names a request that this sidecar was given; a second answer to one is
+     * ignored.
      */
-    void named(EmulatedSidecar sidecar, String id) {
-        if (!id.startsWith(sidecar.requestIdPrefix())) {
-            breach(Rule.ONE_ANSWER, id, -1, sidecar.index());
+    void onAnswer(EmulatedSidecar sidecar, String requestId) {
+        if (!requestId.startsWith(sidecar.requestIdPrefix())) {
+            breach(Rule.ONE_ANSWER, requestId, NONE, sidecar.index());
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
+++ b/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
@@ -2,60 +2,60 @@
 
 import sagefall.balancer.api.LoadReport;
 
-/**
- * A server's own word on its load: sums that run on, and a report that is made of them now and
- * then.
- */
+/** The load reports of a server: running sums, and a report that is made of them periodically. */
 final class LoadReportSampler {
 
+    /** Running sums. */
+    private record Totals(double busyCoreMicros, double serviceMicros, long served) {}
+
     private final int cores;
-    private final long everyMicros;
-    private double busyMicros;
+    private final long intervalMicros;
+    private double busyCoreMicros;
     private double serviceMicros;
     private long served;
-    private double reportedBusy;
-    private double reportedService;
-    private long reportedServed;
-    private long reportedAt;
-    private LoadReport report;
+    private Totals reported = new Totals(0, 0, 0);
+    private long reportedAtMicros;
+    private LoadReport lastReport;
 
-    LoadReportSampler(int cores, long everyMicros, long now) {
+    LoadReportSampler(int cores, long intervalMicros, long nowMicros) {
         this.cores = cores;
-        this.everyMicros = everyMicros;
-        reportedAt = now;
+        this.intervalMicros = intervalMicros;
+        reportedAtMicros = nowMicros;
     }
 
-    /** So many cores were busy for so long, all together. */
-    void busy(double coreMicros) {
-        busyMicros += coreMicros;
+    /** Adds the time that cores were busy, summed over the cores. */
+    void addBusy(double coreMicros) {
+        busyCoreMicros += coreMicros;
     }
 
-    /** A request was worked on for so long. */
-    void served(double micros) {
+    /** Adds a request that was worked on for so long. */
+    void addServed(double micros) {
         served++;
         serviceMicros += micros;
     }
 
-    /** The last report, or a fresh one if that is old; so mostly an old one. */
-    LoadReport report(long now) {
-        double micros = now - reportedAt;
-        if (report == null || micros >= everyMicros) {
-            double requests = served - reportedServed;
-            double service = requests == 0 ? 0 : (serviceMicros - reportedService) / requests;
-            report =
-                    new LoadReport(
-                            Double.NaN,
-                            Double.NaN,
-                            Math.min(
-                                    1, (busyMicros - reportedBusy) / (Math.max(1, micros) * cores)),
-                            service / 1000,
-                            requests * 1e6 / Math.max(1, micros),
-                            Double.NaN);
-            reportedAt = now;
-            reportedBusy = busyMicros;
-            reportedServed = served;
-            reportedService = serviceMicros;
+    /** The last report, or a new one if that is older than the interval. */
+    LoadReport report(long nowMicros) {
+        double elapsedMicros = nowMicros - reportedAtMicros;
+        if (lastReport == null || elapsedMicros >= intervalMicros) {
+            lastReport = createReport(elapsedMicros);
+            reportedAtMicros = nowMicros;
+            reported = new Totals(busyCoreMicros, serviceMicros, served);
         }
-        return report;
+        return lastReport;
+    }
+
+    private LoadReport createReport(double elapsedMicros) {
+        double requests = served - reported.served;
+        double meanServiceMicros =
+                requests == 0 ? 0 : (serviceMicros - reported.serviceMicros) / requests;
+        double busyMicros = busyCoreMicros - reported.busyCoreMicros;
+        return new LoadReport(
+                Double.NaN,
+                Double.NaN,
+                Math.min(1, busyMicros / (Math.max(1, elapsedMicros) * cores)),
+                meanServiceMicros / 1000,
+                requests * 1e6 / Math.max(1, elapsedMicros),
+                Double.NaN);
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/ServerFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -11,129 +11,133 @@
 import sagefall.scenario.ServiceSettings;
 import sagefall.scenario.ValueRange;
 
-/**
- * Makes the servers of a day: ids that tell nothing, unlike speeds, zones of unlike size, cells.
- */
+/** Creates the servers of a run: random ids, different speeds, zones of different size, cells. */
 public final class ServerFactory {
 
+    /** Spreads the kinds of machines evenly over the servers. */
+    private static final double GOLDEN_RATIO_FRACTION = 0.6180339887;
+
     private final Scenario scenario;
-    private final RandomStreams draws;
-    private final EventQueue loop;
-    private final SharedSlowdown sharedSlow;
-    private final ServerListener floor;
+    private final RandomStreams streams;
+    private final EventQueue events;
+    private final SharedSlowdown sharedSlowdown;
+    private final ServerListener listener;
     private final UniformRandomProvider random;
-    private final Set<Long> ids = new HashSet<>();
+    private final Set<Long> usedIds = new HashSet<>();
     private final List<EmulatedServer> initialServers = new ArrayList<>();
 
+    /** Creates the servers of the start. */
     public ServerFactory(
             Scenario scenario,
-            RandomStreams draws,
-            EventQueue loop,
-            SharedSlowdown sharedSlow,
-            ServerListener floor) {
+            RandomStreams streams,
+            EventQueue events,
+            SharedSlowdown sharedSlowdown,
+            ServerListener listener) {
         this.scenario = scenario;
-        this.draws = draws;
-        this.loop = loop;
-        this.sharedSlow = sharedSlow;
-        this.floor = floor;
-        random = draws.stream("fleet");
+        this.streams = streams;
+        this.events = events;
+        this.sharedSlowdown = sharedSlowdown;
+        this.listener = listener;
+        random = streams.stream("fleet");
+        createInitialServers();
+    }
+
+    private void createInitialServers() {
         int zones = scenario.fleet().zones().size();
-        double[] parts =
-                FleetSimulation.uneven(
-                        zones, scenario.fleet().serverSkew(), draws.stream("fleet.zones"));
-        int[] inZone = new int[zones];
+        double[] zoneShares =
+                UnevenShares.draw(
+                        zones, scenario.fleet().serverSkew(), streams.stream("fleet.zones"));
+        int[] serversInZone = new int[zones];
         for (int i = 0; i < scenario.fleet().servers(); i++) {
-            int zone = 0;
-            for (int z = 1; z < zones; z++) {
-                if (inZone[z] / parts[z] < inZone[zone] / parts[zone]) {
-                    zone = z;
-                }
+            int zone = leastFilledZone(serversInZone, zoneShares);
+            int cell = zone + zones * (serversInZone[zone]++ / scenario.fleet().cellServers());
+            initialServers.add(create(zone, cell, machineType(i)));
+        }
+    }
+
+    private static int leastFilledZone(int[] serversInZone, double[] zoneShares) {
+        int least = 0;
+        for (int zone = 1; zone < zoneShares.length; zone++) {
+            if (serversInZone[zone] / zoneShares[zone] < serversInZone[least] / zoneShares[least]) {
+                least = zone;
             }
-            int cell = zone + zones * (inZone[zone]++ / scenario.fleet().cellServers());
-            initialServers.add(
-                    new EmulatedServer(
-                            new ServerIdentity(id(), zone, cell),
-                            make(kind(i)),
-                            loop,
-                            sharedSlow,
-                            floor));
         }
+        return least;
     }
 
+    private EmulatedServer create(int zone, int cell, int machineType) {
+        ServerIdentity identity = new ServerIdentity(drawId(), zone, cell);
+        return new EmulatedServer(
+                identity, drawSpec(machineType), events, sharedSlowdown, listener);
+    }
+
+    /** The servers of the start. */
     public List<EmulatedServer> initialServers() {
         return initialServers;
     }
 
-    /** Work that all servers together get done in a microsecond, warm and untroubled. */
+    /** Work that all servers together get done in a microsecond, warm and without faults. */
     public double totalCapacity() {
         return initialServers.stream()
                 .mapToDouble(s -> Math.min(s.spec.slots(), s.spec.cores()) * s.spec.speed())
                 .sum();
     }
 
-    private long id() {
+    private long drawId() {
         long id;
         do {
             id = random.nextInt() & 0xffffffffL;
-        } while (!ids.add(id));
+        } while (!usedIds.add(id));
         return id;
     }
 
-    /** Kinds in their shares, mixed. */
-    private int kind(int i) {
-        double sum = scenario.machineTypes().stream().mapToDouble(MachineType::share).sum();
-        double place = (i * 0.6180339887 + 0.5) % 1 * sum;
-        int kind = 0;
-        while (kind + 1 < scenario.machineTypes().size()
-                && place >= scenario.machineTypes().get(kind).share()) {
-            place -= scenario.machineTypes().get(kind++).share();
+    /** Kinds of machines in their shares, mixed. */
+    private int machineType(int serverNumber) {
+        List<MachineType> types = scenario.machineTypes();
+        double shares = types.stream().mapToDouble(MachineType::share).sum();
+        double position = (serverNumber * GOLDEN_RATIO_FRACTION + 0.5) % 1 * shares;
+        int type = 0;
+        while (type + 1 < types.size() && position >= types.get(type).share()) {
+            position -= types.get(type).share();
+            type++;
         }
-        return kind;
+        return type;
     }
 
-    private double of(ValueRange range) {
+    private double draw(ValueRange range) {
         return range.at(random.nextDouble());
     }
 
-    private ServerSpec make(int kind) {
-        MachineType k = scenario.machineTypes().get(kind);
+    /** The values are drawn in this order; a change of it would change all runs. */
+    private ServerSpec drawSpec(int typeIndex) {
+        MachineType type = scenario.machineTypes().get(typeIndex);
         ServiceSettings service = scenario.service();
-        NetworkSettings net = scenario.network();
-        int cores = k.cores();
+        NetworkSettings network = scenario.network();
+        int cores = type.cores();
         return new ServerSpec(
-                kind,
+                typeIndex,
                 cores,
-                of(k.speed()),
-                (int) Math.round(cores * of(k.slotsPerCore())),
-                (int) Math.round(cores * of(k.queuePerCore())),
-                of(k.contentionPenalty()),
-                of(k.contentionThreshold()),
-                of(k.initialCapacityShare()),
-                (long) (1e6 * of(k.slowStartSeconds())),
-                k.warmUpBy().equals("work"),
-                of(k.errorRate()),
-                (long) (1e6 * of(k.pauseIntervalSeconds())),
-                (long) (1000 * of(k.pauseMillis())),
-                (int) (cores * net.connectionsPerCore().draw(draws, "net.connections")),
-                net.connectionTableCost().draw(draws, "net.table_tax"),
-                (int) (cores * service.cachedKeysPerCore().draw(draws, "service.keys")),
-                service.cachedKeySaving().draw(draws, "service.key_gain"),
-                (long) (1e6 * service.keyLifetimeSeconds().draw(draws, "service.key_s")),
-                (long) (1000 * service.reportIntervalMillis().draw(draws, "service.report")));
+                draw(type.speed()),
+                (int) Math.round(cores * draw(type.slotsPerCore())),
+                (int) Math.round(cores * draw(type.queuePerCore())),
+                draw(type.contentionPenalty()),
+                draw(type.contentionThreshold()),
+                draw(type.initialCapacityShare()),
+                (long) (1e6 * draw(type.slowStartSeconds())),
+                type.warmUpBy().equals("work"),
+                draw(type.errorRate()),
+                (long) (1e6 * draw(type.pauseIntervalSeconds())),
+                (long) (1000 * draw(type.pauseMillis())),
+                (int) (cores * network.connectionsPerCore().draw(streams, "net.connections")),
+                network.connectionTableCost().draw(streams, "net.table_tax"),
+                (int) (cores * service.cachedKeysPerCore().draw(streams, "service.keys")),
+                service.cachedKeySaving().draw(streams, "service.key_gain"),
+                (long) (1e6 * service.keyLifetimeSeconds().draw(streams, "service.key_s")),
+                (long) (1000 * service.reportIntervalMillis().draw(streams, "service.report")));
     }
 
-    /** Its own small pauses, all day. */
-    void pausesOf(EmulatedServer s, FleetSimulation day) {
-        day.pauses(s, s.spec.pauseIntervalMicros(), s.spec.pauseMicros(), Long.MAX_VALUE);
-    }
-
-    /** A machine of the same kind in the same place, with another id. */
+    /** A machine of the same kind in the same cell, with another id. */
     public EmulatedServer createReplacement(EmulatedServer old) {
-        return new EmulatedServer(
-                new ServerIdentity(id(), old.zone, old.cell),
-                make(old.spec.machineType()),
-                loop,
-                sharedSlow,
-                floor);
+        return create(old.zone, old.cell, old.spec.machineType());
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/ServerListener.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerListener.java
@@ -1,16 +1,18 @@
 package sagefall.emulator;
 
-/** What becomes of attempts at a server. */
+/** What is notified of the requests at a server. */
 public interface ServerListener {
-    /** An attempt has been worked on to its end. */
+
+    /** A request has been worked on to its end. */
     void onJobDone(Job job);
 
-    /** The process ended under an attempt, and the other side hears of it. */
+    /** The process ended under a request, and the sender is notified. */
     void onJobAborted(Job job);
 
     /**
-     * A cold server was sent more than it bears; told is the part from sidecars that knew it as
-     * new.
+     * A cold server stopped, as it was sent more than it can handle.
+     *
+     * @param informedShare share of the requests from sidecars that knew it to be new
      */
-    void onSlowStartOverload(EmulatedServer server, double told);
+    void onSlowStartOverload(EmulatedServer server, double informedShare);
 }
--- a/testbed/src/main/java/sagefall/emulator/ServerSpec.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerSpec.java
@@ -19,7 +19,7 @@
  * @param maxConnections connections that it accepts
  * @param connectionTableCost share of its speed lost with all connections in use
  * @param cachedKeys how many keys it keeps
- * @param cachedKeySaving share of the work that a kept key saves
+ * @param cachedKeySaving share of the work that a cached key saves
  * @param keyLifetimeMicros how long it keeps a key
  * @param reportIntervalMicros between two load reports
  */
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -53,7 +53,7 @@
      * Limits that the host enforces and a sidecar cannot change.
      *
      * @param overloadFactor by how many times its present capacity a cold server may be loaded
-     * @param drainGraceMicros how long after the news of a drain a server may still be sent to
+     * @param drainGraceMicros how long after a drain is known requests may still be sent
      * @param answerGraceMicros how long after its deadline a request must be answered
      * @param connectTimeoutMicros after which an attempt to connect has failed
      */
--- a/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -1,29 +1,29 @@
 package sagefall.emulator;
 
-/** What clients see of a sidecar: the emulated one, or a real process that the rig has started. */
+/** What clients see of a sidecar: an emulated one, or a real process. */
 public interface SidecarHandle {
 
-    /** Its place among all, from 0 on. */
+    /** Its number among all, from 0 on. */
     int index();
 
-    /** The zone that it stands in. */
+    /** Index of the zone that it runs in. */
     int zone();
 
     /** Whether its process runs. */
     boolean isUp();
 
-    /** Whether it is about to be restarted as planned, so that its application goes too. */
+    /** Whether a planned restart is near, so that its application goes elsewhere. */
     boolean isDraining();
 
-    /** Six hex digits that the ids of all requests of this life begin with. */
+    /** Six hex digits that the ids of all requests of this incarnation begin with. */
     String requestIdPrefix();
 
-    /** A client came while its process did not run. */
-    default void onUnreachable(ClientOperation wish) {}
+    /** A client found its process not running. */
+    default void onUnreachable(ClientOperation operation) {}
 
-    /** A client's request; its answer comes by {@link ClientTraffic#deliverAnswer}. */
-    void submit(ClientRequest call, boolean repeat);
+    /** Takes a client's request; {@link ClientTraffic#deliverAnswer} takes the answer. */
+    void submit(ClientRequest request, boolean markedAsRetry);
 
-    /** The client has gone. */
-    void disconnectClient(ClientRequest call);
+    /** The client has disconnected. */
+    void disconnectClient(ClientRequest request);
 }
--- a/testbed/src/main/java/sagefall/emulator/SimulationResult.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResult.java
@@ -2,26 +2,41 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import sagefall.scenario.Scenario;
 
 /**
- * What came of a day. Worth is counted per wish of a client, all of its tries together, in the
- * second of its first one; a part is one of what was asked for.
+ * The outcome of a run, as a line of {@code days.jsonl}. Value is counted per operation of a
+ * client, all of its requests together, in the second of its arrival; a share is one of the offered
+ * value.
  *
- * @param g the goal: 0.55 of the whole, 0.35 of the worst ten seconds, 0.1 of the worst tenant
- *     within its share, less the prices
- * @param served the part of the worth that was answered within its aim
- * @param lost lost worth by cause: as the last answer to the client says, or what kept it from one
- * @param answers every refusal and failure by reason, those of tries that were followed by another
- *     too
- * @param heat by second, for each server of the day's beginning, the requests a core that it held;
- *     -1: down
+ * @param scenario name of the scenario
+ * @param seed of the run
+ * @param policy specification of the policy
+ * @param g the goal: 0.55 of the run, 0.35 of the worst ten seconds, 0.1 of the worst tenant within
+ *     its quota, less the prices
+ * @param served share of the value that was served within the latency objective
+ * @param worstTenSeconds the same in the worst ten seconds
+ * @param worstTenant the same of the worst tenant, within its quota
+ * @param price what is subtracted for zone crossings, connections, wasted work and late losses
+ * @param offeredValue value of all operations
+ * @param requests number of operations
+ * @param lost lost value by cause: the words of the last answer, or what prevented one
+ * @param answers every rejection and failure by its words, those that were retried included
+ * @param attemptsPerRequest attempts of sidecars for an operation
+ * @param crossingsPerRequest attempts to another zone for an operation
+ * @param setupsPerRequest opened connections for an operation
+ * @param wastedWork share of the work of servers whose response no client has got
+ * @param latency of all served operations
+ * @param zones names of the zones
+ * @param series values by second
+ * @param heat by second, for each server of the start, its requests for each core; -1: it was down
+ * @param serverZones zone of each server of the start
+ * @param faults what went wrong
+ * @param breaches the first breaches of invariants
+ * @param breachCount number of all breaches
+ * @param events number of processed events
  */
 public record SimulationResult(
         String scenario,
@@ -51,163 +66,69 @@
         long events) {
 
     /**
-     * Prices in parts of G, each times its rate: crossings and set-ups a request, wasted work, late
-     * loss.
+     * Operations that were lost for one cause.
+     *
+     * @param value their value
+     * @param count their number
+     * @param overQuotaValue value of those whose tenant was beyond its quota
      */
-    private static final double CROSSING = 0.025;
-
-    private static final double SETUP = 0.02;
-    private static final double WASTE = 0.05;
-    private static final double LATE = 0.043;
-    private static final int WINDOW = 10;
+    public record Loss(
+            @JsonProperty("worth") double value,
+            long count,
+            @JsonProperty("beyondShareWorth") double overQuotaValue) {}
 
     /**
-     * Worth and count of requests lost, and the worth of those whose tenant was beyond its share.
+     * Milliseconds from a client's first request to the response.
+     *
+     * @param p50 median
+     * @param p95 95th percentile
+     * @param p99 99th percentile
      */
-    public record Loss(double worth, long count, double beyondShareWorth) {}
-
-    /** Milliseconds from a client's first try to its answer. */
     public record Latency(double p50, double p95, double p99) {
-        static Latency of(Histogram h) {
-            return new Latency(
-                    h.getValueAtPercentile(50) / 1000.0,
-                    h.getValueAtPercentile(95) / 1000.0,
-                    h.getValueAtPercentile(99) / 1000.0);
+
+        private static final double MICROS_PER_MILLI = 1000.0;
+
+        static Latency of(Histogram micros) {
+            return new Latency(millis(micros, 50), millis(micros, 95), millis(micros, 99));
+        }
+
+        static double millis(Histogram micros, double percentile) {
+            return micros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
         }
     }
 
-    /** By second; asked, served and p95 milliseconds by zone too. */
+    /**
+     * Values by second of the arrival, and some by zone as well.
+     *
+     * @param offered value of the operations
+     * @param served value that was served in time
+     * @param lost lost value by cause
+     * @param p50 median latency in milliseconds
+     * @param p95 95th percentile of the latency in milliseconds
+     * @param p99 99th percentile of the latency in milliseconds
+     * @param zoneOffered value of the operations by second and zone
+     * @param zoneServed value that was served in time by second and zone
+     * @param zoneP95 95th percentile of the latency in milliseconds by second and zone
+     * @param lostByZone lost value by cause and zone, of the run
+     */
     public record Series(
-            double[] asked,
+            @JsonProperty("asked") double[] offered,
             double[] served,
             Map<String, double[]> lost,
             double[] p50,
             double[] p95,
             double[] p99,
-            double[][] zoneAsked,
+            @JsonProperty("zoneAsked") double[][] zoneOffered,
             double[][] zoneServed,
             double[][] zoneP95,
             Map<String, double[]> lostByZone) {}
 
-    static SimulationResult of(
-            Scenario scenario,
-            long seed,
-            String policy,
-            ValueAccounting ledger,
-            InvariantChecker rules,
-            List<FaultInjector.Drawn> troubles,
-            List<double[]> heat,
-            List<Integer> serverZones,
-            long events) {
-        Series series = series(ledger);
-        double asked = Arrays.stream(series.asked).sum();
-        double served = Arrays.stream(series.served).sum() / Math.max(1e-9, asked);
-        double worst = worstWindow(series.asked, series.served);
-        double tenant = 1;
-        for (int t = 0; t < ledger.tenantAsked.length; t++) {
-            if (ledger.tenantAsked[t] > 0) {
-                tenant = Math.min(tenant, ledger.tenantServed[t] / ledger.tenantAsked[t]);
-            }
-        }
-        double first = Math.max(1, ledger.firstTries);
-        double waste = ledger.workWasted / Math.max(1, ledger.workDone);
-        double price =
-                CROSSING * ledger.crossings / first
-                        + SETUP * ledger.setups / first
-                        + WASTE * waste
-                        + LATE * ledger.lateWorth / Math.max(1e-9, asked);
-        Map<String, Loss> lost = new TreeMap<>();
-        ledger.lost.forEach(
-                (cause, sum) ->
-                        lost.put(
-                                cause,
-                                new Loss(
-                                        sum.worth(),
-                                        sum.count(),
-                                        ledger.lostBeyond.containsKey(cause)
-                                                ? ledger.lostBeyond.get(cause).worth()
-                                                : 0)));
-        return new SimulationResult(
-                scenario.name(),
-                seed,
-                policy,
-                0.55 * served + 0.35 * worst + 0.1 * tenant - price,
-                served,
-                worst,
-                tenant,
-                price,
-                asked,
-                ledger.firstTries,
-                lost,
-                new TreeMap<>(ledger.answers),
-                ledger.attempts / first,
-                ledger.crossings / first,
-                ledger.setups / first,
-                waste,
-                Latency.of(ledger.all),
-                scenario.fleet().zones(),
-                series,
-                List.copyOf(heat),
-                serverZones,
-                troubles.stream().map(t -> new InjectedFault(t.what(), t.from(), t.to())).toList(),
-                rules.breaches(),
-                rules.count(),
-                events);
-    }
-
-    private static double worstWindow(double[] asked, double[] served) {
-        double worst = 1;
-        int window = Math.min(WINDOW, asked.length);
-        for (int from = 0; from + window <= asked.length; from++) {
-            double a = Arrays.stream(asked, from, from + window).sum();
-            double s = Arrays.stream(served, from, from + window).sum();
-            worst = a > 0 ? Math.min(worst, s / a) : worst;
-        }
-        return worst;
-    }
-
-    private static Series series(ValueAccounting ledger) {
-        int seconds = ledger.seconds;
-        double[][] p95 = new double[seconds][ledger.zones];
-        double[][] all = new double[3][seconds];
-        for (int s = 0; s < seconds; s++) {
-            Histogram second = new Histogram(60_000_000, 2);
-            for (int z = 0; z < ledger.zones; z++) {
-                Histogram h = ledger.latency[s][z];
-                if (h != null) {
-                    second.add(h);
-                    p95[s][z] = h.getValueAtPercentile(95) / 1000.0;
-                }
-            }
-            Latency latency = Latency.of(second);
-            all[0][s] = latency.p50;
-            all[1][s] = latency.p95;
-            all[2][s] = latency.p99;
-        }
-        return new Series(
-                sums(ledger.asked),
-                sums(ledger.served),
-                new LinkedHashMap<>(ledger.lostBySecond),
-                all[0],
-                all[1],
-                all[2],
-                ledger.asked,
-                ledger.served,
-                p95,
-                new TreeMap<>(ledger.lostByZone));
-    }
-
-    private static double[] sums(double[][] byZone) {
-        return Arrays.stream(byZone).mapToDouble(zones -> Arrays.stream(zones).sum()).toArray();
-    }
-
-    /** Lost worth by cause, the largest first, as parts of what was asked for. */
+    /** Lost value by cause, the largest first, as shares of the offered value. */
     public List<Map.Entry<String, Double>> losses() {
-        List<Map.Entry<String, Double>> parts = new ArrayList<>();
-        lost.forEach(
-                (cause, loss) ->
-                        parts.add(Map.entry(cause, loss.worth / Math.max(1e-9, offeredValue))));
-        parts.sort(Map.Entry.<String, Double>comparingByValue().reversed());
-        return parts;
+        List<Map.Entry<String, Double>> shares = new ArrayList<>();
+        double total = Math.max(1e-9, offeredValue);
+        lost.forEach((cause, loss) -> shares.add(Map.entry(cause, loss.value / total)));
+        shares.sort(Map.Entry.<String, Double>comparingByValue().reversed());
+        return shares;
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
+++ b/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
@@ -3,51 +3,58 @@
 import java.util.ArrayDeque;
 
 /**
- * The rule on cold servers, for one server: within any span of a stated length it bears a multiple
- * of its present capacity, which is N requests of the mean work, as no sidecar can know that one is
- * long; past them 2 x root of N + 2 are chance.
+ * How much a cold server can be sent: within any window of a given length a multiple of its present
+ * capacity, which is N requests of the mean work, as no sidecar can know that a request is long.
+ * Beyond them, 2 x root of N + 2 are chance.
  */
 public final class SlowStartBudget {
 
-    private record Sent(long at, boolean told) {}
+    /** A request of the window; informed: its sidecar knew the server to be new. */
+    private record Entry(long atMicros, boolean informed) {}
 
-    private final double multiple;
-    private final long spanMicros;
-    private final double meanWork;
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-    private int informedShare;
+    private final double factor;
+    private final long windowMicros;
+    private final double meanWorkMicros;
+    private final ArrayDeque<Entry> window = new ArrayDeque<>();
+    private int informed;
 
-    /** Spans in microseconds, work in microseconds on a core of speed 1. */
-    public SlowStartBudget(double multiple, long spanMicros, double meanWork) {
-        this.multiple = multiple;
-        this.spanMicros = spanMicros;
-        this.meanWork = meanWork;
+    /**
+     * Creates the budget of one server.
+     *
+     * @param factor by how many times its present capacity the server may be loaded
+     * @param windowMicros over which the load is counted
+     * @param meanWorkMicros of a request, on a core of speed 1
+     */
+    public SlowStartBudget(double factor, long windowMicros, double meanWorkMicros) {
+        this.factor = factor;
+        this.windowMicros = windowMicros;
+        this.meanWorkMicros = meanWorkMicros;
     }
 
     /** A new process has been sent nothing. */
     void clear() {
-        sent.clear();
-        informedShare = 0;
+        window.clear();
+        informed = 0;
     }
 
     /**
-     * Books a request; whether that is more than the server bears.
+     * Records a request; returns whether that is more than the server can handle.
      *
-     * @param byOneThatKnew whether its sidecar knew the server as new
+     * @param senderInformed whether its sidecar knew the server to be new
      * @param capacity work that the server gets done in a microsecond, as cold as it is now
      */
-    public boolean recordAndCheckExceeded(long now, boolean byOneThatKnew, double capacity) {
-        sent.add(new Sent(now, byOneThatKnew));
-        informedShare += byOneThatKnew ? 1 : 0;
-        while (sent.peek().at < now - spanMicros) {
-            informedShare -= sent.poll().told ? 1 : 0;
+    public boolean recordAndCheckExceeded(long nowMicros, boolean senderInformed, double capacity) {
+        window.add(new Entry(nowMicros, senderInformed));
+        informed += senderInformed ? 1 : 0;
+        while (window.peek().atMicros < nowMicros - windowMicros) {
+            informed -= window.poll().informed ? 1 : 0;
         }
-        double allowed = multiple * capacity * spanMicros / meanWork;
-        return sent.size() > allowed + 2 * Math.sqrt(allowed) + 2;
+        double allowed = factor * capacity * windowMicros / meanWorkMicros;
+        return window.size() > allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    /** The part of the span's work that came from sidecars that knew the server as new. */
+    /** Share of the window's requests from sidecars that knew the server to be new. */
     public double informedShare() {
-        return informedShare / (double) sent.size();
+        return informed / (double) window.size();
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
+++ b/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
@@ -3,37 +3,40 @@
 import java.util.function.IntConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Something that stands still for a while, every so often, until a time. */
+/** Pauses of a process, as of a garbage collector, at random intervals until a given time. */
 public final class StopTheWorldPauses {
 
     private StopTheWorldPauses() {}
 
     /**
-     * Begins them; all times in microseconds.
+     * Schedules the pauses; all times in microseconds.
      *
-     * @param change is given 1 where one begins and -1 where it ends
+     * @param intervalMicros mean time from the end of one pause to the next
+     * @param pauseMicros length of a pause; none where it is 0
+     * @param untilMicros no pause begins later
+     * @param change is given 1 where a pause begins and -1 where it ends
      */
     public static void schedule(
-            EventQueue loop,
-            UniformRandomProvider chances,
-            long every,
-            long micros,
-            long until,
+            EventQueue events,
+            UniformRandomProvider random,
+            long intervalMicros,
+            long pauseMicros,
+            long untilMicros,
             IntConsumer change) {
-        long next = loop.now() + (long) (every * (0.5 + chances.nextDouble()));
-        if (micros <= 0 || next >= until) {
+        long nextMicros = events.now() + (long) (intervalMicros * (0.5 + random.nextDouble()));
+        if (pauseMicros <= 0 || nextMicros >= untilMicros) {
             return;
         }
-        loop.scheduleAt(
-                next,
+        Runnable end =
+                () -> {
+                    change.accept(-1);
+                    schedule(events, random, intervalMicros, pauseMicros, untilMicros, change);
+                };
+        events.scheduleAt(
+                nextMicros,
                 () -> {
                     change.accept(1);
-                    loop.scheduleAfter(
-                            micros,
-                            () -> {
-                                change.accept(-1);
-                                schedule(loop, chances, every, micros, until, change);
-                            });
+                    events.scheduleAfter(pauseMicros, end);
                 });
     }
 }
--- a/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
+++ b/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
@@ -14,7 +14,7 @@
 import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 
-/** Plays days side by side. Each has a thread to itself, so their number changes no result. */
+/** Makes runs side by side. Each has a thread to itself, so their number changes no result. */
 public final class ParallelSimulations {
 
     private final int threads;
@@ -22,8 +22,10 @@
     private final PrintStream progress;
 
     /**
-     * @param threads days at a time
-     * @param root where the policy files are
+     * A pool that is created for each call.
+     *
+     * @param threads runs at a time
+     * @param root of the checkout whose policy files are compiled where tunables are changed
      * @param progress where a bar is drawn, or null
      */
     public ParallelSimulations(int threads, Path root, PrintStream progress) {
@@ -32,39 +34,29 @@
         this.progress = progress;
     }
 
-    /** What hears of each day as it is done, in the order of their end. */
+    /** Gets each result when its run is done; one at a time, on the thread of the run. */
     public interface Listener {
+
+        /** A run is done. */
         void onResult(SimulationResult result);
     }
 
-    /** Plays all; the results stand in the order of the days. A day that fails ends the whole. */
-    public List<SimulationResult> runAll(List<SimulationRequest> plays, Listener listener)
+    /**
+     * Makes all runs; the results stand in the order of the requests. A run that fails ends all.
+     *
+     * @throws PolicyException if a policy cannot be created; all are tried before the first run
+     */
+    public List<SimulationResult> runAll(List<SimulationRequest> requests, Listener listener)
             throws PolicyException {
-        for (String policy : plays.stream().map(SimulationRequest::policy).distinct().toList()) {
+        for (String policy : requests.stream().map(SimulationRequest::policy).distinct().toList()) {
             PolicyRegistry.of(policy, root).close();
         }
         ExecutorService pool = Executors.newFixedThreadPool(threads);
+        Progress done = new Progress(requests.size(), listener);
         try {
             List<Future<SimulationResult>> futures = new ArrayList<>();
-            int[] done = {0};
-            for (SimulationRequest play : plays) {
-                futures.add(
-                        pool.submit(
-                                () -> {
-                                    try (Policy policy = PolicyRegistry.of(play.policy(), root)) {
-                                        SimulationResult result =
-                                                new FleetSimulation(
-                                                                play.scenario(),
-                                                                play.seed(),
-                                                                policy)
-                                                        .run();
-                                        synchronized (done) {
-                                            listener.onResult(result);
-                                            bar(++done[0], plays.size());
-                                        }
-                                        return result;
-                                    }
-                                }));
+            for (SimulationRequest request : requests) {
+                futures.add(pool.submit(() -> run(request, done)));
             }
             List<SimulationResult> results = new ArrayList<>();
             for (Future<SimulationResult> future : futures) {
@@ -75,8 +67,8 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof PolicyException p) {
-                throw p;
+            if (e.getCause() instanceof PolicyException policyException) {
+                throw policyException;
             }
             throw new IllegalStateException(e.getCause().toString(), e.getCause());
         } finally {
@@ -84,18 +76,42 @@
         }
     }
 
-    private void bar(int done, int all) {
-        if (progress != null) {
-            int full = 30 * done / all;
-            progress.print(
-                    "\r["
-                            + "#".repeat(full)
-                            + " ".repeat(30 - full)
-                            + "] "
-                            + done
-                            + "/"
-                            + all
-                            + (done == all ? "\n" : ""));
+    private SimulationResult run(SimulationRequest request, Progress done) throws PolicyException {
+        try (Policy policy = PolicyRegistry.of(request.policy(), root)) {
+            SimulationResult result =
+                    new FleetSimulation(request.scenario(), request.seed(), policy).run();
+            done.add(result);
+            return result;
+        }
+    }
+
+    /** Counts the results and passes them on. */
+    private final class Progress {
+
+        private static final int BAR_LENGTH = 30;
+
+        private final int total;
+        private final Listener listener;
+        private int count;
+
+        Progress(int total, Listener listener) {
+            this.total = total;
+            this.listener = listener;
+        }
+
+        synchronized void add(SimulationResult result) {
+            listener.onResult(result);
+            count++;
+            if (progress != null) {
+                drawBar();
+            }
+        }
+
+        private void drawBar() {
+            int full = BAR_LENGTH * count / total;
+            String bar = "#".repeat(full) + " ".repeat(BAR_LENGTH - full);
+            String end = count == total ? "\n" : "";
+            progress.print("\r[" + bar + "] " + count + "/" + total + end);
             progress.flush();
         }
     }
--- a/testbed/src/main/java/sagefall/experiment/SimulationRequest.java
+++ b/testbed/src/main/java/sagefall/experiment/SimulationRequest.java
@@ -2,5 +2,11 @@
 
 import sagefall.scenario.Scenario;
 
-/** A day to play: a scenario, a seed, and a policy by its name. */
+/**
+ * A run to be made.
+ *
+ * @param scenario what happens
+ * @param seed of the run
+ * @param policy its specification
+ */
 public record SimulationRequest(Scenario scenario, long seed, String policy) {}
--- /dev/null
+++ b/testbed/src/main/java/sagefall/experiment/package-info.java
@@ -0,0 +1,2 @@
+/** Runs of several scenarios, seeds and policies, and the comparison of their results. */
+package sagefall.experiment;
--- /dev/null
+++ b/testbed/src/main/java/sagefall/policy/ExternalBalancer.java
@@ -0,0 +1,117 @@
+package sagefall.policy;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.ListedEndpoint;
+import sagefall.balancer.api.LoadBalancer;
+import sagefall.balancer.api.RejectionReason;
+import sagefall.balancer.api.Request;
+
+/** One instance within an external process: each event is a batch, each answer its actions. */
+final class ExternalBalancer implements LoadBalancer {
+
+    private final String policyName;
+    private final ExternalProcess process;
+    private final String instance;
+    private final BalancerActions actions;
+    private long clockMicros;
+
+    /** Starts an instance of that name. */
+    ExternalBalancer(
+            String policyName,
+            ExternalProcess process,
+            String instance,
+            BalancerActions actions,
+            SimulatorMessage.Start start) {
+        this.policyName = policyName;
+        this.process = process;
+        this.instance = instance;
+        this.actions = actions;
+        send(0, List.of(start));
+    }
+
+    private void send(long nowMicros, List<SimulatorMessage> messages) {
+        clockMicros = Math.max(clockMicros, nowMicros);
+        JsonNode answer = process.exchange(clockMicros, instance, messages);
+        for (JsonNode group : answer.path("groups")) {
+            group.path("output").forEach(this::act);
+        }
+    }
+
+    private void act(JsonNode action) {
+        String requestId = action.path("ticket").asText();
+        switch (action.path("op").asText()) {
+            case "Place" ->
+                    actions.send(
+                            requestId,
+                            action.path("server").asLong(),
+                            action.path("give_up_after_us").asLong(),
+                            Long.MAX_VALUE);
+            case "PushBack" ->
+                    actions.reject(
+                            requestId,
+                            action.path("retry_in_us").asLong(),
+                            RejectionReason.TOO_LATE);
+            case "ReportFailure" -> actions.fail(requestId, RejectionReason.TOO_LATE);
+            case "DropAttempt" -> actions.cancel(requestId, action.path("go").asInt());
+            case "Defer" ->
+                    actions.scheduleTimer(
+                            action.path("time_us").asLong(), action.path("handle").asLong());
+            case "LetGo" -> actions.closeIdleConnections(action.path("server").asLong());
+            case "Subscribe" -> actions.requestEndpointUpdates();
+            // Older builds send health checks; the emulator has none, and these bring nothing.
+            case "Inspect" -> {}
+            case "Print" -> actions.log(action.path("what").asText());
+            default -> throw new IllegalStateException(policyName + ": unknown action " + action);
+        }
+    }
+
+    @Override
+    public void onEndpointList(
+            long nowMicros, EndpointListKind kind, long revision, List<ListedEndpoint> list) {
+        List<SimulatorMessage.Row> rows = list.stream().map(SimulatorMessage.Row::of).toList();
+        send(
+                nowMicros,
+                List.of(
+                        new SimulatorMessage.Pool(0, rows),
+                        SimulatorMessage.Endpoints.of(kind, nowMicros)));
+    }
+
+    @Override
+    public void onRequest(long nowMicros, Request request) {
+        send(nowMicros, List.of(SimulatorMessage.Call.of(request)));
+    }
+
+    @Override
+    public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
+        send(nowMicros, List.of(SimulatorMessage.Response.of(outcome)));
+    }
+
+    @Override
+    public void onClientDisconnected(long nowMicros, String requestId) {
+        send(nowMicros, List.of(new SimulatorMessage.ClientLeft(requestId)));
+    }
+
+    @Override
+    public void onTimer(long nowMicros, long token) {
+        send(nowMicros, List.of(new SimulatorMessage.DeadlineHit(token)));
+    }
+
+    @Override
+    public void onStreamStarted(
+            long nowMicros, String requestId, int attempt, long server, long elapsedMicros) {
+        throw new UnsupportedOperationException("the emulator has no class that streams");
+    }
+
+    @Override
+    public void onBufferLimit(long nowMicros, long maxBytes) {}
+
+    @Override
+    public void onUploadComplete(long nowMicros, String requestId, long deadlineMicros) {}
+
+    @Override
+    public void onReplayBufferExceeded(long nowMicros, String requestId) {}
+}
--- a/testbed/src/main/java/sagefall/policy/ModulePolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ModulePolicy.java
@@ -6,7 +6,7 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.emulator.SettingsMessage;
 
-/** The decision module as it stands in this build. */
+/** The load balancer of this build. */
 public final class ModulePolicy implements Policy {
 
     @Override
@@ -19,7 +19,7 @@
             BalancerSettings settings,
             SettingsMessage message,
             BalancerActions actions,
-            GroundTruth truth) {
+            GroundTruth groundTruth) {
         return new DefaultLoadBalancer(settings, actions);
     }
 }
--- a/testbed/src/main/java/sagefall/policy/Policy.java
+++ b/testbed/src/main/java/sagefall/policy/Policy.java
@@ -5,18 +5,25 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.emulator.SettingsMessage;
 
-/** Something that decides for a fleet: sagefall's module, a build of it, or a baseline. */
+/** Something that decides for a fleet: the load balancer of a build, or a baseline. */
 public interface Policy extends AutoCloseable {
 
-    /** How it is written on the command line, and in results. */
+    /** Its specification, as on the command line and in results. */
     String name();
 
-    /** A fresh instance for one sidecar's life. The settings and the message say the same. */
+    /**
+     * Creates a load balancer for one process of a sidecar.
+     *
+     * @param settings as this build's load balancer reads them
+     * @param message the same settings, as a host sends them to another build
+     * @param actions what the load balancer can do
+     * @param groundTruth for an oracle only
+     */
     LoadBalancer create(
             BalancerSettings settings,
             SettingsMessage message,
             BalancerActions actions,
-            GroundTruth truth);
+            GroundTruth groundTruth);
 
     @Override
     default void close() {}
--- a/testbed/src/main/java/sagefall/report/HeatMap.java
+++ b/testbed/src/main/java/sagefall/report/HeatMap.java
@@ -8,34 +8,56 @@
 import java.util.List;
 import javax.imageio.ImageIO;
 
-/**
- * Rows of values over the seconds of a day, as a picture within the page: a cell for each second.
- */
+/** Rows of values over the seconds of a run, as a picture within the page. */
 final class HeatMap {
 
-    private static final int DOWN = 0x111111;
+    private static final int DOWN_COLOUR = 0x111111;
+    private static final int MIN_HEIGHT = 80;
+    private static final int MAX_HEIGHT = 420;
+    private static final int ROW_HEIGHT = 20;
+
+    /**
+     * Names of groups of rows.
+     *
+     * @param names from the top
+     * @param sizes how many rows each name is for
+     */
+    record RowGroups(List<String> names, int[] sizes) {}
 
     private HeatMap() {}
 
     /**
+     * A picture with a cell for each second.
+     *
      * @param rows by row and second; below 0 is drawn black: nothing is there
-     * @param most the value of the darkest red
-     * @param names of the rows, or of groups of them
-     * @param sizes how many rows each name is for
+     * @param max the value of the darkest red
      */
     static String picture(
-            String title,
-            double[][] rows,
-            double most,
-            List<String> names,
-            int[] sizes,
-            String legend) {
+            String title, double[][] rows, double max, RowGroups groups, String legend) {
+        int height = Math.min(MAX_HEIGHT, Math.max(MIN_HEIGHT, ROW_HEIGHT * rows.length));
+        return "<figure><div class='title'>"
+                + title
+                + "</div><div class='heat'><div class='rows'>"
+                + rowNames(groups)
+                + "</div><img alt='"
+                + title
+                + "' style='height:"
+                + height
+                + "px' src='data:image/png;base64,"
+                + Base64.getEncoder().encodeToString(png(rows, max))
+                + "'></div><figcaption>"
+                + legend
+                + "</figcaption></figure>\n";
+    }
+
+    private static byte[] png(double[][] rows, double max) {
         int height = rows.length;
         int width = rows[0].length;
         BufferedImage image = new BufferedImage(width, height, BufferedImage.TYPE_INT_RGB);
         for (int y = 0; y < height; y++) {
             for (int x = 0; x < width; x++) {
-                image.setRGB(x, y, rows[y][x] < 0 ? DOWN : colour(Math.min(1, rows[y][x] / most)));
+                double value = rows[y][x];
+                image.setRGB(x, y, value < 0 ? DOWN_COLOUR : colour(Math.min(1, value / max)));
             }
         }
         ByteArrayOutputStream png = new ByteArrayOutputStream();
@@ -44,34 +66,26 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        StringBuilder rowNames = new StringBuilder();
-        for (int i = 0; i < names.size(); i++) {
-            rowNames.append("<span style='flex:")
-                    .append(sizes[i])
+        return png.toByteArray();
+    }
+
+    private static String rowNames(RowGroups groups) {
+        StringBuilder names = new StringBuilder();
+        for (int i = 0; i < groups.names.size(); i++) {
+            names.append("<span style='flex:")
+                    .append(groups.sizes[i])
                     .append("'>")
-                    .append(names.get(i))
+                    .append(groups.names.get(i))
                     .append("</span>");
         }
-        return "<figure><div class='title'>"
-                + title
-                + "</div><div class='heat'><div class='rows'>"
-                + rowNames
-                + "</div><img alt='"
-                + title
-                + "' style='height:"
-                + Math.min(420, Math.max(80, 20 * height))
-                + "px' src='data:image/png;base64,"
-                + Base64.getEncoder().encodeToString(png.toByteArray())
-                + "'></div><figcaption>"
-                + legend
-                + "</figcaption></figure>\n";
+        return names.toString();
     }
 
-    /** From white over yellow to red. */
-    private static int colour(double part) {
-        int green = (int) (part < 0.5 ? 250 - 100 * part : 200 * 2 * (1 - part));
-        int blue = (int) (235 * Math.max(0, 1 - 2 * part));
-        int lessRed = (int) (0x38 * Math.max(0, part - 0.5) * 2);
+    /** From white at 0 over yellow to red at 1. */
+    private static int colour(double share) {
+        int green = (int) (share < 0.5 ? 250 - 100 * share : 200 * 2 * (1 - share));
+        int blue = (int) (235 * Math.max(0, 1 - 2 * share));
+        int lessRed = (int) (0x38 * Math.max(0, share - 0.5) * 2);
         return (0xff0000 - lessRed * 0x10000) | green << 8 | blue;
     }
 }
--- a/testbed/src/main/java/sagefall/report/ScalingPlot.java
+++ b/testbed/src/main/java/sagefall/report/ScalingPlot.java
@@ -6,7 +6,12 @@
 /** Seconds against the size of the fleet, both as powers of ten, beside what n log n would be. */
 public final class ScalingPlot {
 
-    /** A fleet of so many sidecars took so long. */
+    /**
+     * A measurement.
+     *
+     * @param size number of sidecars
+     * @param seconds of one core for a run
+     */
     public record Point(int size, double seconds) {}
 
     private static final int WIDTH = 620;
@@ -14,13 +19,13 @@
     private static final int EDGE = 50;
 
     private final List<Point> points;
-    private final double least;
-    private final double most;
+    private final double logMin;
+    private final double logMax;
 
     private ScalingPlot(List<Point> points) {
         this.points = points;
-        least = Math.log10(points.get(0).seconds) - 0.3;
-        most = Math.log10(points.stream().mapToDouble(Point::seconds).max().orElse(1)) + 0.2;
+        logMin = Math.log10(points.get(0).seconds) - 0.3;
+        logMax = Math.log10(points.stream().mapToDouble(Point::seconds).max().orElse(1)) + 0.2;
     }
 
     /** The plot as an SVG file's text; the points by growing size. */
@@ -35,7 +40,9 @@
     }
 
     private double y(double seconds) {
-        return HEIGHT - EDGE - (HEIGHT - 2 * EDGE) * (Math.log10(seconds) - least) / (most - least);
+        return HEIGHT
+                - EDGE
+                - (HEIGHT - 2 * EDGE) * (Math.log10(seconds) - logMin) / (logMax - logMin);
     }
 
     private String svg() {
@@ -74,7 +81,7 @@
                 + "fill='white'/>\n"
                 + "<text x='"
                 + EDGE
-                + "' y='24'>seconds of one core for a day of 50 s, by sidecars (twice as many "
+                + "' y='24'>seconds of one core for a run of 50 s, by sidecars (twice as many "
                 + "servers)</text>\n<polyline points='"
                 + ideal.toString().trim()
                 + "' fill='none' stroke='#888' stroke-dasharray='5 4'/>\n<polyline points='"
--- a/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
+++ b/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
@@ -11,19 +11,21 @@
 import sagefall.experiment.ParallelSimulations;
 
 /**
- * Writes each day as a line of JSON when it is done, so that an experiment that is broken off
- * leaves them.
+ * Writes each result as a line of JSON when the run is done, so that an experiment that is
+ * interrupted leaves them.
  */
 public final class SimulationResultWriter implements ParallelSimulations.Listener {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
+    private static final String FILE_NAME = "days.jsonl";
+
     private final Path file;
 
-    /** A folder, made where it is missing; days of an earlier experiment in it are replaced. */
-    public SimulationResultWriter(Path folder) throws IOException {
-        Files.createDirectories(folder);
-        file = folder.resolve("days.jsonl");
+    /** Creates the directory where it is missing; results of an earlier experiment are replaced. */
+    public SimulationResultWriter(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        file = directory.resolve(FILE_NAME);
         Files.writeString(file, "");
     }
 
--- a/testbed/src/main/java/sagefall/report/SvgChart.java
+++ b/testbed/src/main/java/sagefall/report/SvgChart.java
@@ -6,9 +6,9 @@
 import sagefall.emulator.InjectedFault;
 
 /**
- * Charts over the seconds of a day, as SVG text. Drawn here and not by a plotting library: the
- * charts stand still, a reader can search their text and copy their values, and no library for the
- * JDK writes them without a window system or scripts from elsewhere.
+ * Charts over the seconds of a run, as SVG text. Drawn here and not by a plotting library: the
+ * charts are static, a reader can search their text and copy their values, and no library for the
+ * JDK writes them without a window system or external scripts.
  */
 final class SvgChart {
 
@@ -19,7 +19,7 @@
     private static final int TOP = 28;
     private static final int BOTTOM = 26;
 
-    /** Colours that the colour-blind tell apart. */
+    /** Colours that the colour-blind can distinguish. */
     static final List<String> COLOURS =
             List.of(
                     "#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#8C6D1F",
@@ -27,15 +27,15 @@
 
     private final StringBuilder out = new StringBuilder();
     private final int seconds;
-    private final double most;
+    private final double max;
 
-    SvgChart(String title, int seconds, double most, String unit) {
+    SvgChart(String title, int seconds, double max, String unit) {
         this.seconds = seconds;
-        this.most = most <= 0 ? 1 : most;
+        this.max = max <= 0 ? 1 : max;
         add("<figure><svg viewBox='0 0 %d %d' role='img' aria-label='%s'>", WIDTH, HEIGHT, title);
         add("<text x='%d' y='16' class='title'>%s, %s</text>", LEFT, title, unit);
         for (int i = 0; i <= 4; i++) {
-            double value = this.most * i / 4;
+            double value = this.max * i / 4;
             add(
                     "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='grid'/>",
                     LEFT, WIDTH - RIGHT, y(value), y(value));
@@ -66,23 +66,29 @@
     }
 
     private double y(double value) {
-        return HEIGHT - BOTTOM - (HEIGHT - TOP - BOTTOM) * Math.min(1, value / most);
+        return HEIGHT - BOTTOM - (HEIGHT - TOP - BOTTOM) * Math.min(1, value / max);
     }
 
-    /** The troubles of the day, shaded, with their names on lines of their own. */
-    SvgChart troubles(List<InjectedFault> troubles) {
+    /** The faults of the run, shaded, with their names on lines of their own. */
+    SvgChart faults(List<InjectedFault> faults) {
         int line = 0;
-        for (InjectedFault t : troubles) {
+        for (InjectedFault fault : faults) {
             add(
-                    "<rect x='%.1f' y='%d' width='%.1f' height='%d' class='trouble'/>",
-                    x(t.from()), TOP, Math.max(1, x(t.to()) - x(t.from())), HEIGHT - TOP - BOTTOM);
+                    "<rect x='%.1f' y='%d' width='%.1f' height='%d' class='fault'/>",
+                    x(fault.from()),
+                    TOP,
+                    Math.max(1, x(fault.to()) - x(fault.from())),
+                    HEIGHT - TOP - BOTTOM);
             add(
                     "<text x='%.1f' y='%d' class='name'>%s</text>",
-                    x(t.from()) + 3, TOP + 10 + 10 * (line++ % 6), t.what().replace('_', ' '));
+                    x(fault.from()) + 3,
+                    TOP + 10 + 10 * (line++ % 6),
+                    fault.what().replace('_', ' '));
         }
         return this;
     }
 
+    /** A value for each second. */
     SvgChart line(double[] values, String colour) {
         StringBuilder points = new StringBuilder();
         for (int s = 0; s < values.length; s++) {
--- a/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
@@ -16,31 +16,34 @@
 public record BenchmarkFigures(
         List<BenchmarkBuild> builds, List<BenchmarkMeasurement> measurements) {
 
-    /** Reads a file of builds and plays, as strictly as a scenario. */
+    private static final double MIN_GOAL = -10;
+    private static final double MAX_GOAL = 1;
+    private static final List<String> ANY_TEXT = List.of();
+
+    /** Reads a file of builds and measurements, as strictly as a scenario. */
     public static BenchmarkFigures load(Path file) throws IOException, ScenarioException {
         if (!Files.isReadable(file)) {
             throw new ScenarioException(file + ":1: no such file");
         }
-        TomlTable all = Scenario.table(file.toString(), Files.readString(file), List.of());
+        TomlTable root = TomlDocument.parse(file.toString(), Files.readString(file), List.of());
         List<BenchmarkBuild> builds = new ArrayList<>();
-        for (TomlTable t : all.tables("build")) {
-            builds.add(
-                    new BenchmarkBuild(
-                            t.word("name", null, List.of()), t.word("policy", null, List.of())));
-            t.requireNoUnknownKeys();
+        for (TomlTable table : root.tables("build")) {
+            String name = table.word("name", null, ANY_TEXT);
+            builds.add(new BenchmarkBuild(name, table.word("policy", null, ANY_TEXT)));
+            table.requireNoUnknownKeys();
         }
         List<String> names = builds.stream().map(BenchmarkBuild::name).toList();
-        List<BenchmarkMeasurement> plays = new ArrayList<>();
-        for (TomlTable t : all.tables("play")) {
-            plays.add(
+        List<BenchmarkMeasurement> measurements = new ArrayList<>();
+        for (TomlTable table : root.tables("play")) {
+            measurements.add(
                     new BenchmarkMeasurement(
-                            t.word("build", null, names),
-                            t.word("scenario", null, Scenario.EMULATOR_NAMES),
-                            t.word("day", null, List.of()),
-                            t.number("g", 0, -10, 1)));
-            t.requireNoUnknownKeys();
+                            table.word("build", null, names),
+                            table.word("scenario", null, Scenario.EMULATOR_NAMES),
+                            table.word("day", null, ANY_TEXT),
+                            table.number("g", 0, MIN_GOAL, MAX_GOAL)));
+            table.requireNoUnknownKeys();
         }
-        all.requireNoUnknownKeys();
-        return new BenchmarkFigures(builds, plays);
+        root.requireNoUnknownKeys();
+        return new BenchmarkFigures(builds, measurements);
     }
 }
--- a/testbed/src/main/java/sagefall/scenario/FaultKind.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultKind.java
@@ -128,9 +128,9 @@
             ZONE,
             MAGNITUDE),
     /**
-     * The whole machines of a fraction of the sidecars, and of a zone's servers, lose power and
-     * restart after so many seconds. Mode: fresh, if a sidecar's configuration has the current
-     * list, or stale, if it has that of its first start.
+     * The machines of a fraction of the sidecars, and of a zone's servers, lose power and restart
+     * after so many seconds. Mode: fresh, if a sidecar's configuration has the current list, or
+     * stale, if it has that of its first start.
      */
     POWER_LOSS(
             "power_loss",
