--- a/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
@@ -26,7 +26,7 @@
  * @param slowStartSeconds time until a cold server is warm by the rules
  * @param slowStartLimitFactor by how many times its present capacity a cold server may be loaded
  * @param slowStartLimitSeconds the window over which that load is counted
- * @param drainGraceMillis how long after the news of a drain a server may still be sent to
+ * @param drainGraceMillis how long after a drain is known requests may still be sent
  * @param answerGraceMillis how long after its deadline a request must be answered
  * @param tickMillis resolution of the clock that sidecars are given
  */
--- a/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
@@ -8,9 +8,9 @@
 import java.util.regex.Pattern;
 
 /**
- * On which line of a TOML text each name stands. The parser keeps no places, and a message without
- * one is of little use in a file of a hundred lines. A name within an inline table is told by its
- * table's line.
+ * On which line of a TOML text each key stands. The parser keeps no locations, and a message
+ * without one is of little use in a file of a hundred lines. A key within an inline table has the
+ * line of its table.
  */
 final class TomlLineIndex {
 
@@ -18,11 +18,11 @@
             Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
     private static final Pattern ENTRY = Pattern.compile("\\s*([A-Za-z0-9_.-]+)\\s*=.*");
 
-    private final Map<String, Integer> numbers = new HashMap<>();
+    private final Map<String, Integer> lineNumbers = new HashMap<>();
     private final Set<String> overridden = new HashSet<>();
 
     TomlLineIndex(String text) {
-        Map<String, Integer> counts = new HashMap<>();
+        Map<String, Integer> tableCounts = new HashMap<>();
         String table = "";
         int number = 0;
         for (String line : text.split("\n", -1)) {
@@ -30,20 +30,23 @@
             Matcher header = HEADER.matcher(line);
             Matcher entry = ENTRY.matcher(line);
             if (header.matches()) {
+                boolean inArray = header.group(1).equals("[[");
                 String name = header.group(2);
-                table =
-                        header.group(1).equals("[[")
-                                ? name + "[" + (counts.merge(name, 1, Integer::sum) - 1) + "]"
-                                : name;
-                numbers.put(table, number);
+                table = inArray ? nextInArray(name, tableCounts) : name;
+                lineNumbers.put(table, number);
             } else if (entry.matches()) {
-                numbers.put(
-                        table.isEmpty() ? entry.group(1) : table + "." + entry.group(1), number);
+                String key = entry.group(1);
+                lineNumbers.put(table.isEmpty() ? key : table + "." + key, number);
             }
         }
     }
 
-    /** A figure that the command line has put in the place of the file's. */
+    private static String nextInArray(String name, Map<String, Integer> tableCounts) {
+        int index = tableCounts.merge(name, 1, Integer::sum) - 1;
+        return name + "[" + index + "]";
+    }
+
+    /** The command line has put a value in the place of the file's. */
     void override(String path) {
         overridden.add(path);
     }
@@ -53,18 +56,19 @@
      * line.
      */
     String location(String file, String path) {
-        return overridden.contains(path) ? "--set" : file + ":" + of(path);
+        return overridden.contains(path) ? "--set" : file + ":" + lineOf(path);
     }
 
-    /** The line of a path, or of the nearest table round it. */
-    private int of(String path) {
-        for (String at = path; !at.isEmpty(); ) {
-            Integer number = numbers.get(at);
+    /** The line of a path, or of the nearest table that holds it. */
+    private int lineOf(String path) {
+        String prefix = path;
+        while (!prefix.isEmpty()) {
+            Integer number = lineNumbers.get(prefix);
             if (number != null) {
                 return number;
             }
-            int cut = Math.max(at.lastIndexOf('.'), at.lastIndexOf('['));
-            at = cut < 0 ? "" : at.substring(0, cut);
+            int cut = Math.max(prefix.lastIndexOf('.'), prefix.lastIndexOf('['));
+            prefix = cut < 0 ? "" : prefix.substring(0, cut);
         }
         return 1;
     }
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -9,17 +9,25 @@
 import java.util.Set;
 
 /**
- * One table of a scenario, read strictly: scenarios are written by hand, so a name that nothing
- * reads is a mistake. Each {@link ScenarioException} tells file, line and name.
+ * One table of a scenario, read strictly: scenarios are written by hand, so a key that nothing
+ * reads is a mistake. Each {@link ScenarioException} states file, line and key.
  */
-public final class TomlTable {
+final class TomlTable {
+
+    /** Whole numbers below this are printed without an exponent. */
+    private static final double MAX_PLAIN_INTEGER = 1e15;
 
     private final String file;
     private final TomlLineIndex lines;
     private final String path;
     private final JsonNode node;
-    private final Set<String> read = new LinkedHashSet<>();
+    private final Set<String> readKeys = new LinkedHashSet<>();
 
+    /**
+     * A table.
+     *
+     * @param path of the table within the file; empty for the root
+     */
     TomlTable(String file, TomlLineIndex lines, String path, JsonNode node) {
         this.file = file;
         this.lines = lines;
@@ -27,171 +35,171 @@
         this.node = node;
     }
 
-    private String at(String name) {
-        return path.isEmpty() ? name : path + "." + name;
+    private String pathOf(String key) {
+        return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Where a name stands: file, line and the whole name. */
-    String location(String name) {
-        return lines.location(file, at(name)) + ": " + at(name);
+    /** Where a key stands: file, line and full path. */
+    String location(String key) {
+        return lines.location(file, pathOf(key)) + ": " + pathOf(key);
     }
 
-    /** What is wrong with one of the names. */
-    public ScenarioException error(String name, String why) {
-        return new ScenarioException(location(name) + ": " + why);
+    /** An exception for the value of a key. */
+    ScenarioException error(String key, String reason) {
+        return new ScenarioException(location(key) + ": " + reason);
     }
 
-    private JsonNode get(String name) {
-        read.add(name);
-        return node.get(name);
+    private JsonNode get(String key) {
+        readKeys.add(key);
+        return node.get(key);
     }
 
-    /** Whether the name is given. */
-    public boolean has(String name) {
-        return node.has(name);
+    /** Whether the key is given. */
+    boolean has(String key) {
+        return node.has(key);
     }
 
-    /** A figure, or {@code [low, high]} for one that the seed draws, within two bounds. */
-    public ValueRange range(String name, ValueRange otherwise, double least, double most)
+    /** A number, or {@code [low, high]} for one that the seed draws, within two bounds. */
+    ValueRange range(String key, ValueRange defaultRange, double min, double max)
             throws ScenarioException {
-        JsonNode value = get(name);
+        JsonNode value = get(key);
         if (value == null) {
-            return otherwise;
-        }
-        ValueRange range =
-                value.isNumber()
-                        ? ValueRange.of(value.doubleValue())
-                        : value.isArray()
-                                        && value.size() == 2
-                                        && value.get(0).isNumber()
-                                        && value.get(1).isNumber()
-                                ? new ValueRange(
-                                        value.get(0).doubleValue(), value.get(1).doubleValue())
-                                : null;
-        if (range == null) {
-            throw error(name, "must be a number or [low, high]");
-        }
-        if (!(range.low() >= least && range.high() <= most && range.low() <= range.high())) {
-            throw error(
-                    name,
-                    "must lie from "
-                            + plain(least)
-                            + " to "
-                            + plain(most)
-                            + (range.low() > range.high() ? ", the lower bound first" : ""));
+            return defaultRange;
+        }
+        ValueRange range = toRange(key, value);
+        boolean ordered = range.low() <= range.high();
+        if (!(range.low() >= min && range.high() <= max && ordered)) {
+            String reason = "must lie from " + plain(min) + " to " + plain(max);
+            boolean reversed = range.low() > range.high();
+            throw error(key, reversed ? reason + ", the lower bound first" : reason);
         }
         return range;
     }
 
-    /** A figure that no seed changes. */
-    public double number(String name, double otherwise, double least, double most)
+    private ValueRange toRange(String key, JsonNode value) throws ScenarioException {
+        if (value.isNumber()) {
+            return ValueRange.of(value.doubleValue());
+        }
+        boolean pair =
+                value.isArray()
+                        && value.size() == 2
+                        && value.get(0).isNumber()
+                        && value.get(1).isNumber();
+        if (!pair) {
+            throw error(key, "must be a number or [low, high]");
+        }
+        return new ValueRange(value.get(0).doubleValue(), value.get(1).doubleValue());
+    }
+
+    /** A number that no seed changes. */
+    double number(String key, double defaultValue, double min, double max)
             throws ScenarioException {
-        ValueRange range = range(name, ValueRange.of(otherwise), least, most);
+        ValueRange range = range(key, ValueRange.of(defaultValue), min, max);
         if (range.low() != range.high()) {
-            throw error(name, "must be one number");
+            throw error(key, "must be one number");
         }
         return range.low();
     }
 
-    /** A whole number. */
-    public int integer(String name, int otherwise, int least, int most) throws ScenarioException {
-        double value = number(name, otherwise, least, most);
+    /** An integer. */
+    int integer(String key, int defaultValue, int min, int max) throws ScenarioException {
+        double value = number(key, defaultValue, min, max);
         if (value != Math.rint(value)) {
-            throw error(name, "must be a whole number");
+            throw error(key, "must be a whole number");
         }
         return (int) value;
     }
 
     /** True or false. */
-    public boolean flag(String name, boolean otherwise) throws ScenarioException {
-        JsonNode value = get(name);
+    boolean flag(String key, boolean defaultValue) throws ScenarioException {
+        JsonNode value = get(key);
         if (value != null && !value.isBoolean()) {
-            throw error(name, "must be true or false");
+            throw error(key, "must be true or false");
         }
-        return value == null ? otherwise : value.booleanValue();
+        return value == null ? defaultValue : value.booleanValue();
     }
 
-    /** One of some words; any text where none are given. */
-    public String word(String name, String otherwise, List<String> allowed)
-            throws ScenarioException {
-        JsonNode value = get(name);
+    /**
+     * A text.
+     *
+     * @param defaultValue null where the key must be given
+     * @param allowed any text where it is empty
+     */
+    String word(String key, String defaultValue, List<String> allowed) throws ScenarioException {
+        JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
-            throw error(name, "must be a text");
+            throw error(key, "must be a text");
         }
-        String word = value == null ? otherwise : value.textValue();
+        String word = value == null ? defaultValue : value.textValue();
         if (word == null) {
-            throw error(name, "is missing");
+            throw error(key, "is missing");
         }
         if (!allowed.isEmpty() && !allowed.contains(word)) {
-            throw error(name, "'" + word + "' is none of " + String.join(", ", allowed));
+            throw error(key, "'" + word + "' is none of " + String.join(", ", allowed));
         }
         return word;
     }
 
-    /** A list of texts. */
-    public List<String> strings(String name, List<String> otherwise) throws ScenarioException {
-        JsonNode value = get(name);
+    /** A list of different texts. */
+    List<String> strings(String key, List<String> defaultValue) throws ScenarioException {
+        JsonNode value = get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        List<String> words = new ArrayList<>();
-        for (JsonNode one : value) {
-            words.add(one.textValue());
+        List<String> texts = new ArrayList<>();
+        for (JsonNode element : value) {
+            texts.add(element.textValue());
         }
-        if (!value.isArray()
-                || words.isEmpty()
-                || words.contains(null)
-                || new LinkedHashSet<>(words).size() < words.size()) {
-            throw error(name, "must be a list of texts that differ");
+        boolean different = new LinkedHashSet<>(texts).size() == texts.size();
+        if (!value.isArray() || texts.isEmpty() || texts.contains(null) || !different) {
+            throw error(key, "must be a list of texts that differ");
         }
-        return words;
+        return texts;
     }
 
     /** A table within this one; an empty one where it is not given. */
-    public TomlTable table(String name) throws ScenarioException {
-        JsonNode value = get(name);
+    TomlTable table(String key) throws ScenarioException {
+        JsonNode value = get(key);
         if (value != null && !value.isObject()) {
-            throw error(name, "must be a table");
+            throw error(key, "must be a table");
         }
-        return new TomlTable(
-                file,
-                lines,
-                at(name),
-                value == null ? JsonNodeFactory.instance.objectNode() : value);
+        JsonNode child = value == null ? JsonNodeFactory.instance.objectNode() : value;
+        return new TomlTable(file, lines, pathOf(key), child);
     }
 
     /** A list of tables; empty where it is not given. */
-    public List<TomlTable> tables(String name) throws ScenarioException {
-        JsonNode value = get(name);
+    List<TomlTable> tables(String key) throws ScenarioException {
+        JsonNode value = get(key);
         List<TomlTable> tables = new ArrayList<>();
         if (value == null) {
             return tables;
         }
+        String reason = "must be a list of tables: [[" + key + "]]";
         if (!value.isArray()) {
-            throw error(name, "must be a list of tables: [[" + name + "]]");
+            throw error(key, reason);
         }
-        for (JsonNode one : value) {
-            if (!one.isObject()) {
-                throw error(name, "must be a list of tables: [[" + name + "]]");
+        for (JsonNode element : value) {
+            if (!element.isObject()) {
+                throw error(key, reason);
             }
-            tables.add(new TomlTable(file, lines, at(name) + "[" + tables.size() + "]", one));
+            String childPath = pathOf(key) + "[" + tables.size() + "]";
+            tables.add(new TomlTable(file, lines, childPath, element));
         }
         return tables;
     }
 
-    /** To be called when all has been read that means something. */
-    public void requireNoUnknownKeys() throws ScenarioException {
-        for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
-            String name = names.next();
-            if (!read.contains(name)) {
-                throw error(name, "unknown name");
+    /** To be called when all keys that mean something have been read. */
+    void requireNoUnknownKeys() throws ScenarioException {
+        for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
+            String key = keys.next();
+            if (!readKeys.contains(key)) {
+                throw error(key, "unknown name");
             }
         }
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15
-                ? String.valueOf((long) value)
-                : String.valueOf(value);
+        boolean integer = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
+        return integer ? String.valueOf((long) value) : String.valueOf(value);
     }
 }
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -9,7 +9,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagefall.emulator.ClientRequest.Attempt;
 import sagefall.policy.BaselinePolicies;
 import sagefall.scenario.Scenario;
 
@@ -17,7 +16,7 @@
 class KnownResultsTest {
 
     private final EventQueue loop = new EventQueue();
-    private final List<Attempt> done = new ArrayList<>();
+    private final List<EmulatedAttempt> done = new ArrayList<>();
     private final List<Long> doneAt = new ArrayList<>();
     private final EmulatedSidecar nobody = new EmulatedSidecar(null, 0, 0);
 
@@ -49,7 +48,7 @@
                 new ServerListener() {
                     @Override
                     public void onJobDone(Job job) {
-                        done.add((Attempt) job);
+                        done.add((EmulatedAttempt) job);
                         doneAt.add(loop.now());
                     }
 
@@ -62,7 +61,7 @@
     }
 
     private void take(EmulatedServer server, double work) {
-        Attempt a = new Attempt(null, nobody, 0, server, loop.now());
+        EmulatedAttempt a = new EmulatedAttempt(null, nobody, 0, server, loop.now());
         a.workMicros = work;
         a.remainingMicros = work;
         assertTrue(server.accept(a));
@@ -86,7 +85,7 @@
         loop.runUntil((long) at + 100_000_000);
         double sum = 0;
         for (int i = 0; i < count; i++) {
-            sum += doneAt.get(i) - done.get(i).sentAt - done.get(i).workMicros;
+            sum += doneAt.get(i) - done.get(i).startedAtMicros - done.get(i).workMicros;
         }
         double load = c * use;
         double inverse = 0;
@@ -156,7 +155,7 @@
                         List.of());
         SimulationResult r = new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).run();
         for (int second = 0; second < 12; second++) {
-            double lost = 1 - r.series().served()[second] / r.series().asked()[second];
+            double lost = 1 - r.series().served()[second] / r.series().offered()[second];
             boolean cut = second >= 4 && second < 7;
             // Random choice sends half across; a request just before the cut may still be on its
             // way.
--- a/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -34,7 +34,7 @@
             assertEquals(List.of(), r.breaches(), r.scenario());
             assertTrue(r.served() > 0.4, r.scenario() + ": " + r.served());
             double lost =
-                    r.lost().values().stream().mapToDouble(SimulationResult.Loss::worth).sum();
+                    r.lost().values().stream().mapToDouble(SimulationResult.Loss::value).sum();
             assertEquals(
                     r.offeredValue() * (1 - r.served()),
                     lost,
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -99,14 +99,15 @@
                         1);
         ClientOperation wish =
                 new ClientOperation(
-                        0,
-                        EventQueue.START_MICROS,
-                        EventQueue.START_MICROS,
-                        0,
-                        0,
-                        false,
-                        1,
-                        1,
+                        new ClientOperation.Arrival(
+                                0,
+                                EventQueue.START_MICROS,
+                                EventQueue.START_MICROS,
+                                0,
+                                0,
+                                false,
+                                1,
+                                1),
                         zones);
         wish.sidecar = sidecar;
         ClientRequest call =
