--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -29,16 +29,28 @@
             double workMicros,
             double clientDraw) {}
 
+    /** Number of the operation, from 0 on. */
     public final int number;
+
+    /** When the client made its first request. */
     public final long arrivedAtMicros;
+
+    /** Identifies repeated operations. */
     public final long key;
+
+    /** Index of the tenant. */
     public final int tenant;
+
+    /** Whether the tenant had used up its quota. */
     public final boolean overQuota;
 
-    /** Microseconds on a core of speed 1. */
+    /** Work of the server, in microseconds on a core of speed 1. */
     public final double workMicros;
 
+    /** When the client gives up. */
     final long deadlineMicros;
+
+    /** From 0 to 1, what the client's own behaviour is derived from. */
     final double clientDraw;
 
     /** The sidecar that the client is attached to. */
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -1,14 +1,11 @@
 package sagefall.emulator;
 
 import java.util.List;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import sagefall.balancer.api.DeduplicationScope;
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.RequestClass;
 import sagefall.scenario.ClientSettings;
-import sagefall.scenario.LoadSettings;
 import sagefall.scenario.Scenario;
 
 /**
@@ -31,12 +28,6 @@
             ValueAccounting accounting,
             EmulatedNetwork network) {}
 
-    private static final double MIN_WAVE_SECONDS = 10;
-    private static final double WAVE_SPREAD_SECONDS = 20;
-
-    /** While the rate is 0 it is recomputed after this time. */
-    private static final long IDLE_STEP_MICROS = 1000;
-
     /** A retry later than this many latency objectives after the arrival is of no use. */
     private static final int MAX_OBJECTIVES = 2;
 
@@ -60,14 +51,9 @@
     private final double attemptTimeoutMicros;
     private final double backoffMicros;
     private final double retryAfterCompliance;
-    private final double rateSwing;
-    private final double wavePeriodMicros;
     private final double meanWorkMicros;
 
-    /** Arrivals in a microsecond, before all factors. */
-    private final double baseRate;
-
-    private final ZigguratSampler.Exponential interarrival;
+    private final ArrivalProcess arrivals;
     private final OperationGenerator operations;
     private long requestsSent;
 
@@ -112,13 +98,8 @@
         backoffMicros = 1000 * clients.backoffMillis().draw(streams, "clients.wait");
         retryAfterCompliance = clients.retryAfterCompliance().draw(streams, "clients.honour");
         disconnectShare = clients.disconnectShare().draw(streams, "clients.leave");
-        LoadSettings load = scenario.load();
-        rateSwing = load.rateSwing().draw(streams, "load.swing");
-        UniformRandomProvider waves = streams.stream("load.period");
-        wavePeriodMicros = 1e6 * (MIN_WAVE_SECONDS + WAVE_SPREAD_SECONDS * waves.nextDouble());
         meanWorkMicros = 1000 * scenario.service().workMillis().draw(streams, "service.work");
-        baseRate = load.utilization().draw(streams, "load.use") * capacity / meanWorkMicros;
-        interarrival = ZigguratSampler.Exponential.of(streams.stream("arrivals"));
+        arrivals = new ArrivalProcess(scenario.load(), streams, capacity, meanWorkMicros);
         operations =
                 new OperationGenerator(
                         scenario, streams, sidecars, requestClass, capacity, meanWorkMicros);
@@ -151,19 +132,8 @@
 
     private void scheduleNextArrival() {
         long now = events.now();
-        double wave =
-                1
-                        + rateSwing
-                                * Math.sin(
-                                        2
-                                                * Math.PI
-                                                * (now - EventQueue.START_MICROS)
-                                                / wavePeriodMicros);
-        double rate = baseRate * operations.weights().totalFactor() * rateFactor * wave;
-        long atMicros =
-                rate <= 0
-                        ? now + IDLE_STEP_MICROS
-                        : now + (long) Math.ceil(interarrival.sample() / rate);
+        double rate = arrivals.rate(now, operations.weights().totalFactor(), rateFactor);
+        long atMicros = arrivals.nextMicros(now, rate);
         if (atMicros < endMicros) {
             events.scheduleAt(
                     atMicros,
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -4,11 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import sagefall.balancer.api.AttemptOutcome;
 import sagefall.balancer.api.AttemptResult;
-import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.LoadBalancer;
@@ -21,17 +18,14 @@
  * happens into events and actions into what happens, and decides nothing. It holds the connections
  * to servers.
  */
-public final class EmulatedSidecar
-        implements BalancerActions, SidecarHandle, EndpointListSubscriber {
-
-    /** The module's own log lines, for whoever turns this logger on. */
-    private static final Logger LOG = LoggerFactory.getLogger("module");
+public final class EmulatedSidecar implements SidecarHandle, EndpointListSubscriber {
 
     private final SidecarEnvironment environment;
     private final int index;
     private final int zone;
     private final Map<String, ClientRequest> openRequests = new HashMap<>();
-    private final IdleConnections idleConnections = new IdleConnections();
+    private final SidecarConnections connections;
+    private final SidecarActions actions;
     private final EndpointView endpoints = new EndpointView();
     private LoadBalancer balancer;
     private int incarnation;
@@ -43,6 +37,8 @@
         this.environment = environment;
         this.index = index;
         this.zone = zone;
+        connections = new SidecarConnections(environment, this);
+        actions = new SidecarActions(environment, this, connections);
     }
 
     @Override
@@ -75,6 +71,15 @@
         return incarnation;
     }
 
+    /** What its load balancer can do. */
+    SidecarActions actions() {
+        return actions;
+    }
+
+    private EventQueue events() {
+        return environment.events();
+    }
+
     /** What its present process knows of a server, or null. */
     EndpointView.Knowledge knowledgeOf(long server) {
         return endpoints.of(server);
@@ -109,11 +114,11 @@
         up = false;
         incarnation++;
         balancer = null;
-        idleConnections.closeAll(environment::server);
+        connections.closeAllIdle();
         for (ClientRequest request : aborted) {
             for (EmulatedAttempt attempt : request.attempts) {
                 if (attempt.isInFlight()) {
-                    IdleConnections.release(attempt.server, attempt.serverEpoch);
+                    connections.abort(attempt);
                 }
             }
         }
@@ -128,19 +133,18 @@
         if (balancer == null) {
             return;
         }
-        long nowMicros = environment.events().now();
+        long nowMicros = events().now();
         endpoints.apply(nowMicros, kind, list);
         balancer.onEndpointList(nowMicros, kind, list);
     }
 
     @Override
     public void submit(ClientRequest request, boolean markedAsRetry) {
-        EventQueue events = environment.events();
         openRequests.put(request.id, request);
-        atInThisIncarnation(request.deadlineMicros, () -> onDeadline(request));
+        scheduleAt(request.deadlineMicros, () -> onDeadline(request));
         ClientOperation operation = request.operation;
         balancer.onRequest(
-                events.now(),
+                events().now(),
                 new Request(
                         request.id,
                         0,
@@ -158,7 +162,7 @@
                 endAttempt(attempt, AttemptResult.TIMED_OUT, null);
             }
         }
-        afterInThisIncarnation(
+        scheduleAfter(
                 environment.limits().answerGraceMicros(),
                 () -> {
                     if (!request.finished) {
@@ -181,7 +185,7 @@
             return;
         }
         request.finished = true;
-        balancer.onClientDisconnected(environment.events().now(), request.id);
+        balancer.onClientDisconnected(events().now(), request.id);
         removeIfDone(request);
     }
 
@@ -199,13 +203,8 @@
         attempt.end(result);
         ClientRequest request = attempt.request;
         request.inFlight--;
-        long nowMicros = environment.events().now();
-        if (isReusable(attempt, result)) {
-            idleConnections.add(
-                    attempt.server, new IdleConnections.Connection(nowMicros, attempt.serverEpoch));
-        } else {
-            IdleConnections.release(attempt.server, attempt.serverEpoch);
-        }
+        long nowMicros = events().now();
+        connections.release(attempt, result);
         if (result == AttemptResult.SERVED && !request.finished) {
             request.finished = true;
             attempt.answeredClient = true;
@@ -224,110 +223,23 @@
         removeIfDone(request);
     }
 
-    private static boolean isReusable(EmulatedAttempt attempt, AttemptResult result) {
-        boolean answered =
-                result == AttemptResult.SERVED
-                        || result == AttemptResult.ERROR
-                        || result == AttemptResult.REJECTED;
-        return answered
-                && attempt.serverEpoch == attempt.server.epoch
-                && attempt.server.state != EmulatedServer.State.DEAD;
-    }
+    // What the load balancer's actions need.
 
-    // Connections.
-
-    private void connect(EmulatedAttempt attempt) {
-        EventQueue events = environment.events();
-        EmulatedServer server = attempt.server;
-        SidecarEnvironment.Limits limits = environment.limits();
-        // Closed before the server's own timeout, as the real host does.
-        double oldestMicros = events.now() - limits.idleTimeoutMicros() * 2 / 3;
-        IdleConnections.Connection connection = idleConnections.take(server, oldestMicros);
-        if (connection != null) {
-            attempt.serverEpoch = connection.serverEpoch();
-            environment.transmit(attempt);
-            return;
-        }
-        attempt.openedConnection = true;
-        EmulatedNetwork network = environment.network();
-        long latencyMicros = network.oneWayMicros(zone, server.zone);
-        if (network.isCutBetween(zone, server.zone)
-                || server.state == EmulatedServer.State.SILENT) {
-            failToConnect(attempt, limits.connectTimeoutMicros());
-            return;
-        }
-        if (server.state == EmulatedServer.State.DEAD
-                || server.connections >= server.spec.maxConnections()) {
-            failToConnect(attempt, 2 * latencyMicros);
-            return;
-        }
-        attempt.serverEpoch = server.epoch;
-        server.connections++;
-        events.scheduleAfter(
-                (long) (2 * latencyMicros * limits.connectRoundTrips()),
-                () -> onConnected(attempt));
-    }
-
-    private void failToConnect(EmulatedAttempt attempt, long afterMicros) {
-        environment
-                .events()
-                .scheduleAfter(
-                        afterMicros, () -> endAttempt(attempt, AttemptResult.NO_CONNECTION, null));
-    }
-
-    private void onConnected(EmulatedAttempt attempt) {
-        if (!attempt.isInFlight() || attempt.incarnation != incarnation) {
-            return;
-        }
-        if (environment.events().now() >= attempt.sendDeadlineMicros) {
-            endAttempt(attempt, AttemptResult.NOT_SENT, null);
-        } else {
-            environment.transmit(attempt);
-        }
-    }
-
-    // Actions of the load balancer.
-
-    @Override
-    public void send(String requestId, long serverId, long timeoutMicros, long latestMicros) {
-        EventQueue events = environment.events();
-        ClientRequest request = openRequests.get(requestId);
-        EmulatedServer server = environment.server(serverId);
-        environment.invariants().onSend(this, request, requestId, server, serverId);
-        if (request == null || server == null) {
-            return;
-        }
-        EmulatedAttempt attempt =
-                new EmulatedAttempt(request, this, request.attempts.size(), server, events.now());
-        attempt.sendDeadlineMicros = latestMicros;
-        request.attempts.add(attempt);
-        request.inFlight++;
-        if (request.finished || events.now() >= request.deadlineMicros) {
-            events.scheduleAfter(1, () -> endAttempt(attempt, AttemptResult.NOT_SENT, null));
-            return;
-        }
-        if (timeoutMicros > 0 && events.now() + timeoutMicros < request.deadlineMicros) {
-            events.scheduleAfter(
-                    timeoutMicros, () -> endAttempt(attempt, AttemptResult.TIMED_OUT, null));
-        }
-        connect(attempt);
+    /** The open request of that id, or null. */
+    ClientRequest openRequest(String requestId) {
+        return openRequests.get(requestId);
     }
 
-    @Override
-    public void reject(String requestId, long retryAfterMicros, RejectionReason reason) {
-        ClientRequest request = openRequests.get(requestId);
-        environment.invariants().onReject(this, request, requestId);
-        finish(request, ClientAnswer.REJECTED, reason, retryAfterMicros);
+    List<ListedEndpoint> currentList() {
+        return endpoints.list();
     }
 
-    @Override
-    public void fail(String requestId, RejectionReason reason) {
-        ClientRequest request = openRequests.get(requestId);
-        environment.invariants().onAnswer(this, requestId);
-        finish(request, ClientAnswer.FAILED, reason, 0);
+    void onTimer(long token) {
+        balancer.onTimer(events().now(), token);
     }
 
-    private void finish(
+    /** Gives a request its final answer, unless it has one. */
+    void finish(
             ClientRequest request,
             ClientAnswer answer,
             RejectionReason reason,
@@ -340,64 +252,20 @@
         removeIfDone(request);
     }
 
-    @Override
-    public void cancel(String requestId, int attemptNumber) {
-        ClientRequest request = openRequests.get(requestId);
-        if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts.size()) {
-            return;
-        }
-        environment
-                .events()
-                .scheduleAfter(
-                        1,
-                        () ->
-                                endAttempt(
-                                        request.attempts.get(attemptNumber),
-                                        AttemptResult.CANCELLED,
-                                        null));
-    }
-
-    /** Never within the event that is being handled. */
-    @Override
-    public void scheduleTimer(long atMicros, long token) {
-        EventQueue events = environment.events();
-        atInThisIncarnation(
-                Math.max(atMicros, events.now() + 1), () -> balancer.onTimer(events.now(), token));
+    /** Schedules an action that is dropped if this process has ended until then. */
+    void scheduleAfter(long micros, Runnable action) {
+        scheduleAt(events().now() + micros, action);
     }
 
-    @Override
-    public void closeIdleConnections(long serverId) {
-        idleConnections.close(serverId, environment.server(serverId));
-    }
-
-    /** Lists are pushed; a request for one brings the list that the sidecar has. */
-    @Override
-    public void requestEndpointUpdates() {
-        afterInThisIncarnation(
-                1, () -> onEndpointList(EndpointListKind.COMPLETE, endpoints.list()));
-    }
-
-    @Override
-    public void log(String line) {
-        long sinceStartMicros = environment.events().now() - EventQueue.START_MICROS;
-        LOG.debug("{} s, sidecar {}: {}", sinceStartMicros / 1e6, index, line);
-    }
-
-    private void afterInThisIncarnation(long micros, Runnable action) {
-        atInThisIncarnation(environment.events().now() + micros, action);
-    }
-
-    /** Drops the action if this process has ended until then. */
-    private void atInThisIncarnation(long atMicros, Runnable action) {
+    /** Schedules an action that is dropped if this process has ended until then. */
+    void scheduleAt(long atMicros, Runnable action) {
         int scheduledBy = incarnation;
-        environment
-                .events()
-                .scheduleAt(
-                        atMicros,
-                        () -> {
-                            if (scheduledBy == incarnation) {
-                                action.run();
-                            }
-                        });
+        Runnable guarded =
+                () -> {
+                    if (scheduledBy == incarnation) {
+                        action.run();
+                    }
+                };
+        events().scheduleAt(atMicros, guarded);
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -217,7 +217,10 @@
             BalancerSettings settings =
                     BalancerSettingsReader.read(balancerSeed, SettingsMessageCodec.encode(message));
             return policy.create(
-                    settings, message, sidecar, FleetSimulation.this::expectedAnswerMicros);
+                    settings,
+                    message,
+                    sidecar.actions(),
+                    FleetSimulation.this::expectedAnswerMicros);
         }
 
         @Override
--- /dev/null
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -0,0 +1,107 @@
+package sagefall.emulator;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.BalancerActions;
+import sagefall.balancer.api.EndpointListKind;
+import sagefall.balancer.api.RejectionReason;
+
+/** What the load balancer of an emulated sidecar can do; each action is checked first. */
+final class SidecarActions implements BalancerActions {
+
+    /** The load balancer's own log lines, for whoever turns this logger on. */
+    private static final Logger LOG = LoggerFactory.getLogger("module");
+
+    private final SidecarEnvironment environment;
+    private final EmulatedSidecar sidecar;
+    private final SidecarConnections connections;
+
+    SidecarActions(
+            SidecarEnvironment environment,
+            EmulatedSidecar sidecar,
+            SidecarConnections connections) {
+        this.environment = environment;
+        this.sidecar = sidecar;
+        this.connections = connections;
+    }
+
+    @Override
+    public void send(String requestId, long serverId, long timeoutMicros, long latestMicros) {
+        EventQueue events = environment.events();
+        ClientRequest request = sidecar.openRequest(requestId);
+        EmulatedServer server = environment.server(serverId);
+        environment.invariants().onSend(sidecar, request, requestId, server, serverId);
+        if (request == null || server == null) {
+            return;
+        }
+        int number = request.attempts.size();
+        EmulatedAttempt attempt =
+                new EmulatedAttempt(request, sidecar, number, server, events.now());
+        attempt.sendDeadlineMicros = latestMicros;
+        request.attempts.add(attempt);
+        request.inFlight++;
+        if (request.finished || events.now() >= request.deadlineMicros) {
+            endLater(attempt, 1, AttemptResult.NOT_SENT);
+            return;
+        }
+        if (timeoutMicros > 0 && events.now() + timeoutMicros < request.deadlineMicros) {
+            endLater(attempt, timeoutMicros, AttemptResult.TIMED_OUT);
+        }
+        connections.send(attempt);
+    }
+
+    private void endLater(EmulatedAttempt attempt, long afterMicros, AttemptResult result) {
+        environment
+                .events()
+                .scheduleAfter(afterMicros, () -> sidecar.endAttempt(attempt, result, null));
+    }
+
+    @Override
+    public void reject(String requestId, long retryAfterMicros, RejectionReason reason) {
+        ClientRequest request = sidecar.openRequest(requestId);
+        environment.invariants().onReject(sidecar, request, requestId);
+        sidecar.finish(request, ClientAnswer.REJECTED, reason, retryAfterMicros);
+    }
+
+    @Override
+    public void fail(String requestId, RejectionReason reason) {
+        ClientRequest request = sidecar.openRequest(requestId);
+        environment.invariants().onAnswer(sidecar, requestId);
+        sidecar.finish(request, ClientAnswer.FAILED, reason, 0);
+    }
+
+    @Override
+    public void cancel(String requestId, int attemptNumber) {
+        ClientRequest request = sidecar.openRequest(requestId);
+        if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts.size()) {
+            return;
+        }
+        endLater(request.attempts.get(attemptNumber), 1, AttemptResult.CANCELLED);
+    }
+
+    /** Never within the event that is being handled. */
+    @Override
+    public void scheduleTimer(long atMicros, long token) {
+        long earliestMicros = environment.events().now() + 1;
+        sidecar.scheduleAt(Math.max(atMicros, earliestMicros), () -> sidecar.onTimer(token));
+    }
+
+    @Override
+    public void closeIdleConnections(long serverId) {
+        connections.closeIdle(serverId);
+    }
+
+    /** Lists are pushed; a request for one brings the list that the sidecar has. */
+    @Override
+    public void requestEndpointUpdates() {
+        sidecar.scheduleAfter(
+                1, () -> sidecar.onEndpointList(EndpointListKind.COMPLETE, sidecar.currentList()));
+    }
+
+    @Override
+    public void log(String line) {
+        long sinceStartMicros = environment.events().now() - EventQueue.START_MICROS;
+        LOG.debug("{} s, sidecar {}: {}", sinceStartMicros / 1e6, sidecar.index(), line);
+    }
+}
--- a/testbed/src/main/java/sagefall/emulator/WarmUp.java
+++ b/testbed/src/main/java/sagefall/emulator/WarmUp.java
@@ -9,14 +9,16 @@
     private static final long LONG_AGO = 0;
 
     private final ServerSpec spec;
+    private long startedAtMicros = LONG_AGO;
     private double workDoneMicros;
 
     WarmUp(ServerSpec spec) {
         this.spec = spec;
     }
 
-    /** A new process has done no work. */
-    void restart() {
+    /** A new process is cold and has done no work. */
+    void restart(long nowMicros) {
+        startedAtMicros = nowMicros;
         workDoneMicros = 0;
     }
 
@@ -25,12 +27,12 @@
         workDoneMicros += micros;
     }
 
-    /**
-     * From the initial share to 1, linearly in time or, if that is sooner, in the work done.
-     *
-     * @param startedAtMicros when the process started; 0: long ago
-     */
-    double capacityShare(long startedAtMicros, long atMicros) {
+    boolean isWarmingUp(long nowMicros) {
+        return startedAtMicros != LONG_AGO && capacityShare(nowMicros) < 1;
+    }
+
+    /** From the initial share to 1, linearly in time or, if that is sooner, in the work done. */
+    double capacityShare(long atMicros) {
         if (startedAtMicros == LONG_AGO) {
             return 1;
         }
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -3,10 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -76,4 +79,38 @@
                         .getMessage();
         assertEquals(line, message.substring(0, Math.min(line.length(), message.length())));
     }
+
+    /** The policy files of an older checkout, which were written against another interface. */
+    @Test
+    void policyFilesOfAnotherBuildCostOneLine(@TempDir Path checkout) throws Exception {
+        Files.createDirectories(checkout.resolve("deploy"));
+        Files.writeString(
+                checkout.resolve("deploy/balancer.toml"), "policy = [\"OldChoice.java\"]\n");
+        Files.writeString(
+                checkout.resolve("OldChoice.java"),
+                "package old; class OldChoice implements LoadBalancer { final int SPILL = 1; }");
+        String message =
+                assertThrows(
+                                PolicyException.class,
+                                () -> PolicyRegistry.of("module:OldChoice.SPILL=2", checkout))
+                        .getMessage();
+        assertEquals(
+                "module:OldChoice.SPILL=2: OldChoice.SPILL is no tunable of the policy files",
+                message);
+
+        Files.writeString(
+                checkout.resolve("OldChoice.java"),
+                "package old; class OldChoice implements LoadBalancer {"
+                        + " private static final int SPILL = 1; }");
+        message =
+                assertThrows(
+                                PolicyException.class,
+                                () -> PolicyRegistry.of("module:SPILL=2", checkout))
+                        .getMessage();
+        assertEquals(1, message.lines().count());
+        assertTrue(
+                message.startsWith(
+                        "module:SPILL=2: the policy files do not compile against this build: "),
+                message);
+    }
 }
