--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -55,18 +55,10 @@
         BalancerSettings settings =
                 BalancerSettingsReader.read(0, SettingsMessageCodec.encode(message));
         RequestClass requestClass = settings.classes().get(0);
+        long drainGraceMicros = message.hostRules().drainGraceMicros();
         invariants =
-                new InvariantChecker(
-                        events,
-                        requestClass,
-                        settings.limits(),
-                        message.hostRules().drainGraceMicros());
-        accounting =
-                new ValueAccounting(
-                        (int) Math.ceil(scenario.seconds()),
-                        zones,
-                        scenario.tenants().size(),
-                        scenario.service().overQuotaWeight());
+                new InvariantChecker(events, requestClass, settings.limits(), drainGraceMicros);
+        accounting = createAccounting(scenario);
 
         SharedSlowdown sharedSlowdown = new SharedSlowdown();
         ServerFactory factory =
@@ -89,6 +81,14 @@
         faults = new FaultInjector(events, streams, scenario.seconds(), targets);
     }
 
+    private static ValueAccounting createAccounting(Scenario scenario) {
+        return new ValueAccounting(
+                (int) Math.ceil(scenario.seconds()),
+                scenario.fleet().zones().size(),
+                scenario.tenants().size(),
+                scenario.service().overQuotaWeight());
+    }
+
     private static SidecarEnvironment.Limits limits(Scenario scenario, RandomStreams streams) {
         return new SidecarEnvironment.Limits(
                 1e6 * scenario.network().idleTimeoutSeconds(),
--- a/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
@@ -60,21 +60,12 @@
         double worstTenant = worstTenant(accounting);
         double operations = Math.max(1, accounting.operations());
         double wastedWork = accounting.workWasted() / Math.max(1, accounting.workDone());
-        double price =
-                CROSSING_PRICE * accounting.zoneCrossings() / operations
-                        + CONNECTION_PRICE * accounting.openedConnections() / operations
-                        + WASTED_WORK_PRICE * wastedWork
-                        + LATE_LOSS_PRICE * accounting.lateValue() / Math.max(TINY, offered);
-        double goal =
-                SERVED_WEIGHT * served
-                        + WORST_WINDOW_WEIGHT * worstWindow
-                        + WORST_TENANT_WEIGHT * worstTenant
-                        - price;
+        double price = price(accounting, wastedWork, offered);
         return new SimulationResult(
                 scenario.name(),
                 seed,
                 policy,
-                goal,
+                goal(served, worstWindow, worstTenant, price),
                 served,
                 worstWindow,
                 worstTenant,
@@ -98,6 +89,22 @@
                 observations.events);
     }
 
+    private static double goal(
+            double served, double worstWindow, double worstTenant, double price) {
+        return SERVED_WEIGHT * served
+                + WORST_WINDOW_WEIGHT * worstWindow
+                + WORST_TENANT_WEIGHT * worstTenant
+                - price;
+    }
+
+    private static double price(ValueAccounting accounting, double wastedWork, double offered) {
+        double operations = Math.max(1, accounting.operations());
+        return CROSSING_PRICE * accounting.zoneCrossings() / operations
+                + CONNECTION_PRICE * accounting.openedConnections() / operations
+                + WASTED_WORK_PRICE * wastedWork
+                + LATE_LOSS_PRICE * accounting.lateValue() / Math.max(TINY, offered);
+    }
+
     private static Map<String, SimulationResult.Loss> losses(ValueAccounting accounting) {
         Map<String, SimulationResult.Loss> losses = new TreeMap<>();
         accounting.lost.forEach(
--- a/testbed/src/main/java/sagefall/report/ScalingPlot.java
+++ b/testbed/src/main/java/sagefall/report/ScalingPlot.java
@@ -46,33 +46,6 @@
     }
 
     private String svg() {
-        StringBuilder measured = new StringBuilder();
-        StringBuilder ideal = new StringBuilder();
-        StringBuilder marks = new StringBuilder();
-        Point first = points.get(0);
-        double scale = first.seconds / (first.size * Math.log(first.size));
-        for (Point p : points) {
-            measured.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(p.size), y(p.seconds)));
-            ideal.append(
-                    String.format(
-                            Locale.ROOT,
-                            "%.1f,%.1f ",
-                            x(p.size),
-                            y(scale * p.size * Math.log(p.size))));
-            marks.append(
-                    String.format(
-                            Locale.ROOT,
-                            "<circle cx='%.1f' cy='%.1f' r='3'/><text x='%.1f' y='%.1f'>%.1f"
-                                    + " s</text><text x='%.1f' y='%d'>%d</text>%n",
-                            x(p.size),
-                            y(p.seconds),
-                            x(p.size) - 12,
-                            y(p.seconds) - 9,
-                            p.seconds,
-                            x(p.size) - 10,
-                            HEIGHT - EDGE + 20,
-                            p.size));
-        }
         return "<svg xmlns='http://www.w3.org/2000/svg' viewBox='0 0 "
                 + WIDTH
                 + " "
@@ -83,11 +56,11 @@
                 + EDGE
                 + "' y='24'>seconds of one core for a run of 50 s, by sidecars (twice as many "
                 + "servers)</text>\n<polyline points='"
-                + ideal.toString().trim()
+                + idealLine()
                 + "' fill='none' stroke='#888' stroke-dasharray='5 4'/>\n<polyline points='"
-                + measured.toString().trim()
+                + measuredLine()
                 + "' fill='none' stroke='#0072B2' stroke-width='2'/>\n"
-                + marks
+                + marks()
                 + "<text x='"
                 + EDGE
                 + "' y='"
@@ -95,4 +68,47 @@
                 + "'>solid: measured; dashed: n log n from the first"
                 + "</text></svg>\n";
     }
+
+    private String measuredLine() {
+        StringBuilder line = new StringBuilder();
+        for (Point point : points) {
+            line.append(coordinates(point.size, point.seconds));
+        }
+        return line.toString().trim();
+    }
+
+    private String idealLine() {
+        Point first = points.get(0);
+        double scale = first.seconds / (first.size * Math.log(first.size));
+        StringBuilder line = new StringBuilder();
+        for (Point point : points) {
+            line.append(coordinates(point.size, scale * point.size * Math.log(point.size)));
+        }
+        return line.toString().trim();
+    }
+
+    private String coordinates(int size, double seconds) {
+        return String.format(Locale.ROOT, "%.1f,%.1f ", x(size), y(seconds));
+    }
+
+    /** A dot at each measurement, with its seconds above and its size on the axis. */
+    private String marks() {
+        StringBuilder marks = new StringBuilder();
+        for (Point point : points) {
+            marks.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<circle cx='%.1f' cy='%.1f' r='3'/><text x='%.1f' y='%.1f'>%.1f"
+                                    + " s</text><text x='%.1f' y='%d'>%d</text>%n",
+                            x(point.size),
+                            y(point.seconds),
+                            x(point.size) - 12,
+                            y(point.seconds) - 9,
+                            point.seconds,
+                            x(point.size) - 10,
+                            HEIGHT - EDGE + 20,
+                            point.size));
+        }
+        return marks.toString();
+    }
 }
--- a/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
+++ b/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
@@ -40,7 +40,7 @@
     private static final List<String> DEFAULT_SCENARIOS = List.of("calm", "roll", "herd");
     private static final long DEFAULT_SEED = 1;
 
-    /** One line of the resource; figures are kept as text so that no digit is lost. */
+    /** One line of the resource; figures are stored as text so that no digit is lost. */
     private record Golden(String scenario, long seed, String g, String served, String requests) {
 
         static Golden parse(String line) {
@@ -116,15 +116,15 @@
     void figuresAreTheSameToTheLastDigit() throws Exception {
         List<Golden> days = read().stream().filter(day -> ALL || day.isDefault()).toList();
         assertFalse(days.isEmpty());
-        List<SimulationRequest> plays = new ArrayList<>();
+        List<SimulationRequest> requests = new ArrayList<>();
         for (Golden day : days) {
             Scenario scenario =
                     Scenario.load(day.scenario, List.of())
                             .requireSupportedBy(ScenarioRunner.EMULATOR);
-            plays.add(new SimulationRequest(scenario, day.seed, POLICY));
+            requests.add(new SimulationRequest(scenario, day.seed, POLICY));
         }
         List<SimulationResult> results =
-                new ParallelSimulations(THREADS, Path.of("."), null).runAll(plays, result -> {});
+                new ParallelSimulations(THREADS, Path.of("."), null).runAll(requests, result -> {});
         List<String> mismatches = new ArrayList<>();
         for (int i = 0; i < days.size(); i++) {
             mismatches.addAll(days.get(i).mismatches(Golden.of(results.get(i))));
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -29,7 +29,7 @@
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
 
-/** Each rule has a mutant that breaks it, and is caught at it; the module itself breaks none. */
+/** Each invariant has a mutant that breaks it and is detected; the load balancer breaks none. */
 class InvariantCheckerTest {
 
     private static Scenario scenario() throws Exception {
@@ -149,14 +149,14 @@
                     BalancerSettings settings,
                     SettingsMessage message,
                     BalancerActions actions,
-                    GroundTruth truth) {
+                    GroundTruth groundTruth) {
                 return (LoadBalancer)
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(),
                                 new Class<?>[] {LoadBalancer.class},
                                 new Mutant(
                                         rule,
-                                        random.create(settings, message, actions, truth),
+                                        random.create(settings, message, actions, groundTruth),
                                         actions));
             }
         };
@@ -164,7 +164,7 @@
 
     @ParameterizedTest
     @EnumSource(Rule.class)
-    void aMutantIsCaught(Rule rule) throws Exception {
+    void mutantIsDetected(Rule rule) throws Exception {
         SimulationResult r = new FleetSimulation(scenario(), 3, mutant(rule)).run();
         assertTrue(
                 r.breaches().stream().anyMatch(b -> b.rule() == rule),
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void theModuleBreaksNoRule() throws Exception {
+    void loadBalancerBreaksNoInvariant() throws Exception {
         for (long seed = 1; seed <= 4; seed++) {
             assertEquals(
                     List.of(),
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -12,15 +12,15 @@
 import sagefall.policy.BaselinePolicies;
 import sagefall.scenario.Scenario;
 
-/** Parts of the model against what is known of them without it. */
+/** Parts of the emulator against results that are known from theory. */
 class KnownResultsTest {
 
-    private final EventQueue loop = new EventQueue();
+    private final EventQueue events = new EventQueue();
     private final List<EmulatedAttempt> done = new ArrayList<>();
     private final List<Long> doneAt = new ArrayList<>();
-    private final EmulatedSidecar nobody = new EmulatedSidecar(null, 0, 0);
+    private final EmulatedSidecar sidecar = new EmulatedSidecar(null, 0, 0);
 
-    private EmulatedServer server(int cores, double coldFrom, long coldMicros) {
+    private EmulatedServer server(int cores, double initialCapacityShare, long slowStartMicros) {
         return new EmulatedServer(
                 new ServerIdentity(1, 0, 0),
                 new ServerSpec(
@@ -31,8 +31,8 @@
                         1_000_000,
                         0,
                         1e9,
-                        coldFrom,
-                        coldMicros,
+                        initialCapacityShare,
+                        slowStartMicros,
                         false,
                         0,
                         1,
@@ -43,46 +43,46 @@
                         0,
                         0,
                         1000),
-                loop,
+                events,
                 new SharedSlowdown(),
                 new ServerListener() {
                     @Override
                     public void onJobDone(Job job) {
                         done.add((EmulatedAttempt) job);
-                        doneAt.add(loop.now());
+                        doneAt.add(events.now());
                     }
 
                     @Override
                     public void onJobAborted(Job job) {}
 
                     @Override
-                    public void onSlowStartOverload(EmulatedServer server, double told) {}
+                    public void onSlowStartOverload(EmulatedServer server, double informedShare) {}
                 });
     }
 
-    private void take(EmulatedServer server, double work) {
-        EmulatedAttempt a = new EmulatedAttempt(null, nobody, 0, server, loop.now());
-        a.workMicros = work;
-        a.remainingMicros = work;
-        assertTrue(server.accept(a));
+    private void send(EmulatedServer server, double workMicros) {
+        EmulatedAttempt attempt = new EmulatedAttempt(null, sidecar, 0, server, events.now());
+        attempt.workMicros = workMicros;
+        attempt.remainingMicros = workMicros;
+        assertTrue(server.accept(attempt));
     }
 
     /** M/M/c: the mean wait is Erlang's C formula's. */
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.8", "2, 0.7", "4, 0.8"})
-    void waitingTimesAreThoseOfErlang(int c, double use) {
+    void queueingTimesMatchErlangC(int c, double use) {
         UniformRandomProvider random = new RandomStreams(5).stream("test");
         EmulatedServer server = server(c, 1, 0);
         double service = 10_000;
         double between = service / (c * use);
         int count = 200_000;
-        double at = loop.now();
+        double at = events.now();
         for (int i = 0; i < count; i++) {
             at -= between * Math.log(1 - random.nextDouble());
             double work = -service * Math.log(1 - random.nextDouble());
-            loop.scheduleAt((long) at, () -> take(server, work));
+            events.scheduleAt((long) at, () -> send(server, work));
         }
-        loop.runUntil((long) at + 100_000_000);
+        events.runUntil((long) at + 100_000_000);
         double sum = 0;
         for (int i = 0; i < count; i++) {
             sum += doneAt.get(i) - done.get(i).startedAtMicros - done.get(i).workMicros;
@@ -104,23 +104,23 @@
      * all.
      */
     @Test
-    void aColdStartDoesTheWorkOfItsRamp() {
+    void slowStartDoesTheWorkOfItsRamp() {
         EmulatedServer server = server(1, 0.4, 8_000_000);
         server.start();
-        long started = loop.now();
-        take(server, 0.7 * 8_000_000);
-        take(server, 1_000_000);
-        loop.runUntil(started + 20_000_000);
+        long started = events.now();
+        send(server, 0.7 * 8_000_000);
+        send(server, 1_000_000);
+        events.runUntil(started + 20_000_000);
         assertEquals(8_000_000.0, (double) (doneAt.get(0) - started), 2);
         assertEquals(9_000_000.0, (double) (doneAt.get(1) - started), 4);
     }
 
     /**
-     * While a zone is cut off nothing is answered across the cut, and nothing within it is
-     * troubled.
+     * While a zone is cut off nothing is answered across the cut, and requests within the zones are
+     * not affected.
      */
     @Test
-    void aCutLastsAsLongAsItIsSaidTo() throws Exception {
+    void cutLossesMatchItsDuration() throws Exception {
         Scenario scenario =
                 Scenario.read(
                         "cut.toml",
--- a/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -12,25 +12,24 @@
 import sagefall.scenario.Scenario;
 
 /**
- * The shipped scenarios with fixed seeds: no rule broken, and the same to the bit on any number of
- * threads.
+ * The shipped scenarios with fixed seeds: no invariant is broken, and results are the same to the
+ * bit on any number of threads.
  */
 class ShippedScenariosTest {
 
-    private static List<SimulationResult> play(int threads, List<String> policies)
-            throws Exception {
-        List<SimulationRequest> plays = new ArrayList<>();
+    private static List<SimulationResult> run(int threads, List<String> policies) throws Exception {
+        List<SimulationRequest> requests = new ArrayList<>();
         for (String name : Scenario.EMULATOR_NAMES) {
             for (String policy : policies) {
-                plays.add(new SimulationRequest(Scenario.load(name, List.of()), 11, policy));
+                requests.add(new SimulationRequest(Scenario.load(name, List.of()), 11, policy));
             }
         }
-        return new ParallelSimulations(threads, Path.of(".."), null).runAll(plays, result -> {});
+        return new ParallelSimulations(threads, Path.of(".."), null).runAll(requests, result -> {});
     }
 
     @Test
-    void noRuleIsBrokenAndTheModuleIsFarFromHarm() throws Exception {
-        for (SimulationResult r : play(4, List.of("module"))) {
+    void noInvariantIsBrokenAndMostIsServed() throws Exception {
+        for (SimulationResult r : run(4, List.of("module"))) {
             assertEquals(List.of(), r.breaches(), r.scenario());
             assertTrue(r.served() > 0.4, r.scenario() + ": " + r.served());
             double lost =
@@ -44,20 +43,20 @@
     }
 
     @Test
-    void oneSeedIsOneResultOnAnyNumberOfThreads() throws Exception {
-        List<SimulationRequest> plays = new ArrayList<>();
+    void resultsAreTheSameOnAnyNumberOfThreads() throws Exception {
+        List<SimulationRequest> requests = new ArrayList<>();
         for (long seed = 1; seed <= 8; seed++) {
-            plays.add(new SimulationRequest(Scenario.load("flap", List.of()), seed, "module"));
+            requests.add(new SimulationRequest(Scenario.load("flap", List.of()), seed, "module"));
         }
         List<String> one =
                 new ParallelSimulations(1, Path.of(".."), null)
-                        .runAll(plays, r -> {}).stream()
+                        .runAll(requests, r -> {}).stream()
                                 .map(ShippedScenariosTest::figures)
                                 .toList();
         assertEquals(
                 one,
                 new ParallelSimulations(8, Path.of(".."), null)
-                        .runAll(plays, r -> {}).stream()
+                        .runAll(requests, r -> {}).stream()
                                 .map(ShippedScenariosTest::figures)
                                 .toList());
     }
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -64,24 +64,24 @@
         }
 
         @Override
-        public void submit(ClientRequest call, boolean repeat) {
-            throw new AssertionError("tried again");
+        public void submit(ClientRequest request, boolean markedAsRetry) {
+            throw new AssertionError("retried");
         }
 
         @Override
-        public void disconnectClient(ClientRequest call) {
-            throw new AssertionError("left");
+        public void disconnectClient(ClientRequest request) {
+            throw new AssertionError("disconnected");
         }
     }
 
-    /** The ledger once a request, too late for a further try, has been answered so. */
-    private static ValueAccounting answered(ClientAnswer answer, RejectionReason reason)
+    /** The accounting once a request, too late for a retry, has got that answer. */
+    private static ValueAccounting accountingAfter(ClientAnswer answer, RejectionReason reason)
             throws Exception {
         Scenario scenario = Scenario.load("calm", List.of());
-        EventQueue loop = new EventQueue();
-        RandomStreams draws = new RandomStreams(1);
+        EventQueue events = new EventQueue();
+        RandomStreams streams = new RandomStreams(1);
         int zones = scenario.fleet().zones().size();
-        ValueAccounting ledger =
+        ValueAccounting accounting =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(), 1);
         SidecarHandle sidecar = new OneSidecar();
@@ -89,15 +89,15 @@
         ClientTraffic traffic =
                 new ClientTraffic(
                         scenario,
-                        draws,
+                        streams,
                         new ClientTraffic.Environment(
-                                loop,
+                                events,
                                 sidecars,
-                                ledger,
-                                new EmulatedNetwork(scenario.network(), draws, zones)),
+                                accounting,
+                                new EmulatedNetwork(scenario.network(), streams, zones)),
                         UNSAFE,
                         1);
-        ClientOperation wish =
+        ClientOperation operation =
                 new ClientOperation(
                         new ClientOperation.Arrival(
                                 0,
@@ -109,16 +109,16 @@
                                 1,
                                 1),
                         zones);
-        wish.sidecar = sidecar;
-        ClientRequest call =
+        operation.sidecar = sidecar;
+        ClientRequest request =
                 new ClientRequest(
                         "0000000000000000",
-                        wish,
+                        operation,
                         EventQueue.START_MICROS,
                         EventQueue.START_MICROS + SECOND);
-        traffic.deliverAnswer(call, answer, reason, 0);
-        loop.runUntil(EventQueue.START_MICROS + SECOND);
-        return ledger;
+        traffic.deliverAnswer(request, answer, reason, 0);
+        events.runUntil(EventQueue.START_MICROS + SECOND);
+        return accounting;
     }
 
     @ParameterizedTest
@@ -144,15 +144,15 @@
         "FAILED, RETRY_BUDGET, failed retry_budget",
         "FAILED, , unanswered"
     })
-    void answersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
+    void wordsOfAnswersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
             throws Exception {
-        ValueAccounting ledger = answered(answer, reason);
-        assertEquals(Map.of(word, 1L), ledger.answers);
-        assertEquals(List.of(word), List.copyOf(ledger.lost.keySet()));
+        ValueAccounting accounting = accountingAfter(answer, reason);
+        assertEquals(Map.of(word, 1L), accounting.answers);
+        assertEquals(List.of(word), List.copyOf(accounting.lost.keySet()));
     }
 
     @Test
-    void theTableHasAllAnswersAndReasons() {
+    void allAnswersAndReasonsAreCovered() {
         assertEquals(
                 List.of("served", "refused", "failed"),
                 Arrays.stream(ClientAnswer.values()).map(ClientAnswer::label).toList());
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void faultsOfADay() throws Exception {
+    void wordsOfFaults() throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
@@ -185,7 +185,7 @@
 
     /** The keys of {@code days.jsonl}, which scripts read. */
     @Test
-    void keysOfADay() throws Exception {
+    void keysOfResultLines() throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
@@ -249,7 +249,7 @@
 
     /** Written as they are, to {@code days.jsonl} and after {@code BROKEN}. */
     @Test
-    void rules() {
+    void namesOfInvariants() {
         assertEquals(
                 List.of("ONE_ANSWER", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS"),
                 Arrays.stream(InvariantChecker.Rule.values()).map(String::valueOf).toList());
--- a/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
+++ b/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
@@ -15,32 +15,32 @@
 class PairedDifferenceTest {
 
     private static PairedDifference paired(List<Double> differences) {
-        List<SimulationResult> days = Collections.nCopies(differences.size(), null);
+        List<SimulationResult> results = Collections.nCopies(differences.size(), null);
         List<Double> figures = new ArrayList<>(Collections.nCopies(differences.size(), 0.0));
         figures.addAll(differences);
         Iterator<Double> next = figures.iterator();
-        return PairedDifference.of("x", days, days, day -> next.next());
+        return PairedDifference.of("x", results, results, day -> next.next());
     }
 
-    /** Of samples with a known mean nearly as many intervals hold it as they promise. */
+    /** Of samples with a known mean nearly as many intervals cover it as promised. */
     @Test
-    void theIntervalHoldsTheMeanAboutAsOftenAsItSays() {
+    void intervalCoversTheMeanAsOftenAsPromised() {
         ZigguratSampler.NormalizedGaussian normal =
                 ZigguratSampler.NormalizedGaussian.of(new RandomStreams(3).stream("t"));
-        int held = 0;
+        int covered = 0;
         for (int i = 0; i < 300; i++) {
             List<Double> sample = new ArrayList<>();
             for (int k = 0; k < 20; k++) {
                 sample.add(0.5 + normal.sample());
             }
             PairedDifference p = paired(sample);
-            held += p.low() <= 0.5 && p.high() >= 0.5 ? 1 : 0;
+            covered += p.low() <= 0.5 && p.high() >= 0.5 ? 1 : 0;
         }
-        assertTrue(held >= 0.88 * 300 && held <= 0.98 * 300, held + " of 300");
+        assertTrue(covered >= 0.88 * 300 && covered <= 0.98 * 300, covered + " of 300");
     }
 
     @Test
-    void aVerdictNeedsSeedsAndAnIntervalWithoutZero() {
+    void verdictNeedsSeedsAndAnIntervalWithoutZero() {
         assertEquals("no verdict under 5 seeds", paired(List.of(1.0, 1.0, 1.0, 1.0)).verdict());
         assertEquals("B is better", paired(List.of(1.0, 1.2, 0.9, 1.1, 1.0)).verdict());
         assertEquals("B is worse", paired(List.of(-1.0, -1.2, -0.9, -1.1, -1.0)).verdict());
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -34,11 +34,9 @@
         return r.g() + " " + r.events() + " " + r.attemptsPerRequest() + " " + r.latency();
     }
 
-    /**
-     * The module compiled anew, or spoken to over the wire, is the module: the same day to the bit.
-     */
+    /** The load balancer recompiled, or over the wire, gives the same result to the bit. */
     @Test
-    void theSameDecisionsByEveryWay() throws Exception {
+    void decisionsAreTheSameCompiledAndOverTheWire() throws Exception {
         String java =
                 Path.of(System.getProperty("java.home"), "bin", "java")
                         + " -cp '"
@@ -50,7 +48,7 @@
         assertNotEquals(module, figures(play("module:SPILL=3")));
     }
 
-    /** A mechanism whose tunables were renamed must not pass for one that earns nothing. */
+    /** A mechanism whose tunables were renamed must not look like one without effect. */
     @ParameterizedTest
     @EnumSource(Mechanism.class)
     void eachMechanismCanBeSwitchedOff(Mechanism m) throws Exception {
@@ -58,7 +56,7 @@
     }
 
     @Test
-    void whatAMechanismIsForShowsWhereItIsOff() throws Exception {
+    void switchingAMechanismOffShowsInTheAnswers() throws Exception {
         SimulationResult without = play("module-without:admission");
         assertEquals(0, without.answers().getOrDefault("refused admission", 0L));
         assertNotEquals(0, play("module").answers().getOrDefault("refused admission", 0L));
@@ -73,7 +71,7 @@
                 "module-without:luck; no mechanism 'luck'",
                 "best; best: no such policy"
             })
-    void whatIsNoPolicyCostsOneLine(String policy, String line) {
+    void unknownPolicyIsOneLine(String policy, String line) {
         String message =
                 assertThrows(PolicyException.class, () -> PolicyRegistry.of(policy, ROOT))
                         .getMessage();
@@ -82,7 +80,7 @@
 
     /** The policy files of an older checkout, which were written against another interface. */
     @Test
-    void policyFilesOfAnotherBuildCostOneLine(@TempDir Path checkout) throws Exception {
+    void policyFilesOfAnotherBuildAreOneLine(@TempDir Path checkout) throws Exception {
         Files.createDirectories(checkout.resolve("deploy"));
         Files.writeString(
                 checkout.resolve("deploy/balancer.toml"), "policy = [\"OldChoice.java\"]\n");
--- a/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void unknownKindIsToldAllWords() {
+    void unknownKindListsAllWords() {
         assertEquals("f.toml:4: fault[0].kind: 'x' is none of " + ALL_KINDS, messageOf("x", ""));
     }
 
@@ -87,7 +87,7 @@
                 "stop_owner",
                 "kill_owner"
             })
-    void nameThatTheKindDoesNotTake(String kind) {
+    void keyThatTheKindDoesNotTake(String kind) {
         assertEquals(
                 "f.toml:5: fault[0].tenant: means nothing to " + kind,
                 messageOf(kind, "tenant='x'\n"));
@@ -116,7 +116,7 @@
                 "stop_owner",
                 "kill_owner"
             })
-    void kindsThatTheEmulatorCannotPlay(String kind) throws ScenarioException {
+    void kindsThatTheEmulatorCannotRun(String kind) throws ScenarioException {
         Scenario scenario = read(kind, "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION));
         assertEquals(
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void kindThatTheRigCannotPlay() throws ScenarioException {
+    void kindThatFaultInjectionCannotRun() throws ScenarioException {
         Scenario scenario = read("neighbour", "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.EMULATOR));
         assertEquals(
--- a/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
+++ b/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
@@ -10,7 +10,7 @@
 
 class ScenarioTest {
 
-    /** What is wrong costs one line that names file, line and name. A bar stands for a new line. */
+    /** An error is one line that states file, line and key. A bar stands for a new line. */
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -35,7 +35,7 @@
                         + " that differ",
                 "about='x'; f.toml:1: name: is missing"
             })
-    void whatIsWrongCostsOneLine(String text, String line) {
+    void errorIsOneLineWithFileLineAndKey(String text, String line) {
         assertEquals(
                 line,
                 assertThrows(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whatIsNoTomlIsToldWithItsLine() {
+    void syntaxErrorNamesItsLine() {
         ScenarioException e =
                 assertThrows(
                         ScenarioException.class,
