--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -7,7 +7,6 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.RequestClass;
-import sagefall.config.BalancerSettingsReader;
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
 
@@ -52,8 +51,7 @@
         limits = limits(scenario, streams);
 
         SettingsMessage message = SettingsMessage.of(scenario, 0);
-        BalancerSettings settings =
-                BalancerSettingsReader.read(0, SettingsMessageCodec.encode(message));
+        BalancerSettings settings = SettingsMessageCodec.balancerSettings(0, message);
         RequestClass requestClass = settings.classes().get(0);
         long drainGraceMicros = message.hostRules().drainGraceMicros();
         invariants =
@@ -215,7 +213,7 @@
             long balancerSeed = balancerSeeds.nextLong() >>> 1;
             SettingsMessage message = SettingsMessage.of(scenario, sidecar.index());
             BalancerSettings settings =
-                    BalancerSettingsReader.read(balancerSeed, SettingsMessageCodec.encode(message));
+                    SettingsMessageCodec.balancerSettings(balancerSeed, message);
             return policy.create(
                     settings,
                     message,
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
@@ -3,11 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.DeduplicationScope;
 import sagefall.balancer.api.FleetRules;
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.RequestClass;
 import sagefall.balancer.api.ServiceLimits;
+import sagefall.config.BalancerSettingsReader;
+import sagefall.config.ConfigException;
 
 /** Maps {@link SettingsMessage} to the names of the wire; no other class knows these names. */
 public final class SettingsMessageCodec {
@@ -16,6 +19,20 @@
 
     private SettingsMessageCodec() {}
 
+    /**
+     * The settings as this build's load balancer reads them from the wire.
+     *
+     * @param seed of the load balancer's random numbers
+     * @throws IllegalArgumentException if the values of the scenario are not allowed
+     */
+    public static BalancerSettings balancerSettings(long seed, SettingsMessage message) {
+        try {
+            return BalancerSettingsReader.read(seed, encode(message));
+        } catch (ConfigException e) {
+            throw new IllegalArgumentException(e.getMessage(), e);
+        }
+    }
+
     /** The object of the wire, which the caller may change. */
     public static Map<String, Object> encode(SettingsMessage message) {
         Map<String, Object> wire = new LinkedHashMap<>();
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -30,7 +30,6 @@
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.RequestClass;
-import sagefall.config.BalancerSettingsReader;
 import sagefall.emulator.ClientTraffic;
 import sagefall.emulator.EmulatedDiscovery;
 import sagefall.emulator.EmulatedNetwork;
@@ -127,8 +126,7 @@
                 scenario.fleet().leaseMillis() == 0
                         ? null
                         : new LeaseObserver(out.resolve("shared").toAbsolutePath());
-        Map<String, Object> facts = SettingsMessageCodec.encode(SettingsMessage.of(scenario, 0));
-        requestClass = BalancerSettingsReader.read(0, facts).classes().get(0);
+        requestClass = SettingsMessage.of(scenario, 0).requestClass();
         ledger =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()),
