--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -18,7 +18,7 @@
 import sagefall.experiment.SimulationRequest;
 import sagefall.policy.PolicyException;
 import sagefall.scenario.BenchmarkFigures;
-import sagefall.scenario.BenchmarkFigures$Measurement;
+import sagefall.scenario.BenchmarkMeasurement;
 import sagefall.scenario.ScenarioException;
 
 /** {@code sagefall rank}: whether builds rank in the emulator as on the operators' bench. */
@@ -55,7 +55,7 @@
 
     /** A build on a scenario. */
     private record Cell(String scenario, String build) {
-        static Cell of(BenchmarkFigures$Measurement play) {
+        static Cell of(BenchmarkMeasurement play) {
             return new Cell(play.scenario(), play.build());
         }
     }
@@ -70,7 +70,7 @@
                 "%-10s %-22s %-24s %8s %8s%n",
                 "scenario", "build", "day of the bench", "bench G", "emul. G");
         for (int i = 0; i < onBench.length; i++) {
-            BenchmarkFigures$Measurement play = bench.measurements().get(i);
+            BenchmarkMeasurement play = bench.measurements().get(i);
             onBench[i] = play.g();
             inEmulator[i] = simulated.get(Cell.of(play));
             System.out.printf(
@@ -141,8 +141,8 @@
     private void printPairs(BenchmarkFigures bench, Map<Cell, Double> simulated) {
         int same = 0;
         int all = 0;
-        for (BenchmarkFigures$Measurement a : bench.measurements()) {
-            for (BenchmarkFigures$Measurement b : bench.measurements()) {
+        for (BenchmarkMeasurement a : bench.measurements()) {
+            for (BenchmarkMeasurement b : bench.measurements()) {
                 if (!a.day().equals(b.day()) || a.g() + spread >= b.g()) {
                     continue;
                 }
--- a/testbed/src/main/java/sagefall/emulator/FaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultInjector.java
@@ -2,243 +2,162 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
-import java.util.function.Consumer;
-import java.util.function.Predicate;
 import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
 
-/** Brings about what a scenario says goes wrong, and ends it. */
+/** Schedules the faults of a scenario: each begins, acts and ends by events of the run. */
 final class FaultInjector {
 
-    /** One of them as it is drawn, for reports: seconds of the day. */
-    record Drawn(String what, double from, double to) {}
-
-    private final FleetSimulation day;
-    private final EventQueue loop;
-    private final RandomStreams draws;
-    private final List<Drawn> drawn = new ArrayList<>();
-    private final double daySeconds;
-
-    FaultInjector(FleetSimulation day, EventQueue loop, RandomStreams draws, double daySeconds) {
-        this.day = day;
-        this.loop = loop;
-        this.draws = draws;
-        this.daySeconds = daySeconds;
+    /** Sidecars are restarted in so many groups at most. */
+    private static final int MAX_RESTART_STEPS = 10;
+
+    private final EventQueue events;
+    private final RandomStreams streams;
+    private final double runSeconds;
+    private final FaultTargets targets;
+    private final ServerFaultInjector serverFaults;
+    private final List<InjectedFault> injected = new ArrayList<>();
+
+    FaultInjector(
+            EventQueue events, RandomStreams streams, double runSeconds, FaultTargets targets) {
+        this.events = events;
+        this.streams = streams;
+        this.runSeconds = runSeconds;
+        this.targets = targets;
+        serverFaults = new ServerFaultInjector(events, targets);
     }
 
-    List<Drawn> drawn() {
-        return List.copyOf(drawn);
+    /** All faults of the run, as they were drawn. */
+    List<InjectedFault> injectedFaults() {
+        return List.copyOf(injected);
     }
 
-    /** Puts them all on the time line. */
-    void plan(List<Fault> faults) {
+    /** Schedules all faults of a scenario. */
+    void schedule(List<Fault> faults) {
         for (int i = 0; i < faults.size(); i++) {
-            plan(faults.get(i), "fault." + i);
+            schedule(faults.get(i).draw(streams.stream("fault." + i), runSeconds));
         }
     }
 
-    private void plan(Fault f, String name) {
-        DrawnFault d = f.draw(draws.stream(name), daySeconds);
-        double part = d.fraction();
-        double size = d.magnitude();
-        long begin = EventQueue.START_MICROS + (long) (1e6 * d.startSeconds());
-        long micros = (long) (1e6 * d.durationSeconds());
-        long period = (long) (1e6 * d.periodSeconds());
-        drawn.add(
-                new Drawn(
-                        f.kind().name().toLowerCase(Locale.ROOT),
-                        d.startSeconds(),
-                        Math.min(d.endSeconds(), daySeconds)));
-        switch (f.kind()) {
-            case LOSE_ZONE -> spell(begin, micros, on -> lose(inZone(f.zone()), f.mode(), on));
-            case FLAP_ZONE -> {
-                for (long at = 0; at < micros; at += period) {
-                    spell(
-                            begin + at,
-                            (long) (period * part),
-                            on -> lose(inZone(f.zone()), f.mode(), on));
-                }
-            }
-            case CUT_ZONE ->
-                    spell(
-                            begin,
-                            micros,
-                            on ->
-                                    day.network()
-                                            .cut(
-                                                    f.zone(),
-                                                    !f.mode().equals("out"),
-                                                    !f.mode().equals("in"),
-                                                    on ? 1 : -1));
-            case LOSE_SERVERS -> onSome(d, begin, micros, (s, on) -> lose(s, f.mode(), on));
-            case SLOW_SERVERS ->
-                    onSome(
-                            d,
-                            begin,
-                            micros,
-                            (s, on) -> {
-                                s.slowdown *= on ? size : 1 / size;
-                                s.reschedule();
-                            });
-            case SLOW_SHARED_DEPENDENCY ->
-                    spell(
-                            begin,
-                            micros,
-                            on -> {
-                                day.sharedSlow[0] *= on ? size : 1 / size;
-                                day.servers().forEach(EmulatedServer::reschedule);
-                            });
-            case SERVER_ERRORS ->
-                    onSome(d, begin, micros, (s, on) -> s.errorRate += on ? size : -size);
-            case SERVER_PAUSES ->
-                    onSome(
-                            d,
-                            begin,
-                            micros,
-                            (s, on) -> {
-                                if (on) {
-                                    day.pauses(s, period, (long) (1000 * size), begin + micros);
-                                }
-                            });
-            case NOISY_NEIGHBOUR ->
-                    onSome(
-                            d,
-                            begin,
-                            micros,
-                            (s, on) -> {
-                                if (on) {
-                                    neighbour(
-                                            s,
-                                            size,
-                                            period,
-                                            begin + micros,
-                                            d.random().nextDouble());
-                                }
-                            });
-            case TRAFFIC_BURST ->
-                    spell(begin, micros, on -> day.traffic().rateFactor *= on ? size : 1 / size);
-            case ZONE_TRAFFIC_SHIFT ->
-                    spell(
-                            begin,
-                            micros,
-                            on -> {
-                                day.traffic().zoneFactors[f.zone()] *= on ? size : 1 / size;
-                                day.traffic().updateWeights();
-                            });
-            case TENANT_SURGE ->
-                    spell(
-                            begin,
-                            micros,
-                            on -> {
-                                day.traffic().tenantFactors[f.tenant()] *= on ? size : 1 / size;
-                                day.traffic().updateWeights();
-                            });
-            case REPLACE_SERVERS -> {
-                List<EmulatedServer> some = d.pickFraction(day.first());
-                for (int i = 0; i < some.size(); i++) {
-                    EmulatedServer s = some.get(i);
-                    loop.scheduleAt(
-                            begin + micros * i / some.size(),
-                            () -> day.replace(s, f.mode().equals("early")));
-                }
-            }
+    private void schedule(DrawnFault drawn) {
+        Fault fault = drawn.fault();
+        injected.add(
+                new InjectedFault(
+                        fault.kind().label(),
+                        drawn.startSeconds(),
+                        Math.min(drawn.endSeconds(), runSeconds)));
+        FaultWindow window = FaultWindow.of(drawn);
+        switch (fault.kind()) {
+            case LOSE_ZONE,
+                    FLAP_ZONE,
+                    CUT_ZONE,
+                    LOSE_SERVERS,
+                    SLOW_SERVERS,
+                    SLOW_SHARED_DEPENDENCY,
+                    SERVER_ERRORS,
+                    SERVER_PAUSES,
+                    NOISY_NEIGHBOUR,
+                    REPLACE_SERVERS ->
+                    serverFaults.schedule(window);
+            case TRAFFIC_BURST,
+                    ZONE_TRAFFIC_SHIFT,
+                    TENANT_SURGE,
+                    CLIENT_DISCONNECTS,
+                    IMMEDIATE_RETRIES ->
+                    window.schedule(events, begins -> changeTraffic(window, begins));
             case KILL_SIDECARS ->
-                    loop.scheduleAt(begin, () -> killSidecars(d, f.zone(), (long) (1e6 * size)));
-            case RESTART_SIDECARS -> {
-                List<EmulatedSidecar> some = d.pickFraction(day.sidecars());
-                int steps = Math.min(10, some.size());
-                for (int i = 0; i < some.size(); i++) {
-                    EmulatedSidecar s = some.get(i);
-                    loop.scheduleAt(
-                            begin + micros * (i % steps) / steps,
-                            () -> day.restart(s, (long) (1e6 * size)));
-                }
+                    events.scheduleAt(window.beginMicros(), () -> killSidecars(window));
+            case RESTART_SIDECARS -> restartSidecars(window);
+            case SLOW_DISCOVERY, DISCOVERY_OUTAGE ->
+                    window.schedule(events, begins -> changeDiscovery(window, begins));
+            case SUPPRESSED_UPDATES -> suppressUpdates(window);
+            case LOST_RESPONSES, CONNECTION_RESETS ->
+                    window.schedule(events, begins -> changeTransport(window, begins));
+            default -> throw unsupported(fault);
+        }
+    }
+
+    private static IllegalStateException unsupported(Fault fault) {
+        return new IllegalStateException("fault " + fault.kind());
+    }
+
+    // Clients.
+
+    private void changeTraffic(FaultWindow window, boolean begins) {
+        ClientTraffic traffic = targets.traffic();
+        Fault fault = window.fault();
+        double factor = begins ? window.magnitude() : 1 / window.magnitude();
+        switch (fault.kind()) {
+            case TRAFFIC_BURST -> traffic.rateFactor *= factor;
+            case ZONE_TRAFFIC_SHIFT -> {
+                traffic.zoneFactors[fault.zone()] *= factor;
+                traffic.updateWeights();
             }
-            case SUPPRESSED_UPDATES -> {
-                for (EmulatedSidecar s : d.pickFraction(day.sidecars())) {
-                    spell(begin, micros, on -> day.discovery().setUpdatesSuppressed(s, on));
-                }
+            case TENANT_SURGE -> {
+                traffic.tenantFactors[fault.tenant()] *= factor;
+                traffic.updateWeights();
             }
-            case SLOW_DISCOVERY ->
-                    spell(begin, micros, on -> day.discovery().delayFactor *= on ? size : 1 / size);
-            case DISCOVERY_OUTAGE ->
-                    spell(begin, micros, on -> day.discovery().outages += on ? 1 : -1);
-            case LOST_RESPONSES -> spell(begin, micros, on -> day.lostAnswers += on ? part : -part);
-            case CONNECTION_RESETS -> spell(begin, micros, on -> day.resets += on ? part : -part);
             case CLIENT_DISCONNECTS ->
-                    spell(begin, micros, on -> day.traffic().disconnectShare += on ? part : -part);
+                    traffic.disconnectShare += begins ? window.fraction() : -window.fraction();
             case IMMEDIATE_RETRIES ->
-                    spell(
-                            begin,
-                            micros,
-                            on -> day.traffic().immediateRetries = on ? (int) size : 0);
-            default -> throw new IllegalStateException("fault " + f.kind());
+                    traffic.immediateRetries = begins ? (int) window.magnitude() : 0;
+            default -> throw unsupported(fault);
         }
     }
 
-    /** True at its beginning, false at its end. */
-    /** Kills a drawn part of the sidecars of a zone, or of all zones where it is negative. */
-    private void killSidecars(DrawnFault d, int zone, long downMicros) {
-        List<EmulatedSidecar> candidates =
-                day.sidecars().stream().filter(s -> zone < 0 || s.zone() == zone).toList();
-        d.pickFraction(candidates).forEach(s -> day.kill(s, downMicros));
-    }
+    // Sidecars.
 
-    private void spell(long begin, long micros, Consumer<Boolean> change) {
-        loop.scheduleAt(begin, () -> change.accept(true));
-        loop.scheduleAt(begin + micros, () -> change.accept(false));
-    }
-
-    private interface Change {
-        void on(EmulatedServer server, boolean begins);
+    /** Kills a drawn fraction of the sidecars of a zone, or of all zones where it is negative. */
+    private void killSidecars(FaultWindow window) {
+        int zone = window.fault().zone();
+        EmulatedFleet fleet = targets.fleet();
+        List<EmulatedSidecar> candidates =
+                fleet.sidecars().stream()
+                        .filter(sidecar -> zone < 0 || sidecar.zone() == zone)
+                        .toList();
+        for (EmulatedSidecar sidecar : window.drawn().pickFraction(candidates)) {
+            fleet.killSidecar(sidecar, window.magnitudeMicros());
+        }
     }
 
-    private void onSome(DrawnFault d, long begin, long micros, Change change) {
-        for (EmulatedServer s : d.pickFraction(day.first())) {
-            spell(begin, micros, on -> change.on(s, on));
+    private void restartSidecars(FaultWindow window) {
+        EmulatedFleet fleet = targets.fleet();
+        List<EmulatedSidecar> restarted = window.drawn().pickFraction(fleet.sidecars());
+        int steps = Math.min(MAX_RESTART_STEPS, restarted.size());
+        for (int i = 0; i < restarted.size(); i++) {
+            EmulatedSidecar sidecar = restarted.get(i);
+            events.scheduleAt(
+                    window.beginMicros() + window.durationMicros() * (i % steps) / steps,
+                    () -> fleet.restartSidecar(sidecar, window.magnitudeMicros()));
         }
     }
 
-    private Predicate<EmulatedServer> inZone(int zone) {
-        return s -> s.zone == zone;
-    }
+    // Discovery and transport.
 
-    private void lose(Predicate<EmulatedServer> which, String how, boolean begins) {
-        day.servers().stream().filter(which).toList().forEach(s -> lose(s, how, begins));
+    private void changeDiscovery(FaultWindow window, boolean begins) {
+        EmulatedDiscovery discovery = targets.discovery();
+        switch (window.fault().kind()) {
+            case SLOW_DISCOVERY ->
+                    discovery.delayFactor *= begins ? window.magnitude() : 1 / window.magnitude();
+            case DISCOVERY_OUTAGE -> discovery.outages += begins ? 1 : -1;
+            default -> throw unsupported(window.fault());
+        }
     }
 
-    private void lose(EmulatedServer s, String how, boolean begins) {
-        if (begins
-                && (s.state == EmulatedServer.State.UP
-                        || s.state == EmulatedServer.State.DRAINING)) {
-            s.stop(how.equals("silent"));
-            day.discovery().serverStopped(s);
-        } else if (!begins
-                && !day.gone(s)
-                && (s.state == EmulatedServer.State.SILENT
-                        || s.state == EmulatedServer.State.DEAD)) {
-            s.start();
-            day.discovery().serverStarted(s);
+    private void suppressUpdates(FaultWindow window) {
+        EmulatedDiscovery discovery = targets.discovery();
+        for (EmulatedSidecar sidecar : window.drawn().pickFraction(targets.fleet().sidecars())) {
+            window.schedule(events, begins -> discovery.setUpdatesSuppressed(sidecar, begins));
         }
     }
 
-    private void neighbour(EmulatedServer s, double share, long period, long end, double phase) {
-        if (loop.now() + period * phase >= end) {
-            return;
+    private void changeTransport(FaultWindow window, boolean begins) {
+        RequestTransport transport = targets.transport();
+        double change = begins ? window.fraction() : -window.fraction();
+        switch (window.fault().kind()) {
+            case LOST_RESPONSES -> transport.lostResponseShare += change;
+            case CONNECTION_RESETS -> transport.resetShare += change;
+            default -> throw unsupported(window.fault());
         }
-        loop.scheduleAfter(
-                (long) (period * phase),
-                () -> {
-                    s.stolenShare = share;
-                    s.reschedule();
-                    loop.scheduleAt(
-                            Math.min(end, loop.now() + period),
-                            () -> {
-                                s.stolenShare = 0;
-                                s.reschedule();
-                                neighbour(s, share, period, end, 1);
-                            });
-                });
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
@@ -4,109 +4,111 @@
 import java.util.List;
 import java.util.Map;
 import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.DeduplicationScope;
+import sagefall.balancer.api.FleetRules;
+import sagefall.balancer.api.Idempotency;
+import sagefall.balancer.api.RequestClass;
+import sagefall.balancer.api.ServiceLimits;
 import sagefall.config.BalancerSettingsReader;
 import sagefall.config.ConfigException;
-import sagefall.scenario.MachineType;
-import sagefall.scenario.Scenario;
-import sagefall.scenario.ServiceSettings;
 
-/** The settings of a scenario as an instance is told them, in the words of the wire. */
+/** Maps {@link SettingsMessage} to the names of the wire; no other class knows these names. */
 public final class SettingsMessageCodec {
 
+    private static final double PROBE_COST = 0.0088;
+
     private SettingsMessageCodec() {}
 
     /**
-     * The settings that a message of this class spells.
+     * The settings as this build's load balancer reads them from the wire.
      *
-     * @throws IllegalArgumentException if the scenario's figures make no settings
+     * @param seed of the load balancer's random numbers
+     * @throws IllegalArgumentException if the values of the scenario are not allowed
      */
-    public static BalancerSettings parse(long seed, Map<String, Object> message) {
+    public static BalancerSettings balancerSettings(long seed, SettingsMessage message) {
         try {
-            return BalancerSettingsReader.read(seed, message);
+            return BalancerSettingsReader.read(seed, encode(message));
         } catch (ConfigException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
-    private static long micros(double millis) {
-        return (long) (1000 * millis);
-    }
-
-    public static Map<String, Object> encode(Scenario scenario) {
-        ServiceSettings s = scenario.service();
-        Map<String, Object> facts = new LinkedHashMap<>();
-        facts.put(
-                "classes",
-                List.of(
-                        Map.of(
-                                "name",
-                                "save",
-                                "effect",
-                                s.idempotency(),
-                                "group",
-                                s.deduplicationScope(),
-                                "dedup_window_us",
-                                micros(s.deduplicationWindowMillis()),
-                                "aim_us",
-                                micros(s.latencyObjectiveMillis()),
-                                "deadline_us",
-                                micros(s.deadlineMillis()),
-                                "worth",
-                                1.0,
-                                "late_value",
-                                0.0,
-                                "streaming",
-                                false)));
-        facts.put(
+    /** The object of the wire, which the caller may change. */
+    public static Map<String, Object> encode(SettingsMessage message) {
+        Map<String, Object> wire = new LinkedHashMap<>();
+        wire.put("classes", List.of(requestClass(message.requestClass())));
+        wire.put(
                 "tenants",
-                scenario.tenants().stream()
-                        .map(t -> Map.of("name", t.name(), "share", t.share()))
+                message.tenants().stream()
+                        .map(t -> Map.of("name", t.name(), "share", t.quotaShare()))
                         .toList());
-        facts.put("zones", scenario.fleet().zones());
-        facts.put("models", scenario.machineTypes().stream().map(MachineType::name).toList());
-        facts.put("over_share_worth", s.overQuotaWeight());
-        facts.put("replicas_of_me", (long) scenario.fleet().sidecars());
-        facts.put("discovery", "push");
-        facts.put("domain", Map.of("warm_keys", s.cachedKeySaving().high() > 0));
-        facts.put("report", Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms")));
-        facts.put("charges", Map.of("probe", 0.0088));
-        facts.put(
-                "policy_limits",
-                Map.of(
-                        "probing",
-                        true,
-                        "attempts_cap",
-                        (long) s.maxAttempts(),
-                        "cancelling",
-                        s.cancellationAllowed(),
-                        "retry_after",
-                        s.retryAfterAllowed(),
-                        "max_retry_after_us",
-                        2_000_000L,
-                        "conn_idle_us",
-                        (long) (1e6 * scenario.network().idleTimeoutSeconds()),
-                        "connect_timeout_us",
-                        micros(scenario.network().connectTimeoutMillis()),
-                        "open_cap",
-                        100_000L));
-        facts.put(
-                "rules",
-                Map.of(
-                        "cold_from",
-                        s.slowStartInitialShare(),
-                        "cold_us",
-                        (long) (1e6 * s.slowStartSeconds()),
-                        "fall_us",
-                        (long) (1e6 * s.slowStartLimitSeconds()),
-                        "fall_multiple",
-                        s.slowStartLimitFactor(),
-                        "drain_grace_us",
-                        micros(s.drainGraceMillis()),
-                        "ask_every_us",
-                        10_000_000L,
-                        "grace_to_answer_us",
-                        micros(s.answerGraceMillis())));
-        facts.put("tick_us", micros(s.tickMillis()));
-        return facts;
+        wire.put("zones", message.zones());
+        wire.put("models", message.machineTypes());
+        wire.put("over_share_worth", message.overQuotaWeight());
+        wire.put("replicas_of_me", (long) message.sidecars());
+        wire.put("discovery", "push");
+        wire.put("domain", Map.of("warm_keys", message.cachesKeys()));
+        wire.put("report", Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms")));
+        wire.put("charges", Map.of("probe", PROBE_COST));
+        wire.put("policy_limits", limits(message.limits(), message.hostRules()));
+        wire.put("rules", rules(message.rules(), message.hostRules()));
+        wire.put("tick_us", message.tickMicros());
+        wire.put("rank", (long) message.rank());
+        wire.put("zone", (long) message.zone());
+        return wire;
+    }
+
+    private static Map<String, Object> requestClass(RequestClass requestClass) {
+        return Map.of(
+                "name", requestClass.name(),
+                "effect", effect(requestClass.idempotency()),
+                "group", group(requestClass.deduplicationScope()),
+                "dedup_window_us", requestClass.deduplicationWindowMicros(),
+                "aim_us", requestClass.latencyObjectiveMicros(),
+                "deadline_us", requestClass.deadlineMicros(),
+                "worth", requestClass.priorityWeight(),
+                "late_value", requestClass.lateWeightShare(),
+                "streaming", requestClass.streaming());
+    }
+
+    private static Map<String, Object> limits(
+            ServiceLimits limits, SettingsMessage.HostRules hostRules) {
+        return Map.of(
+                "probing", true,
+                "attempts_cap", (long) limits.maxAttempts(),
+                "cancelling", limits.cancellationAllowed(),
+                "retry_after", limits.retryAfterAllowed(),
+                "max_retry_after_us", limits.maxRetryAfterMicros(),
+                "conn_idle_us", limits.idleTimeoutMicros(),
+                "connect_timeout_us", hostRules.connectTimeoutMicros(),
+                "open_cap", (long) limits.maxOpenRequests());
+    }
+
+    private static Map<String, Object> rules(
+            FleetRules rules, SettingsMessage.HostRules hostRules) {
+        return Map.of(
+                "cold_from", rules.slowStartInitialShare(),
+                "cold_us", rules.slowStartMicros(),
+                "fall_us", rules.overloadWindowMicros(),
+                "fall_multiple", hostRules.overloadFactor(),
+                "drain_grace_us", hostRules.drainGraceMicros(),
+                "ask_every_us", rules.pollIntervalMicros(),
+                "grace_to_answer_us", hostRules.answerGraceMicros());
+    }
+
+    private static String effect(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> "pure";
+            case IDEMPOTENCY_KEY -> "token";
+            case NOT_IDEMPOTENT -> "side_effect";
+        };
+    }
+
+    private static String group(DeduplicationScope scope) {
+        return switch (scope) {
+            case ALL -> "all";
+            case ZONE -> "zone";
+            case CELL -> "cell";
+        };
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -7,7 +7,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -17,7 +16,7 @@
 import sagefall.emulator.EmulatedNetwork;
 import sagefall.emulator.EventQueue;
 import sagefall.emulator.RandomStreams;
-import sagefall.emulator.SettingsMessageCodec;
+import sagefall.emulator.SettingsMessage;
 import sagefall.emulator.StopTheWorldPauses;
 import sagefall.emulator.ValueAccounting;
 import sagefall.faultinjection.history.EntryKind;
@@ -108,10 +107,7 @@
     }
 
     private static RequestClass requestClass(Scenario scenario) {
-        Map<String, Object> settings = SettingsMessageCodec.encode(scenario);
-        settings.put("rank", 0L);
-        settings.put("zone", 0L);
-        return SettingsMessageCodec.parse(0, settings).classes().get(0);
+        return SettingsMessage.of(scenario, 0).requestClass();
     }
 
     /**
@@ -177,10 +173,11 @@
                 new ClientTraffic(
                         scenario,
                         context.randomStreams(),
-                        context.eventLoop().queue(),
-                        members.sidecars(),
-                        accounting,
-                        network,
+                        new ClientTraffic.Environment(
+                                context.eventLoop().queue(),
+                                members.sidecars(),
+                                accounting,
+                                network),
                         context.requestClass(),
                         factory.capacity()));
         members.initialServers().forEach(this::beginPauses);
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -118,7 +118,7 @@
                         .put("part", round(drawn.fraction()))
                         .put("size", round(drawn.magnitude()))
                         .put("every_s", round(drawn.periodSeconds()))
-                        .put("how", fault.mode());
+                        .put("how", fault.mode().label());
         line.set("servers", JsonLines.MAPPER.valueToTree(scheduled.serverSlots()));
         line.set("sidecars", JsonLines.MAPPER.valueToTree(scheduled.sidecarIndices()));
         return line.toString();
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -17,7 +17,9 @@
 import sagefall.emulator.Job;
 import sagefall.emulator.ServerFactory;
 import sagefall.emulator.ServerListener;
+import sagefall.emulator.SettingsMessage;
 import sagefall.emulator.SettingsMessageCodec;
+import sagefall.emulator.SharedSlowdown;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.link.LinkConditions;
 import sagefall.faultinjection.link.LinkRelay;
@@ -91,7 +93,7 @@
                         context.scenario(),
                         context.randomStreams(),
                         context.eventLoop().queue(),
-                        new double[] {1},
+                        new SharedSlowdown(),
                         new IdleFloor());
     }
 
@@ -121,9 +123,8 @@
                         LinkConditions.PERFECT,
                         LinkConditions.PERFECT,
                         null);
-        Map<String, Object> settings = SettingsMessageCodec.encode(context.scenario());
-        settings.put("rank", (long) index);
-        settings.put("zone", (long) zone);
+        Map<String, Object> settings =
+                SettingsMessageCodec.encode(SettingsMessage.of(context.scenario(), index));
         List<Path> builds = context.plan().builds();
         SidecarSpec spec =
                 new SidecarSpec(
--- a/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -14,8 +14,10 @@
 import sagefall.emulator.EmulatedServer;
 import sagefall.emulator.Job;
 import sagefall.emulator.RandomStreams;
+import sagefall.emulator.ServerIdentity;
 import sagefall.emulator.ServerListener;
 import sagefall.emulator.ServerSpec;
+import sagefall.emulator.SharedSlowdown;
 import sagefall.emulator.SlowStartBudget;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryWriter;
@@ -56,12 +58,11 @@
         long id = command.path("id").asLong();
         model =
                 new EmulatedServer(
-                        id,
-                        command.path("zone").asInt(),
-                        command.path("cell").asInt(),
+                        new ServerIdentity(
+                                id, command.path("zone").asInt(), command.path("cell").asInt()),
                         JsonLines.MAPPER.treeToValue(command.path("make"), ServerSpec.class),
                         eventLoop.queue(),
-                        new double[] {1},
+                        new SharedSlowdown(),
                         this);
         model.setSlowStartBudget(
                 new SlowStartBudget(
--- a/testbed/src/main/java/sagefall/scenario/ClientSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ClientSettings.java
@@ -1,13 +1,14 @@
 package sagefall.scenario;
 
 /**
- * How clients try again and give up.
+ * How clients retry and give up.
  *
- * @param retries most further tries of a client
- * @param tryShare part of the whole deadline after which a client gives a try up
- * @param waitMillis wait before a further try
- * @param honour part of the clients that heed when they are told to come back
- * @param leave part of the tries that their client leaves early
+ * @param maxRetries largest number of retries of a client
+ * @param attemptTimeoutShare share of the deadline after which a client abandons an attempt
+ * @param backoffMillis time before a retry
+ * @param retryAfterCompliance share of the clients that heed Retry-After
+ * @param disconnectShare share of the attempts that the client disconnects from early
+ * @param marksRetries whether a retry is marked as one
  */
 public record ClientSettings(
         int maxRetries,
--- a/testbed/src/main/java/sagefall/scenario/DiscoverySettings.java
+++ b/testbed/src/main/java/sagefall/scenario/DiscoverySettings.java
@@ -1,13 +1,13 @@
 package sagefall.scenario;
 
 /**
- * What discovery knows, and when.
+ * How long discovery takes.
  *
- * @param noticeSeconds from a planned change, or a process's death, to its being known
- * @param silentSeconds the same where a machine falls silent
- * @param addSeconds the same for a server that has started
- * @param periodMillis between two lists that bring changes
- * @param spreadMillis by which sidecars hear of one list after another
+ * @param detectionSeconds until a planned change, or the end of a process, is known
+ * @param silentDetectionSeconds the same where a machine stops responding
+ * @param registrationSeconds the same for a server that has started
+ * @param publishIntervalMillis between two lists of changes
+ * @param propagationSpreadMillis between the first and the last sidecar that gets a list
  */
 public record DiscoverySettings(
         ValueRange detectionSeconds,
--- a/testbed/src/main/java/sagefall/scenario/DrawnFault.java
+++ b/testbed/src/main/java/sagefall/scenario/DrawnFault.java
@@ -6,8 +6,15 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * A fault with its figures drawn; times in seconds. What is still to be drawn comes from {@code
- * random}.
+ * A fault with its values drawn; times in seconds of the run.
+ *
+ * @param fault what the scenario states
+ * @param startSeconds seconds after the first request
+ * @param durationSeconds how long it lasts
+ * @param fraction of the servers, sidecars or responses that it meets
+ * @param magnitude how severe it is, in the unit of the kind
+ * @param periodSeconds seconds between two repetitions
+ * @param random for what is still to be drawn
  */
 public record DrawnFault(
         Fault fault,
--- a/testbed/src/main/java/sagefall/scenario/FaultKind.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultKind.java
@@ -1,120 +1,192 @@
 package sagefall.scenario;
 
+import static sagefall.scenario.FaultParameter.DURATION;
+import static sagefall.scenario.FaultParameter.FRACTION;
+import static sagefall.scenario.FaultParameter.MAGNITUDE;
+import static sagefall.scenario.FaultParameter.MODE;
+import static sagefall.scenario.FaultParameter.PERIOD;
+import static sagefall.scenario.FaultParameter.TENANT;
+import static sagefall.scenario.FaultParameter.ZONE;
+
 import java.util.Arrays;
+import java.util.EnumSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 
-/** Kinds of trouble, and which names each takes beside {@code kind} and {@code at_s}. */
+/** The kinds of faults, the keys that each takes, and which runners can inject it. */
 public enum FaultKind {
-    /** All servers of a zone end at once and come back cold. How: silent or refuse. */
-    LOSE_ZONE("for_s zone how"),
-    /** A zone is lost and comes back, again and again; it is gone for a part of each round. */
-    FLAP_ZONE("for_s zone every_s part how"),
-    /** Nothing passes between a zone and the others. How: both ways, only in or only out. */
-    CUT_ZONE("for_s zone how"),
-    /** A part of the servers ends and comes back cold. How: silent or refuse. */
-    LOSE_SERVERS("for_s part how"),
-    /** A part of the servers is so many times slower. */
-    SLOW_SERVERS("for_s part size"),
-    /** All servers are so many times slower. */
-    SLOW_SHARED_DEPENDENCY("for_s size"),
-    /** A part of the servers answers that share of requests with errors. */
-    SERVER_ERRORS("for_s part size"),
-    /** A part of the servers stands still for so many milliseconds every so many seconds. */
-    SERVER_PAUSES("for_s part size every_s"),
-    /** Another program takes that share of a part of the servers, on and off. */
-    NOISY_NEIGHBOUR("for_s part size every_s", EMULATED),
-    /** Traffic is so many times the usual. */
-    TRAFFIC_BURST("for_s size"),
-    /** One zone's sidecars have so many times their usual traffic. */
-    ZONE_TRAFFIC_SHIFT("for_s zone size"),
-    /** One tenant has so many times its usual traffic. */
-    TENANT_SURGE("for_s tenant size"),
+    /** All servers of a zone stop at once and restart cold. Mode: silent or refuse. */
+    LOSE_ZONE("lose_zone", DURATION, ZONE, MODE),
+    /** A zone is lost and restored repeatedly; it is down for a fraction of each period. */
+    FLAP_ZONE("flap_zone", DURATION, ZONE, PERIOD, FRACTION, MODE),
+    /** Nothing passes between a zone and the others. Mode: both ways, only in or only out. */
+    CUT_ZONE("cut_zone", DURATION, ZONE, MODE),
+    /** A fraction of the servers stops and restarts cold. Mode: silent or refuse. */
+    LOSE_SERVERS("lose_servers", DURATION, FRACTION, MODE),
+    /** A fraction of the servers is slower by a factor. */
+    SLOW_SERVERS("slow", DURATION, FRACTION, MAGNITUDE),
+    /** All servers are slower by a factor. */
+    SLOW_SHARED_DEPENDENCY("shared_slow", DURATION, MAGNITUDE),
+    /** A fraction of the servers answers that share of requests with errors. */
+    SERVER_ERRORS("errors", DURATION, FRACTION, MAGNITUDE),
+    /** A fraction of the servers pauses for so many milliseconds in each period. */
+    SERVER_PAUSES("pauses", DURATION, FRACTION, MAGNITUDE, PERIOD),
     /**
-     * A part of the servers is drained and replaced by new ones, one after another. How: late, if
-     * they take work until all have heard, or early, if they turn it away from the beginning.
+     * Another program takes that share of the capacity of a fraction of the servers, on and off.
      */
-    REPLACE_SERVERS("for_s part how"),
+    NOISY_NEIGHBOUR(
+            "neighbour",
+            EnumSet.of(ScenarioRunner.EMULATOR),
+            DURATION,
+            FRACTION,
+            MAGNITUDE,
+            PERIOD),
+    /** The arrival rate is multiplied by a factor. */
+    TRAFFIC_BURST("burst", DURATION, MAGNITUDE),
+    /** The traffic of one zone's sidecars is multiplied by a factor. */
+    ZONE_TRAFFIC_SHIFT("shift", DURATION, ZONE, MAGNITUDE),
+    /** The traffic of one tenant is multiplied by a factor. */
+    TENANT_SURGE("surge", DURATION, TENANT, MAGNITUDE),
     /**
-     * A part of the sidecars, or of those of a zone, is killed at once and back after so many
-     * seconds.
+     * A fraction of the servers is drained and replaced by new ones, one after another. Mode: late,
+     * if they accept work until every sidecar knows, or early, if they reject it from the start.
      */
-    KILL_SIDECARS("part size zone"),
-    /** A part of the sidecars is restarted in turn, as planned, each in so many seconds. */
-    RESTART_SIDECARS("for_s part size"),
-    /** Discovery takes so many times as long. */
-    SLOW_DISCOVERY("for_s size"),
-    /** Discovery says nothing. */
-    DISCOVERY_OUTAGE("for_s"),
-    /** That part of the answers is lost on its way. */
-    LOST_RESPONSES("for_s part"),
-    /** That part of the requests has its connection reset under it. */
-    CONNECTION_RESETS("for_s part"),
-    /** That part of the tries is left early by the client. */
-    CLIENT_DISCONNECTS("for_s part"),
-    /** Clients come back at once, so many times, whatever they are told. */
-    IMMEDIATE_RETRIES("for_s size"),
-    /** A part of the sidecars hears of no change of the list, and of all at the end. */
-    SUPPRESSED_UPDATES("for_s part"),
+    REPLACE_SERVERS("replace", DURATION, FRACTION, MODE),
     /**
-     * A part of the servers ends and comes back at the old addresses with new ids. How: silent or
-     * refuse.
+     * A fraction of the sidecars, or of those of a zone, is killed at once and restarted after so
+     * many seconds.
      */
-    RESTART_WITH_NEW_IDS("for_s part how", REAL),
-    /** A part of the sidecars stands still (SIGSTOP) and goes on. */
-    STOP_SIDECARS("for_s part", REAL),
-    /** A part of the sidecars runs only that part of each tenth of a second. */
-    SLOW_SIDECARS("for_s part size", REAL),
+    KILL_SIDECARS("kill_sidecars", FRACTION, MAGNITUDE, ZONE),
+    /** A fraction of the sidecars is restarted in turn, as planned, each in so many seconds. */
+    RESTART_SIDECARS("restart_sidecars", DURATION, FRACTION, MAGNITUDE),
+    /** Discovery is slower by a factor. */
+    SLOW_DISCOVERY("late_lists", DURATION, MAGNITUDE),
+    /** Discovery does not answer. */
+    DISCOVERY_OUTAGE("discovery_down", DURATION),
+    /** That fraction of the responses is lost in transit. */
+    LOST_RESPONSES("lost_answers", DURATION, FRACTION),
+    /** That fraction of the requests has its connection reset. */
+    CONNECTION_RESETS("resets", DURATION, FRACTION),
+    /** The client disconnects early from that fraction of its attempts. */
+    CLIENT_DISCONNECTS("leavers", DURATION, FRACTION),
+    /** Clients retry immediately, so many times, whatever Retry-After says. */
+    IMMEDIATE_RETRIES("stubborn", DURATION, MAGNITUDE),
+    /** A fraction of the sidecars gets no list update, and the complete list at the end. */
+    SUPPRESSED_UPDATES("deaf", DURATION, FRACTION),
     /**
-     * Nothing passes between a part of the sidecars and a zone's servers. How: both ways, in or
-     * out.
+     * A fraction of the servers stops and returns at the old addresses with new ids. Mode: silent
+     * or refuse.
      */
-    CUT_SIDECARS("for_s part zone how", REAL),
-    /** The same, on for half of each round, again and again. */
-    FLAP_LINKS("for_s part zone every_s how", REAL),
-    /** Ways between a part of the sidecars and a zone's servers take so many milliseconds more. */
-    DELAY_LINKS("for_s part zone size", REAL),
+    RESTART_WITH_NEW_IDS(
+            "reborn", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION, MODE),
+    /** A fraction of the sidecars is stopped (SIGSTOP) and continued. */
+    STOP_SIDECARS("stop_sidecars", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION),
+    /** A fraction of the sidecars runs only for that part of each tenth of a second. */
+    SLOW_SIDECARS(
+            "slow_sidecars",
+            EnumSet.of(ScenarioRunner.FAULT_INJECTION),
+            DURATION,
+            FRACTION,
+            MAGNITUDE),
     /**
-     * Connections between a part of the sidecars and a zone's servers break after so many bytes.
+     * Nothing passes between a fraction of the sidecars and a zone's servers. Mode: both ways, in
+     * or out.
      */
-    CUT_BYTES("for_s part zone size", REAL),
+    CUT_SIDECARS(
+            "cut_sidecars",
+            EnumSet.of(ScenarioRunner.FAULT_INJECTION),
+            DURATION,
+            FRACTION,
+            ZONE,
+            MODE),
+    /** The same, on for half of each period, repeatedly. */
+    FLAP_LINKS(
+            "flap_links",
+            EnumSet.of(ScenarioRunner.FAULT_INJECTION),
+            DURATION,
+            FRACTION,
+            ZONE,
+            PERIOD,
+            MODE),
+    /** Links between a fraction of the sidecars and a zone's servers are slower by milliseconds. */
+    DELAY_LINKS(
+            "delay_links",
+            EnumSet.of(ScenarioRunner.FAULT_INJECTION),
+            DURATION,
+            FRACTION,
+            ZONE,
+            MAGNITUDE),
     /**
-     * That part of the sidecars' whole machines, and a zone's servers, lose power and are back
-     * after so many seconds. How: fresh, if a sidecar's configuration has the list of the moment,
-     * or stale, if it has that of its first start.
+     * Connections between a fraction of the sidecars and a zone's servers break after so many
+     * bytes.
      */
-    POWER_LOSS("zone size part how", REAL),
-    /** A part of the servers is said to drain and goes on taking what comes; then it ends. */
-    DRAIN_SERVERS("for_s part", REAL),
+    CUT_BYTES(
+            "cut_bytes",
+            EnumSet.of(ScenarioRunner.FAULT_INJECTION),
+            DURATION,
+            FRACTION,
+            ZONE,
+            MAGNITUDE),
     /**
-     * From its next start on a part of the sidecars takes the wall clock to be so many seconds
-     * ahead.
+     * The machines of a fraction of the sidecars, and of a zone's servers, lose power and restart
+     * after so many seconds. Mode: fresh, if a sidecar's configuration has the current list, or
+     * stale, if it has that of its first start.
      */
-    WRONG_CLOCK("size part", REAL),
-    /** Whoever holds the duty then stands still (SIGSTOP) and goes on. */
-    STOP_LEASE_HOLDER("for_s", REAL),
-    /** Whoever holds the duty then is killed and back after so many seconds. */
-    KILL_LEASE_HOLDER("size", REAL);
+    POWER_LOSS(
+            "power_loss",
+            EnumSet.of(ScenarioRunner.FAULT_INJECTION),
+            ZONE,
+            MAGNITUDE,
+            FRACTION,
+            MODE),
+    /** A fraction of the servers is listed as draining, goes on accepting requests, then stops. */
+    DRAIN_SERVERS("drain", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION),
+    /** From its next start the wall clock of a fraction of the sidecars is ahead by seconds. */
+    WRONG_CLOCK("wrong_clock", EnumSet.of(ScenarioRunner.FAULT_INJECTION), MAGNITUDE, FRACTION),
+    /** The lease holder of that moment is stopped (SIGSTOP) and continued. */
+    STOP_LEASE_HOLDER("stop_owner", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION),
+    /** The lease holder of that moment is killed and restarted after so many seconds. */
+    KILL_LEASE_HOLDER("kill_owner", EnumSet.of(ScenarioRunner.FAULT_INJECTION), MAGNITUDE);
+
+    private final String label;
+    private final Set<ScenarioRunner> runners;
+    private final Set<FaultParameter> parameters;
+
+    FaultKind(String label, FaultParameter... parameters) {
+        this(label, EnumSet.allOf(ScenarioRunner.class), parameters);
+    }
 
-    final List<String> names;
-    private final Set<ScenarioRunner> sides;
+    FaultKind(String label, Set<ScenarioRunner> runners, FaultParameter... parameters) {
+        this.label = label;
+        this.runners = runners;
+        this.parameters = EnumSet.copyOf(Arrays.asList(parameters));
+    }
+
+    /** The word in scenario files, schedules and reports. */
+    public String label() {
+        return label;
+    }
 
-    FaultKind(String names) {
-        this(names, BOTH);
+    /** Whether the runner can inject it. */
+    public boolean isSupportedBy(ScenarioRunner runner) {
+        return runners.contains(runner);
     }
 
-    FaultKind(String names, Set<ScenarioRunner> sides) {
-        this.names = Arrays.asList(names.split(" "));
-        this.sides = sides;
+    /** Whether the kind has a use for the parameter. */
+    boolean takes(FaultParameter parameter) {
+        return parameters.contains(parameter);
     }
 
-    /** Whether that side can play it. */
-    public boolean isSupportedBy(ScenarioRunner side) {
-        return sides.contains(side);
+    /** All labels, in the order of the constants. */
+    static List<String> labels() {
+        return Arrays.stream(values()).map(FaultKind::label).toList();
     }
 
-    static List<String> words() {
-        return Arrays.stream(values()).map(k -> k.name().toLowerCase(Locale.ROOT)).toList();
+    /** The kind of that label, which must be one of {@link #labels()}. */
+    static FaultKind ofLabel(String label) {
+        return Arrays.stream(values())
+                .filter(kind -> kind.label.equals(label))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("no fault " + label));
     }
 }
--- a/testbed/src/main/java/sagefall/scenario/LoadSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/LoadSettings.java
@@ -3,10 +3,12 @@
 /**
  * The offered traffic.
  *
- * @param use offered work as a part of what all servers can do
- * @param swing a wave of that part of the mean
+ * @param utilization offered work as a share of the capacity of all servers
+ * @param rateSwing amplitude of a periodic change of the rate, as a share of the mean
  * @param zoneSkew how unevenly the zones share the traffic, 0 to 1
- * @param unlike coefficient of variation of the sidecars' traffic
+ * @param sidecarVariation coefficient of variation of the sidecars' traffic
+ * @param keys number of different keys
+ * @param zipfExponent exponent of the distribution of the keys
  */
 public record LoadSettings(
         ValueRange utilization,
--- a/testbed/src/main/java/sagefall/scenario/NetworkSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/NetworkSettings.java
@@ -1,7 +1,18 @@
 package sagefall.scenario;
 
 /**
- * Times are one way. Idle seconds and the price of set-up are those of a connection to a server.
+ * Latencies, which are one way, and the connections to servers.
+ *
+ * @param sameZoneMillis latency within a zone
+ * @param crossZoneMillis latency between two zones
+ * @param clientMillis latency between a client and its sidecar
+ * @param jitter mean of the exponential addition to a latency, as a share of it
+ * @param connectRoundTrips round trips to open a connection
+ * @param connectCostMicros work of the server for a new connection, on a core of speed 1
+ * @param idleTimeoutSeconds after which a server closes an idle connection
+ * @param connectTimeoutMillis after which an attempt to connect has failed
+ * @param connectionsPerCore connections that a server accepts for each core
+ * @param connectionTableCost share of its speed that a server loses with all connections in use
  */
 public record NetworkSettings(
         ValueRange sameZoneMillis,
--- a/testbed/src/main/java/sagefall/scenario/ScenarioRunner.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioRunner.java
@@ -1,9 +1,20 @@
 package sagefall.scenario;
 
-/** Who plays scenarios. */
+/** What runs a scenario. */
 public enum ScenarioRunner {
-    /** {@code sagefall.emulator}: one process, its own clock. */
-    EMULATOR,
+    /** {@code sagefall.emulator}: one process with a virtual clock. */
+    EMULATOR("emulator"),
     /** {@code sagefall.faultinjection}: real processes on real sockets. */
-    FAULT_INJECTION
+    FAULT_INJECTION("rig");
+
+    private final String label;
+
+    ScenarioRunner(String label) {
+        this.label = label;
+    }
+
+    /** The word in messages. */
+    public String label() {
+        return label;
+    }
 }
--- a/testbed/src/main/java/sagefall/scenario/ScenarioSource.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioSource.java
@@ -1,4 +1,9 @@
 package sagefall.scenario;
 
-/** A scenario's text, and what messages call it. */
+/**
+ * The text of a scenario.
+ *
+ * @param file its name in messages
+ * @param text in TOML
+ */
 public record ScenarioSource(String file, String text) {}
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -2,7 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
@@ -61,24 +64,24 @@
         }
 
         @Override
-        public void submit(ClientRequest call, boolean repeat) {
-            throw new AssertionError("tried again");
+        public void submit(ClientRequest request, boolean markedAsRetry) {
+            throw new AssertionError("retried");
         }
 
         @Override
-        public void disconnectClient(ClientRequest call) {
-            throw new AssertionError("left");
+        public void disconnectClient(ClientRequest request) {
+            throw new AssertionError("disconnected");
         }
     }
 
-    /** The ledger once a request, too late for a further try, has been answered so. */
-    private static ValueAccounting answered(ClientAnswer answer, RejectionReason reason)
+    /** The accounting once a request, too late for a retry, has got that answer. */
+    private static ValueAccounting accountingAfter(ClientAnswer answer, RejectionReason reason)
             throws Exception {
         Scenario scenario = Scenario.load("calm", List.of());
-        EventQueue loop = new EventQueue();
-        RandomStreams draws = new RandomStreams(1);
+        EventQueue events = new EventQueue();
+        RandomStreams streams = new RandomStreams(1);
         int zones = scenario.fleet().zones().size();
-        ValueAccounting ledger =
+        ValueAccounting accounting =
                 new ValueAccounting(
                         (int) Math.ceil(scenario.seconds()), zones, scenario.tenants().size(), 1);
         SidecarHandle sidecar = new OneSidecar();
@@ -86,48 +89,50 @@
         ClientTraffic traffic =
                 new ClientTraffic(
                         scenario,
-                        draws,
-                        loop,
-                        sidecars,
-                        ledger,
-                        new EmulatedNetwork(scenario.network(), draws, zones),
+                        streams,
+                        new ClientTraffic.Environment(
+                                events,
+                                sidecars,
+                                accounting,
+                                new EmulatedNetwork(scenario.network(), streams, zones)),
                         UNSAFE,
                         1);
-        ClientOperation wish =
+        ClientOperation operation =
                 new ClientOperation(
-                        0,
-                        EventQueue.START_MICROS,
-                        EventQueue.START_MICROS,
-                        0,
-                        0,
-                        false,
-                        1,
-                        1,
+                        new ClientOperation.Arrival(
+                                0,
+                                EventQueue.START_MICROS,
+                                EventQueue.START_MICROS,
+                                0,
+                                0,
+                                false,
+                                1,
+                                1),
                         zones);
-        wish.sidecar = sidecar;
-        ClientRequest call =
+        operation.sidecar = sidecar;
+        ClientRequest request =
                 new ClientRequest(
                         "0000000000000000",
-                        wish,
+                        operation,
                         EventQueue.START_MICROS,
                         EventQueue.START_MICROS + SECOND);
-        traffic.deliverAnswer(call, answer, reason, 0);
-        loop.runUntil(EventQueue.START_MICROS + SECOND);
-        return ledger;
+        traffic.deliverAnswer(request, answer, reason, 0);
+        events.runUntil(EventQueue.START_MICROS + SECOND);
+        return accounting;
     }
 
     @ParameterizedTest
     @CsvSource({
-        "REFUSED, ADMISSION, refused admission",
-        "REFUSED, ZONE_FULL, refused zone_full",
-        "REFUSED, QUEUE_TIMEOUT, refused waited",
-        "REFUSED, OPEN_REQUESTS, refused in_hand",
-        "REFUSED, BUFFER_LIMIT, refused buffers",
-        "REFUSED, TOO_LATE, refused too_late",
-        "REFUSED, NOT_RETRYABLE, refused effect",
-        "REFUSED, MAX_ATTEMPTS, refused attempts",
-        "REFUSED, RETRY_BUDGET, refused retry_budget",
-        "REFUSED, , unanswered",
+        "REJECTED, ADMISSION, refused admission",
+        "REJECTED, ZONE_FULL, refused zone_full",
+        "REJECTED, QUEUE_TIMEOUT, refused waited",
+        "REJECTED, OPEN_REQUESTS, refused in_hand",
+        "REJECTED, BUFFER_LIMIT, refused buffers",
+        "REJECTED, TOO_LATE, refused too_late",
+        "REJECTED, NOT_RETRYABLE, refused effect",
+        "REJECTED, MAX_ATTEMPTS, refused attempts",
+        "REJECTED, RETRY_BUDGET, refused retry_budget",
+        "REJECTED, , unanswered",
         "FAILED, ADMISSION, failed admission",
         "FAILED, ZONE_FULL, failed zone_full",
         "FAILED, QUEUE_TIMEOUT, failed waited",
@@ -139,18 +144,18 @@
         "FAILED, RETRY_BUDGET, failed retry_budget",
         "FAILED, , unanswered"
     })
-    void answersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
+    void wordsOfAnswersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
             throws Exception {
-        ValueAccounting ledger = answered(answer, reason);
-        assertEquals(Map.of(word, 1L), ledger.answers);
-        assertEquals(List.of(word), List.copyOf(ledger.lost.keySet()));
+        ValueAccounting accounting = accountingAfter(answer, reason);
+        assertEquals(Map.of(word, 1L), accounting.answers);
+        assertEquals(List.of(word), List.copyOf(accounting.lost.keySet()));
     }
 
     @Test
-    void theTableHasAllAnswersAndReasons() {
+    void allAnswersAndReasonsAreCovered() {
         assertEquals(
-                List.of("SERVED", "REFUSED", "FAILED"),
-                Arrays.stream(ClientAnswer.values()).map(Enum::name).toList());
+                List.of("served", "refused", "failed"),
+                Arrays.stream(ClientAnswer.values()).map(ClientAnswer::label).toList());
         assertEquals(
                 List.of(
                         "admission",
@@ -166,7 +171,7 @@
     }
 
     @Test
-    void faultsOfADay() throws Exception {
+    void wordsOfFaults() throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
@@ -178,9 +183,73 @@
         }
     }
 
+    /** The keys of {@code days.jsonl}, which scripts read. */
+    @Test
+    void keysOfResultLines() throws Exception {
+        Scenario scenario =
+                Scenario.load(
+                        "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
+        try (Policy policy = PolicyRegistry.of("module", Path.of("."))) {
+            JsonNode day =
+                    new ObjectMapper().valueToTree(new FleetSimulation(scenario, 1, policy).run());
+            assertEquals(
+                    List.of(
+                            "scenario",
+                            "seed",
+                            "policy",
+                            "g",
+                            "served",
+                            "worstTenSeconds",
+                            "worstTenant",
+                            "price",
+                            "askedWorth",
+                            "requests",
+                            "lost",
+                            "answers",
+                            "attemptsPerRequest",
+                            "crossingsPerRequest",
+                            "setupsPerRequest",
+                            "wastedWork",
+                            "latency",
+                            "zones",
+                            "series",
+                            "heat",
+                            "serverZones",
+                            "troubles",
+                            "breaches",
+                            "breachCount",
+                            "events"),
+                    keys(day));
+            assertEquals(List.of("what", "from", "to"), keys(day.path("troubles").path(0)));
+            assertEquals(List.of("p50", "p95", "p99"), keys(day.path("latency")));
+            assertEquals(
+                    List.of("worth", "count", "beyondShareWorth"),
+                    keys(day.path("lost").elements().next()));
+            assertEquals(
+                    List.of(
+                            "asked",
+                            "served",
+                            "lost",
+                            "p50",
+                            "p95",
+                            "p99",
+                            "zoneAsked",
+                            "zoneServed",
+                            "zoneP95",
+                            "lostByZone"),
+                    keys(day.path("series")));
+        }
+    }
+
+    private static List<String> keys(JsonNode object) {
+        List<String> keys = new ArrayList<>();
+        object.fieldNames().forEachRemaining(keys::add);
+        return keys;
+    }
+
     /** Written as they are, to {@code days.jsonl} and after {@code BROKEN}. */
     @Test
-    void rules() {
+    void namesOfInvariants() {
         assertEquals(
                 List.of("ONE_ANSWER", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS"),
                 Arrays.stream(InvariantChecker.Rule.values()).map(String::valueOf).toList());
--- a/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void unknownKindIsToldAllWords() {
+    void unknownKindListsAllWords() {
         assertEquals("f.toml:4: fault[0].kind: 'x' is none of " + ALL_KINDS, messageOf("x", ""));
     }
 
@@ -87,7 +87,7 @@
                 "stop_owner",
                 "kill_owner"
             })
-    void nameThatTheKindDoesNotTake(String kind) {
+    void keyThatTheKindDoesNotTake(String kind) {
         assertEquals(
                 "f.toml:5: fault[0].tenant: means nothing to " + kind,
                 messageOf(kind, "tenant='x'\n"));
@@ -116,7 +116,7 @@
                 "stop_owner",
                 "kill_owner"
             })
-    void kindsThatTheEmulatorCannotPlay(String kind) throws ScenarioException {
+    void kindsThatTheEmulatorCannotRun(String kind) throws ScenarioException {
         Scenario scenario = read(kind, "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION));
         assertEquals(
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void kindThatTheRigCannotPlay() throws ScenarioException {
+    void kindThatFaultInjectionCannotRun() throws ScenarioException {
         Scenario scenario = read("neighbour", "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.EMULATOR));
         assertEquals(
@@ -157,8 +157,8 @@
         assertEquals(
                 "f.toml:5: fault[0].how: 'x' is none of " + words, messageOf(kind, "how='x'\n"));
         for (String word : words.split(", ", -1)) {
-            assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).mode());
+            assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).mode().label());
         }
-        assertEquals(words.split(", ", -1)[0], read(kind, "").faults().get(0).mode());
+        assertEquals(words.split(", ", -1)[0], read(kind, "").faults().get(0).mode().label());
     }
 }
