--- a/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
@@ -72,7 +72,7 @@
                         "zone",
                         fault.fault().zone(),
                         "how",
-                        fault.fault().mode(),
+                        fault.fault().mode().label(),
                         "sidecars",
                         fault.sidecarIndices(),
                         "servers",
--- a/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
@@ -1,6 +1,7 @@
 package sagefall.faultinjection;
 
 import java.util.function.Consumer;
+import sagefall.scenario.FaultMode;
 
 /** Faults of the links between sidecars and servers. */
 final class LinkFaults implements FaultInjector.FaultGroup {
@@ -8,9 +9,6 @@
     /** Links that flap are cut for this part of each round. */
     private static final double FLAP_PART = 0.5;
 
-    private static final String IN = "in";
-    private static final String OUT = "out";
-
     private final RunMembers members;
     private final FaultTimeline timeline;
 
@@ -47,8 +45,8 @@
 
     /** Between the sidecars of a fault and the servers of its zone. */
     private void cutSidecars(ScheduledFault fault, int by) {
-        int toServer = fault.isHow(OUT) ? 0 : by;
-        int toClient = fault.isHow(IN) ? 0 : by;
+        int toServer = fault.isMode(FaultMode.OUT) ? 0 : by;
+        int toClient = fault.isMode(FaultMode.IN) ? 0 : by;
         changeLinks(fault, link -> link.addCuts(toServer, toClient));
     }
 
@@ -68,8 +66,8 @@
     /** Between a zone and all others, for what goes in, out or both. */
     private void cutZone(ScheduledFault fault, int by) {
         int zone = fault.fault().zone();
-        int intoZone = fault.isHow(OUT) ? 0 : by;
-        int outOfZone = fault.isHow(IN) ? 0 : by;
+        int intoZone = fault.isMode(FaultMode.OUT) ? 0 : by;
+        int outOfZone = fault.isMode(FaultMode.IN) ? 0 : by;
         for (ServerMember server : members.servers()) {
             for (SidecarMember sidecar : members.sidecars()) {
                 boolean serverInside = server.zone() == zone;
--- a/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
@@ -6,6 +6,7 @@
 import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
 import sagefall.scenario.FaultKind;
+import sagefall.scenario.FaultMode;
 
 /**
  * A fault with its figures and its members drawn.
@@ -33,9 +34,9 @@
         return fault().kind() == kind;
     }
 
-    /** Whether the word that the fault takes is this one. */
-    boolean isHow(String how) {
-        return fault().mode().equals(how);
+    /** Whether the fault is of this variant of its kind. */
+    boolean isMode(FaultMode mode) {
+        return fault().mode() == mode;
     }
 
     double size() {
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -7,12 +7,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import sagefall.emulator.StopTheWorldPauses;
 import sagefall.faultinjection.history.EntryKind;
+import sagefall.scenario.FaultMode;
 
 /** Faults of save servers and of the processes that run them. */
 final class ServerFaults implements FaultInjector.FaultGroup {
 
-    private static final String SILENT = "silent";
-    private static final String EARLY = "early";
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double MICROS_PER_MILLI = 1000;
 
@@ -32,7 +31,7 @@
     @Override
     public boolean begin(ScheduledFault fault) {
         int zone = fault.fault().zone();
-        boolean silent = fault.isHow(SILENT);
+        boolean silent = fault.isMode(FaultMode.SILENT);
         double part = fault.drawn().fraction();
         double size = fault.size();
         switch (fault.fault().kind()) {
@@ -191,7 +190,8 @@
         host.serve(successor, true)
                 .thenRun(() -> context.eventLoop().run(() -> started(successor)));
         members.discovery().serverDraining(old.model());
-        long settledMicros = fault.isHow(EARLY) ? 0 : members.discovery().propagationMicros();
+        long settledMicros =
+                fault.isMode(FaultMode.EARLY) ? 0 : members.discovery().propagationMicros();
         timeline.queue().scheduleAfter(settledMicros, () -> drainAndEnd(old));
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import sagefall.scenario.FaultMode;
 
 /** Faults of sidecars and of their processes. */
 final class SidecarFaults implements FaultInjector.FaultGroup {
@@ -14,7 +15,6 @@
     /** Planned restarts happen in at most so many steps. */
     private static final int MAX_RESTART_STEPS = 10;
 
-    private static final String STALE = "stale";
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final RunContext context;
@@ -140,7 +140,8 @@
         }
         for (SidecarControl sidecar : controls(fault)) {
             long clockOffset = sidecar.nextStart().clockOffsetMillis();
-            sidecar.nextStart(new SidecarControl.NextStart(fault.isHow(STALE), clockOffset));
+            sidecar.nextStart(
+                    new SidecarControl.NextStart(fault.isMode(FaultMode.STALE), clockOffset));
             sidecar.kill(fault.sizeMicros());
         }
     }
