--- a/testbed/src/main/java/sagefall/cli/CampaignCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CampaignCommand.java
@@ -68,9 +68,7 @@
     }
 
     private static List<String> faultKinds(RunPlan plan) throws ScenarioException {
-        return plan.scenario().faults().stream()
-                .map(fault -> fault.kind().name().toLowerCase(Locale.ROOT))
-                .toList();
+        return plan.scenario().faults().stream().map(fault -> fault.kind().label()).toList();
     }
 
     private static void print(long seed, List<String> kinds, RunResult result) {
--- a/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
@@ -1,7 +1,6 @@
 package sagefall.faultinjection;
 
 import java.util.List;
-import java.util.Locale;
 import sagefall.emulator.EventQueue;
 import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
@@ -27,7 +26,7 @@
 
     /** The kind, as scenarios spell it. */
     String kindName() {
-        return fault().kind().name().toLowerCase(Locale.ROOT);
+        return fault().kind().label();
     }
 
     boolean isKind(FaultKind kind) {
