--- a/sidecar/src/main/java/sagefall/Main.java
+++ b/sidecar/src/main/java/sagefall/Main.java
@@ -1,6 +1,6 @@
 package sagefall;
 
-import sagefall.proxy.SidecarServer;
+import sagefall.proxy.SidecarProcess;
 import sagefall.simulator.SimulatorAdapter;
 
 /** Chooses the host of the decision module: the sidecar, or the simulator's adapter. */
@@ -11,7 +11,7 @@
     public static void main(String[] args) {
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
-            case "serve" -> System.exit(SidecarServer.serve(System.getenv(), System.err));
+            case "serve" -> System.exit(SidecarProcess.run(System.getenv(), System.err));
             case "simhost" -> System.exit(SimulatorAdapter.serve());
             default -> {
                 System.err.println("usage: java -jar sagefall.jar serve|simhost");
--- a/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
+++ b/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
@@ -8,66 +8,74 @@
 import java.util.function.Consumer;
 
 /**
- * Requests in hand by the time at which their clients must have an answer. The loop takes timers
- * behind all that a turn has read, so where a turn is long the nearest deadline is looked at before
- * each event too. One timer for all, since nearly all requests are answered before theirs would
- * act.
+ * Requests in flight by the time at which their clients must have an answer. The loop runs timers
+ * behind all that it has read in one iteration, so where an iteration is long the nearest deadline
+ * is checked before each event too. One timer for all, since nearly all requests are answered
+ * before theirs would fire. Used on the event loop only.
  */
 final class DeadlineTimers {
 
     private final EventLoop loop;
     private final WallClock clock;
-    private final Consumer<ProxiedRequest> overdue;
-    private final TreeSet<ProxiedRequest> calls =
+    private final Consumer<ProxiedRequest> onExpired;
+    private final TreeSet<ProxiedRequest> byExpiry =
             new TreeSet<>(
-                    Comparator.comparingLong((ProxiedRequest c) -> c.dueMicros)
-                            .thenComparing(c -> c.request.id()));
+                    Comparator.comparingLong((ProxiedRequest r) -> r.expiresAtMicros)
+                            .thenComparing(r -> r.request.id()));
+
+    /** Null while none is scheduled. */
     private Future<?> timer;
-    private long timerAt;
 
-    /** Calls come back through {@code overdue}, each once and no longer held. */
-    DeadlineTimers(EventLoop loop, WallClock clock, Consumer<ProxiedRequest> overdue) {
+    private long timerAtMicros;
+
+    /**
+     * @param onExpired gets each request whose deadline has passed, once and already removed
+     */
+    DeadlineTimers(EventLoop loop, WallClock clock, Consumer<ProxiedRequest> onExpired) {
         this.loop = loop;
         this.clock = clock;
-        this.overdue = overdue;
+        this.onExpired = onExpired;
     }
 
-    /** Moves it, if it is held already. */
-    void set(ProxiedRequest call, long dueMicros) {
-        calls.remove(call);
-        call.dueMicros = dueMicros;
-        calls.add(call);
+    /** Adds a request, or moves its deadline. */
+    void set(ProxiedRequest request, long expiresAtMicros) {
+        byExpiry.remove(request);
+        request.expiresAtMicros = expiresAtMicros;
+        byExpiry.add(request);
         schedule();
     }
 
-    void remove(ProxiedRequest call) {
-        calls.remove(call);
+    /** Removes a request, if it is there. */
+    void remove(ProxiedRequest request) {
+        byExpiry.remove(request);
     }
 
-    /** Ends what is overdue. */
-    void check(long now) {
-        while (!calls.isEmpty() && calls.first().dueMicros <= now) {
-            overdue.accept(calls.pollFirst());
+    /** Hands over all requests whose deadline has passed, the earliest first. */
+    void expire(long nowMicros) {
+        while (!byExpiry.isEmpty() && byExpiry.first().expiresAtMicros <= nowMicros) {
+            onExpired.accept(byExpiry.pollFirst());
         }
     }
 
     private void schedule() {
-        long first = calls.first().dueMicros;
-        if (timer == null || first < timerAt) {
+        long first = byExpiry.first().expiresAtMicros;
+        if (timer == null || first < timerAtMicros) {
             if (timer != null) {
                 timer.cancel(false);
             }
-            timerAt = first;
+            timerAtMicros = first;
             timer =
                     loop.schedule(
-                            this::wake, Math.max(0, first - clock.micros()), TimeUnit.MICROSECONDS);
+                            this::onTimer,
+                            Math.max(0, first - clock.micros()),
+                            TimeUnit.MICROSECONDS);
         }
     }
 
-    private void wake() {
+    private void onTimer() {
         timer = null;
-        check(clock.micros());
-        if (!calls.isEmpty()) {
+        expire(clock.micros());
+        if (!byExpiry.isEmpty()) {
             schedule();
         }
     }
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
@@ -0,0 +1,125 @@
+package sagefall.proxy;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Consumer;
+import sagefall.config.SidecarConfig;
+import sagefall.leaderelection.DirectoryLeaseStore;
+import sagefall.leaderelection.LeaderElectionSettings;
+import sagefall.leaderelection.LeaderElector;
+import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.SharedEndpointSnapshot;
+import sagefall.logging.LogEvent;
+import sagefall.logging.LogLine;
+
+/**
+ * This process's part in the leader election among the sidecars of a machine: the leader writes the
+ * endpoint snapshot that all of them share. The election runs on a thread of its own; no request
+ * waits for it.
+ */
+final class LeaderElectionService implements AutoCloseable {
+
+    /** Longest that the start waits for the lease directory: a stalled disk delays it no more. */
+    private static final long OPEN_TIMEOUT_MILLIS = 250;
+
+    private final SharedEndpointSnapshot.Read snapshotAtStart;
+    private final SharedEndpointSnapshot snapshot;
+    private final LeaderElector elector;
+
+    private LeaderElectionService(
+            SharedEndpointSnapshot.Read snapshotAtStart,
+            SharedEndpointSnapshot snapshot,
+            LeaderElector elector) {
+        this.snapshotAtStart = snapshotAtStart;
+        this.snapshot = snapshot;
+        this.elector = elector;
+    }
+
+    /** A store that could be opened, and the snapshot in it; null where it could not be read. */
+    private record OpenedStore(LeaseStore store, SharedEndpointSnapshot.Read snapshot) {}
+
+    /**
+     * Reads the shared snapshot and becomes a candidate. Blocks for a bounded time; not for the
+     * event loop.
+     *
+     * @return null where the lease directory cannot be used, which is logged
+     */
+    static LeaderElectionService start(SidecarConfig config, WallClock clock, Consumer<String> log)
+            throws InterruptedException {
+        LeaderElectionSettings settings = config.extensions().duties();
+        OpenedStore opened;
+        try {
+            opened =
+                    CompletableFuture.supplyAsync(() -> open(settings, log))
+                            .get(OPEN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException e) {
+            logUnavailable(StartupException.oneLine(e), log);
+            return null;
+        } catch (TimeoutException e) {
+            logUnavailable("no answer within " + OPEN_TIMEOUT_MILLIS + " ms", log);
+            return null;
+        }
+        SharedEndpointSnapshot snapshot = new SharedEndpointSnapshot();
+        LeaderElector elector =
+                new LeaderElector(
+                        opened.store,
+                        candidateName(config, clock),
+                        snapshot,
+                        settings.leaseMillis(),
+                        config.settings().seed() ^ config.settings().rank(),
+                        log);
+        return new LeaderElectionService(opened.snapshot, snapshot, elector);
+    }
+
+    private static void logUnavailable(String reason, Consumer<String> log) {
+        log.accept(
+                LogLine.of(LogEvent.LEADER_ELECTION_UNAVAILABLE).with("reason", reason).toString());
+    }
+
+    private static OpenedStore open(LeaderElectionSettings settings, Consumer<String> log) {
+        try {
+            LeaseStore store = new DirectoryLeaseStore(settings.directory());
+            return new OpenedStore(store, readSnapshot(store, log));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    private static SharedEndpointSnapshot.Read readSnapshot(
+            LeaseStore store, Consumer<String> log) {
+        try {
+            return SharedEndpointSnapshot.read(store);
+        } catch (IOException e) {
+            log.accept(
+                    LogLine.of(LogEvent.SHARED_SNAPSHOT_IGNORED)
+                            .with("reason", StartupException.oneLine(e))
+                            .toString());
+            return null;
+        }
+    }
+
+    /** A name that no other process has or had: the sidecar's, its process id and its start. */
+    private static String candidateName(SidecarConfig config, WallClock clock) {
+        return config.name() + "#" + ProcessHandle.current().pid() + "#" + clock.micros();
+    }
+
+    /** What the leader had written when this process started; null where there was nothing. */
+    SharedEndpointSnapshot.Read snapshotAtStart() {
+        return snapshotAtStart;
+    }
+
+    /** The snapshot that this process writes while it is leader. */
+    SharedEndpointSnapshot snapshot() {
+        return snapshot;
+    }
+
+    /** Gives the lease back, if this process holds it; blocks for a bounded time. Any thread. */
+    @Override
+    public void close() {
+        elector.close();
+    }
+}
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -7,79 +7,88 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Since when what a turn of an event loop reads may have waited. A client's time runs from its last
- * byte, and the loop reads that byte only in its next turn: where a turn is long, as in a crowd or
- * with little of a core, that is much of a deadline, and counted from the reading the answer would
- * come too late.
+ * Since when what an iteration of an event loop reads may have waited. A client's time counts from
+ * its last byte, and the loop reads that byte only in its next iteration: where an iteration is
+ * long, as under a burst or with little of a core, that is much of a deadline, and counted from the
+ * reading the answer would come too late.
  *
- * <p>What is there when a turn begins has come since the one before began. Where the loop had to
- * sleep for it, it has come only now; but a sleep that was shorter than the turn before is not told
- * from a select that found something, nor from the compiler's turn on the core. Harm: what came at
- * the end of a long turn, or soon after, is taken for as old as that turn, and what comes to an
- * idle process that is not swept for longer than it is.
+ * <p>What is there when an iteration begins has arrived since the one before began. Where the loop
+ * had to sleep for it, it has arrived only now; but a sleep that was shorter than the iteration
+ * before looks the same as a select that found something, and as the compiler having the core.
+ * Harm: what arrived at the end of a long iteration, or soon after, counts as as old as that
+ * iteration, and what arrives at an idle process that is not swept for longer than it is.
+ *
+ * <p>Used on the event loop only.
  */
 public final class LoopLatencyClock implements SelectStrategy {
 
-    private static final long LEAST_SLEEP_NANOS = 2_000_000;
+    private static final long SHORTEST_SLEEP_NANOS = 2_000_000;
 
     /**
-     * Connections are swept every 25 ms: a loop that begins so much later has stood still, not
-     * slept.
+     * Connections are swept every 25 ms: a loop that begins so much later has been stopped, not
+     * asleep.
      */
-    private static final long MOST_SLEEP_NANOS = 50_000_000;
+    private static final long LONGEST_SLEEP_NANOS = 50_000_000;
+
+    private long iteration;
 
-    private long number;
+    /** Whether the current iteration has read something. */
+    private boolean reading = true;
 
-    /** Of the turn in which the loop is, once it has done something. */
-    private boolean begun = true;
+    private long readingSinceNanos = System.nanoTime();
 
-    private long beganAt = System.nanoTime();
-    private long since = beganAt;
+    private long earliestArrivalNanos = readingSinceNanos;
 
-    /** Of the turn before it, and when that had ended. */
-    private long lastBeganAt = beganAt;
+    /** When the iteration before began to read. */
+    private long previousSinceNanos = readingSinceNanos;
 
-    private long polledAt = beganAt;
+    /** When the current iteration began to select, which is when the one before ended. */
+    private long selectingSinceNanos = readingSinceNanos;
 
-    /** An event loop of its own that these are the turns of. */
+    /** A new event loop, whose iterations this clock measures from now on. */
     MultiThreadIoEventLoopGroup group() {
         return new MultiThreadIoEventLoopGroup(
                 1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> this));
     }
 
+    /** Called by the loop at the beginning of each iteration; as Netty's default strategy. */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        // A turn that read nothing may have had long tasks all the same.
-        number++;
-        lastBeganAt = begun ? beganAt : polledAt;
-        begun = false;
-        polledAt = System.nanoTime();
+        // An iteration that read nothing may have had long tasks all the same.
+        iteration++;
+        previousSinceNanos = reading ? readingSinceNanos : selectingSinceNanos;
+        reading = false;
+        selectingSinceNanos = System.nanoTime();
         return hasTasks ? selectNow.get() : SELECT;
     }
 
-    /** Which turn it is, counted from the start. */
+    /** Number of the current iteration, counted from the start. */
     public long number() {
-        return number;
+        return iteration;
     }
 
     /**
-     * The earliest at which what is read now can have come, on the clock of {@code
+     * The earliest time at which what is read now can have arrived, on the clock of {@code
      * System.nanoTime()}.
      */
     public long since() {
-        if (!begun) {
-            begun = true;
-            beganAt = System.nanoTime();
-            long gap = beganAt - polledAt;
-            if (gap <= Math.max(LEAST_SLEEP_NANOS, polledAt - lastBeganAt)) {
-                since = lastBeganAt;
-            } else if (gap <= MOST_SLEEP_NANOS) {
-                since = beganAt;
-            } else {
-                beganAt = polledAt;
-                since = polledAt;
-            }
+        if (!reading) {
+            reading = true;
+            beginReading();
+        }
+        return earliestArrivalNanos;
+    }
+
+    private void beginReading() {
+        readingSinceNanos = System.nanoTime();
+        long gap = readingSinceNanos - selectingSinceNanos;
+        if (gap <= Math.max(SHORTEST_SLEEP_NANOS, selectingSinceNanos - previousSinceNanos)) {
+            earliestArrivalNanos = previousSinceNanos;
+        } else if (gap <= LONGEST_SLEEP_NANOS) {
+            earliestArrivalNanos = readingSinceNanos;
+        } else {
+            readingSinceNanos = selectingSinceNanos;
+            earliestArrivalNanos = selectingSinceNanos;
         }
-        return since;
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -12,12 +12,18 @@
 import sagefall.streaming.StreamedUpload;
 import sagefall.streaming.StreamingSettings;
 
-/** A client's request, from its last byte until it is answered and its attempts have ended. */
+/**
+ * A client's request, from its last byte, or the head of a streamed upload, until it is answered
+ * and its attempts have ended. Used on the event loop only.
+ */
 public final class ProxiedRequest {
 
-    /** The connection that waits for the answer. */
+    /** The client's connection, which waits for the answer. */
     public interface Client {
-        /** Whether it still waits, seen with all that has come from it so far, its end among it. */
+        /**
+         * Whether it still waits. Reads first what has come from it so far, the end of the
+         * connection included.
+         */
         default boolean waits() {
             return true;
         }
@@ -27,10 +33,19 @@
             return 0;
         }
 
-        /** Takes the content over. */
+        /**
+         * Sends a complete answer.
+         *
+         * @param content taken over
+         */
         void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
-        /** An answer of status 200 begins; a length below 0 is not known yet. */
+        /**
+         * Sends the head of an answer of status 200 whose body is streamed.
+         *
+         * @param length of the body; negative where it is not known yet
+         * @param source lets the client stop the endpoint from sending, and let it go on
+         */
         default void begin(
                 HttpHeaders headers,
                 long length,
@@ -39,57 +54,84 @@
             throw new UnsupportedOperationException();
         }
 
-        /** Takes the part over. */
+        /**
+         * Sends a part of a streamed body; {@link #flush} follows.
+         *
+         * @param part taken over
+         */
         default void part(ByteBuf part) {
             part.release();
         }
 
-        /** What came in one go has come. */
+        /** All parts that arrived together have been handed over. */
         default void flush() {}
 
-        /** The last part has come; told once the client has taken all. */
+        /**
+         * Ends a streamed answer.
+         *
+         * @param taken runs once the client has received all of it
+         */
         default void end(HttpHeaders trailers, Runnable taken) {}
 
-        /** Ends an answer that has begun so that the client can tell that it is not whole. */
+        /** Ends a streamed answer so that the client sees that it is not complete. */
         default void breakOff() {}
     }
 
+    /** What the balancer knows of it. */
     final Request request;
+
+    /** Method of the request line. */
     public final HttpMethod method;
+
+    /** Target of the request line. */
     public final String uri;
+
+    /** Headers as the client sent them. */
     public final HttpHeaders headers;
+
+    /** The body; null where it is streamed. */
     public final byte[] body;
 
-    /** The body where it passes through as it arrives, else null. */
+    /** The body where it is streamed, else null. */
     public final StreamedUpload upload;
 
-    /** Largest answer that passes through as it arrives; 0 where it is collected. */
+    /** Largest answer that is streamed, in bytes; 0 where answers are collected. */
     public final long mostStreamed;
 
+    /** Where the answer goes. */
     final Client client;
+
+    /** By number, those that have ended included. */
     final List<ForwardedAttempt> attempts = new ArrayList<>(2);
 
     /** Attempts that have not ended. */
-    int out;
+    int attemptsInFlight;
 
     /** Nothing is owed any more: it has its one answer, or the client has left. */
     public boolean over;
 
-    /** How a server failed the body before it had come whole, in its own words. */
-    Refusal refusal;
+    /** How an endpoint failed an upload before it was complete; null where none did. */
+    UploadRefusal uploadRefusal;
 
-    /** The one whose answer has begun to pass through. */
-    ForwardedAttempt streaming;
+    /** The attempt whose answer is streamed to the client; null while there is none. */
+    ForwardedAttempt streamingAttempt;
 
-    /** The server's word on its load that came with it. */
-    LoadReport report;
+    /** The load report that came with the streamed answer; null where there was none. */
+    LoadReport streamedLoadReport;
 
-    /** Until when the client waits; of an upload it is moved when the last byte has come. */
+    /**
+     * Until when the client waits, in microseconds; of an upload it is moved when the last byte has
+     * come.
+     */
     long deadlineMicros;
 
-    /** When its deadline acts, while it is held by {@link DeadlineTimers}. */
-    long dueMicros;
+    /** When {@link DeadlineTimers} ends it, while it is there. */
+    long expiresAtMicros;
 
+    /**
+     * @param body null where the body is streamed
+     * @param upload null where it is not
+     */
     public ProxiedRequest(
             Request request,
             HttpMethod method,
@@ -110,6 +152,6 @@
         this.client = client;
     }
 
-    /** A server's answer to a body that it does not want. */
-    record Refusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
+    /** An endpoint's answer to an upload that it does not want; the content is a copy. */
+    record UploadRefusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 }
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/RequestHandler.java
@@ -0,0 +1,146 @@
+package sagefall.proxy;
+
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpRequest;
+import java.util.function.BooleanSupplier;
+import sagefall.balancer.api.BalancerSettings;
+import sagefall.balancer.api.RequestClass;
+import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestParser;
+import sagefall.streaming.StreamedUpload;
+import sagefall.streaming.StreamingSettings;
+
+/**
+ * Takes requests from the client side, registers them and delivers them to the balancer. Used on
+ * the event loop only.
+ */
+final class RequestHandler implements DownstreamListener.Service {
+
+    private final WallClock clock;
+    private final RequestParser parser;
+    private final BalancerDriver driver;
+    private final InFlightRequests requests;
+    private final AttemptForwarder forwarder;
+    private final BooleanSupplier readiness;
+    private StreamingSettings streaming;
+
+    /**
+     * @param readiness whether a request would find an endpoint
+     */
+    RequestHandler(
+            WallClock clock,
+            BalancerSettings settings,
+            BalancerDriver driver,
+            InFlightRequests requests,
+            AttemptForwarder forwarder,
+            BooleanSupplier readiness) {
+        this.clock = clock;
+        parser = new RequestParser(settings);
+        this.driver = driver;
+        this.requests = requests;
+        this.forwarder = forwarder;
+        this.readiness = readiness;
+    }
+
+    /** Sets how requests that arrive from now on are streamed. */
+    void useStreaming(StreamingSettings settings) {
+        streaming = settings;
+    }
+
+    @Override
+    public boolean ready() {
+        return readiness.getAsBoolean();
+    }
+
+    /**
+     * @param http stays the caller's: its body is copied
+     */
+    @Override
+    public void take(FullHttpRequest http, ProxiedRequest.Client client)
+            throws RequestParser.BadRequest {
+        long now = clock.micros();
+        byte[] body = ByteBufUtil.getBytes(http.content());
+        ProxiedRequest request = parser.read(now, http, body, null, streaming, client);
+        register(request);
+        requests.startDeadline(request);
+        driver.deliver(request, (balancer, at) -> balancer.onRequest(at, request.request));
+    }
+
+    private void register(ProxiedRequest request) throws RequestParser.BadRequest {
+        if (!requests.add(request)) {
+            throw new RequestParser.BadRequest(
+                    "this " + ProtocolHeaders.REQUEST_ID + " is in hand");
+        }
+    }
+
+    @Override
+    public long uploads(HttpRequest head) {
+        RequestClass requestClass = parser.requestClass(head.uri());
+        return requestClass == null ? 0 : streaming.bounds(requestClass.name()).requestBytes();
+    }
+
+    @Override
+    public void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
+            throws RequestParser.BadRequest {
+        long now = clock.micros();
+        ProxiedRequest request = parser.read(now, head, null, upload, streaming, client);
+        register(request);
+        upload.listen(new UploadListener(request, now));
+        driver.deliver(request, (balancer, at) -> balancer.onRequest(at, request.request));
+    }
+
+    /** Reports the progress of an upload to the balancer. */
+    private final class UploadListener implements StreamedUpload.Listener {
+        private final ProxiedRequest request;
+        private final long headMicros;
+
+        /**
+         * @param headMicros when the head of the request was read
+         */
+        UploadListener(ProxiedRequest request, long headMicros) {
+            this.request = request;
+            this.headMicros = headMicros;
+        }
+
+        /** The client's time counts from its last byte, as for a request that is not streamed. */
+        @Override
+        public void whole() {
+            long now = clock.micros();
+            request.deadlineMicros = now + request.request.deadlineMicros() - headMicros;
+            requests.startDeadline(request);
+            driver.deliver(
+                    request,
+                    (balancer, at) ->
+                            balancer.onUploadComplete(
+                                    at, request.request.id(), request.deadlineMicros));
+        }
+
+        @Override
+        public void replayLost() {
+            driver.deliver(
+                    request,
+                    (balancer, at) -> balancer.onReplayBufferExceeded(at, request.request.id()));
+        }
+    }
+
+    @Override
+    public void stalled(ProxiedRequest.Client client) {
+        ProxiedRequest request = requests.byClient(client);
+        if (request != null) {
+            forwarder.endStalled(request);
+        }
+    }
+
+    @Override
+    public void left(ProxiedRequest.Client client) {
+        ProxiedRequest request = requests.byClient(client);
+        if (request != null) {
+            requests.finish(request);
+            driver.deliver(
+                    (balancer, now) -> balancer.onClientDisconnected(now, request.request.id()));
+            forwarder.endStreams(request);
+        }
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -0,0 +1,125 @@
+package sagefall.proxy;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpUtil;
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.LoadReport;
+import sagefall.http.ProtocolHeaders;
+import sagefall.streaming.FlowControl;
+import sagefall.streaming.StreamingSettings;
+
+/**
+ * Answers that are passed on to the client while the endpoint still sends them. Used on the event
+ * loop only.
+ */
+final class StreamedResponses {
+
+    private static final long LENGTH_UNKNOWN = -1L;
+
+    private final BalancerDriver driver;
+    private final InFlightRequests requests;
+    private StreamingSettings settings;
+
+    StreamedResponses(BalancerDriver driver, InFlightRequests requests) {
+        this.driver = driver;
+        this.requests = requests;
+    }
+
+    /** Answers that have begun go on under the settings under which they began. */
+    void useStreaming(StreamingSettings newSettings) {
+        settings = newSettings;
+    }
+
+    /** The head of an answer has arrived: the attempt is the request's only one from now on. */
+    void begin(
+            ForwardedAttempt attempt,
+            HttpResponse head,
+            LoadReport report,
+            FlowControl.Source source) {
+        ProxiedRequest request = attempt.call;
+        attempt.timeout.cancel(false);
+        requests.stopDeadline(request);
+        request.streamingAttempt = attempt;
+        request.streamedLoadReport = report;
+        driver.deliver(
+                request,
+                (balancer, now) ->
+                        balancer.onStreamStarted(
+                                now,
+                                request.request.id(),
+                                attempt.number,
+                                attempt.server,
+                                now - attempt.timedFromMicros));
+        HttpHeaders headers = ProtocolHeaders.endToEnd(head.headers());
+        headers.remove(ProtocolHeaders.LOAD);
+        request.client.begin(
+                headers, HttpUtil.getContentLength(head, LENGTH_UNKNOWN), settings, source);
+    }
+
+    /**
+     * Passes a part of the body on.
+     *
+     * @param part taken over: passed on to the client, or released if the request is finished
+     */
+    void forwardPart(ForwardedAttempt attempt, ByteBuf part) {
+        if (attempt.call.over) {
+            part.release();
+        } else {
+            attempt.call.client.part(part);
+        }
+    }
+
+    /** All parts that arrived together have been passed on. */
+    void flush(ForwardedAttempt attempt) {
+        if (!attempt.call.over) {
+            attempt.call.client.flush();
+        }
+    }
+
+    /**
+     * The endpoint has sent everything. The request stays in flight until its client has received
+     * all of it.
+     */
+    void finish(ForwardedAttempt attempt, HttpHeaders trailers) {
+        ProxiedRequest request = attempt.call;
+        if (request.over) {
+            end(attempt, AttemptResult.SERVED);
+        } else {
+            request.client.end(
+                    ProtocolHeaders.trailers(trailers), () -> end(attempt, AttemptResult.SERVED));
+        }
+    }
+
+    /** Ends an answer, complete or broken off; only the first call for an attempt counts. */
+    void end(ForwardedAttempt attempt, AttemptResult result) {
+        ProxiedRequest request = attempt.call;
+        if (attempt.result != null) {
+            return;
+        }
+        attempt.result = result;
+        request.attemptsInFlight--;
+        if (!request.over) {
+            requests.finish(request);
+            if (result != AttemptResult.SERVED) {
+                request.client.breakOff();
+            }
+        }
+        driver.deliver(
+                request,
+                (balancer, now) ->
+                        balancer.onAttemptOutcome(
+                                now,
+                                new AttemptOutcome(
+                                        request.request.id(),
+                                        attempt.number,
+                                        attempt.server,
+                                        result,
+                                        now - attempt.timedFromMicros,
+                                        true,
+                                        request.streamedLoadReport)));
+        requests.removeIfComplete(request);
+    }
+}
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -191,7 +191,7 @@
                 harness.file,
                 Files.readString(harness.file)
                         .replace(":" + harness.discovery.port(), ":" + next.port()));
-        harness.sidecar.reload(harness.environment());
+        harness.reload();
         // A connection that the loop has begun by then is accepted before this one.
         harness.loop.submit(() -> {}).get();
         harness.loop.submit(() -> {}).get();
@@ -282,7 +282,7 @@
                 !next.equals("list of 0");
                 next = module.get().next()) {
             assertEquals("discovery failed", next);
-            harness.loop.execute(harness.sidecar::requestEndpointUpdates);
+            harness.loop.execute(module.get().actions::requestEndpointUpdates);
             answerFirst(harness);
         }
         harness.address = started.get(10, TimeUnit.SECONDS);
@@ -307,7 +307,7 @@
                 .set(ProtocolHeaders.TENANT, "acme")
                 .set(ProtocolHeaders.TIMEOUT, "5000");
         try {
-            sidecar.take(http, (status, headers, content) -> content.release());
+            sidecar.requestHandler().take(http, (status, headers, content) -> content.release());
         } catch (RequestParser.BadRequest e) {
             throw new IllegalStateException(e);
         }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -227,6 +227,11 @@
         acted.get(10, TimeUnit.SECONDS);
     }
 
+    /** As SIGHUP does, but for the thread. */
+    void reload() throws IOException {
+        new ConfigurationReloader(sidecar, environment(), new PrintStream(log, true)).reload();
+    }
+
     Client client() throws IOException {
         Client client = new Client(address);
         clients.add(client);
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -344,7 +344,7 @@
             assertOneLine(harness.environment(), message);
             harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}")
                     .start();
-            harness.extended(text).sidecar.reload(harness.environment());
+            harness.extended(text).reload();
             String log = harness.log.toString(StandardCharsets.UTF_8);
             assertTrue(log.contains(message) && log.contains("the old configuration stays"), log);
             // Beside it the silent discovery may be told of, where this takes seconds.
@@ -352,7 +352,7 @@
             // Still as the old ones say, and then as new ones do.
             assertEquals(413, big(harness, 70_001));
             harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
-            harness.sidecar.reload(harness.environment());
+            harness.reload();
             SidecarHarness.Client taken = harness.client();
             taken.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
                     .raw("x".repeat(70_001));
@@ -388,7 +388,7 @@
 
     private static void assertOneLine(Map<String, String> environment, String message) {
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        assertEquals(2, SidecarServer.serve(environment, new PrintStream(errors, true)));
+        assertEquals(2, SidecarProcess.run(environment, new PrintStream(errors, true)));
         String text = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, text.lines().count(), text);
         assertTrue(text.contains(message), text);
--- a/sidecar/src/test/java/sagefall/proxy/StreamingTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamingTest.java
@@ -245,7 +245,7 @@
         client.close();
         assertTrue(harness.stop().await(10, TimeUnit.SECONDS));
         Matcher held =
-                Pattern.compile("streams held (\\d+) bytes at the most, 0 at the end")
+                Pattern.compile("INFO stream_buffers_used peak_bytes=(\\d+) remaining_bytes=0")
                         .matcher(harness.log.toString(UTF_8));
         assertTrue(held.find(), harness.log.toString(UTF_8));
         long most = Long.parseLong(held.group(1));
@@ -356,8 +356,12 @@
             harness.loop
                     .submit(
                             () -> {
-                                harness.sidecar.listed(
-                                        harness.config().lists().read(list.getBytes(UTF_8)));
+                                harness.sidecar
+                                        .endpointUpdates()
+                                        .listed(
+                                                harness.config()
+                                                        .lists()
+                                                        .read(list.getBytes(UTF_8)));
                                 return null;
                             })
                     .get();
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -80,13 +80,16 @@
         assertFalse(play.broken(), printed::toString);
         for (int i = 0; i < 6; i++) {
             String log = Files.readString(folder.resolve("sidecar-" + i).resolve("log"));
-            assertTrue(log.contains("recovery: epoch 1, nothing was kept"), log);
-            assertTrue(
-                    log.contains("recovery: epoch 2, kept: revision") && log.contains("old, taken"),
-                    log);
+            assertTrue(log.contains("INFO snapshot_absent epoch=1 "), log);
+            assertTrue(log.lines().anyMatch(FaultInjectionRunTest::usesSnapshotOfEpoch1), log);
         }
     }
 
+    private static boolean usesSnapshotOfEpoch1(String line) {
+        return line.contains("INFO snapshot_recovered epoch=2 revision=")
+                && line.contains(" used=true ");
+    }
+
     /** The owner of the duty is stopped past its lease and woken, and the next one killed. */
     @Test
     void anOwnerThatWakesUpLateDoesNoHarm() throws Exception {
