--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -16,6 +16,7 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.config.SidecarConfig;
 import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.upstream.AttemptListener;
 import sagefall.proxy.upstream.ConnectionPool;
 import sagefall.streaming.FlowControl;
 import sagefall.streaming.StreamingSettings;
@@ -24,7 +25,7 @@
  * Attempts of requests at endpoints: sends, times out and cancels them, and reports each outcome to
  * the balancer once. Used on the event loop only.
  */
-final class AttemptForwarder implements ConnectionPool.Listener {
+final class AttemptForwarder implements AttemptListener {
 
     /**
      * Answers that say to a client that a retry is harmless: only the balancer may say so, so these
--- a/sidecar/src/main/java/sagefall/proxy/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
@@ -7,7 +7,7 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.RequestClass;
 import sagefall.http.ProtocolHeaders;
-import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
 import sagefall.streaming.StreamedUpload;
 import sagefall.streaming.StreamingSettings;
@@ -16,7 +16,7 @@
  * Takes requests from the client side, registers them and delivers them to the balancer. Used on
  * the event loop only.
  */
-final class RequestHandler implements DownstreamListener.Service {
+final class BalancerRequestHandler implements RequestHandler {
 
     private final WallClock clock;
     private final RequestParser parser;
@@ -29,7 +29,7 @@
     /**
      * @param readiness whether a request would find an endpoint
      */
-    RequestHandler(
+    BalancerRequestHandler(
             WallClock clock,
             BalancerSettings settings,
             BalancerDriver driver,
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -42,7 +42,7 @@
     private final EndpointUpdates endpointUpdates;
     private final DiscoveryClient discovery;
     private final RecoveryStartup recovery;
-    private final RequestHandler requestHandler;
+    private final BalancerRequestHandler requestHandler;
     private final DownstreamListener listener;
 
     /** Completes with the address once clients can connect. */
@@ -89,7 +89,7 @@
                 new RecoveryStartup(
                         config, driver, pool, discovery, endpointUpdates, recorder, log);
         requestHandler =
-                new RequestHandler(
+                new BalancerRequestHandler(
                         clock, config.settings(), driver, requests, forwarder, this::isReady);
         listener =
                 new DownstreamListener(
@@ -164,7 +164,7 @@
     }
 
     /** Where requests come in. */
-    RequestHandler requestHandler() {
+    BalancerRequestHandler requestHandler() {
         return requestHandler;
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
@@ -4,12 +4,13 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import java.net.InetSocketAddress;
 import sagefall.http.HttpClientConnection;
+import sagefall.http.HttpConnectionListener;
 
 /**
  * A client of the warm-up, on one connection: it sends the next request as soon as it has an
  * answer. Used on the event loop only.
  */
-final class WarmUpClient implements HttpClientConnection.Owner {
+final class WarmUpClient implements HttpConnectionListener {
 
     /** The warm-up that the client works for. */
     interface Progress {
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
@@ -8,7 +8,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import sagefall.http.ProtocolHeaders;
-import sagefall.proxy.downstream.DownstreamListener;
+import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
 
 /**
@@ -16,7 +16,7 @@
  * first time; the second time it comes from that sidecar and gets an answer as of an endpoint. Used
  * on the event loop only.
  */
-final class WarmUpService implements DownstreamListener.Service {
+final class WarmUpService implements RequestHandler {
 
     private static final HttpHeaders LOAD_REPORT =
             new DefaultHttpHeaders().set(ProtocolHeaders.LOAD, "TEXT util=0.5, qps=10, eps=0");
