--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import sagefall.balancer.api.AttemptOutcome;
 import sagefall.balancer.api.AttemptResult;
 import sagefall.balancer.api.LoadReport;
 import sagefall.config.SidecarConfig;
@@ -39,6 +38,7 @@
     private final BalancerDriver driver;
     private final InFlightRequests requests;
     private final ResponseWriter responses;
+    private final OutcomeReporter outcomes;
     private final StreamedResponses streamedResponses;
     private final ConnectionPool pool;
 
@@ -55,7 +55,8 @@
         this.driver = driver;
         this.requests = requests;
         this.responses = responses;
-        streamedResponses = new StreamedResponses(driver, requests);
+        outcomes = new OutcomeReporter(driver, requests);
+        streamedResponses = new StreamedResponses(driver, requests, outcomes);
         pool = new ConnectionPool(loop, clock, config, this);
     }
 
@@ -223,20 +224,7 @@
         if (result == AttemptResult.SERVED && !request.over) {
             responses.forward(request, response);
         }
-        driver.deliver(
-                request,
-                (balancer, now) ->
-                        balancer.onAttemptOutcome(
-                                now,
-                                new AttemptOutcome(
-                                        request.request.id(),
-                                        attempt.number,
-                                        attempt.server,
-                                        result,
-                                        now - attempt.timedFromMicros,
-                                        request.over,
-                                        report)));
-        requests.removeIfComplete(request);
+        outcomes.report(attempt, result, report);
     }
 
     /** Copies the response, which stays the caller's. */
--- /dev/null
+++ b/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
@@ -0,0 +1,44 @@
+package sagefall.proxy;
+
+import sagefall.balancer.api.AttemptOutcome;
+import sagefall.balancer.api.AttemptResult;
+import sagefall.balancer.api.LoadReport;
+
+/**
+ * Reports the outcome of each attempt to the balancer, and lets go of the request with its last
+ * attempt. Used on the event loop only.
+ */
+final class OutcomeReporter {
+
+    private final BalancerDriver driver;
+    private final InFlightRequests requests;
+
+    OutcomeReporter(BalancerDriver driver, InFlightRequests requests) {
+        this.driver = driver;
+        this.requests = requests;
+    }
+
+    /**
+     * Reports how an attempt ended; after the client has got its answer, if this attempt brought
+     * it.
+     *
+     * @param report the endpoint's load report; null where there was none
+     */
+    void report(ForwardedAttempt attempt, AttemptResult result, LoadReport report) {
+        ProxiedRequest request = attempt.call;
+        driver.deliver(
+                request,
+                (balancer, now) ->
+                        balancer.onAttemptOutcome(
+                                now,
+                                new AttemptOutcome(
+                                        request.request.id(),
+                                        attempt.number,
+                                        attempt.server,
+                                        result,
+                                        now - attempt.timedFromMicros,
+                                        request.over,
+                                        report)));
+        requests.removeIfComplete(request);
+    }
+}
--- a/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -4,7 +4,6 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
-import sagefall.balancer.api.AttemptOutcome;
 import sagefall.balancer.api.AttemptResult;
 import sagefall.balancer.api.LoadReport;
 import sagefall.http.ProtocolHeaders;
@@ -21,11 +20,13 @@
 
     private final BalancerDriver driver;
     private final InFlightRequests requests;
+    private final OutcomeReporter outcomes;
     private StreamingSettings settings;
 
-    StreamedResponses(BalancerDriver driver, InFlightRequests requests) {
+    StreamedResponses(BalancerDriver driver, InFlightRequests requests, OutcomeReporter outcomes) {
         this.driver = driver;
         this.requests = requests;
+        this.outcomes = outcomes;
     }
 
     /** Answers that have begun go on under the settings under which they began. */
@@ -107,19 +108,6 @@
                 request.client.breakOff();
             }
         }
-        driver.deliver(
-                request,
-                (balancer, now) ->
-                        balancer.onAttemptOutcome(
-                                now,
-                                new AttemptOutcome(
-                                        request.request.id(),
-                                        attempt.number,
-                                        attempt.server,
-                                        result,
-                                        now - attempt.timedFromMicros,
-                                        true,
-                                        request.streamedLoadReport)));
-        requests.removeIfComplete(request);
+        outcomes.report(attempt, result, request.streamedLoadReport);
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
@@ -44,7 +44,7 @@
     /** The channel is closed. */
     CLOSED;
 
-    /** The table of legal transitions: each state's possible successors. */
+    // The table of legal transitions: the possible successors of each state.
     static {
         ACCEPTED.successors = EnumSet.of(READING_REQUEST, WRITING_LAST, LINGERING, CLOSED);
         IDLE.successors = EnumSet.of(READING_REQUEST, WRITING_LAST, LINGERING, CLOSED);
--- a/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
+++ b/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
@@ -12,16 +12,23 @@
 
     private HttpMessages() {}
 
-    record Message(String first, Map<String, String> headers, String body) {
+    /**
+     * A message of a known length.
+     *
+     * @param startLine the request or status line
+     * @param headers by name in any case; of a repeated one the last
+     * @param body one character a byte; empty where no length is stated
+     */
+    record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
-            return Integer.parseInt(first.split(" ", 0)[1]);
+            return Integer.parseInt(startLine.split(" ", 0)[1]);
         }
     }
 
     /** The next message, or null at the end of the connection. */
     static Message read(InputStream in) throws IOException {
-        String first = line(in);
-        if (first == null) {
+        String startLine = line(in);
+        if (startLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
@@ -39,18 +46,21 @@
         if (body.length < length) {
             throw new EOFException("ended within the body");
         }
-        return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
+        return new Message(startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
+    /** The next line without its end; null if the connection ends before that. */
     private static String line(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int c; (c = in.read()) != '\n'; ) {
-            if (c < 0) {
+        int next = in.read();
+        while (next != '\n') {
+            if (next < 0) {
                 return null;
             }
-            if (c != '\r') {
-                line.append((char) c);
+            if (next != '\r') {
+                line.append((char) next);
             }
+            next = in.read();
         }
         return line.toString();
     }
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -14,20 +14,18 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.balancer.api.Request;
 
-/**
- * Requests of a loop that comes to them late, since there is too little of a core or too much to
- * do.
- */
+/** Requests of a loop that reads them late, since it has too little of a core or too much to do. */
 class LateEventLoopTest extends SocketTest {
 
-    /** Where a request waits while the loop is busy. */
+    /** Where a request is queued while the loop is busy. */
     private enum Place {
-        ON_A_RESTING_CONNECTION,
+        ON_AN_IDLE_CONNECTION,
         TO_BE_ACCEPTED
     }
 
     /**
-     * Its time counted from its reading, so it was answered as much too late as it had been unread.
+     * Before, its time counted from its reading, so it was answered as much too late as it had been
+     * unread.
      */
     @ParameterizedTest
     @EnumSource
@@ -35,19 +33,19 @@
         ScriptedPeer server = server(ScriptedPeer.serves("first"));
         SidecarHarness harness = sidecar(server);
         AtomicReference<SidecarHarness.Client> client = new AtomicReference<>();
-        if (place == Place.ON_A_RESTING_CONNECTION) {
+        if (place == Place.ON_AN_IDLE_CONNECTION) {
             client.set(harness.client().search(2_000));
             assertEquals(200, client.get().answer().status());
         }
         server.script(ScriptedPeer.SILENT);
         long[] sentAt = new long[1];
-        harness.whileStalled(
+        harness.whileLoopIsStalled(
                 () -> {
                     if (place == Place.TO_BE_ACCEPTED) {
                         client.set(harness.client());
                     }
                     sentAt[0] = System.nanoTime();
-                    return client.get().search(2_000);
+                    client.get().search(2_000);
                 },
                 () -> spin(sentAt[0], 1_500));
         client.get().answer();
@@ -65,27 +63,29 @@
         server.script(ScriptedPeer.SILENT);
         client.search(2_000);
         server.take();
-        long told = Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
-        assertTrue(told > 1_800, told + " ms");
+        long forwarded =
+                Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
+        assertTrue(forwarded > 1_800, forwarded + " ms");
     }
 
     /**
-     * Each holds the loop until the nearest deadline is over; the second then waits for its answer.
+     * The second request keeps the loop busy until the deadline of the first is over; the third
+     * then waits for the answer of the first.
      */
-    private static final class Slow extends NoOpLoadBalancer {
-        final Set<String> asked = new HashSet<>();
-        final CountDownLatch first = new CountDownLatch(1);
+    private static final class SlowBalancer extends NoOpLoadBalancer {
+        final Set<String> requestIds = new HashSet<>();
+        final CountDownLatch firstRequest = new CountDownLatch(1);
         final CountDownLatch answered = new CountDownLatch(1);
         volatile boolean inTime;
         private long deadline;
 
         @Override
         public void onRequest(long nowMicros, Request request) {
-            asked.add(request.id());
-            if (asked.size() == 1) {
+            requestIds.add(request.id());
+            if (requestIds.size() == 1) {
                 deadline = System.nanoTime() + (request.deadlineMicros() - nowMicros) * 1000;
-                first.countDown();
-            } else if (asked.size() == 2) {
+                firstRequest.countDown();
+            } else if (requestIds.size() == 2) {
                 spin(deadline, 100);
             } else {
                 try {
@@ -98,38 +98,37 @@
     }
 
     /**
-     * The loop takes timers behind all that a turn has read, so a deadline waited for a crowd's
-     * requests.
+     * The loop runs timers behind all that an iteration has read, so before, a deadline waited for
+     * the requests of a burst.
      */
     @Test
-    void deadlineComesBeforeTheNextRequestOfTheSameTurn() throws Exception {
-        Slow module = new Slow();
-        SidecarHarness harness = harness().start((settings, actions) -> module);
+    void deadlineComesBeforeTheNextRequestOfTheSameIteration() throws Exception {
+        SlowBalancer balancer = new SlowBalancer();
+        SidecarHarness harness = harness().start((settings, actions) -> balancer);
         List<SidecarHarness.Client> others = List.of(harness.client(), harness.client());
         for (SidecarHarness.Client other : others) {
-            // Accepted, so that what it sends is read in one turn with the other's.
-            other.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer();
+            // Accepted, so that what it sends is read in one iteration with the other's.
+            other.healthCheck().answer();
         }
         SidecarHarness.Client client = harness.client().search(500);
-        assertTrue(module.first.await(10, TimeUnit.SECONDS));
-        harness.whileStalled(
+        assertTrue(balancer.firstRequest.await(10, TimeUnit.SECONDS));
+        harness.whileLoopIsStalled(
                 () -> {
                     for (SidecarHarness.Client other : others) {
                         other.search(20_000);
                     }
-                    return null;
                 },
                 () -> {});
         assertEquals(504, client.answer().status());
-        module.answered.countDown();
-        harness.loop.submit(() -> {}).get(10, TimeUnit.SECONDS);
-        assertEquals(3, module.asked.size());
-        assertTrue(module.inTime);
+        balancer.answered.countDown();
+        harness.awaitLoop();
+        assertEquals(3, balancer.requestIds.size());
+        assertTrue(balancer.inTime);
     }
 
-    /** Until so long after a time. */
-    private static void spin(long since, long millis) {
-        while (System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(millis)) {
+    /** Keeps the loop busy until so long after a time. */
+    private static void spin(long sinceNanos, long millis) {
+        while (System.nanoTime() - sinceNanos < TimeUnit.MILLISECONDS.toNanos(millis)) {
             Thread.onSpinWait();
         }
     }
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -20,18 +20,18 @@
 import sagefall.balancer.api.Request;
 import sagefall.http.HttpClientConnection;
 
-/** Servers that say more than was asked, and clients that say what can't be meant. */
+/** Servers that send more than one answer, and clients that send malformed requests. */
 class MalformedTrafficTest extends SocketTest {
 
     private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-    /** Sends a request again as soon as the first has an answer, from inside that very event. */
-    private static final class Chaining extends NoOpLoadBalancer {
+    /** Sends the second request from inside the event that ends the first. */
+    private static final class ChainingBalancer extends NoOpLoadBalancer {
         private final BalancerActions actions;
-        private final List<String> held = new ArrayList<>();
+        private final List<String> requestIds = new ArrayList<>();
         private long server;
 
-        Chaining(BalancerActions actions) {
+        ChainingBalancer(BalancerActions actions) {
             this.actions = actions;
         }
 
@@ -45,33 +45,34 @@
 
         @Override
         public void onRequest(long nowMicros, Request request) {
-            held.add(request.id());
-            if (held.size() == 1) {
+            requestIds.add(request.id());
+            if (requestIds.size() == 1) {
                 actions.send(request.id(), server, 0, Long.MAX_VALUE);
             }
         }
 
         @Override
         public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
-            if (held.size() == 2 && outcome.requestId().equals(held.get(0))) {
-                actions.send(held.get(1), server, 0, Long.MAX_VALUE);
+            if (requestIds.size() == 2 && outcome.requestId().equals(requestIds.get(0))) {
+                actions.send(requestIds.get(1), server, 0, Long.MAX_VALUE);
             }
         }
     }
 
     /**
-     * A second copy or noise right behind an answer was taken for the answer to the next request.
+     * Before, a second copy or noise right behind an answer counted as the answer to the next
+     * request.
      */
     @ParameterizedTest
     @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
-    void whatComesBehindAnAnswerIsNoAnswer(String behind) throws Exception {
+    void bytesBehindAnAnswerAreNoAnswer(String behind) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
-        harness.start((settings, actions) -> new Chaining(actions));
+        harness.start((settings, actions) -> new ChainingBalancer(actions));
         SidecarHarness.Client first = harness.client().search(5_000);
         ScriptedPeer.Seen one = server.take();
         SidecarHarness.Client second = harness.client().search(5_000);
-        // Rejected once the one before it has been taken, since they are read in turn.
+        // Rejected once the one before has been read, since the loop reads one after the other.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
         one.raw(COPY + "mine" + behind);
         assertEquals("mine", first.answer().body());
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void answersAheadAreNotTheAnswer() throws Exception {
+    void informationalResponsesAreNotTheAnswer() throws Exception {
         ScriptedPeer server =
                 server(
                         seen -> {
@@ -104,7 +105,7 @@
         assertEquals("ok", sidecar(server).client().book("x", 2_000).answer().body());
     }
 
-    /** Nothing of these reaches a server: the end of such a request is not where it says. */
+    /** None of these reaches a server: the end of such a request is ambiguous. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -125,7 +126,7 @@
                 "Transfer-Encoding: identity\r\n\r\n",
                 "no colon\r\n\r\n",
             })
-    void requestWithoutAClearEndIsRejected(String rest) throws Exception {
+    void requestWithAnAmbiguousEndIsRejected(String rest) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness.Client client = sidecar(server).client();
         String head = SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 0);
@@ -135,9 +136,9 @@
         assertTrue(server.seen.isEmpty());
     }
 
-    /** The same for what comes while the request is in hand: its server is told to stop. */
+    /** The same for bytes that come while the request is in flight: its attempt is cancelled. */
     @Test
-    void bytesBehindARequestInHandRejectIt() throws Exception {
+    void bytesBehindARequestInFlightRejectIt() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness.Client client = sidecar(server).client().search(2_000);
         server.take();
@@ -154,7 +155,7 @@
                 "GET /search/k HTTP/1.1\r\nHost: a\r\n",
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
-    void clientThatDoesNotSendAWholeRequestIsCutOff(String part) throws Exception {
+    void clientThatDoesNotCompleteItsRequestIsDisconnected(String part) throws Exception {
         SidecarHarness.Client client = sidecar(server(ScriptedPeer.SILENT)).client().raw(part);
         long since = System.nanoTime();
         if (!part.isEmpty()) {
@@ -165,7 +166,8 @@
     }
 
     /**
-     * The answer was lost to a reset where the connection was closed with bytes of the body unread.
+     * Before, the answer was lost to a reset where the connection was closed with bytes of the body
+     * unread.
      */
     @Test
     void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
@@ -179,11 +181,11 @@
         client.assertClosed();
     }
 
-    /** Silent clients filled the bound, and nothing made room until one of them left by itself. */
+    /** Before, silent clients up to the limit shut out others until one of them left by itself. */
     @Test
     void silentClientsDoNotShutOutOthers() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness harness = opened(new SidecarHarness(folder, 250_000, 128, server));
+        SidecarHarness harness = harnessOfFewSockets(server);
         harness.start();
         for (int i = 0; i < harness.config().clientConnections() + 20; i++) {
             harness.client();
@@ -194,14 +196,14 @@
     }
 
     /**
-     * With one connection accepted in each turn of a slow loop, clients' time ran out in the
-     * kernel's queue. The task is due in each turn, so it counts them, and makes each long enough
-     * for the clients to read.
+     * Before, with one connection accepted in each iteration of a slow loop, clients' time ran out
+     * in the kernel's queue. The task is due in each iteration, so it counts them, and makes each
+     * long enough for the clients to read.
      */
     @Test
     void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
         SidecarHarness harness = sidecar(server(ScriptedPeer.serves("ok")));
-        AtomicInteger turns = new AtomicInteger();
+        AtomicInteger iterations = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
         harness.loop.execute(
                 () -> {
@@ -212,7 +214,7 @@
                     }
                     harness.loop.scheduleWithFixedDelay(
                             () -> {
-                                turns.incrementAndGet();
+                                iterations.incrementAndGet();
                                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
                             },
                             0,
@@ -221,23 +223,22 @@
                 });
         List<SidecarHarness.Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            clients.add(harness.client().raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
+            clients.add(harness.client().healthCheck());
         }
         connected.countDown();
         for (SidecarHarness.Client client : clients) {
             assertEquals(200, client.answer().status());
         }
-        assertTrue(turns.get() < 40, turns + " turns");
+        assertTrue(iterations.get() < 40, iterations + " iterations");
     }
 
     /**
-     * Clients that ask once and stay used up what clients may hold, until the usual idle time was
-     * over.
+     * Before, clients that send one request and stay connected used up the limit until the usual
+     * idle time was over.
      */
     @Test
-    void idleClientsPastHalfOfTheBoundAreClosedSoon() throws Exception {
-        SidecarHarness harness =
-                opened(new SidecarHarness(folder, 250_000, 128, server(ScriptedPeer.serves("ok"))));
+    void idleClientsPastHalfOfTheLimitAreClosedSoon() throws Exception {
+        SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok")));
         harness.start();
         int half = harness.config().clientConnections() / 2;
         List<SidecarHarness.Client> clients = new ArrayList<>();
@@ -250,45 +251,43 @@
             longest.assertClosed();
         }
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
-        for (SidecarHarness.Client kept : clients.subList(5, clients.size())) {
-            assertEquals(200, kept.search(5_000).answer().status());
+        for (SidecarHarness.Client staying : clients.subList(5, clients.size())) {
+            assertEquals(200, staying.search(5_000).answer().status());
         }
     }
 
     /**
-     * Three times the bound of clients that send much and go, by an end or a reset, leave nothing
-     * behind.
+     * Three times the limit of clients that send much and disconnect, by an end or a reset, leave
+     * no connection behind.
      */
     @Test
-    void clientsThatSendMuchAndGoLeaveNothingBehind() throws Exception {
-        SidecarHarness harness =
-                opened(new SidecarHarness(folder, 250_000, 128, server(ScriptedPeer.serves("ok"))))
-                        .start();
-        int bound = harness.config().clientConnections();
-        SidecarHarness.Client kept = harness.client();
+    void clientsThatSendMuchAndDisconnectLeaveNoConnection() throws Exception {
+        SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok"))).start();
+        int limit = harness.config().clientConnections();
+        SidecarHarness.Client staying = harness.client();
         String much =
                 SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 60_000)
                         + "x".repeat(200_000);
-        for (int i = 0; i < 3 * bound; i++) {
+        for (int i = 0; i < 3 * limit; i++) {
             SidecarHarness.Client flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
             try {
                 flooding.raw(much);
             } catch (IOException e) {
-                // Cut off, as it may be.
+                // Disconnected, as it may be.
             }
             flooding.close();
             if (i % 10 == 0) {
-                assertEquals(200, kept.search(5_000).answer().status());
+                assertEquals(200, staying.search(5_000).answer().status());
             }
         }
-        for (int i = 0; i < bound - 1; i++) {
+        for (int i = 0; i < limit - 1; i++) {
             assertEquals(200, harness.client().search(5_000).answer().status());
         }
     }
 
     @Test
-    void errorInTheModuleIsAnsweredToo() throws Exception {
+    void errorInTheBalancerIsAnsweredToo() throws Exception {
         SidecarHarness harness = harness();
         harness.start(
                 (settings, actions) ->
@@ -303,7 +302,7 @@
     }
 
     @Test
-    void longListIsTaken() throws Exception {
+    void longListIsRead() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness();
         List<ScriptedPeer> many = new ArrayList<>();
@@ -317,7 +316,7 @@
         assertTrue(list.length() > HttpClientConnection.MAX_BODY);
         harness.discovery.script(
                 seen -> {
-                    if (seen.request().first().contains("from=1&")) {
+                    if (seen.request().startLine().contains("from=1&")) {
                         seen.reply("200 OK", "", list);
                     }
                 });
--- a/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
@@ -7,7 +7,7 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.Request;
 
-/** A module that does nothing; tests override what they want to see. */
+/** A load balancer that does nothing; tests override what they want to observe. */
 class NoOpLoadBalancer implements LoadBalancer {
     @Override
     public void onEndpointList(
--- a/sidecar/src/test/java/sagefall/proxy/RawConnection.java
+++ b/sidecar/src/test/java/sagefall/proxy/RawConnection.java
@@ -9,6 +9,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
@@ -18,68 +19,83 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * One end of a connection whose bytes a test brings and takes one by one: bodies are not read
+ * One end of a connection whose bytes a test writes and reads piece by piece: bodies are not read
  * ahead.
  */
 final class RawConnection implements AutoCloseable {
 
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+    private static final int HEX = 16;
+
     final Socket socket;
     private final InputStream in;
 
     RawConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** A client's connection to a sidecar. */
     static RawConnection to(InetSocketAddress address) throws IOException {
         return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
     }
 
+    /** The head of a message; header names in any case. */
+    record Head(String startLine, Map<String, String> headers) {
+        /** The value of a header; null where it is missing. */
+        String header(String name) {
+            return headers.get(name);
+        }
+    }
+
+    /** Writes bytes, one for each character. */
     RawConnection raw(String text) throws IOException {
         return raw(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Writes bytes. */
     RawConnection raw(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
     }
 
+    /** Writes one chunk of a chunked body. */
     RawConnection chunk(String text) throws IOException {
         return raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
+    /** Reads a line, without its end. */
     String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int c; (c = in.read()) != '\n'; ) {
-            if (c < 0) {
+        int next = in.read();
+        while (next != '\n') {
+            if (next < 0) {
                 throw new EOFException("ended within a line: " + line);
             }
-            if (c != '\r') {
-                line.write(c);
+            if (next != '\r') {
+                line.write(next);
             }
+            next = in.read();
         }
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** A head; its first line goes under the empty name. */
-    Map<String, String> head() throws IOException {
-        Map<String, String> head = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        head.put("", line());
-        head.putAll(fields());
-        return head;
+    /** Reads the head of a message. */
+    Head head() throws IOException {
+        return new Head(line(), fields());
     }
 
     private Map<String, String> fields() throws IOException {
         Map<String, String> fields = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String line = line(); !line.isEmpty(); line = line()) {
-            fields.put(
-                    line.substring(0, line.indexOf(':')),
-                    line.substring(line.indexOf(':') + 1).trim());
+            int colon = line.indexOf(':');
+            fields.put(line.substring(0, colon), line.substring(colon + 1).trim());
         }
         return fields;
     }
 
+    /** Reads exactly so many bytes. */
     byte[] bytes(int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         if (bytes.length < count) {
@@ -88,13 +104,14 @@
         return bytes;
     }
 
+    /** Reads exactly so many bytes as text. */
     String text(int count) throws IOException {
         return new String(bytes(count), StandardCharsets.ISO_8859_1);
     }
 
-    /** The next chunk; null for the last one. */
+    /** Reads the next chunk; null for the last one, behind which {@link #trailers} come. */
     byte[] chunk() throws IOException {
-        byte[] chunk = bytes(Integer.parseInt(line(), 16));
+        byte[] chunk = bytes(Integer.parseInt(line(), HEX));
         if (chunk.length == 0) {
             return null;
         }
@@ -102,32 +119,35 @@
         return chunk;
     }
 
-    /** What still comes up to the last chunk. */
+    /** Reads what still comes up to the last chunk. */
     byte[] chunks() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (byte[] chunk; (chunk = chunk()) != null; ) {
-            all.write(chunk);
+        byte[] next = chunk();
+        while (next != null) {
+            all.write(next);
+            next = chunk();
         }
         return all.toByteArray();
     }
 
+    /** Reads the trailers of a chunked body. */
     Map<String, String> trailers() throws IOException {
         return fields();
     }
 
     /** Reads to the end of the connection, and fails if it ends with a last chunk. */
-    void assertBroken() throws IOException {
+    void assertBroken() {
         Assertions.assertThrows(IOException.class, this::chunks);
     }
 
-    /** Whatever still comes, the connection ends. */
+    /** Reads to the end of the connection, whatever still comes. */
     void awaitEnd() {
         try {
-            while (in.read() >= 0) {
-                // The condition reads.
+            int next = in.read();
+            while (next >= 0) {
+                next = in.read();
             }
-
-        } catch (java.net.SocketTimeoutException e) {
+        } catch (SocketTimeoutException e) {
             Assertions.fail("the connection did not end");
         } catch (IOException e) {
             // Reset, which is an end too.
@@ -139,59 +159,63 @@
         socket.close();
     }
 
-    /** A peer whose connections are handed to the test. */
+    /** A server whose connections are handed to the test. */
     static final class Server implements AutoCloseable {
+        private static final int BACKLOG = 50;
+        private static final long AWAIT_SECONDS = 10;
+
         private final ServerSocket listening =
-                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final BlockingQueue<RawConnection> came;
+                new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+        private final BlockingQueue<RawConnection> accepted;
 
+        /** Listens from now on. */
         Server() throws IOException {
             this(new LinkedBlockingQueue<>());
         }
 
-        /** One of several whose connections come to the same place. */
-        Server(BlockingQueue<RawConnection> came) throws IOException {
-            this.came = came;
-            Thread accepting =
-                    new Thread(
-                            () -> {
-                                try {
-                                    while (true) {
-                                        came.add(new RawConnection(listening.accept()));
-                                    }
-                                } catch (IOException e) {
-                                    // Closed: the test is over.
-                                }
-                            },
-                            "wire");
+        private Server(BlockingQueue<RawConnection> accepted) throws IOException {
+            this.accepted = accepted;
+            Thread accepting = new Thread(this::accept, "raw-server");
             accepting.setDaemon(true);
             accepting.start();
         }
 
-        /** Another that hands its connections to the same place. */
+        private void accept() {
+            try {
+                while (true) {
+                    accepted.add(new RawConnection(listening.accept()));
+                }
+            } catch (IOException e) {
+                // Closed: the test is over.
+            }
+        }
+
+        /** Another one, whose connections this one hands to the test too. */
         Server another() throws IOException {
-            return new Server(came);
+            return new Server(accepted);
         }
 
         int port() {
             return listening.getLocalPort();
         }
 
+        /** Waits for the next connection. */
         RawConnection take() throws InterruptedException {
-            RawConnection next = came.poll(10, TimeUnit.SECONDS);
+            RawConnection next = accepted.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
             Assertions.assertNotNull(next, "no connection came");
             return next;
         }
 
-        boolean none() {
-            return came.isEmpty();
+        /** Whether no connection has come that the test has not taken. */
+        boolean hasNoConnection() {
+            return accepted.isEmpty();
         }
 
         @Override
         public void close() throws IOException {
             listening.close();
-            for (RawConnection wire : came) {
-                wire.close();
+            for (RawConnection connection : accepted) {
+                connection.close();
             }
         }
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -14,11 +14,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
+import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Assertions;
 import sagefall.balancer.DefaultLoadBalancer;
@@ -28,186 +28,254 @@
 import sagefall.config.SidecarConfig;
 
 /**
- * A sidecar on free loopback ports between scripted servers, a scripted discovery and raw clients.
+ * A sidecar on free loopback ports between scripted servers, a scripted discovery and clients whose
+ * bytes the test writes. Closing it closes its clients, discovery and event loop; servers are the
+ * test's.
  */
 public final class SidecarHarness implements AutoCloseable {
 
-    static final String NOTHING_NEW = "{'rev':1,'all':false,'targets':[]}";
+    /** An answer of discovery without changes since revision 1. */
+    static final String NO_CHANGES = "{'rev':1,'all':false,'targets':[]}";
 
-    private static final String SETTINGS =
-            "{'classes':["
-                    + "{'name':'search','effect':'pure','aim_us':400000,'deadline_us':3000000,"
-                    + "'worth':1,"
-                    + "'late_value':0.5},"
-                    + "{'name':'hold','effect':'token','aim_us':400000,'deadline_us':3000000,"
-                    + "'worth':1,"
-                    + "'late_value':0.5,'dedup_window_us':3000000},"
-                    + "{'name':'book','effect':'side_effect','aim_us':400000,"
-                    + "'deadline_us':3000000,'worth':1,"
-                    + "'late_value':0.5},"
-                    + "{'name':'export','effect':'pure','aim_us':400000,'deadline_us':3000000,"
-                    + "'worth':1,"
-                    + "'late_value':0.5,'streaming':true},"
-                    + "{'name':'append','effect':'side_effect','aim_us':400000,"
-                    + "'deadline_us':3000000,'worth':1,"
-                    + "'late_value':0.5}],"
-                    + "'tenants':[{'name':'acme','share':1}],'zones':['a'],'models':['m'],"
-                    + "'zone':0,'discovery':'ask',"
-                    + "'policy_limits':{'attempts_cap':4,'cancelling':true,'retry_after':false,"
-                    + "'max_retry_after_us':2000000,'conn_idle_us':15000000,"
-                    + "'connect_timeout_us':CONNECT},"
-                    + "'report':{'source':'answers','names':['cpu','rps','err_rps']},"
-                    + "'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,"
-                    + "'cold_us':1000000,"
-                    + "'fall_us':1000000},'tick_us':1000}";
+    private static final long DEFAULT_CONNECT_MICROS = 250_000;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final long AWAIT_SECONDS = 10;
 
+    private static final String SETTINGS =
+            """
+            {'classes':[
+            {'name':'search','effect':'pure','aim_us':400000,'deadline_us':3000000,'worth':1,
+            'late_value':0.5},
+            {'name':'hold','effect':'token','aim_us':400000,'deadline_us':3000000,'worth':1,
+            'late_value':0.5,'dedup_window_us':3000000},
+            {'name':'book','effect':'side_effect','aim_us':400000,'deadline_us':3000000,'worth':1,
+            'late_value':0.5},
+            {'name':'export','effect':'pure','aim_us':400000,'deadline_us':3000000,'worth':1,
+            'late_value':0.5,'streaming':true},
+            {'name':'append','effect':'side_effect','aim_us':400000,'deadline_us':3000000,
+            'worth':1,'late_value':0.5}],
+            'tenants':[{'name':'acme','share':1}],'zones':['a'],'models':['m'],
+            'zone':0,'discovery':'ask',
+            'policy_limits':{'attempts_cap':4,'cancelling':true,'retry_after':false,
+            'max_retry_after_us':2000000,'conn_idle_us':15000000,'connect_timeout_us':CONNECT},
+            'report':{'source':'answers','names':['cpu','rps','err_rps']},
+            'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,
+            'cold_us':1000000,'fall_us':1000000},'tick_us':1000}""";
+
+    /** Answers the sidecar's calls for endpoint lists; silent but for what a test publishes. */
     final ScriptedPeer discovery;
+
+    /** The sidecar's event loop. */
     public final EventLoop loop;
-    final LoopLatencyClock turns = new LoopLatencyClock();
-    private final MultiThreadIoEventLoopGroup group = turns.group();
+
+    final LoopLatencyClock latencyClock = new LoopLatencyClock();
+    private final MultiThreadIoEventLoopGroup group = latencyClock.group();
     private final List<Client> clients = new ArrayList<>();
+
+    /** What the sidecar has logged. */
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    final Path file;
-    final Path extensions;
+
+    /** The file that {@code LB_CONFIG} names. */
+    final Path configFile;
+
+    private final Path extensionsFile;
+
+    /** Null before the start. */
     SidecarServer sidecar;
+
+    /** Where the sidecar listens; null before the start. */
     InetSocketAddress address;
 
+    /** One that knows these servers, all of them in service. */
     SidecarHarness(Path folder, ScriptedPeer... servers) throws Exception {
-        this(folder, 250_000, 1024, servers);
+        this(folder, DEFAULT_CONNECT_MICROS, DEFAULT_SOCKETS, servers);
     }
 
+    /**
+     * One that knows these servers, all of them in service.
+     *
+     * @param folder gets the configuration's files
+     * @param connectMicros how long a connection to a server may take to come up
+     * @param sockets the process's limit of descriptors, as the platform states it
+     */
     public SidecarHarness(Path folder, long connectMicros, int sockets, ScriptedPeer... servers)
             throws Exception {
-        this(folder, connectMicros, sockets, Stream.of(servers).map(ScriptedPeer::port).toList());
+        this(folder, connectMicros, sockets, portsOf(servers));
     }
 
-    SidecarHarness(Path folder, long connectMicros, int sockets, List<Integer> ports)
+    /** One that knows servers on these ports, all of them in service. */
+    SidecarHarness(Path folder, List<Integer> ports) throws Exception {
+        this(folder, DEFAULT_CONNECT_MICROS, DEFAULT_SOCKETS, ports);
+    }
+
+    private SidecarHarness(Path folder, long connectMicros, int sockets, List<Integer> ports)
             throws Exception {
-        // The first answer says what is known already; the watch that goes on then hears nothing.
-        discovery = new ScriptedPeer(seen -> {});
+        discovery = new ScriptedPeer(ScriptedPeer.SILENT);
         loop = group.next();
-        file = folder.resolve("config.json");
-        extensions = folder.resolve("extensions.json");
-        Files.writeString(
-                file,
-                json(
-                        ("{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:"
-                                        + discovery.port()
-                                        + "','seed':'8c1f30d27a5be964','limits':{'sockets':"
-                                        + sockets
-                                        + "},'known':"
-                                        + list(1, true, "in_service", ports)
-                                        + ",'settings':"
-                                        + SETTINGS
-                                        + "}")
-                                .replace("CONNECT", String.valueOf(connectMicros))));
+        configFile = folder.resolve("config.json");
+        extensionsFile = folder.resolve("extensions.json");
+        String config =
+                "{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:"
+                        + discovery.port()
+                        + "','seed':'8c1f30d27a5be964','limits':{'sockets':"
+                        + sockets
+                        + "},'known':"
+                        + list(1, true, "in_service", ports)
+                        + ",'settings':"
+                        + SETTINGS.replace("CONNECT", String.valueOf(connectMicros))
+                        + "}";
+        Files.writeString(configFile, json(config));
+    }
+
+    private static List<Integer> portsOf(ScriptedPeer... servers) {
+        return Stream.of(servers).map(ScriptedPeer::port).toList();
     }
 
+    /** JSON from text with single quotes. */
     public static String json(String quoted) {
         return quoted.replace('\'', '"');
     }
 
+    /**
+     * An endpoint list in discovery's form, with single quotes.
+     *
+     * @param all whether it is complete, and not of changes
+     * @param state of each server, in discovery's word
+     */
     public static String list(int revision, boolean all, String state, ScriptedPeer... servers) {
-        return list(revision, all, state, Stream.of(servers).map(ScriptedPeer::port).toList());
+        return list(revision, all, state, portsOf(servers));
     }
 
+    /** The same, of servers on these ports. */
     static String list(int revision, boolean all, String state, List<Integer> ports) {
-        List<String> targets = new ArrayList<>();
-        for (int port : ports) {
-            targets.add(
-                    "{'uid':'s-"
-                            + port
-                            + "','endpoint':'127.0.0.1:"
-                            + port
-                            + "','az':'a','model':'m','pod_group':0,'state':'"
-                            + state
-                            + "','boot_ms':0}");
-        }
-        return "{'rev':"
-                + revision
-                + ",'all':"
-                + all
-                + ",'targets':["
-                + String.join(",", targets)
-                + "]}";
+        String targets =
+                ports.stream()
+                        .map(
+                                port ->
+                                        "{'uid':'s-PORT','endpoint':'127.0.0.1:PORT','az':'a','model':'m',"
+                                                        .replace("PORT", String.valueOf(port))
+                                                + "'pod_group':0,'state':'"
+                                                + state
+                                                + "','boot_ms':0}")
+                        .collect(Collectors.joining(","));
+        return "{'rev':" + revision + ",'all':" + all + ",'targets':[" + targets + "]}";
     }
 
+    /** The configuration as the files hold it now. */
     public SidecarConfig config() throws IOException {
         return SidecarConfig.read(environment());
     }
 
-    /** With the file of extensions, once there is one. */
+    /** The variables that name the configuration's files, of those that exist. */
     Map<String, String> environment() {
-        return Files.exists(extensions)
-                ? Map.of("LB_CONFIG", file.toString(), "LB_EXTENSIONS", extensions.toString())
-                : Map.of("LB_CONFIG", file.toString());
+        return Files.exists(extensionsFile)
+                ? Map.of(
+                        "LB_CONFIG", configFile.toString(),
+                        "LB_EXTENSIONS", extensionsFile.toString())
+                : Map.of("LB_CONFIG", configFile.toString());
+    }
+
+    /** Writes the file of extensions. */
+    SidecarHarness withExtensions(String quoted) throws IOException {
+        Files.writeString(extensionsFile, json(quoted));
+        return this;
+    }
+
+    /** Endpoint lists are pushed, so wait at an agent of the own machine. */
+    SidecarHarness withPushedEndpoints() throws IOException {
+        return withConfig("'discovery':'ask'", "'discovery':'push'");
     }
 
-    SidecarHarness extended(String quoted) throws IOException {
-        Files.writeString(extensions, json(quoted));
+    /** Changes the configuration's file: each occurrence of a text, with single quotes. */
+    SidecarHarness withConfig(String quotedBefore, String quotedAfter) throws IOException {
+        String text = Files.readString(configFile);
+        Files.writeString(configFile, text.replace(json(quotedBefore), json(quotedAfter)));
         return this;
     }
 
+    /** Starts the sidecar and waits until it listens. */
     SidecarHarness start() throws Exception {
         return start(DefaultLoadBalancer::new);
     }
 
-    SidecarHarness start(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> modules)
+    /** The same, with a load balancer of the test. */
+    SidecarHarness start(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers)
             throws Exception {
-        address = begin(modules).get(10, TimeUnit.SECONDS);
+        awaitStart(startAsync(balancers));
         return this;
     }
 
-    CompletableFuture<InetSocketAddress> begin(
-            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> modules) throws Exception {
+    /** Starts the sidecar; {@link #awaitStart} waits until it listens. */
+    CompletableFuture<InetSocketAddress> startAsync(
+            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers)
+            throws Exception {
+        create(balancers);
+        return sidecar.start();
+    }
+
+    /** Makes the sidecar without starting it. */
+    void create(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers)
+            throws Exception {
         SidecarConfig config = config();
         sidecar =
                 loop.submit(
                                 () ->
                                         new SidecarServer(
                                                 loop,
-                                                turns,
+                                                latencyClock,
                                                 config,
                                                 new PrintStream(log, true),
-                                                modules))
+                                                balancers))
                         .get();
-        return sidecar.start();
     }
 
-    /** Lists are pushed, so wait at an agent of the own machine. */
-    SidecarHarness pushed() throws IOException {
-        Files.writeString(
-                file,
-                Files.readString(file).replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
-        return this;
+    /** Waits until the sidecar listens; clients connect to it from then on. */
+    void awaitStart(CompletableFuture<InetSocketAddress> started) throws Exception {
+        address = started.get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     /**
-     * Answers calls for what is newer with this list, until the sidecar has taken it and asks from
-     * there.
+     * Answers calls for what is newer with this list, until the sidecar has read it, which its next
+     * call shows.
      */
-    void tell(int revision, String list) throws InterruptedException {
-        tell(discovery, revision, list);
+    void publishEndpoints(int revision, String quotedList) throws InterruptedException {
+        publishEndpoints(discovery, revision, quotedList);
     }
 
-    static void tell(ScriptedPeer discovery, int revision, String list)
+    /** The same, by another discovery. */
+    static void publishEndpoints(ScriptedPeer discovery, int revision, String quotedList)
             throws InterruptedException {
-        for (ScriptedPeer.Seen call = discovery.take();
-                !call.request().first().contains("from=" + revision + "&");
-                call = discovery.take()) {
+        ScriptedPeer.Seen call = discovery.take();
+        while (!call.request().startLine().contains("from=" + revision + "&")) {
             try {
-                call.reply("200 OK", "", json(list));
+                call.reply("200 OK", "", json(quotedList));
             } catch (IOException e) {
-                // The sidecar has given this call up meanwhile and asks again.
+                // The sidecar has given this call up meanwhile and makes another.
             }
+            call = discovery.take();
         }
     }
 
+    /** Reloads the configuration as SIGHUP does, but on the thread of the caller. */
+    void reload() throws IOException {
+        new ConfigurationReloader(sidecar, environment(), new PrintStream(log, true)).reload();
+    }
+
+    /** Waits until the loop has done what was due before. */
+    void awaitLoop() throws Exception {
+        loop.submit(() -> {}).get(AWAIT_SECONDS, TimeUnit.SECONDS);
+    }
+
+    /** Waits for so long, and until the loop has come to it. */
+    void awaitLoop(long micros) throws Exception {
+        loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).get();
+    }
+
     /**
-     * Keeps the loop from everything until this and what the peers do meanwhile is done, and then
-     * acts.
+     * Keeps the loop from everything until what the peers do is done, and then acts on the loop
+     * before it reads anything.
      */
-    void whileStalled(Callable<?> peers, Runnable act) throws Exception {
+    void whileLoopIsStalled(PeerAction peers, Runnable actOnLoop) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
         var acted =
@@ -215,33 +283,36 @@
                         () -> {
                             stalled.countDown();
                             done.await();
-                            act.run();
+                            actOnLoop.run();
                             return null;
                         });
         stalled.await();
         try {
-            peers.call();
+            peers.run();
         } finally {
             done.countDown();
         }
-        acted.get(10, TimeUnit.SECONDS);
+        acted.get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** As SIGHUP does, but for the thread. */
-    void reload() throws IOException {
-        new ConfigurationReloader(sidecar, environment(), new PrintStream(log, true)).reload();
+    /** What clients, servers or discovery do. */
+    interface PeerAction {
+        /** Does it, on the thread of the test. */
+        void run() throws Exception;
     }
 
+    /** A new client's connection, which is closed with the harness. */
     Client client() throws IOException {
         Client client = new Client(address);
         clients.add(client);
         return client;
     }
 
+    /** Begins the graceful shutdown; the latch opens at its end. */
     CountDownLatch stop() {
-        CountDownLatch ended = new CountDownLatch(1);
-        loop.execute(() -> sidecar.stop(ended::countDown));
-        return ended;
+        CountDownLatch stopped = new CountDownLatch(1);
+        loop.execute(() -> sidecar.stop(stopped::countDown));
+        return stopped;
     }
 
     @Override
@@ -255,20 +326,31 @@
 
     /** A client's connection. */
     public static final class Client implements AutoCloseable {
+        private static final int READ_TIMEOUT_MILLIS = 10_000;
+
         private static int ids;
+
         final Socket socket;
 
+        /** Connects to a sidecar. */
         Client(InetSocketAddress address) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), address.getPort());
-            socket.setSoTimeout(10_000);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         }
 
+        /** An id that no other request of the process has, 16 characters long. */
         public static synchronized String id() {
             return String.format("%016x", ++ids);
         }
 
+        /**
+         * A request up to its body.
+         *
+         * @param headers further lines of the head, each with its end
+         * @param length of the body; no header says it where it is 0
+         */
         static String head(
-                String method, String path, long timeoutMillis, String more, int length) {
+                String method, String path, long timeoutMillis, String headers, int length) {
             return method
                     + " "
                     + path
@@ -277,31 +359,41 @@
                     + "\r\nTenant: acme\r\nRequest-Timeout-Ms: "
                     + timeoutMillis
                     + "\r\n"
-                    + more
+                    + headers
                     + (length > 0 ? "Content-Length: " + length + "\r\n" : "")
                     + "\r\n";
         }
 
+        /** Writes bytes, one for each character. */
         Client raw(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
             return this;
         }
 
+        /** Sends an idempotent request without a body. */
         Client search(long timeoutMillis) throws IOException {
             return raw(head("GET", "/search/k1", timeoutMillis, "", 0));
         }
 
+        /** Sends a request that is not idempotent. */
         Client book(String body, long timeoutMillis) throws IOException {
             return raw(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
         }
 
+        /** Asks for the sidecar's health. */
+        Client healthCheck() throws IOException {
+            return raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+        }
+
+        /** Waits for the next answer; fails where the connection ends without one. */
         HttpMessages.Message answer() throws IOException {
             HttpMessages.Message answer = HttpMessages.read(socket.getInputStream());
             Assertions.assertNotNull(answer, "closed without an answer");
             return answer;
         }
 
+        /** Waits for the end of the connection, before which nothing more may come. */
         void assertClosed() throws IOException {
             Assertions.assertEquals(-1, socket.getInputStream().read(), "more than one answer");
         }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -6,8 +6,6 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -15,120 +13,53 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The program as the platform runs it. */
-@Timeout(60)
-class SidecarProcessTest {
+class SidecarProcessTest extends SocketTest {
 
-    @TempDir Path folder;
-
-    /** With so many descriptors. */
-    private static ProcessBuilder bounded(int descriptors, ProcessBuilder program) {
-        List<String> command =
-                new ArrayList<>(
-                        List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
-        command.addAll(program.command());
-        return program.command(command);
-    }
-
-    private static ProcessBuilder program(Path config, String listen, String... options) {
-        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        List<String> command = new ArrayList<>(List.of(java, "-XX:TieredStopAtLevel=1"));
-        command.addAll(List.of(options));
-        command.addAll(
-                List.of("-cp", System.getProperty("java.class.path"), "sagefall.Main", "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().put("LB_CONFIG", config.toString());
-        builder.environment().put("LB_LISTEN", listen);
-        builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD);
-        return builder;
-    }
-
-    /** A client begins to send once the program says that it is ready. */
-    private static SidecarHarness.Client connect(InetSocketAddress address, Process process)
-            throws Exception {
-        while (true) {
-            try {
-                SidecarHarness.Client client = new SidecarHarness.Client(address);
-                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status()
-                        == 200) {
-                    return client;
-                }
-                client.close();
-            } catch (IOException | AssertionError e) {
-                // Not listening yet, or closed with the warm-up.
-            }
-            assertTrue(process.isAlive(), "the program ended");
-            process.waitFor(20, TimeUnit.MILLISECONDS);
-        }
-    }
-
-    /** Alone, or with another signal at once before or behind it. */
+    /** Alone, or with another signal directly before or after it. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "HUP TERM", "TERM HUP", "TERM TERM"})
-    void terminationAnswersWhatIsInHandAndExitsWithZero(String signals) throws Exception {
-        InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
-        }
-        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
-                SidecarHarness harness = new SidecarHarness(folder, server)) {
-            Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
-            try (SidecarHarness.Client client = connect(address, process)) {
-                client.book("x", 20_000);
-                ScriptedPeer.Seen held = server.take();
-                signal(process, signals.split(" "));
-                assertTrue(
-                        !process.waitFor(600, TimeUnit.MILLISECONDS),
-                        "ended with a request in hand");
-                held.reply("200 OK", "", "done");
-                assertEquals("done", client.answer().body());
-                client.assertClosed();
-                assertTrue(process.waitFor(10, TimeUnit.SECONDS));
-                assertEquals(0, process.exitValue());
-            } finally {
-                process.destroyForcibly();
-            }
-        }
+    void terminationAnswersRequestsInFlightAndExitsWithZero(String signals) throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarProgram program = opened(new SidecarProgram(harness(server)).start());
+        SidecarHarness.Client client = opened(program.connect());
+        client.book("x", 20_000);
+        ScriptedPeer.Seen inFlight = server.take();
+        program.signal(signals.split(" "));
+        assertTrue(program.runsFor(600), "ended with a request in flight");
+        inFlight.reply("200 OK", "", "done");
+        assertEquals("done", client.answer().body());
+        client.assertClosed();
+        program.assertExitCode(0);
     }
 
-    private static void signal(Process process, String... signals) throws Exception {
-        String each =
-                Stream.of(signals)
-                        .map(s -> "kill -" + s + " " + process.pid())
-                        .collect(Collectors.joining(" && "));
-        assertEquals(0, new ProcessBuilder("sh", "-c", each).start().waitFor());
+    /** Before the agent's first answer no client is accepted, so nothing is owed to any. */
+    @Test
+    void terminationBeforeTheFirstListEndsAtOnce() throws Exception {
+        SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
+        SidecarProgram program = opened(new SidecarProgram(harness).start());
+        harness.discovery.take();
+        program.signal("TERM");
+        program.assertExitCode(0);
     }
 
-    /** Before the agent's first word nobody has been let in, so nothing is owed to anyone. */
     @Test
-    void terminationBeforeTheFirstListEndsAtOnce() throws Exception {
-        InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
-        }
-        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
-                SidecarHarness harness = new SidecarHarness(folder, server).pushed()) {
-            Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
-            try {
-                harness.discovery.take();
-                signal(process, "TERM");
-                assertTrue(process.waitFor(10, TimeUnit.SECONDS));
-                assertEquals(0, process.exitValue());
-            } finally {
-                process.destroyForcibly();
-            }
-        }
+    void addressInUseIsOnePlainLineAndExitCodeOne() throws Exception {
+        SidecarProgram program = opened(new SidecarProgram(harness(server(ScriptedPeer.SILENT))));
+        opened(new ServerSocket(program.address.getPort(), 1, program.address.getAddress()));
+        program.start().assertExitCode(1);
+        List<String> output = program.output();
+        assertEquals(1, output.size(), output.toString());
+        assertTrue(output.get(0).startsWith("sagefall: cannot start: "), output.get(0));
+        assertTrue(output.get(0).contains("BindException"), output.get(0));
     }
 
     /** The memory that the deploy file's {@code run} allows. */
@@ -148,138 +79,110 @@
      */
     @Test
     void fleetOf1024IsKnownWithinTheLimitsOfRun() throws Exception {
-        InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
-        }
         String zone = "a".repeat(253);
-        try (ScriptedPeer old = new ScriptedPeer(ScriptedPeer.HANG_UP);
-                ScriptedPeer server = new ScriptedPeer(ScriptedPeer.serves("of the list"));
-                SidecarHarness harness = new SidecarHarness(folder, old)) {
-            Files.writeString(
-                    harness.file,
-                    Files.readString(harness.file)
-                            .replace("\"a\"", '"' + zone + '"')
-                            .replace("\"tick_us\"", "\"replicas_of_me\":1024,\"tick_us\""));
-            String[] limits = limitsOfRun();
-            assertTrue(limits.length >= 3, String.join(" ", limits));
-            Process process =
-                    program(harness.file, "127.0.0.1:" + address.getPort(), limits).start();
-            try (SidecarHarness.Client client = connect(address, process)) {
-                String list =
-                        IntStream.range(0, 1024)
-                                .mapToObj(
-                                        i ->
-                                                """
-                                                {
-                                                        "uid": "%0253d",
-                                                        "endpoint": "127.0.0.1:%d",
-                                                        "az": "%s",
-                                                        "model": "%253s",
-                                                        "pod_group": %d,
-                                                        "state": "in_service",
-                                                        "capacity_hint": 1.0,
-                                                        "boot_ms": 0
-                                                }\
-                                                """
-                                                        .formatted(i, server.port(), zone, "m", i)
-                                                        .indent(16))
-                                .collect(Collectors.joining(", "));
-                String whole = "{\"rev\": 2, \"all\": true, \"targets\": [" + list + "]}";
-                assertTrue(whole.length() > 1024 * 1024, whole.length() + " bytes");
-                harness.tell(2, whole);
-                for (int i = 0; i < 20; i++) {
-                    assertEquals("of the list", client.search(5_000).answer().body());
-                }
-            } finally {
-                process.destroyForcibly();
-            }
+        ScriptedPeer old = server(ScriptedPeer.HANG_UP);
+        ScriptedPeer server = server(ScriptedPeer.serves("of the list"));
+        SidecarHarness harness =
+                harness(old)
+                        .withConfig("'a'", "'" + zone + "'")
+                        .withConfig("'tick_us'", "'replicas_of_me':1024,'tick_us'");
+        String[] limits = limitsOfRun();
+        assertTrue(limits.length >= 3, String.join(" ", limits));
+        SidecarProgram program = opened(new SidecarProgram(harness, limits).start());
+        SidecarHarness.Client client = opened(program.connect());
+        String list = listOf1024(zone, server.port());
+        assertTrue(list.length() > 1024 * 1024, list.length() + " bytes");
+        harness.publishEndpoints(2, list);
+        for (int i = 0; i < 20; i++) {
+            assertEquals("of the list", client.search(5_000).answer().body());
         }
     }
 
-    /** Idle clients take all that clients may have; what reaches discovery again is not theirs. */
+    private static String listOf1024(String zone, int port) {
+        String targets =
+                IntStream.range(0, 1024)
+                        .mapToObj(
+                                i ->
+                                        """
+                                        {
+                                                "uid": "%0253d",
+                                                "endpoint": "127.0.0.1:%d",
+                                                "az": "%s",
+                                                "model": "%253s",
+                                                "pod_group": %d,
+                                                "state": "in_service",
+                                                "capacity_hint": 1.0,
+                                                "boot_ms": 0
+                                        }\
+                                        """
+                                                .formatted(i, port, zone, "m", i)
+                                                .indent(16))
+                        .collect(Collectors.joining(", "));
+        return "{\"rev\": 2, \"all\": true, \"targets\": [" + targets + "]}";
+    }
+
+    /** Idle clients take all that clients may have; discovery's connection is not theirs. */
     @Test
-    void idleClientsWhileDiscoveryIsDownKeepNeitherItNorRequestsOut() throws Exception {
-        InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+    void idleClientsWhileDiscoveryIsDownShutOutNeitherItNorRequests() throws Exception {
+        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
+        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        SidecarHarness harness =
+                opened(new SidecarHarness(folder, 250_000, 256, leaving, staying))
+                        .withPushedEndpoints();
+        // The class path of a test is of many files, each of which is open.
+        SidecarProgram program =
+                opened(new SidecarProgram(harness).withDescriptors(256 + 64).start());
+        program.connect().close();
+        for (int round = 0; round < 3; round++) {
+            List<SidecarHarness.Client> idle = new ArrayList<>();
+            for (int i = 0; i < 300; i++) {
+                idle.add(opened(new SidecarHarness.Client(program.address)));
+            }
+            // Its place is given to one that came later.
+            idle.get(0).assertClosed();
         }
-        List<SidecarHarness.Client> idle = new ArrayList<>();
-        try (ScriptedPeer leaving = new ScriptedPeer(ScriptedPeer.serves("leaving"));
-                ScriptedPeer staying = new ScriptedPeer(ScriptedPeer.serves("staying"));
-                SidecarHarness harness =
-                        new SidecarHarness(folder, 250_000, 256, leaving, staying).pushed()) {
-            // The class path of a test is of many files, each of which is open.
-            Process process =
-                    bounded(256 + 64, program(harness.file, "127.0.0.1:" + address.getPort()))
-                            .start();
-            connect(address, process).close();
-            try {
-                for (int round = 0; round < 3; round++) {
-                    for (int i = 0; i < 300; i++) {
-                        idle.add(new SidecarHarness.Client(address));
-                    }
-                    // Its connection is wanted for one that came later.
-                    idle.get(idle.size() - 300).assertClosed();
-                }
-                harness.tell(2, SidecarHarness.list(2, false, "terminating", leaving));
-                for (int i = 0; i < 20; i++) {
-                    try (SidecarHarness.Client client = new SidecarHarness.Client(address)) {
-                        assertEquals("staying", client.search(5_000).answer().body());
-                    }
-                }
-                assertTrue(process.isAlive());
-            } finally {
-                process.destroyForcibly();
-                for (SidecarHarness.Client client : idle) {
-                    client.close();
-                }
+        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
+        for (int i = 0; i < 20; i++) {
+            try (SidecarHarness.Client client = new SidecarHarness.Client(program.address)) {
+                assertEquals("staying", client.search(5_000).answer().body());
             }
         }
+        assertTrue(program.runsFor(0));
     }
 
     /**
      * SIGHUP: the file's discovery goes before the environment's, and a wrong file changes nothing.
      */
     @Test
-    void hangupGoesOverToTheNewDiscovery() throws Exception {
-        InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
-        }
-        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.serves("ok"));
-                ScriptedPeer next = new ScriptedPeer(ScriptedPeer.SILENT);
-                SidecarHarness harness = new SidecarHarness(folder, server)) {
-            ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
-            program.environment().put("LB_DISCOVERY", "127.0.0.1:" + harness.discovery.port());
-            Process process = program.start();
-            try (SidecarHarness.Client client = connect(address, process)) {
-                harness.discovery.take();
-                String text = Files.readString(harness.file);
-                Files.writeString(harness.file, text.substring(0, text.length() / 2));
-                signal(process, "HUP");
-                assertEquals(200, client.search(2_000).answer().status());
-                Files.writeString(
-                        harness.file,
-                        text.replace(":" + harness.discovery.port(), ":" + next.port()));
-                signal(process, "HUP");
-                ScriptedPeer.Seen asked = next.take();
-                assertEquals("GET /v1/servers HTTP/1.1", asked.request().first());
-                harness.discovery.awaitEnd();
-                // Until the new one has spoken the old list holds.
-                assertEquals(200, client.search(2_000).answer().status());
-                next.seen.add(asked);
-                SidecarHarness.tell(next, 7, SidecarHarness.list(7, true, "terminating", server));
-                assertEquals(503, client.search(2_000).answer().status());
-                // And back again.
-                Files.writeString(harness.file, text);
-                signal(process, "HUP");
-                assertEquals(
-                        "GET /v1/servers HTTP/1.1", harness.discovery.take().request().first());
-            } finally {
-                process.destroyForcibly();
-            }
-        }
+    void hangupChangesToTheNewDiscovery() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer next = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(server);
+        String oldDiscovery = "127.0.0.1:" + harness.discovery.port();
+        SidecarProgram program = opened(new SidecarProgram(harness));
+        program.withEnvironment("LB_DISCOVERY", oldDiscovery).start();
+        SidecarHarness.Client client = opened(program.connect());
+        harness.discovery.take();
+        String text = Files.readString(harness.configFile);
+        Files.writeString(harness.configFile, text.substring(0, text.length() / 2));
+        program.signal("HUP");
+        assertEquals(200, client.search(2_000).answer().status());
+        Files.writeString(
+                harness.configFile, text.replace(oldDiscovery, "127.0.0.1:" + next.port()));
+        program.signal("HUP");
+        ScriptedPeer.Seen call = next.take();
+        assertEquals("GET /v1/servers HTTP/1.1", call.request().startLine());
+        harness.discovery.awaitEnd();
+        // Until the new one has answered, the old list is used.
+        assertEquals(200, client.search(2_000).answer().status());
+        next.seen.add(call);
+        SidecarHarness.publishEndpoints(
+                next, 7, SidecarHarness.list(7, true, "terminating", server));
+        assertEquals(503, client.search(2_000).answer().status());
+        // And back to the old one.
+        Files.writeString(harness.configFile, text);
+        program.signal("HUP");
+        assertEquals("GET /v1/servers HTTP/1.1", harness.discovery.take().request().startLine());
     }
 
     @ParameterizedTest
@@ -336,31 +239,30 @@
                 "{'streaming':{},'streaming':{}} | not JSON",
                 "[] | not a JSON object",
             })
-    void badExtensionsAreOnePlainLineAndTheOldOnesStay(String text, String message)
+    void badExtensionsAreOnePlainLineAndChangeNothing(String text, String message)
             throws Exception {
-        try (ScriptedPeer server = new ScriptedPeer(ScriptedPeer.SILENT);
-                SidecarHarness harness = new SidecarHarness(folder, server)) {
-            harness.extended(text);
-            assertOneLine(harness.environment(), message);
-            harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}")
-                    .start();
-            harness.extended(text).reload();
-            String log = harness.log.toString(StandardCharsets.UTF_8);
-            assertTrue(log.contains(message) && log.contains("the old configuration stays"), log);
-            // Beside it the silent discovery may be told of, where this takes seconds.
-            assertEquals(1, log.lines().filter(l -> !l.contains("discovery")).count(), log);
-            // Still as the old ones say, and then as new ones do.
-            assertEquals(413, big(harness, 70_001));
-            harness.extended("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
-            harness.reload();
-            SidecarHarness.Client taken = harness.client();
-            taken.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
-                    .raw("x".repeat(70_001));
-            assertEquals(70_001, server.take().request().body().length());
-        }
+        ScriptedPeer server = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(server);
+        harness.withExtensions(text);
+        assertOneLine(harness.environment(), message);
+        harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}")
+                .start();
+        harness.withExtensions(text).reload();
+        String log = harness.log.toString(StandardCharsets.UTF_8);
+        assertTrue(log.contains(message) && log.contains("the old configuration stays"), log);
+        // Beside it there may be a line on the silent discovery, where this takes seconds.
+        assertEquals(1, log.lines().filter(l -> !l.contains("discovery")).count(), log);
+        // First by the old extensions, then by the new ones.
+        assertEquals(413, statusOfUpload(harness, 70_001));
+        harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
+        harness.reload();
+        SidecarHarness.Client accepted = harness.client();
+        accepted.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
+                .raw("x".repeat(70_001));
+        assertEquals(70_001, server.take().request().body().length());
     }
 
-    private static int big(SidecarHarness harness, int length) throws Exception {
+    private static int statusOfUpload(SidecarHarness harness, int length) throws Exception {
         return harness.client()
                 .raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", length))
                 .answer()
@@ -369,15 +271,11 @@
 
     @Test
     void missingExtensionsAreOnePlainLine() throws Exception {
-        try (SidecarHarness harness = new SidecarHarness(folder, new ScriptedPeer[0])) {
-            assertOneLine(
-                    Map.of(
-                            "LB_CONFIG",
-                            harness.file.toString(),
-                            "LB_EXTENSIONS",
-                            folder.resolve("none").toString()),
-                    "none: can't be read");
-        }
+        Map<String, String> environment =
+                Map.of(
+                        "LB_CONFIG", harness().configFile.toString(),
+                        "LB_EXTENSIONS", folder.resolve("none").toString());
+        assertOneLine(environment, "none: can't be read");
     }
 
     @Test
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -26,11 +26,11 @@
 import sagefall.discovery.EndpointList;
 import sagefall.proxy.upstream.ConnectionPool;
 
-/** The whole sidecar between real sockets. */
+/** A sidecar between real sockets. */
 class SidecarServerTest extends SocketTest {
 
     @Test
-    void answerIsPassedOnUnchanged() throws Exception {
+    void answerIsForwardedUnchanged() throws Exception {
         ScriptedPeer server =
                 server(
                         ScriptedPeer.answers(
@@ -43,15 +43,15 @@
         assertEquals("text/x", answer.headers().get("Content-Type"));
         assertNull(answer.headers().get("Server-Load"));
         HttpMessages.Message sent = server.take().request();
-        assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.first());
+        assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.startLine());
         assertEquals("slot=7", sent.body());
         assertEquals(16, sent.headers().get("Request-Id").length());
-        long told = Long.parseLong(sent.headers().get("Request-Timeout-Ms"));
-        assertTrue(told > 1_000 && told < 2_000, "told the server " + told);
+        long forwarded = Long.parseLong(sent.headers().get("Request-Timeout-Ms"));
+        assertTrue(forwarded > 1_000 && forwarded < 2_000, "forwarded " + forwarded);
     }
 
     @Test
-    void idempotencyKeyGoesOn() throws Exception {
+    void idempotencyKeyIsForwarded() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         String head =
                 SidecarHarness.Client.head(
@@ -60,9 +60,7 @@
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
-    /**
-     * Each of these may have run, so an unsafe request fails and is never sent again, by anyone.
-     */
+    /** Each of these may have run, so a request that is not idempotent fails and is not retried. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -71,60 +69,22 @@
                 "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
                 "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\nNot-Started: 1\\r\\n\\r\\n | false",
                 "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nshort | true",
-                "HTTP/1.1 200 OK\\r"
-                        + "\\n"
-                        + "Transfer-Encoding: chunked\\r"
-                        + "\\n"
-                        + "\\r"
-                        + "\\n"
-                        + "5\\r"
-                        + "\\n"
-                        + "short\\r"
-                        + "\\n"
-                        + " | true",
+                "HTTP/1.1 200 OK\\r\\n"
+                        + "Transfer-Encoding: chunked\\r\\n\\r\\n5\\r\\nshort\\r\\n | true",
                 "HTTP/1.1 200 OK\\r\\nContent-Length: 65537\\r\\n\\r\\n | false",
                 "no HTTP at all\\r\\n\\r\\n | false",
                 "HTTP/1.1 200 OK\\r\\nno colon\\r\\nContent-Length: 2\\r\\n\\r\\nok | false",
-                "HTTP/1.1 200 OK\\r"
-                        + "\\n"
-                        + "Content-Length: 2\\r"
-                        + "\\n"
-                        + "Content-Length: 3\\r"
-                        + "\\n"
-                        + "\\r"
-                        + "\\n"
-                        + "ok | false",
+                "HTTP/1.1 200 OK\\r\\n"
+                        + "Content-Length: 2\\r\\nContent-Length: 3\\r\\n\\r\\nok | false",
                 "HTTP/1.1 200 OK\\r\\nContent-Length: -1\\r\\n\\r\\n | false",
                 "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\n | false",
-                "HTTP/1.1 200 OK\\r"
-                        + "\\n"
-                        + "Transfer-Encoding: chunked\\r"
-                        + "\\n"
-                        + "Content-Length: 2\\r"
-                        + "\\n"
-                        + "\\r"
-                        + "\\n"
-                        + "0\\r"
-                        + "\\n"
-                        + "\\r"
-                        + "\\n"
-                        + " | false",
-                "HTTP/1.1 101 Other\\r"
-                        + "\\n"
-                        + "Upgrade: x\\r"
-                        + "\\n"
-                        + "\\r"
-                        + "\\n"
-                        + "HTTP/1.1 200 OK\\r"
-                        + "\\n"
-                        + "Content-Length: 0\\r"
-                        + "\\n"
-                        + "\\r"
-                        + "\\n"
-                        + " | false",
+                "HTTP/1.1 200 OK\\r\\n"
+                        + "Transfer-Encoding: chunked\\r\\nContent-Length: 2\\r\\n\\r\\n0\\r\\n\\r\\n | false",
+                "HTTP/1.1 101 Other\\r\\n"
+                        + "Upgrade: x\\r\\n\\r\\nHTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
                 "'' | true",
             })
-    void unsafeThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
+    void requestThatMayHaveRunIsNotRetried(String text, boolean hangUp) throws Exception {
         ScriptedPeer.Script script =
                 seen -> {
                     seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
@@ -140,7 +100,7 @@
     }
 
     @Test
-    void unsafeThatWasTurnedAwayGoesToAnotherServer() throws Exception {
+    void requestThatWasNotStartedGoesToAnotherServer() throws Exception {
         for (String status : List.of("503 Full", "504 Over")) {
             ScriptedPeer one = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
             ScriptedPeer two = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
@@ -159,7 +119,7 @@
     }
 
     @Test
-    void refusedConnectionProvesThatNothingRan() throws Exception {
+    void refusedConnectionAllowsAnotherServer() throws Exception {
         ScriptedPeer gone = server(ScriptedPeer.SILENT);
         gone.close();
         ScriptedPeer here = server(ScriptedPeer.serves("here"));
@@ -170,7 +130,7 @@
     }
 
     @Test
-    void allServersGoneIsARefusalWithAdvice() throws Exception {
+    void noReachableServerIsARejectionWithRetryAfter() throws Exception {
         ScriptedPeer gone = server(ScriptedPeer.SILENT);
         gone.close();
         HttpMessages.Message answer = sidecar(gone).client().book("x", 300).answer();
@@ -179,7 +139,7 @@
     }
 
     @Test
-    void silenceIsAFailureInTime() throws Exception {
+    void silentServerIsATimeOutBeforeTheDeadline() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         long start = System.nanoTime();
         HttpMessages.Message answer = sidecar(server).client().book("x", 400).answer();
@@ -191,8 +151,8 @@
     }
 
     /**
-     * Answers that meet the deadline from both sides: one answer each, and always to its own
-     * request.
+     * Answers that come shortly before or after the deadline: each request gets one answer, and
+     * always its own.
      */
     @Test
     void oneAnswerWhenOutcomesRace() throws Exception {
@@ -213,7 +173,7 @@
             if (answer.status() == 200) {
                 assertEquals(id, answer.body());
             } else {
-                assertTrue(List.of(502, 503, 504).contains(answer.status()), answer.first());
+                assertTrue(List.of(502, 503, 504).contains(answer.status()), answer.startLine());
             }
         }
         client.raw("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -222,7 +182,7 @@
     }
 
     @Test
-    void connectionIsUsedAgain() throws Exception {
+    void connectionIsReused() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness.Client client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
@@ -248,7 +208,7 @@
     }
 
     @Test
-    void clientThatLeavesStopsItsAttempt() throws Exception {
+    void clientThatLeavesEndsItsAttempt() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         SidecarHarness.Client client = harness.client().book("x", 30_000);
@@ -289,7 +249,7 @@
     }
 
     @Test
-    void requestIdInHandIsRejected() throws Exception {
+    void requestIdInFlightIsRejected() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         String head = SidecarHarness.Client.head("GET", "/search/k", 5_000, "", 0);
@@ -304,15 +264,16 @@
         SidecarHarness harness = sidecar();
         assertEquals(503, harness.client().raw(health).answer().status());
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        harness.tell(2, SidecarHarness.list(2, true, "in_service", server));
+        harness.publishEndpoints(2, SidecarHarness.list(2, true, "in_service", server));
         assertEquals(200, harness.client().raw(health).answer().status());
     }
 
     /**
-     * An exception costs one request its result, never its answer, and no other request anything.
+     * An exception costs its own request the result, never the answer, and no other request
+     * anything.
      */
     @Test
-    void exceptionInTheModuleIsAnsweredAndLogged() throws Exception {
+    void exceptionInTheBalancerIsAnsweredAndLogged() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server);
         harness.start(
@@ -332,14 +293,19 @@
         SidecarHarness.Client client = harness.client();
         assertEquals(500, client.search(2_000).answer().status());
         assertEquals(503, client.search(2_000).answer().status());
+        String log = harness.log.toString(UTF_8);
+        assertTrue(log.contains("ERROR request_aborted request="), log);
         assertTrue(
-                harness.log.toString(UTF_8).contains("IllegalStateException: probe"),
-                harness.log.toString(UTF_8));
+                log.contains(
+                        " cause=\"java.lang.IllegalStateException: probe\" action=answered_500"),
+                log);
     }
 
-    /** What an action brings about at once reaches the module after the call that asked for it. */
+    /**
+     * An event that an action causes at once is delivered after the call that the action is from.
+     */
     @Test
-    void moduleIsNotEnteredAgainFromItsOwnAction() throws Exception {
+    void balancerIsNotReEnteredFromItsOwnAction() throws Exception {
         SidecarHarness harness = harness();
         List<String> order = new ArrayList<>();
         harness.start(
@@ -362,11 +328,11 @@
         assertEquals(List.of("request", "sent to a server that no list names", "NOT_SENT"), order);
     }
 
-    /** Past the bound a client takes the place of an idle one; descriptors never run out. */
+    /** Past the limit a client takes the place of an idle one; descriptors never run out. */
     @Test
-    void clientsPastTheBoundReplaceIdleOnes() throws Exception {
+    void clientsPastTheLimitReplaceIdleOnes() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness harness = opened(new SidecarHarness(folder, 250_000, 128, server));
+        SidecarHarness harness = harnessOfFewSockets(server);
         harness.start();
         SidecarHarness.Client first = harness.client();
         assertEquals(200, first.search(5_000).answer().status());
@@ -378,9 +344,9 @@
         first.assertClosed();
     }
 
-    /** A module that says nothing of a request leaves it to the sidecar, which answers in time. */
+    /** A request that the balancer never ends is answered by the sidecar, at its deadline. */
     @Test
-    void forgottenRequestIsAnsweredAndTheModuleTold() throws Exception {
+    void requestThatTheBalancerForgetsIsAnsweredAndReported() throws Exception {
         SidecarHarness harness = harness();
         var left = new LinkedBlockingQueue<String>();
         harness.start(
@@ -396,52 +362,52 @@
     }
 
     /**
-     * Where all are busy a new client waits, and the next connection that is answered makes way for
-     * it.
+     * Where all are busy a new client waits, and takes the place of the next connection that is
+     * answered.
      */
     @Test
-    void clientPastTheBoundIsAcceptedAfterAnAnswer() throws Exception {
-        SidecarHarness harness = opened(new SidecarHarness(folder, 250_000, 128));
-        var inHand = new LinkedBlockingQueue<String>();
+    void clientPastTheLimitIsAcceptedAfterAnAnswer() throws Exception {
+        SidecarHarness harness = harnessOfFewSockets();
+        var inFlight = new LinkedBlockingQueue<String>();
         var actions = new AtomicReference<BalancerActions>();
         harness.start(
-                (settings, does) -> {
-                    actions.set(does);
+                (settings, balancerActions) -> {
+                    actions.set(balancerActions);
                     return new NoOpLoadBalancer() {
                         @Override
                         public void onRequest(long nowMicros, Request request) {
-                            inHand.add(request.id());
+                            inFlight.add(request.id());
                         }
                     };
                 });
-        int bound = harness.config().clientConnections();
+        int limit = harness.config().clientConnections();
         List<SidecarHarness.Client> clients = new ArrayList<>();
         String first = null;
-        for (int i = 0; i < bound; i++) {
+        for (int i = 0; i < limit; i++) {
             clients.add(harness.client().search(30_000));
-            String id = inHand.poll(10, TimeUnit.SECONDS);
+            String id = inFlight.poll(10, TimeUnit.SECONDS);
             first = i == 0 ? id : first;
         }
         for (int i = 0; i < 20; i++) {
             clients.add(harness.client().search(30_000));
         }
-        assertNull(inHand.poll(200, TimeUnit.MILLISECONDS));
+        assertNull(inFlight.poll(200, TimeUnit.MILLISECONDS));
         String refused = first;
         harness.loop.execute(() -> actions.get().reject(refused, 0, RejectionReason.ADMISSION));
         assertEquals(503, clients.get(0).answer().status());
         clients.get(0).assertClosed();
-        assertEquals(16, inHand.poll(10, TimeUnit.SECONDS).length());
-        assertNull(inHand.poll(200, TimeUnit.MILLISECONDS));
+        assertEquals(16, inFlight.poll(10, TimeUnit.SECONDS).length());
+        assertNull(inFlight.poll(200, TimeUnit.MILLISECONDS));
     }
 
     // ---- Discovery
 
     @Test
-    void drainedServerIsSentNothing() throws Exception {
+    void drainingServerGetsNoRequest() throws Exception {
         ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
         ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
         SidecarHarness harness = sidecar(leaving, staying);
-        harness.tell(2, SidecarHarness.list(2, false, "terminating", leaving));
+        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
@@ -449,19 +415,17 @@
     }
 
     @Test
-    void absenceFromAWholeListIsTheEnd() throws Exception {
+    void serverMissingFromACompleteListGetsNoRequest() throws Exception {
         ScriptedPeer gone = server(ScriptedPeer.serves("gone"));
         ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
         SidecarHarness harness = sidecar(gone, staying);
-        harness.tell(2, SidecarHarness.list(2, true, "in_service", staying));
+        harness.publishEndpoints(2, SidecarHarness.list(2, true, "in_service", staying));
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
     }
 
-    /**
-     * A watch that fails in any way keeps the old list, and is asked for again until it answers.
-     */
+    /** A watch that fails in any way keeps the old list, and is retried until it is answered. */
     @Test
     void watchIsRestored() throws Exception {
         ScriptedPeer old = server(ScriptedPeer.serves("old"));
@@ -470,11 +434,11 @@
         harness.discovery.take().socket().close();
         harness.discovery.take().reply("503 Busy", "", "");
         harness.discovery.take().reply("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
-        ScriptedPeer.Seen again = harness.discovery.take();
-        assertTrue(again.request().first().contains("from=1&"), again.request().first());
+        ScriptedPeer.Seen retry = harness.discovery.take();
+        assertTrue(retry.request().startLine().contains("from=1&"), retry.request().startLine());
         assertEquals("old", harness.client().search(2_000).answer().body());
-        harness.discovery.seen.add(again);
-        harness.tell(3, SidecarHarness.list(3, true, "in_service", fresh));
+        harness.discovery.seen.add(retry);
+        harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", fresh));
         assertEquals("fresh", harness.client().search(2_000).answer().body());
     }
 
@@ -490,8 +454,8 @@
                     public void listed(EndpointList list) {}
 
                     @Override
-                    public void failed(String why) {
-                        failures.add(why);
+                    public void failed(String reason) {
+                        failures.add(reason);
                     }
                 };
         SidecarConfig config = harness.config();
@@ -510,28 +474,28 @@
         silent.awaitEnd();
     }
 
-    // ---- The end
+    // ---- Graceful shutdown
 
     @Test
-    void workInHandIsAnsweredAtTheEnd() throws Exception {
+    void requestsInFlightAreAnsweredDuringShutdown() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         SidecarHarness.Client busy = harness.client().book("x", 30_000);
         SidecarHarness.Client idle = harness.client();
-        ScriptedPeer.Seen held = server.take();
-        var ended = harness.stop();
+        ScriptedPeer.Seen inFlight = server.take();
+        var stopped = harness.stop();
         SidecarHarness.Client late = harness.client();
-        late.raw("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        late.healthCheck();
         assertEquals(503, late.answer().status());
         server.script(ScriptedPeer.serves("late"));
         assertEquals("late", harness.client().search(5_000).answer().body());
         idle.assertClosed();
-        assertNotEquals(0, ended.getCount());
-        held.reply("200 OK", "", "held");
+        assertNotEquals(0, stopped.getCount());
+        inFlight.reply("200 OK", "", "in flight");
         HttpMessages.Message answer = busy.answer();
-        assertEquals("held", answer.body());
+        assertEquals("in flight", answer.body());
         assertEquals("close", answer.headers().get("Connection"));
         busy.assertClosed();
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 }
--- /dev/null
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -0,0 +1,318 @@
+package sagefall.proxy;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import sagefall.proxy.upstream.ConnectionPool;
+
+/** Answers that are passed on while the server still sends them. */
+class StreamedResponseTest extends StreamingSocketTest {
+
+    @Test
+    void answerIsStreamedAsItArrivesAndItsConnectionIsReused() throws Exception {
+        start("");
+        RawConnection to = export(client);
+        to.raw(
+                        "HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.2\r\nContent-Type: text/x\r\n"
+                                + "Transfer-Encoding: chunked\r\n\r\n")
+                .chunk("first");
+        RawConnection.Head head = client.head();
+        assertEquals("HTTP/1.1 200 OK", head.startLine());
+        assertEquals("text/x", head.header("Content-Type"));
+        assertNull(head.header("Server-Load"));
+        assertEquals("first", new String(client.chunk(), UTF_8));
+        to.chunk("second").raw("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
+        assertEquals("second", new String(client.chunks(), UTF_8));
+        assertEquals(Map.of("Check", "sum"), client.trailers());
+        // A second answer on both connections, of a known length.
+        TimeUnit.MICROSECONDS.sleep(ConnectionPool.SETTLE_MICROS);
+        client.raw(exportRequest(2_000));
+        to.head();
+        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
+        assertEquals("5", client.head().header("Content-Length"));
+        assertEquals("third", client.text(5));
+        assertTrue(server.hasNoConnection());
+    }
+
+    /** From its head on neither the attempt's time-out nor the client's deadline runs. */
+    @Test
+    void noDeadlineRunsOnceTheAnswerHasStarted() throws Exception {
+        start("");
+        client.raw(exportRequest(300));
+        RawConnection to = acceptRequest();
+        to.raw(OK_CHUNKED).chunk("a");
+        client.head();
+        assertEquals("a", new String(client.chunk(), UTF_8));
+        try (RawConnection other = connect()) {
+            other.raw(SidecarHarness.Client.head("GET", "/search/k1", 400, "", 0));
+            acceptRequest();
+            assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
+        }
+        to.chunk("b").raw(LAST_CHUNK);
+        assertEquals("b", new String(client.chunks(), UTF_8));
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
+                "Content-Length: 5\r\n\r\nabc",
+                "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nno size\r\n"
+            })
+    void serverThatDiesMidAnswerIsSeenByTheClient(String text) throws Exception {
+        start("");
+        RawConnection to = export(client);
+        to.raw("HTTP/1.1 200 OK\r\n" + text);
+        RawConnection.Head head = client.head();
+        if (head.header("Content-Length") != null) {
+            assertEquals("abc", client.text(3));
+        } else {
+            assertEquals("abc", new String(client.chunk(), UTF_8));
+        }
+        to.close();
+        assertThrows(IOException.class, () -> client.bytes(1));
+    }
+
+    /** Where only the end of the connection ends an answer, a broken one has to end in a reset. */
+    @Test
+    void clientOfVersion10SeesABrokenAnswerToo() throws Exception {
+        start("");
+        client.raw(exportRequest(2_000).replace("HTTP/1.1", "HTTP/1.0"));
+        RawConnection to = acceptRequest();
+        to.raw(OK_CHUNKED).chunk("abc");
+        assertNull(client.head().header("Transfer-Encoding"));
+        assertEquals("abc", client.text(3));
+        to.close();
+        assertThrows(java.net.SocketException.class, () -> client.bytes(1));
+    }
+
+    /** Also where the settings let no attempt be cancelled: such an answer has no receiver. */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void clientThatLeavesMidAnswerFreesTheServerAndItsBuffers(boolean cancelling) throws Exception {
+        newHarness()
+                .withConfig("'cancelling':true", "'cancelling':" + cancelling)
+                .withExtensions(streaming(BUFFERS_FOR_ONE_STREAM))
+                .start();
+        for (int i = 0; i < 3; i++) {
+            try (RawConnection one = connect()) {
+                RawConnection to = export(one);
+                to.raw(OK_CHUNKED).chunk("abc");
+                one.head();
+                one.socket.close();
+                to.awaitEnd();
+            }
+        }
+    }
+
+    @Test
+    void pastTheBufferLimitNewStreamsAreRejectedAtOnceAndRunningOnesGoOn() throws Exception {
+        start(BUFFERS_FOR_ONE_STREAM);
+        RawConnection to = startedExport();
+        try (RawConnection other = connect()) {
+            other.raw(exportRequest(2_000));
+            RawConnection.Head rejected = other.head();
+            assertEquals("HTTP/1.1 503 Service Unavailable", rejected.startLine());
+            assertNotNull(rejected.header("Retry-After"));
+            assertTrue(server.hasNoConnection());
+            to.raw(LAST_CHUNK);
+            assertEquals("abc", new String(client.chunks(), UTF_8));
+            // Its buffers are free for the next one.
+            client.trailers();
+            client.raw(exportRequest(2_000));
+            acceptRequest().raw(OK_WITHOUT_BODY);
+            assertStatus(200, client);
+        }
+    }
+
+    @Test
+    void clientThatReadsNothingIsGivenUp() throws Exception {
+        start(",'write_stall_ms':100,'high_watermark_bytes':5000");
+        RawConnection to = export(client);
+        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
+        assertThrows(
+                IOException.class,
+                () -> {
+                    for (int i = 0; i < 90; i++) {
+                        to.raw(new byte[1_000_000]);
+                    }
+                });
+        client.head();
+        assertThrows(IOException.class, () -> client.bytes(90_000_000));
+        assertBuffersLimited();
+    }
+
+    @Test
+    void serverThatSendsNothingIsGivenUp() throws Exception {
+        start(",'read_stall_ms':100");
+        RawConnection to = startedExport();
+        client.assertBroken();
+        to.awaitEnd();
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny", "noise\r\n\r\n", "x"})
+    void bytesBehindAnAnswerEndItsConnectionOnly(String behind) throws Exception {
+        start("");
+        RawConnection to = export(client);
+        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc" + behind);
+        client.head();
+        assertEquals("abc", client.text(3));
+        to.awaitEnd();
+        client.raw(exportRequest(2_000));
+        acceptRequest().raw(OK_WITHOUT_BODY);
+        assertStatus(200, client);
+    }
+
+    /** Of these no byte reaches the client; the first of a class that does not stream. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "book | Content-Length: 3000000000",
+                "export | Content-Length: 3000000000",
+                "export | Content-Length: 2\\r\\nTransfer-Encoding: chunked",
+                "export | Content-Length: 2\\r\\nContent-Length: 3",
+                "export | Transfer-Encoding: gzip, chunked",
+                "export | Content-Type: text/x",
+                "export | Content-Length: -1",
+            })
+    void answerWithoutALimitedEndIsNotForwarded(String requestClass, String header)
+            throws Exception {
+        start("");
+        client.raw(
+                SidecarHarness.Client.head(
+                        requestClass.equals("book") ? "POST" : "GET",
+                        "/" + requestClass + "/k1",
+                        600,
+                        "",
+                        0));
+        RawConnection to = acceptRequest();
+        to.raw("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
+        to.awaitEnd();
+        assertTrue(client.head().startLine().startsWith("HTTP/1.1 50"));
+    }
+
+    @Test
+    void answerThatGrowsPastItsLimitIsBroken() throws Exception {
+        start(
+                newHarness()
+                        .withExtensions(
+                                "{'streaming':{'classes':{'export':{'max_answer_bytes':4}}}}"));
+        RawConnection to = startedExport();
+        client.chunk();
+        to.chunk("de");
+        client.assertBroken();
+        to.awaitEnd();
+    }
+
+    @Test
+    void informationalResponseIsNotTheAnswer() throws Exception {
+        start("");
+        RawConnection to = export(client);
+        to.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+                .raw(OK_CHUNKED)
+                .chunk("abc")
+                .raw(LAST_CHUNK);
+        assertStatus(200, client);
+        assertEquals("abc", new String(client.chunks(), UTF_8));
+    }
+
+    @Test
+    void bytesFromTheClientDuringAnAnswerBreakIt() throws Exception {
+        start("");
+        RawConnection to = startedExport();
+        client.chunk();
+        client.raw(exportRequest(2_000));
+        client.assertBroken();
+        to.awaitEnd();
+        assertTrue(server.hasNoConnection());
+    }
+
+    @Test
+    void streamGoesOnWhileItsServerDrainsAndIsRemoved() throws Exception {
+        start("");
+        RawConnection to = startedExport();
+        for (String state : List.of("terminating", "terminated")) {
+            String list =
+                    SidecarHarness.json(
+                            SidecarHarness.list(2, false, state, List.of(server.port())));
+            harness.loop
+                    .submit(
+                            () -> {
+                                harness.sidecar
+                                        .endpointUpdates()
+                                        .listed(
+                                                harness.config()
+                                                        .lists()
+                                                        .read(list.getBytes(UTF_8)));
+                                return null;
+                            })
+                    .get();
+            to.chunk(state);
+        }
+        to.raw(LAST_CHUNK);
+        assertEquals("abcterminatingterminated", new String(client.chunks(), UTF_8));
+        to.awaitEnd();
+    }
+
+    @Test
+    void streamInFlightIsCompletedBeforeTheSidecarStops() throws Exception {
+        start(",'drain_ms':20000");
+        RawConnection to = startedExport();
+        CountDownLatch stopped = harness.stop();
+        client.chunk();
+        assertFalse(stopped.await(600, TimeUnit.MILLISECONDS), "stopped with a stream in flight");
+        to.chunk("d").raw(LAST_CHUNK);
+        assertEquals("d", new String(client.chunks(), UTF_8));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
+    }
+
+    @Test
+    void streamThatOutlastsTheDrainIsCutShort() throws Exception {
+        start(",'drain_ms':100");
+        RawConnection to = startedExport();
+        CountDownLatch stopped = harness.stop();
+        client.assertBroken();
+        to.awaitEnd();
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
+    }
+
+    @Test
+    void bigAnswerArrivesCompleteAtASlowClient() throws Exception {
+        start(",'high_watermark_bytes':5000");
+        RawConnection to = export(client);
+        byte[] body = noise(BIG_BODY_BYTES);
+        String head = "HTTP/1.1 200 OK\r\nContent-Length: " + BIG_BODY_BYTES + "\r\n\r\n";
+        Thread writing = writeInBackground(() -> to.raw(head).raw(body));
+        client.head();
+        assertArrives(body, client);
+        writing.join();
+    }
+
+    /** Without the section bodies are collected, up to 64 KiB. */
+    @Test
+    void withoutTheSectionNothingIsStreamed() throws Exception {
+        start(newHarness());
+        RawConnection to = export(client);
+        to.raw(OK_CHUNKED).chunk("abc").raw(LAST_CHUNK);
+        assertEquals("3", client.head().header("Content-Length"));
+        assertEquals("abc", client.text(3));
+        client.raw(append("Content-Length: 70000"));
+        assertStatus(413, client);
+    }
+}
