--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -149,18 +149,18 @@
     /** The same, of servers on these ports. */
     static String list(int revision, boolean all, String state, List<Integer> ports) {
         String targets =
-                ports.stream()
-                        .map(
-                                port ->
-                                        "{'uid':'s-PORT','endpoint':'127.0.0.1:PORT','az':'a','model':'m',"
-                                                        .replace("PORT", String.valueOf(port))
-                                                + "'pod_group':0,'state':'"
-                                                + state
-                                                + "','boot_ms':0}")
-                        .collect(Collectors.joining(","));
+                ports.stream().map(port -> target(port, state)).collect(Collectors.joining(","));
         return "{'rev':" + revision + ",'all':" + all + ",'targets':[" + targets + "]}";
     }
 
+    private static String target(int port, String state) {
+        return "{'uid':'s-PORT','endpoint':'127.0.0.1:PORT','az':'a','model':'m','pod_group':0,"
+                        .replace("PORT", String.valueOf(port))
+                + "'state':'"
+                + state
+                + "','boot_ms':0}";
+    }
+
     /** The configuration as the files hold it now. */
     public SidecarConfig config() throws IOException {
         return SidecarConfig.read(environment());
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -79,9 +79,11 @@
                 "HTTP/1.1 200 OK\\r\\nContent-Length: -1\\r\\n\\r\\n | false",
                 "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\n | false",
                 "HTTP/1.1 200 OK\\r\\n"
-                        + "Transfer-Encoding: chunked\\r\\nContent-Length: 2\\r\\n\\r\\n0\\r\\n\\r\\n | false",
+                        + "Transfer-Encoding: chunked\\r\\nContent-Length: 2\\r\\n\\r\\n"
+                        + "0\\r\\n\\r\\n | false",
                 "HTTP/1.1 101 Other\\r\\n"
-                        + "Upgrade: x\\r\\n\\r\\nHTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
+                        + "Upgrade: x\\r\\n\\r\\n"
+                        + "HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
                 "'' | true",
             })
     void requestThatMayHaveRunIsNotRetried(String text, boolean hangUp) throws Exception {
