--- a/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
@@ -1,6 +1,7 @@
 package sagefall.proxy;
 
 import sagefall.discovery.EndpointList;
+import sagefall.discovery.EndpointListCodec;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 import sagefall.persistence.SnapshotStore;
 
@@ -11,7 +12,7 @@
  */
 final class EndpointRecorder {
 
-    private final EndpointList.Reader lists;
+    private final EndpointListCodec lists;
 
     /** Null while persistence is off. */
     private SnapshotStore store;
@@ -19,7 +20,7 @@
     /** Null while leader election is off. */
     private SharedEndpointSnapshot sharedSnapshot;
 
-    EndpointRecorder(EndpointList.Reader lists) {
+    EndpointRecorder(EndpointListCodec lists) {
         this.lists = lists;
     }
 
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
@@ -8,10 +8,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sagefall.config.ConfigException;
 import sagefall.config.ConfigSection;
 import sagefall.config.Json;
 
-class PersistenceTest {
+class PersistenceSettingsTest {
 
     private static PersistenceSettings read(String quoted) throws Exception {
         return PersistenceSettings.read(
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void defaultsAreThoseOfTheReadme() throws Exception {
+    void defaultsAreThoseOfTheDocumentation() throws Exception {
         assertEquals(
                 new PersistenceSettings(Path.of("/a"), 4 * 1024 * 1024, 3_600_000, true, 0),
                 read("{'directory':'/a'}"));
@@ -43,9 +44,8 @@
                         + " whole number from 0",
                 "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown name",
             })
-    void whatIsWrongIsOneLine(String quoted, String line) {
-        String message =
-                assertThrows(IllegalArgumentException.class, () -> read(quoted)).getMessage();
+    void wrongSectionIsRejectedWithOneLine(String quoted, String line) {
+        String message = assertThrows(ConfigException.class, () -> read(quoted)).getMessage();
         assertEquals(line, message.substring(0, line.length()));
     }
 }
