--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -24,6 +24,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.cli.CommandLineMain;
+import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.HistoryReader;
+import sagefall.faultinjection.invariant.InvariantChecks;
+import sagefall.faultinjection.invariant.InvariantName;
+import sagefall.faultinjection.invariant.Violation;
+import sagefall.faultinjection.plan.RunPlan;
+import sagefall.faultinjection.plan.ScenarioGenerator;
+import sagefall.faultinjection.report.RunResult;
 import sagefall.load.SidecarProcess;
 import sagefall.scenario.Fault;
 import sagefall.scenario.Scenario;
@@ -38,6 +46,9 @@
 
     private static final Path ROOT = SidecarProcess.ROOT;
 
+    private static final String HISTORY = "history";
+    private static final String SCHEDULE = "schedule.jsonl";
+
     @TempDir Path folder;
 
     private static RunPlan plan(String name, long seed, String... more) throws Exception {
@@ -48,7 +59,7 @@
         return new RunPlan(source.file(), source.text(), sets, seed, null, List.of(ROOT));
     }
 
-    /** The bounded set: what the campaign plays longer, larger and with more seeds. */
+    /** A small set; a campaign runs more kinds, longer, larger and with more seeds. */
     @ParameterizedTest
     @CsvSource({
         "rig-kill, 11",
@@ -58,26 +69,27 @@
         "rig-stop, 16",
         "rig-reborn, 17"
     })
-    void noRuleBreaks(String scenario, long seed) throws Exception {
-        RunResult play =
-                RunResult.of(plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
+    void noInvariantIsViolated(String scenario, long seed) throws Exception {
+        RunResult result =
+                FaultInjectionRun.execute(
+                        plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        play.print(new PrintStream(printed, true));
-        assertFalse(play.broken(), printed::toString);
-        assertTrue(play.figures().requests() > 200, printed::toString);
+        result.print(new PrintStream(printed, true));
+        assertFalse(result.isViolated(), printed::toString);
+        assertTrue(result.statistics().requests() > 200, printed::toString);
         assertTrue(Files.readString(folder.resolve("report.html")).contains("sidecar 5"));
     }
 
     /**
-     * All lose power, find old lists, and discovery is silent until later: what each kept keeps it
-     * from the servers that it had been told to leave, and tells the others.
+     * All lose power, find old lists, and discovery is silent until later: what each persisted
+     * keeps it from the servers that it had been notified to leave, and gives it the others.
      */
     @Test
-    void whatWasKeptOutlivesABlackout() throws Exception {
-        RunResult play = RunResult.of(plan("rig-blackout", 21), folder);
+    void persistedEndpointsSurviveABlackout() throws Exception {
+        RunResult result = FaultInjectionRun.execute(plan("rig-blackout", 21), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        play.print(new PrintStream(printed, true));
-        assertFalse(play.broken(), printed::toString);
+        result.print(new PrintStream(printed, true));
+        assertFalse(result.isViolated(), printed::toString);
         for (int i = 0; i < 6; i++) {
             String log = Files.readString(folder.resolve("sidecar-" + i).resolve("log"));
             assertTrue(log.contains("INFO snapshot_absent epoch=1 "), log);
@@ -90,16 +102,16 @@
                 && line.contains(" used=true ");
     }
 
-    /** The owner of the duty is stopped past its lease and woken, and the next one killed. */
+    /** The lease holder is stopped past its lease and resumed, and the next one killed. */
     @Test
-    void anOwnerThatWakesUpLateDoesNoHarm() throws Exception {
-        RunResult play = RunResult.of(plan("rig-owner", 23), folder);
+    void aLeaseHolderThatResumesLateDoesNoHarm() throws Exception {
+        RunResult result = FaultInjectionRun.execute(plan("rig-owner", 23), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        play.print(new PrintStream(printed, true));
-        assertFalse(play.broken(), printed::toString);
+        result.print(new PrintStream(printed, true));
+        assertFalse(result.isViolated(), printed::toString);
         long terms =
-                EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY)).stream()
-                        .filter(e -> e.kind().equals("duty"))
+                HistoryReader.read(folder.resolve(HISTORY)).stream()
+                        .filter(e -> e.kind() == EntryKind.LEASE)
                         .mapToLong(e -> e.number("term"))
                         .max()
                         .orElse(0);
@@ -115,16 +127,16 @@
     @Test
     void aCrashIsSeen() throws Exception {
         RunPlan plan = plan("rig-calm", 3, "seconds=6", "fleet.sidecars=2", "fleet.servers=3");
-        try (FaultInjectionRun rig = new FaultInjectionRun(plan, folder)) {
-            rig.start();
-            rig.sidecars().get(1).process().destroyForcibly();
-            rig.sidecars().get(1).process().onExit().join();
+        try (FaultInjectionRun run = new FaultInjectionRun(plan, folder)) {
+            run.start();
+            run.sidecars().get(1).control().process().destroyForcibly();
+            run.sidecars().get(1).control().process().onExit().join();
         }
-        List<InvariantChecks.Breach> breaches =
-                InvariantChecks.of(EventHistory.read(folder.resolve(FaultInjectionRun.HISTORY)));
+        List<Violation> violations =
+                InvariantChecks.violations(HistoryReader.read(folder.resolve(HISTORY)));
         assertEquals(
-                List.of(InvariantChecks.Rule.CRASH),
-                breaches.stream().map(InvariantChecks.Breach::rule).toList());
+                List.of(InvariantName.CRASH),
+                violations.stream().map(Violation::invariant).toList());
     }
 
     @Test
@@ -133,31 +145,31 @@
         for (int i = 0; i < 3; i++) {
             Path mine = folder.resolve("p" + i);
             new FaultInjectionRun(plan("rig-disagree", i == 2 ? 8 : 7), mine).close();
-            lines[i] = Files.readAllBytes(mine.resolve(FaultInjectionRun.SCHEDULE));
+            lines[i] = Files.readAllBytes(mine.resolve(SCHEDULE));
         }
         assertArrayEquals(lines[0], lines[1]);
         assertFalse(new String(lines[0], UTF_8).equals(new String(lines[2], UTF_8)));
         // Leaving out one fault changes no other.
-        new FaultInjectionRun(plan("rig-disagree", 7).only(List.of(0, 2)), folder.resolve("fewer"))
+        new FaultInjectionRun(
+                        plan("rig-disagree", 7).withFaults(List.of(0, 2)), folder.resolve("fewer"))
                 .close();
-        List<String> all =
-                Files.readAllLines(folder.resolve("p0").resolve(FaultInjectionRun.SCHEDULE));
+        List<String> all = Files.readAllLines(folder.resolve("p0").resolve(SCHEDULE));
         assertEquals(
                 List.of(all.get(0), all.get(2)),
-                Files.readAllLines(folder.resolve("fewer").resolve(FaultInjectionRun.SCHEDULE)));
+                Files.readAllLines(folder.resolve("fewer").resolve(SCHEDULE)));
     }
 
     @Test
     void aPlanIsReadAsItWasWritten() throws Exception {
-        RunPlan plan = plan("rig-discovery", 99).only(List.of(1));
+        RunPlan plan = plan("rig-discovery", 99).withFaults(List.of(1));
         plan.write(folder.resolve("plan.json"));
         assertEquals(plan, RunPlan.read(folder.resolve("plan.json")));
         assertEquals(List.of(1), plan.faults());
     }
 
-    /** Drawn scenarios are ones that the rig can play. */
+    /** Drawn scenarios are ones that real processes can have. */
     @Test
-    void campaignsDrawWhatCanBePlayed() throws Exception {
+    void campaignsDrawWhatCanBeRun() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
             Scenario s =
                     new RunPlan(
@@ -173,17 +185,17 @@
         assertEquals(ScenarioGenerator.text(5), ScenarioGenerator.text(5));
     }
 
-    /** The rig is killed with everything running: nothing that it started is left. */
+    /** The run is killed with all processes running: none of them is left. */
     @Test
     void nothingIsLeftBehind() throws Exception {
-        Process rig =
+        Process run =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 "-Dsagefall.root=" + ROOT,
                                 CommandLineMain.class.getName(),
-                                "rig",
+                                "inject-faults",
                                 "run",
                                 "rig-calm",
                                 "--sidecars",
@@ -198,20 +210,17 @@
                         .start();
         List<ProcessHandle> started = List.of();
         try (BufferedReader out =
-                new BufferedReader(new InputStreamReader(rig.getInputStream(), UTF_8))) {
+                new BufferedReader(new InputStreamReader(run.getInputStream(), UTF_8))) {
             assertTrue(out.readLine().contains("rig-calm"));
-            Path history =
-                    folder.resolve("rig-calm-1")
-                            .resolve(FaultInjectionRun.HISTORY)
-                            .resolve("rig.jsonl");
+            Path history = folder.resolve("rig-calm-1").resolve(HISTORY).resolve("rig.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"begin\"")) {
-                assertTrue(rig.isAlive());
-                rig.waitFor(50, TimeUnit.MILLISECONDS);
+                assertTrue(run.isAlive());
+                run.waitFor(50, TimeUnit.MILLISECONDS);
             }
-            started = rig.descendants().toList();
+            started = run.descendants().toList();
             assertTrue(started.size() >= 8, started.toString());
         } finally {
-            rig.destroyForcibly();
+            run.destroyForcibly();
         }
         for (ProcessHandle p : started) {
             p.onExit().get(60, TimeUnit.SECONDS);
@@ -230,8 +239,8 @@
                 "run flap --set seconds=[1,2] | --set: seconds: must be one number",
                 "run OWN | OWN:3: fault[0].kind: the rig can't play neighbour",
                 "run BAD | BAD:4: fault[0].zone: the fleet has no such zone",
-                "again nope.json | nope.json: no such plan",
-                "again OWN | not a plan",
+                "replay nope.json | nope.json: no such plan",
+                "replay OWN | not a plan",
                 "shrink nope.json | nope.json: no such plan",
                 "dance | Unmatched argument",
                 "run | Missing required parameter",
@@ -243,7 +252,10 @@
         Files.writeString(bad, "name = \"bad\"\n[[fault]]\nkind = \"lose_zone\"\nzone = \"z\"\n");
         StringWriter errors = new StringWriter();
         String[] words =
-                ("rig " + arguments.replace("OWN", toml.toString()).replace("BAD", bad.toString()))
+                ("inject-faults "
+                                + arguments
+                                        .replace("OWN", toml.toString())
+                                        .replace("BAD", bad.toString()))
                         .split(" ");
         assertEquals(
                 2,
@@ -256,9 +268,9 @@
                 errors::toString);
     }
 
-    /** Each side says which faults it can't play. */
+    /** Each side says which faults it can't result. */
     @Test
-    void theEmulatorCantStopProcesses() throws Exception {
+    void theEmulatorRejectsStoppedProcesses() throws Exception {
         assertEquals(
                 "rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
                 assertThrows(
