--- a/sidecar/src/main/java/sagefall/balancer/api/AttemptResult.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/AttemptResult.java
@@ -20,9 +20,9 @@
     NOT_SENT(true);
 
     /** Whether the result proves that the request never ran. */
-    public final boolean provesNotRun;
+    public final boolean provesNotExecuted;
 
     AttemptResult(boolean provesNotRun) {
-        this.provesNotRun = provesNotRun;
+        this.provesNotExecuted = provesNotRun;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
@@ -129,7 +129,7 @@
 
     /** Whether it may have run, or may still run. */
     public boolean possiblyExecuted() {
-        return result == null || !result.provesNotRun;
+        return result == null || !result.provesNotExecuted;
     }
 
     /** Its answer has begun: all has been learnt that its latency tells. */
--- a/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -43,25 +43,25 @@
     private static BalancerSettings convert(long seed, Map<?, ?> settings) throws ConfigException {
         return new BalancerSettings(
                 seed,
-                (int) Json.whole(settings, "rank", 0),
-                (int) Json.whole(settings, "replicas_of_me", 1),
-                (int) Json.whole(settings, "zone", 0),
+                (int) Json.longValue(settings, "rank", 0),
+                (int) Json.longValue(settings, "replicas_of_me", 1),
+                (int) Json.longValue(settings, "zone", 0),
                 names(settings, "zones"),
                 requestClasses(settings),
                 tenants(settings),
-                Json.real(settings, "over_share_worth", 1),
-                serviceLimits(Json.object(settings, "policy_limits")),
-                fleetRules(Json.object(settings, "rules")),
-                loadReportSource(Json.object(settings, "report")),
+                Json.doubleValue(settings, "over_share_worth", 1),
+                serviceLimits(Json.objectValue(settings, "policy_limits")),
+                fleetRules(Json.objectValue(settings, "rules")),
+                loadReportSource(Json.objectValue(settings, "report")),
                 "ask".equals(settings.get("discovery")),
-                Json.flag(Json.object(settings, "domain"), "warm_keys"),
-                Json.whole(settings, "tick_us", DEFAULT_TICK_MICROS));
+                Json.isTrue(Json.objectValue(settings, "domain"), "warm_keys"),
+                Json.longValue(settings, "tick_us", DEFAULT_TICK_MICROS));
     }
 
     /** A list of names; its order gives each its number. */
     public static List<String> names(Map<?, ?> settings, String key) {
         List<String> names = new ArrayList<>();
-        for (Object name : Json.array(settings, key)) {
+        for (Object name : Json.arrayValue(settings, key)) {
             names.add(String.valueOf(name));
         }
         return names;
@@ -69,7 +69,7 @@
 
     private static List<RequestClass> requestClasses(Map<?, ?> settings) throws ConfigException {
         List<RequestClass> classes = new ArrayList<>();
-        for (Object entry : Json.array(settings, CLASSES)) {
+        for (Object entry : Json.arrayValue(settings, CLASSES)) {
             classes.add(requestClass(object(entry, CLASSES)));
         }
         return classes;
@@ -77,10 +77,12 @@
 
     private static List<Tenant> tenants(Map<?, ?> settings) throws ConfigException {
         List<Tenant> tenants = new ArrayList<>();
-        for (Object entry : Json.array(settings, TENANTS)) {
+        for (Object entry : Json.arrayValue(settings, TENANTS)) {
             Map<?, ?> tenant = object(entry, TENANTS);
             tenants.add(
-                    new Tenant(String.valueOf(tenant.get("name")), Json.real(tenant, "share", 0)));
+                    new Tenant(
+                            String.valueOf(tenant.get("name")),
+                            Json.doubleValue(tenant, "share", 0)));
         }
         return tenants;
     }
@@ -94,20 +96,20 @@
 
     private static ServiceLimits serviceLimits(Map<?, ?> limits) {
         return new ServiceLimits(
-                (int) Json.whole(limits, "attempts_cap", 1),
-                Json.flag(limits, "cancelling"),
-                Json.flag(limits, "retry_after"),
-                Json.whole(limits, "max_retry_after_us", 0),
-                Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
-                (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE));
+                (int) Json.longValue(limits, "attempts_cap", 1),
+                Json.isTrue(limits, "cancelling"),
+                Json.isTrue(limits, "retry_after"),
+                Json.longValue(limits, "max_retry_after_us", 0),
+                Json.longValue(limits, "conn_idle_us", Long.MAX_VALUE),
+                (int) Json.longValue(limits, "open_cap", Integer.MAX_VALUE));
     }
 
     private static FleetRules fleetRules(Map<?, ?> rules) {
         return new FleetRules(
-                Json.real(rules, "cold_from", 1),
-                Json.whole(rules, "cold_us", 0),
-                Json.whole(rules, "fall_us", 0),
-                Json.whole(rules, "ask_every_us", 0));
+                Json.doubleValue(rules, "cold_from", 1),
+                Json.longValue(rules, "cold_us", 0),
+                Json.longValue(rules, "fall_us", 0),
+                Json.longValue(rules, "ask_every_us", 0));
     }
 
     private static LoadReportSource loadReportSource(Map<?, ?> report) {
@@ -121,12 +123,12 @@
                 String.valueOf(requestClass.get("name")),
                 idempotency(requestClass.get("effect")),
                 deduplicationScope(requestClass.get("group")),
-                Json.whole(requestClass, "dedup_window_us", 0),
-                Json.whole(requestClass, "aim_us", 0),
-                Json.whole(requestClass, "deadline_us", 0),
-                Json.real(requestClass, "worth", 1),
-                Json.real(requestClass, "late_value", 0),
-                Json.flag(requestClass, "streaming"));
+                Json.longValue(requestClass, "dedup_window_us", 0),
+                Json.longValue(requestClass, "aim_us", 0),
+                Json.longValue(requestClass, "deadline_us", 0),
+                Json.doubleValue(requestClass, "worth", 1),
+                Json.doubleValue(requestClass, "late_value", 0),
+                Json.isTrue(requestClass, "streaming"));
     }
 
     private static Idempotency idempotency(Object effect) throws ConfigException {
--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -19,7 +19,9 @@
  * @param duties the section {@code duties}: leader election
  */
 public record Extensions(
-        StreamingSettings streaming, PersistenceSettings recovery, LeaderElectionSettings duties) {
+        StreamingSettings streaming,
+        PersistenceSettings persistence,
+        LeaderElectionSettings leaderElection) {
 
     private static final String FILE_VARIABLE = "LB_EXTENSIONS";
     private static final String ROOT = "extensions";
--- a/sidecar/src/main/java/sagefall/config/Json.java
+++ b/sidecar/src/main/java/sagefall/config/Json.java
@@ -31,7 +31,7 @@
      *
      * @throws IOException if it holds anything else, with a reason for the user
      */
-    public static Map<String, Object> document(JsonParser parser) throws IOException {
+    public static Map<String, Object> parseDocument(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new IOException("not a JSON object");
         }
@@ -71,27 +71,27 @@
     }
 
     /** A number without its fraction; the default where there is none. */
-    public static long whole(Map<?, ?> object, String key, long defaultValue) {
+    public static long longValue(Map<?, ?> object, String key, long defaultValue) {
         return object.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
     /** A number; the default where there is none. */
-    public static double real(Map<?, ?> object, String key, double defaultValue) {
+    public static double doubleValue(Map<?, ?> object, String key, double defaultValue) {
         return object.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
     /** Whether the value is {@code true}. */
-    public static boolean flag(Map<?, ?> object, String key) {
+    public static boolean isTrue(Map<?, ?> object, String key) {
         return Boolean.TRUE.equals(object.get(key));
     }
 
     /** An object; an empty one where there is none. */
-    public static Map<?, ?> object(Map<?, ?> object, String key) {
+    public static Map<?, ?> objectValue(Map<?, ?> object, String key) {
         return object.get(key) instanceof Map<?, ?> inner ? inner : Map.of();
     }
 
     /** An array; an empty one where there is none. */
-    public static List<?> array(Map<?, ?> object, String key) {
+    public static List<?> arrayValue(Map<?, ?> object, String key) {
         return object.get(key) instanceof List<?> array ? array : List.of();
     }
 }
--- a/sidecar/src/main/java/sagefall/config/JsonFile.java
+++ b/sidecar/src/main/java/sagefall/config/JsonFile.java
@@ -22,7 +22,7 @@
     static <T> T read(String file, JsonFactory json, Converter<T> converter)
             throws ConfigException {
         try (JsonParser parser = json.createParser(Files.readAllBytes(Path.of(file)))) {
-            return converter.convert(Json.document(parser));
+            return converter.convert(Json.parseDocument(parser));
         } catch (ConfigException e) {
             throw e.inFile(file);
         } catch (JsonProcessingException e) {
--- a/sidecar/src/main/java/sagefall/config/LoadReportReader.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -20,7 +20,7 @@
     private LoadReportReader() {}
 
     /** The report in an object; figures that it lacks are {@link Double#NaN}. */
-    public static LoadReport of(Map<?, ?> object) {
+    public static LoadReport fromObject(Map<?, ?> object) {
         return new LoadReport(
                 figure(object, "active"),
                 figure(object, "waiting"),
@@ -31,7 +31,7 @@
     }
 
     private static double figure(Map<?, ?> object, String key) {
-        return Json.real(object, key, Double.NaN);
+        return Json.doubleValue(object, key, Double.NaN);
     }
 
     /** The first of the headers that can be read; a broken one may come before it. */
@@ -62,7 +62,7 @@
                 figures.put(field.substring(0, equals).trim(), value);
             }
         }
-        return figures.isEmpty() ? null : of(figures);
+        return figures.isEmpty() ? null : fromObject(figures);
     }
 
     private static double number(String text) {
--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -25,11 +25,11 @@
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        int sockets,
+        int maxDescriptors,
         BalancerSettings settings,
-        long connectMicros,
-        EndpointList known,
-        EndpointListCodec lists,
+        long connectTimeoutMicros,
+        EndpointList configuredEndpoints,
+        EndpointListCodec endpointListCodec,
         Extensions extensions) {
 
     private static final String FILE_VARIABLE = "LB_CONFIG";
@@ -65,11 +65,11 @@
                 name,
                 listen,
                 discovery,
-                sockets,
+                maxDescriptors,
                 settings,
-                connectMicros,
-                known,
-                lists,
+                connectTimeoutMicros,
+                configuredEndpoints,
+                endpointListCodec,
                 otherExtensions);
     }
 
@@ -81,9 +81,9 @@
                 discovery,
                 otherSockets,
                 copy(settings, settings.limits(), false),
-                connectMicros,
+                connectTimeoutMicros,
                 endpoints,
-                lists,
+                endpointListCodec,
                 Extensions.NONE);
     }
 
@@ -108,12 +108,12 @@
     }
 
     /** Maximum number of connections to endpoints. */
-    public int serverConnections() {
-        return new DescriptorBudget(sockets).endpointConnections();
+    public int maxEndpointConnections() {
+        return new DescriptorBudget(maxDescriptors).endpointConnections();
     }
 
     /** Maximum number of connections of clients. */
-    public int clientConnections() {
-        return new DescriptorBudget(sockets).clientConnections();
+    public int maxClientConnections() {
+        return new DescriptorBudget(maxDescriptors).clientConnections();
     }
 }
--- a/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
@@ -63,8 +63,8 @@
                 discovery,
                 sockets,
                 onSockets(settings, new DescriptorBudget(sockets)),
-                Json.whole(
-                        Json.object(settingsObject, "policy_limits"),
+                Json.longValue(
+                        Json.objectValue(settingsObject, "policy_limits"),
                         "connect_timeout_us",
                         DEFAULT_CONNECT_TIMEOUT_MICROS),
                 known,
@@ -74,12 +74,13 @@
 
     private EndpointList knownEndpoints(EndpointListCodec codec) throws IOException {
         return root.get("known") instanceof Map<?, ?> list
-                ? codec.read(list)
+                ? codec.parse(list)
                 : new EndpointList(0, true, List.of());
     }
 
     private int sockets() throws ConfigException {
-        long configured = Json.whole(Json.object(root, "limits"), SOCKETS, DEFAULT_SOCKETS);
+        long configured =
+                Json.longValue(Json.objectValue(root, "limits"), SOCKETS, DEFAULT_SOCKETS);
         int sockets = (int) Math.min(DescriptorBudget.MAXIMUM, configured);
         if (sockets < DescriptorBudget.MINIMUM) {
             throw ConfigException.ofKey(
--- a/sidecar/src/main/java/sagefall/config/SocketAddresses.java
+++ b/sidecar/src/main/java/sagefall/config/SocketAddresses.java
@@ -49,7 +49,7 @@
     }
 
     /** Formats an address such that {@link #parse} reads it. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -35,11 +35,10 @@
 final class Backoff {
 
     /** An agent on the own machine answers at once, so a late answer is noticed soon. */
-    static final DiscoveryClient.Timeouts AGENT_TIMEOUTS = new DiscoveryClient.Timeouts(3_000, 500);
+    static final DiscoveryTimeouts AGENT_TIMEOUTS = new DiscoveryTimeouts(3_000, 500);
 
     /** A shared service serves its callers in turn; watched for 1 s at a time. */
-    static final DiscoveryClient.Timeouts SERVICE_TIMEOUTS =
-            new DiscoveryClient.Timeouts(1_000, 1_750);
+    static final DiscoveryTimeouts SERVICE_TIMEOUTS = new DiscoveryTimeouts(1_000, 1_750);
 
     /**
      * The hold time of the first call, and of the first one after a failure. Its answer is due at
@@ -53,7 +52,7 @@
      */
     private static final long EARLY_ANSWER_PAUSE_MILLIS = 100;
 
-    private final DiscoveryClient.Timeouts timeouts;
+    private final DiscoveryTimeouts timeouts;
 
     /**
      * Whether the last call was answered, so that the next answer may be delayed until there is a
@@ -64,7 +63,7 @@
     private long holdMillis;
     private long calledAtNanos;
 
-    Backoff(DiscoveryClient.Timeouts timeouts) {
+    Backoff(DiscoveryTimeouts timeouts) {
         this.timeouts = timeouts;
     }
 
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -21,24 +21,6 @@
         void failed(String why);
     }
 
-    /**
-     * How long discovery may hold its answer until there is a change, and how long after that the
-     * answer may take; then the call is taken for lost. {@link Backoff} has the reason of the
-     * figures.
-     */
-    public record Timeouts(long holdMillis, long answerMillis) {
-
-        /**
-         * The timeouts for a kind of discovery.
-         *
-         * @param onAsk whether lists are polled from a shared service; else an agent on the own
-         *     machine pushes them
-         */
-        public static Timeouts of(boolean onAsk) {
-            return onAsk ? Backoff.SERVICE_TIMEOUTS : Backoff.AGENT_TIMEOUTS;
-        }
-    }
-
     private final EndpointWatch watch;
     private final Consumer<String> log;
 
@@ -57,7 +39,7 @@
             long revision,
             Listener listener,
             Consumer<String> log,
-            Timeouts timeouts) {
+            DiscoveryTimeouts timeouts) {
         this.log = log;
         watch =
                 new EndpointWatch(
@@ -75,12 +57,12 @@
     }
 
     /** Asks for the complete list next, and not for changes. */
-    public void whole() {
+    public void requireCompleteList() {
         watch.requireCompleteList();
     }
 
     /** Goes on at another address. What the old one still sends is ignored. */
-    public void move(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (!closed) {
             watch.moveTo(to);
         }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointList.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointList.java
@@ -21,12 +21,12 @@
     public record Entry(ListedEndpoint server, InetSocketAddress address) {}
 
     /** The endpoints without their addresses, in the order of the list. */
-    public List<ListedEndpoint> servers() {
+    public List<ListedEndpoint> endpoints() {
         return entries.stream().map(Entry::server).toList();
     }
 
     /** A summary for a log line. */
-    public String told() {
+    public String summary() {
         long notReady =
                 entries.stream().filter(e -> e.server().phase() != EndpointPhase.READY).count();
         return "revision "
@@ -42,7 +42,7 @@
      * The union of both lists. Of an endpoint that both have, the incarnation that started later is
      * taken, and this list's entry where both have the same incarnation.
      */
-    public EndpointList with(EndpointList other) {
+    public EndpointList mergedWith(EndpointList other) {
         Map<Long, Entry> merged = new LinkedHashMap<>();
         other.entries.forEach(entry -> merged.put(entry.server().id(), entry));
         entries.forEach(entry -> merged.merge(entry.server().id(), entry, EndpointList::newer));
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
@@ -37,17 +37,17 @@
      *
      * @throws IOException if the text is not JSON or not an endpoint list
      */
-    public EndpointList read(byte[] text) throws IOException {
+    public EndpointList parse(byte[] text) throws IOException {
         return parser.parse(text);
     }
 
     /** Converts a list in discovery's form that has been read as JSON already. */
-    public EndpointList read(Map<?, ?> json) throws MalformedEndpointListException {
+    public EndpointList parse(Map<?, ?> json) throws MalformedEndpointListException {
         return parser.parse(json);
     }
 
     /** What is to be persisted of a list that was received at this wall-clock time. */
-    public SnapshotChange change(EndpointList list, long atMillis) {
+    public SnapshotChange toSnapshotChange(EndpointList list, long atMillis) {
         Map<Long, SnapshotEntry> entries = new LinkedHashMap<>();
         for (EndpointList.Entry entry : list.entries()) {
             entries.put(entry.server().id(), persisted(entry));
@@ -59,7 +59,7 @@
         ListedEndpoint endpoint = entry.server();
         return new SnapshotEntry(
                 endpoint.id(),
-                SocketAddresses.text(entry.address()),
+                SocketAddresses.format(entry.address()),
                 name(zones, endpoint.zone()),
                 name(models, endpoint.kind()),
                 endpoint.cell(),
@@ -74,9 +74,9 @@
     }
 
     /** The list as it was persisted, with the endpoints that had been removed among it. */
-    public EndpointList kept(EndpointSnapshot snapshot) {
+    public EndpointList fromSnapshot(EndpointSnapshot snapshot) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (SnapshotEntry persisted : snapshot.lines().values()) {
+        for (SnapshotEntry persisted : snapshot.endpoints().values()) {
             entries.add(
                     new EndpointList.Entry(
                             endpoint(persisted), SocketAddresses.parse(persisted.address())));
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
@@ -27,7 +27,7 @@
     /** Parses a text that holds one list and nothing else. */
     EndpointList parse(byte[] text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
-            return parse(Json.document(parser));
+            return parse(Json.parseDocument(parser));
         }
     }
 
@@ -56,10 +56,10 @@
                         StableIds.of(uid),
                         zones.indexOf(json.get("az")),
                         models.indexOf(json.get("model")),
-                        (int) Json.whole(json, "pod_group", 0),
+                        (int) Json.longValue(json, "pod_group", 0),
                         phase(json.get("state")),
-                        Json.whole(json, "boot_ms", 0) * MICROS_PER_MILLI,
-                        Json.real(json, "capacity_hint", 1));
+                        Json.longValue(json, "boot_ms", 0) * MICROS_PER_MILLI,
+                        Json.doubleValue(json, "capacity_hint", 1));
         return new EndpointList.Entry(endpoint, socketAddress(address));
     }
 
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -93,7 +93,7 @@
     /** Reads what discovery has written and the loop has not come to read yet. */
     void catchUp() {
         if (connected && !reporting) {
-            connection.catchUp();
+            connection.readAvailable();
         }
     }
 
@@ -117,13 +117,13 @@
                         HttpMethod.GET,
                         listener.requestTarget(),
                         Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, SocketAddresses.text(address));
+        request.headers().set(HttpHeaderNames.HOST, SocketAddresses.format(address));
         connection.send(request);
     }
 
     private final class ConnectionEvents implements HttpConnectionListener {
         @Override
-        public void opened() {
+        public void connectionOpened() {
             connected = true;
             if (!closed) {
                 writeRequest();
@@ -131,10 +131,10 @@
         }
 
         @Override
-        public void written() {}
+        public void requestWritten() {}
 
         @Override
-        public void answered(FullHttpResponse answer, boolean clean) {
+        public void responseCollected(FullHttpResponse answer, boolean clean) {
             if (closed) {
                 return;
             }
@@ -148,7 +148,7 @@
         }
 
         @Override
-        public void closed() {
+        public void connectionClosed() {
             if (!closed) {
                 listener.failed(REASON_CONNECTION_LOST);
             }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
@@ -131,7 +131,7 @@
         }
         EndpointList list;
         try {
-            list = codec.read(ByteBufUtil.getBytes(answer.content()));
+            list = codec.parse(ByteBufUtil.getBytes(answer.content()));
         } catch (IOException | RuntimeException e) {
             failed("a malformed list: " + e.getMessage());
             return;
--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -26,7 +26,7 @@
 public final class HttpClientConnection {
 
     /** Largest body that is collected, in bytes. */
-    public static final int MAX_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int MIN_READ_BYTES = 64;
     private static final int FIRST_READ_BYTES = 2048;
@@ -73,7 +73,7 @@
         this.listener = listener;
         Bootstrap bootstrap = new Bootstrap();
         if (streaming) {
-            bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, smallReads());
+            bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, smallReadAllocator());
         }
         int connectMillis = (int) Math.max(1, connectMicros / MICROS_PER_MILLI);
         ChannelFuture connecting =
@@ -101,19 +101,19 @@
             executeLater(loop, this::onClosed);
         } else if (state != ConnectionState.CLOSED) {
             enter(ConnectionState.IDLE);
-            listener.opened();
+            listener.connectionOpened();
         }
     }
 
     private void onClosed() {
         if (state != ConnectionState.CLOSED) {
             enter(ConnectionState.CLOSED);
-            listener.closed();
+            listener.connectionClosed();
         }
     }
 
     /** Reads in small pieces, for channels whose bodies are streamed. */
-    public static AdaptiveRecvByteBufAllocator smallReads() {
+    public static AdaptiveRecvByteBufAllocator smallReadAllocator() {
         return new AdaptiveRecvByteBufAllocator(
                 MIN_READ_BYTES, FIRST_READ_BYTES, StreamingSettings.READ_BYTES);
     }
@@ -131,18 +131,18 @@
      */
     public boolean isReusable() {
         if (!state.expectsInput()) {
-            catchUp();
+            readAvailable();
         }
         return channel.isActive();
     }
 
     /** Reads what has arrived so far; not to be called from the listener's methods. */
-    public void catchUp() {
-        readNow(channel);
+    public void readAvailable() {
+        readAvailableFrom(channel);
     }
 
     /** Reads what a socket has received, an end too, before the loop comes to it. */
-    public static void readNow(Channel channel) {
+    public static void readAvailableFrom(Channel channel) {
         if (channel.isActive() && channel instanceof AbstractNioChannel nio) {
             nio.unsafe().read();
         }
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Sends a request; {@link HttpConnectionListener#written} follows if it reaches the network,
-     * and otherwise the connection is closed.
+     * Sends a request; {@link HttpConnectionListener#requestWritten} follows if it reaches the
+     * network, and otherwise the connection is closed.
      *
      * @param request ownership passes to the connection
      * @param maxStreamedBytes largest response that is streamed as it arrives; 0 to collect it
@@ -170,7 +170,7 @@
                 .addListener(
                         written -> {
                             if (written.isSuccess()) {
-                                listener.written();
+                                listener.requestWritten();
                             } else {
                                 channel.close();
                             }
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
@@ -12,10 +12,10 @@
 public interface HttpConnectionListener {
 
     /** The connection has been established. */
-    void opened();
+    void connectionOpened();
 
     /** The last byte of a request that was sent complete has been handed to the network. */
-    void written();
+    void requestWritten();
 
     /**
      * A complete response has been collected.
@@ -24,7 +24,7 @@
      * @param clean whether nothing arrived beyond the response; if not, the connection is of no
      *     further use
      */
-    void answered(FullHttpResponse answer, boolean clean);
+    void responseCollected(FullHttpResponse answer, boolean clean);
 
     /** A streamed response of status 200 has begun; its end is announced by its framing. */
     default void responseStarted(HttpResponse head) {}
@@ -53,5 +53,5 @@
      * The connection could not be established, broke, or was closed by either side. Reported
      * exactly once and last, in a task of its own, never during a call to the connection.
      */
-    void closed();
+    void connectionClosed();
 }
--- a/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
+++ b/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
@@ -72,7 +72,7 @@
      * A copy of those trailers that are forwarded: none that the protocol or the framing gives a
      * meaning ahead of the body.
      */
-    public static HttpHeaders trailers(HttpHeaders trailers) {
+    public static HttpHeaders forwardableTrailers(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
             return EmptyHttpHeaders.INSTANCE;
         }
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -158,7 +158,7 @@
         collected = null;
         connection.enter(ConnectionState.IDLE);
         try {
-            connection.listener().answered(response, isClean(context));
+            connection.listener().responseCollected(response, isClean(context));
         } finally {
             response.release();
         }
--- a/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
@@ -72,15 +72,15 @@
     }
 
     @Override
-    public Status status() throws IOException {
-        List<Past> past = new ArrayList<>();
+    public LeaseStatus status() throws IOException {
+        List<PastTerm> past = new ArrayList<>();
         for (long number : directory.numberedFiles(TERM_PREFIX).keySet()) {
             LeaseTerm term = readTerm(number);
             if (term != null) {
-                past.add(new Past(term.number(), term.owner(), term.atMillis()));
+                past.add(new PastTerm(term.number(), term.owner(), term.atMillis()));
             }
         }
-        return new Status(grantOf(newestTerm()), past);
+        return new LeaseStatus(grantOf(newestTerm()), past);
     }
 
     @Override
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public Value read(String name) throws IOException {
+    public FencedValue read(String name) throws IOException {
         while (true) {
             SortedMap<Long, String> values = directory.numberedFiles(valuePrefix(name));
             if (values.isEmpty()) {
@@ -155,7 +155,7 @@
             byte[] body = directory.read(values.get(term));
             // If it is gone since, another process has cleaned up, so there is a newer one.
             if (body != null) {
-                return new Value(term, body);
+                return new FencedValue(term, body);
             }
         }
     }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
@@ -122,7 +122,7 @@
         if (!task.isDue() || !lease.mayAct(System.nanoTime())) {
             return;
         }
-        if (!task.act(store, lease.term())) {
+        if (!task.run(store, lease.term())) {
             log(eventOfTerm(LogEvent.FENCED_WRITE_REJECTED));
         }
     }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
@@ -19,5 +19,5 @@
      * @return false if the store rejected a write, as there is a newer term
      * @throws IOException if the store does not answer; the work is retried
      */
-    boolean act(LeaseStore store, long term) throws IOException;
+    boolean run(LeaseStore store, long term) throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
@@ -8,4 +8,4 @@
  * @param leftNanos until it expires; 0 or less: nobody holds the lease
  * @param waitNanos until a new owner may act, as the one before may have renewed meanwhile
  */
-public record LeaseGrant(long term, String owner, long leftNanos, long waitNanos) {}
+public record LeaseGrant(long term, String owner, long remainingNanos, long waitNanos) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -127,7 +127,7 @@
      */
     public boolean onAnswer(
             LeaseRequest request, long sentAt, long now, LeaseGrant grant, double draw) {
-        boolean isOwn = grant.owner().equals(owner) && grant.leftNanos() > 0;
+        boolean isOwn = grant.owner().equals(owner) && grant.remainingNanos() > 0;
         if (request == LeaseRequest.READ) {
             onRead(now, grant, isOwn, draw);
             return false;
@@ -149,14 +149,14 @@
             state = State.UNCONFIRMED;
             term = grant.term();
         } else {
-            state = grant.leftNanos() <= 0 ? State.CANDIDATE : State.FOLLOWER;
+            state = grant.remainingNanos() <= 0 ? State.CANDIDATE : State.FOLLOWER;
         }
         if (state == State.CANDIDATE) {
             boolean wasReleased = grant.owner().isEmpty();
             long spread = wasReleased ? timings.pollNanos() : timings.takeoverSpreadNanos();
             requestAt = now + (long) (draw * spread);
         } else {
-            requestAt = now + Math.min(timings.pollNanos(), grant.leftNanos());
+            requestAt = now + Math.min(timings.pollNanos(), grant.remainingNanos());
         }
     }
 
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTermCodec.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTermCodec.java
@@ -39,8 +39,8 @@
                 || !(fields.get(BOOT_ID) instanceof String bootId)) {
             throw StoredDataException.malformed(file, "not a term", null);
         }
-        long untilNanos = Json.whole(fields, UNTIL_NANOS, 0);
-        long atMillis = Json.whole(fields, AT_MILLIS, 0);
+        long untilNanos = Json.longValue(fields, UNTIL_NANOS, 0);
+        long atMillis = Json.longValue(fields, AT_MILLIS, 0);
         return new LeaseTerm(number, owner, bootId, untilNanos, atMillis);
     }
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
@@ -24,16 +24,8 @@
     /** What is still to be written; null if nothing is. */
     private SnapshotChange pending;
 
-    /**
-     * The snapshot that was written last.
-     *
-     * @param kept the snapshot
-     * @param term of the leader that wrote it
-     */
-    public record Read(EndpointSnapshot kept, long term) {}
-
     /** Takes over what discovery reported; never waits for a disk. */
-    public synchronized void told(SnapshotChange change) {
+    public synchronized void record(SnapshotChange change) {
         pending = SnapshotChange.merge(pending, change);
     }
 
@@ -56,21 +48,22 @@
     }
 
     @Override
-    public boolean act(LeaseStore store, long term) throws IOException {
+    public boolean run(LeaseStore store, long term) throws IOException {
         EndpointSnapshot next = applyPending();
-        Read stored = read(store);
-        if (stored != null && stored.kept.revision() > next.revision()) {
+        PublishedSnapshot stored = read(store);
+        if (stored != null && stored.snapshot().revision() > next.revision()) {
             return true;
         }
         return store.publish(term, DIGEST, EndpointSnapshotCodec.encode(next, term));
     }
 
     /** What was written last; null where there is none. */
-    public static Read read(LeaseStore store) throws IOException {
-        LeaseStore.Value value = store.read(DIGEST);
+    public static PublishedSnapshot read(LeaseStore store) throws IOException {
+        FencedValue value = store.read(DIGEST);
         if (value == null) {
             return null;
         }
-        return new Read(EndpointSnapshotCodec.decode(DIGEST, value.body()), value.term());
+        return new PublishedSnapshot(
+                EndpointSnapshotCodec.decode(DIGEST, value.body()), value.term());
     }
 }
--- a/sidecar/src/main/java/sagefall/persistence/CborObject.java
+++ b/sidecar/src/main/java/sagefall/persistence/CborObject.java
@@ -41,7 +41,7 @@
      */
     public static Map<String, Object> decode(String file, byte[] body) throws StoredDataException {
         try (JsonParser parser = CBOR.createParser(body)) {
-            return Json.document(parser);
+            return Json.parseDocument(parser);
         } catch (IOException e) {
             throw StoredDataException.malformed(file, e.getMessage(), e);
         }
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -19,7 +19,7 @@
  * @param lines the endpoints by id; never changed
  */
 public record EndpointSnapshot(
-        String name, long epoch, long revision, long atMillis, Map<Long, SnapshotEntry> lines) {
+        String name, long epoch, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
 
     /** The most removed endpoints that a snapshot remembers; the latest ones stay. */
     static final int MAX_REMOVED = 1024;
@@ -36,12 +36,12 @@
 
     /** The same for the next start. */
     EndpointSnapshot withNextEpoch() {
-        return new EndpointSnapshot(name, epoch + 1, revision, atMillis, lines);
+        return new EndpointSnapshot(name, epoch + 1, revision, atMillis, endpoints);
     }
 
     /** This snapshot with a change applied. */
     public EndpointSnapshot with(SnapshotChange change) {
-        Map<Long, SnapshotEntry> next = new LinkedHashMap<>(lines);
+        Map<Long, SnapshotEntry> next = new LinkedHashMap<>(endpoints);
         if (change.complete()) {
             removeUnlisted(next, change);
         }
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -51,7 +51,7 @@
                     out.writeNumberField(EPOCH, snapshot.epoch());
                     out.writeNumberField(REVISION, snapshot.revision());
                     out.writeNumberField(AT_MILLIS, snapshot.atMillis());
-                    writeEndpoints(out, snapshot.lines().values());
+                    writeEndpoints(out, snapshot.endpoints().values());
                 });
     }
 
@@ -123,7 +123,7 @@
     /** The change that has these fields. */
     static SnapshotChange changeOf(String file, Map<?, ?> fields) throws StoredDataException {
         return new SnapshotChange(
-                Json.flag(fields, COMPLETE),
+                Json.isTrue(fields, COMPLETE),
                 requiredNumber(file, fields, REVISION),
                 requiredNumber(file, fields, AT_MILLIS),
                 endpointsOf(file, fields));
@@ -132,7 +132,7 @@
     private static Map<Long, SnapshotEntry> endpointsOf(String file, Map<?, ?> fields)
             throws StoredDataException {
         Map<Long, SnapshotEntry> entries = new LinkedHashMap<>();
-        for (Object element : Json.array(fields, ENDPOINTS)) {
+        for (Object element : Json.arrayValue(fields, ENDPOINTS)) {
             if (!(element instanceof Map<?, ?> entryFields)) {
                 throw StoredDataException.malformed(file, "a server that is no object", null);
             }
@@ -151,7 +151,7 @@
                 (int) requiredNumber(file, fields, CELL),
                 phaseOf(file, requiredNumber(file, fields, PHASE)),
                 requiredNumber(file, fields, START_MICROS),
-                Json.real(fields, WEIGHT, DEFAULT_WEIGHT),
+                Json.doubleValue(fields, WEIGHT, DEFAULT_WEIGHT),
                 requiredNumber(file, fields, LEAVING_SINCE_MILLIS));
     }
 
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -73,7 +73,7 @@
      * @param timeoutMillis longest wait
      * @return null, and a log line, if the directory cannot be used or does not answer in time
      */
-    public EndpointSnapshot opened(long timeoutMillis) throws InterruptedException {
+    public EndpointSnapshot awaitRecovered(long timeoutMillis) throws InterruptedException {
         try {
             return recovered.get(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
@@ -92,7 +92,7 @@
      * Whether a recovered snapshot is recent enough to stand in for a list, and not only to name
      * endpoints that must not be used.
      */
-    public boolean fresh(EndpointSnapshot snapshot) {
+    public boolean isFresh(EndpointSnapshot snapshot) {
         long ageMillis = settings.wallMillis() - snapshot.atMillis();
         return snapshot.revision() > 0 && ageMillis >= 0 && ageMillis <= settings.maxAgeMillis();
     }
@@ -103,7 +103,7 @@
     }
 
     /** Takes over a change to be persisted; never waits for a disk. */
-    public synchronized void told(SnapshotChange change) {
+    public synchronized void persist(SnapshotChange change) {
         pending = SnapshotChange.merge(pending, change);
         notifyAll();
     }
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -67,7 +67,7 @@
 
     /** Sets how answers that begin from now on are streamed. */
     void useStreaming(StreamingSettings settings) {
-        pool.streams(settings.isOn());
+        pool.setStreaming(settings.isOn());
         streamedResponses.useStreaming(settings);
     }
 
@@ -86,20 +86,20 @@
         long giveUpAt = giveUpAt(request, now, timeoutMicros);
         ForwardedAttempt attempt = new ForwardedAttempt(request, endpoint, now, giveUpAt);
         attempt.timeoutMicros = timeoutMicros;
-        attempt.latestAt = latestMicros;
+        attempt.latestStartMicros = latestMicros;
         request.attempts.add(attempt);
         request.attemptsInFlight++;
-        if (request.upload == null || request.upload.whole()) {
+        if (request.upload == null || request.upload.isComplete()) {
             scheduleTimeout(attempt, now);
         }
-        pool.start(attempt);
+        pool.send(attempt);
     }
 
     private void scheduleTimeout(ForwardedAttempt attempt, long now) {
         attempt.timeout =
                 loop.schedule(
                         () -> stop(attempt, AttemptResult.TIMED_OUT),
-                        attempt.giveUpAt - now,
+                        attempt.giveUpAtMicros - now,
                         TimeUnit.MICROSECONDS);
     }
 
@@ -124,7 +124,11 @@
     private void stop(ForwardedAttempt attempt, AttemptResult resultIfWritten) {
         if (attempt.result == null) {
             pool.abandon(attempt);
-            ended(attempt, attempt.written ? resultIfWritten : AttemptResult.NOT_SENT, null, null);
+            attemptEnded(
+                    attempt,
+                    attempt.written ? resultIfWritten : AttemptResult.NOT_SENT,
+                    null,
+                    null);
         }
     }
 
@@ -142,7 +146,7 @@
      * it is finished.
      */
     void abort(ProxiedRequest request, HttpResponseStatus status) {
-        if (request.over) {
+        if (request.finished) {
             return;
         }
         responses.write(request, status, new DefaultHttpHeaders());
@@ -157,7 +161,7 @@
         for (ForwardedAttempt attempt : List.copyOf(request.attempts)) {
             if (attempt.result == null) {
                 pool.abandon(attempt);
-                ended(
+                attemptEnded(
                         attempt,
                         attempt.written ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
                         null,
@@ -180,17 +184,17 @@
     }
 
     @Override
-    public boolean wanted(ForwardedAttempt attempt) {
+    public boolean isStillAwaited(ForwardedAttempt attempt) {
         driver.catchUp();
-        return attempt.call.client.waits();
+        return attempt.request.client.isStillWaiting();
     }
 
     /** The time-out of an upload counts from its last byte. */
     @Override
-    public void written(ForwardedAttempt attempt) {
+    public void uploadWritten(ForwardedAttempt attempt) {
         long now = clock.micros();
         attempt.timedFromMicros = now;
-        attempt.giveUpAt = giveUpAt(attempt.call, now, attempt.timeoutMicros);
+        attempt.giveUpAtMicros = giveUpAt(attempt.request, now, attempt.timeoutMicros);
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
@@ -201,12 +205,12 @@
      * @param response stays the caller's; null if there is none
      */
     @Override
-    public void ended(
+    public void attemptEnded(
             ForwardedAttempt attempt,
             AttemptResult result,
             LoadReport report,
             FullHttpResponse response) {
-        ProxiedRequest request = attempt.call;
+        ProxiedRequest request = attempt.request;
         if (request.streamingAttempt == attempt) {
             streamedResponses.end(attempt, result);
             return;
@@ -221,7 +225,7 @@
             request.uploadRefusal = copyOf(response);
         }
         request.attemptsInFlight--;
-        if (result == AttemptResult.SERVED && !request.over) {
+        if (result == AttemptResult.SERVED && !request.finished) {
             responses.forward(request, response);
         }
         outcomes.report(attempt, result, report);
@@ -236,13 +240,13 @@
     }
 
     @Override
-    public void began(
+    public void responseStarted(
             ForwardedAttempt attempt,
             HttpResponse head,
             LoadReport report,
             FlowControl.Source source) {
-        ProxiedRequest request = attempt.call;
-        if (request.over || request.streamingAttempt != null) {
+        ProxiedRequest request = attempt.request;
+        if (request.finished || request.streamingAttempt != null) {
             stop(attempt, AttemptResult.CANCELLED);
             return;
         }
@@ -253,17 +257,17 @@
      * @param part taken over
      */
     @Override
-    public void part(ForwardedAttempt attempt, ByteBuf part) {
+    public void responsePart(ForwardedAttempt attempt, ByteBuf part) {
         streamedResponses.forwardPart(attempt, part);
     }
 
     @Override
-    public void flush(ForwardedAttempt attempt) {
+    public void responseReadComplete(ForwardedAttempt attempt) {
         streamedResponses.flush(attempt);
     }
 
     @Override
-    public void finished(ForwardedAttempt attempt, HttpHeaders trailers) {
+    public void responseFinished(ForwardedAttempt attempt, HttpHeaders trailers) {
         streamedResponses.finish(attempt, trailers);
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
@@ -140,7 +140,7 @@
         if (request == null) {
             return "event_skipped";
         }
-        if (request.over) {
+        if (request.finished) {
             return "already_answered";
         }
         return request.streamingAttempt == null ? "answered_500" : "stream_cut_short";
@@ -151,7 +151,7 @@
      * deadline has passed, then what discovery has written.
      */
     void catchUp() {
-        latencyClock.since();
+        latencyClock.earliestArrivalNanos();
         long now = clock.micros();
         deadlines.expire(now);
         if (now - discoveryReadAtMicros >= DISCOVERY_READ_INTERVAL_MICROS) {
--- a/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
@@ -7,6 +7,7 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.RequestClass;
 import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.downstream.BadRequestException;
 import sagefall.proxy.downstream.RequestHandler;
 import sagefall.proxy.downstream.RequestParser;
 import sagefall.streaming.StreamedUpload;
@@ -50,7 +51,7 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean hasReadyEndpoint() {
         return readiness.getAsBoolean();
     }
 
@@ -58,36 +59,35 @@
      * @param http stays the caller's: its body is copied
      */
     @Override
-    public void take(FullHttpRequest http, ProxiedRequest.Client client)
-            throws RequestParser.BadRequest {
+    public void handle(FullHttpRequest http, ProxiedRequest.Client client)
+            throws BadRequestException {
         long now = clock.micros();
         byte[] body = ByteBufUtil.getBytes(http.content());
-        ProxiedRequest request = parser.read(now, http, body, null, streaming, client);
+        ProxiedRequest request = parser.parse(now, http, body, null, streaming, client);
         register(request);
         requests.startDeadline(request);
         driver.deliver(request, (balancer, at) -> balancer.onRequest(at, request.request));
     }
 
-    private void register(ProxiedRequest request) throws RequestParser.BadRequest {
+    private void register(ProxiedRequest request) throws BadRequestException {
         if (!requests.add(request)) {
-            throw new RequestParser.BadRequest(
-                    "this " + ProtocolHeaders.REQUEST_ID + " is in hand");
+            throw new BadRequestException("this " + ProtocolHeaders.REQUEST_ID + " is in hand");
         }
     }
 
     @Override
-    public long uploads(HttpRequest head) {
+    public long maxUploadBytes(HttpRequest head) {
         RequestClass requestClass = parser.requestClass(head.uri());
         return requestClass == null ? 0 : streaming.bounds(requestClass.name()).requestBytes();
     }
 
     @Override
-    public void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
-            throws RequestParser.BadRequest {
+    public void handle(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
+            throws BadRequestException {
         long now = clock.micros();
-        ProxiedRequest request = parser.read(now, head, null, upload, streaming, client);
+        ProxiedRequest request = parser.parse(now, head, null, upload, streaming, client);
         register(request);
-        upload.listen(new UploadListener(request, now));
+        upload.setListener(new UploadListener(request, now));
         driver.deliver(request, (balancer, at) -> balancer.onRequest(at, request.request));
     }
 
@@ -106,7 +106,7 @@
 
         /** The client's time counts from its last byte, as for a request that is not streamed. */
         @Override
-        public void whole() {
+        public void uploadComplete() {
             long now = clock.micros();
             request.deadlineMicros = now + request.request.deadlineMicros() - headMicros;
             requests.startDeadline(request);
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void stalled(ProxiedRequest.Client client) {
+    public void serverStalled(ProxiedRequest.Client client) {
         ProxiedRequest request = requests.byClient(client);
         if (request != null) {
             forwarder.endStalled(request);
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void left(ProxiedRequest.Client client) {
+    public void clientDisconnected(ProxiedRequest.Client client) {
         ProxiedRequest request = requests.byClient(client);
         if (request != null) {
             requests.finish(request);
--- a/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
@@ -37,10 +37,10 @@
     /** Records a list, complete or of changes. */
     void record(EndpointList list) {
         if (store != null) {
-            store.told(lists.change(list, store.wallMillis()));
+            store.persist(lists.toSnapshotChange(list, store.wallMillis()));
         }
         if (sharedSnapshot != null) {
-            sharedSnapshot.told(lists.change(list, System.currentTimeMillis()));
+            sharedSnapshot.record(lists.toSnapshotChange(list, System.currentTimeMillis()));
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
@@ -36,7 +36,7 @@
         pool.update(list);
         driver.deliver(
                 (balancer, now) ->
-                        balancer.onEndpointList(now, kind, list.revision(), list.servers()));
+                        balancer.onEndpointList(now, kind, list.revision(), list.endpoints()));
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
+++ b/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
@@ -9,22 +9,22 @@
  */
 public final class ForwardedAttempt {
     /** The request that it belongs to. */
-    public final ProxiedRequest call;
+    public final ProxiedRequest request;
 
     /** Its number among the attempts of the request, from 0. */
     final int number;
 
     /** Id of the endpoint. */
-    public final long server;
+    public final long endpointId;
 
     /** From when its duration counts: when it was sent, of an upload its last byte. */
     long timedFromMicros;
 
     /** When the sidecar gives it up. */
-    public long giveUpAt;
+    public long giveUpAtMicros;
 
     /** From when on its first byte may not go out any more. */
-    public long latestAt = Long.MAX_VALUE;
+    public long latestStartMicros = Long.MAX_VALUE;
 
     /** How long the balancer lets it run; 0 for as long as the client waits. */
     long timeoutMicros;
@@ -40,10 +40,10 @@
 
     /** The next attempt of the request, which does not count it yet. */
     public ForwardedAttempt(ProxiedRequest call, long server, long sentAt, long giveUpAt) {
-        this.call = call;
-        this.server = server;
+        this.request = call;
+        this.endpointId = server;
         timedFromMicros = sentAt;
-        this.giveUpAt = giveUpAt;
+        this.giveUpAtMicros = giveUpAt;
         number = call.attempts.size();
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
@@ -57,7 +57,7 @@
      * until its attempts have ended.
      */
     void finish(ProxiedRequest request) {
-        request.over = true;
+        request.finished = true;
         deadlines.remove(request);
         if (request.upload != null) {
             request.upload.close();
@@ -68,7 +68,7 @@
 
     /** Removes a request that is finished and has no attempt in flight. */
     void removeIfComplete(ProxiedRequest request) {
-        if (request.over && request.attemptsInFlight == 0) {
+        if (request.finished && request.attemptsInFlight == 0) {
             byId.remove(request.request.id(), request);
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -107,7 +107,7 @@
      */
     private void close(Runnable closed) {
         closing = true;
-        listener.close()
+        listener.closeNow()
                 .addListener(
                         f -> loop.schedule(closed, LOOP_ITERATION_MILLIS, TimeUnit.MILLISECONDS));
     }
@@ -124,7 +124,8 @@
         service.forwardTo(sidecar.requestHandler());
         sidecar.deliverInitialEndpoints();
         for (int i = 0; i < CLIENTS; i++) {
-            new WarmUpClient(loop, address, config.connectMicros(), requests, this).connect();
+            new WarmUpClient(loop, address, config.connectTimeoutMicros(), requests, this)
+                    .connect();
         }
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
+++ b/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
@@ -12,6 +12,7 @@
 import sagefall.leaderelection.LeaderElectionSettings;
 import sagefall.leaderelection.LeaderElector;
 import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.PublishedSnapshot;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 import sagefall.logging.LogEvent;
 import sagefall.logging.LogLine;
@@ -26,12 +27,12 @@
     /** Longest that the start waits for the lease directory: a stalled disk delays it no more. */
     private static final long OPEN_TIMEOUT_MILLIS = 250;
 
-    private final SharedEndpointSnapshot.Read snapshotAtStart;
+    private final PublishedSnapshot snapshotAtStart;
     private final SharedEndpointSnapshot snapshot;
     private final LeaderElector elector;
 
     private LeaderElectionService(
-            SharedEndpointSnapshot.Read snapshotAtStart,
+            PublishedSnapshot snapshotAtStart,
             SharedEndpointSnapshot snapshot,
             LeaderElector elector) {
         this.snapshotAtStart = snapshotAtStart;
@@ -40,7 +41,7 @@
     }
 
     /** A store that could be opened, and the snapshot in it; null where it could not be read. */
-    private record OpenedStore(LeaseStore store, SharedEndpointSnapshot.Read snapshot) {}
+    private record OpenedStore(LeaseStore store, PublishedSnapshot snapshot) {}
 
     /**
      * Reads the shared snapshot and becomes a candidate. Blocks for a bounded time; not for the
@@ -50,7 +51,7 @@
      */
     static LeaderElectionService start(SidecarConfig config, WallClock clock, Consumer<String> log)
             throws InterruptedException {
-        LeaderElectionSettings settings = config.extensions().duties();
+        LeaderElectionSettings settings = config.extensions().leaderElection();
         OpenedStore opened;
         try {
             opened =
@@ -89,8 +90,7 @@
         }
     }
 
-    private static SharedEndpointSnapshot.Read readSnapshot(
-            LeaseStore store, Consumer<String> log) {
+    private static PublishedSnapshot readSnapshot(LeaseStore store, Consumer<String> log) {
         try {
             return SharedEndpointSnapshot.read(store);
         } catch (IOException e) {
@@ -108,7 +108,7 @@
     }
 
     /** What the leader had written when this process started; null where there was nothing. */
-    SharedEndpointSnapshot.Read snapshotAtStart() {
+    PublishedSnapshot snapshotAtStart() {
         return snapshotAtStart;
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -63,7 +63,7 @@
     }
 
     /** Number of the current iteration, counted from the start. */
-    public long number() {
+    public long turnNumber() {
         return iteration;
     }
 
@@ -71,7 +71,7 @@
      * The earliest time at which what is read now can have arrived, on the clock of {@code
      * System.nanoTime()}.
      */
-    public long since() {
+    public long earliestArrivalNanos() {
         if (!reading) {
             reading = true;
             beginReading();
--- a/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
+++ b/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
@@ -25,7 +25,7 @@
      * @param report the endpoint's load report; null where there was none
      */
     void report(ForwardedAttempt attempt, AttemptResult result, LoadReport report) {
-        ProxiedRequest request = attempt.call;
+        ProxiedRequest request = attempt.request;
         driver.deliver(
                 request,
                 (balancer, now) ->
@@ -34,10 +34,10 @@
                                 new AttemptOutcome(
                                         request.request.id(),
                                         attempt.number,
-                                        attempt.server,
+                                        attempt.endpointId,
                                         result,
                                         now - attempt.timedFromMicros,
-                                        request.over,
+                                        request.finished,
                                         report)));
         requests.removeIfComplete(request);
     }
--- a/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -24,7 +24,7 @@
          * Whether it still waits. Reads first what has come from it so far, the end of the
          * connection included.
          */
-        default boolean waits() {
+        default boolean isStillWaiting() {
             return true;
         }
 
@@ -46,7 +46,7 @@
          * @param length of the body; negative where it is not known yet
          * @param source lets the client stop the endpoint from sending, and let it go on
          */
-        default void begin(
+        default void startStreamedResponse(
                 HttpHeaders headers,
                 long length,
                 StreamingSettings bounds,
@@ -59,7 +59,7 @@
          *
          * @param part taken over
          */
-        default void part(ByteBuf part) {
+        default void writeBody(ByteBuf part) {
             part.release();
         }
 
@@ -71,10 +71,10 @@
          *
          * @param taken runs once the client has received all of it
          */
-        default void end(HttpHeaders trailers, Runnable taken) {}
+        default void endStreamedResponse(HttpHeaders trailers, Runnable taken) {}
 
         /** Ends a streamed answer so that the client sees that it is not complete. */
-        default void breakOff() {}
+        default void abortResponse() {}
     }
 
     /** What the balancer knows of it. */
@@ -96,7 +96,7 @@
     public final StreamedUpload upload;
 
     /** Largest answer that is streamed, in bytes; 0 where answers are collected. */
-    public final long mostStreamed;
+    public final long maxStreamedBytes;
 
     /** Where the answer goes. */
     final Client client;
@@ -108,7 +108,7 @@
     int attemptsInFlight;
 
     /** Nothing is owed any more: it has its one answer, or the client has left. */
-    public boolean over;
+    public boolean finished;
 
     /** How an endpoint failed an upload before it was complete; null where none did. */
     UploadRefusal uploadRefusal;
@@ -144,7 +144,7 @@
         this.request = request;
         deadlineMicros = request.deadlineMicros();
         this.upload = upload;
-        this.mostStreamed = mostStreamed;
+        this.maxStreamedBytes = mostStreamed;
         this.method = method;
         this.uri = uri;
         this.headers = headers;
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -6,7 +6,7 @@
 import sagefall.config.SidecarConfig;
 import sagefall.discovery.DiscoveryClient;
 import sagefall.discovery.EndpointList;
-import sagefall.leaderelection.SharedEndpointSnapshot;
+import sagefall.leaderelection.PublishedSnapshot;
 import sagefall.logging.LogEvent;
 import sagefall.logging.LogLine;
 import sagefall.persistence.EndpointSnapshot;
@@ -36,7 +36,7 @@
     private EndpointSnapshot persisted;
 
     /** What the leader had written at the start; null where there is none. */
-    private SharedEndpointSnapshot.Read shared;
+    private PublishedSnapshot shared;
 
     RecoveryStartup(
             SidecarConfig config,
@@ -69,13 +69,13 @@
      * Sets the snapshot that the sidecars of the machine share, before the initial endpoints are
      * delivered; null where there is none.
      */
-    void recoverFrom(SharedEndpointSnapshot.Read snapshot) {
+    void recoverFrom(PublishedSnapshot snapshot) {
         shared = snapshot;
     }
 
     /** Delivers to the balancer what was persisted, if anything was, and then its first list. */
     void deliverInitialEndpoints() {
-        EndpointList configured = config.known();
+        EndpointList configured = config.configuredEndpoints();
         if (persisted != null && persisted.revision() > 0) {
             recoverPersisted(configured);
             return;
@@ -89,7 +89,7 @@
                                     configured)
                             .toString());
         }
-        if (shared != null && shared.kept().revision() > configured.revision()) {
+        if (shared != null && shared.snapshot().revision() > configured.revision()) {
             recoverShared();
         }
         updates.apply(EndpointListKind.CACHED, configured);
@@ -97,23 +97,23 @@
     }
 
     private void recoverPersisted(EndpointList configured) {
-        EndpointList recovered = config.lists().kept(persisted);
-        boolean fresh = store.fresh(persisted);
+        EndpointList recovered = config.endpointListCodec().fromSnapshot(persisted);
+        boolean fresh = store.isFresh(persisted);
         logRecovered(recovered, configured, fresh);
-        pool.update(recovered.with(configured));
+        pool.update(recovered.mergedWith(configured));
         driver.deliver(
                 (balancer, now) ->
                         balancer.onRecoveredEndpoints(
-                                now, recovered.revision(), fresh, recovered.servers()));
+                                now, recovered.revision(), fresh, recovered.endpoints()));
         driver.deliver(
                 (balancer, now) ->
                         balancer.onEndpointList(
                                 now,
                                 EndpointListKind.CACHED,
                                 configured.revision(),
-                                configured.servers()));
+                                configured.endpoints()));
         // Discovery may be behind what was persisted, so its changes alone would not do.
-        discovery.whole();
+        discovery.requireCompleteList();
         if (configured.revision() >= recovered.revision()) {
             recorder.record(configured);
         }
@@ -133,7 +133,7 @@
 
     /** The shared snapshot only restricts: another sidecar's list has another's addresses. */
     private void recoverShared() {
-        EndpointList recovered = config.lists().kept(shared.kept());
+        EndpointList recovered = config.endpointListCodec().fromSnapshot(shared.snapshot());
         log.accept(
                 describe(
                                 LogLine.of(LogEvent.SHARED_SNAPSHOT_READ)
@@ -144,8 +144,8 @@
         driver.deliver(
                 (balancer, now) ->
                         balancer.onRecoveredEndpoints(
-                                now, recovered.revision(), false, recovered.servers()));
-        discovery.whole();
+                                now, recovered.revision(), false, recovered.endpoints()));
+        discovery.requireCompleteList();
     }
 
     private static LogLine describe(LogLine line, String prefix, EndpointList list) {
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -94,7 +94,7 @@
             HttpResponseStatus status,
             HttpHeaders headers,
             ByteBuf content) {
-        if (request == null || request.over) {
+        if (request == null || request.finished) {
             content.release();
             return;
         }
--- a/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
@@ -111,7 +111,7 @@
         if (store != null) {
             usePersistence(store);
         }
-        if (config.extensions().duties().isOn()) {
+        if (config.extensions().leaderElection().isOn()) {
             joinLeaderElection();
         }
         startServer(signals);
@@ -136,12 +136,12 @@
 
     /** Begins to read what was persisted, beside the warm-up; null while persistence is off. */
     private SnapshotStore openSnapshotStore() {
-        PersistenceSettings settings = config.extensions().recovery();
+        PersistenceSettings settings = config.extensions().persistence();
         return settings.isOn() ? new SnapshotStore(settings, config.name(), server::log) : null;
     }
 
     private void usePersistence(SnapshotStore store) throws InterruptedException {
-        EndpointSnapshot snapshot = store.opened(SNAPSHOT_TIMEOUT_MILLIS);
+        EndpointSnapshot snapshot = store.awaitRecovered(SNAPSHOT_TIMEOUT_MILLIS);
         snapshotStore = store;
         loop.submit(() -> server.usePersistence(store, snapshot)).sync();
     }
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -15,6 +15,8 @@
 import sagefall.config.Extensions;
 import sagefall.config.SidecarConfig;
 import sagefall.discovery.DiscoveryClient;
+import sagefall.discovery.DiscoveryTimeouts;
+import sagefall.leaderelection.PublishedSnapshot;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 import sagefall.logging.LogEvent;
 import sagefall.logging.LogLine;
@@ -82,7 +84,7 @@
                         log);
         forwarder = new AttemptForwarder(loop, clock, config, driver, requests, responses);
         pool = forwarder.pool();
-        recorder = new EndpointRecorder(config.lists());
+        recorder = new EndpointRecorder(config.endpointListCodec());
         endpointUpdates = new EndpointUpdates(driver, pool, recorder, this::onDiscoveryAnswered);
         discovery = newDiscoveryClient();
         recovery =
@@ -93,7 +95,7 @@
                         clock, config.settings(), driver, requests, forwarder, this::isReady);
         listener =
                 new DownstreamListener(
-                        loop, latencyClock, requestHandler, config.clientConnections(), log);
+                        loop, latencyClock, requestHandler, config.maxClientConnections(), log);
         HostActions actions =
                 new HostActions(loop, clock, driver, forwarder, responses, discovery, log);
         driver.drive(balancers.apply(config.settings(), actions));
@@ -104,11 +106,11 @@
         return new DiscoveryClient(
                 loop,
                 config.discovery(),
-                config.lists(),
-                config.known().revision(),
+                config.endpointListCodec(),
+                config.configuredEndpoints().revision(),
                 endpointUpdates,
                 log,
-                DiscoveryClient.Timeouts.of(config.settings().pollsDiscovery()));
+                DiscoveryTimeouts.of(config.settings().pollsDiscovery()));
     }
 
     private void expire(ProxiedRequest request) {
@@ -128,7 +130,7 @@
         StreamingSettings streaming = extensions.streaming();
         requestHandler.useStreaming(streaming);
         forwarder.useStreaming(streaming);
-        listener.streams(streaming);
+        listener.updateStreamingSettings(streaming);
         long bufferLimit = streaming.isOn() ? streaming.bufferedBytes() : Long.MAX_VALUE;
         driver.deliver((balancer, now) -> balancer.onBufferLimit(now, bufferLimit));
     }
@@ -137,7 +139,7 @@
     void reconfigure(SidecarConfig newConfig) {
         loop.execute(
                 () -> {
-                    discovery.move(newConfig.discovery());
+                    discovery.moveTo(newConfig.discovery());
                     applyExtensions(newConfig.extensions());
                 });
     }
@@ -157,8 +159,7 @@
      *
      * @param snapshotAtStart its content; null where there was none
      */
-    void useSharedSnapshot(
-            SharedEndpointSnapshot snapshot, SharedEndpointSnapshot.Read snapshotAtStart) {
+    void useSharedSnapshot(SharedEndpointSnapshot snapshot, PublishedSnapshot snapshotAtStart) {
         recovery.recoverFrom(snapshotAtStart);
         recorder.recordTo(snapshot);
     }
@@ -232,7 +233,7 @@
     }
 
     private boolean isReady() {
-        return !state.isStopping() && pool.anyReady();
+        return !state.isStopping() && pool.hasEndpointInService();
     }
 
     /**
@@ -243,7 +244,7 @@
     void stop(Runnable stopped) {
         if (!state.isStopping()) {
             state = state.transitionTo(LifecycleState.DRAINING);
-            listener.end(() -> onDrained(stopped));
+            listener.shutDownGracefully(() -> onDrained(stopped));
         }
     }
 
@@ -257,11 +258,11 @@
 
     private void logStreamBuffers() {
         BufferAccounting buffers = listener.buffers();
-        if (buffers.most() > 0) {
+        if (buffers.peakBytes() > 0) {
             log.accept(
                     LogLine.of(LogEvent.STREAM_BUFFERS_USED)
-                            .with("peak_bytes", buffers.most())
-                            .with("remaining_bytes", buffers.held())
+                            .with("peak_bytes", buffers.peakBytes())
+                            .with("remaining_bytes", buffers.reservedBytes())
                             .toString());
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -40,7 +40,7 @@
             HttpResponse head,
             LoadReport report,
             FlowControl.Source source) {
-        ProxiedRequest request = attempt.call;
+        ProxiedRequest request = attempt.request;
         attempt.timeout.cancel(false);
         requests.stopDeadline(request);
         request.streamingAttempt = attempt;
@@ -52,11 +52,11 @@
                                 now,
                                 request.request.id(),
                                 attempt.number,
-                                attempt.server,
+                                attempt.endpointId,
                                 now - attempt.timedFromMicros));
         HttpHeaders headers = ProtocolHeaders.endToEnd(head.headers());
         headers.remove(ProtocolHeaders.LOAD);
-        request.client.begin(
+        request.client.startStreamedResponse(
                 headers, HttpUtil.getContentLength(head, LENGTH_UNKNOWN), settings, source);
     }
 
@@ -66,17 +66,17 @@
      * @param part taken over: passed on to the client, or released if the request is finished
      */
     void forwardPart(ForwardedAttempt attempt, ByteBuf part) {
-        if (attempt.call.over) {
+        if (attempt.request.finished) {
             part.release();
         } else {
-            attempt.call.client.part(part);
+            attempt.request.client.writeBody(part);
         }
     }
 
     /** All parts that arrived together have been passed on. */
     void flush(ForwardedAttempt attempt) {
-        if (!attempt.call.over) {
-            attempt.call.client.flush();
+        if (!attempt.request.finished) {
+            attempt.request.client.flush();
         }
     }
 
@@ -85,27 +85,28 @@
      * all of it.
      */
     void finish(ForwardedAttempt attempt, HttpHeaders trailers) {
-        ProxiedRequest request = attempt.call;
-        if (request.over) {
+        ProxiedRequest request = attempt.request;
+        if (request.finished) {
             end(attempt, AttemptResult.SERVED);
         } else {
-            request.client.end(
-                    ProtocolHeaders.trailers(trailers), () -> end(attempt, AttemptResult.SERVED));
+            request.client.endStreamedResponse(
+                    ProtocolHeaders.forwardableTrailers(trailers),
+                    () -> end(attempt, AttemptResult.SERVED));
         }
     }
 
     /** Ends an answer, complete or broken off; only the first call for an attempt counts. */
     void end(ForwardedAttempt attempt, AttemptResult result) {
-        ProxiedRequest request = attempt.call;
+        ProxiedRequest request = attempt.request;
         if (attempt.result != null) {
             return;
         }
         attempt.result = result;
         request.attemptsInFlight--;
-        if (!request.over) {
+        if (!request.finished) {
             requests.finish(request);
             if (result != AttemptResult.SERVED) {
-                request.client.breakOff();
+                request.client.abortResponse();
             }
         }
         outcomes.report(attempt, result, request.streamedLoadReport);
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
@@ -45,24 +45,24 @@
     void connect() {
         connection =
                 new HttpClientConnection(
-                        loop, address, HttpClientConnection.MAX_BODY, connectMicros, this);
+                        loop, address, HttpClientConnection.MAX_BODY_BYTES, connectMicros, this);
     }
 
     @Override
-    public void opened() {
+    public void connectionOpened() {
         if (progress.isRunning()) {
             connection.send(requests.next());
         }
     }
 
     @Override
-    public void written() {}
+    public void requestWritten() {}
 
     /**
      * @param answer stays the connection's
      */
     @Override
-    public void answered(FullHttpResponse answer, boolean clean) {
+    public void responseCollected(FullHttpResponse answer, boolean clean) {
         if (progress.onAnswered() && clean) {
             // Not from inside the answer, which the connection has still to release.
             loop.execute(() -> connection.send(requests.next()));
@@ -70,5 +70,5 @@
     }
 
     @Override
-    public void closed() {}
+    public void connectionClosed() {}
 }
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
@@ -8,8 +8,8 @@
 import java.util.HashSet;
 import java.util.Set;
 import sagefall.http.ProtocolHeaders;
+import sagefall.proxy.downstream.BadRequestException;
 import sagefall.proxy.downstream.RequestHandler;
-import sagefall.proxy.downstream.RequestParser;
 
 /**
  * What listens during the warm-up: a request goes to the warm-up's sidecar when it comes for the
@@ -38,13 +38,13 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean hasReadyEndpoint() {
         return false;
     }
 
     @Override
-    public void take(FullHttpRequest http, ProxiedRequest.Client client)
-            throws RequestParser.BadRequest {
+    public void handle(FullHttpRequest http, ProxiedRequest.Client client)
+            throws BadRequestException {
         String id = String.valueOf(http.headers().get(ProtocolHeaders.REQUEST_ID));
         if (!requests.contains(id)) {
             // A client that does not wait for the process to be ready. The real sidecar does not
@@ -54,7 +54,7 @@
                     new DefaultHttpHeaders(),
                     Unpooled.EMPTY_BUFFER);
         } else if (forwardedIds.add(id)) {
-            sidecar.take(http, client);
+            sidecar.handle(http, client);
         } else {
             client.answer(
                     HttpResponseStatus.OK,
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void left(ProxiedRequest.Client client) {
-        sidecar.left(client);
+    public void clientDisconnected(ProxiedRequest.Client client) {
+        sidecar.clientDisconnected(client);
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
@@ -20,7 +20,7 @@
     protected void initChannel(Channel channel) {
         ClientConnection connection = new ClientConnection(listener, channel);
         if (listener.streamingSettings().isOn()) {
-            channel.config().setRecvByteBufAllocator(HttpClientConnection.smallReads());
+            channel.config().setRecvByteBufAllocator(HttpClientConnection.smallReadAllocator());
         }
         channel.pipeline()
                 .addLast(
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -54,8 +54,8 @@
         this.listener = listener;
         this.channel = channel;
         reader = new RequestReader(this);
-        waitedSinceNanos = listener.loopClock().since();
-        acceptedInTurn = listener.loopClock().number();
+        waitedSinceNanos = listener.loopClock().earliestArrivalNanos();
+        acceptedInTurn = listener.loopClock().turnNumber();
         acceptedAtNanos = System.nanoTime();
         stateSinceNanos = acceptedAtNanos;
     }
@@ -156,7 +156,7 @@
 
     private boolean admitsInput() {
         // Before the bytes are looked at: in a cold process that alone is as long as a sleep.
-        listener.loopClock().since();
+        listener.loopClock().earliestArrivalNanos();
         lastInputNanos = System.nanoTime();
         if (state == ClientConnectionState.IN_FLIGHT) {
             // Clients send one request at a time. What comes behind can't be distinguished from a
@@ -170,7 +170,7 @@
     }
 
     /** Rejects the current request as none of the protocol. */
-    void rejectMalformed(RequestParser.BadRequest malformed) {
+    void rejectMalformed(BadRequestException malformed) {
         exchange = null;
         reject(HttpResponseStatus.BAD_REQUEST, malformed.getMessage());
     }
@@ -186,7 +186,7 @@
             return;
         }
         if (exchange != null && exchange.isResponseStarted()) {
-            exchange.breakOff();
+            exchange.abortResponse();
             return;
         }
         reader.releasePending();
@@ -204,14 +204,14 @@
         if (exchange != null) {
             ClientExchange abandoned = exchange;
             exchange = null;
-            listener.requestHandler().left(abandoned);
+            listener.requestHandler().clientDisconnected(abandoned);
         }
     }
 
     /** Whether it is between requests, seen with all that has arrived so far. */
     boolean isStillBetweenRequests() {
         if (state.isBetweenRequests()) {
-            HttpClientConnection.readNow(channel);
+            HttpClientConnection.readAvailableFrom(channel);
         }
         return state.isBetweenRequests() && channel.isActive();
     }
@@ -265,9 +265,9 @@
      * the connection.
      */
     long earliestArrivalNanos() {
-        return listener.loopClock().number() <= acceptedInTurn + 1
+        return listener.loopClock().turnNumber() <= acceptedInTurn + 1
                 ? waitedSinceNanos
-                : listener.loopClock().since();
+                : listener.loopClock().earliestArrivalNanos();
     }
 
     long millisSinceAccepted() {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -98,9 +98,9 @@
 
     /** The end of an upload is not looked for: reading it is up to its flow control. */
     @Override
-    public boolean waits() {
+    public boolean isStillWaiting() {
         if (isCurrent() && upload == null) {
-            HttpClientConnection.readNow(channel());
+            HttpClientConnection.readAvailableFrom(channel());
             if (!channel().isActive()) {
                 connection.abandonExchange();
             }
@@ -136,7 +136,7 @@
 
     /** Takes the bytes over and releases them; false where the body has become too large. */
     boolean forwardBody(ByteBuf bytes) {
-        return upload.part(bytes);
+        return upload.receive(bytes);
     }
 
     /** All that arrived in one go has been forwarded. */
@@ -146,16 +146,16 @@
 
     /** All of the body has been forwarded; the caller releases its end. */
     void endUpload(LastHttpContent end) {
-        upload.end(ProtocolHeaders.trailers(end.trailingHeaders()));
+        upload.end(ProtocolHeaders.forwardableTrailers(end.trailingHeaders()));
     }
 
     /** Ends what is streamed where the client or the server has stalled. */
     void checkStalls() {
-        if (isReadingBody() && upload.bringsNothing()) {
+        if (isReadingBody() && upload.isClientStalled()) {
             connection.reject(HttpResponseStatus.REQUEST_TIMEOUT, "the body stopped coming");
         } else if (hasServerStalled()) {
-            listener().requestHandler().stalled(this);
-        } else if (responseFlow != null && responseFlow.takesNothing()) {
+            listener().requestHandler().serverStalled(this);
+        } else if (responseFlow != null && responseFlow.isSinkStalled()) {
             reset();
         }
     }
@@ -163,7 +163,7 @@
     /** The time to drain is up: ends what is still streamed so that its client notices it. */
     void cutShort() {
         if (isResponseStarted()) {
-            breakOff();
+            abortResponse();
         } else if (isReadingBody()) {
             connection.reject(
                     HttpResponseStatus.GATEWAY_TIMEOUT, "ended before the body was whole");
@@ -171,12 +171,12 @@
     }
 
     private boolean hasServerStalled() {
-        return (upload != null && upload.takesNothing())
-                || (responseFlow != null && responseFlow.bringsNothing());
+        return (upload != null && upload.isServerStalled())
+                || (responseFlow != null && responseFlow.isSourceStalled());
     }
 
     @Override
-    public void begin(
+    public void startStreamedResponse(
             HttpHeaders headers, long length, StreamingSettings limits, FlowControl.Source source) {
         if (!isCurrent()) {
             return;
@@ -196,17 +196,17 @@
 
     /** Takes the part over: it is released here, or by the channel once it is written. */
     @Override
-    public void part(ByteBuf part) {
+    public void writeBody(ByteBuf part) {
         if (!isCurrent()) {
             part.release();
             return;
         }
-        ByteBuf compact = FlowControl.tight(part);
+        ByteBuf compact = FlowControl.compact(part);
         int weight = FlowControl.weight(compact);
         channel()
                 .write(new DefaultHttpContent(compact))
-                .addListener(written -> responseFlow.taken(weight));
-        responseFlow.brought(weight);
+                .addListener(written -> responseFlow.bytesWritten(weight));
+        responseFlow.bytesReceived(weight);
     }
 
     @Override
@@ -215,11 +215,11 @@
     }
 
     @Override
-    public void end(HttpHeaders trailers, Runnable taken) {
+    public void endStreamedResponse(HttpHeaders trailers, Runnable taken) {
         if (!isCurrent()) {
             return;
         }
-        responseFlow.finished();
+        responseFlow.sourceFinished();
         channel()
                 .writeAndFlush(new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers))
                 .addListener(
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public void breakOff() {
+    public void abortResponse() {
         if (endsByClose) {
             channel().config().setOption(ChannelOption.SO_LINGER, 0);
         }
@@ -247,7 +247,7 @@
     /** For a client that takes nothing: what waits for it is discarded too. */
     private void reset() {
         endsByClose = true;
-        breakOff();
+        abortResponse();
     }
 
     /** Takes the content over: it is released here, or by the channel once it is written. */
@@ -256,7 +256,7 @@
         if (!isCurrent() || isResponseStarted()) {
             content.release();
             if (isCurrent()) {
-                breakOff();
+                abortResponse();
             }
             return;
         }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -85,7 +85,7 @@
     }
 
     /** Sets which bodies are streamed from now on, and how. */
-    public void streams(StreamingSettings next) {
+    public void updateStreamingSettings(StreamingSettings next) {
         streaming = next;
     }
 
@@ -103,7 +103,7 @@
      * Closes all connections at once, whether or not they have requests in flight. The future tells
      * when the listening socket is closed.
      */
-    public ChannelFuture close() {
+    public ChannelFuture closeNow() {
         List.copyOf(connections).forEach(connection -> connection.channel().close());
         return listening.close();
     }
@@ -114,7 +114,7 @@
      * @param ended called when all connections and the listening socket are closed; at once if it
      *     never listened
      */
-    public void end(Runnable ended) {
+    public void shutDownGracefully(Runnable ended) {
         if (listening == null) {
             ended.run();
         } else {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -112,7 +112,7 @@
     /** Accepts what is already connected, since closing the socket would reset it. */
     private void closeListening(Channel listening) {
         listening.config().setAutoRead(true);
-        HttpClientConnection.readNow(listening);
+        HttpClientConnection.readAvailableFrom(listening);
         if (isQuiet()) {
             listening.close();
         }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
@@ -18,7 +18,7 @@
     private boolean bodyStreamed;
 
     RequestAggregator(ClientConnection connection) {
-        super(HttpClientConnection.MAX_BODY, true);
+        super(HttpClientConnection.MAX_BODY_BYTES, true);
         this.connection = connection;
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
@@ -11,7 +11,7 @@
  */
 public interface RequestHandler {
     /** Whether a request would find an endpoint; {@code /healthz} reports it. */
-    boolean ready();
+    boolean hasReadyEndpoint();
 
     /**
      * Handles a request that has been read completely. The handler answers it once through the
@@ -19,15 +19,15 @@
      *
      * @param http the request; the caller releases it when this method returns
      * @param client the exchange that takes the response
-     * @throws RequestParser.BadRequest if this is no request of the protocol; the caller answers
+     * @throws BadRequestException if this is no request of the protocol; the caller answers
      */
-    void take(FullHttpRequest http, ProxiedRequest.Client client) throws RequestParser.BadRequest;
+    void handle(FullHttpRequest http, ProxiedRequest.Client client) throws BadRequestException;
 
     /**
      * Largest body of this request, in bytes, that is streamed as it arrives; 0 where the body is
      * collected first.
      */
-    default long uploads(HttpRequest head) {
+    default long maxUploadBytes(HttpRequest head) {
         return 0;
     }
 
@@ -35,16 +35,16 @@
      * Handles a request whose body is streamed, from its head on. The handler answers it once
      * through the client, now or later, or throws.
      *
-     * @throws RequestParser.BadRequest if this is no request of the protocol; the caller answers
+     * @throws BadRequestException if this is no request of the protocol; the caller answers
      */
-    default void take(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
-            throws RequestParser.BadRequest {
+    default void handle(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
+            throws BadRequestException {
         throw new UnsupportedOperationException();
     }
 
     /** The server of this request has neither read nor sent anything for too long. */
-    default void stalled(ProxiedRequest.Client client) {}
+    default void serverStalled(ProxiedRequest.Client client) {}
 
     /** The client of this request has disconnected and can't be answered any more. */
-    void left(ProxiedRequest.Client client);
+    void clientDisconnected(ProxiedRequest.Client client);
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -25,16 +25,6 @@
  */
 public final class RequestParser {
 
-    /** A message that no client of the protocol sends; its text goes into the 400. */
-    public static final class BadRequest extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        /** Creates the exception with the text of the response. */
-        public BadRequest(String message) {
-            super(message);
-        }
-    }
-
     /**
      * A client's time runs from when it sent the request; at most this much of it is set aside for
      * the way here and back.
@@ -76,20 +66,20 @@
      * @param upload the body that is streamed as it arrives, else null
      * @param streaming which bodies may be streamed
      * @param client the exchange that takes the response
-     * @throws BadRequest if this is no request of the protocol
+     * @throws BadRequestException if this is no request of the protocol
      */
-    public ProxiedRequest read(
+    public ProxiedRequest parse(
             long now,
             HttpRequest http,
             byte[] body,
             StreamedUpload upload,
             StreamingSettings streaming,
             ProxiedRequest.Client client)
-            throws BadRequest {
+            throws BadRequestException {
         checkFraming(http);
         RequestClass requestClass = requestClass(http.uri());
         if (requestClass == null) {
-            throw new BadRequest("no such class");
+            throw new BadRequestException("no such class");
         }
         boolean uploading = upload != null;
         checkMethod(http, requestClass.idempotency(), uploading || body.length > 0);
@@ -112,7 +102,7 @@
             boolean uploading,
             StreamingSettings streaming,
             ProxiedRequest.Client client)
-            throws BadRequest {
+            throws BadRequestException {
         HttpHeaders headers = http.headers();
         String id = requestId(headers);
         long timeoutMicros = timeoutMillis(headers) * MICROS_PER_MILLI;
@@ -127,7 +117,7 @@
                 deadlineMicros(now, waitedMicros, timeoutMicros),
                 requestClass.idempotency() != Idempotency.IDEMPOTENT,
                 uploading,
-                streaming.hold(uploading, responseStreamed),
+                streaming.reservedBytes(uploading, responseStreamed),
                 waitedMicros);
     }
 
@@ -163,20 +153,20 @@
      * The decoder rejects lengths that are odd, repeated or beside a transfer coding; other codings
      * it lets pass.
      */
-    private static void checkFraming(HttpRequest http) throws BadRequest {
+    private static void checkFraming(HttpRequest http) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
-            throw new BadRequest(RequestReader.NOT_HTTP);
+            throw new BadRequestException(RequestReader.NOT_HTTP);
         }
         List<String> codings = http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked =
                 codings.size() == 1
                         && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
         if (!codings.isEmpty() && !chunked) {
-            throw new BadRequest("unknown " + HttpHeaderNames.TRANSFER_ENCODING);
+            throw new BadRequestException("unknown " + HttpHeaderNames.TRANSFER_ENCODING);
         }
         if (!http.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !http.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            throw new BadRequest("unknown version");
+            throw new BadRequestException("unknown version");
         }
     }
 
@@ -185,47 +175,48 @@
      * the settings say.
      */
     private static void checkMethod(HttpRequest http, Idempotency idempotency, boolean hasBody)
-            throws BadRequest {
+            throws BadRequestException {
         List<String> keys = http.headers().getAll(ProtocolHeaders.IDEMPOTENCY_KEY);
         HttpMethod expected =
                 idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(expected)) {
-            throw new BadRequest("this class wants " + expected);
+            throw new BadRequestException("this class wants " + expected);
         }
         if (idempotency == Idempotency.IDEMPOTENT && hasBody) {
-            throw new BadRequest("this class has no body");
+            throw new BadRequestException("this class has no body");
         }
         int expectedKeys = idempotency == Idempotency.IDEMPOTENCY_KEY ? 1 : 0;
         if (keys.size() != expectedKeys) {
-            throw new BadRequest(ProtocolHeaders.IDEMPOTENCY_KEY + " goes with keyed classes");
+            throw new BadRequestException(
+                    ProtocolHeaders.IDEMPOTENCY_KEY + " goes with keyed classes");
         }
     }
 
-    private static String requestId(HttpHeaders headers) throws BadRequest {
+    private static String requestId(HttpHeaders headers) throws BadRequestException {
         String id = ProtocolHeaders.single(headers, ProtocolHeaders.REQUEST_ID);
         if (id == null || id.isEmpty() || id.length() > MAX_REQUEST_ID_LENGTH) {
-            throw new BadRequest("no " + ProtocolHeaders.REQUEST_ID);
+            throw new BadRequestException("no " + ProtocolHeaders.REQUEST_ID);
         }
         return id;
     }
 
-    private int tenant(HttpHeaders headers) throws BadRequest {
+    private int tenant(HttpHeaders headers) throws BadRequestException {
         if (tenantIndexes.isEmpty()) {
             return 0;
         }
         String name = ProtocolHeaders.single(headers, ProtocolHeaders.TENANT);
         Integer index = tenantIndexes.get(name);
         if (index == null) {
-            throw new BadRequest("no such tenant");
+            throw new BadRequestException("no such tenant");
         }
         return index;
     }
 
-    private static long timeoutMillis(HttpHeaders headers) throws BadRequest {
+    private static long timeoutMillis(HttpHeaders headers) throws BadRequestException {
         String text = ProtocolHeaders.single(headers, ProtocolHeaders.TIMEOUT);
         long millis = parseLong(text);
         if (millis < MIN_TIMEOUT_MILLIS || millis > MAX_TIMEOUT_MILLIS) {
-            throw new BadRequest("bad " + ProtocolHeaders.TIMEOUT);
+            throw new BadRequestException("bad " + ProtocolHeaders.TIMEOUT);
         }
         return millis;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -124,11 +124,11 @@
                         && connection.exchange() == null
                         && completeRequest == null
                         && !head.decoderResult().isFailure();
-        long maxBytes = startsRequest ? requestHandler().uploads(head) : 0;
+        long maxBytes = startsRequest ? requestHandler().maxUploadBytes(head) : 0;
         long length = HttpUtil.getContentLength(head, -1L);
         boolean small =
                 length >= 0
-                        ? length <= HttpClientConnection.MAX_BODY
+                        ? length <= HttpClientConnection.MAX_BODY_BYTES
                         : !HttpUtil.isTransferEncodingChunked(head);
         return small || length > maxBytes ? 0 : maxBytes;
     }
@@ -138,8 +138,8 @@
         ClientExchange exchange = connection.startReadingBody(head);
         StreamedUpload upload = exchange.startUpload(head, maxBytes);
         try {
-            requestHandler().take(head, upload, exchange);
-        } catch (RequestParser.BadRequest e) {
+            requestHandler().handle(head, upload, exchange);
+        } catch (BadRequestException e) {
             connection.rejectMalformed(e);
         }
     }
@@ -210,15 +210,15 @@
             return;
         }
         try {
-            requestHandler().take(request, exchange);
-        } catch (RequestParser.BadRequest e) {
+            requestHandler().handle(request, exchange);
+        } catch (BadRequestException e) {
             connection.rejectMalformed(e);
         }
     }
 
     private void answerHealthCheck(ClientExchange exchange) {
         exchange.answer(
-                requestHandler().ready()
+                requestHandler().hasReadyEndpoint()
                         ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE,
                 new DefaultHttpHeaders(),
--- a/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
@@ -23,7 +23,7 @@
      * @param answer the server's response, or null where it gave none; owned by the connection,
      *     which releases it on return
      */
-    void ended(
+    void attemptEnded(
             ForwardedAttempt attempt,
             AttemptResult result,
             LoadReport report,
@@ -35,12 +35,12 @@
      *
      * @return whether the client still waits for the response
      */
-    default boolean wanted(ForwardedAttempt attempt) {
+    default boolean isStillAwaited(ForwardedAttempt attempt) {
         return true;
     }
 
     /** The last byte of a streamed upload has been written. */
-    default void written(ForwardedAttempt attempt) {}
+    default void uploadWritten(ForwardedAttempt attempt) {}
 
     /**
      * A streamed response has begun.
@@ -48,7 +48,7 @@
      * @param report the server's load report, or null
      * @param source pauses and resumes reading the response
      */
-    default void began(
+    default void responseStarted(
             ForwardedAttempt attempt,
             HttpResponse head,
             LoadReport report,
@@ -59,13 +59,13 @@
      *
      * @param part ownership passes to the listener
      */
-    default void part(ForwardedAttempt attempt, ByteBuf part) {
+    default void responsePart(ForwardedAttempt attempt, ByteBuf part) {
         part.release();
     }
 
     /** All parts that one read of the socket brought have been reported. */
-    default void flush(ForwardedAttempt attempt) {}
+    default void responseReadComplete(ForwardedAttempt attempt) {}
 
     /** A streamed response is complete; the attempt has left its connection. */
-    default void finished(ForwardedAttempt attempt, HttpHeaders trailers) {}
+    default void responseFinished(ForwardedAttempt attempt, HttpHeaders trailers) {}
 }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -28,7 +28,7 @@
      * How long a connection is not used after a response, in microseconds: a second copy of the
      * response may come this much later.
      */
-    public static final long SETTLE_MICROS = 20_000;
+    public static final long REUSE_DELAY_MICROS = 20_000;
 
     /** How often idle connections are looked through within one idle timeout. */
     private static final int SWEEPS_PER_IDLE_TIMEOUT = 10;
@@ -55,8 +55,8 @@
         this.loop = loop;
         this.clock = clock;
         this.listener = listener;
-        maxConnections = config.serverConnections();
-        connectTimeoutMicros = config.connectMicros();
+        maxConnections = config.maxEndpointConnections();
+        connectTimeoutMicros = config.connectTimeoutMicros();
         idleTimeoutMicros = config.settings().limits().idleTimeoutMicros();
         streaming = config.extensions().streaming().isOn();
         long interval =
@@ -70,7 +70,7 @@
      * Whether responses may be streamed from now on. Idle connections that were opened under the
      * other setting are closed, as they read in pieces of another size.
      */
-    public void streams(boolean next) {
+    public void setStreaming(boolean next) {
         if (streaming != next) {
             streaming = next;
             closeAllIdle();
@@ -110,7 +110,7 @@
     }
 
     /** Whether any endpoint is in service. */
-    public boolean anyReady() {
+    public boolean hasEndpointInService() {
         return endpoints.values().stream().anyMatch(PooledEndpoint::isInService);
     }
 
@@ -118,8 +118,8 @@
      * Sends an attempt on the connection used last, or on a new one, which may come up late. How
      * the attempt ends is reported to the listener, perhaps during this call.
      */
-    public void start(ForwardedAttempt attempt) {
-        PooledEndpoint endpoint = endpoints.get(attempt.server);
+    public void send(ForwardedAttempt attempt) {
+        PooledEndpoint endpoint = endpoints.get(attempt.endpointId);
         if (endpoint == null || !endpoint.isInService()) {
             end(attempt, AttemptResult.NOT_SENT, null, null);
             return;
@@ -203,7 +203,7 @@
         return new HttpClientConnection(
                 loop,
                 endpoint.address(),
-                HttpClientConnection.MAX_BODY,
+                HttpClientConnection.MAX_BODY_BYTES,
                 connectTimeoutMicros,
                 streaming,
                 connection);
@@ -230,15 +230,15 @@
             FullHttpResponse answer) {
         release(attempt);
         if (attempt.result == null) {
-            listener.ended(attempt, result, report, answer);
+            listener.attemptEnded(attempt, result, report, answer);
         }
     }
 
     /** Takes an attempt off its connection; null where it has none. */
     UpstreamConnection release(ForwardedAttempt attempt) {
         UpstreamConnection connection = connectionsInUse.remove(attempt);
-        if (connection != null && attempt.call.upload != null) {
-            attempt.call.upload.detach();
+        if (connection != null && attempt.request.upload != null) {
+            attempt.request.upload.detach();
         }
         return connection;
     }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
@@ -125,7 +125,7 @@
     UpstreamConnection takeReusable(long nowMicros) {
         for (var latest = idle.descendingIterator(); latest.hasNext(); ) {
             UpstreamConnection connection = latest.next();
-            if (connection.idleMicros(nowMicros) >= ConnectionPool.SETTLE_MICROS) {
+            if (connection.idleMicros(nowMicros) >= ConnectionPool.REUSE_DELAY_MICROS) {
                 latest.remove();
                 if (connection.isReusable()) {
                     return connection;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -109,14 +109,14 @@
      */
     private void sendAfterLastCheck() {
         ForwardedAttempt checked = attempt;
-        boolean awaited = listener().wanted(checked);
+        boolean awaited = listener().isStillAwaited(checked);
         if (attempt != checked) {
             // Its client is gone, and it was abandoned by that very check.
             return;
         }
         long nowMicros = endpoint.pool().nowMicros();
-        boolean late = nowMicros >= Math.min(checked.giveUpAt, checked.latestAt);
-        if (!awaited || checked.call.over || late || !endpoint.isInService()) {
+        boolean late = nowMicros >= Math.min(checked.giveUpAtMicros, checked.latestStartMicros);
+        if (!awaited || checked.request.finished || late || !endpoint.isInService()) {
             becomeIdle();
             endpoint.pool().end(checked, AttemptResult.NOT_SENT, null, null);
             return;
@@ -125,21 +125,21 @@
     }
 
     private void send(ForwardedAttempt sent, long nowMicros) {
-        long maxStreamedBytes = sent.call.mostStreamed;
-        if (sent.call.upload == null) {
+        long maxStreamedBytes = sent.request.maxStreamedBytes;
+        if (sent.request.upload == null) {
             connection.send(UpstreamRequests.complete(sent, nowMicros), maxStreamedBytes);
         } else {
             Channel channel =
                     connection.sendHead(
                             UpstreamRequests.streamedHead(sent, nowMicros), maxStreamedBytes);
-            sent.call.upload.attach(channel, () -> onUploadWritten(sent));
+            sent.request.upload.attach(channel, () -> onUploadWritten(sent));
         }
     }
 
     private void onUploadWritten(ForwardedAttempt sent) {
         if (attempt == sent) {
-            written();
-            listener().written(sent);
+            requestWritten();
+            listener().uploadWritten(sent);
         }
     }
 
@@ -165,7 +165,7 @@
 
     /** It came up, perhaps late; an attempt that was abandoned meanwhile has closed it. */
     @Override
-    public void opened() {
+    public void connectionOpened() {
         if (state == State.CONNECTING) {
             enter(State.IN_USE);
             sendAfterLastCheck();
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void written() {
+    public void requestWritten() {
         if (attempt != null) {
             attempt.written = true;
         }
@@ -185,7 +185,7 @@
      * none.
      */
     @Override
-    public void answered(FullHttpResponse answer, boolean clean) {
+    public void responseCollected(FullHttpResponse answer, boolean clean) {
         if (attempt == null
                 || (!attempt.written && !UpstreamResponses.refusesUpload(attempt, answer))) {
             connection.close();
@@ -207,7 +207,8 @@
         ForwardedAttempt receiver = attempt;
         keepAlive = HttpUtil.isKeepAlive(head);
         LoadReport report = UpstreamResponses.loadReport(head);
-        listener().began(receiver, head, report, reading -> setReading(receiver, reading));
+        listener()
+                .responseStarted(receiver, head, report, reading -> setReading(receiver, reading));
     }
 
     /** Once the response is complete the connection may carry another attempt. */
@@ -223,14 +224,14 @@
         if (attempt == null) {
             part.release();
         } else {
-            listener().part(attempt, part);
+            listener().responsePart(attempt, part);
         }
     }
 
     @Override
     public void responseReadComplete() {
         if (attempt != null) {
-            listener().flush(attempt);
+            listener().responseReadComplete(attempt);
         }
     }
 
@@ -244,11 +245,11 @@
         endpoint.pool().release(done);
         connection.setReading(true);
         becomeIdleOrClose(clean && keepAlive);
-        listener().finished(done, trailers);
+        listener().responseFinished(done, trailers);
     }
 
     @Override
-    public void closed() {
+    public void connectionClosed() {
         enter(State.CLOSED);
         endpoint.pool().connectionClosed(endpoint, this);
         if (attempt != null) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
@@ -28,13 +28,13 @@
         if (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        ProxiedRequest request = attempt.call;
+        ProxiedRequest request = attempt.request;
         return new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers);
     }
 
     /** A request with its body; the caller owns it. */
     static FullHttpRequest complete(ForwardedAttempt attempt, long nowMicros) {
-        ProxiedRequest request = attempt.call;
+        ProxiedRequest request = attempt.request;
         HttpHeaders headers = headers(attempt, nowMicros);
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
         if (request.body.length > 0 || !request.method.equals(HttpMethod.GET)) {
@@ -51,8 +51,8 @@
 
     /** The client's fields, with the time that is left for this attempt. */
     private static HttpHeaders headers(ForwardedAttempt attempt, long nowMicros) {
-        HttpHeaders headers = ProtocolHeaders.endToEnd(attempt.call.headers);
-        long remainingMillis = (attempt.giveUpAt - nowMicros) / MICROS_PER_MILLI;
+        HttpHeaders headers = ProtocolHeaders.endToEnd(attempt.request.headers);
+        long remainingMillis = (attempt.giveUpAtMicros - nowMicros) / MICROS_PER_MILLI;
         headers.set(ProtocolHeaders.TIMEOUT, Math.max(1, remainingMillis));
         return headers;
     }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
@@ -34,7 +34,7 @@
      * reject or fail an upload that it has not received completely, but cannot have served it.
      */
     static boolean refusesUpload(ForwardedAttempt attempt, FullHttpResponse response) {
-        return attempt.call.upload != null
+        return attempt.request.upload != null
                 && response.status().code() >= HttpResponseStatus.BAD_REQUEST.code();
     }
 
--- a/sidecar/src/main/java/sagefall/simulator/MessageFields.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageFields.java
@@ -44,7 +44,7 @@
 
     /** Whether the field is {@code true}. */
     boolean isTrue(String field) {
-        return Json.flag(values, field);
+        return Json.isTrue(values, field);
     }
 
     /** An array that has to be there. */
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -126,12 +126,12 @@
         EndpointPhase phase = phase(object.get(WireNames.PHASE));
         return new ListedEndpoint(
                 id,
-                (int) Json.whole(object, WireNames.ZONE, 0),
-                (int) Json.whole(object, WireNames.MODEL, 0),
-                (int) Json.whole(object, WireNames.CELL, 0),
+                (int) Json.longValue(object, WireNames.ZONE, 0),
+                (int) Json.longValue(object, WireNames.MODEL, 0),
+                (int) Json.longValue(object, WireNames.CELL, 0),
                 phase,
-                Json.whole(object, WireNames.START_TIME, 0),
-                Json.real(object, WireNames.WEIGHT, 1));
+                Json.longValue(object, WireNames.START_TIME, 0),
+                Json.doubleValue(object, WireNames.WEIGHT, 1));
     }
 
     private static EndpointPhase phase(Object status) throws MalformedMessageException {
@@ -196,6 +196,6 @@
 
     private LoadReport loadReport() {
         Map<?, ?> report = fields.objectOrNull(WireNames.LOAD_REPORT);
-        return report == null ? null : LoadReportReader.of(report);
+        return report == null ? null : LoadReportReader.fromObject(report);
     }
 }
--- a/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
+++ b/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
@@ -17,12 +17,12 @@
     }
 
     /** Bytes that are buffered now. */
-    public long held() {
+    public long reservedBytes() {
         return reservedBytes;
     }
 
     /** The largest number of bytes that have been buffered at once. */
-    public long most() {
+    public long peakBytes() {
         return peakBytes;
     }
 }
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -69,7 +69,7 @@
      * @param part ownership passes to this method
      * @return the part itself or a copy, owned by the caller
      */
-    public static ByteBuf tight(ByteBuf part) {
+    public static ByteBuf compact(ByteBuf part) {
         ByteBuf backing = part.unwrap() == null ? part : part.unwrap();
         if (backing.capacity() <= 2 * part.readableBytes() + PART_OVERHEAD_BYTES) {
             return part;
@@ -80,7 +80,7 @@
     }
 
     /** A part of that weight has come from the source and waits for the sink. */
-    public void brought(int weight) {
+    public void bytesReceived(int weight) {
         sourceActiveNanos = System.nanoTime();
         if (pendingBytes == 0) {
             sinkActiveNanos = sourceActiveNanos;
@@ -91,7 +91,7 @@
     }
 
     /** The sink has taken a part of that weight, or never will. */
-    public void taken(int weight) {
+    public void bytesWritten(int weight) {
         sinkActiveNanos = System.nanoTime();
         pendingBytes -= weight;
         accounting.add(-weight);
@@ -116,7 +116,7 @@
     }
 
     /** The source has brought everything. */
-    public void finished() {
+    public void sourceFinished() {
         state = State.FINISHED;
     }
 
@@ -141,13 +141,13 @@
     }
 
     /** Whether the source is read and has brought nothing for longer than the read stall limit. */
-    public boolean bringsNothing() {
+    public boolean isSourceStalled() {
         return state == State.READING
                 && millisSince(sourceActiveNanos) > settings.readStallMillis();
     }
 
     /** Whether bytes are pending and the sink has taken none for longer than its stall limit. */
-    public boolean takesNothing() {
+    public boolean isSinkStalled() {
         return pendingBytes > 0 && millisSince(sinkActiveNanos) > settings.writeStallMillis();
     }
 
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -19,7 +19,7 @@
     /** Notified of the progress of an upload. */
     public interface Listener {
         /** The last byte has come from the client. */
-        void whole();
+        void uploadComplete();
 
         /** The upload cannot be replayed from now on. */
         void replayLost();
@@ -70,12 +70,12 @@
     }
 
     /** Sets who is notified, before the first part. */
-    public void listen(Listener next) {
+    public void setListener(Listener next) {
         listener = next;
     }
 
     /** Whether the last byte has come from the client; stays so once the upload is closed. */
-    public boolean whole() {
+    public boolean isComplete() {
         return trailers != null;
     }
 
@@ -85,7 +85,7 @@
      * @param part ownership passes to the upload
      * @return false where the body has become larger than is accepted
      */
-    public boolean part(ByteBuf part) {
+    public boolean receive(ByteBuf part) {
         receivedBytes += part.readableBytes();
         boolean closed = state == State.CLOSED;
         if (closed || receivedBytes > maxBytes) {
@@ -94,7 +94,7 @@
         }
         replayBuffer.append(part);
         if (sink != null) {
-            write(FlowControl.tight(part));
+            write(FlowControl.compact(part));
             giveUpReplayPastLimit();
         } else {
             part.release();
@@ -116,8 +116,8 @@
         }
         state = State.COMPLETE;
         trailers = last;
-        flow.finished();
-        listener.whole();
+        flow.sourceFinished();
+        listener.uploadComplete();
         if (sink != null) {
             writeLast();
         }
@@ -136,7 +136,7 @@
             write(replayBuffer.copy());
         }
         giveUpReplayPastLimit();
-        if (whole()) {
+        if (isComplete()) {
             writeLast();
         } else {
             flow.resumeWithSink();
@@ -161,13 +161,13 @@
     }
 
     /** Whether the client is read and has sent nothing for longer than the read stall limit. */
-    public boolean bringsNothing() {
-        return state == State.RECEIVING && flow.bringsNothing();
+    public boolean isClientStalled() {
+        return state == State.RECEIVING && flow.isSourceStalled();
     }
 
     /** Whether the server has taken nothing for longer than the write stall limit. */
-    public boolean takesNothing() {
-        return state != State.CLOSED && sink != null && flow.takesNothing();
+    public boolean isServerStalled() {
+        return state != State.CLOSED && sink != null && flow.isSinkStalled();
     }
 
     /** Writes a part, whose ownership passes to the channel, and counts it until it is written. */
@@ -177,12 +177,12 @@
         server.write(new DefaultHttpContent(part))
                 .addListener(
                         written -> {
-                            flow.taken(weight);
+                            flow.bytesWritten(weight);
                             if (!written.isSuccess()) {
                                 server.close();
                             }
                         });
-        flow.brought(weight);
+        flow.bytesReceived(weight);
     }
 
     private void writeLast() {
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -130,7 +130,7 @@
 
     private void checkBufferHoldsOneStream(ConfigSection section) throws ConfigException {
         boolean uploads = classes.values().stream().anyMatch(b -> b.requestBytes > 0);
-        long window = hold(uploads, !uploads);
+        long window = reservedBytes(uploads, !uploads);
         if (bufferedBytes < window) {
             throw section.invalid(
                     "max_buffered_bytes", "must be at least one stream's window, " + window);
@@ -155,7 +155,7 @@
      * @param upload whether the request is streamed
      * @param answer whether the response is streamed
      */
-    public long hold(boolean upload, boolean answer) {
+    public long reservedBytes(boolean upload, boolean answer) {
         long window = highWatermark + 2L * READ_BYTES;
         return (upload ? window + replayBytes : 0) + (answer ? window : 0);
     }
--- a/sidecar/src/test/java/sagefall/balancer/RandomEventRun.java
+++ b/sidecar/src/test/java/sagefall/balancer/RandomEventRun.java
@@ -76,7 +76,7 @@
         AttemptResult result =
                 served ? AttemptResult.SERVED : results[random.nextInt(results.length)];
         boolean nowClosed = closed.get(attempt.request) || result == AttemptResult.SERVED;
-        if (!result.provesNotRun) {
+        if (!result.provesNotExecuted) {
             mayHaveRun.put(attempt.request, true);
         }
         closed.put(attempt.request, nowClosed);
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -40,7 +40,7 @@
                         6);
         host.request("x");
         host.answer(0, result, 1000, false);
-        if (result.provesNotRun) {
+        if (result.provesNotExecuted) {
             assertEquals(2, host.sent.size());
             assertNotEquals(host.sent.get(0).server(), host.sent.get(1).server());
         } else {
--- a/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -30,13 +30,14 @@
     void eachRequestOfAThirdOfTheDescriptorsFindsAConnection(int sockets) throws Exception {
         try (SidecarHarness harness = new SidecarHarness(folder, 250_000, sockets)) {
             SidecarConfig config = harness.config();
-            assertTrue(config.serverConnections() >= sockets / 3, "servers");
-            assertTrue(config.clientConnections() >= sockets / 3, "clients");
+            assertTrue(config.maxEndpointConnections() >= sockets / 3, "servers");
+            assertTrue(config.maxClientConnections() >= sockets / 3, "clients");
             assertTrue(
                     config.settings().limits().maxOpenRequests() < sockets / 3,
                     "some are left for the next request");
             assertTrue(
-                    config.serverConnections() + config.clientConnections() + 16 <= sockets, "all");
+                    config.maxEndpointConnections() + config.maxClientConnections() + 16 <= sockets,
+                    "all");
         }
     }
 
--- a/sidecar/src/test/java/sagefall/discovery/BackoffTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/BackoffTest.java
@@ -8,7 +8,7 @@
 /** Which calls are held, when one is taken for lost, and when there is a pause. */
 class BackoffTest {
 
-    private final Backoff backoff = new Backoff(new DiscoveryClient.Timeouts(1_000, 1_750));
+    private final Backoff backoff = new Backoff(new DiscoveryTimeouts(1_000, 1_750));
     private long nowNanos = -5;
 
     private void pass(long millis) {
--- a/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -22,7 +22,7 @@
             new EndpointListCodec(Arrays.asList("north", "south"), Arrays.asList("small", "large"));
 
     private EndpointList read(String quoted) throws IOException {
-        return codec.read(quoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+        return codec.parse(quoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
@@ -39,7 +39,7 @@
                 List.of(
                         new ListedEndpoint(
                                 StableIds.of("s-1"), 1, 1, 4, EndpointPhase.DRAINING, 12_000, 0.5)),
-                list.servers());
+                list.endpoints());
         assertEquals("/127.0.0.1:81", list.entries().get(0).address().toString());
     }
 
--- a/sidecar/src/test/java/sagefall/http/HttpClientConnectionTest.java
+++ b/sidecar/src/test/java/sagefall/http/HttpClientConnectionTest.java
@@ -47,17 +47,17 @@
     /** Records what is reported, a word and its details a line. */
     private final class Recorder implements HttpConnectionListener {
         @Override
-        public void opened() {
+        public void connectionOpened() {
             events.add("opened");
         }
 
         @Override
-        public void written() {
+        public void requestWritten() {
             events.add("written");
         }
 
         @Override
-        public void answered(FullHttpResponse answer, boolean clean) {
+        public void responseCollected(FullHttpResponse answer, boolean clean) {
             events.add("collected " + answer.content().toString(US_ASCII) + " clean=" + clean);
         }
 
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public void closed() {
+        public void connectionClosed() {
             events.add("closed");
         }
     }
@@ -102,7 +102,7 @@
                                         new HttpClientConnection(
                                                 loop,
                                                 address,
-                                                HttpClientConnection.MAX_BODY,
+                                                HttpClientConnection.MAX_BODY_BYTES,
                                                 CONNECT_MICROS,
                                                 true,
                                                 new Recorder()))
@@ -164,7 +164,7 @@
                                 new HttpClientConnection(
                                         loop,
                                         address,
-                                        HttpClientConnection.MAX_BODY,
+                                        HttpClientConnection.MAX_BODY_BYTES,
                                         CONNECT_MICROS,
                                         new Recorder()))
                 .get();
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public boolean act(LeaseStore store, long term) throws IOException {
+        public boolean run(LeaseStore store, long term) throws IOException {
             count++;
             String action = term + " " + owner + " " + count;
             return store.publish(term, ACTIONS, action.getBytes(StandardCharsets.US_ASCII));
@@ -189,7 +189,7 @@
         while (true) {
             try {
                 LeaseGrant grant = store.status().grant();
-                if (grant.term() > term && grant.leftNanos() > 0) {
+                if (grant.term() > term && grant.remainingNanos() > 0) {
                     return grant;
                 }
             } catch (IOException e) {
@@ -214,7 +214,7 @@
 
     /** What counts at this moment, as anybody sees it. */
     private void lookAtActions() throws IOException {
-        LeaseStore.Value value = store.read(ACTIONS);
+        FencedValue value = store.read(ACTIONS);
         if (value == null) {
             return;
         }
--- a/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
@@ -105,21 +105,19 @@
     /** Term 1 was released, so it names no owner any more; term 2 expired; term 3 is held. */
     @Test
     void termsAndOwnersAreRead() throws IOException {
-        LeaseStore.Status status = store(BOOT).status();
+        LeaseStatus status = store(BOOT).status();
         assertEquals(new LeaseGrant(3, OWNER_3, LEASE, 0), status.grant());
         assertEquals(
                 List.of(
-                        new LeaseStore.Past(1, "", TERM_1_AT_MILLIS),
-                        new LeaseStore.Past(2, OWNER_2, TERM_2_AT_MILLIS),
-                        new LeaseStore.Past(3, OWNER_3, TERM_3_AT_MILLIS)),
+                        new PastTerm(1, "", TERM_1_AT_MILLIS),
+                        new PastTerm(2, OWNER_2, TERM_2_AT_MILLIS),
+                        new PastTerm(3, OWNER_3, TERM_3_AT_MILLIS)),
                 status.past());
     }
 
     @Test
     void digestOfTheGreatestTermIsRead() throws IOException {
-        assertEquals(
-                new SharedEndpointSnapshot.Read(DIGEST, 2),
-                SharedEndpointSnapshot.read(store(BOOT)));
+        assertEquals(new PublishedSnapshot(DIGEST, 2), SharedEndpointSnapshot.read(store(BOOT)));
     }
 
     @Test
@@ -142,9 +140,7 @@
         byte[] body = EndpointSnapshotCodec.encode(DIGEST, 2);
         assertFalse(store(BOOT).publish(2, "digest", body));
         assertTrue(store(BOOT).publish(3, "digest", body));
-        assertEquals(
-                new SharedEndpointSnapshot.Read(DIGEST, 3),
-                SharedEndpointSnapshot.read(store(BOOT)));
+        assertEquals(new PublishedSnapshot(DIGEST, 3), SharedEndpointSnapshot.read(store(BOOT)));
     }
 
     @Test
@@ -157,7 +153,7 @@
 
     @Test
     void digestIsWrittenWithTheSameBytes() throws IOException {
-        LeaseStore.Value value = store(BOOT).read("digest");
+        FencedValue value = store(BOOT).read("digest");
         EndpointSnapshot digest = EndpointSnapshotCodec.decode("digest", value.body());
         assertArrayEquals(value.body(), EndpointSnapshotCodec.encode(digest, value.term()));
     }
--- a/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void endpointThatDrainsIsRememberedWithItsTime() {
-        assertEquals(6000, oneDraining.lines().get(3L).leavingSinceMillis());
+        assertEquals(6000, oneDraining.endpoints().get(3L).leavingSinceMillis());
     }
 
     @Test
@@ -25,10 +25,10 @@
         SnapshotEntry ready = SnapshotChanges.entry(1, EndpointPhase.READY);
         EndpointSnapshot snapshot =
                 oneDraining.with(new SnapshotChange(true, 9, 9000, Map.of(1L, ready)));
-        assertEquals(EndpointPhase.REMOVED, snapshot.lines().get(3L).phase());
-        assertEquals(6000, snapshot.lines().get(3L).leavingSinceMillis());
-        assertEquals(9000, snapshot.lines().get(2L).leavingSinceMillis());
-        assertEquals(EndpointPhase.READY, snapshot.lines().get(1L).phase());
+        assertEquals(EndpointPhase.REMOVED, snapshot.endpoints().get(3L).phase());
+        assertEquals(6000, snapshot.endpoints().get(3L).leavingSinceMillis());
+        assertEquals(9000, snapshot.endpoints().get(2L).leavingSinceMillis());
+        assertEquals(EndpointPhase.READY, snapshot.endpoints().get(1L).phase());
     }
 
     @Test
@@ -43,7 +43,7 @@
                     snapshot.with(
                             new SnapshotChange(false, 10 + i, 10_000 + i, Map.of(id, removed)));
         }
-        assertEquals(EndpointSnapshot.MAX_REMOVED + 1, snapshot.lines().size());
-        assertTrue(snapshot.lines().containsKey(3099L));
+        assertEquals(EndpointSnapshot.MAX_REMOVED + 1, snapshot.endpoints().size());
+        assertTrue(snapshot.endpoints().containsKey(3099L));
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
@@ -18,7 +18,8 @@
         return PersistenceSettings.read(
                 new ConfigSection(
                         "extensions.recovery",
-                        Json.document(new JsonFactory().createParser(quoted.replace('\'', '"')))));
+                        Json.parseDocument(
+                                new JsonFactory().createParser(quoted.replace('\'', '"')))));
     }
 
     @Test
--- a/sidecar/src/test/java/sagefall/persistence/PowerLossTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PowerLossTest.java
@@ -44,7 +44,7 @@
                     "revision " + found.revision() + " after " + durableRevision);
             if (found.revision() > 0) {
                 EndpointSnapshot written = snapshotsByRevision.get(found.revision());
-                assertEquals(written.lines(), found.lines());
+                assertEquals(written.endpoints(), found.endpoints());
             }
         }
     }
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
@@ -71,31 +71,31 @@
     void changesAreMergedWhileTheDiskDoesNotAnswer() throws Exception {
         CountDownLatch opened = new CountDownLatch(1);
         try (SnapshotStore store = open(() -> openAfter(opened))) {
-            assertNull(store.opened(1));
+            assertNull(store.awaitRecovered(1));
             assertEquals("ERROR persistence_unavailable reason=timeout timeout_ms=1", lines.take());
-            store.told(SnapshotChanges.complete(5));
-            store.told(SnapshotChanges.draining(6, 3));
-            store.told(SnapshotChanges.draining(7, 4));
+            store.persist(SnapshotChanges.complete(5));
+            store.persist(SnapshotChanges.draining(6, 3));
+            store.persist(SnapshotChanges.draining(7, 4));
             opened.countDown();
         }
         EndpointSnapshot snapshot = read(storage);
         assertEquals(7, snapshot.revision());
-        assertEquals(EndpointPhase.DRAINING, snapshot.lines().get(3L).phase());
-        assertEquals(EndpointPhase.DRAINING, snapshot.lines().get(4L).phase());
+        assertEquals(EndpointPhase.DRAINING, snapshot.endpoints().get(3L).phase());
+        assertEquals(EndpointPhase.DRAINING, snapshot.endpoints().get(4L).phase());
     }
 
     @Test
     void fullDiskIsLoggedOnceAndWritingResumesWhenThereIsSpace() throws Exception {
         try (SnapshotStore store = open(() -> storage)) {
-            assertEquals(1, store.opened(TIMEOUT_MILLIS).epoch());
+            assertEquals(1, store.awaitRecovered(TIMEOUT_MILLIS).epoch());
             storage.freeBytes = 10;
-            store.told(SnapshotChanges.complete(5));
+            store.persist(SnapshotChanges.complete(5));
             assertEquals(
                     "WARN persistence_write_failed reason=full"
                             + " error=\"log-1: No space left on device\"",
                     nextLine());
             storage.freeBytes = Long.MAX_VALUE;
-            store.told(SnapshotChanges.draining(6, 3));
+            store.persist(SnapshotChanges.draining(6, 3));
             assertEquals("INFO persistence_resumed", nextLine());
         }
         assertTrue(lines.isEmpty(), lines::toString);
@@ -106,13 +106,13 @@
     @Test
     void missingDirectoryIsLoggedOnceAndWritingResumesWhenItIsBack() throws Exception {
         try (SnapshotStore store = openDirectory()) {
-            assertEquals(1, store.opened(TIMEOUT_MILLIS).epoch());
-            store.told(SnapshotChanges.complete(5));
+            assertEquals(1, store.awaitRecovered(TIMEOUT_MILLIS).epoch());
+            store.persist(SnapshotChanges.complete(5));
             while (!Files.exists(directory().resolve("log-1"))) {
                 Thread.onSpinWait();
             }
             Files.move(directory(), parent.resolve("away"));
-            store.told(SnapshotChanges.draining(6, 3));
+            store.persist(SnapshotChanges.draining(6, 3));
             String failed = nextLine();
             assertTrue(
                     failed.startsWith("WARN persistence_write_failed reason=io_error error="),
@@ -127,8 +127,8 @@
     void secondProcessRunsWithoutPersistence() throws Exception {
         try (SnapshotStore first = openDirectory();
                 SnapshotStore second = openDirectory()) {
-            EndpointSnapshot recoveredFirst = first.opened(TIMEOUT_MILLIS);
-            EndpointSnapshot recoveredSecond = second.opened(TIMEOUT_MILLIS);
+            EndpointSnapshot recoveredFirst = first.awaitRecovered(TIMEOUT_MILLIS);
+            EndpointSnapshot recoveredSecond = second.awaitRecovered(TIMEOUT_MILLIS);
             assertTrue(recoveredFirst == null ^ recoveredSecond == null);
             assertEquals(
                     "ERROR persistence_unavailable reason=locked error=\""
@@ -146,7 +146,7 @@
         EndpointSnapshot snapshot = EndpointSnapshot.empty(SIDECAR).with(change);
         try (SnapshotStore store =
                 new SnapshotStore(settings(clockOffsetMillis), SIDECAR, line -> {})) {
-            assertEquals(fresh, store.fresh(snapshot));
+            assertEquals(fresh, store.isFresh(snapshot));
         }
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
@@ -146,7 +146,7 @@
             EndpointSnapshot recovered = reopen(storage);
             assertTrue(List.of(0L, 5L, 6L, 7L).contains(recovered.revision()));
             int expectedSize = recovered.revision() == 0 ? 0 : SnapshotChanges.FLEET_SIZE;
-            assertEquals(expectedSize, recovered.lines().size());
+            assertEquals(expectedSize, recovered.endpoints().size());
         }
     }
 
--- a/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
@@ -42,7 +42,7 @@
             assertTrue(JvmWarmUp.run(config, REQUESTS, 20_000) >= REQUESTS);
             new ServerSocket(config.listen().getPort()).close();
         }
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
         assertEquals(0, server.accepted.get());
         assertEquals(0, harness.discovery.accepted.get());
     }
@@ -69,7 +69,7 @@
                                 return -1;
                             }
                         });
-        try (SidecarHarness.Client client = connect(config.listen())) {
+        try (TestClient client = connect(config.listen())) {
             assertEquals(503, client.healthCheck().answer().status());
             assertEquals(502, client.search(2_000).answer().status());
             assertEquals(502, client.search(2_000).answer().status());
@@ -77,10 +77,10 @@
         assertTrue(running.join() > 0);
     }
 
-    private static SidecarHarness.Client connect(InetSocketAddress address) {
+    private static TestClient connect(InetSocketAddress address) {
         while (true) {
             try {
-                return new SidecarHarness.Client(address);
+                return new TestClient(address);
             } catch (IOException e) {
                 Thread.onSpinWait();
             }
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -32,7 +32,7 @@
     void timeRunsFromTheLastByteAndNotFromItsReading(Place place) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("first"));
         SidecarHarness harness = sidecar(server);
-        AtomicReference<SidecarHarness.Client> client = new AtomicReference<>();
+        AtomicReference<TestClient> client = new AtomicReference<>();
         if (place == Place.ON_AN_IDLE_CONNECTION) {
             client.set(harness.client().search(2_000));
             assertEquals(200, client.get().answer().status());
@@ -58,7 +58,7 @@
     void timeOfARequestThatIsReadAtOnceIsItsOwn() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("first"));
         SidecarHarness harness = sidecar(server);
-        SidecarHarness.Client client = harness.client().search(2_000);
+        TestClient client = harness.client().search(2_000);
         assertEquals(200, client.answer().status());
         server.script(ScriptedPeer.SILENT);
         client.search(2_000);
@@ -105,16 +105,16 @@
     void deadlineComesBeforeTheNextRequestOfTheSameIteration() throws Exception {
         SlowBalancer balancer = new SlowBalancer();
         SidecarHarness harness = harness().start((settings, actions) -> balancer);
-        List<SidecarHarness.Client> others = List.of(harness.client(), harness.client());
-        for (SidecarHarness.Client other : others) {
+        List<TestClient> others = List.of(harness.client(), harness.client());
+        for (TestClient other : others) {
             // Accepted, so that what it sends is read in one iteration with the other's.
             other.healthCheck().answer();
         }
-        SidecarHarness.Client client = harness.client().search(500);
+        TestClient client = harness.client().search(500);
         assertTrue(balancer.firstRequest.await(10, TimeUnit.SECONDS));
         harness.whileLoopIsStalled(
                 () -> {
-                    for (SidecarHarness.Client other : others) {
+                    for (TestClient other : others) {
                         other.search(20_000);
                     }
                 },
--- a/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
@@ -61,7 +61,7 @@
         harness.awaitLoop();
         harness.awaitLoop();
         assertFalse(started.isDone());
-        assertTrue(harness.discovery.seen.isEmpty());
+        assertTrue(harness.discovery.receivedRequests.isEmpty());
         new ServerSocket(port, 1, InetAddress.getLoopbackAddress()).close();
     }
 
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -69,9 +69,9 @@
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         harness.start((settings, actions) -> new ChainingBalancer(actions));
-        SidecarHarness.Client first = harness.client().search(5_000);
-        ScriptedPeer.Seen one = server.take();
-        SidecarHarness.Client second = harness.client().search(5_000);
+        TestClient first = harness.client().search(5_000);
+        ReceivedRequest one = server.take();
+        TestClient second = harness.client().search(5_000);
         // Rejected once the one before has been read, since the loop reads one after the other.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
         one.raw(COPY + "mine" + behind);
@@ -128,19 +128,19 @@
             })
     void requestWithAnAmbiguousEndIsRejected(String rest) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness.Client client = sidecar(server).client();
-        String head = SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 0);
+        TestClient client = sidecar(server).client();
+        String head = TestClient.head("POST", "/book/k1", 2_000, "", 0);
         client.raw(head.substring(0, head.length() - 2) + rest);
         assertEquals(400, client.answer().status());
         client.assertClosed();
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
     }
 
     /** The same for bytes that come while the request is in flight: its attempt is cancelled. */
     @Test
     void bytesBehindARequestInFlightRejectIt() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
-        SidecarHarness.Client client = sidecar(server).client().search(2_000);
+        TestClient client = sidecar(server).client().search(2_000);
         server.take();
         client.search(2_000);
         assertEquals(400, client.answer().status());
@@ -156,7 +156,7 @@
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void clientThatDoesNotCompleteItsRequestIsDisconnected(String part) throws Exception {
-        SidecarHarness.Client client = sidecar(server(ScriptedPeer.SILENT)).client().raw(part);
+        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().raw(part);
         long since = System.nanoTime();
         if (!part.isEmpty()) {
             assertEquals(408, client.answer().status());
@@ -171,8 +171,8 @@
      */
     @Test
     void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
-        SidecarHarness.Client client = sidecar(server(ScriptedPeer.SILENT)).client();
-        client.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
+        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client();
+        client.raw(TestClient.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
         byte[] some = new byte[1024 * 1024];
         for (int i = 0; i < 32; i++) {
             client.socket.getOutputStream().write(some);
@@ -187,7 +187,7 @@
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harnessOfFewSockets(server);
         harness.start();
-        for (int i = 0; i < harness.config().clientConnections() + 20; i++) {
+        for (int i = 0; i < harness.config().maxClientConnections() + 20; i++) {
             harness.client();
         }
         long since = System.nanoTime();
@@ -221,12 +221,12 @@
                             1,
                             TimeUnit.NANOSECONDS);
                 });
-        List<SidecarHarness.Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             clients.add(harness.client().healthCheck());
         }
         connected.countDown();
-        for (SidecarHarness.Client client : clients) {
+        for (TestClient client : clients) {
             assertEquals(200, client.answer().status());
         }
         assertTrue(iterations.get() < 40, iterations + " iterations");
@@ -240,18 +240,18 @@
     void idleClientsPastHalfOfTheLimitAreClosedSoon() throws Exception {
         SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok")));
         harness.start();
-        int half = harness.config().clientConnections() / 2;
-        List<SidecarHarness.Client> clients = new ArrayList<>();
+        int half = harness.config().maxClientConnections() / 2;
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < half + 5; i++) {
             clients.add(harness.client().search(5_000));
             assertEquals(200, clients.get(i).answer().status());
         }
         long since = System.nanoTime();
-        for (SidecarHarness.Client longest : clients.subList(0, 5)) {
+        for (TestClient longest : clients.subList(0, 5)) {
             longest.assertClosed();
         }
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
-        for (SidecarHarness.Client staying : clients.subList(5, clients.size())) {
+        for (TestClient staying : clients.subList(5, clients.size())) {
             assertEquals(200, staying.search(5_000).answer().status());
         }
     }
@@ -263,13 +263,11 @@
     @Test
     void clientsThatSendMuchAndDisconnectLeaveNoConnection() throws Exception {
         SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok"))).start();
-        int limit = harness.config().clientConnections();
-        SidecarHarness.Client staying = harness.client();
-        String much =
-                SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 60_000)
-                        + "x".repeat(200_000);
+        int limit = harness.config().maxClientConnections();
+        TestClient staying = harness.client();
+        String much = TestClient.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
         for (int i = 0; i < 3 * limit; i++) {
-            SidecarHarness.Client flooding = harness.client();
+            TestClient flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
             try {
                 flooding.raw(much);
@@ -313,7 +311,7 @@
                 SidecarHarness.json(
                         SidecarHarness.list(
                                 2, true, "in_service", many.toArray(new ScriptedPeer[0])));
-        assertTrue(list.length() > HttpClientConnection.MAX_BODY);
+        assertTrue(list.length() > HttpClientConnection.MAX_BODY_BYTES);
         harness.discovery.script(
                 seen -> {
                     if (seen.request().startLine().contains("from=1&")) {
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -27,10 +27,11 @@
 import sagefall.balancer.DefaultLoadBalancer;
 import sagefall.config.SidecarConfig;
 import sagefall.discovery.DiscoveryClient;
+import sagefall.discovery.DiscoveryTimeouts;
 import sagefall.discovery.EndpointList;
 import sagefall.http.HttpClientConnection;
 import sagefall.http.ProtocolHeaders;
-import sagefall.proxy.downstream.RequestParser;
+import sagefall.proxy.downstream.BadRequestException;
 import sagefall.proxy.upstream.ConnectionPool;
 
 /** Events that race: each test forces an order that must do no harm. */
@@ -81,15 +82,15 @@
                                         new DiscoveryClient(
                                                 harness.loop,
                                                 config.discovery(),
-                                                config.lists(),
+                                                config.endpointListCodec(),
                                                 1,
                                                 events,
                                                 line -> {},
-                                                new DiscoveryClient.Timeouts(400, 200)))
+                                                new DiscoveryTimeouts(400, 200)))
                         .get();
         for (int round = 0; round < 2; round++) {
             harness.loop.execute(discovery::subscribe);
-            ScriptedPeer.Seen first = harness.discovery.take();
+            ReceivedRequest first = harness.discovery.take();
             assertEquals("GET /v1/servers?from=1&hold_ms=1 HTTP/1.1", first.request().startLine());
             first.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
             assertEquals("list 1", events.next());
@@ -109,7 +110,7 @@
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
     void silenceOfDiscoveryIsOverBeforeItsListCountsAsKnown(boolean polls, long backoffMillis) {
-        DiscoveryClient.Timeouts timeouts = DiscoveryClient.Timeouts.of(polls);
+        DiscoveryTimeouts timeouts = DiscoveryTimeouts.of(polls);
         long asked = timeouts.holdMillis() + 2 * (timeouts.answerMillis() + backoffMillis);
         assertTrue(asked + ANSWER_MILLIS < 6_000, asked + " ms");
     }
@@ -176,8 +177,8 @@
         // A connection that the loop has begun by then is accepted before this one.
         harness.awaitLoop();
         harness.awaitLoop();
-        try (SidecarHarness.Client own =
-                new SidecarHarness.Client(
+        try (TestClient own =
+                new TestClient(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port()))) {
             own.raw("GET /own HTTP/1.1\r\n\r\n");
             assertEquals("GET /own HTTP/1.1", next.take().request().startLine());
@@ -191,13 +192,13 @@
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
-        assertTrue(harness.discovery.seen.isEmpty());
+        assertTrue(harness.discovery.receivedRequests.isEmpty());
     }
 
     /** Waits for the next call, which stays to be answered. */
-    private static ScriptedPeer.Seen awaitCall(ScriptedPeer discovery) throws InterruptedException {
-        ScriptedPeer.Seen call = discovery.take();
-        discovery.seen.add(call);
+    private static ReceivedRequest awaitCall(ScriptedPeer discovery) throws InterruptedException {
+        ReceivedRequest call = discovery.take();
+        discovery.receivedRequests.add(call);
         return call;
     }
 
@@ -210,8 +211,8 @@
                 .set(ProtocolHeaders.TENANT, "acme")
                 .set(ProtocolHeaders.TIMEOUT, "5000");
         try {
-            sidecar.requestHandler().take(http, (status, headers, content) -> content.release());
-        } catch (RequestParser.BadRequest e) {
+            sidecar.requestHandler().handle(http, (status, headers, content) -> content.release());
+        } catch (BadRequestException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -224,7 +225,7 @@
     void listThatCameDuringAStallGoesBeforeTheRequest() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
         ScriptedBalancer balancer = ScriptedBalancer.start(harness);
-        ScriptedPeer.Seen watch = harness.discovery.take();
+        ReceivedRequest watch = harness.discovery.take();
         harness.whileLoopIsStalled(
                 () -> watch.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
                 () -> {
@@ -243,7 +244,7 @@
         RESETS,
         ENDS_SENDING;
 
-        void by(SidecarHarness.Client client) throws IOException {
+        void by(TestClient client) throws IOException {
             if (this == ENDS_SENDING) {
                 client.socket.shutdownOutput();
                 return;
@@ -258,7 +259,7 @@
      * it goes out at once.
      */
     private static void awaitReusableConnections(SidecarHarness harness) throws Exception {
-        harness.awaitLoop(2 * ConnectionPool.SETTLE_MICROS);
+        harness.awaitLoop(2 * ConnectionPool.REUSE_DELAY_MICROS);
     }
 
     /** Before, a request was forwarded whose bytes came with the end of the connection. */
@@ -280,7 +281,7 @@
         assertEquals("ok", harness.client().book("stays", 5_000).answer().body());
         assertEquals(
                 List.of("warm", "stays"),
-                server.seen.stream().map(seen -> seen.request().body()).toList());
+                server.receivedRequests.stream().map(seen -> seen.request().body()).toList());
     }
 
     /** The same for one that waits for an attempt while the loop is slow. */
@@ -291,7 +292,7 @@
         PendingRequest pending = new PendingRequest("'cancelling':true", 1);
         pending.harness.whileLoopIsStalled(() -> leaving.by(pending.client), pending::sendAttempt);
         assertEquals("NOT_SENT", pending.balancer.nextEventButLists());
-        assertTrue(pending.server.seen.isEmpty());
+        assertTrue(pending.server.receivedRequests.isEmpty());
     }
 
     /** Between two attempts too, also where attempts may not be cancelled. */
@@ -300,7 +301,7 @@
     void furtherAttemptIsNotStartedForAClientThatHasLeft(Leaving leaving) throws Exception {
         PendingRequest pending = new PendingRequest("'cancelling':false", 2);
         pending.harness.loop.execute(pending::sendAttempt);
-        ScriptedPeer.Seen first = pending.server.take();
+        ReceivedRequest first = pending.server.take();
         pending.harness.whileLoopIsStalled(
                 () -> {
                     first.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
@@ -310,7 +311,7 @@
         String earlier = pending.balancer.nextEventButLists();
         String later = pending.balancer.nextEventButLists();
         assertEquals(Set.of("REJECTED", "NOT_SENT"), Set.of(earlier, later));
-        assertTrue(pending.server.seen.isEmpty());
+        assertTrue(pending.server.receivedRequests.isEmpty());
     }
 
     /**
@@ -321,7 +322,7 @@
         private final ScriptedPeer server = server(ScriptedPeer.SILENT);
         private final SidecarHarness harness = harness(server).withPushedEndpoints();
         private final ScriptedBalancer balancer;
-        private final SidecarHarness.Client client;
+        private final TestClient client;
         private final String id;
 
         /**
@@ -337,8 +338,8 @@
         }
 
         private void openConnections(int count) throws Exception {
-            List<SidecarHarness.Client> clients = new ArrayList<>();
-            List<ScriptedPeer.Seen> requests = new ArrayList<>();
+            List<TestClient> clients = new ArrayList<>();
+            List<ReceivedRequest> requests = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 clients.add(harness.client().book("warm", 20_000));
                 String warmId = balancer.nextEventButLists();
@@ -363,7 +364,7 @@
 
     /** Without a length the end of the server's sending is that of the answer (RFC 9112, 6.3). */
     @ParameterizedTest
-    @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY})
+    @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY_BYTES})
     void answerWithoutALengthEndsWithTheConnection(int length) throws Exception {
         String body = "x".repeat(length);
         ScriptedPeer server =
@@ -382,9 +383,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY})
+    @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY_BYTES})
     void resetDoesNotEndAnAnswer(int length) throws Exception {
-        BlockingQueue<ScriptedPeer.Seen> written = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> written = new LinkedBlockingQueue<>();
         ScriptedPeer server =
                 server(
                         seen -> {
@@ -392,14 +393,14 @@
                             written.add(seen);
                         });
         SidecarHarness harness = harness(server).start();
-        SidecarHarness.Client client = harness.client().book("x", 5_000);
-        ScriptedPeer.Seen seen = written.poll(10, TimeUnit.SECONDS);
+        TestClient client = harness.client().book("x", 5_000);
+        ReceivedRequest seen = written.poll(10, TimeUnit.SECONDS);
         // What was written is read in this iteration or an earlier one, so before the reset.
         harness.awaitLoop();
         seen.socket().setSoLinger(true, 0);
         seen.socket().close();
         assertEquals(502, client.answer().status());
-        assertEquals(1, server.seen.size());
+        assertEquals(1, server.receivedRequests.size());
     }
 
     @Test
@@ -409,7 +410,7 @@
                         seen -> {
                             seen.raw(
                                     "HTTP/1.1 200 OK\r\n\r\n"
-                                            + "x".repeat(HttpClientConnection.MAX_BODY + 1));
+                                            + "x".repeat(HttpClientConnection.MAX_BODY_BYTES + 1));
                             seen.socket().close();
                         });
         assertEquals(502, harness(server).start().client().book("x", 5_000).answer().status());
@@ -425,7 +426,7 @@
     void idleClientIsHalfClosedAndNotReset() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
-        SidecarHarness.Client client = harness.client();
+        TestClient client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         server.take();
         CountDownLatch ended = harness.stop();
@@ -435,7 +436,7 @@
         client.assertClosed();
         client.socket.shutdownOutput();
         assertTrue(ended.await(10, TimeUnit.SECONDS));
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
     }
 
     /**
@@ -471,7 +472,7 @@
     void requestThatHasComeBeforeTheEndIsAnswered() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
-        SidecarHarness.Client client = harness.client();
+        TestClient client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         CountDownLatch ended = stopAndRace(harness, () -> client.search(5_000));
         HttpMessages.Message answer = client.answer();
@@ -487,10 +488,10 @@
     void partOfARequestKeepsItsConnectionOpen() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
-        SidecarHarness.Client idle = harness.client();
+        TestClient idle = harness.client();
         assertEquals("ok", idle.search(5_000).answer().body());
-        String request = SidecarHarness.Client.head("GET", "/search/k", 5_000, "", 0);
-        SidecarHarness.Client client = harness.client();
+        String request = TestClient.head("GET", "/search/k", 5_000, "", 0);
+        TestClient client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         client.raw(request.substring(0, 40));
         harness.stop();
@@ -504,7 +505,7 @@
     void connectionNotYetAcceptedAtTheStopIsAnswered() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
-        BlockingQueue<SidecarHarness.Client> late = new LinkedBlockingQueue<>();
+        BlockingQueue<TestClient> late = new LinkedBlockingQueue<>();
         CountDownLatch ended =
                 stopAndRace(
                         harness,
@@ -514,7 +515,7 @@
                             }
                         });
         for (int i = 0; i < 5; i++) {
-            try (SidecarHarness.Client client = late.poll(10, TimeUnit.SECONDS)) {
+            try (TestClient client = late.poll(10, TimeUnit.SECONDS)) {
                 assertEquals("ok", client.answer().body());
             }
         }
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
@@ -2,11 +2,9 @@
 
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.ConcurrentHashMap;
@@ -25,39 +23,10 @@
     private static final int BACKLOG = 50;
     private static final long AWAIT_SECONDS = 10;
 
-    /** A request as it came, and the connection that it came on. */
-    public record Seen(HttpMessages.Message request, Socket socket) {
-        /**
-         * Answers it.
-         *
-         * @param status code and reason
-         * @param headers further lines of the head, each with its end
-         * @param body one byte a character
-         */
-        public void reply(String status, String headers, String body) throws IOException {
-            raw(
-                    "HTTP/1.1 "
-                            + status
-                            + "\r\n"
-                            + headers
-                            + "Content-Length: "
-                            + body.length()
-                            + "\r\n\r\n"
-                            + body);
-        }
-
-        /** Writes bytes, one for each character. */
-        void raw(String text) throws IOException {
-            OutputStream out = socket.getOutputStream();
-            out.write(text.getBytes(StandardCharsets.ISO_8859_1));
-            out.flush();
-        }
-    }
-
     /** What the peer does with one request. */
     public interface Script {
         /** Runs on the thread that reads the connection; an exception ends the connection. */
-        void on(Seen seen) throws IOException;
+        void on(ReceivedRequest seen) throws IOException;
     }
 
     /** Leaves each request to the test. */
@@ -67,7 +36,7 @@
     public static final Script HANG_UP = seen -> seen.socket().close();
 
     /** The requests that have come and that no test has taken. */
-    public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    public final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
 
     /** How many connections have come up. */
     public final AtomicInteger accepted = new AtomicInteger();
@@ -85,7 +54,7 @@
         accepting = startDaemon(this::accept);
     }
 
-    /** Answers each request in the same way, as {@link Seen#reply} does. */
+    /** Answers each request in the same way, as {@link ReceivedRequest#reply} does. */
     public static Script answers(String status, String headers, String body) {
         return seen -> seen.reply(status, headers, body);
     }
@@ -106,8 +75,8 @@
     }
 
     /** Waits for the next request that no test has taken yet. */
-    public Seen take() throws InterruptedException {
-        Seen next = seen.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
+    public ReceivedRequest take() throws InterruptedException {
+        ReceivedRequest next = receivedRequests.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
         Assertions.assertNotNull(next, "no request came");
         return next;
     }
@@ -143,10 +112,10 @@
             InputStream in = socket.getInputStream();
             HttpMessages.Message message = HttpMessages.read(in);
             while (message != null) {
-                Seen next = new Seen(message, socket);
+                ReceivedRequest next = new ReceivedRequest(message, socket);
                 // Whoever takes this request may change the script for the next one.
                 Script current = script;
-                seen.add(next);
+                receivedRequests.add(next);
                 current.on(next);
                 message = HttpMessages.read(in);
             }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -5,10 +5,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -20,7 +17,6 @@
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.Assertions;
 import sagefall.balancer.DefaultLoadBalancer;
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.api.BalancerSettings;
@@ -70,7 +66,7 @@
 
     final LoopLatencyClock latencyClock = new LoopLatencyClock();
     private final MultiThreadIoEventLoopGroup group = latencyClock.group();
-    private final List<Client> clients = new ArrayList<>();
+    private final List<TestClient> clients = new ArrayList<>();
 
     /** What the sidecar has logged. */
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -245,7 +241,7 @@
     /** The same, by another discovery. */
     static void publishEndpoints(ScriptedPeer discovery, int revision, String quotedList)
             throws InterruptedException {
-        ScriptedPeer.Seen call = discovery.take();
+        ReceivedRequest call = discovery.take();
         while (!call.request().startLine().contains("from=" + revision + "&")) {
             try {
                 call.reply("200 OK", "", json(quotedList));
@@ -302,8 +298,8 @@
     }
 
     /** A new client's connection, which is closed with the harness. */
-    Client client() throws IOException {
-        Client client = new Client(address);
+    TestClient client() throws IOException {
+        TestClient client = new TestClient(address);
         clients.add(client);
         return client;
     }
@@ -317,90 +313,10 @@
 
     @Override
     public void close() throws IOException {
-        for (Client client : clients) {
+        for (TestClient client : clients) {
             client.close();
         }
         discovery.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5, TimeUnit.SECONDS);
     }
-
-    /** A client's connection. */
-    public static final class Client implements AutoCloseable {
-        private static final int READ_TIMEOUT_MILLIS = 10_000;
-
-        private static int ids;
-
-        final Socket socket;
-
-        /** Connects to a sidecar. */
-        Client(InetSocketAddress address) throws IOException {
-            socket = new Socket(InetAddress.getLoopbackAddress(), address.getPort());
-            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
-        }
-
-        /** An id that no other request of the process has, 16 characters long. */
-        public static synchronized String id() {
-            return String.format("%016x", ++ids);
-        }
-
-        /**
-         * A request up to its body.
-         *
-         * @param headers further lines of the head, each with its end
-         * @param length of the body; no header says it where it is 0
-         */
-        static String head(
-                String method, String path, long timeoutMillis, String headers, int length) {
-            return method
-                    + " "
-                    + path
-                    + " HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: "
-                    + id()
-                    + "\r\nTenant: acme\r\nRequest-Timeout-Ms: "
-                    + timeoutMillis
-                    + "\r\n"
-                    + headers
-                    + (length > 0 ? "Content-Length: " + length + "\r\n" : "")
-                    + "\r\n";
-        }
-
-        /** Writes bytes, one for each character. */
-        Client raw(String text) throws IOException {
-            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            socket.getOutputStream().flush();
-            return this;
-        }
-
-        /** Sends an idempotent request without a body. */
-        Client search(long timeoutMillis) throws IOException {
-            return raw(head("GET", "/search/k1", timeoutMillis, "", 0));
-        }
-
-        /** Sends a request that is not idempotent. */
-        Client book(String body, long timeoutMillis) throws IOException {
-            return raw(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
-        }
-
-        /** Asks for the sidecar's health. */
-        Client healthCheck() throws IOException {
-            return raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-        }
-
-        /** Waits for the next answer; fails where the connection ends without one. */
-        HttpMessages.Message answer() throws IOException {
-            HttpMessages.Message answer = HttpMessages.read(socket.getInputStream());
-            Assertions.assertNotNull(answer, "closed without an answer");
-            return answer;
-        }
-
-        /** Waits for the end of the connection, before which nothing more may come. */
-        void assertClosed() throws IOException {
-            Assertions.assertEquals(-1, socket.getInputStream().read(), "more than one answer");
-        }
-
-        @Override
-        public void close() throws IOException {
-            socket.close();
-        }
-    }
 }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -30,9 +30,9 @@
     void terminationAnswersRequestsInFlightAndExitsWithZero(String signals) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarProgram program = opened(new SidecarProgram(harness(server)).start());
-        SidecarHarness.Client client = opened(program.connect());
+        TestClient client = opened(program.connect());
         client.book("x", 20_000);
-        ScriptedPeer.Seen inFlight = server.take();
+        ReceivedRequest inFlight = server.take();
         program.signal(signals.split(" "));
         assertTrue(program.runsFor(600), "ended with a request in flight");
         inFlight.reply("200 OK", "", "done");
@@ -89,7 +89,7 @@
         String[] limits = limitsOfRun();
         assertTrue(limits.length >= 3, String.join(" ", limits));
         SidecarProgram program = opened(new SidecarProgram(harness, limits).start());
-        SidecarHarness.Client client = opened(program.connect());
+        TestClient client = opened(program.connect());
         String list = listOf1024(zone, server.port());
         assertTrue(list.length() > 1024 * 1024, list.length() + " bytes");
         harness.publishEndpoints(2, list);
@@ -134,16 +134,16 @@
                 opened(new SidecarProgram(harness).withDescriptors(256 + 64).start());
         program.connect().close();
         for (int round = 0; round < 3; round++) {
-            List<SidecarHarness.Client> idle = new ArrayList<>();
+            List<TestClient> idle = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
-                idle.add(opened(new SidecarHarness.Client(program.address)));
+                idle.add(opened(new TestClient(program.address)));
             }
             // Its place is given to one that came later.
             idle.get(0).assertClosed();
         }
         harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
         for (int i = 0; i < 20; i++) {
-            try (SidecarHarness.Client client = new SidecarHarness.Client(program.address)) {
+            try (TestClient client = new TestClient(program.address)) {
                 assertEquals("staying", client.search(5_000).answer().body());
             }
         }
@@ -161,7 +161,7 @@
         String oldDiscovery = "127.0.0.1:" + harness.discovery.port();
         SidecarProgram program = opened(new SidecarProgram(harness));
         program.withEnvironment("LB_DISCOVERY", oldDiscovery).start();
-        SidecarHarness.Client client = opened(program.connect());
+        TestClient client = opened(program.connect());
         harness.discovery.take();
         String text = Files.readString(harness.configFile);
         Files.writeString(harness.configFile, text.substring(0, text.length() / 2));
@@ -170,12 +170,12 @@
         Files.writeString(
                 harness.configFile, text.replace(oldDiscovery, "127.0.0.1:" + next.port()));
         program.signal("HUP");
-        ScriptedPeer.Seen call = next.take();
+        ReceivedRequest call = next.take();
         assertEquals("GET /v1/servers HTTP/1.1", call.request().startLine());
         harness.discovery.awaitEnd();
         // Until the new one has answered, the old list is used.
         assertEquals(200, client.search(2_000).answer().status());
-        next.seen.add(call);
+        next.receivedRequests.add(call);
         SidecarHarness.publishEndpoints(
                 next, 7, SidecarHarness.list(7, true, "terminating", server));
         assertEquals(503, client.search(2_000).answer().status());
@@ -256,15 +256,15 @@
         assertEquals(413, statusOfUpload(harness, 70_001));
         harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
         harness.reload();
-        SidecarHarness.Client accepted = harness.client();
-        accepted.raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", 70_001))
+        TestClient accepted = harness.client();
+        accepted.raw(TestClient.head("POST", "/book/k1", 2_000, "", 70_001))
                 .raw("x".repeat(70_001));
         assertEquals(70_001, server.take().request().body().length());
     }
 
     private static int statusOfUpload(SidecarHarness harness, int length) throws Exception {
         return harness.client()
-                .raw(SidecarHarness.Client.head("POST", "/book/k1", 2_000, "", length))
+                .raw(TestClient.head("POST", "/book/k1", 2_000, "", length))
                 .answer()
                 .status();
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
@@ -78,10 +78,10 @@
     }
 
     /** Connects a client once the program says that it is ready. */
-    SidecarHarness.Client connect() throws InterruptedException {
+    TestClient connect() throws InterruptedException {
         while (true) {
             try {
-                SidecarHarness.Client client = new SidecarHarness.Client(address);
+                TestClient client = new TestClient(address);
                 if (client.healthCheck().answer().status() == 200) {
                     return client;
                 }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -23,6 +23,7 @@
 import sagefall.config.SidecarConfig;
 import sagefall.config.SocketAddresses;
 import sagefall.discovery.DiscoveryClient;
+import sagefall.discovery.DiscoveryTimeouts;
 import sagefall.discovery.EndpointList;
 import sagefall.proxy.upstream.ConnectionPool;
 
@@ -53,9 +54,7 @@
     @Test
     void idempotencyKeyIsForwarded() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        String head =
-                SidecarHarness.Client.head(
-                        "POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
+        String head = TestClient.head("POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
         assertEquals(200, sidecar(server).client().raw(head + "{}").answer().status());
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
@@ -98,7 +97,7 @@
         ScriptedPeer two = server(script);
         HttpMessages.Message answer = sidecar(one, two).client().book("x", 1_000).answer();
         assertEquals(502, answer.status());
-        assertEquals(1, one.seen.size() + two.seen.size());
+        assertEquals(1, one.receivedRequests.size() + two.receivedRequests.size());
     }
 
     @Test
@@ -148,7 +147,7 @@
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertEquals(504, answer.status());
         assertTrue(millis < 2_000, "answered after " + millis + " ms");
-        assertEquals(1, server.seen.size());
+        assertEquals(1, server.receivedRequests.size());
         server.awaitEnd();
     }
 
@@ -167,9 +166,9 @@
                             seen.reply("200 OK", "", seen.request().headers().get("Request-Id"));
                         });
         SidecarHarness harness = sidecar(server);
-        SidecarHarness.Client client = harness.client();
+        TestClient client = harness.client();
         for (int i = 0; i < 30; i++) {
-            String head = SidecarHarness.Client.head("GET", "/search/k", 100, "", 0);
+            String head = TestClient.head("GET", "/search/k", 100, "", 0);
             String id = head.replaceAll("(?s).*Request-Id: (\\w+).*", "$1");
             HttpMessages.Message answer = client.raw(head).answer();
             if (answer.status() == 200) {
@@ -186,10 +185,11 @@
     @Test
     void connectionIsReused() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness.Client client = sidecar(server).client();
+        TestClient client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client.search(2_000).answer().status());
-            LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(2 * ConnectionPool.SETTLE_MICROS));
+            LockSupport.parkNanos(
+                    TimeUnit.MICROSECONDS.toNanos(2 * ConnectionPool.REUSE_DELAY_MICROS));
         }
         assertEquals(1, server.accepted.get());
     }
@@ -201,7 +201,7 @@
     @Test
     void idleConnectionThatEndedIsNotUsed() throws Exception {
         ScriptedPeer server = server(seen -> seen.reply("200 OK", "", "ok"));
-        SidecarHarness.Client client = sidecar(server).client();
+        TestClient client = sidecar(server).client();
         assertEquals(200, client.book("x", 2_000).answer().status());
         server.take().socket().close();
         server.awaitEnd();
@@ -213,7 +213,7 @@
     void clientThatLeavesEndsItsAttempt() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
-        SidecarHarness.Client client = harness.client().book("x", 30_000);
+        TestClient client = harness.client().book("x", 30_000);
         Socket carrying = server.take().socket();
         client.close();
         server.awaitEnd();
@@ -243,7 +243,7 @@
     void badRequestReachesNoServer(String text, int status) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = sidecar(server);
-        SidecarHarness.Client client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
+        TestClient client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
         assertEquals(status, client.answer().status());
         client.assertClosed();
         assertEquals(0, server.accepted.get());
@@ -254,7 +254,7 @@
     void requestIdInFlightIsRejected() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
-        String head = SidecarHarness.Client.head("GET", "/search/k", 5_000, "", 0);
+        String head = TestClient.head("GET", "/search/k", 5_000, "", 0);
         harness.client().raw(head);
         server.take();
         assertEquals(400, harness.client().raw(head).answer().status());
@@ -292,7 +292,7 @@
                                 actions.reject(request.id(), 0, RejectionReason.ADMISSION);
                             }
                         });
-        SidecarHarness.Client client = harness.client();
+        TestClient client = harness.client();
         assertEquals(500, client.search(2_000).answer().status());
         assertEquals(503, client.search(2_000).answer().status());
         String log = harness.log.toString(UTF_8);
@@ -336,11 +336,11 @@
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harnessOfFewSockets(server);
         harness.start();
-        SidecarHarness.Client first = harness.client();
+        TestClient first = harness.client();
         assertEquals(200, first.search(5_000).answer().status());
         // Idle ones that came a moment ago are left alone, so that their first request can arrive.
         Thread.sleep(150);
-        for (int i = 0; i < harness.config().clientConnections(); i++) {
+        for (int i = 0; i < harness.config().maxClientConnections(); i++) {
             assertEquals(200, harness.client().search(5_000).answer().status());
         }
         first.assertClosed();
@@ -382,8 +382,8 @@
                         }
                     };
                 });
-        int limit = harness.config().clientConnections();
-        List<SidecarHarness.Client> clients = new ArrayList<>();
+        int limit = harness.config().maxClientConnections();
+        List<TestClient> clients = new ArrayList<>();
         String first = null;
         for (int i = 0; i < limit; i++) {
             clients.add(harness.client().search(30_000));
@@ -413,7 +413,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
-        assertEquals(0, leaving.seen.size());
+        assertEquals(0, leaving.receivedRequests.size());
     }
 
     @Test
@@ -436,10 +436,10 @@
         harness.discovery.take().socket().close();
         harness.discovery.take().reply("503 Busy", "", "");
         harness.discovery.take().reply("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
-        ScriptedPeer.Seen retry = harness.discovery.take();
+        ReceivedRequest retry = harness.discovery.take();
         assertTrue(retry.request().startLine().contains("from=1&"), retry.request().startLine());
         assertEquals("old", harness.client().search(2_000).answer().body());
-        harness.discovery.seen.add(retry);
+        harness.discovery.receivedRequests.add(retry);
         harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", fresh));
         assertEquals("fresh", harness.client().search(2_000).answer().body());
     }
@@ -466,11 +466,11 @@
                         new DiscoveryClient(
                                         harness.loop,
                                         address,
-                                        config.lists(),
+                                        config.endpointListCodec(),
                                         1,
                                         listener,
                                         line -> {},
-                                        new DiscoveryClient.Timeouts(50, 50))
+                                        new DiscoveryTimeouts(50, 50))
                                 .subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
         silent.awaitEnd();
@@ -482,11 +482,11 @@
     void requestsInFlightAreAnsweredDuringShutdown() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
-        SidecarHarness.Client busy = harness.client().book("x", 30_000);
-        SidecarHarness.Client idle = harness.client();
-        ScriptedPeer.Seen inFlight = server.take();
+        TestClient busy = harness.client().book("x", 30_000);
+        TestClient idle = harness.client();
+        ReceivedRequest inFlight = server.take();
         var stopped = harness.stop();
-        SidecarHarness.Client late = harness.client();
+        TestClient late = harness.client();
         late.healthCheck();
         assertEquals(503, late.answer().status());
         server.script(ScriptedPeer.serves("late"));
--- a/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
@@ -62,10 +62,10 @@
         harness.client().search(20_000);
         server.take();
         harness.awaitLoop(200_000);
-        SidecarHarness.Client other = harness.client().search(20_000);
-        ScriptedPeer.Seen answering = server.take();
+        TestClient other = harness.client().search(20_000);
+        ReceivedRequest answering = server.take();
         harness.awaitLoop(400_000);
-        SidecarHarness.Client next = harness.client().search(20_000);
+        TestClient next = harness.client().search(20_000);
         // Read by now, since the loop reads the connections one after the other.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
         answering.reply("200 OK", "", "other");
--- a/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -39,7 +39,7 @@
         assertEquals("second", new String(client.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), client.trailers());
         // A second answer on both connections, of a known length.
-        TimeUnit.MICROSECONDS.sleep(ConnectionPool.SETTLE_MICROS);
+        TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
         client.raw(exportRequest(2_000));
         to.head();
         to.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
@@ -58,7 +58,7 @@
         client.head();
         assertEquals("a", new String(client.chunk(), UTF_8));
         try (RawConnection other = connect()) {
-            other.raw(SidecarHarness.Client.head("GET", "/search/k1", 400, "", 0));
+            other.raw(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
         }
@@ -195,7 +195,7 @@
             throws Exception {
         start("");
         client.raw(
-                SidecarHarness.Client.head(
+                TestClient.head(
                         requestClass.equals("book") ? "POST" : "GET",
                         "/" + requestClass + "/k1",
                         600,
@@ -258,8 +258,8 @@
                                         .endpointUpdates()
                                         .listed(
                                                 harness.config()
-                                                        .lists()
-                                                        .read(list.getBytes(UTF_8)));
+                                                        .endpointListCodec()
+                                                        .parse(list.getBytes(UTF_8)));
                                 return null;
                             })
                     .get();
--- a/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
@@ -37,7 +37,7 @@
         client.head();
         assertEquals("ok", client.text(2));
         // Small ones are still sent complete, on the same connections.
-        TimeUnit.MICROSECONDS.sleep(ConnectionPool.SETTLE_MICROS);
+        TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
         client.raw(append("Content-Length: 3") + "abc");
         assertEquals("3", to.head().header("Content-Length"));
         assertEquals("abc", to.text(3));
@@ -67,7 +67,7 @@
         RawConnection to = acceptRequest();
         to.chunk();
         try (RawConnection other = connect()) {
-            other.raw(SidecarHarness.Client.head("GET", "/search/k1", 400, "", 0));
+            other.raw(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
         }
--- a/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
@@ -84,7 +84,7 @@
 
     /** A request of the class whose answers are streamed. */
     static String exportRequest(long timeoutMillis) {
-        return SidecarHarness.Client.head("GET", "/export/k1", timeoutMillis, "", 0);
+        return TestClient.head("GET", "/export/k1", timeoutMillis, "", 0);
     }
 
     /** Sends a request whose answer is streamed; the server's connection, the request read. */
@@ -110,7 +110,7 @@
 
     /** The head of a request of the class whose uploads are streamed. */
     static String append(String framing) {
-        return SidecarHarness.Client.head("POST", "/append/k1", 2_000, framing + "\r\n", 0);
+        return TestClient.head("POST", "/append/k1", 2_000, framing + "\r\n", 0);
     }
 
     /** Sends the first five of 100 000 bytes; the server's connection, these bytes read. */
--- a/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -30,9 +30,11 @@
 import sagefall.discovery.StableIds;
 import sagefall.proxy.ForwardedAttempt;
 import sagefall.proxy.ProxiedRequest;
+import sagefall.proxy.ReceivedRequest;
 import sagefall.proxy.ScriptedPeer;
 import sagefall.proxy.SidecarHarness;
 import sagefall.proxy.SocketTest;
+import sagefall.proxy.TestClient;
 import sagefall.proxy.WallClock;
 
 /** The pool alone: what the balancer's own limits would keep a complete sidecar from reaching. */
@@ -72,7 +74,8 @@
                 .submit(
                         () -> {
                             pool.update(
-                                    config.lists().read(SidecarHarness.json(list).getBytes(UTF_8)));
+                                    config.endpointListCodec()
+                                            .parse(SidecarHarness.json(list).getBytes(UTF_8)));
                             return null;
                         })
                 .get();
@@ -80,8 +83,7 @@
 
     private ForwardedAttempt send(int port) throws Exception {
         long now = clock.micros();
-        Request request =
-                new Request(SidecarHarness.Client.id(), 0, 0, false, -1, now + 60_000_000, false);
+        Request request = new Request(TestClient.id(), 0, 0, false, -1, now + 60_000_000, false);
         ProxiedRequest call =
                 new ProxiedRequest(
                         request,
@@ -95,7 +97,7 @@
         ForwardedAttempt attempt =
                 new ForwardedAttempt(
                         call, StableIds.of("s-" + port), now, request.deadlineMicros());
-        harness.loop.submit(() -> pool.start(attempt)).get();
+        harness.loop.submit(() -> pool.send(attempt)).get();
         return attempt;
     }
 
@@ -107,14 +109,14 @@
 
     /** Waits until connections that have just brought a response may be reused. */
     private void settle() throws InterruptedException {
-        assertNull(results.poll(2 * ConnectionPool.SETTLE_MICROS, TimeUnit.MICROSECONDS));
+        assertNull(results.poll(2 * ConnectionPool.REUSE_DELAY_MICROS, TimeUnit.MICROSECONDS));
     }
 
     @Test
     void attemptBeyondTheConnectionLimitIsNotSent() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(128, server);
-        int bound = harness.config().serverConnections();
+        int bound = harness.config().maxEndpointConnections();
         for (int i = 0; i < bound; i++) {
             send(server.port());
             server.take();
@@ -131,7 +133,7 @@
         start(128, first, second);
         send(first.port());
         assertEquals(AttemptResult.SERVED, result());
-        for (int i = 0; i < harness.config().serverConnections(); i++) {
+        for (int i = 0; i < harness.config().maxEndpointConnections(); i++) {
             send(second.port());
             second.take();
         }
@@ -172,9 +174,9 @@
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(1024, server);
         send(server.port());
-        ScriptedPeer.Seen first = server.take();
+        ReceivedRequest first = server.take();
         send(server.port());
-        ScriptedPeer.Seen second = server.take();
+        ReceivedRequest second = server.take();
         second.reply("200 OK", "", "");
         assertEquals(AttemptResult.SERVED, result());
         first.reply("200 OK", "", "");
@@ -260,8 +262,8 @@
         ForwardedAttempt attempt = send(backlog.socket.getLocalPort());
         switch (meanwhile) {
             case ENDPOINT_DRAINS -> update(listOf(2, "terminating", backlog));
-            case SEND_WINDOW_ENDS -> attempt.latestAt = clock.micros();
-            default -> attempt.call.over = true;
+            case SEND_WINDOW_ENDS -> attempt.latestStartMicros = clock.micros();
+            default -> attempt.request.finished = true;
         }
         Socket up = backlog.acceptNext();
         assertEquals(AttemptResult.NOT_SENT, result());
@@ -276,12 +278,12 @@
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(1024, server);
         send(server.port());
-        ScriptedPeer.Seen begun = server.take();
+        ReceivedRequest begun = server.take();
         update(SidecarHarness.list(2, true, "terminating", server));
         send(server.port());
         assertEquals(AttemptResult.NOT_SENT, result());
         begun.reply("200 OK", "", "ok");
         assertEquals(AttemptResult.SERVED, result());
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
     }
 }
--- a/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
@@ -26,21 +26,21 @@
 
     @Test
     void sourceIsPausedAtTheHighWatermarkAndResumedAtTheLowOne() {
-        flow.brought(999);
+        flow.bytesReceived(999);
         assertEquals(List.of(), reads);
-        flow.brought(1);
+        flow.bytesReceived(1);
         assertEquals(List.of(false), reads);
-        flow.taken(599);
+        flow.bytesWritten(599);
         assertEquals(List.of(false), reads);
-        flow.taken(1);
+        flow.bytesWritten(1);
         assertEquals(List.of(false, true), reads);
     }
 
     @Test
     void sourceWithoutSinkIsNotReadThoughLittleIsPending() {
         flow.pauseWithoutSink();
-        flow.brought(2000);
-        flow.taken(2000);
+        flow.bytesReceived(2000);
+        flow.bytesWritten(2000);
         assertEquals(List.of(false), reads);
         flow.resumeWithSink();
         assertEquals(List.of(false, true), reads);
@@ -48,10 +48,10 @@
 
     @Test
     void finishedSourceIsNeitherPausedNorStalled() {
-        flow.finished();
-        flow.brought(2000);
+        flow.sourceFinished();
+        flow.bytesReceived(2000);
         assertEquals(List.of(), reads);
-        assertFalse(flow.bringsNothing());
+        assertFalse(flow.isSourceStalled());
     }
 
     /**
@@ -66,16 +66,16 @@
         for (int i = 0; i < 100_000; i++) {
             if (reading && random.nextBoolean()) {
                 int part = 1 + random.nextInt(300);
-                flow.brought(part);
+                flow.bytesReceived(part);
                 pending += part;
             } else if (pending > 0) {
                 int part = 1 + random.nextInt((int) pending);
-                flow.taken(part);
+                flow.bytesWritten(part);
                 pending -= part;
             }
             reading = reads.isEmpty() || reads.get(reads.size() - 1);
-            assertEquals(pending, accounting.held());
-            assertTrue(pending < 1300 && accounting.most() < 1300);
+            assertEquals(pending, accounting.reservedBytes());
+            assertTrue(pending < 1300 && accounting.peakBytes() < 1300);
             assertTrue(reading || pending > 400, "not read though little is pending");
         }
     }
@@ -84,11 +84,11 @@
     @Test
     void smallPartIsCopiedOutOfALargeRead() {
         ByteBuf read = Unpooled.buffer(16_384).writeZero(16_384);
-        ByteBuf small = FlowControl.tight(read.retainedSlice(0, 3));
+        ByteBuf small = FlowControl.compact(read.retainedSlice(0, 3));
         assertEquals(3, small.readableBytes());
         assertEquals(1, read.refCnt());
         ByteBuf large = read.retainedSlice(0, 10_000);
-        assertSame(large, FlowControl.tight(large));
+        assertSame(large, FlowControl.compact(large));
         assertNotSame(small, large);
         large.release();
         small.release();
