--- a/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
@@ -34,10 +34,10 @@
             new StreamedUpload(SETTINGS, accounting, MAX_BYTES, reads::add);
 
     StreamedUploadTest() {
-        upload.listen(
+        upload.setListener(
                 new StreamedUpload.Listener() {
                     @Override
-                    public void whole() {
+                    public void uploadComplete() {
                         events.add("complete");
                     }
 
@@ -50,7 +50,7 @@
 
     private boolean receive(String text) {
         ByteBuf part = Unpooled.copiedBuffer(text, UTF_8);
-        boolean accepted = upload.part(part);
+        boolean accepted = upload.receive(part);
         upload.flush();
         return accepted;
     }
@@ -103,14 +103,14 @@
     void replayIsLostOnceMoreThanTheLimitIsForwarded() {
         receive("0123456789");
         assertEquals(List.of(), events);
-        assertEquals(10, accounting.held());
+        assertEquals(10, accounting.reservedBytes());
         EmbeddedChannel server = new EmbeddedChannel();
         attach(server);
         assertEquals(List.of("replay lost"), events);
         receive("abc");
         assertEquals("0123456789abc", received(server));
         assertEquals(List.of("replay lost"), events);
-        assertEquals(0, accounting.held());
+        assertEquals(0, accounting.reservedBytes());
     }
 
     @Test
@@ -123,13 +123,13 @@
     void partsAreReleasedAfterTheClose() {
         receive("abc");
         upload.close();
-        assertEquals(0, accounting.held());
+        assertEquals(0, accounting.reservedBytes());
         ByteBuf part = Unpooled.copiedBuffer("def", UTF_8);
-        assertTrue(upload.part(part));
+        assertTrue(upload.receive(part));
         assertEquals(0, part.refCnt());
-        assertEquals(0, accounting.held());
+        assertEquals(0, accounting.reservedBytes());
         upload.end(EmptyHttpHeaders.INSTANCE);
-        assertFalse(upload.whole());
+        assertFalse(upload.isComplete());
         assertEquals(List.of(), events);
     }
 
@@ -137,7 +137,7 @@
     void uploadStaysCompleteAfterTheClose() {
         upload.end(EmptyHttpHeaders.INSTANCE);
         upload.close();
-        assertTrue(upload.whole());
+        assertTrue(upload.isComplete());
     }
 
     @Test
@@ -146,11 +146,11 @@
         attach(server);
         server.close();
         ByteBuf part = Unpooled.copiedBuffer("abc", UTF_8);
-        upload.part(part);
+        upload.receive(part);
         upload.end(EmptyHttpHeaders.INSTANCE);
         server.runPendingTasks();
         assertEquals(0, part.refCnt());
-        assertEquals("abc".length(), accounting.held());
+        assertEquals("abc".length(), accounting.reservedBytes());
         assertEquals(List.of("complete"), events);
     }
 
--- a/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
@@ -5,6 +5,7 @@
 import java.time.Instant;
 import picocli.CommandLine.Command;
 import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.PastTerm;
 
 /** {@code sagefall lease history}. */
 @Command(
@@ -15,7 +16,7 @@
 
     @Override
     void run(LeaseStore store, PrintWriter out) throws IOException {
-        for (LeaseStore.Past past : store.status().past()) {
+        for (PastTerm past : store.status().past()) {
             String holder = past.owner().isEmpty() ? "given back" : past.owner();
             out.println(
                     "term "
--- a/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
@@ -6,6 +6,7 @@
 import picocli.CommandLine.Command;
 import sagefall.leaderelection.LeaseGrant;
 import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.PublishedSnapshot;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /** {@code sagefall lease status}. */
@@ -21,27 +22,27 @@
     void run(LeaseStore store, PrintWriter out) throws IOException {
         LeaseGrant grant = store.status().grant();
         out.println("term " + grant.term() + ", " + holder(grant));
-        SharedEndpointSnapshot.Read snapshot = SharedEndpointSnapshot.read(store);
+        PublishedSnapshot snapshot = SharedEndpointSnapshot.read(store);
         out.println(snapshot == null ? "no digest" : describe(snapshot));
     }
 
     private static String holder(LeaseGrant grant) {
-        if (grant.leftNanos() <= 0) {
+        if (grant.remainingNanos() <= 0) {
             return "held by nobody";
         }
-        long leftMillis = grant.leftNanos() / NANOS_PER_MILLI;
+        long leftMillis = grant.remainingNanos() / NANOS_PER_MILLI;
         return "held by " + grant.owner() + " for " + leftMillis + " ms more";
     }
 
-    private static String describe(SharedEndpointSnapshot.Read snapshot) {
+    private static String describe(PublishedSnapshot snapshot) {
         return "digest of term "
                 + snapshot.term()
                 + ", revision "
-                + snapshot.kept().revision()
+                + snapshot.snapshot().revision()
                 + " of "
-                + Instant.ofEpochMilli(snapshot.kept().atMillis())
+                + Instant.ofEpochMilli(snapshot.snapshot().atMillis())
                 + ", "
-                + snapshot.kept().lines().size()
+                + snapshot.snapshot().endpoints().size()
                 + " servers";
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
@@ -54,7 +54,7 @@
 
     /** Whether the server may have executed the request, as far as the sidecar can know. */
     boolean mayHaveExecuted() {
-        return result == null || !result.provesNotRun;
+        return result == null || !result.provesNotExecuted;
     }
 
     /** Records how it ended. */
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -7,6 +7,7 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.RequestClass;
+import sagefall.policy.GroundTruth;
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
 
@@ -140,7 +141,7 @@
         heat.add(row);
     }
 
-    /** What an oracle may know; see {@link sagefall.policy.GroundTruth}. */
+    /** What an oracle may know; see {@link GroundTruth}. */
     private double expectedAnswerMicros(long serverId, int fromZone) {
         EmulatedServer server = fleet.server(serverId);
         if (server == null
--- a/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
@@ -8,6 +8,7 @@
 import sagefall.leaderelection.DirectoryLeaseStore;
 import sagefall.leaderelection.LeaseGrant;
 import sagefall.leaderelection.LeaseStore;
+import sagefall.leaderelection.PublishedSnapshot;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /**
@@ -40,7 +41,7 @@
     int holder() throws IOException {
         LeaseGrant grant = store.status().grant();
         String holder = grant.owner();
-        if (grant.leftNanos() <= 0 || holder.isEmpty()) {
+        if (grant.remainingNanos() <= 0 || holder.isEmpty()) {
             return NOBODY;
         }
         // Instances are called n0, n1, ...; the lease adds # and a number for each start.
@@ -66,9 +67,9 @@
 
     private Observation observe() throws IOException {
         LeaseGrant grant = store.status().grant();
-        SharedEndpointSnapshot.Read snapshot = SharedEndpointSnapshot.read(store);
+        PublishedSnapshot snapshot = SharedEndpointSnapshot.read(store);
         long snapshotTerm = snapshot == null ? 0 : snapshot.term();
-        long revision = snapshot == null ? 0 : snapshot.kept().revision();
+        long revision = snapshot == null ? 0 : snapshot.snapshot().revision();
         return new Observation(grant.term(), grant.owner(), snapshotTerm, revision);
     }
 
--- a/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
@@ -130,7 +130,7 @@
         learn(nowMicros, endpoint, outcome.elapsedMicros(), served);
         if (outcome.closed()) {
             requests.remove(outcome.requestId());
-        } else if (outcome.result().provesNotRun) {
+        } else if (outcome.result().provesNotExecuted) {
             sendOrReject(nowMicros, pending, RejectionReason.MAX_ATTEMPTS);
         } else {
             requests.remove(outcome.requestId());
--- a/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
+++ b/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
@@ -149,7 +149,7 @@
             LoadReport report = outcome.report();
             return new Response(
                     outcome.requestId(),
-                    outcome.server(),
+                    outcome.endpoint(),
                     outcome.elapsedMicros(),
                     outcome.closed(),
                     verdict(outcome.result()),
--- a/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
@@ -32,8 +32,8 @@
         store = new DirectoryLeaseStore(folder);
         store.acquire("n1", LONG_LEASE);
         SharedEndpointSnapshot digest = new SharedEndpointSnapshot();
-        digest.told(new SnapshotChange(true, 7, TOLD_AT.toEpochMilli(), Map.of()));
-        digest.act(store, 1);
+        digest.record(new SnapshotChange(true, 7, TOLD_AT.toEpochMilli(), Map.of()));
+        digest.run(store, 1);
         store.release("n1", 1);
         store.acquire("n2", LONG_LEASE);
     }
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -101,7 +101,7 @@
             }
             if (mutated.containsKey(o.requestId()) && !o.closed()) {
                 if (rule == Rule.ATTEMPTS && o.attempt() < 7) {
-                    return sent(o.requestId(), o.server());
+                    return sent(o.requestId(), o.endpoint());
                 }
                 actions.fail(o.requestId(), RejectionReason.NOT_RETRYABLE);
             }
