--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -15,8 +15,8 @@
  * with one of the platform's.
  *
  * @param streaming the section {@code streaming}
- * @param recovery the section {@code recovery}: persistence of the endpoint list
- * @param duties the section {@code duties}: leader election
+ * @param persistence the section {@code recovery}: persistence of the endpoint list
+ * @param leaderElection the section {@code duties}: leader election
  */
 public record Extensions(
         StreamingSettings streaming,
--- a/sidecar/src/main/java/sagefall/logging/LogEvent.java
+++ b/sidecar/src/main/java/sagefall/logging/LogEvent.java
@@ -32,17 +32,17 @@
     SNAPSHOT_RECOVERED("snapshot_recovered", LogLevel.INFO),
     /** Nothing persisted was found, or persistence is new in this directory. */
     SNAPSHOT_ABSENT("snapshot_absent", LogLevel.INFO),
-    /** A persisted file could not be used and was put aside. */
+    /** A persisted file could not be used; it was renamed so that its content stays. */
     SNAPSHOT_SET_ASIDE("snapshot_set_aside", LogLevel.WARN),
     /** The directory does not answer or cannot be used: the sidecar runs without persistence. */
     PERSISTENCE_UNAVAILABLE("persistence_unavailable", LogLevel.ERROR),
-    /** A write failed; it is tried again with the next change. */
+    /** A write failed; it is retried after a second, and with the next change. */
     PERSISTENCE_WRITE_FAILED("persistence_write_failed", LogLevel.WARN),
     /** Writes succeed again after a failure. */
     PERSISTENCE_RESUMED("persistence_resumed", LogLevel.INFO),
     /** The persistence thread ended by an error: nothing is persisted until the next start. */
     PERSISTENCE_STOPPED("persistence_stopped", LogLevel.ERROR),
-    /** The snapshot that the leader shares was read, and whether it was used. */
+    /** The snapshot that the leader shares was read, and is newer than the configured list. */
     SHARED_SNAPSHOT_READ("shared_snapshot_read", LogLevel.INFO),
     /** The snapshot that the leader shares could not be read. */
     SHARED_SNAPSHOT_IGNORED("shared_snapshot_ignored", LogLevel.WARN),
