--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -14,11 +14,11 @@
  * @param name of this sidecar, for stored data and leases
  * @param listen where clients connect
  * @param discovery where discovery is called
- * @param sockets file descriptors that the process may have open
+ * @param maxDescriptors file descriptors that the process may have open
  * @param settings of the balancer, with the limits that hold on sockets
- * @param connectMicros how long a connection to an endpoint may take to come up
- * @param known the endpoint list of the configuration, which may be old
- * @param lists the codec for endpoint lists under these settings
+ * @param connectTimeoutMicros how long a connection to an endpoint may take to come up
+ * @param configuredEndpoints the endpoint list of the configuration, which may be old
+ * @param endpointListCodec the codec for endpoint lists under these settings
  * @param extensions what the operators have switched on
  */
 public record SidecarConfig(
--- a/sidecar/src/main/java/sagefall/leaderelection/PublishedSnapshot.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/PublishedSnapshot.java
@@ -5,7 +5,7 @@
 /**
  * The snapshot that was written last.
  *
- * @param kept the snapshot
+ * @param snapshot the snapshot
  * @param term of the leader that wrote it
  */
 public record PublishedSnapshot(EndpointSnapshot snapshot, long term) {}
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -16,7 +16,7 @@
  * @param epoch grows with each start
  * @param revision of the newest list; what discovery reports later has a greater one
  * @param atMillis when that was reported, in Unix time
- * @param lines the endpoints by id; never changed
+ * @param endpoints the endpoints by id; never changed
  */
 public record EndpointSnapshot(
         String name, long epoch, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -3,33 +3,55 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 
 /**
- * Mechanisms of the module that can be switched off, each by values of its tunables that leave it
- * without effect. What one costs or earns is the difference that this makes.
+ * Mechanisms of the balancer that can be switched off, each by values of its tunables that leave it
+ * without effect. What one costs or contributes is the difference that this makes.
  */
 public enum Mechanism {
-    ADMISSION("refusing by chance where answers come late", "ADMISSION_CUT=1"),
-    ZONE_LIMIT("the limit on requests in flight in a zone", "MIN_ZONE_LIMIT=1e9"),
+    /** Admission control: load is shed at random where responses are late. */
+    ADMISSION("admission", "shedding load at random where responses are late", "ADMISSION_CUT=1"),
+    /** The concurrency limit of a zone. */
+    ZONE_LIMIT("zone-limit", "the concurrency limit of a zone", "MIN_ZONE_LIMIT=1e9"),
+    /** The concurrency limit of a single endpoint. */
     SERVER_LIMIT(
-            "the own limit on requests in flight at a server", "INITIAL_LIMIT=1e9", "LIMIT_CUT=1"),
-    EJECTION("leaving outliers alone for a while", "MAX_EJECTED=-1"),
-    SLOW_START("sending cold servers less", "SLOW_START=1e9"),
-    SPILL("leaving the node for one that is much cheaper", "SPILL_RATIO=1e9"),
-    SUBSETS("keeping to few servers", "SUBSET_SIZE=1000000"),
-    RETRIES("further attempts", "MAX_SAVED_RETRIES=0"),
+            "server-limit",
+            "the concurrency limit of an endpoint",
+            "INITIAL_LIMIT=1e9",
+            "LIMIT_CUT=1"),
+    /** The ejection of outliers. */
+    EJECTION("ejection", "ejecting outliers for a while", "MAX_EJECTED=-1"),
+    /** Slow start of endpoints that warm up. */
+    SLOW_START("slow-start", "sending less to endpoints that warm up", "SLOW_START=1e9"),
+    /** Spill-over to a much cheaper endpoint outside the preferred subset. */
+    SPILL("spill", "leaving the subset for an endpoint that is much cheaper", "SPILL_RATIO=1e9"),
+    /** Subsetting: each sidecar keeps to few endpoints. */
+    SUBSETS("subsets", "keeping to few endpoints", "SUBSET_SIZE=1000000"),
+    /** Retries. */
+    RETRIES("retries", "retries", "MAX_SAVED_RETRIES=0"),
+    /** The cost of a connection set-up in an endpoint's cost. */
     CONNECTION_COST(
-            "preferring servers with an open connection", "NEW_CONNECTION=1", "SETUP_COST=0"),
-    FAIR_SHARE("refusing first what is beyond a tenant's share", "QUOTA_SLACK=1e9"),
-    SHORT_HOLD("answering held requests before half of their time", "MAX_QUEUED_PART=1"),
-    CELLS("cells of tenants", "ENDPOINTS_PER_CELL_AND_ZONE=1e9");
+            "connection-cost",
+            "preferring endpoints with an open connection",
+            "NEW_CONNECTION=1",
+            "SETUP_COST=0"),
+    /** Fair sharing: requests beyond a tenant's quota are shed first. */
+    FAIR_SHARE("fair-share", "shedding first what is beyond a tenant's quota", "QUOTA_SLACK=1e9"),
+    /** The short time for which requests are queued. */
+    SHORT_HOLD(
+            "short-hold",
+            "answering queued requests before half of their time",
+            "MAX_QUEUED_PART=1"),
+    /** The cells of tenants within a zone. */
+    CELLS("cells", "cells of tenants", "ENDPOINTS_PER_CELL_AND_ZONE=1e9");
 
+    private final String word;
     private final String about;
     private final List<String> changes;
 
-    Mechanism(String about, String... changes) {
+    Mechanism(String word, String about, String... changes) {
+        this.word = word;
         this.about = about;
         this.changes = List.of(changes);
     }
@@ -39,9 +61,9 @@
         return about;
     }
 
-    /** How it is written. */
+    /** Its name on the command line, as in {@code module-without:ejection}. */
     public String word() {
-        return name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return word;
     }
 
     Map<String, String> changes() {
