--- a/sidecar/src/main/java/sagefall/Main.java
+++ b/sidecar/src/main/java/sagefall/Main.java
@@ -1,6 +1,6 @@
 package sagefall;
 
-import sagefall.proxy.SidecarServer;
+import sagefall.proxy.SidecarProcess;
 import sagefall.simulator.SimulatorAdapter;
 
 /** Starts the host of the balancer: the sidecar, or the simulator's adapter. */
@@ -18,7 +18,7 @@
     public static void main(String[] args) {
         String host = args.length == 1 ? args[0] : "";
         switch (host) {
-            case "serve" -> System.exit(SidecarServer.serve(System.getenv(), System.err));
+            case "serve" -> System.exit(SidecarProcess.run(System.getenv(), System.err));
             case "simhost" -> System.exit(SimulatorAdapter.serve());
             default -> {
                 System.err.println("usage: java -jar sagefall.jar serve|simhost");
--- a/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
@@ -45,8 +45,8 @@
 
     /** Between the sidecars of a fault and the servers of its zone. */
     private void cutSidecars(ScheduledFault fault, int by) {
-        int toServer = fault.hasMode(FaultMode.OUT) ? 0 : by;
-        int toClient = fault.hasMode(FaultMode.IN) ? 0 : by;
+        int toServer = fault.isMode(FaultMode.OUT) ? 0 : by;
+        int toClient = fault.isMode(FaultMode.IN) ? 0 : by;
         changeLinks(fault, link -> link.addCuts(toServer, toClient));
     }
 
@@ -66,8 +66,8 @@
     /** Between a zone and all others, for what goes in, out or both. */
     private void cutZone(ScheduledFault fault, int by) {
         int zone = fault.fault().zone();
-        int intoZone = fault.hasMode(FaultMode.OUT) ? 0 : by;
-        int outOfZone = fault.hasMode(FaultMode.IN) ? 0 : by;
+        int intoZone = fault.isMode(FaultMode.OUT) ? 0 : by;
+        int outOfZone = fault.isMode(FaultMode.IN) ? 0 : by;
         for (ServerMember server : members.servers()) {
             for (SidecarMember sidecar : members.sidecars()) {
                 boolean serverInside = server.zone() == zone;
--- a/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
@@ -33,8 +33,8 @@
         return fault().kind() == kind;
     }
 
-    /** Whether the fault is of that variant. */
-    boolean hasMode(FaultMode mode) {
+    /** Whether the fault is of this variant of its kind. */
+    boolean isMode(FaultMode mode) {
         return fault().mode() == mode;
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -31,7 +31,7 @@
     @Override
     public boolean begin(ScheduledFault fault) {
         int zone = fault.fault().zone();
-        boolean silent = fault.hasMode(FaultMode.SILENT);
+        boolean silent = fault.isMode(FaultMode.SILENT);
         double part = fault.drawn().fraction();
         double size = fault.size();
         switch (fault.fault().kind()) {
@@ -191,7 +191,7 @@
                 .thenRun(() -> context.eventLoop().run(() -> started(successor)));
         members.discovery().serverDraining(old.model());
         long settledMicros =
-                fault.hasMode(FaultMode.EARLY) ? 0 : members.discovery().propagationMicros();
+                fault.isMode(FaultMode.EARLY) ? 0 : members.discovery().propagationMicros();
         timeline.queue().scheduleAfter(settledMicros, () -> drainAndEnd(old));
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -141,7 +141,7 @@
         for (SidecarControl sidecar : controls(fault)) {
             long clockOffset = sidecar.nextStart().clockOffsetMillis();
             sidecar.nextStart(
-                    new SidecarControl.NextStart(fault.hasMode(FaultMode.STALE), clockOffset));
+                    new SidecarControl.NextStart(fault.isMode(FaultMode.STALE), clockOffset));
             sidecar.kill(fault.sizeMicros());
         }
     }
--- a/testbed/src/test/java/sagefall/cli/RenamedWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/RenamedWordsTest.java
@@ -107,7 +107,7 @@
         }
         List<String> old = new ArrayList<>();
         for (Path page : pages) {
-            if (page.getFileName().toString().equals("MEASURING.md")) {
+            if (List.of("MEASURING.md").contains(page.getFileName().toString())) {
                 continue;
             }
             for (String line : Files.readAllLines(page)) {
