--- a/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
+++ b/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
@@ -10,12 +10,14 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * The single place of sending: every attempt goes through it. Its checks repeat what the pick has
- * seen, so that no path can bypass the rules on effects, drains, attempts and deadlines.
+ * Sends all attempts: no other class calls {@link BalancerActions#send}. Checks each attempt
+ * against the rules on idempotency, draining endpoints, the maximum number of attempts, the retry
+ * budget and deadlines, even if other classes have checked them before, so that no code path can
+ * bypass them.
  */
 final class AttemptGate {
 
-    /** Timeout that leaves an attempt as long as its client waits. */
+    /** Timeout of an attempt that is bounded only by the deadline of its request. */
     private static final long NO_TIMEOUT = 0;
 
     private final BalancerSettings settings;
@@ -34,14 +36,14 @@
         this.retryBudget = retryBudget;
     }
 
-    /** Sends an attempt if all rules allow it; returns whether it was sent. */
+    /** Sends an attempt of the request if all rules allow it; returns whether it was sent. */
     boolean send(long now, PendingRequest request, Endpoint endpoint) {
-        if (!isSendable(now, request) || !isAllowedAt(now, request, endpoint)) {
+        if (!isRequestSendable(now, request) || !isEndpointAllowed(now, request, endpoint)) {
             return false;
         }
-        boolean warm = health.connections().isWarm(now, endpoint);
+        boolean onTrustedConnection = health.connections().isWarm(now, endpoint);
         double typicalMicros = health.latency().typicalMicros(request);
-        Attempt attempt = new Attempt(request, endpoint, now, typicalMicros, warm);
+        Attempt attempt = new Attempt(request, endpoint, now, typicalMicros, onTrustedConnection);
         if (attempt.onNewConnection()) {
             closeIdleConnections(endpoint);
         }
@@ -49,8 +51,8 @@
             retryBudget.recordRetry();
         }
         long latestSendAt = request.latestSendAt();
-        // Before a body's last byte an endpoint has nothing to do: neither work in flight nor
-        // silence counts.
+        // An endpoint can't respond before the last byte of an upload: until then the attempt
+        // counts neither as in flight nor as one without a response.
         if (!request.isUploading()) {
             health.startAwaiting(now, attempt);
         }
@@ -59,15 +61,15 @@
         return true;
     }
 
-    private boolean isSendable(long now, PendingRequest request) {
+    private boolean isRequestSendable(long now, PendingRequest request) {
         return !request.isClosed()
                 && !request.isResponseStarted()
-                && !request.isBodyLost()
+                && !request.isReplayBufferExceeded()
                 && !request.hasAttemptInFlight()
                 && now < request.times().deadlineAt();
     }
 
-    private boolean isAllowedAt(long now, PendingRequest request, Endpoint endpoint) {
+    private boolean isEndpointAllowed(long now, PendingRequest request, Endpoint endpoint) {
         int attempts = request.attempts().size();
         return endpoint.isUsable()
                 && request.mayRunOn(now, endpoint)
@@ -75,7 +77,11 @@
                 && (attempts == 0 || retryBudget.allowsRetry());
     }
 
-    /** Connections that are not trusted are not to be used by the host either. */
+    /**
+     * Makes the host close its idle connections to the endpoint, so that the host sends the attempt
+     * on a new connection. The idle connections are not trusted to be alive. Does nothing while
+     * another attempt is in flight at the endpoint.
+     */
     private void closeIdleConnections(Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
         if (connection.isOpened() && endpoint.concurrency().isIdle()) {
--- a/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
+++ b/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
@@ -5,49 +5,55 @@
 import sagefall.balancer.api.BalancerActions;
 import sagefall.balancer.request.PendingRequest;
 
-/** The timers that the host was asked for, and what each is for. */
+/**
+ * Schedules timers with the host, and keeps the purpose of each timer. The kind of a timer is its
+ * token modulo the number of kinds.
+ */
 final class BalancerTimers {
 
-    /** Kind of the timer of a queued request, in the low bits of its token. */
+    /** Kind of the timers that recheck a queued request. */
     private static final int QUEUED_REQUEST = 0;
 
-    /** Kind of the timer for the next poll of discovery, in the low bits of its token. */
+    /** Kind of the timers that poll discovery. */
     private static final int DISCOVERY_POLL = 1;
 
-    /** Number of kinds of timer. */
+    /** Number of timer kinds. */
     private static final int TIMER_KINDS = 2;
 
     private final BalancerActions actions;
     private final Map<Long, PendingRequest> queuedRequests = new HashMap<>();
-    private long lastNumber;
+    private long lastTimerNumber;
 
     BalancerTimers(BalancerActions actions) {
         this.actions = actions;
     }
 
-    /** Asks for a timer that rechecks a queued request. */
-    void scheduleQueueCheck(long at, PendingRequest request) {
+    /** Schedules a timer that rechecks a queued request. */
+    void scheduleRecheck(long fireAt, PendingRequest request) {
         long token = nextToken(QUEUED_REQUEST);
         queuedRequests.put(token, request);
-        actions.scheduleTimer(at, token);
+        actions.scheduleTimer(fireAt, token);
     }
 
-    /** Asks for a timer that polls discovery. */
-    void scheduleDiscoveryPoll(long at) {
-        actions.scheduleTimer(at, nextToken(DISCOVERY_POLL));
+    /** Schedules a timer that polls discovery. */
+    void scheduleDiscoveryPoll(long fireAt) {
+        actions.scheduleTimer(fireAt, nextToken(DISCOVERY_POLL));
     }
 
     private long nextToken(int kind) {
-        lastNumber++;
-        return lastNumber * TIMER_KINDS + kind;
+        lastTimerNumber++;
+        return lastTimerNumber * TIMER_KINDS + kind;
     }
 
-    /** Whether a timer that has fired is for a poll of discovery. */
+    /** Returns whether the timer with this token polls discovery. */
     boolean isDiscoveryPoll(long token) {
         return token % TIMER_KINDS == DISCOVERY_POLL;
     }
 
-    /** The request that a timer was for, once; null if it was for none. */
+    /**
+     * Returns the request that the timer with this token rechecks, and forgets the timer. Returns
+     * null if the timer is of another kind or has been forgotten.
+     */
     PendingRequest takeQueuedRequest(long token) {
         return queuedRequests.remove(token);
     }
--- a/sidecar/src/main/java/sagefall/balancer/DefaultLoadBalancer.java
+++ b/sidecar/src/main/java/sagefall/balancer/DefaultLoadBalancer.java
@@ -15,13 +15,14 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * The balancer of one client process: dispatches each event to the part that decides on it. {@link
- * EndpointRegistry} keeps the endpoints, {@link RequestDispatcher} the requests, {@link
- * PollScheduler} the polls of discovery.
+ * Balances the requests of one client process: dispatches each event to the class that decides on
+ * it. {@link EndpointRegistry} keeps the endpoints, {@link RequestDispatcher} the requests, {@link
+ * PollScheduler} schedules polls of discovery.
  *
- * <p>Ordinary path: a request walks from the node {its zone, its tenant's cell} and takes the
- * cheaper of two ready endpoints by peak-EWMA latency x (1 + in flight). Each exception says when
- * it acts.
+ * <p>Usually a request is routed to the node of the subset tree for this instance's zone and a cell
+ * of the tenant. Two ready endpoints of the node are drawn at random, and the request is sent to
+ * the one of lower cost. The cost is peak-EWMA latency x (1 + attempts in flight). The classes that
+ * make exceptions to this describe them.
  */
 public final class DefaultLoadBalancer implements LoadBalancer {
     private final BalancerActions actions;
@@ -32,7 +33,10 @@
     private final RequestDispatcher dispatcher;
     private RecoveredEndpoints recovered = RecoveredEndpoints.NONE;
 
-    /** Creates a balancer that knows no endpoint yet; all its random draws come from the seed. */
+    /**
+     * Creates a balancer without endpoints. All its random draws come from the seed in the
+     * settings.
+     */
     public DefaultLoadBalancer(BalancerSettings settings, BalancerActions actions) {
         this.actions = actions;
         SplittableRandom random = new SplittableRandom(settings.seed());
@@ -57,14 +61,14 @@
     public void onEndpointList(
             long now, EndpointListKind kind, long revision, List<ListedEndpoint> received) {
         if (kind == EndpointListKind.FAILED) {
-            pollScheduler.onFailure(now);
+            pollScheduler.onPollFailed(now);
             return;
         }
         List<ListedEndpoint> list = recovered.reconcile(kind, revision, received);
         if (kind == EndpointListKind.CACHED) {
             pollScheduler.onCachedList(now, list.size());
         }
-        pollScheduler.onList();
+        pollScheduler.onListReceived();
         admission.start(now);
         registry.apply(kind, revision, list);
         dispatcher.sendQueued(now);
@@ -72,12 +76,12 @@
 
     @Override
     public void onRequest(long now, Request request) {
-        dispatcher.accept(now, request);
+        dispatcher.onRequest(now, request);
     }
 
     @Override
     public void onBufferLimit(long now, long maxBytes) {
-        dispatcher.limitBuffers(maxBytes);
+        dispatcher.onBufferLimit(maxBytes);
     }
 
     @Override
@@ -92,7 +96,7 @@
 
     @Override
     public void onStreamStarted(
-            long now, String requestId, int attempt, long server, long elapsedMicros) {
+            long now, String requestId, int attempt, long endpoint, long elapsedMicros) {
         dispatcher.onStreamStarted(now, requestId, attempt, elapsedMicros);
     }
 
@@ -113,7 +117,7 @@
         }
         PendingRequest request = timers.takeQueuedRequest(token);
         if (request != null) {
-            dispatcher.checkQueued(now, request);
+            dispatcher.recheckQueued(now, request);
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/EndpointRegistry.java
+++ b/sidecar/src/main/java/sagefall/balancer/EndpointRegistry.java
@@ -13,9 +13,9 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * The endpoints that the lists name, by id in the order in which they were first named, with their
- * revisions and incarnations. It alone decides which endpoints are usable, and rebuilds the subsets
- * when that changes.
+ * Keeps the endpoints of the endpoint lists by id, with their revisions and incarnations, in the
+ * order in which their ids were first listed. Decides which endpoints are usable, and rebuilds the
+ * subset tree when the usable endpoints or their zones change.
  */
 final class EndpointRegistry {
     private final BalancerSettings settings;
@@ -29,7 +29,10 @@
         this.outliers = outliers;
     }
 
-    /** Applies a list; unless it holds only changes, what it does not name is unlisted. */
+    /**
+     * Applies an endpoint list. Endpoints that a complete list does not name become unusable; those
+     * that a list of changes does not name stay as they are.
+     */
     void apply(EndpointListKind kind, long revision, List<ListedEndpoint> list) {
         boolean subsetsChanged = subsets.ready().isEmpty();
         if (kind != EndpointListKind.CHANGES) {
@@ -38,7 +41,7 @@
         for (ListedEndpoint entry : list) {
             subsetsChanged |= merge(entry, revision);
         }
-        subsetsChanged |= retireUnlisted();
+        subsetsChanged |= removeUnlisted();
         if (subsetsChanged) {
             subsets.rebuild(endpoints.values());
         }
@@ -50,27 +53,38 @@
         }
     }
 
-    /** Takes over one entry; returns whether the subsets have to be rebuilt. */
+    /**
+     * Applies one entry of a list. An endpoint that is not usable becomes usable only by a list
+     * whose revision is at least that of the lists that named the endpoint before, so that an
+     * outdated list does not end a drain.
+     *
+     * @return whether the subset tree has to be rebuilt
+     */
     private boolean merge(ListedEndpoint entry, long revision) {
-        Endpoint endpoint = incarnation(entry);
+        Endpoint endpoint = findOrCreate(entry);
         boolean mayBecomeUsable = endpoint.isUsable() || revision >= endpoint.revision();
         boolean usable = entry.phase() == EndpointPhase.READY && mayBecomeUsable;
-        ListedEndpoint before = endpoint.entry();
+        ListedEndpoint previousEntry = endpoint.entry();
         boolean changed =
-                usable != endpoint.isUsable() || before == null || before.zone() != entry.zone();
+                usable != endpoint.isUsable()
+                        || previousEntry == null
+                        || previousEntry.zone() != entry.zone();
         endpoint.update(entry, revision, usable, entry.phase() != EndpointPhase.REMOVED);
         return changed;
     }
 
-    /** A new id or start time is a new process: nothing learned of an old one holds. */
-    private Endpoint incarnation(ListedEndpoint entry) {
-        Endpoint known = endpoints.get(entry.id());
-        if (known != null && known.entry().startMicros() == entry.startMicros()) {
-            return known;
+    /**
+     * Returns the endpoint of an entry. A new id or another start time means a new process: a new
+     * endpoint is then created, which takes over nothing that was learned about an old process.
+     */
+    private Endpoint findOrCreate(ListedEndpoint entry) {
+        Endpoint existing = endpoints.get(entry.id());
+        if (existing != null && existing.entry().startMicros() == entry.startMicros()) {
+            return existing;
         }
-        if (known != null) {
-            outliers.endEjection(known);
-            known.markUnusable();
+        if (existing != null) {
+            outliers.endEjection(existing);
+            existing.markUnusable();
         }
         Endpoint created = new Endpoint(entry.id(), settings.rank());
         endpoints.put(entry.id(), created);
@@ -78,14 +92,16 @@
     }
 
     /**
-     * Makes what is unlisted unusable, and forgets it once nothing is in flight there; returns
-     * whether the subsets have to be rebuilt.
+     * Makes endpoints that are no longer listed unusable, and forgets those of them that have no
+     * attempt in flight.
+     *
+     * @return whether the subset tree has to be rebuilt
      */
-    private boolean retireUnlisted() {
+    private boolean removeUnlisted() {
         boolean changed = false;
-        Iterator<Endpoint> all = endpoints.values().iterator();
-        while (all.hasNext()) {
-            Endpoint endpoint = all.next();
+        Iterator<Endpoint> iterator = endpoints.values().iterator();
+        while (iterator.hasNext()) {
+            Endpoint endpoint = iterator.next();
             if (endpoint.isListed()) {
                 continue;
             }
@@ -93,7 +109,7 @@
             endpoint.markUnusable();
             outliers.endEjection(endpoint);
             if (endpoint.concurrency().isIdle()) {
-                all.remove();
+                iterator.remove();
             }
         }
         return changed;
--- a/sidecar/src/main/java/sagefall/balancer/OpenRequests.java
+++ b/sidecar/src/main/java/sagefall/balancer/OpenRequests.java
@@ -5,15 +5,16 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * The requests that are open: from their arrival until they are closed and their last attempt has
- * ended. Counts the stream buffers that they may hold.
+ * Keeps the open requests by id. A request is open from its arrival until it is closed and its last
+ * attempt has ended. Compares the sum of the stream buffers that the open requests may hold with
+ * its bound.
  */
 final class OpenRequests {
     private final Map<String, PendingRequest> requests = new HashMap<>();
     private long bufferedBytes;
     private long maxBufferedBytes = Long.MAX_VALUE;
 
-    /** Adds a request; false if one of its id is open. */
+    /** Adds a request; returns false, and adds nothing, if a request with its id is open. */
     boolean add(PendingRequest request) {
         if (requests.putIfAbsent(request.id(), request) != null) {
             return false;
@@ -22,17 +23,17 @@
         return true;
     }
 
-    /** The open request of that id, or null if there is none. */
+    /** Returns the open request with this id, or null if there is none. */
     PendingRequest get(String id) {
         return requests.get(id);
     }
 
-    /** Number of open requests. */
+    /** Returns the number of open requests. */
     int size() {
         return requests.size();
     }
 
-    /** Forgets a request if it is closed and none of its attempts is in flight. */
+    /** Removes a request if it is closed and none of its attempts is in flight. */
     void removeIfFinished(PendingRequest request) {
         boolean finished = request.isClosed() && !request.hasAttemptInFlight();
         if (finished && requests.remove(request.id(), request)) {
@@ -40,13 +41,13 @@
         }
     }
 
-    /** Sets the bound on the stream buffers of all open requests. */
-    void limitBuffers(long maxBytes) {
+    /** Sets the bound on the stream buffers of all open requests, in bytes. */
+    void setBufferLimit(long maxBytes) {
         maxBufferedBytes = maxBytes;
     }
 
-    /** Whether the stream buffers are beyond their bound. */
-    boolean exceedBufferLimit() {
+    /** Returns whether the stream buffers of the open requests exceed their bound. */
+    boolean isBufferLimitExceeded() {
         return bufferedBytes > maxBufferedBytes;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
+++ b/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
@@ -8,31 +8,35 @@
 import sagefall.logging.LogLine;
 
 /**
- * When discovery is polled beyond the host's own rhythm: first after the start, and after a
- * failure. It prevents that all sidecars of a fleet poll at once, and that a change of the list is
- * learnt late after an outage.
+ * Schedules polls of discovery in addition to the host's periodic polls: the first poll after the
+ * start, and the poll after a failure. Keeps the sidecars of a fleet from polling all at once, and
+ * from receiving a changed list late after an outage of discovery.
  */
 final class PollScheduler {
 
     /**
-     * List entries a second that discovery is taken to send to all instances together, within the
-     * time in which each must have polled.
+     * Number of list entries that discovery is assumed to send to all instances together in one
+     * poll interval. First polls are spread so that discovery sends no more, as far as the bounds
+     * below allow.
      */
     private static final double LIST_ENTRIES_PER_SPREAD = 8000;
 
-    /** Most of the poll interval over which first polls are spread. */
+    /** Largest fraction of the poll interval over which first polls are spread. */
     private static final double MAX_SPREAD = 0.8;
 
-    /** Mean time until an agent is polled after a failure, in microseconds. */
+    /** Mean delay of the poll of an agent after a failure, in microseconds. */
     private static final double AGENT_RETRY_MICROS = 100_000;
 
-    /** Mean time until a discovery service is polled after a failure, in microseconds. */
+    /** Mean delay of the poll of a discovery service after a failure, in microseconds. */
     private static final double SERVICE_RETRY_MICROS = 400_000;
 
-    /** Latest first poll of a discovery service, in microseconds. */
+    /**
+     * Longest time over which the first polls of a discovery service are spread, in microseconds;
+     * {@link #FIRST_POLL_TICKS} are added to it.
+     */
     private static final double MAX_FIRST_POLL_MICROS = 3_000_000;
 
-    /** Ticks of the host's clock over which first polls are spread at least. */
+    /** Timer ticks of the host that are added to the time over which first polls are spread. */
     private static final int FIRST_POLL_TICKS = 20;
 
     private final BalancerSettings settings;
@@ -55,26 +59,32 @@
         this.timers = timers;
     }
 
-    /** A cached list of so many entries has come: schedules the first poll. */
+    /**
+     * Schedules the first poll when a cached list is received and the host polls a discovery
+     * service.
+     *
+     * @param entries number of entries of the cached list
+     */
     void onCachedList(long now, int entries) {
         if (!settings.pollsDiscovery()) {
             return;
         }
-        // All sidecars of a fleet may start at once, and discovery sends only so many entries a
-        // second.
+        // All sidecars of a fleet may start at once, and discovery sends only a limited number of
+        // entries per second.
         double entriesOfFleet = entries * (double) settings.replicas();
         double spread = Math.min(MAX_SPREAD, entriesOfFleet / LIST_ENTRIES_PER_SPREAD);
         double spreadMicros =
                 Math.min(MAX_FIRST_POLL_MICROS, spread * settings.rules().pollIntervalMicros());
-        long bound = (long) spreadMicros + FIRST_POLL_TICKS * settings.tickMicros();
-        timers.scheduleDiscoveryPoll(now + random.nextLong(1 + bound));
+        long maxDelayMicros = (long) spreadMicros + FIRST_POLL_TICKS * settings.tickMicros();
+        timers.scheduleDiscoveryPoll(now + random.nextLong(1 + maxDelayMicros));
     }
 
     /**
-     * A call to discovery failed: the list stays, and the next poll is soon, since the rule on
-     * drains counts from when discovery can be reached.
+     * Schedules a poll after a call to discovery has failed; the endpoint list stays as it is. The
+     * poll is soon, because the time within which a sidecar has to stop sending requests to a
+     * draining endpoint counts from the moment at which discovery can be reached again.
      */
-    void onFailure(long now) {
+    void onPollFailed(long now) {
         double meanMicros = settings.pollsDiscovery() ? SERVICE_RETRY_MICROS : AGENT_RETRY_MICROS;
         double delayMicros = meanMicros * (0.5 + random.nextDouble());
         timers.scheduleDiscoveryPoll(now + 1 + (long) delayMicros);
@@ -87,8 +97,8 @@
         failing = true;
     }
 
-    /** A list has come. */
-    void onList() {
+    /** Notes that a list was received, so that the next failure is logged again. */
+    void onListReceived() {
         failing = false;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
@@ -12,12 +12,12 @@
 import sagefall.logging.LogLine;
 
 /**
- * Sends requests to the endpoints that are picked for them, in the order of the queue. A request
- * stays queued while no endpoint has capacity, until waiting is of no use any more.
+ * Sends queued requests to the endpoints that are picked for them, in the order of the queue. A
+ * request stays queued while no endpoint has capacity, until a response would come too late.
  */
 final class QueueDispatcher {
 
-    /** Latency targets from one log line on the queue to the next. */
+    /** Shortest time between two log lines on the queue, in units of the mean latency target. */
     private static final int QUEUE_LOG_INTERVAL_TARGETS = 10;
 
     private final BalancerActions actions;
@@ -55,7 +55,10 @@
         targetMicros = settings.meanTargetLatencyMicros();
     }
 
-    /** Sends a request, or queues it, or gives it up where waiting would make others late. */
+    /**
+     * Sends a request if an endpoint has capacity, else leaves it queued. Rejects or fails it
+     * instead of queueing it while a zone is at its concurrency limit.
+     */
     void sendOrQueue(long now, PendingRequest request) {
         if (request.isClosed() || request.isQueued()) {
             return;
@@ -66,16 +69,19 @@
             return;
         }
         if (zoneLimits.anyFull()) {
-            // The others have no endpoint to offer: whoever waits would be late, and make others
-            // late.
-            closer.giveUp(request, RejectionReason.ZONE_FULL);
+            // No endpoint of the other zones has capacity either: a queued request would be late,
+            // and would make later requests late.
+            closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
             return;
         }
-        scheduleCheck(now, request);
+        scheduleRecheck(now, request);
         logQueue(now);
     }
 
-    /** Sends queued requests while endpoints have capacity. */
+    /**
+     * Sends queued requests until the queue is empty or no endpoint has capacity for the next
+     * request. A request that the attempt gate does not send is rejected or failed.
+     */
     void sendQueued(long now) {
         PendingRequest next = queue.next();
         while (next != null) {
@@ -86,30 +92,34 @@
             queue.remove(next);
             boolean sent = gate.send(now, next, endpoint);
             if (!sent && !next.isClosed() && !next.hasAttemptInFlight()) {
-                closer.giveUp(next, retryPolicy.reasonAgainst(now, next));
+                closer.rejectOrFail(next, retryPolicy.reasonForNoRetry(now, next));
             }
             next = queue.next();
         }
     }
 
-    /** Checks a request that was queued when its timer was asked for. */
-    void check(long now, PendingRequest request) {
+    /**
+     * Rechecks a request whose timer has fired. If the request is still queued, it is rejected or
+     * failed when a response would come too late or a zone is at its concurrency limit; else its
+     * next recheck is scheduled.
+     */
+    void recheck(long now, PendingRequest request) {
         if (request.isResponseStarted() || !request.isQueued()) {
             return;
         }
         if (now >= queue.lastUsefulAt(request, openRequests.size())) {
-            closer.giveUp(request, RejectionReason.QUEUE_TIMEOUT);
+            closer.rejectOrFail(request, RejectionReason.QUEUE_TIMEOUT);
         } else if (zoneLimits.anyFull()) {
-            closer.giveUp(request, RejectionReason.ZONE_FULL);
+            closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
         } else {
-            scheduleCheck(now, request);
+            scheduleRecheck(now, request);
             sendQueued(now);
         }
     }
 
-    private void scheduleCheck(long now, PendingRequest request) {
-        long at = queue.nextCheckAt(now, request, openRequests.size());
-        timers.scheduleQueueCheck(at, request);
+    private void scheduleRecheck(long now, PendingRequest request) {
+        long recheckAt = queue.nextCheckAt(now, request, openRequests.size());
+        timers.scheduleRecheck(recheckAt, request);
     }
 
     private void logQueue(long now) {
--- a/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
+++ b/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
@@ -8,14 +8,15 @@
 import sagefall.balancer.api.ListedEndpoint;
 
 /**
- * What an earlier incarnation of this instance had persisted of the endpoints, and how it restricts
- * the lists of a start until discovery sends a newer one. It prevents that a drain which was known
- * before a restart is forgotten after it.
+ * The endpoint list that an earlier incarnation of this instance has persisted. It restricts lists
+ * of a lower revision that are received after a restart: an endpoint that was draining or removed
+ * before the restart is not used because of an outdated list.
  *
  * @param revision revision of the persisted list
- * @param fresh whether it is young enough to stand in for an older list, and not only to restrict
- * @param list the persisted list, with the endpoints that had been removed
- * @param entries its entries by id
+ * @param fresh whether the persisted list is recent enough to replace an older cached list, rather
+ *     than only to restrict it
+ * @param list the persisted list, which includes removed endpoints
+ * @param entries the entries of the persisted list by endpoint id
  */
 record RecoveredEndpoints(
         long revision,
@@ -23,11 +24,11 @@
         List<ListedEndpoint> list,
         Map<Long, ListedEndpoint> entries) {
 
-    /** Nothing was persisted. */
+    /** Used where there is no persisted list; restricts no received list. */
     static final RecoveredEndpoints NONE =
             new RecoveredEndpoints(Long.MIN_VALUE, false, List.of(), Map.of());
 
-    /** Wraps what was persisted. */
+    /** Creates an instance from a persisted list. */
     static RecoveredEndpoints of(long revision, boolean fresh, List<ListedEndpoint> list) {
         Map<Long, ListedEndpoint> entries = new HashMap<>();
         for (ListedEndpoint endpoint : list) {
@@ -37,8 +38,9 @@
     }
 
     /**
-     * The list to use for one that has come. One that is behind what was persisted is restricted by
-     * it; a fresh persisted list replaces a cached one that is behind it.
+     * Returns the list to use in place of a received list. A received list is used as it is unless
+     * its revision is lower than that of the persisted list. Otherwise a fresh persisted list
+     * replaces a cached list, and any other received list is restricted entry by entry.
      */
     List<ListedEndpoint> reconcile(
             EndpointListKind kind, long listRevision, List<ListedEndpoint> received) {
@@ -52,16 +54,17 @@
     }
 
     /**
-     * An endpoint that was draining stays so, unless it has restarted since; of one that had
-     * restarted in the meantime the later start counts.
+     * Returns the entry to use in place of a received entry. If the received and the persisted
+     * entry are of different incarnations, the one with the later start is used. If both are of one
+     * incarnation, an endpoint that was persisted as draining or removed stays so.
      */
     private ListedEndpoint restrict(ListedEndpoint received) {
         ListedEndpoint persisted = entries.get(received.id());
         if (persisted == null || persisted.startMicros() < received.startMicros()) {
             return received;
         }
-        boolean startedLater = persisted.startMicros() > received.startMicros();
-        boolean wasReady = persisted.phase() == EndpointPhase.READY;
-        return startedLater || !wasReady ? persisted : received;
+        boolean persistedStartedLater = persisted.startMicros() > received.startMicros();
+        boolean persistedReady = persisted.phase() == EndpointPhase.READY;
+        return persistedStartedLater || !persistedReady ? persisted : received;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/RequestCloser.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestCloser.java
@@ -8,8 +8,8 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * The end of requests. It is the single place where this instance gives a request its final answer,
- * so that each gets one.
+ * Closes requests. No other class rejects or fails a request, so that each request gets only one
+ * final response.
  */
 final class RequestCloser {
     private final BalancerActions actions;
@@ -31,8 +31,8 @@
         cancellationAllowed = settings.limits().cancellationAllowed();
     }
 
-    /** Gives a request up: rejects it where its client may retry it, else fails it. */
-    void giveUp(PendingRequest request, RejectionReason reason) {
+    /** Rejects a request if its client may retry it, else fails it. Closes it in both cases. */
+    void rejectOrFail(PendingRequest request, RejectionReason reason) {
         if (request.mayBeRejected()) {
             actions.reject(request.id(), retryAfter.nextMicros(), reason);
         } else {
@@ -41,7 +41,10 @@
         close(request);
     }
 
-    /** The request has its final answer, whoever gave it: attempts in flight are cancelled. */
+    /**
+     * Closes a request that needs no further response, and cancels its attempts in flight where the
+     * service limits allow that.
+     */
     void close(PendingRequest request) {
         if (request.isClosed()) {
             return;
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -18,12 +18,15 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * The way of a request from its arrival to its one answer: it is admitted or rejected, sent or
- * queued, retried and closed. Owns the open requests and the queue.
+ * Handles requests from their arrival to their one final response: admits or rejects, sends or
+ * queues, retries and closes them. Owns the open requests and the queue.
  */
 final class RequestDispatcher {
 
-    /** A request needs this part of a latency target to be of use, as a divisor. */
+    /**
+     * Divisor of the mean latency target. A request is admitted if the time until its deadline is
+     * longer than the quotient plus two timer ticks.
+     */
     private static final int MIN_REMAINING_DIVISOR = 20;
 
     private final BalancerSettings settings;
@@ -72,12 +75,12 @@
                         closer);
         repeatPolicies =
                 settings.classes().stream()
-                        .map(rules -> new RepeatPolicy(rules, settings.tickMicros()))
+                        .map(requestClass -> new RepeatPolicy(requestClass, settings.tickMicros()))
                         .toList();
     }
 
-    /** Takes a request that has arrived; one whose id is open is ignored. */
-    void accept(long now, Request arrived) {
+    /** Handles a request that has arrived; ignores it if a request with its id is open. */
+    void onRequest(long now, Request arrived) {
         int tenants = Math.max(1, settings.tenants().size());
         PendingRequest request = new PendingRequest(now, arrived, repeatPolicies, tenants);
         if (!openRequests.add(request)) {
@@ -90,28 +93,30 @@
         admission.recordRequest(now);
         health.silence().check(now);
         if (openRequests.size() > settings.limits().maxOpenRequests()) {
-            closer.giveUp(queue.leastValuable(request), RejectionReason.OPEN_REQUESTS);
+            closer.rejectOrFail(queue.leastValuable(request), RejectionReason.OPEN_REQUESTS);
         }
         if (request.isClosed()) {
             return;
         }
-        RejectionReason reason = reasonAgainstAdmission(now, request);
+        RejectionReason reason = reasonForNoAdmission(now, request);
         if (reason != null) {
-            closer.giveUp(request, reason);
+            closer.rejectOrFail(request, reason);
         } else {
             queueDispatcher.sendOrQueue(now, request);
         }
     }
 
-    /** Why a request is not admitted; null if it is. */
-    private RejectionReason reasonAgainstAdmission(long now, PendingRequest request) {
-        if (request.request().bufferBytes() > 0 && openRequests.exceedBufferLimit()) {
-            // Those that stream already go on; a new one is notified at once when to come back.
+    /** Returns why a request is not admitted, or null if it is admitted. */
+    private RejectionReason reasonForNoAdmission(long now, PendingRequest request) {
+        if (request.request().bufferBytes() > 0 && openRequests.isBufferLimitExceeded()) {
+            // Open requests keep their buffers; the new request is rejected at once, with a
+            // Retry-After.
             return RejectionReason.BUFFER_LIMIT;
         }
-        long remaining = request.request().deadlineMicros() - now;
-        if (remaining <= targetMicros / MIN_REMAINING_DIVISOR + 2 * settings.tickMicros()) {
-            // No time is left for a timer (incident i0f9bed: an arrival at its own deadline).
+        long remainingMicros = request.request().deadlineMicros() - now;
+        if (remainingMicros <= targetMicros / MIN_REMAINING_DIVISOR + 2 * settings.tickMicros()) {
+            // No timer could fire before the deadline: a request that arrived at its own deadline
+            // used to be queued and never got a response.
             return RejectionReason.TOO_LATE;
         }
         if (subsets.isSparse() && admission.sheds(request, random.nextDouble())) {
@@ -120,18 +125,21 @@
         return null;
     }
 
-    /** Takes the outcome of an attempt; one that is not known, or known already, is ignored. */
+    /**
+     * Handles the outcome of an attempt, which may lead to a retry. Ignores the outcome if the
+     * attempt is unknown or has ended before.
+     */
     void onAttemptOutcome(long now, AttemptOutcome outcome) {
         Attempt attempt = openAttempt(outcome.requestId(), outcome.attempt());
         if (attempt == null) {
             return;
         }
         PendingRequest request = attempt.request();
-        boolean streamed = attempt.isStreaming();
+        boolean wasStreaming = attempt.isStreaming();
         attempt.end(outcome.result());
         request.attemptEnded();
         health.stopAwaiting(attempt);
-        if (streamed) {
+        if (wasStreaming) {
             health.recordStreamEnd(now, attempt, outcome);
         } else {
             health.recordOutcome(now, attempt, outcome);
@@ -139,28 +147,31 @@
         if (outcome.closed()) {
             closer.close(request);
         } else if (!request.isClosed() && !request.hasAttemptInFlight() && !request.isQueued()) {
-            retryOrGiveUp(now, request);
+            retryOrClose(now, request);
         }
         openRequests.removeIfFinished(request);
         queueDispatcher.sendQueued(now);
     }
 
-    /** The attempt of an open request whose outcome is not known yet; null if there is none. */
+    /** Returns the attempt with this number if it is known and has not ended, else null. */
     private Attempt openAttempt(String requestId, int number) {
         PendingRequest request = openRequests.get(requestId);
         Attempt attempt = request == null ? null : request.attempt(number);
         return attempt == null || attempt.hasEnded() ? null : attempt;
     }
 
-    private void retryOrGiveUp(long now, PendingRequest request) {
+    private void retryOrClose(long now, PendingRequest request) {
         if (retryPolicy.allows(now, request)) {
             queueDispatcher.sendOrQueue(now, request);
         } else {
-            closer.giveUp(request, retryPolicy.reasonAgainst(now, request));
+            closer.rejectOrFail(request, retryPolicy.reasonForNoRetry(now, request));
         }
     }
 
-    /** An answer begins to stream to the client: it stays with that attempt. */
+    /**
+     * Handles the first part of a response that is streamed to the client. The latency of the
+     * attempt ends here, and the request is not retried from now on.
+     */
     void onStreamStarted(long now, String requestId, int number, long elapsedMicros) {
         Attempt attempt = openAttempt(requestId, number);
         if (attempt == null || attempt.request().isResponseStarted()) {
@@ -173,7 +184,10 @@
         queueDispatcher.sendQueued(now);
     }
 
-    /** The last byte of an upload has come: from now on its endpoint owes an answer. */
+    /**
+     * Handles the last byte of an upload: from now on the endpoint can respond, and the client
+     * waits until the given deadline.
+     */
     void onUploadComplete(long now, String requestId, long deadlineAt) {
         PendingRequest request = openRequests.get(requestId);
         if (request == null || !request.isUploading()) {
@@ -185,15 +199,15 @@
         }
     }
 
-    /** The body of an upload can't be sent to another endpoint any more. */
+    /** Notes that the body of an upload can't be sent to another endpoint any more. */
     void onReplayBufferExceeded(String requestId) {
         PendingRequest request = openRequests.get(requestId);
         if (request != null) {
-            request.loseBody();
+            request.markReplayBufferExceeded();
         }
     }
 
-    /** The client left, or was answered by other means. */
+    /** Closes a request whose client has disconnected or got its response from elsewhere. */
     void onClientDisconnected(String requestId) {
         PendingRequest request = openRequests.get(requestId);
         if (request != null) {
@@ -201,18 +215,18 @@
         }
     }
 
-    /** Sends queued requests while endpoints have capacity. */
+    /** Sends queued requests, see {@link QueueDispatcher#sendQueued}. */
     void sendQueued(long now) {
         queueDispatcher.sendQueued(now);
     }
 
-    /** Checks a request that was queued when its timer was asked for. */
-    void checkQueued(long now, PendingRequest request) {
-        queueDispatcher.check(now, request);
+    /** Rechecks a request whose queue timer has fired. */
+    void recheckQueued(long now, PendingRequest request) {
+        queueDispatcher.recheck(now, request);
     }
 
-    /** Sets the bound on the stream buffers of all open requests. */
-    void limitBuffers(long maxBytes) {
-        openRequests.limitBuffers(maxBytes);
+    /** Sets the bound on the stream buffers of all open requests, in bytes. */
+    void onBufferLimit(long maxBytes) {
+        openRequests.setBufferLimit(maxBytes);
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/RetryAfterPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/RetryAfterPolicy.java
@@ -4,8 +4,9 @@
 import sagefall.balancer.api.BalancerSettings;
 
 /**
- * The Retry-After of a rejection: a quarter to half of a latency target at random, so that the
- * clients that are rejected together do not come back together.
+ * Chooses the Retry-After of rejections. It lies between a quarter and half of the mean latency
+ * target, at random, so that clients whose requests are rejected together do not retry at the same
+ * time.
  */
 final class RetryAfterPolicy {
     private final BalancerSettings settings;
@@ -18,7 +19,10 @@
         targetMicros = settings.meanTargetLatencyMicros();
     }
 
-    /** The next Retry-After, in microseconds; 0 where the site allows none. */
+    /**
+     * Returns the Retry-After of the next rejection, in microseconds, at most the longest that the
+     * service limits allow; 0 if they allow none.
+     */
     long nextMicros() {
         if (!settings.limits().retryAfterAllowed()) {
             return Math.min(0, settings.limits().maxRetryAfterMicros());
--- a/sidecar/src/main/java/sagefall/balancer/RetryPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/RetryPolicy.java
@@ -7,8 +7,8 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Whether a request gets a retry, and why not: by its effect, the site's maximum of attempts, the
- * retry budget, its body and the time that is left.
+ * Decides whether a request may be retried, by its idempotency, its replay buffer, the maximum
+ * number of attempts, the retry budget and the time until which a response is useful.
  */
 final class RetryPolicy {
     private final ServiceLimits limits;
@@ -27,35 +27,38 @@
         this.openRequests = openRequests;
     }
 
-    /** Whether a retry may be sent, now or from the queue. */
+    /** Returns whether a retry may be sent, now or from the queue. */
     boolean allows(long now, PendingRequest request) {
-        return !isLate(now, request)
+        return !isTooLate(now, request)
                 && budget.allowsRetry()
-                && isRepeatable(request)
+                && isRetryable(request)
                 && !hasMaxAttempts(request);
     }
 
-    /** What keeps a request from a retry. */
-    RejectionReason reasonAgainst(long now, PendingRequest request) {
-        if (!isRepeatable(request)) {
+    /**
+     * Returns the reason why a request is not sent again. If no other reason applies, such as when
+     * the attempt gate has refused an attempt, the reason is {@link RejectionReason#TOO_LATE}.
+     */
+    RejectionReason reasonForNoRetry(long now, PendingRequest request) {
+        if (!isRetryable(request)) {
             return RejectionReason.NOT_RETRYABLE;
         }
         if (hasMaxAttempts(request)) {
             return RejectionReason.MAX_ATTEMPTS;
         }
-        boolean late = isLate(now, request) || budget.allowsRetry();
-        return late ? RejectionReason.TOO_LATE : RejectionReason.RETRY_BUDGET;
+        boolean tooLate = isTooLate(now, request) || budget.allowsRetry();
+        return tooLate ? RejectionReason.TOO_LATE : RejectionReason.RETRY_BUDGET;
     }
 
-    private boolean isRepeatable(PendingRequest request) {
-        return !request.isBodyLost() && request.mayBeRetried();
+    private boolean isRetryable(PendingRequest request) {
+        return !request.isReplayBufferExceeded() && request.mayBeRetried();
     }
 
     private boolean hasMaxAttempts(PendingRequest request) {
         return request.attempts().size() >= limits.maxAttempts();
     }
 
-    private boolean isLate(long now, PendingRequest request) {
+    private boolean isTooLate(long now, PendingRequest request) {
         return now >= queue.lastUsefulAt(request, openRequests.size());
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/AttemptOutcome.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/AttemptOutcome.java
@@ -1,15 +1,16 @@
 package sagefall.balancer.api;
 
 /**
- * How one attempt ended.
+ * The outcome of one attempt.
  *
- * @param requestId id of the request that it was an attempt of
- * @param attempt its number among the attempts of its request, from 0
- * @param endpoint id of the endpoint that it was sent to
- * @param result how it ended
- * @param elapsedMicros time from its sending, for an upload from its last byte, to its end
- * @param closed whether the client has its final answer, or all of it that will ever come
- * @param report the endpoint's load report in its answer; null if there is none
+ * @param requestId id of the attempt's request
+ * @param attempt number of the attempt among the attempts of its request, from 0
+ * @param endpoint id of the endpoint that the attempt was sent to
+ * @param result result of the attempt
+ * @param elapsedMicros time from the sending of the attempt, or from the last byte of an upload, to
+ *     the end of the attempt
+ * @param closed whether the request has its final response, complete or cut short
+ * @param report load report in the endpoint's response; null if there is none
  */
 public record AttemptOutcome(
         String requestId,
--- a/sidecar/src/main/java/sagefall/balancer/api/AttemptResult.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/AttemptResult.java
@@ -1,28 +1,28 @@
 package sagefall.balancer.api;
 
-/** How an attempt ended, and whether that proves that the request never ran. */
+/** Results of attempts, each with whether it proves that the attempt never ran. */
 public enum AttemptResult {
-    /** The endpoint answered. */
+    /** The endpoint sent a response that is not an error. */
     SERVED(false),
-    /** The endpoint answered with an error of its own. */
+    /** The endpoint responded with an error. */
     ERROR(false),
-    /** The endpoint rejected the request before it ran, since it has no capacity. */
+    /** The endpoint rejected the request before running it, for lack of capacity. */
     REJECTED(true),
-    /** No answer came in time. */
+    /** No response came in time. */
     TIMED_OUT(false),
-    /** No connection came to be, so nothing was sent. */
+    /** No connection could be set up, so nothing was sent. */
     NO_CONNECTION(true),
-    /** The connection broke before the answer was complete. */
+    /** The connection closed before the response was complete. */
     BROKEN(false),
-    /** It was cancelled by this instance or by the client. */
+    /** The sidecar or the client cancelled the attempt. */
     CANCELLED(false),
-    /** The host sent nothing of it, for instance since it was too late. */
+    /** The host sent no part of the attempt, for instance because it was too late. */
     NOT_SENT(true);
 
-    /** Whether the result proves that the request never ran. */
+    /** Whether the result proves that the attempt never ran at the endpoint. */
     public final boolean provesNotExecuted;
 
-    AttemptResult(boolean provesNotRun) {
-        this.provesNotExecuted = provesNotRun;
+    AttemptResult(boolean provesNotExecuted) {
+        this.provesNotExecuted = provesNotExecuted;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
@@ -1,45 +1,58 @@
 package sagefall.balancer.api;
 
-/** What the balancer may do, in the order in which it asks for it. The host implements it. */
+/**
+ * Actions of the balancer, which the host carries out in the order of the calls. The host
+ * implements this interface.
+ */
 public interface BalancerActions {
     /**
      * Sends an attempt of a request.
      *
      * @param requestId id of the open request
-     * @param server id of the endpoint
-     * @param timeoutMicros after which it is given up; 0 for as long as the client waits
-     * @param latestMicros from when on its first byte may not go out any more, since its effect
-     *     could come twice then; {@link Long#MAX_VALUE} where any time is right
+     * @param endpoint id of the endpoint
+     * @param timeoutMicros duration after which the attempt is cancelled; 0 to bound it only by the
+     *     deadline of the request
+     * @param latestMicros point in time from which on the first byte must not be sent, since the
+     *     request could take effect twice then; {@link Long#MAX_VALUE} if there is no such time
      */
-    void send(String requestId, long server, long timeoutMicros, long latestMicros);
+    void send(String requestId, long endpoint, long timeoutMicros, long latestMicros);
 
     /**
-     * Ends a request by telling its client that nothing was done, so that it may retry.
+     * Rejects a request: completes it with a response that allows the client to retry it.
      *
-     * @param retryAfterMicros after which a retry is welcome; 0 where nothing is said of that
-     * @param why for logs and counters only
+     * @param retryAfterMicros duration after which the client should retry; 0 to send no
+     *     Retry-After
+     * @param reason reason of the rejection, for logs and counters only
      */
-    void reject(String requestId, long retryAfterMicros, RejectionReason why);
+    void reject(String requestId, long retryAfterMicros, RejectionReason reason);
 
     /**
-     * Ends a request that may have run by an error.
+     * Fails a request that may have run: completes it with an error.
      *
-     * @param why for logs and counters only
+     * @param reason reason of the failure, for logs and counters only
      */
-    void fail(String requestId, RejectionReason why);
+    void fail(String requestId, RejectionReason reason);
 
-    /** Cancels an attempt without an outcome; its outcome is still reported. */
+    /** Cancels an attempt that has not ended; the host still reports its outcome. */
     void cancel(String requestId, int attempt);
 
-    /** Asks for {@link LoadBalancer#onTimer} at that time; a timer can't be taken back. */
+    /**
+     * Schedules a call of {@link LoadBalancer#onTimer}. A timer can't be cancelled.
+     *
+     * @param atMicros point in time of the call
+     * @param token value that is passed to the call
+     */
     void scheduleTimer(long atMicros, long token);
 
-    /** Closes this instance's idle connections to an endpoint. */
-    void closeIdleConnections(long server);
+    /** Closes the sidecar's idle connections to an endpoint. */
+    void closeIdleConnections(long endpoint);
 
-    /** Polls discovery for changes from now on; answered by a list or a failure. */
+    /**
+     * Polls discovery, which leads to a call of {@link LoadBalancer#onEndpointList} with a list or
+     * a failure.
+     */
     void requestEndpointUpdates();
 
-    /** Writes a line for on-call staff, in the form of {@code sagefall.logging.LogLine}. */
+    /** Writes a log line for operators, in the form of {@code sagefall.logging.LogLine}. */
     void log(String line);
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
@@ -3,21 +3,23 @@
 import java.util.List;
 
 /**
- * Everything that an instance is handed at its start.
+ * Settings of one load balancer instance.
  *
- * @param seed of all random draws
+ * @param seed seed of all random draws
  * @param rank number of this instance among the replicas, from 0
- * @param replicas number of instances of the fleet
- * @param zone index of the own zone in {@code zones}
- * @param zones names of the zones; their order gives each its index
- * @param classes classes of requests; their order gives each its index; at least one
- * @param tenants the tenants; their order gives each its index; may be empty
- * @param overQuotaWeight weight of a request beyond its tenant's quota, as a factor; not negative
- * @param limits what the site allows
- * @param rules figures of the rules on lists and on endpoints that have just started
+ * @param replicas number of instances in the fleet
+ * @param zone index of this instance's zone in {@code zones}
+ * @param zones names of the zones, in the order of their indexes
+ * @param classes request classes, in the order of their indexes; at least one
+ * @param tenants tenants, in the order of their indexes; may be empty
+ * @param overQuotaWeight factor by which the weight of a request is multiplied if its tenant is
+ *     beyond its quota; not negative
+ * @param limits limits of the service on attempts, rejections and connections
+ * @param rules durations and fractions that are common to the whole fleet
  * @param loadReportSource where load reports come from
  * @param pollsDiscovery whether the host polls a discovery service, rather than watching an agent
- * @param cachesKeys whether servers answer requests of a key faster that they have seen before
+ * @param cachesKeys whether an endpoint responds faster to requests of a key that it has served
+ *     before
  * @param tickMicros resolution of the host's timers; not negative
  */
 public record BalancerSettings(
@@ -43,11 +45,14 @@
      */
     public BalancerSettings {
         Preconditions.require(!classes.isEmpty(), "there are no request classes");
-        Preconditions.require(overQuotaWeight >= 0, "a worth is negative");
-        Preconditions.require(tickMicros >= 0, "the tick is negative");
+        Preconditions.require(overQuotaWeight >= 0, "overQuotaWeight is negative");
+        Preconditions.require(tickMicros >= 0, "tickMicros is negative");
     }
 
-    /** The mean over the classes of what an answer should take at most, in microseconds. */
+    /**
+     * Returns the mean latency target over the request classes, in microseconds; a class without a
+     * latency target counts with its deadline.
+     */
     public double meanTargetLatencyMicros() {
         double sum = 0;
         for (RequestClass requestClass : classes) {
@@ -56,7 +61,7 @@
         return sum / classes.size();
     }
 
-    /** Whether requests of a class may be repeated without any precaution. */
+    /** Returns whether the requests of at least one class are idempotent. */
     public boolean anyIdempotentClass() {
         return classes.stream().anyMatch(c -> c.idempotency() == Idempotency.IDEMPOTENT);
     }
--- a/sidecar/src/main/java/sagefall/balancer/api/DeduplicationScope.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package sagefall.balancer.api;
 
-/** Which servers drop the repeats of a request with an idempotency key. */
+/** Set of endpoints at which retries are deduplicated by the idempotency key of the request. */
 public enum DeduplicationScope {
-    /** All servers, wherever the first attempt went. */
+    /** All endpoints. */
     ALL,
-    /** Those of the zone that the first attempt went to. */
+    /** The endpoints in the zone of the first attempt. */
     ZONE,
-    /** Those of the cell that the first attempt went to. */
+    /** The endpoints in the cell of the first attempt. */
     CELL
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/EndpointListKind.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/EndpointListKind.java
@@ -4,9 +4,9 @@
 public enum EndpointListKind {
     /** Changes to the last list. */
     CHANGES,
-    /** A complete list: what it does not name is gone. */
+    /** A complete list: endpoints that it does not name are removed. */
     COMPLETE,
-    /** A complete list from the configuration or from disk, before discovery has sent one. */
+    /** A complete list from the configuration or from disk, used until discovery sends a list. */
     CACHED,
     /** No list: a call to discovery failed. */
     FAILED
--- a/sidecar/src/main/java/sagefall/balancer/api/EndpointPhase.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/EndpointPhase.java
@@ -1,11 +1,11 @@
 package sagefall.balancer.api;
 
-/** What discovery says of a server. */
+/** Phase of an endpoint, as discovery reports it. */
 public enum EndpointPhase {
-    /** It takes requests. */
+    /** The endpoint accepts requests. */
     READY,
-    /** It takes no new requests, and finishes those that it has. */
+    /** The endpoint accepts no new requests, and completes those that it has accepted. */
     DRAINING,
-    /** It is gone. */
+    /** The endpoint no longer exists. */
     REMOVED
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/FleetRules.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/FleetRules.java
@@ -1,12 +1,13 @@
 package sagefall.balancer.api;
 
 /**
- * Figures of the rules on lists and on endpoints that have just started.
+ * Durations and fractions that are common to the whole fleet.
  *
- * @param slowStartInitialShare share of its fair rate that an endpoint is sent at its start
- * @param slowStartMicros time until an endpoint is warm; not negative
- * @param overloadWindowMicros time over which overload is looked at; not negative
- * @param pollIntervalMicros time within which discovery is polled; not negative
+ * @param slowStartInitialShare fraction of its usual request rate that an endpoint is sent when its
+ *     slow start begins
+ * @param slowStartMicros duration of slow start; not negative
+ * @param overloadWindowMicros duration of the window over which overload is measured; not negative
+ * @param pollIntervalMicros longest time between two polls of discovery; not negative
  */
 public record FleetRules(
         double slowStartInitialShare,
@@ -17,11 +18,11 @@
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException if a time is negative
+     * @throws IllegalArgumentException if a duration is negative
      */
     public FleetRules {
         Preconditions.require(
                 slowStartMicros >= 0 && overloadWindowMicros >= 0 && pollIntervalMicros >= 0,
-                "a rule has a negative time");
+                "a duration of the fleet rules is negative");
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/Idempotency.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Idempotency.java
@@ -1,11 +1,14 @@
 package sagefall.balancer.api;
 
-/** Whether a request may run more than once. */
+/** Whether and how a request may run more than once. */
 public enum Idempotency {
-    /** It may run any number of times. */
+    /** The request may run any number of times. */
     IDEMPOTENT,
-    /** Servers drop repeats by its key, within a scope and a window of time. */
+    /**
+     * The request takes effect once: endpoints deduplicate retries by its idempotency key, within a
+     * deduplication scope and window.
+     */
     IDEMPOTENCY_KEY,
-    /** It may run once at most. */
+    /** The request may run at most once. */
     NOT_IDEMPOTENT
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
@@ -3,13 +3,13 @@
 /**
  * An entry of an endpoint list.
  *
- * @param id id of the server, which another incarnation may take over
- * @param zone index of its zone; negative if unknown
- * @param kind index of its kind of machine; negative if unknown
- * @param cell the deduplication cell that it belongs to
- * @param phase whether it takes requests
- * @param startMicros start of this incarnation; 0 means long ago
- * @param weight its weight in the list
+ * @param id id of the endpoint, which a later incarnation may reuse
+ * @param zone index of the endpoint's zone; negative if unknown
+ * @param kind index of the endpoint's machine type; negative if unknown
+ * @param cell index of the endpoint's cell for {@link DeduplicationScope#CELL}
+ * @param phase whether the endpoint accepts requests
+ * @param startMicros point in time at which this incarnation started; 0 if that was long ago
+ * @param weight weight of the endpoint in the list; not used for routing
  */
 public record ListedEndpoint(
         long id,
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadBalancer.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadBalancer.java
@@ -3,66 +3,73 @@
 import java.util.List;
 
 /**
- * The events that a load balancer is notified of. One instance belongs to one client process; it is
- * driven by one thread, reads no clock (every event brings the time) and acts only through {@link
- * BalancerActions}.
+ * Balances the requests of one client process over the endpoints of a service. The host calls the
+ * methods of an instance from one thread, one method for each kind of event. The balancer reads no
+ * clock (every event carries the time) and acts only through {@link BalancerActions}.
  */
 public interface LoadBalancer {
 
     /**
-     * An endpoint list has come, or a call to discovery has failed.
+     * Handles an endpoint list, or the failure of a call to discovery.
      *
-     * @param revision of the list; a list of a lower revision than one before is behind that
+     * @param revision revision of the list; a list of a lower revision is older
      */
     void onEndpointList(
             long nowMicros, EndpointListKind kind, long revision, List<ListedEndpoint> list);
 
-    /** An endpoint list has come that is behind no other. */
+    /** Handles an endpoint list without a revision, which counts as older than no other list. */
     default void onEndpointList(long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {
         onEndpointList(nowMicros, kind, Long.MAX_VALUE, list);
     }
 
     /**
-     * What an earlier incarnation of this instance had persisted, before any list; endpoints that
-     * had been removed are among it.
+     * Handles the endpoint list that an earlier incarnation of this instance has persisted. The
+     * list includes removed endpoints. The host calls this method before it passes any other list.
      *
-     * @param fresh whether it is young enough to say how things are, and not only what to stay away
-     *     from
+     * @param revision revision of the persisted list
+     * @param fresh whether the list is recent enough to replace an older cached list, rather than
+     *     only to exclude endpoints that were draining or removed
      */
     default void onRecoveredEndpoints(
             long nowMicros, long revision, boolean fresh, List<ListedEndpoint> list) {}
 
-    /** A request has arrived; one whose id is open is ignored. */
+    /** Handles a request that has arrived; ignores it if a request with its id is open. */
     void onRequest(long nowMicros, Request request);
 
     /**
-     * Sets the bound on the buffers of all requests that stream, in bytes; at first there is none.
+     * Sets the bound on the buffers of all requests that stream, in bytes. There is no bound before
+     * the first call.
      */
-    void onBufferLimit(long nowMicros, long mostBytes);
+    void onBufferLimit(long nowMicros, long maxBytes);
 
-    /** The body of an upload is complete; its client's time runs from here, until that deadline. */
+    /**
+     * Handles the last byte of an upload. The latency of the request counts from now on.
+     *
+     * @param deadlineMicros deadline that replaces the earlier deadline of the request
+     */
     void onUploadComplete(long nowMicros, String requestId, long deadlineMicros);
 
     /**
-     * More of an upload's body has been forwarded than the replay buffer holds: it can't be sent to
-     * another endpoint.
+     * Handles an overflow of the replay buffer of an upload: more of the body has been forwarded
+     * than the buffer holds, so the upload can't be sent to another endpoint.
      */
     void onReplayBufferExceeded(long nowMicros, String requestId);
 
     /**
-     * The answer of a streamed class has begun: the request stays with that attempt.
+     * Handles the first part of a response of a streaming class: the request is not retried from
+     * now on.
      *
-     * @param elapsedMicros time from the attempt's sending, for an upload from its last byte
+     * @param elapsedMicros time from the sending of the attempt, or from the last byte of an upload
      */
     void onStreamStarted(
-            long nowMicros, String requestId, int attempt, long server, long elapsedMicros);
+            long nowMicros, String requestId, int attempt, long endpoint, long elapsedMicros);
 
-    /** An attempt has ended; each that was sent does, once. */
+    /** Handles the end of an attempt; the host calls it once for each attempt that was sent. */
     void onAttemptOutcome(long nowMicros, AttemptOutcome outcome);
 
-    /** The client left, or was answered by other means: the request is closed. */
+    /** Closes a request whose client has disconnected or got its response from elsewhere. */
     void onClientDisconnected(long nowMicros, String requestId);
 
-    /** A timer that was asked for has fired. */
+    /** Handles a timer that has fired, see {@link BalancerActions#scheduleTimer}. */
     void onTimer(long nowMicros, long token);
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadReport.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadReport.java
@@ -1,14 +1,14 @@
 package sagefall.balancer.api;
 
 /**
- * A server's own report on its load; NaN where it says nothing.
+ * The load of an endpoint as the endpoint reports it. A value that is not reported is NaN.
  *
- * @param inFlight requests that it works on
- * @param queue requests that wait in it
- * @param utilization from 0 to 1
- * @param latencyMillis its mean time for a request, in milliseconds
- * @param rate requests a second
- * @param errorRate fraction of its answers that are errors
+ * @param inFlight number of requests that the endpoint is processing
+ * @param queue number of requests that are queued at the endpoint
+ * @param utilization utilization of the endpoint, from 0 to 1
+ * @param latencyMillis mean latency of a request at the endpoint, in milliseconds
+ * @param rate number of requests that the endpoint serves per second
+ * @param errorRate fraction of the endpoint's responses that are errors
  */
 public record LoadReport(
         double inFlight,
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
@@ -2,8 +2,8 @@
 
 /** Where load reports come from. */
 public enum LoadReportSource {
-    /** There are none. */
+    /** There are no load reports. */
     NONE,
-    /** Servers add them to their answers. */
+    /** Endpoints add load reports to their responses. */
     ANSWERS
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/Preconditions.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Preconditions.java
@@ -5,7 +5,7 @@
 
     private Preconditions() {}
 
-    /** Throws an {@link IllegalArgumentException} with the message unless the condition holds. */
+    /** Throws an {@link IllegalArgumentException} with this message if the condition is false. */
     static void require(boolean condition, String message) {
         if (!condition) {
             throw new IllegalArgumentException("settings: " + message);
--- a/sidecar/src/main/java/sagefall/balancer/api/RejectionReason.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RejectionReason.java
@@ -1,25 +1,25 @@
 package sagefall.balancer.api;
 
 /**
- * Why a request was given up. No host acts on the reason: it is there to be counted and logged,
- * under its {@link #label()}.
+ * Why a request was rejected or failed. Hosts only count and log the reason, under its {@link
+ * #label()}.
  */
 public enum RejectionReason {
-    /** Shed at random by admission control. */
+    /** Admission control shed the request at random. */
     ADMISSION("admission"),
-    /** The concurrency limit of every zone that could serve it is reached. */
+    /** A zone is at its concurrency limit, and no endpoint of the other zones has capacity. */
     ZONE_FULL("zone_full"),
-    /** It waited in the queue until an answer could no longer meet its latency objective. */
+    /** The request was queued until a response would have come too late to be of use. */
     QUEUE_TIMEOUT("waited"),
-    /** The sidecar has as many open requests as the settings allow. */
+    /** The sidecar has more open requests than the settings allow. */
     OPEN_REQUESTS("in_hand"),
-    /** The bound on stream buffers leaves no capacity for it. */
+    /** The stream buffers of the open requests exceed their bound. */
     BUFFER_LIMIT("buffers"),
-    /** Too little of its deadline is left. */
+    /** Too little time is left until the deadline, or until a response is too late to be of use. */
     TOO_LATE("too_late"),
-    /** It may have run, and its idempotency does not allow a retry. */
+    /** The request may have run or its body is no longer buffered, so a retry is not allowed. */
     NOT_RETRYABLE("effect"),
-    /** It has had the maximum number of attempts. */
+    /** The request has had the maximum number of attempts. */
     MAX_ATTEMPTS("attempts"),
     /** The retry budget is exhausted. */
     RETRY_BUDGET("retry_budget");
@@ -31,7 +31,8 @@
     }
 
     /**
-     * The word for this reason in the emulator's result files; it stays when a constant is renamed.
+     * Returns the name of this reason in the emulator's result files. The name stays unchanged if
+     * the constant is renamed.
      */
     public String label() {
         return label;
--- a/sidecar/src/main/java/sagefall/balancer/api/Request.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Request.java
@@ -1,21 +1,21 @@
 package sagefall.balancer.api;
 
 /**
- * A request that has arrived. Of an upload only the head has come: its body passes through as it
+ * A request that has arrived. Of an upload, only the head has arrived: its body is forwarded as it
  * arrives.
  *
- * @param id its id among the open requests of the instance
- * @param requestClass index of its class in the settings
- * @param tenant index of its tenant in the settings
- * @param clientRetry whether its client has sent it before
- * @param key the key that servers may remember it by; negative if there is none
- * @param deadlineMicros until when its client waits
- * @param write whether it writes
- * @param upload whether its body passes through as it arrives
- * @param bufferBytes what it may hold of the process's memory for buffers while it streams; 0 for
- *     one whose body is forwarded complete
- * @param waitedMicros how long it may have waited for its host to come to it, which is part of its
- *     client's time
+ * @param id id of the request, unique among the open requests of the instance
+ * @param requestClass index of the request class in the settings
+ * @param tenant index of the tenant in the settings
+ * @param clientRetry whether the request is a retry by its client
+ * @param key key whose data an endpoint may have cached; negative if there is none
+ * @param deadlineMicros deadline of the request
+ * @param write whether the request may change data at the endpoint
+ * @param upload whether the body is forwarded as it arrives
+ * @param bufferBytes bytes that the request may hold in stream buffers; 0 if its body is forwarded
+ *     only when it is complete
+ * @param waitedMicros upper bound on the time that the request waited before the host read it; this
+ *     time counts towards the latency of the request
  */
 public record Request(
         String id,
@@ -29,7 +29,7 @@
         long bufferBytes,
         long waitedMicros) {
 
-    /** A request whose body is complete and that has not waited. */
+    /** Creates a request whose body is complete and that has not waited for the host. */
     public Request(
             String id,
             int requestClass,
--- a/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
@@ -1,17 +1,19 @@
 package sagefall.balancer.api;
 
 /**
- * A class of requests: its idempotency, its times and the weight of its answers.
+ * A request class: idempotency, latency target, deadline and weight of its requests.
  *
- * @param name its name in the settings
+ * @param name name of the class in the settings
  * @param idempotency whether a request may run more than once
- * @param deduplicationScope which servers drop repeats by the idempotency key
- * @param deduplicationWindowMicros for how long they do, from the first attempt on; not negative
- * @param latencyObjectiveMicros what an answer should take at most; 0 if there is no objective
- * @param deadlineMicros what an answer may take at most; not negative
- * @param priorityWeight weight of an answer in time; not negative
- * @param lateWeightShare part of that weight that a late answer has; not negative
- * @param streaming whether bodies pass through as they arrive
+ * @param deduplicationScope endpoints at which retries are deduplicated by the idempotency key
+ * @param deduplicationWindowMicros duration after the first attempt for which retries are
+ *     deduplicated; not negative
+ * @param latencyObjectiveMicros latency target: a slower response is late; 0 if there is none, not
+ *     negative
+ * @param deadlineMicros longest time from the arrival of a request to its response; not negative
+ * @param priorityWeight weight of a response that is not late; not negative
+ * @param lateWeightShare fraction of {@code priorityWeight} that a late response has; not negative
+ * @param streaming whether bodies are forwarded as they arrive
  */
 public record RequestClass(
         String name,
@@ -27,22 +29,22 @@
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException if a time or a weight is negative
+     * @throws IllegalArgumentException if a duration or a weight is negative
      */
     public RequestClass {
         Preconditions.require(
                 latencyObjectiveMicros >= 0
                         && deadlineMicros >= 0
                         && deduplicationWindowMicros >= 0,
-                "class '" + name + "' has a negative time");
+                "class '" + name + "' has a negative duration");
         Preconditions.require(
                 priorityWeight >= 0 && lateWeightShare >= 0,
-                "class '" + name + "' has a negative worth");
+                "class '" + name + "' has a negative weight");
     }
 
     /**
-     * What an answer should take at most, in microseconds: the latency objective, else the
-     * deadline; at least 1.
+     * Returns the latency target in microseconds, or the deadline if the class has no latency
+     * target; at least 1.
      */
     public long targetLatencyMicros() {
         return Math.max(1, latencyObjectiveMicros > 0 ? latencyObjectiveMicros : deadlineMicros);
--- a/sidecar/src/main/java/sagefall/balancer/api/ServiceLimits.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/ServiceLimits.java
@@ -1,14 +1,14 @@
 package sagefall.balancer.api;
 
 /**
- * What the site allows.
+ * Limits of the service on attempts, rejections and connections.
  *
- * @param maxAttempts most attempts of a request, the first among them
+ * @param maxAttempts maximum number of attempts of a request, including the first
  * @param cancellationAllowed whether attempts may be cancelled
- * @param retryAfterAllowed whether a rejection may say when to retry
- * @param maxRetryAfterMicros the latest that it may say
- * @param idleTimeoutMicros after which the platform closes an idle connection
- * @param maxOpenRequests most open requests of an instance
+ * @param retryAfterAllowed whether a rejection may carry a Retry-After
+ * @param maxRetryAfterMicros longest Retry-After of a rejection
+ * @param idleTimeoutMicros time after which the platform closes an idle connection
+ * @param maxOpenRequests maximum number of open requests of an instance
  */
 public record ServiceLimits(
         int maxAttempts,
--- a/sidecar/src/main/java/sagefall/balancer/api/Tenant.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Tenant.java
@@ -3,17 +3,17 @@
 /**
  * A tenant and its quota.
  *
- * @param name its name in the settings
- * @param quotaShare its share of the service; not negative
+ * @param name name of the tenant in the settings
+ * @param quotaShare quota of the tenant, relative to the sum over all tenants; not negative
  */
 public record Tenant(String name, double quotaShare) {
 
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException if the share is negative
+     * @throws IllegalArgumentException if the quota is negative
      */
     public Tenant {
-        Preconditions.require(quotaShare >= 0, "tenant '" + name + "' has a negative share");
+        Preconditions.require(quotaShare >= 0, "tenant '" + name + "' has a negative quota");
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/api/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The interface between a host, such as the proxy, the simulator's adapter or the emulator, and the
- * decisions: events, actions, settings and value types. All times are in microseconds of the host's
- * clock, which may start anywhere; durations are in microseconds too, unless a name says otherwise.
+ * The interface between the load balancer and its host, such as the sidecar, the simulator adapter
+ * or the emulator: events, actions, settings and value types. All points in time are in
+ * microseconds of the host's clock, which may start at any value; durations are in microseconds
+ * too, unless a name says otherwise.
  */
 package sagefall.balancer.api;
--- a/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
@@ -4,8 +4,8 @@
 import sagefall.balancer.health.Endpoint;
 
 /**
- * One sending of a request to one endpoint. Compared by identity, never by value; times are in
- * microseconds of the host's clock.
+ * An attempt: one sending of a request to one endpoint. Attempts are compared by identity. All
+ * points in time are in microseconds of the host's clock.
  */
 public final class Attempt {
     private final PendingRequest request;
@@ -23,15 +23,18 @@
     private boolean suspected;
 
     /**
-     * @param typicalMicros what is typical for an answer of the request's class
-     * @param warm whether it goes out on a connection that is open and trusted
+     * Creates an attempt that is sent now.
+     *
+     * @param typicalMicros typical latency of the request's class
+     * @param onTrustedConnection whether the attempt is sent on an open connection that is trusted
+     *     to be alive, rather than on a new one
      */
     public Attempt(
             PendingRequest request,
             Endpoint endpoint,
             long now,
             double typicalMicros,
-            boolean warm) {
+            boolean onTrustedConnection) {
         this.request = request;
         this.endpoint = endpoint;
         this.typicalMicros = typicalMicros;
@@ -39,105 +42,118 @@
         sentAt = now;
         awaitedSince = now;
         expectedMicros = typicalMicros * Math.max(1, endpoint.latency().meanRatio());
-        onNewConnection = !warm;
-        connectionIdleMicros = warm ? now - endpoint.connection().lastUsedAt() : 0;
+        onNewConnection = !onTrustedConnection;
+        connectionIdleMicros = onTrustedConnection ? now - endpoint.connection().lastUsedAt() : 0;
     }
 
-    /** The request that it is an attempt of. */
+    /** Returns the request of the attempt. */
     public PendingRequest request() {
         return request;
     }
 
-    /** Where it was sent. */
+    /** Returns the endpoint that the attempt was sent to. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Its number among the attempts of its request, from 0. */
+    /** Returns the number of the attempt among the attempts of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** When it was sent. */
+    /** Returns when the attempt was sent. */
     public long sentAt() {
         return sentAt;
     }
 
-    /** How long its connection had been idle; 0 for a new connection. */
+    /**
+     * Returns how long the connection had been idle before the attempt was sent; 0 for a new
+     * connection.
+     */
     public long connectionIdleMicros() {
         return connectionIdleMicros;
     }
 
-    /** What was typical for its class when it was sent. */
+    /** Returns the typical latency of the request's class when the attempt was sent. */
     public double typicalMicros() {
         return typicalMicros;
     }
 
-    /** What was expected of its endpoint when it was sent; at least what is typical. */
+    /**
+     * Returns the latency that was expected of the endpoint when the attempt was sent; at least the
+     * typical latency of the request's class.
+     */
     public double expectedMicros() {
         return expectedMicros;
     }
 
-    /** Whether a connection had to be set up for it. */
+    /** Returns whether a connection had to be set up for the attempt. */
     public boolean onNewConnection() {
         return onNewConnection;
     }
 
-    /** From when on its endpoint owes an answer: its sending, or the last byte of an upload. */
+    /**
+     * Returns the point in time from which on a response is awaited: the sending of the attempt, or
+     * the last byte of an upload.
+     */
     public long awaitedSince() {
         return awaitedSince;
     }
 
     /**
-     * Whether it counts as in flight at its endpoint. An upload counts from its last byte on, a
-     * streamed answer no longer counts.
+     * Returns whether a response is awaited, so that the attempt counts as in flight at its
+     * endpoint. An upload counts from its last byte on, and an attempt no longer counts once its
+     * response streams.
      */
     public boolean isAwaited() {
         return awaited;
     }
 
-    /** From now on its endpoint owes an answer. */
+    /** Marks the attempt as awaiting a response from now on. */
     public void startAwaiting(long now) {
         awaitedSince = now;
         awaited = true;
     }
 
-    /** Its endpoint owes no answer any more. */
+    /** Marks the attempt as no longer awaiting a response. */
     public void stopAwaiting() {
         awaited = false;
     }
 
-    /** Whether it has been unanswered for so long that its endpoint or connection is suspected. */
+    /**
+     * Returns whether the attempt has had no response for so long that its endpoint or connection
+     * is suspected to have failed.
+     */
     public boolean isSuspected() {
         return suspected;
     }
 
-    /** Marks it as unanswered for too long. */
+    /** Marks the attempt as one that has had no response for too long. */
     public void suspect() {
         suspected = true;
     }
 
-    /** Whether its outcome is known. */
+    /** Returns whether the attempt has ended. */
     public boolean hasEnded() {
         return state == AttemptState.ENDED;
     }
 
-    /** Whether its answer has begun and its outcome is not known yet. */
+    /** Returns whether the response has begun to stream and the attempt has not ended. */
     public boolean isStreaming() {
         return state == AttemptState.STREAMING;
     }
 
-    /** Whether it may have run, or may still run. */
+    /** Returns whether the attempt may have run, or may still run. */
     public boolean possiblyExecuted() {
         return result == null || !result.provesNotExecuted;
     }
 
-    /** Its answer has begun: all has been learnt that its latency tells. */
+    /** Marks the response as begun; the latency of the attempt ends here. */
     public void startStreaming() {
         state = AttemptState.STREAMING;
     }
 
-    /** Its outcome is known. */
+    /** Ends the attempt. */
     public void end(AttemptResult finalResult) {
         state = AttemptState.ENDED;
         result = finalResult;
--- a/sidecar/src/main/java/sagefall/balancer/request/AttemptState.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/AttemptState.java
@@ -1,11 +1,11 @@
 package sagefall.balancer.request;
 
-/** How far an attempt has come; the states exclude each other. */
+/** States of an attempt. */
 public enum AttemptState {
-    /** Sent; no part of an answer has come. */
+    /** The attempt was sent, and no part of a response has come. */
     IN_FLIGHT,
-    /** Its answer has begun and is passed through to the client. */
+    /** The response has begun and is streamed to the client. */
     STREAMING,
-    /** Its outcome is known. */
+    /** The outcome of the attempt is known. */
     ENDED
 }
--- a/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
@@ -6,7 +6,10 @@
 import sagefall.balancer.api.RequestClass;
 import sagefall.balancer.health.Endpoint;
 
-/** A request from its arrival until the last of its attempts has ended. Compared by identity. */
+/**
+ * The state of a request, kept from its arrival until it is closed and its last attempt has ended.
+ * Instances are compared by identity.
+ */
 public final class PendingRequest {
     private final Request request;
     private final RepeatPolicy repeatPolicy;
@@ -16,7 +19,7 @@
     private final List<Attempt> attempts = new ArrayList<>(2);
     private RequestState state = RequestState.ACTIVE;
     private boolean uploading;
-    private boolean bodyLost;
+    private boolean replayBufferExceeded;
     private boolean responseStarted;
     private boolean overQuota;
     private int cell;
@@ -24,8 +27,10 @@
     private int attemptsInFlight;
 
     /**
-     * @param now the time of its arrival, in microseconds of the host's clock
-     * @param policies a repeat policy for each class of the settings, in their order
+     * Creates the state of a request that has arrived.
+     *
+     * @param now time of arrival, in microseconds of the host's clock
+     * @param policies repeat policies of the request classes, in the order of the settings
      * @param tenants number of tenants, at least 1
      */
     public PendingRequest(long now, Request request, List<RepeatPolicy> policies, int tenants) {
@@ -33,160 +38,160 @@
         classIndex = Math.min(Math.max(0, request.requestClass()), policies.size() - 1);
         repeatPolicy = policies.get(classIndex);
         tenant = Math.min(Math.max(0, request.tenant()), tenants - 1);
-        times = new RequestTimes(now, request, repeatPolicy.rules());
+        times = new RequestTimes(now, request, repeatPolicy.requestClass());
         uploading = request.upload();
     }
 
-    /** What the host said of it. */
+    /** Returns the request as the host passed it to the balancer. */
     public Request request() {
         return request;
     }
 
-    /** Its identifier among the open requests of this instance. */
+    /** Returns the id of the request, unique among the open requests of this instance. */
     public String id() {
         return request.id();
     }
 
-    /** The settings of its class. */
+    /** Returns the settings of the request class. */
     public RequestClass rules() {
-        return repeatPolicy.rules();
+        return repeatPolicy.requestClass();
     }
 
-    /** Index of its class in the settings. */
+    /** Returns the index of the request class in the settings. */
     public int classIndex() {
         return classIndex;
     }
 
-    /** Index of its tenant in the settings; 0 if there are none. */
+    /** Returns the index of the tenant in the settings; 0 if there are no tenants. */
     public int tenant() {
         return tenant;
     }
 
-    /** The times that bind it. */
+    /** Returns the arrival, latency target and deadline of the request. */
     public RequestTimes times() {
         return times;
     }
 
-    /** Its attempts, in the order of their sending. */
+    /** Returns the attempts, in the order in which they were sent. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
-    /** The attempt that was sent last; there has to be one. */
+    /** Returns the attempt that was sent last; there has to be one. */
     public Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
-    /** The attempt of that number, or null if there is none. */
+    /** Returns the attempt with this number, or null if there is none. */
     public Attempt attempt(int number) {
         return number < 0 || number >= attempts.size() ? null : attempts.get(number);
     }
 
-    /** Whether it is in the request queue. */
+    /** Returns whether the request is queued. */
     public boolean isQueued() {
         return state == RequestState.QUEUED;
     }
 
-    /** Whether its client has the final answer, or left. */
+    /** Returns whether the request is closed: it needs no further response. */
     public boolean isClosed() {
         return state == RequestState.CLOSED;
     }
 
-    /** Enters the request queue. */
+    /** Marks the request as queued. */
     public void enqueue() {
         state = RequestState.QUEUED;
     }
 
-    /** Leaves the request queue; nothing changes for one that is not in it. */
+    /** Marks the request as no longer queued; does nothing if it is not queued. */
     public void dequeue() {
         if (state == RequestState.QUEUED) {
             state = RequestState.ACTIVE;
         }
     }
 
-    /** Its client has the final answer, or left. */
+    /** Closes the request: its client has the final response, or has disconnected. */
     public void close() {
         state = RequestState.CLOSED;
     }
 
-    /** Whether an attempt of it has no outcome yet. */
+    /** Returns whether an attempt has not ended yet. */
     public boolean hasAttemptInFlight() {
         return attemptsInFlight > 0;
     }
 
-    /** Adds an attempt that goes out now. */
+    /** Adds an attempt that is sent now. */
     public void attemptSent(Attempt attempt) {
         attempts.add(attempt);
         attemptsInFlight++;
     }
 
-    /** The outcome of one of its attempts has come. */
+    /** Counts the end of one of the attempts. */
     public void attemptEnded() {
         attemptsInFlight--;
     }
 
-    /** Whether a part of its body is still to come. */
+    /** Returns whether a part of the body has not arrived yet. */
     public boolean isUploading() {
         return uploading;
     }
 
-    /** The last byte of its body has come; its client waits until that deadline. */
+    /** Marks the body as complete, restarts the latency, and sets the deadline of the request. */
     public void uploadCompleted(long now, long deadlineAt) {
         uploading = false;
         times.restart(now, deadlineAt);
     }
 
-    /** Whether a part of its body is no longer buffered, so that a retry can't send it. */
-    public boolean isBodyLost() {
-        return bodyLost;
+    /** Returns whether a part of the body is no longer buffered, so that no retry can send it. */
+    public boolean isReplayBufferExceeded() {
+        return replayBufferExceeded;
     }
 
-    /** More of its body was forwarded than the replay buffer holds. */
-    public void loseBody() {
-        bodyLost = true;
+    /** Notes that more of the body was forwarded than the replay buffer holds. */
+    public void markReplayBufferExceeded() {
+        replayBufferExceeded = true;
     }
 
-    /** Whether a part of an answer has gone to the client. */
+    /** Returns whether a part of the response has been sent to the client. */
     public boolean isResponseStarted() {
         return responseStarted;
     }
 
-    /** A part of an answer goes to the client: it stays with that attempt. */
+    /** Notes that a part of the response is sent to the client; no retry is sent from then on. */
     public void startResponse() {
         responseStarted = true;
     }
 
-    /** Whether its tenant is beyond its quota of the service. */
+    /** Returns whether the tenant was beyond its quota when the request arrived. */
     public boolean isOverQuota() {
         return overQuota;
     }
 
-    /** Notes whether its tenant is beyond its quota. */
+    /** Sets whether the tenant is beyond its quota. */
     public void setOverQuota(boolean beyondQuota) {
         overQuota = beyondQuota;
     }
 
-    /** The cell that it is routed to first. */
+    /** Returns the cell that the request is routed to first. */
     public int cell() {
         return cell;
     }
 
-    /** Sets the cell that it is routed to first. */
+    /** Sets the cell that the request is routed to first. */
     public void setCell(int firstCell) {
         cell = firstCell;
     }
 
-    /** The random number that decides which endpoints in slow start it may go to. */
+    /** Returns the random number that decides which endpoints in slow start the request may use. */
     public long routingSeed() {
         return routingSeed;
     }
 
-    /** Sets its random number. */
+    /** Sets the random number that decides which endpoints in slow start the request may use. */
     public void setRoutingSeed(long seed) {
         routingSeed = seed;
     }
 
-    /** The first attempt that may have run or may still run; null if there is none. */
+    /** Returns the first attempt that may have run or may still run; null if there is none. */
     public Attempt firstPossiblyExecuted() {
         for (Attempt attempt : attempts) {
             if (attempt.possiblyExecuted()) {
@@ -196,7 +201,7 @@
         return null;
     }
 
-    /** Whether an attempt of it went to this endpoint. */
+    /** Returns whether an attempt was sent to this endpoint. */
     boolean wasSentTo(Endpoint endpoint) {
         for (Attempt attempt : attempts) {
             if (attempt.endpoint() == endpoint) {
@@ -206,22 +211,22 @@
         return false;
     }
 
-    /** Whether its client may be asked to retry, as {@link RepeatPolicy} says. */
+    /** Returns whether the request may be rejected, see {@link RepeatPolicy}. */
     public boolean mayBeRejected() {
         return repeatPolicy.mayReject(this);
     }
 
-    /** Whether its idempotency could allow a retry, as {@link RepeatPolicy} says. */
+    /** Returns whether idempotency could allow a retry, see {@link RepeatPolicy}. */
     public boolean mayBeRetried() {
         return repeatPolicy.mayRetry(this);
     }
 
-    /** Whether an attempt may go to this endpoint now, as {@link RepeatPolicy} says. */
+    /** Returns whether an attempt may be sent to this endpoint now, see {@link RepeatPolicy}. */
     public boolean mayRunOn(long now, Endpoint endpoint) {
         return repeatPolicy.mayRunOn(now, this, endpoint);
     }
 
-    /** From when on nothing more of it may be sent, as {@link RepeatPolicy} says. */
+    /** Returns the time from which on no attempt may be sent, see {@link RepeatPolicy}. */
     public long latestSendAt() {
         return repeatPolicy.latestSendAt(this);
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
@@ -6,67 +6,77 @@
 import sagefall.balancer.health.Endpoint;
 
 /**
- * What the idempotency of a class of requests allows: whether one may be retried or rejected, where
- * and until when. It prevents that an effect happens twice, and that a client is asked to retry
- * what may have run.
+ * Decides by the idempotency of a request class whether a request may be retried, at which
+ * endpoints and until when, and whether it may be rejected. A request must not take effect twice,
+ * so a client must not be asked to retry a request that may have run and is not deduplicated.
  */
 public final class RepeatPolicy {
-    private final RequestClass rules;
+    private final RequestClass requestClass;
     private final long tickMicros;
 
     /**
-     * @param tickMicros resolution of the host's timers, by which a send may come late
+     * Creates the policy of a request class.
+     *
+     * @param tickMicros resolution of the host's timers, by which an attempt may be sent late
      */
-    public RepeatPolicy(RequestClass rules, long tickMicros) {
-        this.rules = rules;
+    public RepeatPolicy(RequestClass requestClass, long tickMicros) {
+        this.requestClass = requestClass;
         this.tickMicros = tickMicros;
     }
 
-    /** The class of requests that this policy is for. */
-    RequestClass rules() {
-        return rules;
+    /** Returns the request class of this policy. */
+    RequestClass requestClass() {
+        return requestClass;
     }
 
-    /** Whether the client may be asked to retry: a repeat would do no harm, or nothing has run. */
+    /**
+     * Returns whether the client may be asked to retry the request: the request may run any number
+     * of times, or all endpoints deduplicate it by its idempotency key, or no attempt can have run.
+     */
     boolean mayReject(PendingRequest request) {
         boolean deduplicatedEverywhere =
-                rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && rules.deduplicationScope() == DeduplicationScope.ALL;
+                requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
         return deduplicatedEverywhere
-                || rules.idempotency() == Idempotency.IDEMPOTENT
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstPossiblyExecuted() == null;
     }
 
-    /** Whether idempotency could allow a retry at all. */
+    /** Returns whether idempotency could allow a retry, at some endpoint and time. */
     boolean mayRetry(PendingRequest request) {
-        return mayReject(request) || rules.idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        return mayReject(request) || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
     }
 
     /**
-     * From when on nothing more of a request with an idempotency key may be sent, once it may have
-     * run; {@link Long#MAX_VALUE} where any time is right.
+     * Returns the point in time from which on no attempt may be sent: one tick before the end of
+     * the deduplication window if the request has an idempotency key and may have run, else {@link
+     * Long#MAX_VALUE}.
      */
     long latestSendAt(PendingRequest request) {
         Attempt first = request.firstPossiblyExecuted();
-        if (first == null || rules.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
+        if (first == null || requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return Long.MAX_VALUE;
         }
-        return first.sentAt() + rules.deduplicationWindowMicros() - tickMicros;
+        return first.sentAt() + requestClass.deduplicationWindowMicros() - tickMicros;
     }
 
-    /** Whether an attempt may go to this endpoint now; never two to the same one. */
+    /**
+     * Returns whether an attempt may be sent to this endpoint now. No endpoint is sent two attempts
+     * of a request.
+     */
     boolean mayRunOn(long now, PendingRequest request, Endpoint endpoint) {
         if (request.wasSentTo(endpoint)) {
             return false;
         }
         Attempt first = request.firstPossiblyExecuted();
-        if (first == null || rules.idempotency() == Idempotency.IDEMPOTENT) {
+        if (first == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        if (rules.idempotency() == Idempotency.NOT_IDEMPOTENT || now >= latestSendAt(request)) {
+        if (requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT
+                || now >= latestSendAt(request)) {
             return false;
         }
-        return switch (rules.deduplicationScope()) {
+        return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> first.endpoint().entry().zone() == endpoint.entry().zone();
             case CELL -> first.endpoint().entry().cell() == endpoint.entry().cell();
--- a/sidecar/src/main/java/sagefall/balancer/request/RequestState.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RequestState.java
@@ -1,11 +1,11 @@
 package sagefall.balancer.request;
 
-/** Where a request stands in this instance; the states exclude each other. */
+/** States of a request. */
 public enum RequestState {
-    /** Being dispatched, or one of its attempts is in flight. */
+    /** The request is being dispatched, or one of its attempts is in flight. */
     ACTIVE,
-    /** In the request queue, until an endpoint has capacity. */
+    /** The request is queued until an endpoint has capacity. */
     QUEUED,
-    /** Its client has the final answer, or left. Attempts may still be in flight. */
+    /** The client has the final response, or has disconnected. Attempts may still be in flight. */
     CLOSED
 }
--- a/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
@@ -3,34 +3,40 @@
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.RequestClass;
 
-/** The times that bind one request, in microseconds of the host's clock. */
+/** Arrival, latency target and deadline of a request, in microseconds of the host's clock. */
 public final class RequestTimes {
     private long arrivedAt;
     private long objectiveAt;
     private long deadlineAt;
 
-    RequestTimes(long now, Request request, RequestClass rules) {
+    RequestTimes(long now, Request request, RequestClass requestClass) {
         arrivedAt = now - request.waitedMicros();
         deadlineAt = request.deadlineMicros();
-        objectiveAt = arrivedAt + rules.latencyObjectiveMicros();
+        objectiveAt = arrivedAt + requestClass.latencyObjectiveMicros();
     }
 
-    /** When its client's time began: its arrival at the host, or the last byte of its upload. */
+    /**
+     * Returns the point in time from which on latency counts: the arrival of the request at the
+     * host, or the last byte of an upload.
+     */
     public long arrivedAt() {
         return arrivedAt;
     }
 
-    /** Until when an answer meets the latency objective. */
+    /**
+     * Returns the point in time after which a response is late; the arrival of the request if its
+     * class has no latency target.
+     */
     public long objectiveAt() {
         return objectiveAt;
     }
 
-    /** Until when its client waits for an answer. */
+    /** Returns the deadline of the request. */
     public long deadlineAt() {
         return deadlineAt;
     }
 
-    /** The body of an upload is complete: its client's time runs from now, until that deadline. */
+    /** Restarts the latency at the last byte of an upload, and sets the new deadline. */
     void restart(long now, long newDeadlineAt) {
         deadlineAt = newDeadlineAt;
         objectiveAt += now - arrivedAt;
--- a/sidecar/src/main/java/sagefall/balancer/request/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A request and its attempts: what state they are in, which times bind them, and how often their
- * effect allows them to run.
+ * Requests and their attempts: their states, latency targets and deadlines, and the retries that
+ * their idempotency allows.
  */
 package sagefall.balancer.request;
--- a/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
@@ -21,8 +21,8 @@
 import sagefall.balancer.api.ServiceLimits;
 
 /**
- * A fleet of instances that share nothing, on servers that queue what they are sent and forget
- * nothing.
+ * Tests a fleet of instances without shared state against servers that queue and run every attempt
+ * that they are sent, even after its timeout.
  */
 class FleetOverloadTest {
 
@@ -34,15 +34,15 @@
     private record Event(long at, int instance, AttemptOutcome outcome) {}
 
     private final List<RecordingActions> fleet = new ArrayList<>();
-    private final PriorityQueue<Event> answers =
+    private final PriorityQueue<Event> pendingOutcomes =
             new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
-    /** When each server will have done all that it was sent. */
+    /** End times of the attempts that are queued or running at a server, by server id. */
     private final Map<Long, ArrayDeque<Long>> queues = new HashMap<>();
 
-    private int inTime;
+    private int responsesInTime;
 
-    private void open() {
+    private void startFleet() {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
         for (int i = 0; i < SIDECARS; i++) {
@@ -62,86 +62,98 @@
         }
     }
 
-    /** So many requests a second for so long; each server does 25 a second. */
-    private int play(long from, long until, int perSecond) {
-        inTime = 0;
+    /**
+     * Sends requests to the instances in turn and returns the number of responses within the
+     * latency target. Each server can serve 25 requests per second.
+     */
+    private int sendRequests(long from, long until, int perSecond) {
+        responsesInTime = 0;
         int number = 0;
         for (long at = from; at < until; at += 1_000_000 / perSecond) {
-            answerUntil(at);
+            deliverOutcomesUntil(at);
             int instance = number++ % SIDECARS;
             RecordingActions host = fleet.get(instance);
             int before = host.sent.size();
             host.now = at;
             host.request("r" + at);
-            sent(instance, before);
+            queueAttempts(instance, before);
         }
-        answerUntil(until);
-        return inTime;
+        deliverOutcomesUntil(until);
+        return responsesInTime;
     }
 
-    private void sent(int instance, int before) {
+    /**
+     * Queues attempts of an instance at their servers, and schedules their outcomes.
+     *
+     * @param firstAttempt index of the first of these attempts among all that the instance has sent
+     */
+    private void queueAttempts(int instance, int firstAttempt) {
         RecordingActions host = fleet.get(instance);
-        for (RecordingActions.Sent s : host.sent.subList(before, host.sent.size())) {
-            ArrayDeque<Long> queue = queues.computeIfAbsent(s.server(), id -> new ArrayDeque<>());
-            queue.removeIf(end -> end <= s.at());
-            long end = Math.max(s.at(), queue.isEmpty() ? 0 : queue.peekLast()) + SERVICE_MICROS;
+        for (RecordingActions.Sent sent : host.sent.subList(firstAttempt, host.sent.size())) {
+            ArrayDeque<Long> queue =
+                    queues.computeIfAbsent(sent.server(), id -> new ArrayDeque<>());
+            queue.removeIf(end -> end <= sent.at());
+            long end = Math.max(sent.at(), queue.isEmpty() ? 0 : queue.peekLast()) + SERVICE_MICROS;
             queue.addLast(end);
-            double use = Math.min(1, queue.size() / 2.0);
-            long took = Math.min(end - s.at(), 1_000_000);
-            answers.add(
+            double utilization = Math.min(1, queue.size() / 2.0);
+            long elapsed = Math.min(end - sent.at(), 1_000_000);
+            pendingOutcomes.add(
                     new Event(
-                            s.at() + took,
+                            sent.at() + elapsed,
                             instance,
                             new AttemptOutcome(
-                                    s.request(),
+                                    sent.request(),
                                     0,
-                                    s.server(),
-                                    end - s.at() > took
+                                    sent.server(),
+                                    end - sent.at() > elapsed
                                             ? AttemptResult.TIMED_OUT
                                             : AttemptResult.SERVED,
-                                    took,
-                                    end - s.at() <= took,
-                                    new LoadReport(Double.NaN, Double.NaN, use, 40, 25, 0))));
+                                    elapsed,
+                                    end - sent.at() <= elapsed,
+                                    new LoadReport(
+                                            Double.NaN, Double.NaN, utilization, 40, 25, 0))));
         }
     }
 
-    private void answerUntil(long until) {
-        while (!answers.isEmpty() && answers.peek().at() <= until) {
-            Event e = answers.poll();
-            RecordingActions host = fleet.get(e.instance());
+    private void deliverOutcomesUntil(long until) {
+        while (!pendingOutcomes.isEmpty() && pendingOutcomes.peek().at() <= until) {
+            Event event = pendingOutcomes.poll();
+            RecordingActions host = fleet.get(event.instance());
             int before = host.sent.size();
-            host.now = e.at();
-            host.balancer.onAttemptOutcome(e.at(), e.outcome());
-            inTime +=
-                    e.outcome().result() == AttemptResult.SERVED
-                                    && e.outcome().elapsedMicros() <= OBJECTIVE_MICROS
+            host.now = event.at();
+            host.balancer.onAttemptOutcome(event.at(), event.outcome());
+            responsesInTime +=
+                    event.outcome().result() == AttemptResult.SERVED
+                                    && event.outcome().elapsedMicros() <= OBJECTIVE_MICROS
                             ? 1
                             : 0;
-            sent(e.instance(), before);
+            queueAttempts(event.instance(), before);
         }
     }
 
     /**
-     * Half of a fleet's servers had gone: each of the others saw a request a second from each
-     * sidecar, far under any limit of its own, so all queued up to the deadline and hardly an
-     * answer was in time.
+     * When half of a fleet's servers fail, each sidecar sends each remaining server only about one
+     * request per second. No limit per sidecar and server is reached by that, so requests used to
+     * queue at the servers up to their deadlines, and hardly any response was in time. In this test
+     * the request rate rises to twice the capacity instead.
      */
     @Test
-    void fleetAtTwiceItsCapacityStillAnswersMostOfThatInTime() {
-        open();
+    void fleetAtTwiceItsCapacityServesMostOfItsCapacityInTime() {
+        startFleet();
         int capacity = (int) (SERVERS * 1_000_000 / SERVICE_MICROS);
-        play(1_000_000, 6_000_000, capacity / 2);
-        play(6_000_000, 9_000_000, 2 * capacity);
-        int served = play(9_000_000, 14_000_000, 2 * capacity);
+        sendRequests(1_000_000, 6_000_000, capacity / 2);
+        sendRequests(6_000_000, 9_000_000, 2 * capacity);
+        int served = sendRequests(9_000_000, 14_000_000, 2 * capacity);
         assertTrue(
-                served > 0.6 * 5 * capacity, served + " in time of " + 5 * capacity + " possible");
+                served > 0.6 * 5 * capacity,
+                served + " responses in time of " + 5 * capacity + " possible");
     }
 
     @Test
     void requestsBeyondCapacityOfAnOverloadedZoneAreRejectedAtOnce() {
-        open();
+        startFleet();
         int capacity = (int) (SERVERS * 1_000_000 / SERVICE_MICROS);
-        play(1_000_000, 9_000_000, 2 * capacity);
+        sendRequests(1_000_000, 9_000_000, 2 * capacity);
         RecordingActions host = fleet.get(0);
         int rejected = host.rejected.size();
         for (int i = 0; i < 100; i++) {
@@ -154,17 +166,19 @@
                 100,
                 host.rejected.size()
                         - rejected
-                        + host.sent.stream().filter(s -> s.request().startsWith("at once")).count(),
-                "none is queued");
+                        + host.sent.stream()
+                                .filter(sent -> sent.request().startsWith("at once"))
+                                .count(),
+                "each request is sent or rejected at once");
     }
 
     /**
-     * The part of the objective was computed in integers, so only what was past all of it counted
-     * as slow.
+     * The ratio of a response's latency to the latency target used to be computed in integers, so
+     * that only responses slower than the whole target counted as slow.
      */
     @Test
-    void answersPastHalfOfTheirObjectiveFromABusyZoneCutItsLimit() {
-        open();
+    void responsesSlowerThanHalfOfTheLatencyTargetCutTheLimitOfABusyZone() {
+        startFleet();
         RecordingActions host = fleet.get(0);
         LoadReport busy = new LoadReport(Double.NaN, Double.NaN, 0.95, 40, 25, 0);
         for (int i = 0; i < 60; i++) {
@@ -188,52 +202,55 @@
         assertTrue(host.rejected.size() > 10, "rejected " + host.rejected.size());
     }
 
-    /** Each sidecar sends a server little, on a connection long idle: an error there counts too. */
+    /**
+     * A sidecar of a large fleet sends a server few requests, each on a connection that was idle
+     * for long: an error on such a connection counts against the server too.
+     */
     @Test
-    void errorsOfASeldomUsedServerMoveItsTraffic() {
-        open();
+    void errorsOfASeldomUsedServerMoveItsTrafficToOtherServers() {
+        startFleet();
         RecordingActions host = fleet.get(0);
-        int before = 0;
+        int errors = 0;
         for (int i = 0; i < 3000; i++) {
             host.now += 20_000;
             int sent = host.sent.size();
             host.request("r" + i);
             RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
             assertEquals(sent + 1, host.sent.size());
-            boolean bad = last.server() == 1;
-            before += bad && i >= 1000 ? 1 : 0;
+            boolean failing = last.server() == 1 && i >= 1000;
+            errors += failing ? 1 : 0;
             host.balancer.onAttemptOutcome(
                     host.now,
                     new AttemptOutcome(
                             last.request(),
                             0,
                             last.server(),
-                            bad && i >= 1000 ? AttemptResult.ERROR : AttemptResult.SERVED,
+                            failing ? AttemptResult.ERROR : AttemptResult.SERVED,
                             1000,
-                            !bad || i < 1000,
+                            !failing,
                             null));
-            if (bad && i >= 1000 && host.sent.size() > sent + 1) {
-                RecordingActions.Sent again = host.sent.get(host.sent.size() - 1);
+            if (failing && host.sent.size() > sent + 1) {
+                RecordingActions.Sent retry = host.sent.get(host.sent.size() - 1);
                 host.balancer.onAttemptOutcome(
                         host.now,
                         new AttemptOutcome(
-                                again.request(),
+                                retry.request(),
                                 1,
-                                again.server(),
+                                retry.server(),
                                 AttemptResult.SERVED,
                                 1000,
                                 true,
                                 null));
             }
         }
-        assertTrue(before > 0 && before < 30, "errors met: " + before);
+        assertTrue(errors > 0 && errors < 30, "errors received: " + errors);
     }
 
-    /** A fleet at two thirds of its capacity is not overloaded, however its answers are spread. */
+    /** The request rate is half of the capacity of the fleet. */
     @Test
-    void fleetWithCapacityRejectsNothing() {
-        open();
-        play(1_000_000, 11_000_000, (int) (SERVERS * 1_000_000 / SERVICE_MICROS) / 2);
+    void fleetBelowItsCapacityRejectsNothing() {
+        startFleet();
+        sendRequests(1_000_000, 11_000_000, (int) (SERVERS * 1_000_000 / SERVICE_MICROS) / 2);
         assertEquals(0, fleet.stream().mapToInt(host -> host.rejected.size()).sum());
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/RandomEventRun.java
+++ b/sidecar/src/test/java/sagefall/balancer/RandomEventRun.java
@@ -17,8 +17,9 @@
 import sagefall.balancer.api.ListedEndpoint;
 
 /**
- * A random run of legal events, and the checks of each action that comes of them: one final answer
- * for each request, nothing after it, effects and drains kept.
+ * Runs random valid events, and checks each action that follows. A request must get at most one
+ * final response, no attempt after it, no more than the maximum number of attempts, and no retry or
+ * rejection that its idempotency does not allow. No attempt may be sent to a draining server.
  */
 final class RandomEventRun {
     private static final int SERVERS = 7;
@@ -43,22 +44,25 @@
                         RecordingActions.settings(idempotency, DeduplicationScope.ZONE), SERVERS);
     }
 
-    /** Number of requests of which an attempt was sent. */
+    /** Returns the number of requests of which at least one attempt was sent. */
     int requestsSent() {
         return attempts.size();
     }
 
-    /** Plays so many events and checks the actions after each. */
-    void play(int steps) {
+    /**
+     * Runs this number of steps and checks the actions after each. A step consists of at most one
+     * random event and the timers that are due.
+     */
+    void run(int steps) {
         for (int step = 0; step < steps; step++) {
             host.now += random.nextInt(4000);
-            playEvent(step);
+            runEvent(step);
             fireDueTimers();
             checkNewActions();
         }
     }
 
-    private void playEvent(int step) {
+    private void runEvent(int step) {
         if (random.nextInt(3) == 0) {
             String id = "q" + step;
             closed.put(id, false);
@@ -118,35 +122,36 @@
             switch (action[0]) {
                 case "send" -> checkSend(action[1], Long.parseLong(action[2]));
                 case "reject" -> checkReject(action[1]);
-                case "fail" -> checkFinalAnswer(action[1]);
+                case "fail" -> checkFinalResponse(action[1]);
                 default -> {}
             }
         }
     }
 
     private void checkSend(String request, long server) {
-        assertFalse(closed.get(request), "sent after the end");
+        assertFalse(closed.get(request), "sent after the request was closed");
         assertFalse(draining.getOrDefault(server, false), "sent to a draining server");
         assertTrue(
                 idempotency != Idempotency.NOT_IDEMPOTENT
                         || !mayHaveRun.getOrDefault(request, false),
-                "retried though it may have run");
+                "request was retried although it may have run");
         int number = attempts.merge(request, 1, Integer::sum) - 1;
-        assertTrue(number < MAX_ATTEMPTS);
+        assertTrue(number < MAX_ATTEMPTS, "more than the maximum number of attempts");
         assertTrue(
                 idempotency == Idempotency.IDEMPOTENT
-                        || inFlight.stream().noneMatch(a -> a.request.equals(request)));
+                        || inFlight.stream().noneMatch(a -> a.request.equals(request)),
+                "another attempt of the request is in flight");
         inFlight.add(new InFlight(request, number, server, host.now));
     }
 
     private void checkReject(String request) {
-        checkFinalAnswer(request);
+        checkFinalResponse(request);
         assertTrue(
                 idempotency == Idempotency.IDEMPOTENT || !mayHaveRun.getOrDefault(request, false),
-                "rejected what may have run");
+                "request was rejected although it may have run");
     }
 
-    private void checkFinalAnswer(String request) {
-        assertFalse(closed.put(request, true), "a second final answer");
+    private void checkFinalResponse(String request) {
+        assertFalse(closed.put(request, true), "request got a second final response");
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
@@ -19,10 +19,14 @@
 import sagefall.balancer.api.ServiceLimits;
 import sagefall.balancer.api.Tenant;
 
-/** Records what an instance does; it has no model of servers, tests say what comes back. */
+/**
+ * Records the actions of a balancer instance, and passes events to the instance. Does not model
+ * servers: the tests choose the outcomes of attempts.
+ */
 final class RecordingActions implements BalancerActions {
     final List<String> actions = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
+    /** Scheduled timers, each with the time at which it fires and its token. */
     final List<long[]> timers = new ArrayList<>();
     final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
@@ -30,8 +34,9 @@
     final DefaultLoadBalancer balancer;
     long now = 1_000_000;
 
-    record Sent(String request, long server, long at, long latest) {}
+    record Sent(String request, long server, long at, long latestMicros) {}
 
+    /** Creates an instance with ready servers of ids from 1 on, in zones 0 and 1 by turns. */
     RecordingActions(BalancerSettings settings, int servers) {
         balancer = new DefaultLoadBalancer(settings, this);
         List<ListedEndpoint> list = new ArrayList<>();
@@ -41,11 +46,13 @@
         balancer.onEndpointList(now, EndpointListKind.COMPLETE, list);
     }
 
+    /** Returns the list entry of a ready server. */
     static ListedEndpoint server(long id, int zone, long start) {
         return new ListedEndpoint(id, zone, 0, (int) id % 3, EndpointPhase.READY, start, 1);
     }
 
-    static BalancerSettings settings(Idempotency effect, DeduplicationScope group) {
+    /** Returns settings with one request class: latency target 200 ms, deadline 1 s. */
+    static BalancerSettings settings(Idempotency idempotency, DeduplicationScope scope) {
         return new BalancerSettings(
                 7,
                 0,
@@ -54,7 +61,7 @@
                 List.of("a", "b"),
                 List.of(
                         new RequestClass(
-                                "c", effect, group, 500_000, 200_000, 1_000_000, 1, 0, false)),
+                                "c", idempotency, scope, 500_000, 200_000, 1_000_000, 1, 0, false)),
                 List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)),
                 0.2,
                 new ServiceLimits(4, true, true, 1_000_000, 60_000_000, 100),
@@ -65,12 +72,17 @@
                 1000);
     }
 
+    /** Passes a request with a deadline in 1 s to the instance. */
     void request(String id) {
         balancer.onRequest(now, new Request(id, 0, 0, false, -1, now + 1_000_000, false));
     }
 
-    /** Ends the last attempt that was sent. */
-    void answer(int attempt, AttemptResult result, long elapsed, boolean closed) {
+    /**
+     * Moves the clock by the elapsed time, and ends the attempt that was sent last.
+     *
+     * @param attempt number of that attempt among the attempts of its request
+     */
+    void endLastAttempt(int attempt, AttemptResult result, long elapsed, boolean closed) {
         Sent last = sent.get(sent.size() - 1);
         now += elapsed;
         balancer.onAttemptOutcome(
@@ -79,12 +91,13 @@
                         last.request, attempt, last.server, result, elapsed, closed, null));
     }
 
+    /** Fires all scheduled timers, and moves the clock to the latest of them. */
     void fireTimers() {
         List<long[]> due = new ArrayList<>(timers);
         timers.clear();
-        for (long[] t : due) {
-            now = Math.max(now, t[0]);
-            balancer.onTimer(now, t[1]);
+        for (long[] timer : due) {
+            now = Math.max(now, timer[0]);
+            balancer.onTimer(now, timer[1]);
         }
     }
 
@@ -125,7 +138,7 @@
 
     @Override
     public void requestEndpointUpdates() {
-        actions.add("subscribe");
+        actions.add("poll");
     }
 
     @Override
--- a/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
@@ -13,10 +13,16 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.ListedEndpoint;
 
-/** What a start believes of what was kept, of its configuration and of discovery, and when. */
+/**
+ * Tests which endpoint list is used after a start: the persisted list, a cached list or a list from
+ * discovery.
+ */
 class RecoveredEndpointsTest {
 
-    /** As text: an id, its phase by its letter and its start, as in 3D0. */
+    /**
+     * Parses a list. An entry such as 3D0 consists of an id, a phase (R ready, D draining, G
+     * removed) and a start time.
+     */
     private static List<ListedEndpoint> list(String text) {
         List<ListedEndpoint> list = new ArrayList<>();
         for (String s : text.isBlank() ? new String[0] : text.trim().split(" ")) {
@@ -31,6 +37,7 @@
         return list;
     }
 
+    /** Formats a list in the form that {@link #list} parses. */
     private static String text(List<ListedEndpoint> list) {
         return String.join(
                 " ",
@@ -58,18 +65,18 @@
                 "5 | true  | 1R0 2D0 3G0 | CACHED   | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0",
                 "5 | true  | 1R0 2D0     | CACHED   | 5 | 1R0 2R0         | 1R0 2R0",
                 "5 | true  | 1R0 2D0     | CACHED   | 6 | 2R0             | 2R0",
-                // What is old adds nothing and takes back nothing.
+                // A persisted list that is not fresh restricts a cached list, but adds no endpoint.
                 "5 | false | 1R0 2D0 3G0 5R0 | CACHED | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
-                // Discovery from an older copy of itself: what was draining stays so.
+                // Discovery sends an older revision: draining endpoints stay draining.
                 "5 | true  | 1R0 2D0 3G0 | COMPLETE | 3 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
                 "5 | true  | 1R0 2D0     | CHANGES  | 4 | 2R0             | 2D0",
                 "5 | true  | 1R0 2D0     | COMPLETE | 5 | 1R0 2R0         | 1R0 2R0",
-                // Another process at the old id is not the one that was to drain; one that is older
-                // is.
+                // A later incarnation of a draining endpoint is not draining; a received entry of
+                // an earlier incarnation is replaced by the persisted entry.
                 "5 | true  | 1R0 2D3     | COMPLETE | 3 | 1R0 2R4         | 1R0 2R4",
                 "5 | true  | 1R7 2D3     | COMPLETE | 3 | 1R0 2R0         | 1R7 2D3",
             })
-    void newerListIsUsedAndNoDrainIsForgotten(
+    void outdatedListIsRestrictedOrReplacedByThePersistedList(
             long revision,
             boolean fresh,
             String persisted,
@@ -83,11 +90,13 @@
     }
 
     /**
-     * Through the balancer: nothing goes to a server that an earlier incarnation knew as draining.
+     * Endpoint 2 was persisted as draining, with list revision 5. A cached list of revision 4 names
+     * the endpoint as ready, but is outdated; a cached list of revision 5 is not.
      */
     @ParameterizedTest
     @CsvSource({"true, 4, 0", "true, 5, 30", "false, 4, 0"})
-    void nothingIsSentToAnEndpointThatWasDraining(boolean fresh, long revision, int sent) {
+    void drainingEndpointIsSentNothingWhileTheCachedListIsOutdated(
+            boolean fresh, long revision, int expectedRequests) {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -100,9 +109,9 @@
                 list(revision == 5 ? "2R0" : "1R0 2R0"));
         for (int i = 0; i < 30; i++) {
             host.request("r" + i);
-            host.answer(0, AttemptResult.SERVED, 1000, true);
+            host.endLastAttempt(0, AttemptResult.SERVED, 1000, true);
         }
-        assertEquals(sent, host.sent.stream().filter(s -> s.server() == 2).count());
+        assertEquals(expectedRequests, host.sent.stream().filter(s -> s.server() == 2).count());
         assertEquals(30, host.sent.size());
     }
 }
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -28,18 +28,19 @@
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.RequestClass;
 
+/** Tests when requests are sent, retried, queued and rejected, and when discovery is polled. */
 class RequestRulesTest {
 
     @ParameterizedTest
     @EnumSource(value = AttemptResult.class, mode = EnumSource.Mode.EXCLUDE, names = "SERVED")
-    void notIdempotentRequestIsRetriedOnlyAfterProofThatItNeverRan(AttemptResult result) {
+    void nonIdempotentRequestIsRetriedOnlyIfItProvablyNeverRan(AttemptResult result) {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         6);
         host.request("x");
-        host.answer(0, result, 1000, false);
+        host.endLastAttempt(0, result, 1000, false);
         if (result.provesNotExecuted) {
             assertEquals(2, host.sent.size());
             assertNotEquals(host.sent.get(0).server(), host.sent.get(1).server());
@@ -51,7 +52,7 @@
     }
 
     @Test
-    void retryWithIdempotencyKeyStaysInItsScopeAndWindow() {
+    void retryWithIdempotencyKeyStaysInItsDeduplicationScopeAndWindow() {
         for (int seed = 0; seed < 20; seed++) {
             RecordingActions host =
                     new RecordingActions(
@@ -59,93 +60,108 @@
                                     Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE),
                             8);
             host.request("x" + seed);
-            host.answer(0, AttemptResult.ERROR, 1000 + seed, false);
+            host.endLastAttempt(0, AttemptResult.ERROR, 1000 + seed, false);
             assertEquals(2, host.sent.size());
             assertEquals(host.sent.get(0).server() % 2, host.sent.get(1).server() % 2);
-            host.answer(1, AttemptResult.ERROR, 600_000, false);
+            host.endLastAttempt(1, AttemptResult.ERROR, 600_000, false);
             assertEquals(2, host.sent.size());
             assertEquals(1, host.failed.size());
         }
     }
 
-    /** A connection may come up late, so the end of the window goes with the attempt. */
+    /**
+     * The host may have to wait for a connection before it sends an attempt, so the balancer passes
+     * the end of the deduplication window with the attempt.
+     */
     @ParameterizedTest
     @EnumSource
-    void retryCarriesTheEndOfItsDeduplicationWindow(Idempotency effect) {
+    void retryCarriesTheEndOfItsDeduplicationWindow(Idempotency idempotency) {
         RecordingActions host =
-                new RecordingActions(RecordingActions.settings(effect, DeduplicationScope.ALL), 6);
+                new RecordingActions(
+                        RecordingActions.settings(idempotency, DeduplicationScope.ALL), 6);
         host.request("x");
         long first = host.now;
-        host.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
-        assertEquals(Long.MAX_VALUE, host.sent.get(0).latest());
-        assertEquals(Long.MAX_VALUE, host.sent.get(1).latest());
-        host.answer(1, AttemptResult.ERROR, 1000, false);
-        if (effect == Idempotency.IDEMPOTENCY_KEY) {
-            assertEquals(first + 1000 + 500_000 - 1000, host.sent.get(2).latest());
-        } else if (effect == Idempotency.IDEMPOTENT) {
-            assertEquals(Long.MAX_VALUE, host.sent.get(2).latest());
+        host.endLastAttempt(0, AttemptResult.NO_CONNECTION, 1000, false);
+        assertEquals(Long.MAX_VALUE, host.sent.get(0).latestMicros());
+        assertEquals(Long.MAX_VALUE, host.sent.get(1).latestMicros());
+        host.endLastAttempt(1, AttemptResult.ERROR, 1000, false);
+        if (idempotency == Idempotency.IDEMPOTENCY_KEY) {
+            assertEquals(first + 1000 + 500_000 - 1000, host.sent.get(2).latestMicros());
+        } else if (idempotency == Idempotency.IDEMPOTENT) {
+            assertEquals(Long.MAX_VALUE, host.sent.get(2).latestMicros());
         } else {
             assertEquals(2, host.sent.size());
         }
     }
 
     /**
-     * A change counts as known 6 s after discovery had it and could be reached: discovery is polled
-     * soon after a failure, however often that has failed, but not by all sidecars at once.
+     * A sidecar has to apply a change within 6 s of the time at which discovery has the change and
+     * can be reached. So discovery is polled soon after a failure, however often it has failed, but
+     * not by all sidecars at once.
      */
     @ParameterizedTest
     @CsvSource({"false, 50000, 150001", "true, 200000, 600001"})
-    void discoveryIsPolledSoonAfterAFailure(boolean onAsk, long least, long most) {
+    void discoveryIsPolledSoonAfterAFailure(boolean pollsDiscovery, long minDelay, long maxDelay) {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         RecordingActions host =
                 new RecordingActions(
-                        new SettingsBuilder(defaults).pollsDiscovery(onAsk).build(), 4);
-        Set<Long> waits = new HashSet<>();
+                        new SettingsBuilder(defaults).pollsDiscovery(pollsDiscovery).build(), 4);
+        Set<Long> delays = new HashSet<>();
         for (int i = 0; i < 50; i++) {
             host.timers.clear();
             host.balancer.onEndpointList(host.now, EndpointListKind.FAILED, List.of());
             assertEquals(1, host.timers.size());
-            long wait = host.timers.get(0)[0] - host.now;
-            assertTrue(wait >= least && wait <= most, "waits " + wait);
-            waits.add(wait);
+            long delay = host.timers.get(0)[0] - host.now;
+            assertTrue(delay >= minDelay && delay <= maxDelay, "polled after " + delay);
+            delays.add(delay);
         }
-        assertTrue(waits.size() > 40);
+        assertTrue(delays.size() > 40);
     }
 
-    /** What a request has waited for its host is of its time: it is queued so much shorter. */
+    /** The time that a request has waited for the host shortens the time for which it is queued. */
     @ParameterizedTest
     @ValueSource(longs = {0, 100_000})
-    void waitingForTheHostCountsForTheLatencyObjective(long waited) {
+    void timeWaitedForTheHostCountsTowardsLatency(long waited) {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         0);
-        long since = host.now;
+        long arrivedAt = host.now;
         host.balancer.onRequest(
                 host.now,
                 new Request(
-                        "x", 0, 0, false, -1, since + 1_000_000 - waited, false, false, 0, waited));
+                        "x",
+                        0,
+                        0,
+                        false,
+                        -1,
+                        arrivedAt + 1_000_000 - waited,
+                        false,
+                        false,
+                        0,
+                        waited));
         while (host.rejected.isEmpty()) {
             host.fireTimers();
         }
-        long queuedFor = host.now - since;
+        long queuedFor = host.now - arrivedAt;
+        // The latency target of 200 ms, less the typical latency of 60 ms.
         assertTrue(Math.abs(queuedFor - (140_000 - waited)) < 15_000, "queued for " + queuedFor);
     }
 
     /**
-     * All of a fleet may start at once, but each has asked for the first time before it counts as
-     * told.
+     * All sidecars of a fleet may start at once, so their first polls are spread, but each must
+     * poll early enough to apply the current endpoint list in time.
      */
     @Test
-    void firstPollOfALargeFleetIsSpreadAndSoon() {
+    void firstPollsOfALargeFleetAreSpreadAndSoon() {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         List<ListedEndpoint> servers = new ArrayList<>();
         for (int i = 0; i < 1024; i++) {
             servers.add(RecordingActions.server(i + 1, i % 2, 0));
         }
-        long last = 0;
+        long longestDelay = 0;
         for (int rank = 0; rank < 100; rank++) {
             RecordingActions host =
                     new RecordingActions(
@@ -158,13 +174,15 @@
                             4);
             host.timers.clear();
             host.balancer.onEndpointList(host.now, EndpointListKind.CACHED, servers);
-            last = Math.max(last, host.timers.get(0)[0] - host.now);
+            longestDelay = Math.max(longestDelay, host.timers.get(0)[0] - host.now);
         }
-        assertTrue(last > 2_500_000 && last <= 3_020_000, "waits " + last);
+        assertTrue(
+                longestDelay > 2_500_000 && longestDelay <= 3_020_000,
+                "last poll after " + longestDelay);
     }
 
     @Test
-    void nothingNewToADrainingServer() {
+    void noRequestIsSentToADrainingServer() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -173,19 +191,19 @@
         host.balancer.onEndpointList(host.now, EndpointListKind.CHANGES, List.of(drained));
         for (int i = 0; i < 200; i++) {
             host.request("r" + i);
-            host.answer(0, AttemptResult.SERVED, 2000, true);
+            host.endLastAttempt(0, AttemptResult.SERVED, 2000, true);
         }
         assertEquals(200, host.sent.size());
         assertTrue(host.sent.stream().noneMatch(s -> s.server() == 1));
     }
 
     @Test
-    void beyondMaxOpenRequestsTheOldestQueuedIsRejected() {
+    void oldestQueuedRequestIsRejectedBeyondMaxOpenRequests() {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        BalancerSettings alike =
+        BalancerSettings equalWeights =
                 new SettingsBuilder(defaults).tenants(List.of()).overQuotaWeight(1).build();
-        RecordingActions host = new RecordingActions(alike, 0);
+        RecordingActions host = new RecordingActions(equalWeights, 0);
         for (int i = 0; i < 103; i++) {
             host.request("x" + i);
         }
@@ -194,7 +212,7 @@
     }
 
     @Test
-    void queuedRequestIsRejectedBeforeTheClientGivesUp() {
+    void queuedRequestIsRejectedOnceBeforeItsDeadline() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
@@ -211,12 +229,9 @@
         assertEquals(1, host.rejected.size());
     }
 
-    /**
-     * Incident i0f9bed: an arrival whose time is already up was queued for a trial and got no
-     * answer.
-     */
+    /** A request that arrived at its deadline used to be queued and never got a response. */
     @Test
-    void arrivalAtItsDeadlineIsAnsweredAtOnce() {
+    void requestThatArrivesAtItsDeadlineIsRejectedAtOnce() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -227,11 +242,11 @@
     }
 
     /**
-     * Incidents i6f3083 and i5bba91: deep queues from the first second turned the servers slow for
-     * good.
+     * Servers whose queues were filled right after the start, before any response was received,
+     * became slow and never recovered.
      */
     @Test
-    void unansweredServersAreNotFilled() {
+    void serversThatHaveNotRespondedYetAreSentFewRequests() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
@@ -240,15 +255,16 @@
         for (int i = 0; i < 100; i++) {
             host.request("r" + i);
         }
+        // 4 servers with an initial concurrency limit of 3.
         assertEquals(12, host.sent.size());
     }
 
     /**
-     * Incident i80c828: one request from each of many sidecars kept overloaded servers slow for
-     * good.
+     * Overloaded servers never recovered while each of many sidecars always had one attempt in
+     * flight at them, so a sidecar pauses between attempts at an overloaded server.
      */
     @Test
-    void overloadedServersRestBetweenAttempts() {
+    void overloadedServersAreSentNoRequestsDuringAPause() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
@@ -258,46 +274,50 @@
         host.request("slow0");
         while (host.sent.size() > sent && sent < 40) {
             sent++;
-            host.answer(0, AttemptResult.SERVED, 190_000, true);
+            host.endLastAttempt(0, AttemptResult.SERVED, 190_000, true);
             host.request("slow" + sent);
         }
-        assertTrue(sent >= 2 && sent < 40, sent + " slow answers, and no rest");
+        assertTrue(sent >= 2 && sent < 40, sent + " requests sent before a pause");
         host.now += 900_000;
         host.balancer.onEndpointList(host.now, EndpointListKind.CHANGES, List.of());
-        assertTrue(host.sent.size() > sent, "still at rest");
+        assertTrue(host.sent.size() > sent, "the pause has not ended");
     }
 
     @Test
-    void serverInSlowStartGetsItsShareOfWhatAWarmOneIsSent() {
+    void serverInSlowStartIsSentAReducedShareOfTheRequests() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         4);
-        long warm = sentToFirst(host, "warm", 200);
+        long warm = sendAndCountAtFirstServer(host, "warm", 200);
         host.balancer.onEndpointList(
                 host.now,
                 EndpointListKind.CHANGES,
                 List.of(RecordingActions.server(1, 0, host.now)));
-        long cold = sentToFirst(host, "cold", 200);
-        // It starts at a fifth and has grown to a third by the end of these 2 s.
-        assertTrue(cold > 0 && cold <= 0.45 * warm, cold + " while cold, " + warm + " while warm");
+        long cold = sendAndCountAtFirstServer(host, "cold", 200);
+        // The share starts at a fifth and has grown to a third by the end of these 2 s.
+        assertTrue(
+                cold > 0 && cold <= 0.45 * warm,
+                cold + " requests in slow start, " + warm + " before");
     }
 
-    private static long sentToFirst(RecordingActions host, String name, int requests) {
+    /** Sends requests one after another, and returns the number that was sent to server 1. */
+    private static long sendAndCountAtFirstServer(
+            RecordingActions host, String idPrefix, int requests) {
         int before = host.sent.size();
         for (int i = 0; i < requests; i++) {
-            host.request(name + i);
-            host.answer(0, AttemptResult.SERVED, 10_000, true);
+            host.request(idPrefix + i);
+            host.endLastAttempt(0, AttemptResult.SERVED, 10_000, true);
         }
         return host.sent.stream().skip(before).filter(s -> s.server() == 1).count();
     }
 
     /**
-     * Queued to their end, requests kept the connections that clients needed for those still in
-     * time.
+     * Requests that were queued up to their deadline occupied client connections that were needed
+     * for requests which could still be served in time.
      */
     @Test
-    void whileManyAreOpenQueuedRequestsAreRejectedBeforeHalfOfTheirTime() {
+    void queuedRequestsAreRejectedBeforeHalfwayToTheirDeadlineWhileManyAreOpen() {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         RecordingActions host =
@@ -324,36 +344,40 @@
         while (host.now < arrived + 480_000) {
             host.fireTimers();
         }
-        assertTrue(host.rejected.size() >= 50, host.rejected.size() + " rejected");
+        assertTrue(host.rejected.size() >= 50, host.rejected.size() + " requests rejected");
     }
 
-    /** A spoilt answer or a reset now and then made every server look as if it had just started. */
+    /**
+     * A single corrupt response or connection reset must not be taken for a restart of the server,
+     * which would put the server into slow start.
+     */
     @Test
-    void oneBrokenConnectionIsNoRestart() {
+    void brokenConnectionDoesNotCountAsRestart() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         4);
-        long before = sentToFirst(host, "before", 200);
+        long before = sendAndCountAtFirstServer(host, "before", 200);
         boolean broke = false;
         for (int i = 0; i < 100 && !broke; i++) {
             host.request("x" + i);
             broke = host.sent.get(host.sent.size() - 1).server() == 1;
-            host.answer(0, broke ? AttemptResult.BROKEN : AttemptResult.SERVED, 10_000, true);
+            host.endLastAttempt(
+                    0, broke ? AttemptResult.BROKEN : AttemptResult.SERVED, 10_000, true);
         }
         assertTrue(broke);
         host.now += 20_000_000;
-        long after = sentToFirst(host, "after", 200);
-        assertTrue(after >= 0.6 * before, after + " after it, " + before + " before");
+        long after = sendAndCountAtFirstServer(host, "after", 200);
+        assertTrue(after >= 0.6 * before, after + " requests after it, " + before + " before");
     }
 
     /**
-     * After a start the first answers are slow for other reasons; idle servers were sent next to
-     * nothing.
+     * The first responses after a start are slow for reasons other than load. They cut the
+     * concurrency limits of idle servers too, which were then sent hardly any requests.
      */
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
-    void slowAnswersCutTheLimitOfBusyServersOnly(double use, boolean kept) {
+    void slowResponsesCutTheLimitsOfBusyServersOnly(double utilization, boolean limitKept) {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         RecordingActions host =
@@ -363,7 +387,8 @@
                                 .build(),
                         4);
         LoadReport report =
-                new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
+                new LoadReport(
+                        Double.NaN, Double.NaN, utilization, Double.NaN, Double.NaN, Double.NaN);
         for (int i = 0; i < 40; i++) {
             host.request("a" + i);
             RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
@@ -383,27 +408,30 @@
         for (int i = 0; i < 100; i++) {
             host.request("b" + i);
         }
-        assertEquals(kept, host.sent.size() - before >= 12);
+        // 4 servers with an initial concurrency limit of 3.
+        assertEquals(limitKept, host.sent.size() - before >= 12);
     }
 
     @Test
-    void hangingServerLosesItsTraffic() {
+    void serverThatNeverRespondsIsSentFewRequests() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
                                 Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
                         4);
-        int hung = 0;
+        int withoutResponse = 0;
         for (int i = 0; i < 300; i++) {
             host.request("r" + i);
             if (host.sent.get(host.sent.size() - 1).server() == 2) {
-                hung++;
+                withoutResponse++;
                 host.now += 20_000;
             } else {
-                host.answer(0, AttemptResult.SERVED, 20_000, true);
+                host.endLastAttempt(0, AttemptResult.SERVED, 20_000, true);
             }
         }
-        assertTrue(hung <= 8, "sent " + hung + " to a server that answers nothing");
+        assertTrue(
+                withoutResponse <= 8,
+                "sent " + withoutResponse + " requests to a server that never responds");
     }
 
     @Test
@@ -418,14 +446,14 @@
             host.request("r" + i);
             boolean bad = host.sent.get(host.sent.size() - 1).server() == 2;
             failing += bad ? 1 : 0;
-            host.answer(
+            host.endLastAttempt(
                     0, bad ? AttemptResult.ERROR : AttemptResult.SERVED, bad ? 500 : 20_000, !bad);
         }
-        assertTrue(failing <= 20, "sent " + failing + " to a server that only fails");
+        assertTrue(failing <= 20, "sent " + failing + " requests to a server that always fails");
     }
 
     @Test
-    void impossibleSettingsAreNamed() {
+    void errorMessageNamesTheInvalidSetting() {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         String message =
@@ -441,59 +469,62 @@
         assertTrue(message.contains("classes"), message);
     }
 
-    /**
-     * A random run of legal events: one final answer each, nothing after it, effects and drains
-     * kept.
-     */
+    /** Runs random valid events; {@link RandomEventRun} checks the actions that follow. */
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void randomEventsKeepTheRules(Idempotency effect) {
-        RandomEventRun run = new RandomEventRun(effect);
-        run.play(6000);
-        assertTrue(run.requestsSent() > 300, "only " + run.requestsSent() + " were sent");
+    void randomEventsLeadToNoForbiddenAction(Idempotency idempotency) {
+        RandomEventRun randomRun = new RandomEventRun(idempotency);
+        randomRun.run(6000);
+        assertTrue(
+                randomRun.requestsSent() > 300,
+                "only " + randomRun.requestsSent() + " requests were sent");
     }
 
     @Test
-    void sameEventsGiveTheSameActions() {
-        RecordingActions a =
+    void identicalEventsGiveIdenticalActions() {
+        RecordingActions first =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         6);
-        RecordingActions b =
+        RecordingActions second =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
                         6);
         for (int i = 0; i < 200; i++) {
-            for (RecordingActions host : List.of(a, b)) {
+            for (RecordingActions host : List.of(first, second)) {
                 host.balancer.onRequest(
                         host.now,
                         new Request("r" + i, 0, i % 2, false, -1, host.now + 1_000_000, false));
-                host.answer(
+                host.endLastAttempt(
                         0,
                         i % 9 == 0 ? AttemptResult.REJECTED : AttemptResult.SERVED,
                         3000 + i,
                         i % 9 != 0);
             }
         }
-        assertEquals(a.actions, b.actions);
+        assertEquals(first.actions, second.actions);
     }
 
-    /** Each end tells why: what the laboratory counts losses by. */
+    /**
+     * The emulator counts rejected and failed requests by these reasons. The row with CANCELLED has
+     * no servers, so that its request is only queued.
+     */
     @ParameterizedTest
     @CsvSource({
         "NOT_IDEMPOTENT, ERROR, NOT_RETRYABLE",
         "IDEMPOTENCY_KEY, REJECTED, MAX_ATTEMPTS",
         "IDEMPOTENCY_KEY, CANCELLED, QUEUE_TIMEOUT"
     })
-    void endOfARequestSaysWhy(Idempotency effect, AttemptResult each, RejectionReason reason) {
+    void rejectedOrFailedRequestCarriesItsReason(
+            Idempotency idempotency, AttemptResult result, RejectionReason reason) {
         RecordingActions host =
                 new RecordingActions(
-                        RecordingActions.settings(effect, DeduplicationScope.ALL),
-                        each == AttemptResult.CANCELLED ? 0 : 8);
+                        RecordingActions.settings(idempotency, DeduplicationScope.ALL),
+                        result == AttemptResult.CANCELLED ? 0 : 8);
         host.request("a");
-        for (int n = 0; n < 8 && host.reasons.isEmpty(); n++) {
-            if (host.sent.size() > n) {
-                host.answer(n, each, 1, false);
+        for (int attempt = 0; attempt < 8 && host.reasons.isEmpty(); attempt++) {
+            if (host.sent.size() > attempt) {
+                host.endLastAttempt(attempt, result, 1, false);
             } else {
                 host.fireTimers();
             }
--- a/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
@@ -18,11 +18,11 @@
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.ServiceLimits;
 
-/** What hundreds of quiet sidecars change: each test names the failure that it stands for. */
+/** Tests large fleets whose sidecars each send few requests per second, and large lists. */
 class SparseTrafficTest {
 
-    private static BalancerSettings fleet(
-            int rank, int replicas, FleetRules rules, boolean warmKeys) {
+    private static BalancerSettings fleetSettings(
+            int rank, int replicas, FleetRules rules, boolean cachesKeys) {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         return new SettingsBuilder(defaults)
@@ -30,27 +30,28 @@
                 .rank(rank)
                 .replicas(replicas)
                 .rules(rules)
-                .cachesKeys(warmKeys)
+                .cachesKeys(cachesKeys)
                 .build();
     }
 
-    private static FleetRules plain() {
+    private static FleetRules defaultRules() {
         return new FleetRules(0.2, 10_000_000, 2_000_000, 10_000_000);
     }
 
     /**
-     * 400 instances with a request each second: what all send a server in slow start is its share,
-     * in any second.
+     * 400 instances with about one request per second each: in every second, all instances together
+     * send a server in slow start at most 2.5 times its share.
      */
     @Test
-    void manyQuietInstancesDoNotBurstAColdServer() {
-        List<RecordingActions> all = new ArrayList<>();
+    void manyInstancesWithFewRequestsDoNotOverloadAColdServer() {
+        List<RecordingActions> instances = new ArrayList<>();
         for (int rank = 0; rank < 400; rank++) {
-            RecordingActions host = new RecordingActions(fleet(rank, 400, plain(), false), 20);
-            all.add(host);
+            RecordingActions host =
+                    new RecordingActions(fleetSettings(rank, 400, defaultRules(), false), 20);
+            instances.add(host);
             for (int i = 0; i < 5; i++) {
                 host.request("warm" + i);
-                host.answer(0, AttemptResult.SERVED, 10_000, true);
+                host.endLastAttempt(0, AttemptResult.SERVED, 10_000, true);
             }
             host.balancer.onEndpointList(
                     host.now,
@@ -60,46 +61,53 @@
         int total = 0;
         for (int second = 0; second < 5; second++) {
             int cold = 0;
-            for (RecordingActions host : all) {
+            for (RecordingActions host : instances) {
                 int before = host.sent.size();
                 host.now += 900_000;
                 host.request("cold" + second);
                 cold += (int) host.sent.stream().skip(before).filter(s -> s.server() == 1).count();
-                host.answer(0, AttemptResult.SERVED, 10_000, true);
+                host.endLastAttempt(0, AttemptResult.SERVED, 10_000, true);
             }
-            // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of
-            // it and up.
+            // All instances are in one zone and send a server there that is not cold about 40
+            // requests per second. A cold server's share of that starts at a fifth, and grows by
+            // 0.08 per second.
             assertTrue(
                     cold <= 2.5 * 40 * (0.2 + 0.08 * (second + 1)),
                     "second " + second + ": " + cold);
             total += cold;
         }
-        assertTrue(total > 10, "a cold server must get some: " + total);
+        assertTrue(total > 10, "requests sent to the cold server: " + total);
     }
 
-    /** Full connection tables cost the grown sites most: one of many sidecars keeps few servers. */
+    /**
+     * Each sidecar of a large fleet uses few servers, since full connection tables at the servers
+     * are the largest cost of a large fleet.
+     */
     @Test
     void oneOfManySidecarsUsesFewServers() {
-        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 60);
+        RecordingActions host =
+                new RecordingActions(fleetSettings(3, 400, defaultRules(), false), 60);
         for (int i = 0; i < 300; i++) {
             host.now += 800_000;
             host.request("r" + i);
-            host.answer(0, AttemptResult.SERVED, 20_000, true);
+            host.endLastAttempt(0, AttemptResult.SERVED, 20_000, true);
         }
         long servers = host.sent.stream().map(RecordingActions.Sent::server).distinct().count();
         assertTrue(servers <= 12, servers + " servers of 60");
     }
 
     /**
-     * Dead idle connections: silence after an idle spell closes the connection, and long spells
-     * end.
+     * A missing response on a connection that was idle for long is attributed to the connection,
+     * not to the server: the server is not ejected, and connections that were idle for so long are
+     * closed instead of being trusted.
      */
     @Test
-    void silenceAfterAnIdleSpellIsADeadConnection() {
-        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 20);
+    void missingResponseOnALongIdleConnectionClosesIdleConnections() {
+        RecordingActions host =
+                new RecordingActions(fleetSettings(3, 400, defaultRules(), false), 20);
         for (int i = 0; i < 40; i++) {
             host.request("warm" + i);
-            host.answer(0, AttemptResult.SERVED, 20_000, true);
+            host.endLastAttempt(0, AttemptResult.SERVED, 20_000, true);
         }
         host.now += 3_000_000;
         host.request("silent");
@@ -117,25 +125,23 @@
                                                 "log WARN endpoint_ejected endpoint="
                                                         + server
                                                         + " ")));
-        host.answer(0, AttemptResult.SERVED, 20_000, true);
+        host.endLastAttempt(0, AttemptResult.SERVED, 20_000, true);
         host.now += 5_000_000;
         host.request("later");
         assertTrue(
                 host.actions.stream().anyMatch(a -> a.startsWith("close ")),
-                "the idle connection stays");
+                "the idle connection is not closed");
     }
 
-    /**
-     * A server that refuses new connections is not sick: no ejection, and it is left alone for a
-     * while.
-     */
+    /** A server that refuses new connections is not ejected, and a retry goes to another server. */
     @Test
-    void failedSetupOfAConnectionIsNoOutlier() {
-        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 20);
+    void failedConnectionSetupDoesNotEjectTheServer() {
+        RecordingActions host =
+                new RecordingActions(fleetSettings(3, 400, defaultRules(), false), 20);
         for (int i = 0; i < 6; i++) {
             host.request("r" + i);
             int last = host.sent.size();
-            host.answer(0, AttemptResult.NO_CONNECTION, 1000, false);
+            host.endLastAttempt(0, AttemptResult.NO_CONNECTION, 1000, false);
             assertTrue(
                     host.sent.size() == last
                             || host.sent.get(last).server() != host.sent.get(last - 1).server());
@@ -145,13 +151,14 @@
                 host.actions.toString());
     }
 
-    /** Retry abuse on lakes-later: time-outs set by impatient clients got good servers ejected. */
+    /** Healthy servers used to be ejected because clients retried with very short timeouts. */
     @Test
-    void impatientClientsDoNotEjectServers() {
-        RecordingActions host = new RecordingActions(fleet(3, 400, plain(), false), 20);
+    void shortClientTimeoutsDoNotEjectServers() {
+        RecordingActions host =
+                new RecordingActions(fleetSettings(3, 400, defaultRules(), false), 20);
         for (int i = 0; i < 30; i++) {
             host.request("r" + i);
-            host.answer(0, AttemptResult.TIMED_OUT, 20_000, false);
+            host.endLastAttempt(0, AttemptResult.TIMED_OUT, 20_000, false);
         }
         assertTrue(
                 host.actions.stream().noneMatch(a -> a.contains("ejected")),
@@ -159,14 +166,15 @@
     }
 
     /**
-     * Keys that servers remember go to the same server from every sidecar of a zone with the same
-     * cells.
+     * Servers cache data by key, so the sidecars of a zone that have the same cells all send the
+     * requests of a key to one server.
      */
     @Test
-    void requestsOfAKeyGoToTheSameServer() {
+    void requestsOfAKeyGoToOneServer() {
         Set<Long> servers = new HashSet<>();
         for (int rank = 0; rank < 30; rank++) {
-            RecordingActions host = new RecordingActions(fleet(rank, 400, plain(), true), 60);
+            RecordingActions host =
+                    new RecordingActions(fleetSettings(rank, 400, defaultRules(), true), 60);
             host.balancer.onRequest(
                     host.now, new Request("x", 0, 0, false, 77, host.now + 1_000_000, false));
             servers.add(host.sent.get(0).server());
@@ -174,10 +182,10 @@
         assertEquals(1, servers.size());
     }
 
-    /** An endpoint that left the list is used no longer, however often the list changes. */
+    /** An endpoint that is no longer listed is sent nothing, however often the list changes. */
     @Test
-    void whatLeftTheListIsNotUsed() {
-        RecordingActions host = new RecordingActions(fleet(0, 3, plain(), false), 6);
+    void removedEndpointIsNotUsed() {
+        RecordingActions host = new RecordingActions(fleetSettings(0, 3, defaultRules(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100L + round;
             host.balancer.onEndpointList(
@@ -186,17 +194,17 @@
                     List.of(RecordingActions.server(id, 0, 0), RecordingActions.server(1, 0, 0)));
             host.request("r" + round);
             assertTrue(Set.of(id, 1L).contains(host.sent.get(host.sent.size() - 1).server()));
-            host.answer(0, AttemptResult.SERVED, 1000, true);
+            host.endLastAttempt(0, AttemptResult.SERVED, 1000, true);
         }
     }
 
     /**
-     * A pick looks at few servers of a wide node, but at as many as it takes to find one with
-     * capacity.
+     * The picker examines only some endpoints of a large node, but continues until it has found an
+     * endpoint with capacity.
      */
     @Test
-    void onlyServerWithCapacityOfManyIsFound() {
-        BalancerSettings defaults = fleet(0, 3, plain(), false);
+    void onlyServerWithCapacityAmongManyIsPicked() {
+        BalancerSettings defaults = fleetSettings(0, 3, defaultRules(), false);
         RecordingActions host =
                 new RecordingActions(
                         new SettingsBuilder(defaults)
@@ -209,7 +217,7 @@
             host.request("out" + i);
         }
         int full = host.sent.size();
-        assertTrue(full < 900, "all were sent, so no server was full");
+        assertTrue(full < 900, "all requests were sent, so no server was at its limit");
         for (int i = 0; i < 20; i++) {
             RecordingActions.Sent sent = host.sent.get(i);
             host.balancer.onAttemptOutcome(
--- a/sidecar/src/test/java/sagefall/balancer/StreamingDecisionsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/StreamingDecisionsTest.java
@@ -13,14 +13,14 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.Request;
 
-/** What the balancer decides on requests whose bodies pass through as they arrive. */
+/** Tests the decisions on requests whose bodies are streamed: uploads and streamed responses. */
 class StreamingDecisionsTest {
 
     private static final long MINUTE = 60_000_000;
 
-    private static RecordingActions recorder(Idempotency effect, int servers) {
+    private static RecordingActions newHost(Idempotency idempotency, int servers) {
         return new RecordingActions(
-                RecordingActions.settings(effect, DeduplicationScope.ZONE), servers);
+                RecordingActions.settings(idempotency, DeduplicationScope.ZONE), servers);
     }
 
     private static void upload(RecordingActions host, String id, long buffer) {
@@ -29,27 +29,27 @@
                 new Request(id, 0, 0, false, -1, host.now + 1_000_000, true, true, buffer, 0));
     }
 
-    private static void begin(RecordingActions host, long elapsed) {
+    private static void startResponse(RecordingActions host, long elapsed) {
         RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
         host.now += elapsed;
         host.balancer.onStreamStarted(host.now, last.request(), 0, last.server(), elapsed);
     }
 
-    private static boolean ejected(RecordingActions host) {
+    private static boolean anyEjected(RecordingActions host) {
         return host.actions.stream().anyMatch(a -> a.contains("ejected"));
     }
 
     /**
-     * A stream of a minute is the work of a beginning that took 50 ms: its server is neither slow
-     * nor silent.
+     * A response that begins after 50 ms and streams for a minute has a latency of 50 ms: its
+     * server is not treated as slow or as unresponsive.
      */
     @Test
-    void lengthOfAStreamSaysNothingOfItsServer() {
-        RecordingActions host = recorder(Idempotency.IDEMPOTENT, 1);
+    void durationOfAStreamDoesNotCountAsLatency() {
+        RecordingActions host = newHost(Idempotency.IDEMPOTENT, 1);
         for (int i = 0; i < 20; i++) {
             host.request("s" + i);
-            assertEquals(i + 1, host.sent.size(), "queued");
-            begin(host, 50_000);
+            assertEquals(i + 1, host.sent.size(), "request was queued");
+            startResponse(host, 50_000);
         }
         host.now += MINUTE;
         for (int i = 0; i < 20; i++) {
@@ -61,31 +61,31 @@
         }
         host.request("next");
         assertEquals(21, host.sent.size());
-        assertTrue(!ejected(host), host.actions.toString());
+        assertTrue(!anyEjected(host), host.actions.toString());
     }
 
     @Test
     void brokenStreamIsNeverRetriedAndCountsAgainstItsServer() {
-        RecordingActions host = recorder(Idempotency.IDEMPOTENT, 4);
+        RecordingActions host = newHost(Idempotency.IDEMPOTENT, 4);
         for (int i = 0; i < 40; i++) {
             host.request("s" + i);
             int sent = host.sent.size();
             long server = host.sent.get(sent - 1).server();
-            begin(host, 20_000);
-            host.answer(
+            startResponse(host, 20_000);
+            host.endLastAttempt(
                     0, server % 2 == 1 ? AttemptResult.BROKEN : AttemptResult.SERVED, 50_000, true);
             assertEquals(sent, host.sent.size());
         }
         long broken = host.sent.stream().filter(s -> s.server() % 2 == 1).count();
         assertTrue(
                 broken > 0 && broken < 10,
-                broken + " of 40 streams went to the half that breaks them");
+                broken + " of 40 streams went to the servers that break them");
         assertTrue(host.rejected.isEmpty() && host.failed.isEmpty());
     }
 
     /**
-     * While the replay buffer holds all that was sent, a proof of not having run lets it go out
-     * again.
+     * A non-idempotent upload that provably never ran is retried, but only while the replay buffer
+     * holds all that was sent of its body.
      */
     @ParameterizedTest
     @CsvSource({
@@ -94,36 +94,36 @@
         "true, NO_CONNECTION, false, true",
         "true, ERROR, false, false"
     })
-    void bodyThatIsNotBufferedIsNotRetried(
-            boolean lost, AttemptResult result, boolean again, boolean rejected) {
-        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+    void uploadIsRetriedOnlyWhileItsBodyIsBuffered(
+            boolean bufferExceeded, AttemptResult result, boolean retried, boolean rejected) {
+        RecordingActions host = newHost(Idempotency.NOT_IDEMPOTENT, 4);
         upload(host, "u", 1);
-        if (lost) {
+        if (bufferExceeded) {
             host.balancer.onReplayBufferExceeded(host.now, "u");
         }
-        host.answer(0, result, 10_000, false);
-        assertEquals(again, host.sent.size() == 2);
+        host.endLastAttempt(0, result, 10_000, false);
+        assertEquals(retried, host.sent.size() == 2);
         assertEquals(rejected ? List.of("u") : List.of(), host.rejected);
-        assertEquals(again || rejected ? List.of() : List.of("u"), host.failed);
+        assertEquals(retried || rejected ? List.of() : List.of("u"), host.failed);
     }
 
-    /** A server owes nothing before the last byte; from then on its silence tells. */
+    /** No response is awaited before the last byte of an upload, however long the upload takes. */
     @Test
-    void slowUploadIsNotASilentServer() {
-        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 2);
+    void slowUploadDoesNotEjectItsServer() {
+        RecordingActions host = newHost(Idempotency.NOT_IDEMPOTENT, 2);
         upload(host, "u", 1);
         host.now += MINUTE;
         host.request("watch");
-        assertTrue(!ejected(host), host.actions.toString());
+        assertTrue(!anyEjected(host), host.actions.toString());
     }
 
     /**
-     * A body on its way is no work yet, so many may come at once; what is complete fills the
-     * server.
+     * An incomplete upload is no load for a server, so many may be sent at once; complete uploads
+     * count as in flight.
      */
     @Test
-    void uploadsCountAsWorkFromTheirLastByte() {
-        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 1);
+    void uploadsCountAsInFlightFromTheirLastByte() {
+        RecordingActions host = newHost(Idempotency.NOT_IDEMPOTENT, 1);
         for (int i = 0; i < 20; i++) {
             upload(host, "u" + i, 1);
         }
@@ -136,45 +136,46 @@
     }
 
     /**
-     * While its body is buffered, it may be retried within the time that its client has from the
-     * last byte.
+     * The last byte of an upload sets a new deadline, until which the upload may be retried. An
+     * upload that is incomplete at its first deadline is not retried after it.
      */
     @Test
-    void timeOfAnUploadRunsFromItsLastByte() {
-        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+    void lastByteOfAnUploadSetsANewDeadlineForRetries() {
+        RecordingActions host = newHost(Idempotency.NOT_IDEMPOTENT, 4);
         upload(host, "u", 1);
         host.now += MINUTE;
         host.balancer.onUploadComplete(host.now, "u", host.now + 1_000_000);
-        host.answer(0, AttemptResult.REJECTED, 10_000, false);
+        host.endLastAttempt(0, AttemptResult.REJECTED, 10_000, false);
         assertEquals(2, host.sent.size());
-        RecordingActions late = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+        RecordingActions late = newHost(Idempotency.NOT_IDEMPOTENT, 4);
         upload(late, "u", 1);
         late.now += MINUTE;
-        late.answer(0, AttemptResult.REJECTED, 10_000, false);
+        late.endLastAttempt(0, AttemptResult.REJECTED, 10_000, false);
         assertEquals(1, late.sent.size());
         assertEquals(List.of("u"), late.rejected);
     }
 
     @Test
-    void bufferLimitRejectsNewRequestsUntilOldOnesHaveEnded() {
-        RecordingActions host = recorder(Idempotency.NOT_IDEMPOTENT, 4);
+    void newUploadsAreRejectedWhileStreamBuffersExceedTheirLimit() {
+        RecordingActions host = newHost(Idempotency.NOT_IDEMPOTENT, 4);
         host.balancer.onBufferLimit(host.now, 300);
         upload(host, "a", 100);
         upload(host, "b", 200);
         upload(host, "c", 1);
         assertEquals(List.of("c"), host.rejected);
         host.request("complete");
-        assertEquals(3, host.sent.size(), "what holds no buffer is not rejected");
-        RecordingActions.Sent b = host.sent.get(1);
-        host.balancer.onStreamStarted(host.now, "b", 0, b.server(), 1000);
+        assertEquals(3, host.sent.size(), "a request without stream buffer is not rejected");
+        RecordingActions.Sent second = host.sent.get(1);
+        host.balancer.onStreamStarted(host.now, "b", 0, second.server(), 1000);
         upload(host, "d", 1);
         assertEquals(List.of("c", "d"), host.rejected);
         host.balancer.onAttemptOutcome(
                 host.now,
-                new AttemptOutcome("b", 0, b.server(), AttemptResult.BROKEN, 1000, true, null));
+                new AttemptOutcome(
+                        "b", 0, second.server(), AttemptResult.BROKEN, 1000, true, null));
         upload(host, "e", 200);
         assertEquals(List.of("c", "d"), host.rejected);
-        // A request that its client has left holds its buffer while its attempt is out.
+        // A request whose client has disconnected holds its buffer while its attempt is in flight.
         host.balancer.onClientDisconnected(host.now, "a");
         upload(host, "f", 100);
         assertEquals(List.of("c", "d", "f"), host.rejected);
