--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -6,29 +6,35 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Sheds load at random, since a quiet sidecar sees no queue, only late answers; what is beyond a
- * tenant's quota first. The admitted fraction follows AIMD: late answers, rejections and failures
- * cut it. It prevents that requests fill servers which can answer none of them in time.
+ * Rejects a random fraction of the requests under overload, those over the quota of their tenant
+ * first. The choice is random because a sidecar with little traffic sees no queue, only late
+ * responses. The admitted fraction follows additive increase and multiplicative decrease (AIMD):
+ * late responses, rejections and failures cut it. This prevents requests from filling endpoints
+ * that can respond to none of them in time.
  */
 public final class AdmissionController {
 
-    /** Part of the latency objective from which an answer cuts the admitted fraction. */
+    /** Fraction of the latency target above which a response cuts the admitted fraction. */
     private static final double ADMISSION_TARGET = 0.8;
 
-    /** Factor of a cut. */
+    /** Factor by which a cut reduces the admitted fraction. */
     private static final double ADMISSION_CUT = 0.7;
 
-    /** What an answer in time adds to the admitted fraction. */
+    /** Amount that a response within {@link #ADMISSION_TARGET} adds to the admitted fraction. */
     private static final double ADMISSION_GAIN = 0.25;
 
-    /** Least admitted fraction. */
+    /** Minimum admitted fraction. */
     private static final double MIN_ADMITTED = 0.1;
 
-    /** Requests that a tenant may be ahead of its quota before it counts as beyond. */
+    /**
+     * Maximum and initial credit of a tenant, in requests; the credit cannot fall below the
+     * negative of this value. The credit is the number of requests by which a tenant may exceed its
+     * quota before its requests count as over quota.
+     */
     private static final double QUOTA_SLACK = 5;
 
     private final BalancerSettings settings;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final double totalShare;
     private final double rateWindowMicros;
     private final double[] tenantCredit;
@@ -37,38 +43,48 @@
     private long startedAt;
     private long rateUpdatedAt;
 
-    /** Creates a controller that admits everything. */
+    /** Creates a controller that admits every request. */
     public AdmissionController(BalancerSettings settings) {
         this.settings = settings;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
         rateWindowMicros = 2.0 * Math.max(1, settings.rules().overloadWindowMicros());
         totalShare = settings.tenants().stream().mapToDouble(Tenant::quotaShare).sum();
         tenantCredit = new double[Math.max(1, settings.tenants().size())];
         Arrays.fill(tenantCredit, QUOTA_SLACK);
     }
 
-    /** The first endpoint list has come: requests may, too, and their rate is counted from here. */
+    /**
+     * Starts the measurement of the request rate, when the first endpoint list has arrived; later
+     * calls have no effect.
+     */
     public void start(long now) {
         if (startedAt == 0) {
             startedAt = now;
         }
     }
 
-    /** The fraction of the requests that is admitted, from 0 to 1. */
+    /** Returns the fraction of the requests that is admitted, from 0 to 1. */
     public double admittedFraction() {
         return admittedFraction;
     }
 
     /**
-     * Whether a draw from 0 to 1 sheds a request. Harm: it may reject what a better endpoint could
-     * serve.
+     * Returns whether a request is rejected. The probability that a request is admitted is the
+     * admitted fraction; for a request over the quota of its tenant, the admitted fraction raised
+     * to the power of the inverse of the over-quota weight. Drawback: a request may be rejected
+     * that a better endpoint could serve.
+     *
+     * @param draw random number from 0 to 1
      */
     public boolean sheds(PendingRequest request, double draw) {
         double exponent = request.isOverQuota() ? 1 / settings.overQuotaWeight() : 1;
         return draw >= Math.pow(admittedFraction, exponent);
     }
 
-    /** A request has arrived. */
+    /**
+     * Adds an arrived request to the estimated rate of admitted requests, weighted with the
+     * admitted fraction.
+     */
     public void recordRequest(long now) {
         requestsPerMicro =
                 requestsPerMicro * Math.exp(-(now - rateUpdatedAt) / rateWindowMicros)
@@ -76,30 +92,39 @@
         rateUpdatedAt = now;
     }
 
-    /** Adjusts the admitted fraction to an answer and what would be its objective. */
-    public void recordAnswer(long elapsedMicros, double objectiveMicros) {
-        if (elapsedMicros > ADMISSION_TARGET * objectiveMicros) {
+    /**
+     * Adjusts the admitted fraction to a response.
+     *
+     * @param elapsedMicros latency of the response
+     * @param latencyTargetMicros latency target that applies to the response
+     */
+    public void recordResponse(long elapsedMicros, double latencyTargetMicros) {
+        if (elapsedMicros > ADMISSION_TARGET * latencyTargetMicros) {
             recordOverload();
         } else {
             admittedFraction = Math.min(1, admittedFraction + ADMISSION_GAIN);
         }
     }
 
-    /** Something was late, full or out of reach: cuts the admitted fraction. */
+    /** Cuts the admitted fraction after a late response, a rejection or a failure. */
     public void recordOverload() {
         admittedFraction = Math.max(MIN_ADMITTED, admittedFraction * ADMISSION_CUT);
     }
 
-    /** Requests a microsecond that this instance admits. */
+    /** Returns the estimated number of requests that this instance admits per microsecond. */
     public double admittedPerMicro(long now) {
-        double elapsed = Math.max(targetMicros, (double) (now - startedAt));
-        double seenPart = 1 - Math.exp(-elapsed / rateWindowMicros);
-        return requestsPerMicro * Math.exp(-(now - rateUpdatedAt) / rateWindowMicros) / seenPart;
+        // Corrects for the part of the averaging window that precedes the start.
+        double elapsed = Math.max(meanTargetMicros, (double) (now - startedAt));
+        double observedFraction = 1 - Math.exp(-elapsed / rateWindowMicros);
+        return requestsPerMicro
+                * Math.exp(-(now - rateUpdatedAt) / rateWindowMicros)
+                / observedFraction;
     }
 
     /**
-     * Charges a request to its tenant and notes whether that is beyond its quota. Every request
-     * fills each tenant's account by its share, so no total rate has to be known.
+     * Subtracts a request from the credit of its tenant, and marks the request as over quota if
+     * less than one request of credit was left. Every request adds to the credit of each tenant in
+     * proportion to the quota of that tenant, so that the total request rate need not be known.
      */
     public void chargeTenant(PendingRequest request) {
         if (totalShare <= 0) {
@@ -114,7 +139,10 @@
         tenantCredit[tenant] = Math.max(-QUOTA_SLACK, tenantCredit[tenant] - 1);
     }
 
-    /** Weight of an answer to a request for the platform, by its priority and its quota. */
+    /**
+     * Returns the weight of a response to the request, from its priority and the quota of its
+     * tenant.
+     */
     double weight(PendingRequest request) {
         double quotaWeight = request.isOverQuota() ? settings.overQuotaWeight() : 1;
         return request.rules().priorityWeight() * quotaWeight;
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -8,22 +8,26 @@
 import sagefall.balancer.request.RequestTimes;
 
 /**
- * Requests that wait for an endpoint with capacity: which is next, which gives way, until when
- * waiting is of use. It prevents that requests wait until no answer can be in time, while their
- * clients could still retry.
+ * Holds the requests that wait for an endpoint with capacity, and decides which request is sent
+ * next, which request is rejected when there are too many, and for how long a request is kept. This
+ * prevents a request from being queued until no response can be in time, while its client could
+ * still retry.
  */
 public final class RequestQueue {
 
-    /** Part of its time for which a request is queued at most while many requests are open. */
+    /**
+     * Maximum fraction of the time between arrival and deadline for which a request is queued while
+     * many requests are open.
+     */
     private static final double MAX_QUEUED_PART = 0.45;
 
-    /** Part of the latency target after which a queued request is rechecked. */
+    /** Interval at which a queued request is rechecked, in mean latency targets. */
     private static final double RECHECK_TARGETS = 0.125;
 
     private final BalancerSettings settings;
     private final AdmissionController admission;
     private final LatencyEstimator latency;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final List<PendingRequest> queued = new ArrayList<>();
 
     /** Creates an empty queue. */
@@ -32,10 +36,10 @@
         this.settings = settings;
         this.admission = admission;
         this.latency = latency;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
     }
 
-    /** Number of queued requests. */
+    /** Returns the number of queued requests. */
     public int size() {
         return queued.size();
     }
@@ -54,7 +58,10 @@
         request.dequeue();
     }
 
-    /** The request that is sent next: within quota first, of equals the newest; null if empty. */
+    /**
+     * Returns the request that is sent next: requests within the quota of their tenant first, among
+     * equals the newest; null if the queue is empty.
+     */
     public PendingRequest next() {
         PendingRequest best = null;
         for (PendingRequest request : queued) {
@@ -66,9 +73,11 @@
     }
 
     /**
-     * Past the most open requests that the instance may have, the queued or new request of the
-     * least weight gives way, of equals the oldest: its time is the shortest, and a client that
-     * can't get in loses its own.
+     * Returns the request that is rejected when the number of open requests exceeds its maximum:
+     * the queued or new request of the least weight, among equals the oldest. The oldest request
+     * has the least time left until its deadline, whereas a new request has all of its time left.
+     *
+     * @param arrived the new request, which is not queued
      */
     public PendingRequest leastValuable(PendingRequest arrived) {
         PendingRequest least = null;
@@ -77,22 +86,30 @@
                 least = request;
             }
         }
-        boolean arrivedIsLeast =
+        boolean isArrivedLeast =
                 least == null || admission.weight(arrived) < admission.weight(least);
-        return arrivedIsLeast ? arrived : least;
+        return isArrivedLeast ? arrived : least;
     }
 
-    /** When a queued request is rechecked, in microseconds. */
+    /** Returns the time of the next check of a queued request, in microseconds. */
     public long nextCheckAt(long now, PendingRequest request, int openRequests) {
-        long recheckAt = now + (long) (targetMicros * RECHECK_TARGETS);
+        long recheckAt = now + (long) (meanTargetMicros * RECHECK_TARGETS);
         return Math.max(now + 1, Math.min(lastUsefulAt(request, openRequests), recheckAt));
     }
 
     /**
-     * Until when a queued request may still earn something; after that it is rejected, which costs
-     * nothing. Where more than half of the requests that may be open are, one that no endpoint may
-     * have is rejected before half of its time: its client can still retry, and its connection is
-     * free for what is in time.
+     * Returns the time, in microseconds, up to which keeping a request in the queue is useful. It
+     * is the earliest of these times:
+     *
+     * <ul>
+     *   <li>two ticks of the host's timers before the deadline;
+     *   <li>if more than half of the maximum number of requests are open and the request cannot
+     *       have run at any endpoint: a little less than halfway between arrival and deadline. The
+     *       client can then still retry, and its connection becomes free for requests that can be
+     *       served in time;
+     *   <li>if a late response has no weight: the latest time at which a response after the typical
+     *       latency would be in time.
+     * </ul>
      */
     public long lastUsefulAt(PendingRequest request, int openRequests) {
         RequestTimes times = request.times();
@@ -104,8 +121,8 @@
             lastUseful = Math.min(lastUseful, latest);
         }
         if (request.rules().lateWeightShare() == 0) {
-            long inTime = times.objectiveAt() - (long) latency.typicalMicros(request);
-            lastUseful = Math.min(lastUseful, inTime);
+            long latestInTime = times.objectiveAt() - (long) latency.typicalMicros(request);
+            lastUseful = Math.min(lastUseful, latestInTime);
         }
         return lastUseful;
     }
--- a/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
@@ -1,22 +1,24 @@
 package sagefall.balancer.admission;
 
 /**
- * Retries as a part of first attempts: a token bucket that first attempts fill. It prevents that
- * failures multiply the load.
+ * Limits retries to a fraction of the arrived requests by a token bucket, to which each arrived
+ * request adds. This prevents failures from multiplying the load.
  */
 public final class RetryBudget {
 
-    /** Retries that a first attempt earns. */
+    /** Number of retries that an arrived request adds while all requests are admitted. */
     private static final double RETRIES_PER_REQUEST = 0.15;
 
-    /** Most retries that are saved up. */
+    /** Capacity of the token bucket, in retries, while all requests are admitted. */
     private static final double MAX_SAVED_RETRIES = 10;
 
     private double tokens = MAX_SAVED_RETRIES / 2;
 
     /**
-     * A request has arrived while this fraction is admitted; where little is, what fails is late,
-     * not sick, and little is retried.
+     * Adds to the budget for an arrived request. While the admitted fraction is low, failures come
+     * from overload rather than from faulty endpoints, so less is added and the budget is smaller.
+     *
+     * @param admittedFraction fraction of the requests that is admitted, from 0 to 1
      */
     public void recordRequest(double admittedFraction) {
         tokens =
@@ -25,12 +27,12 @@
                         tokens + RETRIES_PER_REQUEST * admittedFraction);
     }
 
-    /** Whether a retry may be sent. */
+    /** Returns whether a retry may be sent. */
     public boolean allowsRetry() {
         return tokens >= 1;
     }
 
-    /** A retry is sent. */
+    /** Subtracts a sent retry from the budget. */
     public void recordRetry() {
         tokens--;
     }
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
@@ -4,11 +4,14 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.health.Endpoint;
 
-/** A {@link ZoneConcurrencyLimit} for each zone of the settings. */
+/** Holds a {@link ZoneConcurrencyLimit} for each zone of the settings. */
 public final class ZoneConcurrencyLimits {
     private final ZoneConcurrencyLimit[] limits;
 
-    /** Creates a limit for each zone, at least one; none of them binds yet. */
+    /**
+     * Creates a limit for each zone, or one if the settings have no zones; each is infinite at
+     * first.
+     */
     public ZoneConcurrencyLimits(BalancerSettings settings) {
         limits =
                 Stream.generate(ZoneConcurrencyLimit::new)
@@ -16,12 +19,15 @@
                         .toArray(ZoneConcurrencyLimit[]::new);
     }
 
-    /** The limit of an endpoint's zone; an unknown zone shares the nearest index. */
+    /**
+     * Returns the limit for the zone of an endpoint. An endpoint whose zone index is out of range
+     * shares the limit of the zone with the nearest index.
+     */
     public ZoneConcurrencyLimit of(Endpoint endpoint) {
         return limits[Math.min(Math.max(0, endpoint.entry().zone()), limits.length - 1)];
     }
 
-    /** Whether a zone has as many of this instance's attempts in flight as it may. */
+    /** Returns whether the attempts in flight have reached the limit in any zone. */
     public boolean anyFull() {
         for (ZoneConcurrencyLimit limit : limits) {
             if (limit.isFull()) {
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
@@ -5,32 +5,39 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * Concurrency limit of each endpoint by AIMD against the latency objective: keeps queues where
- * answers are still in time. While an endpoint reports free cores it grows by a whole slot, as in a
- * slow start, so that a restart or a burst is not answered by rejections. Harm: where reports come
- * late a burst may queue for as long.
+ * Limits the number of attempts in flight at each endpoint by additive increase and multiplicative
+ * decrease (AIMD) against the latency target, so that a queue at an endpoint stays short enough for
+ * responses in time. While an endpoint reports free cores, its limit grows by 1 per response, as in
+ * TCP slow start, so that requests are not rejected after a restart or during a burst. Drawback:
+ * since load reports arrive late, a burst may be queued at the endpoint until the next report.
  */
 public final class ConcurrencyLimiter {
 
-    /** Limit of an endpoint of which nothing is known, in attempts. */
+    /** Initial limit of an endpoint, in attempts. */
     static final double INITIAL_LIMIT = 3;
 
-    /** Part of the latency objective that cuts the limit. */
+    /** Fraction of the latency target above which a response cuts the limit. */
     private static final double LIMIT_TARGET = 0.5;
 
-    /** Factor of a cut. */
+    /** Factor by which a cut reduces the limit. */
     private static final double LIMIT_CUT = 0.7;
 
-    /** Least limit, in attempts; many instances for few endpoints never go below 1. */
+    /** Minimum limit, in attempts; where many sidecars share few endpoints, it is 1 instead. */
     private static final double MIN_LIMIT = 0.2;
 
-    /** What cuts the limit where objectives are short: times what is typical. */
+    /**
+     * Multiple of the typical latency above which a response cuts the limit, where that is more
+     * than {@link #LIMIT_TARGET} allows because the latency target is short.
+     */
     private static final double TYPICAL_FACTOR = 1.25;
 
-    /** What cuts the limit where objectives are short: up to that part of the objective. */
+    /**
+     * Fraction of the latency target above which a response cuts the limit whatever the typical
+     * latency is.
+     */
     private static final double MAX_LIMIT_TARGET = 0.6;
 
-    /** Reported utilization from which a slow answer is taken for a queue. */
+    /** Reported utilization above which a slow response is taken as a sign of a queue. */
     private static final double BUSY_UTILIZATION = 0.5;
 
     private final SplittableRandom random;
@@ -49,12 +56,16 @@
         this.loadReports = loadReports;
     }
 
-    /** Adjusts the limit to an answer that took so long. */
-    void recordAnswer(long now, Attempt attempt, double elapsedMicros) {
+    /**
+     * Adjusts the limit of the endpoint to a response.
+     *
+     * @param elapsedMicros latency of the response
+     */
+    void recordResponse(long now, Attempt attempt, double elapsedMicros) {
         ConcurrencyState state = attempt.endpoint().concurrency();
-        // Many sidecars share few cores: one request of each may be too many; below one, rest
-        // between attempts.
-        state.restUntil = now + (long) (elapsedMicros * (1 / Math.min(1, state.limit) - 1));
+        // Where several sidecars share the few cores of an endpoint, even one attempt in flight
+        // from each may be too many: with a limit below 1, the sidecar pauses between attempts.
+        state.nextSendAt = now + (long) (elapsedMicros * (1 / Math.min(1, state.limit) - 1));
         if (isSlow(attempt, elapsedMicros)) {
             cut(now, attempt, state);
         } else if (state.inFlight() + 1 >= state.limit / 2) {
@@ -63,31 +74,39 @@
     }
 
     private boolean isSlow(Attempt attempt, double elapsedMicros) {
-        double objective = attempt.request().rules().latencyObjectiveMicros();
+        double latencyTarget = attempt.request().rules().latencyObjectiveMicros();
         double typical = TYPICAL_FACTOR * latency.typicalMicros(attempt.request());
         double threshold =
-                Math.min(Math.max(LIMIT_TARGET * objective, typical), MAX_LIMIT_TARGET * objective);
+                Math.min(
+                        Math.max(LIMIT_TARGET * latencyTarget, typical),
+                        MAX_LIMIT_TARGET * latencyTarget);
         return elapsedMicros > threshold;
     }
 
-    /** Whether the peak latency of an endpoint is above the part of the objective that cuts. */
-    boolean exceedsTarget(Attempt attempt, double latencyRatio) {
+    /**
+     * Returns whether a latency exceeds the fraction of the latency target above which the limit is
+     * cut.
+     *
+     * @param latencyRatio latency as a multiple of the typical latency of the attempt
+     */
+    boolean exceedsLimitTarget(Attempt attempt, double latencyRatio) {
         return latencyRatio * attempt.typicalMicros()
                 > LIMIT_TARGET * attempt.request().rules().latencyObjectiveMicros();
     }
 
     private void cut(long now, Attempt attempt, ConcurrencyState state) {
         Endpoint endpoint = attempt.endpoint();
-        // An endpoint that reports free cores has no queue; a large limit is cut all the same, as
-        // reports come late.
-        boolean queued =
+        // An endpoint that reports free cores has no queue. A large limit is cut nevertheless,
+        // since reports arrive late.
+        boolean mayHaveQueue =
                 !endpoint.loadReport().isKnown()
                         || loadReports.utilization(now, endpoint) > BUSY_UTILIZATION
                         || state.limit > 2 * INITIAL_LIMIT;
-        if (attempt.sentAt() >= state.cutAt && queued) {
-            double least = subsets.isSparse() ? 1 : MIN_LIMIT;
-            state.limit = Math.max(least, state.limit * LIMIT_CUT);
-            state.cutAt = now;
+        // A response to an attempt that was sent before the last cut does not show its effect.
+        if (attempt.sentAt() >= state.lastCutAt && mayHaveQueue) {
+            double minimum = subsets.isSparse() ? 1 : MIN_LIMIT;
+            state.limit = Math.max(minimum, state.limit * LIMIT_CUT);
+            state.lastCutAt = now;
         }
     }
 
@@ -103,7 +122,10 @@
         return freeCores ? 1 : 1 / state.limit;
     }
 
-    /** Full is busy, not sick: shrinks the limit and pauses for about one typical answer. */
+    /**
+     * Cuts the limit and pauses sending to the endpoint for a random time around the typical
+     * latency. The endpoint is not ejected: one that rejects a request is busy, not faulty.
+     */
     void recordRejection(long now, Attempt attempt) {
         ConcurrencyState state = attempt.endpoint().concurrency();
         double typical = attempt.typicalMicros();
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyState.java
@@ -3,46 +3,46 @@
 import java.util.ArrayDeque;
 import sagefall.balancer.request.Attempt;
 
-/** What {@link ConcurrencyLimiter} knows of one endpoint; times in microseconds. */
+/** State of one endpoint for {@link ConcurrencyLimiter}; times in microseconds. */
 public final class ConcurrencyState {
 
-    /** The attempts in flight, in the order in which the endpoint came to owe an answer. */
+    /** Attempts in flight, in the order in which the sidecar began to wait for their responses. */
     final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
 
-    /** Most attempts in flight; below 1 the endpoint rests between attempts. */
+    /** Maximum number of attempts in flight; below 1 the sidecar pauses between attempts. */
     double limit = ConcurrencyLimiter.INITIAL_LIMIT;
 
-    /** When the limit was last cut for a slow answer. */
-    long cutAt;
+    /** Time of the last cut of the limit after a slow response. */
+    long lastCutAt;
 
-    /** Until when nothing is sent since the endpoint rejected a request. */
+    /** End of the pause in sending after the endpoint rejected a request. */
     long pausedUntil;
 
-    /** Until when nothing is sent since the limit is below 1. */
-    long restUntil;
+    /** Earliest time of the next attempt, which a limit below 1 delays. */
+    long nextSendAt;
 
-    /** Number of attempts in flight. */
+    /** Returns the number of attempts in flight. */
     public int inFlight() {
         return inFlight.size();
     }
 
-    /** Whether no attempt is in flight. */
+    /** Returns whether no attempt is in flight. */
     public boolean isIdle() {
         return inFlight.isEmpty();
     }
 
-    /** Most attempts in flight. */
+    /** Returns the maximum number of attempts in flight. */
     public double limit() {
         return limit;
     }
 
-    /** Until when nothing is sent since the endpoint rejected a request. */
+    /** Returns the end of the pause in sending after the endpoint rejected a request. */
     public long pausedUntil() {
         return pausedUntil;
     }
 
-    /** Until when nothing is sent since the limit is below 1. */
-    public long restUntil() {
-        return restUntil;
+    /** Returns the earliest time of the next attempt, which a limit below 1 delays. */
+    public long nextSendAt() {
+        return nextSendAt;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
@@ -1,62 +1,69 @@
 package sagefall.balancer.health;
 
-/** What {@link ConnectionTrust} knows of the connections to one endpoint; times in microseconds. */
+/** State of the connections to one endpoint for {@link ConnectionTrust}; times in microseconds. */
 public final class ConnectionState {
 
-    /** A time before all events: no connection is known to work. */
+    /**
+     * Value of {@code lastUsedAt} while no connection is known to work; earlier than every event.
+     */
     private static final long NEVER = 0;
 
-    /** When a connection was last known to work. */
+    /** Time at which a connection was last known to work. */
     private long lastUsedAt = NEVER;
 
-    /** When a new connection may be tried. */
+    /** Earliest time of the next attempt on a new connection. */
     long connectAt;
 
-    /** Set-ups that failed since the last answer. */
+    /** Number of failed connection set-ups since the last response. */
     int connectFailures;
 
-    /** Whether an answer has come since the idle connections were last closed. */
+    /** Whether a response has arrived since the idle connections were last closed. */
     boolean opened;
 
-    /** Whether several set-ups failed, so that the process may have died. */
-    boolean maybeDead;
+    /** Whether several connection set-ups in a row failed, so that the endpoint may be down. */
+    boolean suspectedDown;
 
-    /** When it answered after it may have died. */
-    long returnedAt;
+    /**
+     * Time of the first response after the endpoint was last suspected to be down; 0 if there was
+     * none.
+     */
+    long recoveredAt;
 
-    /** Whether a connection is known to work. */
-    boolean isKnown() {
+    /** Returns whether a connection is known to work. */
+    boolean hasWorkingConnection() {
         return lastUsedAt != NEVER;
     }
 
-    /** When a connection was last known to work; before all events if never. */
+    /**
+     * Returns the time at which a connection was last known to work; 0 if none is known to work.
+     */
     public long lastUsedAt() {
         return lastUsedAt;
     }
 
-    /** A connection has just shown that it works. */
-    void used(long now) {
+    /** Records that a connection was just used and works. */
+    void markUsed(long now) {
         lastUsedAt = now;
     }
 
-    /** No connection is known to work any more. */
-    void forget() {
+    /** Records that no connection is known to work any more. */
+    void resetLastUsed() {
         lastUsedAt = NEVER;
     }
 
-    /** When a new connection may be tried. */
+    /** Returns the earliest time of the next attempt on a new connection. */
     public long connectAt() {
         return connectAt;
     }
 
-    /** Whether the host may hold an idle connection. */
+    /** Returns whether the host may hold an idle connection. */
     public boolean isOpened() {
         return opened;
     }
 
-    /** The host closes the idle connections. */
+    /** Records that the host closes the idle connections. */
     public void closed() {
         opened = false;
-        forget();
+        resetLastUsed();
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
@@ -8,27 +8,36 @@
 import sagefall.logging.LogLine;
 
 /**
- * What new connections cost, and how long an idle one may be taken to work. It prevents that
- * requests are lost on connections that have died silently, and that they wait for a set-up that
- * takes longer than their latency objective.
+ * Estimates how long a connection set-up takes and for how long an idle connection can be assumed
+ * to work. This prevents requests from being lost on connections that were dropped without a close,
+ * and from waiting for a connection set-up that takes longer than the latency target.
  */
 public final class ConnectionTrust {
 
-    /** Time constant of set-ups, and of the distrust of idle connections, in latency targets. */
+    /**
+     * Time constant of the decay of the mean set-up time, and duration for which idle connections
+     * are distrusted after one of them failed, in mean latency targets.
+     */
     private static final double CONNECTION_MEMORY_TARGETS = 30;
 
-    /** Weight of one set-up in the mean. */
+    /** Weight of one set-up in the mean set-up time. */
     private static final double SETUP_WEIGHT = 0.3;
 
-    /** Most doublings of the backoff after failed set-ups, which begins with one latency target. */
+    /**
+     * Maximum number of doublings of the backoff after failed set-ups, which begins with one mean
+     * latency target.
+     */
     private static final int MAX_CONNECT_DOUBLINGS = 4;
 
-    /** An idle spell is long from this part of the latency target on, as a divisor. */
+    /**
+     * The mean latency target divided by this number is the idle time above which a connection
+     * counts as long idle.
+     */
     private static final int LONG_IDLE_DIVISOR = 4;
 
     private final BalancerActions actions;
     private final SplittableRandom random;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final long idleTimeoutMicros;
     private double setupMicros;
     private long setupAt;
@@ -38,34 +47,41 @@
     ConnectionTrust(BalancerSettings settings, BalancerActions actions, SplittableRandom random) {
         this.actions = actions;
         this.random = random;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
         idleTimeoutMicros = settings.limits().idleTimeoutMicros();
     }
 
     /**
-     * Whether an attempt would go out on an open connection: one that was used a moment ago. One
-     * idle for longer than those that died is not trusted.
+     * Returns whether an attempt would be sent on an open connection that was used recently. A
+     * connection that has been idle for longer than the trusted idle time or the idle timeout is
+     * not trusted.
      */
     public boolean isWarm(long now, Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
-        return connection.isKnown()
+        return connection.hasWorkingConnection()
                 && now - connection.lastUsedAt()
                         < Math.min(trustedIdleMicros(now), idleTimeoutMicros);
     }
 
-    /** How long a connection may be idle and still be trusted; {@link Long#MAX_VALUE}: any time. */
+    /**
+     * Returns for how long a connection may be idle and still be trusted; {@link Long#MAX_VALUE} if
+     * there is no bound.
+     */
     public long trustedIdleMicros(long now) {
-        boolean distrusted = now - distrustedAt < CONNECTION_MEMORY_TARGETS * targetMicros;
+        boolean distrusted = now - distrustedAt < CONNECTION_MEMORY_TARGETS * meanTargetMicros;
         return distrusted ? trustedIdleMicros : Long.MAX_VALUE;
     }
 
-    /** Mean time of a set-up, in microseconds; it fades while none is seen. */
+    /**
+     * Returns the mean time of a connection set-up, in microseconds; it decays while no set-up is
+     * observed.
+     */
     public double setupMicros(long now) {
         return setupMicros
-                * Math.exp(-(now - setupAt) / (CONNECTION_MEMORY_TARGETS * targetMicros));
+                * Math.exp(-(now - setupAt) / (CONNECTION_MEMORY_TARGETS * meanTargetMicros));
     }
 
-    /** When a new connection last showed what a set-up takes. */
+    /** Returns the time at which a set-up was last measured. */
     public long lastSetupAt() {
         return setupAt;
     }
@@ -75,60 +91,72 @@
         setupAt = now;
     }
 
-    /** Whether an attempt went out on a connection that had been idle for long. */
+    /** Returns whether an attempt was sent on a connection that had been idle for long. */
     boolean isLongIdle(Attempt attempt) {
-        return attempt.connectionIdleMicros() > targetMicros / LONG_IDLE_DIVISOR;
+        return attempt.connectionIdleMicros() > meanTargetMicros / LONG_IDLE_DIVISOR;
     }
 
-    /** An attempt on an idle connection is not answered: such connections are taken for dead. */
+    /**
+     * Stops trusting long-idle connections for a while, after an attempt on one of them got no
+     * response: other connections that have been idle for as long may not work either. The trusted
+     * idle time becomes half the idle time of that connection, or half the previous trusted idle
+     * time if that was less.
+     */
     void distrustIdle(long now, Attempt attempt) {
         long idleMicros = attempt.connectionIdleMicros();
         trustedIdleMicros = Math.min(trustedIdleMicros(now), idleMicros) / 2;
         distrustedAt = now;
-        attempt.endpoint().connection().forget();
+        attempt.endpoint().connection().resetLastUsed();
         actions.log(
                 LogLine.of(LogEvent.IDLE_CONNECTIONS_DISTRUSTED)
                         .with("idle_ms", idleMicros / 1000)
                         .toString());
     }
 
-    /** An answer shows that the connection works, and that the process lives. */
-    void recordAnswer(long now, Attempt attempt, long elapsedMicros) {
+    /**
+     * Records a response, which shows that the connection works and that the endpoint is not down.
+     */
+    void recordResponse(long now, Attempt attempt, long elapsedMicros) {
         if (attempt.onNewConnection()) {
             recordSetup(now, Math.max(0, elapsedMicros - attempt.expectedMicros()));
         }
         ConnectionState connection = attempt.endpoint().connection();
-        connection.used(now);
+        connection.markUsed(now);
         connection.opened = true;
         connection.connectFailures = 0;
         connection.connectAt = 0;
-        if (connection.maybeDead) {
-            connection.returnedAt = now;
+        if (connection.suspectedDown) {
+            connection.recoveredAt = now;
         }
-        connection.maybeDead = false;
-        // It was slow after all: neither its connection nor the others' had died.
+        connection.suspectedDown = false;
+        // The suspected attempt was only slow: its connection, which had been idle, does work, so
+        // the other idle connections are trusted again.
         if (attempt.isSuspected() && attempt.connectionIdleMicros() > 0) {
             trustedIdleMicros = Long.MAX_VALUE;
         }
     }
 
-    /** A rejection shows that the connection works. */
+    /** Records a rejection, which shows that the connection works. */
     void recordRejection(long now, Endpoint endpoint) {
-        endpoint.connection().used(now);
+        endpoint.connection().markUsed(now);
         endpoint.connection().opened = true;
     }
 
-    /** The endpoint is at its limit, slow to set up, or down: only new connections stay away. */
+    /**
+     * Records a failed connection set-up, which counts with twice its duration in the mean set-up
+     * time. The endpoint may be at its connection limit, slow to set up connections, or down, so
+     * only new connections are avoided during the backoff.
+     */
     void recordFailedSetup(long now, Endpoint endpoint, long elapsedMicros) {
         recordSetup(now, (double) (2 * elapsedMicros));
         ConnectionState connection = endpoint.connection();
-        connection.forget();
+        connection.resetLastUsed();
         int doublings = Math.min(connection.connectFailures, MAX_CONNECT_DOUBLINGS);
         connection.connectFailures++;
-        double backoffMicros = targetMicros * (1 << doublings);
-        // A process that dies refuses connections for a while; broken ones come from any server.
+        double backoffMicros = meanTargetMicros * (1 << doublings);
+        // All set-ups fail while an endpoint is down, but a single one may fail at any endpoint.
         if (connection.connectFailures > 1) {
-            connection.maybeDead = true;
+            connection.suspectedDown = true;
         }
         connection.connectAt = now + (long) (backoffMicros * (0.75 + random.nextDouble() / 2));
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/EjectionCause.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EjectionCause.java
@@ -4,34 +4,44 @@
 import sagefall.logging.LogLine;
 
 /**
- * Why an endpoint is ejected, as its log line says it.
+ * Reason for the ejection of an endpoint, as written to the log.
  *
- * @param reason word for the kind of cause
- * @param detailKey name of the field with the detail, which ends in its unit if it has one
- * @param detail what was seen
+ * @param reason kind of cause, as a keyword
+ * @param detailKey key of the log field with the detail; ends in the unit if there is one
+ * @param detail observed value
  */
 public record EjectionCause(String reason, String detailKey, Object detail) {
 
-    /** Several attempts in a row failed, the last of them so. */
+    /**
+     * Returns the cause for several failed attempts in a row.
+     *
+     * @param last result of the last attempt
+     */
     static EjectionCause failedAttempt(AttemptResult last) {
         return new EjectionCause("consecutive_failures", "last_result", last);
     }
 
-    /** Several answers in a row failed after they had begun, the last of them so. */
+    /**
+     * Returns the cause for several failures in a row, the last of which was a response that broke
+     * off after it had begun.
+     *
+     * @param last result of the attempt with that response
+     */
     static EjectionCause failedStream(AttemptResult last) {
         return new EjectionCause("stream_failures", "last_result", last);
     }
 
-    /** An attempt is unanswered for so long. */
+    /** Returns the cause for an attempt that has had no response for the given time. */
     static EjectionCause noResponse(long elapsedMicros) {
         return new EjectionCause("no_response", "elapsed_ms", elapsedMicros / 1000);
     }
 
-    /** The trial of a half-open endpoint is not answered yet. */
+    /** Returns the cause for a trial of a half-open endpoint that has no response yet. */
     public static EjectionCause trialUnanswered(int inFlight) {
         return new EjectionCause("trial_unanswered", "in_flight", inFlight);
     }
 
+    /** Adds the fields of the cause to a log line. */
     LogLine addTo(LogLine line) {
         return line.with("reason", reason).with(detailKey, detail);
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
@@ -5,9 +5,9 @@
 import sagefall.balancer.routing.RendezvousHash;
 
 /**
- * A server process and all that this instance knows of it, in a state object for each policy. It
- * outlives a rebuild of the subsets; another incarnation of the server is another endpoint.
- * Compared by identity.
+ * A server process as this instance sees it, with one state object for each policy. An endpoint
+ * outlives rebuilds of the subset tree; another incarnation of the server is another endpoint.
+ * Endpoints are compared by identity.
  */
 public final class Endpoint {
     private final long id;
@@ -26,7 +26,9 @@
     private int cellCount;
 
     /**
-     * @param id the server's id in the endpoint list
+     * Creates an endpoint that is not in any list yet.
+     *
+     * @param id id of the endpoint in the endpoint list
      * @param rank number of this instance among the replicas
      */
     public Endpoint(long id, int rank) {
@@ -34,40 +36,51 @@
         subsetOrder = RendezvousHash.mix(id, rank);
     }
 
-    /** The server's id in the endpoint list. */
+    /** Returns the id of the endpoint in the endpoint list. */
     public long id() {
         return id;
     }
 
-    /** Place in this instance's own stable order of endpoints. */
+    /**
+     * Returns the sort key of the endpoint in the order of endpoints of this instance, which is
+     * stable and differs between instances.
+     */
     public long subsetOrder() {
         return subsetOrder;
     }
 
-    /** What the endpoint lists said of it last; null before the first. */
+    /** Returns the latest entry of the endpoint in an endpoint list; null before the first. */
     public ListedEndpoint entry() {
         return entry;
     }
 
     /**
-     * Highest revision of the lists that named it; a list that is behind it ends no drain. Below
-     * all revisions before the first list.
+     * Returns the highest revision of the endpoint lists that named the endpoint, or {@link
+     * Long#MIN_VALUE} before the first list. A list with a lower revision does not end the draining
+     * of the endpoint.
      */
     public long revision() {
         return revision;
     }
 
-    /** Whether new attempts may go to it: it is ready and listed. */
+    /** Returns whether new attempts may be sent to the endpoint: it is ready and listed. */
     public boolean isUsable() {
         return usable;
     }
 
-    /** Whether the last complete list, or a change after it, names it. */
+    /** Returns whether the last complete list, or a change after it, names the endpoint. */
     public boolean isListed() {
         return listed;
     }
 
-    /** Takes over what a list of that revision says of it. */
+    /**
+     * Updates the endpoint from an endpoint list.
+     *
+     * @param newEntry entry of the endpoint in the list
+     * @param newRevision revision of the list
+     * @param nowUsable whether new attempts may be sent to the endpoint
+     * @param named whether the list names the endpoint
+     */
     public void update(
             ListedEndpoint newEntry, long newRevision, boolean nowUsable, boolean named) {
         revision = Math.max(revision, newRevision);
@@ -76,75 +89,76 @@
         listed = named;
     }
 
-    /** A complete list has come that may not name it. */
+    /** Marks the endpoint as not listed, until a list names it again. */
     public void markUnlisted() {
         listed = false;
     }
 
-    /** No new attempt may go to it. */
+    /** Excludes the endpoint from new attempts. */
     public void markUnusable() {
         usable = false;
     }
 
-    /** The cell that it belongs to while there are {@link #cellCount} cells. */
+    /** Returns the cell of the endpoint, chosen for {@link #cellCount} cells. */
     public int cell() {
         return cell;
     }
 
-    /** The number of cells for which its cell was chosen; 0 before the first. */
+    /** Returns the number of cells for which the cell was chosen; 0 before the first choice. */
     public int cellCount() {
         return cellCount;
     }
 
-    /** Assigns it to one of so many cells. */
+    /** Assigns the endpoint to one of {@code count} cells. */
     public void assignCell(int newCell, int count) {
         cell = newCell;
         cellCount = count;
     }
 
-    /** Its latency. */
+    /** Returns the latency state. */
     public LatencyState latency() {
         return latency;
     }
 
-    /** Its failures and ejections. */
+    /** Returns the failures and ejections. */
     public OutlierState outlier() {
         return outlier;
     }
 
-    /** Its attempts that are unanswered for too long. */
+    /** Returns the state of attempts that have been without a response for too long. */
     public SilenceState silence() {
         return silence;
     }
 
-    /** Its attempts in flight and their limit. */
+    /** Returns the attempts in flight and their limit. */
     public ConcurrencyState concurrency() {
         return concurrency;
     }
 
-    /** This instance's connections to it. */
+    /** Returns the state of the connections from this instance to the endpoint. */
     public ConnectionState connection() {
         return connection;
     }
 
-    /** What it reports of its load. */
+    /** Returns the state of the load reports of the endpoint. */
     public LoadReportState loadReport() {
         return loadReport;
     }
 
     /**
-     * Whether an attempt hangs, and nothing has come from the endpoint since that was seen. Once
-     * something has, it is the connection that fell silent, or that request, which says nothing of
-     * the next one on another. Harm: an endpoint that is slow rather than silent is sent more,
-     * within its limit.
+     * Returns whether an attempt hangs and the endpoint has sent nothing since that was detected.
+     * If the endpoint has sent something since, only the connection or the request hangs, which
+     * does not predict the next request on another connection. Drawback: an endpoint that is slow
+     * rather than silent is sent more attempts, within its concurrency limit.
      */
     public boolean isSilent() {
         return silence.suspectedAttempts > 0 && connection.lastUsedAt() <= silence.lastSuspectedAt;
     }
 
     /**
-     * The attempt in flight for the longest time that still says something of the endpoint; null if
-     * there is none.
+     * Returns the oldest attempt in flight whose age is evidence about the latency of the endpoint;
+     * null if there is none. Unless the endpoint is silent, attempts that hang are ignored: they
+     * are no evidence about the endpoint.
      */
     Attempt oldestAttempt() {
         if (isSilent()) {
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -12,14 +12,14 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * Passes what became of attempts to the policies that learn from it, each of which is reached from
- * here. Decides which outcome says what of whom: the endpoint, its connection, its zone, or
- * nothing.
+ * Holds the policies that learn from the outcomes of attempts and passes each outcome on to those
+ * that it concerns: an outcome may be evidence about the endpoint, its connection or its zone, or
+ * be ignored.
  */
 public final class EndpointHealth {
     private final SubsetTree subsets;
     private final AdmissionController admission;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final ZoneConcurrencyLimits zoneLimits;
     private final LatencyEstimator latency;
     private final LoadReportTracker loadReports;
@@ -29,7 +29,7 @@
     private final SilenceDetector silence;
     private final SlowStart slowStart;
 
-    /** Creates the policies, with nothing known of any endpoint. */
+    /** Creates the policies without any observation. */
     public EndpointHealth(
             BalancerSettings settings,
             BalancerActions actions,
@@ -38,7 +38,7 @@
             AdmissionController admission) {
         this.subsets = subsets;
         this.admission = admission;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
         zoneLimits = new ZoneConcurrencyLimits(settings);
         latency = new LatencyEstimator(settings);
         loadReports = new LoadReportTracker(settings, zoneLimits);
@@ -49,42 +49,42 @@
         slowStart = new SlowStart(settings.rules());
     }
 
-    /** Concurrency limits of the zones. */
+    /** Returns the concurrency limits of the zones. */
     public ZoneConcurrencyLimits zoneLimits() {
         return zoneLimits;
     }
 
-    /** Latency of the endpoints. */
+    /** Returns the latency estimates of the endpoints. */
     public LatencyEstimator latency() {
         return latency;
     }
 
-    /** Utilization of the endpoints. */
+    /** Returns the reported utilization of the endpoints. */
     public LoadReportTracker loadReports() {
         return loadReports;
     }
 
-    /** Trust in connections, and what new ones cost. */
+    /** Returns the estimates of connection set-up time and of trust in idle connections. */
     public ConnectionTrust connections() {
         return connections;
     }
 
-    /** Ejection of outliers. */
+    /** Returns the detector that ejects outliers. */
     public OutlierDetector outliers() {
         return outliers;
     }
 
-    /** Attempts that hang. */
+    /** Returns the detector of attempts without a response. */
     public SilenceDetector silence() {
         return silence;
     }
 
-    /** Shares of endpoints that have just started. */
+    /** Returns the slow start of endpoints that have just started. */
     public SlowStart slowStart() {
         return slowStart;
     }
 
-    /** From now on its endpoint owes an answer to this attempt. */
+    /** Starts to wait for the response to an attempt, which counts as in flight from now on. */
     public void startAwaiting(long now, Attempt attempt) {
         attempt.startAwaiting(now);
         silence.add(attempt);
@@ -92,7 +92,7 @@
         zoneLimits.of(attempt.endpoint()).attemptStarted();
     }
 
-    /** Its endpoint owes no answer to this attempt any more; nothing changes if it owes none. */
+    /** Stops waiting for the response to an attempt; has no effect if none is awaited. */
     public void stopAwaiting(Attempt attempt) {
         if (!attempt.isAwaited()) {
             return;
@@ -103,7 +103,10 @@
         silence.remove(attempt);
     }
 
-    /** Learns from the outcome of an attempt whose answer had not begun before. */
+    /**
+     * Records the outcome of an attempt; if the response was streamed, {@link #recordStreamEnd}
+     * does so instead.
+     */
     public void recordOutcome(long now, Attempt attempt, AttemptOutcome outcome) {
         switch (outcome.result()) {
             case SERVED -> {
@@ -114,7 +117,7 @@
             case NO_CONNECTION -> recordFailedSetup(now, attempt, outcome);
             case ERROR, TIMED_OUT, BROKEN -> recordFailure(now, attempt, outcome);
             case CANCELLED, NOT_SENT -> {
-                // This instance's or its client's doing: says nothing of the endpoint.
+                // Caused by this instance or its client: no evidence about the endpoint.
             }
         }
     }
@@ -134,68 +137,81 @@
     private void recordFailure(long now, Attempt attempt, AttemptOutcome outcome) {
         Endpoint endpoint = attempt.endpoint();
         if (outcome.result() == AttemptResult.TIMED_OUT) {
-            if (isImpatientClient(attempt, outcome)) {
+            if (wasTimeoutShort(attempt, outcome)) {
                 return;
             }
             zoneLimits.of(endpoint).recordOverload();
             if (!attempt.isSuspected()) {
-                silence.blame(now, attempt);
+                silence.attributeSilence(now, attempt);
             }
         }
-        if (concurrency.exceedsTarget(attempt, latency.sampledRatio(now, endpoint))) {
+        if (concurrency.exceedsLimitTarget(attempt, latency.sampledRatio(now, endpoint))) {
             admission.recordOverload();
         }
-        if (outcome.result() != AttemptResult.ERROR && mayBeConnectionsFault(attempt)) {
+        if (outcome.result() != AttemptResult.ERROR && mayBeConnectionFault(attempt)) {
             return;
         }
-        double micros = Math.max((double) outcome.elapsedMicros(), targetMicros);
+        double micros = Math.max((double) outcome.elapsedMicros(), meanTargetMicros);
         latency.recordSample(now, endpoint, micros / attempt.typicalMicros());
         outliers.recordFailure(now, endpoint, EjectionCause.failedAttempt(outcome.result()));
     }
 
-    /** A client that has no patience says nothing of the endpoint. */
-    private static boolean isImpatientClient(Attempt attempt, AttemptOutcome outcome) {
+    /**
+     * Returns whether the client allowed so little time that the timeout is no evidence about the
+     * endpoint.
+     */
+    private static boolean wasTimeoutShort(Attempt attempt, AttemptOutcome outcome) {
         return outcome.elapsedMicros() * 2
                 < SilenceDetector.HANGING_FACTOR * attempt.expectedMicros();
     }
 
     /**
-     * What a connection that was idle did not bring may be its own fault; an error is an answer.
+     * Returns whether the failure of an attempt may be due to its connection: the connection had
+     * been idle for long, or the endpoint has responded to other attempts since this one was found
+     * to hang. Does not apply to {@link AttemptResult#ERROR}, which is a response.
      */
-    private boolean mayBeConnectionsFault(Attempt attempt) {
+    private boolean mayBeConnectionFault(Attempt attempt) {
         Endpoint endpoint = attempt.endpoint();
-        boolean answeredSince =
+        boolean respondedSince =
                 endpoint.connection().lastUsedAt() > endpoint.silence().lastSuspectedAt;
-        return connections.isLongIdle(attempt) || (attempt.isSuspected() && answeredSince);
+        return connections.isLongIdle(attempt) || (attempt.isSuspected() && respondedSince);
     }
 
-    /** Learns from the time of an answer, or from that of the beginning of a streamed one. */
+    /** Records a complete response, or the beginning of a streamed one. */
     public void recordAnswer(long now, Attempt attempt, long elapsedMicros) {
         Endpoint endpoint = attempt.endpoint();
-        connections.recordAnswer(now, attempt, elapsedMicros);
-        outliers.recordAnswer(endpoint);
-        admission.recordAnswer(elapsedMicros, admissionObjectiveMicros(attempt));
-        long objective = Math.max(1, attempt.request().rules().latencyObjectiveMicros());
+        connections.recordResponse(now, attempt, elapsedMicros);
+        outliers.recordResponse(endpoint);
+        admission.recordResponse(elapsedMicros, admissionTargetMicros(attempt));
+        long latencyTarget = Math.max(1, attempt.request().rules().latencyObjectiveMicros());
         ZoneConcurrencyLimit zoneLimit = zoneLimits.of(endpoint);
-        zoneLimit.recordAnswer(elapsedMicros / (double) objective);
-        // What is typical may have moved since it was sent.
-        double shift = latency.typicalShift(attempt);
-        latency.recordTypical(attempt.request(), elapsedMicros / shift);
+        zoneLimit.recordResponse(elapsedMicros / (double) latencyTarget);
+        // The typical latency may have changed since the attempt was sent.
+        double typicalRatio = latency.typicalLatencyRatio(attempt);
+        latency.recordTypical(attempt.request(), elapsedMicros / typicalRatio);
         if (isSlowSetup(attempt, elapsedMicros)) {
             return;
         }
-        latency.recordAnswer(now, attempt, elapsedMicros);
-        concurrency.recordAnswer(now, attempt, elapsedMicros / shift);
+        latency.recordResponse(now, attempt, elapsedMicros);
+        concurrency.recordResponse(now, attempt, elapsedMicros / typicalRatio);
     }
 
-    /** The latency objective, moved as what is typical has moved since the attempt was sent. */
-    private double admissionObjectiveMicros(Attempt attempt) {
+    /**
+     * Returns the latency target that admission control applies: the target of the request class,
+     * multiplied by the typical latency at the time the attempt was sent and divided by the current
+     * one.
+     */
+    private double admissionTargetMicros(Attempt attempt) {
         return attempt.request().rules().latencyObjectiveMicros()
                 * attempt.typicalMicros()
                 / latency.typicalMicros(attempt.request());
     }
 
-    /** A slow set-up says nothing of the endpoint. */
+    /**
+     * Returns whether a slow connection set-up dominates the latency, which is then no evidence
+     * about the endpoint. Only checked where many sidecars share few endpoints and connections are
+     * expensive.
+     */
     private boolean isSlowSetup(Attempt attempt, long elapsedMicros) {
         return attempt.onNewConnection()
                 && subsets.isSparse()
@@ -203,16 +219,16 @@
     }
 
     /**
-     * Learns from the end of a streamed answer. It took as long as its reader; if it broke, it is a
-     * failed attempt.
+     * Records the end of a streamed response. Its duration depends on how fast the client reads, so
+     * it is no latency sample; a broken stream counts as a failed attempt.
      */
     public void recordStreamEnd(long now, Attempt attempt, AttemptOutcome outcome) {
         Endpoint endpoint = attempt.endpoint();
         if (outcome.result() == AttemptResult.SERVED) {
-            endpoint.connection().used(now);
+            endpoint.connection().markUsed(now);
             loadReports.record(now, endpoint, outcome.report());
         } else if (outcome.result() != AttemptResult.CANCELLED) {
-            latency.recordSample(now, endpoint, targetMicros / attempt.typicalMicros());
+            latency.recordSample(now, endpoint, meanTargetMicros / attempt.typicalMicros());
             outliers.recordFailure(now, endpoint, EjectionCause.failedStream(outcome.result()));
         }
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -5,48 +5,56 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Latency of each endpoint as a peak EWMA, in units of what is typical for the class of request: a
- * slow answer raises it at once, faster ones and time lower it, towards what is usual for the
- * endpoint's kind and zone. Attempts that are still unanswered count by their age, since a hanging
- * endpoint never gives a sample. It prevents that an endpoint that has turned slow goes on being
- * sent as much as before.
+ * Estimates the latency of each endpoint as a peak EWMA, as a multiple of the typical latency of
+ * the request class: a slow response raises the estimate at once, faster responses and time lower
+ * it towards the usual value for the kind and zone of the endpoint. Attempts without a response
+ * count by their age, since a hanging endpoint never gives a sample. This prevents an endpoint that
+ * has become slow from being sent as much as before.
  */
 public final class LatencyEstimator {
 
-    /** Bound on one sample of a mean, in units of what is typical. */
+    /** Upper bound on one sample of a mean, as a multiple of the typical latency. */
     static final int MAX_RATIO = 4;
 
-    /** Time constant of the decay of the peak EWMA, in latency targets. */
+    /**
+     * Time constant with which the peak EWMA approaches a lower sample, in mean latency targets;
+     * without samples, it decays with twice this time constant.
+     */
     private static final double LATENCY_DECAY_TARGETS = 4;
 
-    /** Weight of one answer in what is typical for its class. */
+    /** Weight of one response in the typical latency of its class. */
     private static final double TYPICAL_WEIGHT = 0.03;
 
-    /** Weight of one answer in the mean ratio of its endpoint. */
+    /** Weight of one response in the mean ratio of its endpoint. */
     private static final double MEAN_RATIO_WEIGHT = 5 * TYPICAL_WEIGHT;
 
-    /** What is typical before the first answer, in latency targets. */
+    /**
+     * Typical latency before the first response, as a fraction of the latency target of the class.
+     */
     private static final double INITIAL_TYPICAL_TARGETS = 0.3;
 
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final double[] typicalMicros;
     private final PooledLatencyRatio kindRatio = new PooledLatencyRatio();
     private final PooledLatencyRatio zoneRatio = new PooledLatencyRatio();
 
     LatencyEstimator(BalancerSettings settings) {
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
         typicalMicros =
                 settings.classes().stream()
                         .mapToDouble(c -> c.targetLatencyMicros() * INITIAL_TYPICAL_TARGETS)
                         .toArray();
     }
 
-    /** What is typical for an answer to a request of this class, in microseconds. */
+    /** Returns the typical latency for the class of a request, in microseconds. */
     public double typicalMicros(PendingRequest request) {
         return typicalMicros[request.classIndex()];
     }
 
-    /** Peak EWMA of an endpoint, and at least the age of its oldest attempt, as a ratio. */
+    /**
+     * Returns the peak EWMA of an endpoint, or the age of its oldest attempt if that is higher, as
+     * a multiple of the typical latency.
+     */
     public double ratio(long now, Endpoint endpoint) {
         Attempt oldest = endpoint.oldestAttempt();
         if (oldest == null) {
@@ -56,7 +64,11 @@
         return Math.max(sampledRatio(now, endpoint), age);
     }
 
-    /** The peak EWMA alone; between samples it drifts to what is usual for kind and zone. */
+    /**
+     * Returns the peak EWMA of an endpoint, without the ages of attempts in flight, as a multiple
+     * of the typical latency. Between samples, the peak EWMA decays towards the usual value for the
+     * kind and zone of the endpoint; before the first sample, it is that value.
+     */
     double sampledRatio(long now, Endpoint endpoint) {
         double pooled =
                 kindRatio.ratio(endpoint.entry().kind()) * zoneRatio.ratio(endpoint.entry().zone());
@@ -65,16 +77,21 @@
             return pooled;
         }
         double decay =
-                Math.exp(-(now - latency.sampledAt) / (2 * LATENCY_DECAY_TARGETS * targetMicros));
+                Math.exp(
+                        -(now - latency.sampledAt)
+                                / (2 * LATENCY_DECAY_TARGETS * meanTargetMicros));
         return pooled + (latency.peakRatio - pooled) * decay;
     }
 
-    /** How what is typical for its class has moved since an attempt was sent, as a factor. */
-    double typicalShift(Attempt attempt) {
+    /**
+     * Returns the typical latency at the time an attempt was sent, divided by the current typical
+     * latency.
+     */
+    double typicalLatencyRatio(Attempt attempt) {
         return attempt.typicalMicros() / typicalMicros(attempt.request());
     }
 
-    /** Takes the time of an answer into what is typical for its class. */
+    /** Updates the typical latency of the request class from the latency of a response. */
     void recordTypical(PendingRequest request, double micros) {
         int classIndex = request.classIndex();
         double typical = typicalMicros[classIndex];
@@ -82,8 +99,10 @@
                 TYPICAL_WEIGHT * (Math.min(micros, MAX_RATIO * typical) - typical);
     }
 
-    /** Takes the time of an answer into what is known of its endpoint, kind and zone. */
-    void recordAnswer(long now, Attempt attempt, long elapsedMicros) {
+    /**
+     * Updates the estimates of the endpoint, its kind and its zone from the latency of a response.
+     */
+    void recordResponse(long now, Attempt attempt, long elapsedMicros) {
         Endpoint endpoint = attempt.endpoint();
         double ratio = elapsedMicros / attempt.typicalMicros();
         recordSample(now, endpoint, ratio);
@@ -93,15 +112,20 @@
         zoneRatio.record(endpoint.entry().zone(), ratio);
     }
 
-    /** Peak EWMA: up at once, down with time. */
+    /**
+     * Updates the peak EWMA: a higher sample replaces it, a lower one pulls it down, further the
+     * more time has passed since the previous sample.
+     */
     void recordSample(long now, Endpoint endpoint, double ratio) {
         LatencyState latency = endpoint.latency();
-        boolean peak = !latency.hasSample() || ratio > sampledRatio(now, endpoint);
-        if (peak) {
+        boolean isPeak = !latency.hasSample() || ratio > sampledRatio(now, endpoint);
+        if (isPeak) {
             latency.peakRatio = ratio;
         } else {
             double decay =
-                    Math.exp(-(now - latency.sampledAt) / (LATENCY_DECAY_TARGETS * targetMicros));
+                    Math.exp(
+                            -(now - latency.sampledAt)
+                                    / (LATENCY_DECAY_TARGETS * meanTargetMicros));
             latency.peakRatio = ratio + (latency.peakRatio - ratio) * decay;
         }
         latency.sampledAt = now;
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyState.java
@@ -1,23 +1,26 @@
 package sagefall.balancer.health;
 
-/** What {@link LatencyEstimator} knows of one endpoint. */
+/** State of one endpoint for {@link LatencyEstimator}. */
 public final class LatencyState {
 
-    /** Peak EWMA of latency in units of what is typical; NaN: no sample. */
+    /** Peak EWMA of latency as a multiple of the typical latency; NaN before the first sample. */
     double peakRatio = Double.NaN;
 
-    /** When the peak EWMA was last moved, in microseconds. */
+    /** Time of the last update of the peak EWMA, in microseconds. */
     long sampledAt;
 
-    /** Plain EWMA of latency in units of what is typical. */
+    /** EWMA of latency as a multiple of the typical latency. */
     double meanRatio = 1;
 
-    /** Whether there has been any sample. */
+    /** Returns whether there has been any sample. */
     boolean hasSample() {
         return !Double.isNaN(peakRatio);
     }
 
-    /** Plain EWMA of latency in units of what is typical; 1 before the first answer. */
+    /**
+     * Returns the EWMA of latency as a multiple of the typical latency; 1 before the first
+     * response.
+     */
     public double meanRatio() {
         return meanRatio;
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportState.java
@@ -1,15 +1,18 @@
 package sagefall.balancer.health;
 
-/** What {@link LoadReportTracker} knows of one endpoint. */
+/** State of one endpoint for {@link LoadReportTracker}. */
 public final class LoadReportState {
 
-    /** Reported utilization from 0 to 1; NaN: nothing was reported. */
+    /**
+     * Utilization from 0 to 1, as reported or as assumed when a response had no report; NaN before
+     * either.
+     */
     double utilization = Double.NaN;
 
-    /** When the utilization was reported, in microseconds. */
+    /** Time at which the utilization was set, in microseconds. */
     long reportedAt;
 
-    /** Whether the endpoint has reported its utilization. */
+    /** Returns whether a utilization is known for the endpoint. */
     boolean isKnown() {
         return !Double.isNaN(utilization);
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
@@ -6,13 +6,14 @@
 import sagefall.balancer.api.LoadReportSource;
 
 /**
- * Utilization of endpoints by their own load reports. A report ages towards the mean of all, and
- * one that is missing where they are usual means busy, not idle. It prevents that an endpoint whose
- * last report was good keeps attracting traffic after it has filled up.
+ * Tracks the utilization of endpoints from their load reports. The utilization from a report decays
+ * towards the mean of all endpoints. If other responses had reports, a response without one is
+ * taken as a sign of a busy endpoint. This prevents an endpoint whose last report was low from
+ * attracting traffic after its load has risen.
  */
 public final class LoadReportTracker {
 
-    /** Time constant of the aging of a report, in latency targets. */
+    /** Time constant of the decay of a report, in mean latency targets. */
     private static final double REPORT_DECAY_TARGETS = 4;
 
     /** Weight of one report in the mean of all endpoints. */
@@ -20,31 +21,40 @@
 
     private final BalancerSettings settings;
     private final ZoneConcurrencyLimits zoneLimits;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private double meanUtilization = Double.NaN;
 
     LoadReportTracker(BalancerSettings settings, ZoneConcurrencyLimits zoneLimits) {
         this.settings = settings;
         this.zoneLimits = zoneLimits;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
     }
 
-    /** Whether any endpoint has reported its utilization. */
+    /** Returns whether any endpoint has reported its utilization. */
     public boolean hasReports() {
         return !Double.isNaN(meanUtilization);
     }
 
-    /** Utilization of an endpoint from 0 to 1 as known now; NaN where none is reported. */
+    /**
+     * Returns the estimated current utilization of an endpoint from 0 to 1; NaN if no endpoint has
+     * reported any.
+     */
     public double utilization(long now, Endpoint endpoint) {
         LoadReportState state = endpoint.loadReport();
         if (!state.isKnown()) {
             return meanUtilization;
         }
-        double decay = Math.exp(-(now - state.reportedAt) / (REPORT_DECAY_TARGETS * targetMicros));
+        double decay =
+                Math.exp(-(now - state.reportedAt) / (REPORT_DECAY_TARGETS * meanTargetMicros));
         return meanUtilization + (state.utilization - meanUtilization) * decay;
     }
 
-    /** Takes in the report of an answer; null or NaN where the answer brought none. */
+    /**
+     * Records the load report of a response. If the response had none, but other responses had, the
+     * endpoint is assumed to be at least halfway between the mean utilization and 1.
+     *
+     * @param report the report; null or with a utilization of NaN if the response had none
+     */
     void record(long now, Endpoint endpoint, LoadReport report) {
         if (settings.loadReportSource() != LoadReportSource.ANSWERS) {
             return;
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
@@ -8,26 +8,26 @@
 import sagefall.logging.LogLine;
 
 /**
- * Ejects an endpoint after several failures in a row, or when it is silent, for a backoff that
- * doubles with each ejection; after that it is half-open and gets single trials. It prevents that
- * requests are lost to an endpoint that fails; the bound on ejections prevents that a fault of this
- * instance leaves it without endpoints.
+ * Ejects an endpoint after several failures in a row, or when it does not respond, for a backoff
+ * that doubles with each ejection. After the backoff the endpoint is half-open and gets single
+ * trials. This prevents requests from being lost to a failing endpoint. The bound on the number of
+ * ejected endpoints prevents a fault of this instance from leaving it without endpoints.
  */
 public final class OutlierDetector {
 
-    /** Failures in a row that make an endpoint an outlier. */
+    /** Number of failures in a row that make an endpoint an outlier. */
     private static final int CONSECUTIVE_FAILURES = 3;
 
-    /** Most doublings of the backoff, which begins with one latency target. */
+    /** Maximum number of doublings of the backoff, which begins with one mean latency target. */
     private static final int MAX_EJECTION_DOUBLINGS = 4;
 
-    /** Most of the ready endpoints that may be ejected, as a fraction. */
+    /** Maximum fraction of the ready endpoints that may be ejected. */
     private static final double MAX_EJECTED = 0.5;
 
     private final BalancerActions actions;
     private final SplittableRandom random;
     private final SubsetTree subsets;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private int ejectedCount;
 
     OutlierDetector(
@@ -38,10 +38,15 @@
         this.actions = actions;
         this.random = random;
         this.subsets = subsets;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
     }
 
-    /** Counts a failure, which ejects a half-open endpoint at once. */
+    /**
+     * Records a failure. Several failures in a row eject the endpoint; if it is already ejected or
+     * half-open, a single failure extends the ejection.
+     *
+     * @param cause cause to log if the endpoint is ejected
+     */
     void recordFailure(long now, Endpoint endpoint, EjectionCause cause) {
         OutlierState state = endpoint.outlier();
         if (state.isEjected() || ++state.consecutiveFailures >= CONSECUTIVE_FAILURES) {
@@ -49,7 +54,10 @@
         }
     }
 
-    /** Ejects an endpoint, or extends its ejection, unless too many are ejected already. */
+    /**
+     * Ejects an endpoint, or extends its ejection. Has no effect on an endpoint that is not usable;
+     * no further endpoint is ejected once the bound on ejected endpoints is reached.
+     */
     public void eject(long now, Endpoint endpoint, EjectionCause cause) {
         OutlierState state = endpoint.outlier();
         if (!endpoint.isUsable() || (!state.isEjected() && isBoundReached())) {
@@ -62,7 +70,7 @@
         }
         int doublings = Math.min(state.backoffLevel, MAX_EJECTION_DOUBLINGS);
         state.backoffLevel++;
-        double backoffMicros = targetMicros * (1 << doublings);
+        double backoffMicros = meanTargetMicros * (1 << doublings);
         state.ejectedUntil = now + (long) (backoffMicros * (0.75 + random.nextDouble() / 2));
         state.consecutiveFailures = 0;
     }
@@ -71,8 +79,8 @@
         return ejectedCount + 1 > MAX_EJECTED * subsets.ready().size();
     }
 
-    /** An answer ends the failures in a row, and the ejection. */
-    void recordAnswer(Endpoint endpoint) {
+    /** Records a response, which resets the count of failures in a row and ends the ejection. */
+    void recordResponse(Endpoint endpoint) {
         endpoint.outlier().consecutiveFailures = 0;
         if (endpoint.outlier().isEjected()) {
             readmit(endpoint);
@@ -87,7 +95,7 @@
         actions.log(line.toString());
     }
 
-    /** Ends the ejection of an endpoint that is readmitted or no longer used. */
+    /** Ends the ejection of an endpoint that is readmitted or no longer in use. */
     public void endEjection(Endpoint endpoint) {
         OutlierState state = endpoint.outlier();
         if (state.isEjected()) {
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierState.java
@@ -1,28 +1,35 @@
 package sagefall.balancer.health;
 
-/** What {@link OutlierDetector} knows of one endpoint. */
+/** State of one endpoint for {@link OutlierDetector}. */
 public final class OutlierState {
 
-    /** Failures since the last answer or ejection. */
+    /** Number of failures since the last response or ejection. */
     int consecutiveFailures;
 
-    /** Ejections that no answer has made up for; each doubles the next backoff. */
+    /**
+     * Number of doublings of the next backoff, before their maximum is applied: an ejection or its
+     * extension adds 1, a readmission subtracts 1.
+     */
     int backoffLevel;
 
-    /** Until when it is ejected, in microseconds; 0 while it is not ejected. */
+    /** End of the backoff of the ejection, in microseconds; 0 while the endpoint is not ejected. */
     long ejectedUntil;
 
-    /** Whether it is ejected, or half-open after that. */
+    /** Returns whether the endpoint is ejected, or half-open after the backoff. */
     public boolean isEjected() {
         return ejectedUntil != 0;
     }
 
-    /** From when on it may be sent a trial, in microseconds. */
+    /**
+     * Returns the earliest time of a trial, in microseconds; 0 while the endpoint is not ejected.
+     */
     public long ejectedUntil() {
         return ejectedUntil;
     }
 
-    /** Ejections that no answer has made up for. */
+    /**
+     * Returns the number of ejections and extensions less the number of readmissions; not negative.
+     */
     public int backoffLevel() {
         return backoffLevel;
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/PooledLatencyRatio.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/PooledLatencyRatio.java
@@ -3,22 +3,23 @@
 import java.util.Arrays;
 
 /**
- * Plain EWMA of latency over all endpoints with the same label value, in units of what is typical:
- * the first guess for an endpoint of which no sample is known.
+ * Holds, for each value of a label (kind or zone), the EWMA of the latency of all endpoints with
+ * that value, as a multiple of the typical latency. It is the estimate for an endpoint that has no
+ * sample of its own.
  */
 final class PooledLatencyRatio {
 
-    /** Weight of one answer. */
+    /** Weight of one response in the EWMA. */
     private static final double POOL_WEIGHT = 0.1;
 
     private double[] ratios = {};
 
-    /** The mean ratio for this value of the label; 1 where nothing is known. */
+    /** Returns the mean ratio for a label value; 1 if there is no sample. */
     double ratio(int labelValue) {
         return labelValue >= 0 && labelValue < ratios.length ? ratios[labelValue] : 1;
     }
 
-    /** Takes in the ratio of one answer; a negative label value says nothing. */
+    /** Records the ratio of one response; a negative label value is ignored. */
     void record(int labelValue, double ratio) {
         if (labelValue < 0) {
             return;
@@ -31,8 +32,8 @@
     }
 
     private void grow(int length) {
-        int before = ratios.length;
+        int oldLength = ratios.length;
         ratios = Arrays.copyOf(ratios, length);
-        Arrays.fill(ratios, before, length, 1);
+        Arrays.fill(ratios, oldLength, length, 1);
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -6,36 +6,43 @@
 import sagefall.balancer.request.Attempt;
 
 /**
- * Finds attempts without an answer for far longer than expected, and blames the connection or the
- * endpoint for it. It prevents that a hanging endpoint, which never gives a sample, is sent more
- * until the deadlines of its attempts have passed.
+ * Finds attempts that have been without a response for far longer than expected and attributes this
+ * to the connection or the endpoint. This prevents a hanging endpoint, which never gives a latency
+ * sample, from being sent more attempts until the deadlines of those in flight have passed.
  */
 public final class SilenceDetector {
 
-    /** An attempt hangs once it is unanswered for so many times what is expected. */
+    /**
+     * Multiple of the expected latency after which an attempt without a response counts as hanging.
+     */
     static final int HANGING_FACTOR = 4;
 
-    /** Mean latency ratio from which silence is the endpoint's own, not the connection's. */
+    /**
+     * Mean latency of an endpoint, as a multiple of the typical latency, from which a missing
+     * response is attributed to the endpoint rather than to the connection.
+     */
     private static final double SLOW_MEAN_RATIO = 1.5;
 
     private final ConnectionTrust connections;
     private final OutlierDetector outliers;
-    private final double targetMicros;
+    private final double meanTargetMicros;
 
-    /** Attempts that are owed an answer, in the order in which they came to be. */
+    /** Attempts whose responses are awaited, in the order in which the waiting began. */
     private final Set<Attempt> awaited = new LinkedHashSet<>();
 
     SilenceDetector(
             BalancerSettings settings, ConnectionTrust connections, OutlierDetector outliers) {
         this.connections = connections;
         this.outliers = outliers;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
     }
 
+    /** Starts to observe an attempt whose response is awaited. */
     void add(Attempt attempt) {
         awaited.add(attempt);
     }
 
+    /** Stops observing an attempt. */
     void remove(Attempt attempt) {
         awaited.remove(attempt);
         if (attempt.isSuspected()) {
@@ -43,16 +50,19 @@
         }
     }
 
-    /** Looks for attempts that hang; the first that is young ends the search. */
+    /**
+     * Detects attempts that hang. The search stops at the first attempt younger than half of the
+     * mean latency target, since none of the following attempts is older.
+     */
     public void check(long now) {
         for (Attempt attempt : awaited) {
-            long age = now - attempt.awaitedSince();
-            if (age < targetMicros / 2) {
+            long ageMicros = now - attempt.awaitedSince();
+            if (ageMicros < meanTargetMicros / 2) {
                 break;
             }
-            if (!attempt.isSuspected() && age > HANGING_FACTOR * attempt.expectedMicros()) {
+            if (!attempt.isSuspected() && ageMicros > HANGING_FACTOR * attempt.expectedMicros()) {
                 suspect(now, attempt);
-                blame(now, attempt);
+                attributeSilence(now, attempt);
             }
         }
     }
@@ -65,10 +75,12 @@
     }
 
     /**
-     * After an idle spell it is the connection that died: such spells are not trusted for a while,
-     * elsewhere either. Otherwise it is the endpoint, unless it has answered others since.
+     * Decides why an attempt has no response. Has no effect if the endpoint has responded to
+     * another attempt since the waiting began. If the connection had been idle for long and the
+     * endpoint is not slow on average, the connection is assumed to be broken, and idle connections
+     * to all endpoints are distrusted for a while. Otherwise the endpoint is ejected.
      */
-    void blame(long now, Attempt attempt) {
+    void attributeSilence(long now, Attempt attempt) {
         Endpoint endpoint = attempt.endpoint();
         if (endpoint.connection().lastUsedAt() > attempt.awaitedSince()) {
             return;
@@ -76,8 +88,8 @@
         if (connections.isLongIdle(attempt) && endpoint.latency().meanRatio < SLOW_MEAN_RATIO) {
             connections.distrustIdle(now, attempt);
         } else {
-            long age = now - attempt.awaitedSince();
-            outliers.eject(now, endpoint, EjectionCause.noResponse(age));
+            long ageMicros = now - attempt.awaitedSince();
+            outliers.eject(now, endpoint, EjectionCause.noResponse(ageMicros));
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceState.java
@@ -1,11 +1,14 @@
 package sagefall.balancer.health;
 
-/** What {@link SilenceDetector} knows of one endpoint. */
+/** State of one endpoint for {@link SilenceDetector}. */
 public final class SilenceState {
 
-    /** Attempts in flight that have been unanswered for too long. */
+    /** Number of attempts in flight that have been without a response for too long. */
     int suspectedAttempts;
 
-    /** When an attempt was last found to be unanswered for too long, in microseconds. */
+    /**
+     * Time at which an attempt was last found to be without a response for too long, in
+     * microseconds.
+     */
     long lastSuspectedAt;
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/SlowStart.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SlowStart.java
@@ -3,8 +3,9 @@
 import sagefall.balancer.api.FleetRules;
 
 /**
- * The share of its fair rate that an endpoint is sent after its start, which grows linearly from
- * the initial share to 1. It prevents that a server is filled before its caches are warm.
+ * Computes the share of its fair request rate that an endpoint is sent after its start. The share
+ * grows linearly from the initial share to 1, which prevents an endpoint from being fully loaded
+ * before its caches are warm.
  */
 public final class SlowStart {
     private final FleetRules rules;
@@ -14,24 +15,25 @@
     }
 
     /**
-     * The share of an endpoint now; 1 once it is warm. One that came back before the list says so
-     * is as cold as one that the list calls new.
+     * Returns the current share of an endpoint; 1 once its slow start has ended, or if its start
+     * time is unknown. An endpoint that responds again after it was suspected to be down counts as
+     * newly started, even before the endpoint list reports a new start time.
      */
     public double share(long now, Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
         long startedAt =
-                connection.maybeDead
+                connection.suspectedDown
                         ? now
-                        : Math.max(endpoint.entry().startMicros(), connection.returnedAt);
-        long warmUpMicros = rules.slowStartMicros();
-        if (startedAt <= 0 || now - startedAt >= warmUpMicros) {
+                        : Math.max(endpoint.entry().startMicros(), connection.recoveredAt);
+        long durationMicros = rules.slowStartMicros();
+        if (startedAt <= 0 || now - startedAt >= durationMicros) {
             return 1;
         }
         double initial = rules.slowStartInitialShare();
-        return Math.min(1, initial + (1 - initial) * Math.max(0, now - startedAt) / warmUpMicros);
+        return Math.min(1, initial + (1 - initial) * Math.max(0, now - startedAt) / durationMicros);
     }
 
-    /** The share that an endpoint begins with. */
+    /** Returns the share right after the start of an endpoint. */
     public double initialShare() {
         return rules.slowStartInitialShare();
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What answers, failures and silence tell of endpoints and connections: latency, outliers,
- * concurrency limits, load reports and slow start. One class for each policy, with its state for an
- * endpoint in a class of its own.
+ * Learns the state of endpoints and connections from responses, failures and missing responses:
+ * latency, outliers, concurrency limits, load reports and slow start. Each policy is one class; its
+ * state for an endpoint is a class of its own.
  */
 package sagefall.balancer.health;
--- a/sidecar/src/main/java/sagefall/balancer/routing/CandidateSelection.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/CandidateSelection.java
@@ -4,7 +4,7 @@
 import sagefall.balancer.health.Endpoint;
 import sagefall.balancer.request.PendingRequest;
 
-/** Selects one endpoint of those that are offered; made for one pick in one node. */
+/** Selects one of the candidates that are offered; created for one pick in one node. */
 final class CandidateSelection {
     private final SelectionMode mode;
     private final long now;
@@ -29,12 +29,15 @@
         this.random = random;
     }
 
-    /** How many endpoints were offered. */
+    /** Returns the number of candidates that were offered. */
     int count() {
         return count;
     }
 
-    /** Offers an endpoint with capacity. Every mode draws, so that all use as many numbers. */
+    /**
+     * Offers a candidate. From the third candidate on, a random number is drawn in every mode, so
+     * that the number of draws does not depend on the mode.
+     */
     void offer(Endpoint endpoint) {
         int slot = count < 2 ? count : random.nextInt(count + 1);
         count++;
@@ -45,7 +48,7 @@
         }
     }
 
-    /** Reservoir sampling of two. */
+    /** Keeps a uniform sample of two candidates by reservoir sampling. */
     private void sample(Endpoint endpoint, int slot) {
         if (slot == 0) {
             first = endpoint;
@@ -75,7 +78,7 @@
         }
     }
 
-    /** The selected endpoint; null if none was offered. */
+    /** Returns the candidate that the mode selects; null if none was offered. */
     Endpoint selected() {
         if (second == null) {
             return first;
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
@@ -6,31 +6,38 @@
 import sagefall.balancer.health.LoadReportTracker;
 
 /**
- * What sending one more attempt to an endpoint costs: peak-EWMA latency x (1 + in flight), more for
- * a busy endpoint and, where there are many sidecars for few endpoints, for a new connection.
+ * Computes the cost of sending one more attempt to an endpoint: peak EWMA of latency x (1 +
+ * attempts in flight), higher for a busy endpoint and, where many sidecars share few endpoints, for
+ * a new connection.
  */
 final class EndpointCost {
 
-    /** Factor of a new connection while set-ups take no time. */
+    /** Cost factor of a new connection whose set-up takes no time. */
     private static final double NEW_CONNECTION = 1.25;
 
-    /** What a set-up that takes a latency target adds to the factor of a new connection. */
+    /**
+     * Amount that a set-up time of one mean latency target adds to the cost factor of a new
+     * connection.
+     */
     private static final double SETUP_COST = 10;
 
-    /** A utilization of 1 leaves this denominator less 1. */
+    /**
+     * The cost is divided by this value less the utilization; above 1, so that the divisor stays
+     * positive at a utilization of 1.
+     */
     private static final double MAX_HEADROOM = 1.1;
 
     private final SubsetTree subsets;
     private final EndpointHealth health;
-    private final double targetMicros;
+    private final double meanTargetMicros;
 
-    EndpointCost(SubsetTree subsets, EndpointHealth health, double targetMicros) {
+    EndpointCost(SubsetTree subsets, EndpointHealth health, double meanTargetMicros) {
         this.subsets = subsets;
         this.health = health;
-        this.targetMicros = targetMicros;
+        this.meanTargetMicros = meanTargetMicros;
     }
 
-    /** Cost of an endpoint now; only comparisons mean something. */
+    /** Returns the current cost of an endpoint; only comparisons between costs are meaningful. */
     double of(long now, Endpoint endpoint) {
         double cost =
                 health.latency().ratio(now, endpoint) * (1 + endpoint.concurrency().inFlight());
@@ -40,7 +47,7 @@
         }
         ConnectionTrust connections = health.connections();
         if (subsets.isSparse() && !connections.isWarm(now, endpoint)) {
-            cost *= NEW_CONNECTION + SETUP_COST * connections.setupMicros(now) / targetMicros;
+            cost *= NEW_CONNECTION + SETUP_COST * connections.setupMicros(now) / meanTargetMicros;
         }
         return cost;
     }
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -11,19 +11,22 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Whether an endpoint has capacity for a request: concurrency limits, pauses, slow start, trials of
- * ejected endpoints, and the cost of a new connection.
+ * Decides whether an endpoint has capacity for a request, from concurrency limits, pauses, slow
+ * start, trials of ejected endpoints, and the cost of a new connection.
  */
 final class EndpointEligibility {
 
-    /** Part of its fair rate that a cold or half-open endpoint is sent, before its share. */
+    /**
+     * Fraction of its fair rate that a cold or half-open endpoint is sent, to be multiplied by its
+     * slow start share.
+     */
     private static final double SLOW_START = 1;
 
     private final BalancerSettings settings;
     private final SubsetTree subsets;
     private final EndpointHealth health;
     private final AdmissionController admission;
-    private final double targetMicros;
+    private final double meanTargetMicros;
 
     EndpointEligibility(
             BalancerSettings settings,
@@ -34,13 +37,13 @@
         this.subsets = subsets;
         this.health = health;
         this.admission = admission;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanTargetLatencyMicros();
     }
 
     /**
-     * Whether the request may go to this endpoint now.
+     * Returns whether the request may be sent to this endpoint now.
      *
-     * @param candidates how many endpoints the pick looks at, this one among them
+     * @param candidates number of candidates of the pick, including this endpoint
      */
     boolean hasCapacity(long now, PendingRequest request, Endpoint endpoint, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
@@ -53,28 +56,35 @@
             return false;
         }
         if (endpoint.outlier().isEjected()) {
-            return now >= endpoint.outlier().ejectedUntil() && mayTry(now, request, endpoint);
+            return now >= endpoint.outlier().ejectedUntil() && admitTrial(now, request, endpoint);
         }
         double share = health.slowStart().share(now, endpoint);
-        if (share < 1 && !isSlowStartTurn(request, endpoint, share, candidates)) {
+        if (share < 1 && !isAllowedInSlowStart(request, endpoint, share, candidates)) {
             return false;
         }
         return concurrency.inFlight() < concurrency.limit()
-                && (subsets.isSparse() || now >= concurrency.restUntil());
+                && (subsets.isSparse() || now >= concurrency.nextSendAt());
     }
 
-    private boolean isSlowStartTurn(
+    /**
+     * Returns whether a cold endpoint may be sent the request: its concurrency limit and its rate
+     * are reduced.
+     */
+    private boolean isAllowedInSlowStart(
             PendingRequest request, Endpoint endpoint, double share, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
         return concurrency.inFlight() < Math.max(1, concurrency.limit() * share / 2)
-                && isDrawn(request, endpoint, share, candidates);
+                && isSampled(request, endpoint, share, candidates);
     }
 
     /**
-     * Where set-ups have taken too long lately, a new connection brings no answer in time. But only
-     * a set-up shows that they have become short, after a slow spell of this very process too: an
-     * endpoint with nothing in flight is tried all the same, by one of many sidecars once a latency
-     * target. Harm: late answers where they are slow.
+     * Returns whether the endpoint has a trusted connection for the request, or a new one may be
+     * set up. No connection is set up if the response would then be late. But only a set-up shows
+     * that set-ups have become fast again, also after this process itself was slow, so one is
+     * allowed to any endpoint without attempts in flight; where many sidecars share few endpoints,
+     * only if the last set-up was measured more than one mean latency target ago. During the
+     * backoff after a failed set-up, none is allowed. Drawback: late responses while set-ups are
+     * slow.
      */
     private boolean isConnectable(long now, PendingRequest request, Endpoint endpoint) {
         ConnectionTrust connections = health.connections();
@@ -84,30 +94,37 @@
         if (now < endpoint.connection().connectAt()) {
             return false;
         }
-        boolean trial =
+        boolean mayMeasureSetup =
                 endpoint.concurrency().isIdle()
-                        && (!subsets.isSparse() || now - connections.lastSetupAt() > targetMicros);
-        return trial
+                        && (!subsets.isSparse()
+                                || now - connections.lastSetupAt() > meanTargetMicros);
+        return mayMeasureSetup
                 || now + connections.setupMicros(now) + health.latency().typicalMicros(request)
                         <= request.times().objectiveAt();
     }
 
     /**
-     * Slow start as a sum over all instances: each request that walks to a node has one chance, by
-     * that share of what one of its endpoints is sent. Nothing is saved up, so no burst can come of
-     * it.
+     * Returns whether the request is one of those that a cold or half-open endpoint is sent. Each
+     * request that is routed to a node is selected with a probability of the given share of the
+     * admitted fraction, divided by the number of candidates, so that the rate of the endpoint over
+     * all instances is that share of its fair rate. No allowance accumulates, so no burst can
+     * result.
      */
-    private boolean isDrawn(
+    private boolean isSampled(
             PendingRequest request, Endpoint endpoint, double share, int candidates) {
-        double part = SLOW_START * share * admission.admittedFraction() / Math.max(1, candidates);
-        return RendezvousHash.uniform(request.routingSeed(), endpoint.id()) < part;
+        double probability =
+                SLOW_START * share * admission.admittedFraction() / Math.max(1, candidates);
+        return RendezvousHash.uniform(request.routingSeed(), endpoint.id()) < probability;
     }
 
     /**
-     * Whether a request is the trial of a half-open endpoint: as if the endpoint were cold, less
-     * often with each failure, by a first attempt that may be repeated.
+     * Returns whether the request is sent as the trial of a half-open endpoint. Only the first
+     * attempt of a request can be a trial, and if the settings have an idempotent request class,
+     * only a request of such a class. The probability is that of an endpoint right after its start
+     * that is the only candidate, divided by the backoff level. If attempts are still in flight at
+     * the endpoint, its ejection is extended instead.
      */
-    private boolean mayTry(long now, PendingRequest request, Endpoint endpoint) {
+    private boolean admitTrial(long now, PendingRequest request, Endpoint endpoint) {
         if (!endpoint.concurrency().isIdle()) {
             int inFlight = endpoint.concurrency().inFlight();
             health.outliers().eject(now, endpoint, EjectionCause.trialUnanswered(inFlight));
@@ -120,6 +137,6 @@
             return false;
         }
         double share = health.slowStart().initialShare() / endpoint.outlier().backoffLevel();
-        return isDrawn(request, endpoint, share, 1);
+        return isSampled(request, endpoint, share, 1);
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -9,23 +9,31 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Picks the endpoint for a request by the power of two choices: the cheaper of two ready ones with
- * capacity, from the narrowest node that has some. One of many sidecars for few endpoints keeps to
- * the first of its own order instead (deterministic subsetting), so that it keeps few connections;
- * the next ones step in for the sick and full. Harm: fewer endpoints to choose from.
+ * Picks the endpoint for a request by the power of two choices: the cheaper of two ready endpoints
+ * with capacity, from the narrowest node that has any. Where many sidecars share few endpoints,
+ * each sidecar picks only from the first endpoints with capacity in an order of its own
+ * (deterministic subsetting), so that it needs few connections; the next endpoints in that order
+ * replace those that are faulty or at their limit. Drawback: fewer endpoints to choose from.
  */
 public final class EndpointPicker {
 
-    /** A wider node is taken once a node's pick costs this many times the wider one's. */
+    /**
+     * An endpoint is passed over if its cost exceeds this multiple of the cost of the alternative:
+     * the pick of a wider node, or the endpoint with the second highest hash of the key.
+     */
     static final double SPILL_RATIO = 1.5;
 
     /**
-     * Deterministic subsetting: endpoints of a node that a sidecar keeps, beside what its rate asks
-     * for.
+     * Number of endpoints of a node that a sidecar uses in deterministic subsetting, in addition to
+     * those that its request rate needs.
      */
     private static final int SUBSET_SIZE = 2;
 
-    /** Endpoints with capacity that a pick looks at in a wide node, from a random place on. */
+    /**
+     * Maximum number of candidates in a node with more endpoints than this, unless the pick is by
+     * key or many sidecars share few endpoints; the search for candidates starts at a random
+     * position.
+     */
     private static final int WIDE_NODE_SAMPLE = 32;
 
     private final SplittableRandom random;
@@ -51,8 +59,9 @@
     }
 
     /**
-     * The endpoint for a request, or null if none has capacity. Walks from the narrowest node;
-     * widens where one is empty, and spills over where it is much dearer.
+     * Returns the endpoint for a request, or null if none has capacity. The search starts at the
+     * narrowest node; a wider node is used if the narrower ones have no capacity or are much more
+     * expensive.
      */
     public Endpoint pick(long now, PendingRequest request) {
         if (subsets.ready().isEmpty()) {
@@ -79,7 +88,7 @@
         if (!subsets.isSparse()) {
             return Integer.MAX_VALUE;
         }
-        // While idle connections die, fewer endpoints keep each connection in use.
+        // While idle connections are distrusted, a smaller subset keeps each connection in use.
         boolean idleTrusted = health.connections().trustedIdleMicros(now) == Long.MAX_VALUE;
         double concurrency =
                 admission.admittedPerMicro(now) * health.latency().typicalMicros(request);
@@ -87,8 +96,9 @@
     }
 
     /**
-     * Selects an endpoint of one node: by the key's hash where servers remember keys, by the lowest
-     * cost in a node wider than the first that had a pick, else by the power of two choices.
+     * Selects an endpoint of one node: by the hash of the key if endpoints cache keys, by the
+     * lowest cost in a node wider than the first that had a pick, otherwise by the power of two
+     * choices.
      */
     private Endpoint pickFrom(
             List<Endpoint> node,
@@ -109,11 +119,12 @@
             if (!eligibility.hasCapacity(now, request, endpoint, candidates)) {
                 continue;
             }
-            // A cold endpoint has its chance only where each of its node has the same to be looked
-            // at.
+            // Beyond the sample size, the endpoints of the node are not examined with equal
+            // probability, which would distort the rate of a cold endpoint.
             if (sampled && i >= WIDE_NODE_SAMPLE && isCold(now, endpoint)) {
                 continue;
             }
+            // The request has already been sampled for this endpoint, so no costs are compared.
             if (!isWider && (endpoint.outlier().isEjected() || isCold(now, endpoint))) {
                 return endpoint;
             }
--- a/sidecar/src/main/java/sagefall/balancer/routing/SelectionMode.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SelectionMode.java
@@ -1,11 +1,13 @@
 package sagefall.balancer.routing;
 
-/** By what the endpoint of a node is selected. */
+/** Criterion by which an endpoint of a node is selected. */
 enum SelectionMode {
-    /** The cheaper of two at random. */
+    /** The cheaper of two random candidates. */
     POWER_OF_TWO_CHOICES,
-    /** The first by the hash of the request's key, unless much dearer than the second. */
+    /**
+     * The candidate with the highest hash of the key, unless much more expensive than the second.
+     */
     KEY_HASH,
-    /** The cheapest. */
+    /** The cheapest candidate. */
     LOWEST_COST
 }
--- a/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
@@ -13,25 +13,26 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * The tree of subsets: a node is the list of the ready endpoints that carry all its labels, zone
- * and cell. It keeps tenants apart from each other, and requests in their zone, while there is
- * capacity; a request widens its search from the narrowest node to all ready endpoints.
+ * The tree of subsets of the endpoints. A node is the list of the ready endpoints that have all of
+ * its labels (zone and cell). The tree isolates tenants from each other and keeps requests in their
+ * zone while there is capacity: the search for an endpoint widens from the narrowest node to all
+ * ready endpoints.
  */
 public final class SubsetTree {
 
-    /** Endpoints that a cell is meant to hold in each zone. */
+    /** Intended number of endpoints of a cell in each zone. */
     private static final double ENDPOINTS_PER_CELL_AND_ZONE = 4;
 
-    /** How far a tenant's cells exceed its quota, as a factor. */
+    /** Fraction of the cells that a tenant is assigned to, as a multiple of its quota. */
     private static final double TENANT_CELLS_FACTOR = 3;
 
-    /** Least number of cells of a tenant, if there are as many. */
+    /** Minimum number of cells of a tenant, if there are as many. */
     private static final int MIN_TENANT_CELLS = 2;
 
-    /** Ready endpoints from which there are at least two cells. */
+    /** Number of ready endpoints from which there are at least two cells. */
     private static final int MIN_ENDPOINTS_FOR_CELLS = 4;
 
-    /** Keeps an empty node from having no weight at all. */
+    /** Added to the weight of a cell, so that the weight is above 0 even without endpoints. */
     private static final double EMPTY_NODE_WEIGHT = 0.01;
 
     private final BalancerSettings settings;
@@ -48,20 +49,21 @@
         this.settings = settings;
     }
 
-    /** All ready endpoints. */
+    /** Returns all ready endpoints. */
     public List<Endpoint> ready() {
         return ready;
     }
 
     /**
-     * Whether there are many quiet sidecars for few endpoints: an instance's own attempts in flight
-     * and samples say little, and connections cost much.
+     * Returns whether many sidecars with little traffic share few endpoints. The attempts in flight
+     * and the latency samples of one sidecar then say little about an endpoint, and connections are
+     * expensive.
      */
     public boolean isSparse() {
         return sparse;
     }
 
-    /** The nodes for a request, from the narrowest one to all ready endpoints. */
+    /** Returns the nodes for a request, from the narrowest one to all ready endpoints. */
     List<List<Endpoint>> path(PendingRequest request) {
         int cell = request.cell() % cellNodes.size();
         return List.of(
@@ -72,25 +74,29 @@
     }
 
     /**
-     * One of its tenant's cells: by its key where servers remember keys, at random, or always the
-     * same where the subsets are sparse.
+     * Returns one of the cells of the tenant of a request: the one that the key determines if
+     * endpoints cache keys, otherwise always the same cell if {@link #isSparse()}, otherwise a
+     * random cell.
      */
     public int chooseCell(PendingRequest request, SplittableRandom random) {
         int[] cells = tenantCells.length == 0 ? new int[] {0} : tenantCells[request.tenant()];
         if (routesByKey(request)) {
-            return weightedFirst(request.request().key(), cells);
+            return highestScored(request.request().key(), cells);
         }
-        return sparse ? weightedFirst(settings.rank(), cells) : cells[random.nextInt(cells.length)];
+        return sparse ? highestScored(settings.rank(), cells) : cells[random.nextInt(cells.length)];
     }
 
-    /** Whether the key takes the place of chance in the pick, since servers remember keys. */
+    /**
+     * Returns whether the key of a request determines its cell and endpoint, because endpoints
+     * cache keys and the request has one.
+     */
     boolean routesByKey(PendingRequest request) {
         return settings.cachesKeys() && request.request().key() >= 0;
     }
 
     /**
-     * Rebuilds all nodes. One pass makes a bitmap for each label value; a node is an intersection;
-     * no id stands twice in a node.
+     * Rebuilds all nodes. One pass builds a bitmap for each label value; each node is an
+     * intersection of bitmaps, so that no endpoint occurs twice in a node.
      */
     public void rebuild(Collection<Endpoint> endpoints) {
         collectReady(endpoints);
@@ -154,18 +160,18 @@
     }
 
     private List<Endpoint> node(BitSet bits) {
-        List<Endpoint> members = new ArrayList<>(bits.cardinality());
+        List<Endpoint> endpoints = new ArrayList<>(bits.cardinality());
         for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) {
-            members.add(ready.get(i));
+            endpoints.add(ready.get(i));
         }
-        return members;
+        return endpoints;
     }
 
     private void assignTenantCells(int cells) {
         tenantCells = new int[Math.max(1, settings.tenants().size())][];
         for (int tenant = 0; tenant < tenantCells.length; tenant++) {
-            boolean known = tenant < settings.tenants().size();
-            double share = known ? settings.tenants().get(tenant).quotaShare() : 1;
+            boolean isConfigured = tenant < settings.tenants().size();
+            double share = isConfigured ? settings.tenants().get(tenant).quotaShare() : 1;
             int wanted = (int) Math.ceil(TENANT_CELLS_FACTOR * share * cells);
             int count = Math.min(cells, Math.max(MIN_TENANT_CELLS, wanted));
             tenantCells[tenant] = Arrays.copyOf(RendezvousHash.ranked(~tenant, cells), count);
@@ -173,10 +179,10 @@
     }
 
     /**
-     * Weighted rendezvous hashing: one of these cells, in proportion to its endpoints in the home
-     * zone.
+     * Returns one of the cells by weighted rendezvous hashing; the weight of a cell is the number
+     * of its endpoints in the home zone.
      */
-    private int weightedFirst(long id, int[] cells) {
+    private int highestScored(long id, int[] cells) {
         int best = cells[0];
         double bestScore = Double.NEGATIVE_INFINITY;
         for (int cell : cells) {
@@ -191,25 +197,27 @@
     }
 
     /**
-     * The zone whose endpoints come first. Where the own has too few, some instances settle
-     * elsewhere, in proportion to what other zones have to spare. Harm: needless crossings.
+     * Returns the zone whose endpoints are tried first: the zone of this instance, unless many
+     * sidecars share few endpoints and that zone has too few of them. Some of the instances in it
+     * then choose another zone, in proportion to the surplus of the other zones. Drawback:
+     * unnecessary cross-zone requests.
      */
     private int chooseHomeZone() {
-        double fair = ready.size() / (double) zoneNodes.size();
-        int own = Math.min(Math.max(0, settings.zone()), zoneNodes.size() - 1);
-        double ownNeed = fair * RendezvousHash.uniform(settings.rank(), 0);
-        if (!sparse || zoneNodes.get(own).size() >= ownNeed) {
-            return own;
+        double fairSize = ready.size() / (double) zoneNodes.size();
+        int ownZone = Math.min(Math.max(0, settings.zone()), zoneNodes.size() - 1);
+        double ownZoneNeed = fairSize * RendezvousHash.uniform(settings.rank(), 0);
+        if (!sparse || zoneNodes.get(ownZone).size() >= ownZoneNeed) {
+            return ownZone;
         }
-        double spare =
-                zoneNodes.stream().mapToDouble(zone -> Math.max(0, zone.size() - fair)).sum();
-        double remaining = spare * RendezvousHash.uniform(settings.rank(), 1);
+        double surplus =
+                zoneNodes.stream().mapToDouble(zone -> Math.max(0, zone.size() - fairSize)).sum();
+        double remaining = surplus * RendezvousHash.uniform(settings.rank(), 1);
         for (int zone = 0; zone < zoneNodes.size(); zone++) {
-            remaining -= Math.max(0, zoneNodes.get(zone).size() - fair);
+            remaining -= Math.max(0, zoneNodes.get(zone).size() - fairSize);
             if (remaining < 0) {
                 return zone;
             }
         }
-        return own;
+        return ownZone;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/routing/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/package-info.java
@@ -1,2 +1,4 @@
-/** Where a request may go: subsets of the ready endpoints, and the pick of one of them. */
+/**
+ * Determines where a request is sent: subsets of the ready endpoints, and the pick of one endpoint.
+ */
 package sagefall.balancer.routing;
--- a/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -13,9 +13,9 @@
 import sagefall.balancer.api.Tenant;
 
 /**
- * Reads the balancer's settings, which the simulator and the sidecar's configuration file spell
- * alike; the one place that knows their keys. A key that is unknown belongs to a newer version and
- * is ignored; one that is absent has a default.
+ * Reads the balancer's settings, which have the same keys in the messages of the simulator and in
+ * the configuration file of the sidecar. No other class knows these keys. An unknown key belongs to
+ * a newer version and is ignored; an absent key has a default.
  */
 public final class BalancerSettingsReader {
 
@@ -29,8 +29,8 @@
     /**
      * Converts the settings object.
      *
-     * @param seed of the instance, which stands beside the settings
-     * @throws ConfigException if a value is unknown or out of its range
+     * @param seed seed of the instance, which is stored outside the settings object
+     * @throws ConfigException if a value is unknown or out of range
      */
     public static BalancerSettings read(long seed, Map<?, ?> settings) throws ConfigException {
         try {
@@ -58,7 +58,7 @@
                 Json.longValue(settings, "tick_us", DEFAULT_TICK_MICROS));
     }
 
-    /** A list of names; its order gives each its number. */
+    /** Returns a list of names; the position of a name is its index. */
     public static List<String> names(Map<?, ?> settings, String key) {
         List<String> names = new ArrayList<>();
         for (Object name : Json.arrayValue(settings, key)) {
@@ -70,7 +70,7 @@
     private static List<RequestClass> requestClasses(Map<?, ?> settings) throws ConfigException {
         List<RequestClass> classes = new ArrayList<>();
         for (Object entry : Json.arrayValue(settings, CLASSES)) {
-            classes.add(requestClass(object(entry, CLASSES)));
+            classes.add(requestClass(asObject(entry, CLASSES)));
         }
         return classes;
     }
@@ -78,7 +78,7 @@
     private static List<Tenant> tenants(Map<?, ?> settings) throws ConfigException {
         List<Tenant> tenants = new ArrayList<>();
         for (Object entry : Json.arrayValue(settings, TENANTS)) {
-            Map<?, ?> tenant = object(entry, TENANTS);
+            Map<?, ?> tenant = asObject(entry, TENANTS);
             tenants.add(
                     new Tenant(
                             String.valueOf(tenant.get("name")),
@@ -87,7 +87,7 @@
         return tenants;
     }
 
-    private static Map<?, ?> object(Object entry, String list) throws ConfigException {
+    private static Map<?, ?> asObject(Object entry, String list) throws ConfigException {
         if (entry instanceof Map<?, ?> object) {
             return object;
         }
--- a/sidecar/src/main/java/sagefall/config/ConfigException.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * A configuration that cannot be used. The message is the one plain line that the user sees; the
- * parts that it is made of have accessors of their own.
+ * Signals a configuration that cannot be used. The message is a single line for the user; the parts
+ * of the message have accessors.
  */
 public final class ConfigException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -13,7 +13,7 @@
     private final String keyPath;
     private final String reason;
 
-    /** The line without the file. */
+    /** The message without the file name. */
     private final String description;
 
     private ConfigException(
@@ -25,42 +25,50 @@
         this.description = description;
     }
 
-    /** A value in a nested section: {@code extensions.recovery.max_bytes: must be ...}. */
+    /**
+     * Returns an exception for a value in a nested section: {@code extensions.recovery.max_bytes:
+     * must be ...}.
+     */
     static ConfigException atPath(String keyPath, String reason) {
         return new ConfigException(null, keyPath, reason, keyPath + ": " + reason, null);
     }
 
-    /** A value that the line quotes: {@code 'seed' must be ...}. */
+    /** Returns an exception for a key that the message quotes: {@code 'seed' must be ...}. */
     static ConfigException ofKey(String key, String reason) {
         return new ConfigException(null, key, reason, "'" + key + "' " + reason, null);
     }
 
-    /** A reason that says all by itself. */
+    /** Returns an exception whose message is the reason alone. */
     static ConfigException ofReason(String keyPath, String reason, Throwable cause) {
         return new ConfigException(null, keyPath, reason, reason, cause);
     }
 
-    /** A file that cannot be read at all. */
+    /** Returns an exception for a file that cannot be read or converted as a whole. */
     static ConfigException ofFile(String file, String reason, Throwable cause) {
         return new ConfigException(file, null, reason, reason, cause);
     }
 
-    /** The same, with the file that it was found in. */
-    ConfigException inFile(String found) {
-        return new ConfigException(found, keyPath, reason, description, this);
+    /** Returns a copy of this exception with the file in which the error was found. */
+    ConfigException inFile(String newFile) {
+        return new ConfigException(newFile, keyPath, reason, description, this);
     }
 
-    /** The file as the environment names it; null where the settings came from elsewhere. */
+    /**
+     * Returns the file as named in the environment; null if the settings do not come from a file.
+     */
     public String file() {
         return file;
     }
 
-    /** The key, with those of the sections around it; null where it is the file as such. */
+    /**
+     * Returns the key, preceded by the keys of the enclosing sections; null if the error concerns
+     * the file as a whole.
+     */
     public String keyPath() {
         return keyPath;
     }
 
-    /** What is wrong. */
+    /** Returns the reason, without file and key. */
     public String reason() {
         return reason;
     }
--- a/sidecar/src/main/java/sagefall/config/ConfigSection.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigSection.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * One section of the extensions file, read strictly: unlike the platform's settings it is written
- * by hand, so a key that nothing reads is a mistake and not one of a newer version.
+ * A section of the extensions file, read strictly: unlike the settings of the platform, the file is
+ * written by hand, so an unknown key is an error rather than a key of a newer version.
  */
 public final class ConfigSection {
 
@@ -15,17 +15,17 @@
     private final Set<String> readKeys = new LinkedHashSet<>();
 
     /**
-     * A section of a file.
+     * Creates a section.
      *
-     * @param path the keys that lead to the section, with dots between them
-     * @param values the section as JSON
+     * @param path keys that lead to the section, separated by dots
+     * @param values the section as a JSON object
      */
     public ConfigSection(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
 
-    /** An integer between two bounds, both inclusive; the default where the key is absent. */
+    /** Returns an integer between two bounds, both inclusive; the default if the key is absent. */
     public long integer(String key, long defaultValue, long minimum, long maximum)
             throws ConfigException {
         readKeys.add(key);
@@ -38,7 +38,7 @@
         throw invalid(key, "must be a whole number from " + minimum + " to " + maximum);
     }
 
-    /** A string; the default where the key is absent. */
+    /** Returns a string; the default if the key is absent. */
     public String string(String key, String defaultValue) throws ConfigException {
         readKeys.add(key);
         if (!values.containsKey(key)) {
@@ -50,19 +50,19 @@
         throw invalid(key, "must be a text");
     }
 
-    /** All keys of the section, in the order of the file. */
+    /** Returns all keys of the section, in the order of the file. */
     public Set<String> keys() {
         Set<String> keys = new LinkedHashSet<>();
         values.keySet().forEach(key -> keys.add(String.valueOf(key)));
         return keys;
     }
 
-    /** Whether the section has the key. */
+    /** Returns whether the section has the key. */
     public boolean has(String key) {
         return values.containsKey(key);
     }
 
-    /** A section inside this one; an empty one where the key is absent. */
+    /** Returns a section inside this one; an empty one if the key is absent. */
     public ConfigSection section(String key) throws ConfigException {
         readKeys.add(key);
         Object value = values.containsKey(key) ? values.get(key) : Map.of();
@@ -72,12 +72,12 @@
         throw invalid(key, "must be an object");
     }
 
-    /** The error for a value that the section's reader finds wrong. */
+    /** Returns the exception for a value of this section that is not valid. */
     public ConfigException invalid(String key, String reason) {
         return ConfigException.atPath(path + "." + key, reason);
     }
 
-    /** Called when all keys with a meaning have been read: any other is an error. */
+    /** Rejects keys that have not been read; to be called when all known keys have been. */
     public void rejectUnknownKeys() throws ConfigException {
         for (String key : keys()) {
             if (!readKeys.contains(key)) {
--- a/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
+++ b/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
@@ -1,44 +1,49 @@
 package sagefall.config;
 
 /**
- * How the file descriptors of a sidecar are divided. Clients hold a third of all for requests in
- * flight, each of which may need a connection to an endpoint.
+ * Divides the file descriptors of a sidecar. A third of all descriptors is for client connections
+ * with an open request, each of which may need a connection to an endpoint.
  *
- * @param total descriptors that the sidecar may have open
+ * @param total number of descriptors that the sidecar may have open
  */
 record DescriptorBudget(int total) {
 
-    /** The fewest with which each part is of use. */
+    /** Minimum number of descriptors; with fewer, the shares are too small to be useful. */
     static final int MINIMUM = 128;
 
-    /** The number that is used at most, however many the configuration allows. */
+    /** Maximum number of descriptors that are used, however many the configuration allows. */
     static final int MAXIMUM = 65_536;
 
     /**
-     * Descriptors beside the connections of clients and endpoints: the runtime, its files and the
-     * event loop hold 11; discovery's connection, a second one while it moves, and the
-     * configuration read once more make 14.
+     * Descriptors reserved for everything but the connections of clients and endpoints. The
+     * runtime, its files and the event loop use 11; the connection to discovery, a second one while
+     * discovery moves to another address, and the configuration file while it is read again bring
+     * this to 14.
      */
     private static final int RESERVED = 24;
 
     /**
-     * Connections to endpoints: four ninths of what is left. That is the clients' third and a few
-     * idle ones more; what remains for clients is that third and as many again as idle or unfit
-     * ones may take.
+     * Returns the maximum number of connections to endpoints: four ninths of the descriptors that
+     * are not reserved. That covers one connection for each open request (a third of all
+     * descriptors) and a few idle connections. The rest is for clients: a third of all descriptors
+     * for open requests, and more for client connections that are idle or unusable.
      */
     int endpointConnections() {
         return (total - RESERVED) / 9 * 4;
     }
 
-    /** Connections of clients: what endpoints and the process itself leave. */
+    /**
+     * Returns the maximum number of client connections: the descriptors left by endpoint
+     * connections and the process itself.
+     */
     int clientConnections() {
         return total - RESERVED - endpointConnections();
     }
 
     /**
-     * Requests in flight: each keeps a client's connection busy. Where a third of the descriptors
-     * were busy, the next requests would be lost whatever their priority, so an eighth of that
-     * third stays free for them.
+     * Returns the maximum number of open requests, each of which occupies a client connection. If a
+     * whole third of the descriptors were occupied, further requests would be lost whatever their
+     * priority, so an eighth of that third is kept free for them.
      */
     int maxOpenRequests() {
         return total / 3 / 8 * 7;
--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -10,13 +10,13 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * What the file named by {@code LB_EXTENSIONS} switches on, a section for each subsystem. It is the
- * operators' own and stands beside the platform's configuration, so that none of its keys can clash
- * with one of the platform's.
+ * The optional features that the file named by {@code LB_EXTENSIONS} enables, with one section for
+ * each subsystem. The file belongs to the operators and is separate from the configuration of the
+ * platform, so that its keys cannot clash with those of the platform.
  *
- * @param streaming the section {@code streaming}
- * @param persistence the section {@code recovery}: persistence of the endpoint list
- * @param leaderElection the section {@code duties}: leader election
+ * @param streaming section {@code streaming}
+ * @param persistence section {@code recovery}: persistence of the endpoint list
+ * @param leaderElection section {@code duties}: leader election
  */
 public record Extensions(
         StreamingSettings streaming,
@@ -29,7 +29,7 @@
     private static final String PERSISTENCE = "recovery";
     private static final String LEADER_ELECTION = "duties";
 
-    /** All off, as without the file. */
+    /** Everything disabled, as without the file. */
     static final Extensions NONE =
             new Extensions(
                     StreamingSettings.OFF, PersistenceSettings.OFF, LeaderElectionSettings.OFF);
@@ -41,7 +41,7 @@
         if (file == null || file.isEmpty()) {
             return NONE;
         }
-        // A key that stands twice would silently lose the first value.
+        // Without the check, the second value of a duplicate key would silently replace the first.
         JsonFactory strict =
                 JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
         return JsonFile.read(
--- a/sidecar/src/main/java/sagefall/config/Json.java
+++ b/sidecar/src/main/java/sagefall/config/Json.java
@@ -9,15 +9,18 @@
 import java.util.Map;
 
 /**
- * JSON as plain maps and lists, for codecs only, and look-ups that fall back to a default where a
- * value is absent or of another type. An integer is a {@link Long}, any other number a {@link
- * Double}.
+ * Reads JSON into plain maps and lists, for use in codecs only, and looks up values with a default
+ * that applies if the value is absent or of another type. An integer is a {@link Long}, any other
+ * number a {@link Double}.
  */
 public final class Json {
 
     private Json() {}
 
-    /** Reads the object whose start the parser is at; a repeated key replaces the value before. */
+    /**
+     * Reads an object into a map; the parser has to be at the start of the object. The last value
+     * of a duplicate key replaces the others.
+     */
     public static void readInto(JsonParser parser, Map<String, Object> object) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String key = parser.currentName();
@@ -27,9 +30,9 @@
     }
 
     /**
-     * Reads a text that holds one object and nothing else.
+     * Reads a document that holds one object and nothing else.
      *
-     * @throws IOException if it holds anything else, with a reason for the user
+     * @throws IOException if the document is anything else, with a reason for the user
      */
     public static Map<String, Object> parseDocument(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -58,7 +61,7 @@
                 yield array;
             }
             case VALUE_STRING -> parser.getText();
-            // One past 64 bits is not cut to another number but read as a floating-point one.
+            // An integer beyond 64 bits is read as a floating-point number, not truncated.
             case VALUE_NUMBER_INT ->
                     parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                             ? (Object) parser.getDoubleValue()
@@ -70,27 +73,27 @@
         };
     }
 
-    /** A number without its fraction; the default where there is none. */
+    /** Returns a number without its fraction; the default if there is none. */
     public static long longValue(Map<?, ?> object, String key, long defaultValue) {
         return object.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    /** A number; the default where there is none. */
+    /** Returns a number; the default if there is none. */
     public static double doubleValue(Map<?, ?> object, String key, double defaultValue) {
         return object.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** Whether the value is {@code true}. */
+    /** Returns whether the value is {@code true}. */
     public static boolean isTrue(Map<?, ?> object, String key) {
         return Boolean.TRUE.equals(object.get(key));
     }
 
-    /** An object; an empty one where there is none. */
+    /** Returns an object; an empty one if there is none. */
     public static Map<?, ?> objectValue(Map<?, ?> object, String key) {
         return object.get(key) instanceof Map<?, ?> inner ? inner : Map.of();
     }
 
-    /** An array; an empty one where there is none. */
+    /** Returns an array; an empty one if there is none. */
     public static List<?> arrayValue(Map<?, ?> object, String key) {
         return object.get(key) instanceof List<?> array ? array : List.of();
     }
--- a/sidecar/src/main/java/sagefall/config/JsonFile.java
+++ b/sidecar/src/main/java/sagefall/config/JsonFile.java
@@ -9,16 +9,18 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** A configuration file that holds one JSON object; each error names the file. */
+/** Reads a configuration file that holds one JSON object; each error names the file. */
 final class JsonFile {
 
-    /** Makes a typed record of the file's object. */
+    /** Converts the object of the file to a typed record. */
     interface Converter<T> {
+        /** Returns the typed record for an object. */
         T convert(Map<String, Object> object) throws IOException;
     }
 
     private JsonFile() {}
 
+    /** Reads the file and converts its object. */
     static <T> T read(String file, JsonFactory json, Converter<T> converter)
             throws ConfigException {
         try (JsonParser parser = json.createParser(Files.readAllBytes(Path.of(file)))) {
@@ -30,7 +32,7 @@
         } catch (FileSystemException e) {
             throw ConfigException.ofFile(file, "can't be read", e);
         } catch (IllegalArgumentException | IOException e) {
-            // Such as a path that the platform's encoding cannot express.
+            // Path.of rejects, for instance, a path that the file name encoding cannot express.
             throw ConfigException.ofFile(file, e.getMessage(), e);
         }
     }
--- a/sidecar/src/main/java/sagefall/config/LoadReportReader.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -6,35 +6,38 @@
 import sagefall.balancer.api.LoadReport;
 
 /**
- * Reads an endpoint's report on its load, from an object or from the header of an answer; both have
- * the same keys.
+ * Reads the load report of an endpoint, from an object or from a response header; both have the
+ * same keys.
  */
 public final class LoadReportReader {
 
-    /** The one form of the header that is read; other forms begin with another word. */
+    /** Prefix of the only supported format of the header; other formats begin with another word. */
     private static final String TEXT_FORM = "TEXT ";
 
-    /** A figure above this is no measurement but a fault of the sender. */
+    /** Maximum plausible value; a higher one is an error of the sender. */
     private static final double MAX_PLAUSIBLE = 1e6;
 
     private LoadReportReader() {}
 
-    /** The report in an object; figures that it lacks are {@link Double#NaN}. */
+    /** Returns the report in an object; missing values are {@link Double#NaN}. */
     public static LoadReport fromObject(Map<?, ?> object) {
         return new LoadReport(
-                figure(object, "active"),
-                figure(object, "waiting"),
-                figure(object, "cpu"),
-                figure(object, "avg_ms"),
-                figure(object, "rps"),
-                figure(object, "err_rps"));
+                value(object, "active"),
+                value(object, "waiting"),
+                value(object, "cpu"),
+                value(object, "avg_ms"),
+                value(object, "rps"),
+                value(object, "err_rps"));
     }
 
-    private static double figure(Map<?, ?> object, String key) {
+    private static double value(Map<?, ?> object, String key) {
         return Json.doubleValue(object, key, Double.NaN);
     }
 
-    /** The first of the headers that can be read; a broken one may come before it. */
+    /**
+     * Returns the report of the first header that can be parsed, skipping malformed ones; null if
+     * there is none.
+     */
     public static LoadReport parse(List<String> headers) {
         for (String header : headers) {
             LoadReport report = parse(header);
@@ -46,26 +49,28 @@
     }
 
     /**
-     * Reads {@code TEXT cpu=0.61, rps=140}; null where nothing can be read. A server may be of
-     * another version or broken, so fields that are unknown, not numbers, negative or implausible
-     * are ignored: one of them in a mean would stay there.
+     * Parses a header such as {@code TEXT cpu=0.61, rps=140}; returns null if no field can be
+     * parsed. An endpoint may be of another version or faulty, so fields that are unknown, not
+     * numbers, negative or implausible are ignored: a value that is far too high would distort the
+     * mean of all endpoints for a long time, an infinite one permanently.
      */
     public static LoadReport parse(String header) {
         if (header == null || !header.startsWith(TEXT_FORM)) {
             return null;
         }
-        Map<String, Double> figures = new HashMap<>();
+        Map<String, Double> values = new HashMap<>();
         for (String field : header.substring(TEXT_FORM.length()).split(",", 0)) {
             int equals = field.indexOf('=');
-            double value = equals < 0 ? Double.NaN : number(field.substring(equals + 1).trim());
-            if (value >= 0 && value <= MAX_PLAUSIBLE) {
-                figures.put(field.substring(0, equals).trim(), value);
+            double number =
+                    equals < 0 ? Double.NaN : parseNumber(field.substring(equals + 1).trim());
+            if (number >= 0 && number <= MAX_PLAUSIBLE) {
+                values.put(field.substring(0, equals).trim(), number);
             }
         }
-        return figures.isEmpty() ? null : fromObject(figures);
+        return values.isEmpty() ? null : fromObject(values);
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -9,17 +9,17 @@
 import sagefall.discovery.EndpointListCodec;
 
 /**
- * The configuration of one sidecar. Immutable, for any thread.
+ * The configuration of one sidecar. Immutable and thread-safe.
  *
- * @param name of this sidecar, for stored data and leases
- * @param listen where clients connect
- * @param discovery where discovery is called
- * @param maxDescriptors file descriptors that the process may have open
- * @param settings of the balancer, with the limits that hold on sockets
- * @param connectTimeoutMicros how long a connection to an endpoint may take to come up
- * @param configuredEndpoints the endpoint list of the configuration, which may be old
- * @param endpointListCodec the codec for endpoint lists under these settings
- * @param extensions what the operators have switched on
+ * @param name name of the sidecar, for stored data and leases
+ * @param listen address at which clients connect
+ * @param discovery address of discovery
+ * @param maxDescriptors maximum number of file descriptors that the process may have open
+ * @param settings settings of the balancer, with the limits that apply to sockets
+ * @param connectTimeoutMicros maximum duration of the set-up of a connection to an endpoint
+ * @param configuredEndpoints endpoint list of the configuration file, which may be outdated
+ * @param endpointListCodec codec for endpoint lists under these settings
+ * @param extensions optional features that the operators have enabled
  */
 public record SidecarConfig(
         String name,
@@ -37,7 +37,7 @@
     /**
      * Reads the file that {@code LB_CONFIG} names and the one that {@code LB_EXTENSIONS} names.
      *
-     * @throws ConfigException with one plain line for the user
+     * @throws ConfigException with a single line for the user
      */
     public static SidecarConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get(FILE_VARIABLE);
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Reads the files of a running sidecar, which are newer than what the environment says of
-     * discovery.
+     * Reads the files again for a running sidecar. The address of discovery is taken from the file
+     * rather than from the environment, since the file is newer.
      *
-     * @throws ConfigException with one plain line for the user
+     * @throws ConfigException with a single line for the user
      */
     public static SidecarConfig reread(Map<String, String> environment) throws ConfigException {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
@@ -60,7 +60,7 @@
         return read(withoutDiscovery);
     }
 
-    private SidecarConfig with(Extensions otherExtensions) {
+    private SidecarConfig with(Extensions newExtensions) {
         return new SidecarConfig(
                 name,
                 listen,
@@ -70,16 +70,21 @@
                 connectTimeoutMicros,
                 configuredEndpoints,
                 endpointListCodec,
-                otherExtensions);
+                newExtensions);
     }
 
-    /** The same with other endpoints, which are never polled for, and without extensions. */
-    public SidecarConfig with(int otherSockets, EndpointList endpoints) {
+    /**
+     * Returns a copy with other endpoints, without polling of discovery and without extensions.
+     *
+     * @param newMaxDescriptors maximum number of file descriptors
+     * @param endpoints the endpoint list
+     */
+    public SidecarConfig with(int newMaxDescriptors, EndpointList endpoints) {
         return new SidecarConfig(
                 name,
                 listen,
                 discovery,
-                otherSockets,
+                newMaxDescriptors,
                 copy(settings, settings.limits(), false),
                 connectTimeoutMicros,
                 endpoints,
@@ -87,7 +92,11 @@
                 Extensions.NONE);
     }
 
-    /** The settings with other limits and another way to come by lists. */
+    /**
+     * Returns a copy of the settings with other limits.
+     *
+     * @param pollsDiscovery whether discovery is polled in the copy
+     */
     static BalancerSettings copy(
             BalancerSettings settings, ServiceLimits limits, boolean pollsDiscovery) {
         return new BalancerSettings(
@@ -107,12 +116,12 @@
                 settings.tickMicros());
     }
 
-    /** Maximum number of connections to endpoints. */
+    /** Returns the maximum number of connections to endpoints. */
     public int maxEndpointConnections() {
         return new DescriptorBudget(maxDescriptors).endpointConnections();
     }
 
-    /** Maximum number of connections of clients. */
+    /** Returns the maximum number of client connections. */
     public int maxClientConnections() {
         return new DescriptorBudget(maxDescriptors).clientConnections();
     }
--- a/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
@@ -11,8 +11,8 @@
 import sagefall.discovery.EndpointListCodec;
 
 /**
- * Reads the platform's configuration file; the one place that knows its keys and which variable of
- * the environment goes before which key.
+ * Reads the configuration file of the platform. No other class knows its keys, apart from those of
+ * the balancer's settings, or which environment variable overrides which key.
  */
 final class SidecarConfigReader {
 
@@ -23,7 +23,7 @@
     private static final String SETTINGS = "settings";
     private static final String SOCKETS = "sockets";
     private static final String SEED = "seed";
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
     private static final long DEFAULT_SOCKETS = 1024;
     private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
 
@@ -35,7 +35,7 @@
         this.environment = environment;
     }
 
-    /** Reads the file; the extensions are not read. */
+    /** Reads the file without the extensions. */
     static SidecarConfig read(String file, Map<String, String> environment) throws ConfigException {
         return JsonFile.read(
                 file,
@@ -51,8 +51,8 @@
                 new EndpointListCodec(
                         BalancerSettingsReader.names(settingsObject, "zones"),
                         BalancerSettingsReader.names(settingsObject, "models"));
-        EndpointList known = knownEndpoints(codec);
-        int sockets = sockets();
+        EndpointList endpoints = configuredEndpoints(codec);
+        int maxDescriptors = maxDescriptors();
         String name = string("name", NAME_VARIABLE);
         InetSocketAddress listen = address("listen", LISTEN_VARIABLE);
         InetSocketAddress discovery = address("discovery", DISCOVERY_VARIABLE);
@@ -61,43 +61,45 @@
                 name,
                 listen,
                 discovery,
-                sockets,
-                onSockets(settings, new DescriptorBudget(sockets)),
+                maxDescriptors,
+                adaptToSockets(settings, new DescriptorBudget(maxDescriptors)),
                 Json.longValue(
                         Json.objectValue(settingsObject, "policy_limits"),
                         "connect_timeout_us",
                         DEFAULT_CONNECT_TIMEOUT_MICROS),
-                known,
+                endpoints,
                 codec,
                 Extensions.NONE);
     }
 
-    private EndpointList knownEndpoints(EndpointListCodec codec) throws IOException {
+    private EndpointList configuredEndpoints(EndpointListCodec codec) throws IOException {
         return root.get("known") instanceof Map<?, ?> list
                 ? codec.parse(list)
                 : new EndpointList(0, true, List.of());
     }
 
-    private int sockets() throws ConfigException {
+    private int maxDescriptors() throws ConfigException {
         long configured =
                 Json.longValue(Json.objectValue(root, "limits"), SOCKETS, DEFAULT_SOCKETS);
-        int sockets = (int) Math.min(DescriptorBudget.MAXIMUM, configured);
-        if (sockets < DescriptorBudget.MINIMUM) {
+        int maxDescriptors = (int) Math.min(DescriptorBudget.MAXIMUM, configured);
+        if (maxDescriptors < DescriptorBudget.MINIMUM) {
             throw ConfigException.ofKey(
                     SOCKETS, "must be " + DescriptorBudget.MINIMUM + " or more");
         }
-        return sockets;
+        return maxDescriptors;
     }
 
     /**
-     * The settings with the limits that hold on sockets. Servers close what has been idle for the
-     * site's time, and a request written to such a connection is lost: the pool closes well before,
-     * after two thirds of it. A rejection may always carry a Retry-After: the setting speaks of the
-     * simulator's wire.
+     * Returns the settings with the limits that apply to sockets. Endpoints close connections after
+     * the configured idle timeout, and a request written to such a connection is lost, so the pool
+     * closes idle connections after two thirds of that time. A rejection may always carry a {@code
+     * Retry-After} header: the setting that forbids it applies only to the protocol of the
+     * simulator.
      */
-    private static BalancerSettings onSockets(BalancerSettings settings, DescriptorBudget budget) {
+    private static BalancerSettings adaptToSockets(
+            BalancerSettings settings, DescriptorBudget budget) {
         ServiceLimits limits = settings.limits();
-        ServiceLimits onSockets =
+        ServiceLimits socketLimits =
                 new ServiceLimits(
                         limits.maxAttempts(),
                         limits.cancellationAllowed(),
@@ -105,7 +107,7 @@
                         limits.maxRetryAfterMicros(),
                         limits.idleTimeoutMicros() / 3 * 2,
                         Math.min(limits.maxOpenRequests(), budget.maxOpenRequests()));
-        return SidecarConfig.copy(settings, onSockets, settings.pollsDiscovery());
+        return SidecarConfig.copy(settings, socketLimits, settings.pollsDiscovery());
     }
 
     private InetSocketAddress address(String key, String variable) throws ConfigException {
@@ -131,7 +133,7 @@
 
     private long seed() throws ConfigException {
         try {
-            return Long.parseUnsignedLong(string(SEED), HEX);
+            return Long.parseUnsignedLong(string(SEED), HEX_RADIX);
         } catch (NumberFormatException e) {
             throw ConfigException.ofKey(SEED, "must be up to 16 hex digits");
         }
--- a/sidecar/src/main/java/sagefall/config/SocketAddresses.java
+++ b/sidecar/src/main/java/sagefall/config/SocketAddresses.java
@@ -6,8 +6,8 @@
 import java.net.UnknownHostException;
 
 /**
- * Socket addresses as text, {@code address:port}. Literals only: there is no DNS, and a look-up
- * would block the event loop.
+ * Parses and formats socket addresses, {@code address:port}. Only literal addresses are supported,
+ * no host names: the platform has no DNS, and a look-up would block the event loop.
  */
 public final class SocketAddresses {
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Formats an address such that {@link #parse} reads it. */
+    /** Formats an address in the form that {@link #parse} accepts. */
     public static String format(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
--- a/sidecar/src/main/java/sagefall/logging/LogEvent.java
+++ b/sidecar/src/main/java/sagefall/logging/LogEvent.java
@@ -1,66 +1,71 @@
 package sagefall.logging;
 
 /**
- * Every event that a sidecar logs. The name is what a line starts with, after its level, and what
- * {@code docs/OPERATIONS.md} lists with its fields, its meaning and what to do; a test holds that
- * the two agree.
+ * The events that a sidecar logs. A log line starts with its level and the name of the event.
+ * {@code docs/OPERATIONS.md} lists each name with its fields, its meaning and what an operator
+ * should do; a test checks that the page and this enum match.
  */
 public enum LogEvent {
     /** The process accepts clients. */
     SIDECAR_STARTED("sidecar_started", LogLevel.INFO),
     /** A call to discovery failed. */
     DISCOVERY_CALL_FAILED("discovery_call_failed", LogLevel.WARN),
-    /** Discovery fails; the balancer goes on with the endpoints that it has. */
+    /** Discovery fails; the balancer continues with the endpoints that it has. */
     DISCOVERY_UNAVAILABLE("discovery_unavailable", LogLevel.WARN),
     /** Requests are queued because no endpoint has capacity for them. */
     REQUEST_QUEUE_NOT_EMPTY("request_queue_not_empty", LogLevel.WARN),
     /** An endpoint was ejected as an outlier. */
     ENDPOINT_EJECTED("endpoint_ejected", LogLevel.WARN),
-    /** An ejected endpoint answers again and is back in rotation. */
+    /** An ejected endpoint responds again and is back in rotation. */
     ENDPOINT_READMITTED("endpoint_readmitted", LogLevel.INFO),
     /**
-     * A request on an idle connection was never answered: idle connections are avoided for a while.
+     * A request on an idle connection got no response: idle connections are avoided for a while.
      */
     IDLE_CONNECTIONS_DISTRUSTED("idle_connections_distrusted", LogLevel.WARN),
-    /** An internal error ended one request; the others go on. */
+    /** An internal error ended one request; other requests are not affected. */
     REQUEST_ABORTED("request_aborted", LogLevel.ERROR),
-    /** An internal error on a client connection; the connection is closed. */
+    /** An internal error occurred on a client connection; the connection is closed. */
     CLIENT_CONNECTION_FAILED("client_connection_failed", LogLevel.ERROR),
-    /** The most that all streams together have buffered, told at shutdown. */
+    /** Reports, at shutdown, the maximum amount of data that all streams together buffered. */
     STREAM_BUFFERS_USED("stream_buffers_used", LogLevel.INFO),
-    /** What an earlier incarnation had persisted was read at the start. */
+    /** The state that an earlier incarnation had persisted was read at the start. */
     SNAPSHOT_RECOVERED("snapshot_recovered", LogLevel.INFO),
-    /** Nothing persisted was found, or persistence is new in this directory. */
+    /** No persisted state was found, or persistence is new in this directory. */
     SNAPSHOT_ABSENT("snapshot_absent", LogLevel.INFO),
-    /** A persisted file could not be used; it was renamed so that its content stays. */
+    /** A persisted file could not be used; it was renamed so that its content is kept. */
     SNAPSHOT_SET_ASIDE("snapshot_set_aside", LogLevel.WARN),
-    /** The directory does not answer or cannot be used: the sidecar runs without persistence. */
+    /** The directory is unresponsive or unusable: the sidecar runs without persistence. */
     PERSISTENCE_UNAVAILABLE("persistence_unavailable", LogLevel.ERROR),
     /** A write failed; it is retried after a second, and with the next change. */
     PERSISTENCE_WRITE_FAILED("persistence_write_failed", LogLevel.WARN),
     /** Writes succeed again after a failure. */
     PERSISTENCE_RESUMED("persistence_resumed", LogLevel.INFO),
-    /** The persistence thread ended by an error: nothing is persisted until the next start. */
+    /** The persistence thread ended with an error: nothing is persisted until the next start. */
     PERSISTENCE_STOPPED("persistence_stopped", LogLevel.ERROR),
-    /** The snapshot that the leader shares was read, and is newer than the configured list. */
+    /**
+     * The shared snapshot of the leader was read and is newer than the configured endpoint list.
+     */
     SHARED_SNAPSHOT_READ("shared_snapshot_read", LogLevel.INFO),
-    /** The snapshot that the leader shares could not be read. */
+    /** The shared snapshot of the leader could not be read. */
     SHARED_SNAPSHOT_IGNORED("shared_snapshot_ignored", LogLevel.WARN),
     /** The lease directory cannot be used: the sidecar never becomes leader. */
     LEADER_ELECTION_UNAVAILABLE("leader_election_unavailable", LogLevel.ERROR),
-    /** This process is leader now. */
+    /** This process has become the leader. */
     LEASE_ACQUIRED("lease_acquired", LogLevel.INFO),
-    /** This process is no longer leader. */
+    /** This process is no longer the leader. */
     LEASE_LOST("lease_lost", LogLevel.WARN),
-    /** The lease was given back at shutdown. */
+    /** The lease was released at shutdown. */
     LEASE_RELEASED("lease_released", LogLevel.INFO),
-    /** The lease store does not answer. */
+    /** The lease store does not respond. */
     LEASE_STORE_UNAVAILABLE("lease_store_unavailable", LogLevel.WARN),
     /** A write with this term's fencing token was rejected: another term has begun. */
     FENCED_WRITE_REJECTED("fenced_write_rejected", LogLevel.WARN),
-    /** The leader election thread ended by an error. */
+    /** The leader election thread ended with an error. */
     LEADER_ELECTION_STOPPED("leader_election_stopped", LogLevel.ERROR),
-    /** The log ended in a record that a power loss tore; that record is left out. */
+    /**
+     * The write-ahead log ended in a record that a power loss left incomplete; the record is
+     * ignored.
+     */
     LOG_TAIL_DISCARDED("log_tail_discarded", LogLevel.WARN);
 
     private final String eventName;
@@ -71,12 +76,14 @@
         this.level = level;
     }
 
-    /** The event's name in the log; it stays when the constant is renamed. */
+    /**
+     * Returns the name of the event in the log, which stays as it is when the constant is renamed.
+     */
     public String eventName() {
         return eventName;
     }
 
-    /** The level that all lines of this event have. */
+    /** Returns the level of all lines of this event. */
     public LogLevel level() {
         return level;
     }
--- a/sidecar/src/main/java/sagefall/logging/LogLevel.java
+++ b/sidecar/src/main/java/sagefall/logging/LogLevel.java
@@ -1,13 +1,14 @@
 package sagefall.logging;
 
-/** How much attention a log line wants. */
+/** Severity of a log line. */
 public enum LogLevel {
-    /** A normal step in the life of the process. */
+    /** A normal event. */
     INFO,
-    /** Something failed or is limited; the sidecar goes on by itself. */
+    /** Something failed or is limited; the sidecar continues by itself. */
     WARN,
     /**
-     * Something failed that the sidecar does not mend by itself, or a request was lost to a defect.
+     * Something failed that the sidecar does not recover from by itself, or a request was lost to a
+     * defect.
      */
     ERROR
 }
--- a/sidecar/src/main/java/sagefall/logging/LogLine.java
+++ b/sidecar/src/main/java/sagefall/logging/LogLine.java
@@ -3,8 +3,10 @@
 /**
  * One line of the log: level, event name, then {@code key=value} fields in the order in which they
  * were added, such as {@code WARN endpoint_ejected endpoint=12 reason=failures}. Keys are lower
- * case with underscores and end in the unit, where there is one ({@code elapsed_ms}). A value with
- * a space, a quote, an equals sign or a control character is quoted, so a line stays one line.
+ * case with underscores and end in the unit if there is one ({@code elapsed_ms}). A value that is
+ * empty or has a space, a quote, an equals sign or a control character is quoted. In a quoted
+ * value, quotes and backslashes are escaped, and control characters are replaced by spaces, so that
+ * the event stays on one line.
  */
 public final class LogLine {
 
@@ -14,7 +16,7 @@
         line = new StringBuilder(event.level().name()).append(' ').append(event.eventName());
     }
 
-    /** Begins a line. */
+    /** Creates a line for an event. */
     public static LogLine of(LogEvent event) {
         return new LogLine(event);
     }
@@ -49,7 +51,7 @@
         line.append('"');
     }
 
-    /** The line, without its end. */
+    /** Returns the line without a line terminator. */
     @Override
     public String toString() {
         return line.toString();
--- a/sidecar/src/main/java/sagefall/logging/package-info.java
+++ b/sidecar/src/main/java/sagefall/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The log's vocabulary: every event that a sidecar writes, by name, and the form of its lines. A
- * leaf of the package graph: it depends on nothing but the JDK, so that decisions may use it too.
+ * The events that a sidecar logs, and the format of log lines. This package depends on nothing but
+ * the JDK, so that the balancer may use it too.
  */
 package sagefall.logging;
--- a/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
@@ -1,7 +1,7 @@
 package sagefall.architecture;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy files name what the sources hold. */
+/** Checks that the lists in the deploy files match the sources. */
 class DeployFilesTest {
 
     private static final Path ROOT = Path.of("..");
@@ -23,28 +23,32 @@
     private static final Pattern OWN_CLASS = Pattern.compile("\\bsagefall/[A-Za-z0-9_/$]+");
 
     /**
-     * A stale line is no error for the runtime, only a slower start, so it has to be found here.
+     * A class list that names a missing class makes the sidecar start more slowly, but causes no
+     * error, so only this test detects it.
      */
     @Test
     void classListNamesOnlyClassesThatExist() throws IOException {
         Set<String> missing = new TreeSet<>();
-        boolean any = false;
+        boolean anyFound = false;
         for (String line : Files.readAllLines(ROOT.resolve("deploy/classes.lst"))) {
-            Matcher own = OWN_CLASS.matcher(line.startsWith("#") ? "" : line);
-            while (own.find()) {
-                any = true;
-                if (getClass().getResource("/" + own.group() + ".class") == null) {
-                    missing.add(own.group());
+            Matcher ownClass = OWN_CLASS.matcher(line.startsWith("#") ? "" : line);
+            while (ownClass.find()) {
+                anyFound = true;
+                if (getClass().getResource("/" + ownClass.group() + ".class") == null) {
+                    missing.add(ownClass.group());
                 }
             }
         }
-        assertFalse(!any, "deploy/classes.lst names no class of this project");
+        assertTrue(anyFound, "deploy/classes.lst names no class of this project");
         assertEquals(Set.of(), missing, "run deploy/update-class-list.sh");
     }
 
-    /** The emulator recompiles the files of this list, so it has to be all of the decision code. */
+    /**
+     * The emulator recompiles the files of this list, so the list has to contain the balancer
+     * without its API, and nothing else.
+     */
     @Test
-    void policyListIsTheDecisionCode() throws IOException {
+    void policyListMatchesBalancerSourcesWithoutApi() throws IOException {
         Path balancer = SOURCES.resolve("sagefall/balancer");
         Set<String> expected;
         try (Stream<Path> files = Files.walk(balancer)) {
--- a/sidecar/src/test/java/sagefall/architecture/DocumentationTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/DocumentationTest.java
@@ -21,22 +21,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the pages link to and name exists: files, classes, members of classes, packages. */
+/**
+ * Checks that the files, packages, classes and class members that the documentation pages link to
+ * or name exist.
+ */
 class DocumentationTest {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     /**
-     * Pages that are history: they describe measurements and questions of earlier builds, with the
-     * names that held then. Their links are checked all the same.
+     * Historical pages: they describe measurements and questions of earlier builds, with the names
+     * of that time. Their names are not checked, but their links are.
      */
-    private static final Set<String> HISTORY = Set.of("docs/MEASURING.md", "docs/QUESTIONS.md");
+    private static final Set<String> HISTORICAL_PAGES =
+            Set.of("docs/MEASURING.md", "docs/QUESTIONS.md");
 
-    /** The classes that the worked example in CONTRIBUTING.md lets the reader write. */
+    /** Classes that the reader writes in the worked example in CONTRIBUTING.md. */
     private static final Set<String> WORKED_EXAMPLE =
             Set.of("NeverRetryPolicy", "NeverRetryPolicyTest");
 
-    /** Packages whose types may be named without being ours. */
+    /** JDK packages whose types the pages may name. */
     private static final List<String> JDK_PACKAGES =
             List.of("java.lang.", "java.io.", "java.util.", "java.time.");
 
@@ -52,7 +56,10 @@
     private static final Pattern FENCE = Pattern.compile("(?ms)^```(\\w*)$(.*?)^```$");
     private static final Pattern INLINE_CODE = Pattern.compile("`([^`\\n]+)`");
 
-    /** A type, alone or with a member, such as {@code Foo}, {@code Foo.bar} or {@code Foo#bar}. */
+    /**
+     * Matches a type, alone or with a member, such as {@code Foo}, {@code Foo.bar} or {@code
+     * Foo#bar}.
+     */
     private static final Pattern TYPE =
             Pattern.compile("([A-Z]\\w*[a-z]\\w*)(?:[.#]([A-Za-z]\\w*)(?:\\(.*\\))?)?");
 
@@ -64,7 +71,7 @@
             Pattern.compile("(?:docs|deploy|journal|sidecar|testbed|\\.ci)/[\\w./-]*");
     private static final Pattern BUILT_FILE = Pattern.compile("\\w+/target/.*");
 
-    /** Source files of both modules by the simple name of their type. */
+    /** Source files of both modules, by the simple name of their type. */
     private static final Map<String, List<Path>> TYPES = new HashMap<>();
 
     @BeforeAll
@@ -87,7 +94,7 @@
     }
 
     @Test
-    void linksLeadToFilesOfTheRepository() throws IOException {
+    void linkedFilesExistInRepository() throws IOException {
         Set<String> broken = new TreeSet<>();
         int links = 0;
         for (String page : pages()) {
@@ -110,18 +117,18 @@
     }
 
     @Test
-    void namedClassesExist() throws IOException {
+    void namedClassesAndFilesExist() throws IOException {
         Set<String> missing = new TreeSet<>();
         int names = 0;
         for (String page : pages()) {
-            if (HISTORY.contains(page)) {
+            if (HISTORICAL_PAGES.contains(page)) {
                 continue;
             }
             for (String code : codeIn(read(page))) {
                 names++;
-                String problem = problemWith(code);
-                if (problem != null) {
-                    missing.add(page + ": " + problem);
+                String missingName = missingName(code);
+                if (missingName != null) {
+                    missing.add(page + ": " + missingName);
                 }
             }
         }
@@ -129,7 +136,10 @@
         assertEquals(Set.of(), missing);
     }
 
-    /** The check itself: what it takes for a name of ours, and what it finds missing. */
+    /**
+     * Tests the check itself: only a name that looks like one of this project and does not exist is
+     * reported as missing.
+     */
     @ParameterizedTest
     @CsvSource({
         "LoadBalancer, true",
@@ -150,12 +160,14 @@
         "deploy/nowhere.toml, false",
         "Choice, false"
     })
-    void checkKnowsWhatExists(String code, boolean exists) throws IOException {
-        assertEquals(exists, problemWith(code) == null, code);
+    void checkReportsExactlyMissingNames(String code, boolean exists) throws IOException {
+        assertEquals(exists, missingName(code) == null, code);
     }
 
-    /** What a piece of code names and is not there; null if there is nothing of the kind. */
-    private static String problemWith(String code) throws IOException {
+    /**
+     * Returns the code if it names something of this project that does not exist; null otherwise.
+     */
+    private static String missingName(String code) throws IOException {
         Matcher qualified = QUALIFIED.matcher(code);
         if (qualified.matches()) {
             return existsQualified(qualified.group(1), qualified.group(2)) ? null : code;
@@ -181,7 +193,7 @@
     }
 
     private static boolean exists(String type, String member) throws IOException {
-        if (WORKED_EXAMPLE.contains(type) || isOfTheJdk(type)) {
+        if (WORKED_EXAMPLE.contains(type) || isJdkType(type)) {
             return true;
         }
         for (Path file : TYPES.getOrDefault(type, List.of())) {
@@ -196,7 +208,7 @@
         return Pattern.compile("\\b" + member + "\\b").matcher(source).find();
     }
 
-    private static boolean isOfTheJdk(String type) {
+    private static boolean isJdkType(String type) {
         for (String jdkPackage : JDK_PACKAGES) {
             try {
                 Class.forName(jdkPackage + type, false, null);
@@ -208,7 +220,7 @@
         return false;
     }
 
-    /** Inline code, and what the diagrams name. */
+    /** Returns the inline code, and the type names in diagrams. */
     private static List<String> codeIn(String text) {
         List<String> code = new ArrayList<>();
         Matcher fence = FENCE.matcher(text);
@@ -225,7 +237,7 @@
         return FENCE.matcher(text).replaceAll("");
     }
 
-    /** The pages, relative to the root. */
+    /** Returns the pages, relative to the root. */
     private static List<String> pages() throws IOException {
         List<String> pages = new ArrayList<>(List.of("README.md", "CONTRIBUTING.md"));
         try (Stream<Path> files = Files.list(ROOT.resolve("docs"))) {
--- a/sidecar/src/test/java/sagefall/architecture/LayeringTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/LayeringTest.java
@@ -10,7 +10,10 @@
 import java.time.Clock;
 import java.time.Instant;
 
-/** The order of the layers, and what the decision code must not see. */
+/**
+ * Checks the dependencies between packages, and that the balancer uses no input, output, clock or
+ * thread.
+ */
 @AnalyzeClasses(packages = "sagefall", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayeringTest {
 
@@ -19,9 +22,12 @@
     private static final String LOGGING = "sagefall.logging..";
     private static final String[] HOSTS = {"sagefall.proxy..", "sagefall.simulator.."};
 
-    /** Decisions are a deterministic state machine: no network, file, clock or thread. */
+    /**
+     * The balancer is a deterministic state machine, so it may not use the network, files or
+     * concurrency.
+     */
     @ArchTest
-    static final ArchRule DECISIONS_SEE_NO_INPUT_OR_OUTPUT =
+    static final ArchRule BALANCER_USES_NO_INPUT_OR_OUTPUT =
             noClasses()
                     .that()
                     .resideInAPackage(BALANCER)
@@ -37,7 +43,7 @@
                             "com.fasterxml..");
 
     @ArchTest
-    static final ArchRule DECISIONS_READ_NO_CLOCK =
+    static final ArchRule BALANCER_READS_NO_CLOCK =
             noClasses()
                     .that()
                     .resideInAPackage(BALANCER)
@@ -50,7 +56,7 @@
                     .belongToAnyOf(Clock.class, Instant.class);
 
     @ArchTest
-    static final ArchRule DECISIONS_START_NO_THREAD =
+    static final ArchRule BALANCER_USES_NO_THREAD =
             noClasses()
                     .that()
                     .resideInAPackage(BALANCER)
@@ -59,7 +65,7 @@
                     .belongToAnyOf(Thread.class, ThreadLocal.class, Runtime.class);
 
     @ArchTest
-    static final ArchRule INTERFACE_DEPENDS_ON_NOTHING_ELSE =
+    static final ArchRule BALANCER_API_DEPENDS_ONLY_ON_JDK =
             classes()
                     .that()
                     .resideInAPackage(API)
@@ -68,7 +74,7 @@
                     .resideInAnyPackage(API, "java.lang..", "java.util..");
 
     @ArchTest
-    static final ArchRule DECISIONS_KNOW_NO_OTHER_PACKAGE =
+    static final ArchRule BALANCER_DEPENDS_ONLY_ON_LOGGING_AND_JDK =
             classes()
                     .that()
                     .resideInAPackage(BALANCER)
@@ -77,7 +83,7 @@
                     .resideInAnyPackage(BALANCER, LOGGING, "java..");
 
     @ArchTest
-    static final ArchRule LOGGING_DEPENDS_ON_NOTHING_ELSE =
+    static final ArchRule LOGGING_DEPENDS_ONLY_ON_JDK =
             classes()
                     .that()
                     .resideInAPackage(LOGGING)
@@ -85,9 +91,12 @@
                     .onlyDependOnClassesThat()
                     .resideInAnyPackage(LOGGING, "java.lang..", "java.util..");
 
-    /** The parts that hosts are made of do not know the hosts. */
+    /**
+     * Packages that the hosts (proxy and simulator adapter) are built from do not depend on the
+     * hosts.
+     */
     @ArchTest
-    static final ArchRule PARTS_DO_NOT_KNOW_THEIR_HOSTS =
+    static final ArchRule COMPONENTS_DO_NOT_DEPEND_ON_HOSTS =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -103,7 +112,7 @@
                     .resideInAnyPackage(HOSTS);
 
     @ArchTest
-    static final ArchRule SIMULATOR_ADAPTER_OPENS_NO_SOCKET =
+    static final ArchRule SIMULATOR_ADAPTER_USES_NO_NETWORK =
             noClasses()
                     .that()
                     .resideInAPackage("sagefall.simulator..")
--- a/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -16,34 +16,37 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagefall.proxy.SidecarHarness;
 
-/** What the configuration turns into, and the one line for each that cannot be used. */
+/**
+ * Tests the limits that follow from the configuration, and the error message for each configuration
+ * that cannot be used.
+ */
 class SidecarConfigTest {
 
     @TempDir Path folder;
 
     /**
-     * Clients may hold a third of the descriptors for requests; each of these may be out at a
-     * server.
+     * A third of the descriptors is for client connections with an open request, each of which may
+     * need a connection to an endpoint.
      */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
-    void eachRequestOfAThirdOfTheDescriptorsFindsAConnection(int sockets) throws Exception {
+    void clientsAndEndpointsEachGetAThirdOfDescriptors(int sockets) throws Exception {
         try (SidecarHarness harness = new SidecarHarness(folder, 250_000, sockets)) {
             SidecarConfig config = harness.config();
-            assertTrue(config.maxEndpointConnections() >= sockets / 3, "servers");
-            assertTrue(config.maxClientConnections() >= sockets / 3, "clients");
+            assertTrue(config.maxEndpointConnections() >= sockets / 3, "connections to endpoints");
+            assertTrue(config.maxClientConnections() >= sockets / 3, "client connections");
             assertTrue(
                     config.settings().limits().maxOpenRequests() < sockets / 3,
-                    "some are left for the next request");
+                    "open requests leave some client connections free");
             assertTrue(
                     config.maxEndpointConnections() + config.maxClientConnections() + 16 <= sockets,
-                    "all");
+                    "all connections and 16 more descriptors");
         }
     }
 
-    private ConfigException readFails(String quoted) throws IOException {
+    private ConfigException readInvalidConfig(String quotedJson) throws IOException {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, SidecarHarness.json(quoted));
+        Files.writeString(file, SidecarHarness.json(quotedJson));
         ConfigException e =
                 assertThrows(
                         ConfigException.class,
@@ -79,9 +82,9 @@
                         + " | settings.tenants | settings: 'tenants' must hold objects",
                 "{'settings':{},'known':{}} | - | a list without 'rev', 'all' or 'targets'",
             })
-    void unusableFileIsAnErrorWithFileKeyAndReason(String quoted, String key, String line)
+    void unusableFileIsReportedWithFileKeyAndReason(String quotedJson, String key, String line)
             throws Exception {
-        ConfigException e = readFails(quoted);
+        ConfigException e = readInvalidConfig(quotedJson);
         assertEquals(key, e.keyPath());
         String expected = e.file() + ": " + line;
         assertEquals(
@@ -91,7 +94,7 @@
     }
 
     @Test
-    void missingFileIsNamed() {
+    void missingFileOrVariableIsNamedInError() {
         String file = folder.resolve("none.json").toString();
         ConfigException e =
                 assertThrows(
@@ -104,7 +107,7 @@
     }
 
     @Test
-    void unknownExtensionIsNamedWithItsPath() throws Exception {
+    void unknownExtensionKeyIsNamedWithItsPath() throws Exception {
         Path file = folder.resolve("extensions.json");
         Files.writeString(file, "{\"recovery\":{\"directory\":\"/a\",\"extra\":1}}");
         ConfigException e =
--- a/sidecar/src/test/java/sagefall/logging/LogEventCatalogueTest.java
+++ b/sidecar/src/test/java/sagefall/logging/LogEventCatalogueTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The table of log events in docs/OPERATIONS.md and {@link LogEvent} are the same list. */
+/** Checks that the table of log events in docs/OPERATIONS.md matches {@link LogEvent}. */
 class LogEventCatalogueTest {
 
     private static final Path PAGE = Path.of("../docs/OPERATIONS.md");
@@ -29,11 +29,11 @@
     private static final Pattern FIELD = Pattern.compile("\\.with\\(\\s*\"([a-z_]+)\"");
     private static final Pattern CODE = Pattern.compile("`([a-z_]+)`");
 
-    /** A row of the table, without the event. */
+    /** A row of the table: the event and the columns after it. */
     private record Row(String event, List<String> columns) {}
 
     @Test
-    void tableHasEachEventOnceWithItsLevel() throws IOException {
+    void tableContainsEachEventOnceWithItsLevel() throws IOException {
         Map<String, String> expected =
                 Arrays.stream(LogEvent.values())
                         .collect(
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void eachEventHasItsMeaningAndWhatToDo() throws IOException {
+    void eachEventHasMeaningAndActionColumns() throws IOException {
         for (Row row : rows()) {
             assertEquals(COLUMNS_AFTER_EVENT, row.columns().size(), row.event());
             assertFalse(row.columns().get(2).isBlank(), row.event());
@@ -62,9 +62,9 @@
         }
     }
 
-    /** Keys that are composed, such as {@code known_revision}, are not found here. */
+    /** Keys that the code composes, such as {@code known_revision}, are not found by this test. */
     @Test
-    void tableHasEachFieldThatTheCodeWrites() throws IOException {
+    void tableContainsEachLoggedField() throws IOException {
         Set<String> written = new TreeSet<>();
         try (Stream<Path> files = Files.walk(SOURCES)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
--- a/sidecar/src/test/java/sagefall/logging/LogLineTest.java
+++ b/sidecar/src/test/java/sagefall/logging/LogLineTest.java
@@ -5,11 +5,11 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The form of log lines, which operators search and count. */
+/** Tests the format of log lines, which operators search and count. */
 class LogLineTest {
 
     @Test
-    void fieldsFollowTheEventInTheirOrder() {
+    void fieldsFollowEventInOrderOfAddition() {
         assertEquals(
                 "WARN endpoint_ejected endpoint=12 reason=failures elapsed_ms=3",
                 LogLine.of(LogEvent.ENDPOINT_EJECTED)
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void valuesThatWouldBreakALineAreQuoted() {
+    void valuesWithSpecialCharactersAreQuoted() {
         assertEquals(
                 "ERROR request_aborted cause=\"a \\\"b\\\" c d\" empty=\"\" key=\"x=y\" none=null",
                 LogLine.of(LogEvent.REQUEST_ABORTED)
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void eventNamesAreDistinctAndEasyToSearch() {
+    void eventNamesAreDistinctLowerCaseWords() {
         String[] names =
                 Arrays.stream(LogEvent.values()).map(LogEvent::eventName).toArray(String[]::new);
         assertEquals(names.length, Arrays.stream(names).distinct().count());
