--- a/sidecar/src/main/java/sagefall/http/ConnectionInitializer.java
+++ b/sidecar/src/main/java/sagefall/http/ConnectionInitializer.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 
-/** Builds the pipeline of an {@link HttpClientConnection}. */
+/** Sets up the channel pipeline of an {@link HttpClientConnection}. */
 final class ConnectionInitializer extends ChannelInitializer<Channel> {
 
     private final HttpClientConnection connection;
--- a/sidecar/src/main/java/sagefall/http/ConnectionState.java
+++ b/sidecar/src/main/java/sagefall/http/ConnectionState.java
@@ -1,8 +1,8 @@
 package sagefall.http;
 
 /**
- * What an {@link HttpClientConnection} is doing. The states exclude each other; {@link
- * #canBecome(ConnectionState)} is the table of their transitions.
+ * The state of an {@link HttpClientConnection}. {@link #canBecome(ConnectionState)} defines the
+ * transitions.
  */
 enum ConnectionState {
     /** The connection is being established. */
@@ -11,19 +11,19 @@
     /** Established, with no request outstanding: any byte that arrives is unsolicited. */
     IDLE(false, false),
 
-    /** A request has been handed to the network, and no response has begun. */
+    /** A request has been passed to the network, and no response has begun. */
     AWAITING_RESPONSE(true, false),
 
-    /** The head of a streamed response has been reported, its end has not arrived. */
+    /** The head of a streamed response has been reported; its end has not arrived. */
     STREAMING_RESPONSE(true, true),
 
-    /** The last part of a streamed response has arrived; its end is reported after this read. */
+    /** A streamed response is complete; its end is reported once all pending input is read. */
     RESPONSE_STREAMED(true, true),
 
-    /** A collected response is complete; it is reported after this read. */
+    /** A collected response is complete; it is reported once all pending input is read. */
     RESPONSE_COLLECTED(true, true),
 
-    /** The end has been reported to the listener; nothing is reported afterwards. */
+    /** The close has been reported to the listener; nothing is reported afterwards. */
     CLOSED(false, false);
 
     private final boolean expectsInput;
@@ -34,19 +34,23 @@
         this.hasResponse = hasResponse;
     }
 
-    /** Whether a request is outstanding, so that the peer may send. */
+    /** Returns whether a request is outstanding, so that the peer may send. */
     boolean expectsInput() {
         return expectsInput;
     }
 
-    /** Whether a response has begun and its end has not been reported: another one is surplus. */
+    /**
+     * Returns whether a response has begun and its end has not been reported yet. A further
+     * response is surplus in these states.
+     */
     boolean hasResponse() {
         return hasResponse;
     }
 
     /**
-     * Whether this state may be followed by the other. A response may begin in {@link #IDLE} only
-     * where the end of the input completes surplus bytes that the decoder still has.
+     * Returns whether the transition to the next state exists. A response can begin in {@link
+     * #IDLE} only if the decoder has buffered surplus bytes that the end of the input turns into a
+     * response.
      */
     boolean canBecome(ConnectionState next) {
         if (next == CLOSED) {
--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -15,17 +15,18 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * One outgoing HTTP/1.1 connection with at most one request outstanding. It collects complete
- * responses, or streams them where the request allows that, and reports its end exactly once. To be
+ * An outgoing HTTP/1.1 connection with at most one request outstanding. It collects complete
+ * responses, or streams them if the request allows that, and reports its close exactly once. To be
  * used on its event loop only.
  *
- * <p>A response belongs to a request only if nothing else was on its way when the request was
- * written. So a response is reported when everything that arrived with it has been read, along with
- * whether anything was left over; and an unsolicited byte closes the connection.
+ * <p>A response can be attributed to a request only if no other input was under way when the
+ * request was written. Therefore an unsolicited byte closes the connection, and a response is
+ * reported only when everything that arrived with it has been read; the report says whether there
+ * were surplus bytes.
  */
 public final class HttpClientConnection {
 
-    /** Largest body that is collected, in bytes. */
+    /** Usual limit of a body that is collected, in bytes. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int MIN_READ_BYTES = 64;
@@ -37,37 +38,37 @@
     private final ResponseDecoder decoder = new ResponseDecoder();
     private ConnectionState state = ConnectionState.CONNECTING;
 
-    /** Largest response that is streamed, of the request sent last; 0 where it is collected. */
+    /** Largest response to the current request that is streamed, in bytes; 0 to collect it. */
     private long maxStreamedBytes;
 
     /**
-     * Begins to connect; no response on this connection is going to be streamed.
+     * Begins to connect. Responses on this connection are never streamed.
      *
-     * @param maxBody largest response that is collected, in bytes
-     * @param connectMicros time limit for establishing the connection, in microseconds
+     * @param maxBodyBytes largest response that is collected, in bytes
+     * @param connectTimeoutMicros timeout for establishing the connection, in microseconds
      */
     public HttpClientConnection(
             EventLoop loop,
-            InetSocketAddress to,
-            int maxBody,
-            long connectMicros,
+            InetSocketAddress address,
+            int maxBodyBytes,
+            long connectTimeoutMicros,
             HttpConnectionListener listener) {
-        this(loop, to, maxBody, connectMicros, false, listener);
+        this(loop, address, maxBodyBytes, connectTimeoutMicros, false, listener);
     }
 
     /**
-     * Begins to connect. A connection that streams is read in small pieces, so that few bytes come
-     * past a high watermark.
+     * Begins to connect. A connection that streams is read in small pieces, so that few bytes are
+     * read beyond a high watermark.
      *
-     * @param maxBody largest response that is collected, in bytes
-     * @param connectMicros time limit for establishing the connection, in microseconds
+     * @param maxBodyBytes largest response that is collected, in bytes
+     * @param connectTimeoutMicros timeout for establishing the connection, in microseconds
      * @param streaming whether responses may be streamed
      */
     public HttpClientConnection(
             EventLoop loop,
-            InetSocketAddress to,
-            int maxBody,
-            long connectMicros,
+            InetSocketAddress address,
+            int maxBodyBytes,
+            long connectTimeoutMicros,
             boolean streaming,
             HttpConnectionListener listener) {
         this.listener = listener;
@@ -75,26 +76,26 @@
         if (streaming) {
             bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, smallReadAllocator());
         }
-        int connectMillis = (int) Math.max(1, connectMicros / MICROS_PER_MILLI);
+        int connectTimeoutMillis = (int) Math.max(1, connectTimeoutMicros / MICROS_PER_MILLI);
         ChannelFuture connecting =
                 bootstrap
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        // Otherwise an announced end and a reset would look alike.
+                        // Otherwise a half-close and a reset could not be distinguished.
                         .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
-                        .handler(new ConnectionInitializer(this, maxBody))
-                        .connect(to);
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
+                        .handler(new ConnectionInitializer(this, maxBodyBytes))
+                        .connect(address);
         channel = connecting.channel();
         connecting.addListener(connected -> onConnectDone(loop, connected));
         channel.closeFuture().addListener(closed -> executeLater(loop, this::onClosed));
     }
 
     /**
-     * Without a free descriptor there is no channel at all, and the failure comes on another
-     * thread. The end is reported in a task of its own, so never inside a call that asked for the
-     * connection or closed it.
+     * Reports the result of connecting. If no file descriptor is free, no channel is opened and
+     * this method is called on another thread. A failure is reported in a separate task on the
+     * event loop, so never during a call that creates or closes the connection.
      */
     private void onConnectDone(EventLoop loop, Future<?> connected) {
         if (!connected.isSuccess()) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Reads in small pieces, for channels whose bodies are streamed. */
+    /** Returns an allocator that limits reads to small pieces, for channels that stream bodies. */
     public static AdaptiveRecvByteBufAllocator smallReadAllocator() {
         return new AdaptiveRecvByteBufAllocator(
                 MIN_READ_BYTES, FIRST_READ_BYTES, StreamingSettings.READ_BYTES);
@@ -125,9 +126,9 @@
     }
 
     /**
-     * Whether a further request can be sent, after reading what has arrived so far: bytes or an end
-     * that still wait in the socket would be taken for the next response. Not to be called from the
-     * listener's methods.
+     * Returns whether a further request can be sent. Reads what has arrived so far, because unread
+     * bytes or an unread end of the input would be taken for the next response. Must not be called
+     * from the listener's methods.
      */
     public boolean isReusable() {
         if (!state.expectsInput()) {
@@ -136,12 +137,12 @@
         return channel.isActive();
     }
 
-    /** Reads what has arrived so far; not to be called from the listener's methods. */
+    /** Reads what has arrived so far. Must not be called from the listener's methods. */
     public void readAvailable() {
         readAvailableFrom(channel);
     }
 
-    /** Reads what a socket has received, an end too, before the loop comes to it. */
+    /** Reads a socket's pending input, including its end, without waiting for the event loop. */
     public static void readAvailableFrom(Channel channel) {
         if (channel.isActive() && channel instanceof AbstractNioChannel nio) {
             nio.unsafe().read();
@@ -178,8 +179,9 @@
     }
 
     /**
-     * Writes, without a flush, the head of a request whose body is streamed. The caller writes the
-     * body to the channel returned, and knows when its last byte is written.
+     * Writes the head of a request whose body is streamed, without flushing it. The caller writes
+     * the body to the returned channel and has to observe these writes, because {@link
+     * HttpConnectionListener#requestWritten} is not called.
      *
      * @param maxStreamedBytes as for {@link #send(FullHttpRequest, long)}
      */
@@ -195,24 +197,24 @@
         return channel;
     }
 
-    /** Back-pressure: whether the socket is read. */
+    /** Pauses or resumes reading from the socket, for back-pressure. */
     public void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
 
-    /** Closes the connection; its end is reported in a later task. */
+    /** Closes the connection; the close is reported in a later task. */
     public void close() {
         channel.close();
     }
 
-    private void expectResponse(long maxBytes) {
+    private void expectResponse(long newMaxStreamedBytes) {
         enter(ConnectionState.AWAITING_RESPONSE);
-        maxStreamedBytes = maxBytes;
+        maxStreamedBytes = newMaxStreamedBytes;
     }
 
     /**
-     * Changes the state. {@code CLOSED} is final: what a closed connection is still asked to do has
-     * no effect, as the channel refuses it.
+     * Changes the state. {@code CLOSED} is final: later transitions are ignored, because a closed
+     * channel rejects all operations.
      */
     void enter(ConnectionState next) {
         if (state == ConnectionState.CLOSED) {
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
@@ -6,52 +6,53 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * What an {@link HttpClientConnection} reports, always on its event loop. The methods for streamed
- * responses need to be implemented only by who sends requests with a streaming limit.
+ * Receives the events of an {@link HttpClientConnection}, always on its event loop. The methods for
+ * streamed responses need to be implemented only if requests are sent with a streaming limit.
  */
 public interface HttpConnectionListener {
 
-    /** The connection has been established. */
+    /** Called when the connection has been established. */
     void connectionOpened();
 
-    /** The last byte of a request that was sent complete has been handed to the network. */
+    /** Called when the last byte of a request with a complete body was passed to the network. */
     void requestWritten();
 
     /**
-     * A complete response has been collected.
+     * Called when a complete response has been collected.
      *
-     * @param answer owned by the connection, which releases it on return
-     * @param clean whether nothing arrived beyond the response; if not, the connection is of no
-     *     further use
+     * @param response owned by the connection, which releases it on return
+     * @param clean whether nothing arrived beyond the response; if false, the connection cannot be
+     *     reused
      */
-    void responseCollected(FullHttpResponse answer, boolean clean);
+    void responseCollected(FullHttpResponse response, boolean clean);
 
-    /** A streamed response of status 200 has begun; its end is announced by its framing. */
+    /** Called when a streamed response has begun; its status is 200 and it has a known end. */
     default void responseStarted(HttpResponse head) {}
 
     /**
-     * Part of the body of a streamed response.
+     * Called for each part of the body of a streamed response.
      *
-     * @param part never empty; the listener becomes its owner
+     * @param part never empty; ownership passes to the listener
      */
     default void responsePart(ByteBuf part) {
         part.release();
     }
 
-    /** All parts that one read of the socket brought have been reported. */
+    /** Called when all parts from one read of the socket have been reported. */
     default void responseReadComplete() {}
 
     /**
-     * The last part of a streamed response has been reported.
+     * Called when the last part of a streamed response has been reported.
      *
-     * @param trailers as the server sent them, perhaps empty
-     * @param clean as for a collected response
+     * @param trailers as the server sent them; may be empty
+     * @param clean as in {@link #responseCollected}
      */
     default void responseFinished(HttpHeaders trailers, boolean clean) {}
 
     /**
-     * The connection could not be established, broke, or was closed by either side. Reported
-     * exactly once and last, in a task of its own, never during a call to the connection.
+     * Called when the connection could not be established, failed, or was closed by either side.
+     * This is the last call and is made exactly once, in a separate task, so never during a call to
+     * the connection.
      */
     void connectionClosed();
 }
--- a/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
+++ b/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
@@ -6,27 +6,28 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Names of the protocol's header fields, and which fields of a message are forwarded. */
+/** Names the header fields of the protocol, and selects the fields of a message to forward. */
 public final class ProtocolHeaders {
 
-    /** Identifies a request, for its client and in logs. */
+    /** Id of a request, for its client and in logs. */
     public static final String REQUEST_ID = "Request-Id";
 
-    /** The tenant that a request belongs to. */
+    /** Name of the tenant that a request belongs to. */
     public static final String TENANT = "Tenant";
 
-    /** How long the sender of a request waits for the response, in milliseconds. */
+    /** Duration for which the sender of a request waits for the response, in milliseconds. */
     public static final String TIMEOUT = "Request-Timeout-Ms";
 
-    /** The key under which a server recognizes a repeated request. */
+    /** Key by which a server recognizes a retried request. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** {@code 1} on a request that its client has sent before. */
+    /** {@code 1} on a request that its client is retrying. */
     public static final String RETRY = "Client-Retry";
 
+    /** Hint about the work that a request causes; the sidecar does not evaluate it. */
     private static final String WORK_HINT = "Work-Hint";
 
-    /** A server's load report. */
+    /** Load report of a server. */
     public static final String LOAD = "Server-Load";
 
     /** {@code 1} on a response to a request that the server has not begun to execute. */
@@ -45,7 +46,7 @@
                     HttpHeaderNames.UPGRADE,
                     HttpHeaderNames.EXPECT);
 
-    /** Fields that the protocol or the framing gives a meaning ahead of the body. */
+    /** Fields that must be known before the body, so they are not forwarded as trailers. */
     private static final List<CharSequence> NOT_IN_TRAILERS =
             List.of(
                     REQUEST_ID,
@@ -61,7 +62,7 @@
 
     private ProtocolHeaders() {}
 
-    /** A copy of the fields without those that concern one connection only. */
+    /** Returns a copy of the fields without the hop-by-hop fields. */
     public static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders copy = new DefaultHttpHeaders().set(headers);
         HOP_BY_HOP.forEach(copy::remove);
@@ -69,8 +70,8 @@
     }
 
     /**
-     * A copy of those trailers that are forwarded: none that the protocol or the framing gives a
-     * meaning ahead of the body.
+     * Returns a copy of the trailers that may be forwarded: without hop-by-hop fields and without
+     * fields that must be known before the body.
      */
     public static HttpHeaders forwardableTrailers(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
@@ -81,7 +82,7 @@
         return forwarded;
     }
 
-    /** The only value of a field, trimmed, or null where there is none or more than one. */
+    /** Returns the trimmed value of a field that occurs exactly once, otherwise null. */
     public static String single(HttpHeaders headers, String name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 ? values.get(0).trim() : null;
--- a/sidecar/src/main/java/sagefall/http/ResponseAggregator.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseAggregator.java
@@ -5,13 +5,13 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** Collects responses, except one that is streamed: its parts are passed on as they arrive. */
+/** Collects complete responses, but passes on the parts of a streamed response as they arrive. */
 final class ResponseAggregator extends HttpObjectAggregator {
 
     private final HttpClientConnection connection;
     private boolean streaming;
 
-    /** Collects bodies of at most so many bytes. */
+    /** Creates an aggregator that collects bodies of at most {@code maxBodyBytes}. */
     ResponseAggregator(HttpClientConnection connection, int maxBodyBytes) {
         super(maxBodyBytes);
         this.connection = connection;
--- a/sidecar/src/main/java/sagefall/http/ResponseDecoder.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.util.AsciiString;
 
 /**
- * Decodes responses, reports whether a part of a further message is buffered, and rejects a header
+ * Decodes responses, detects whether part of a further message is buffered, and rejects a header
  * line without a colon.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
@@ -18,26 +18,26 @@
         return super.createMessage(initialLine);
     }
 
-    /** A complete message has been passed on; what is decoded from now on is another one. */
+    /** Records that a message is complete, so that later input belongs to another message. */
     void messageEnded() {
         messageBegun = false;
     }
 
-    /** Whether neither a message has begun nor bytes are buffered. */
+    /** Returns whether there is neither an incomplete message nor a buffered byte. */
     boolean isEmpty() {
         return !messageBegun && actualReadableBytes() == 0;
     }
 
     /**
-     * In responses, though not in requests, Netty accepts a field name that ends with a space, and
-     * a missing colon.
+     * Splits off a field name. Unlike for requests, Netty accepts responses in which a space
+     * follows a field name or the colon is missing; this method rejects both.
      *
-     * @throws IllegalArgumentException if no colon follows the name
+     * @throws IllegalArgumentException if the name is not directly followed by a colon
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("header field name is not followed by a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -18,9 +18,9 @@
 import java.util.List;
 
 /**
- * Reports responses to the connection's listener: a collected one, and the end of a streamed one,
- * only once everything that arrived together with it has been read, because only then is it known
- * whether surplus bytes follow.
+ * Reports responses to the connection's listener. A collected response and the end of a streamed
+ * response are reported only when everything that arrived together with them has been read, because
+ * only then is it known whether surplus bytes follow.
  */
 final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -32,17 +32,17 @@
     /** Trailers while the state is {@code RESPONSE_STREAMED}, else null. */
     private HttpHeaders trailers;
 
-    /** Bytes that a streamed response may still bring. */
+    /** Number of bytes that the streamed response may still contain. */
     private long remainingStreamBytes;
 
-    /** More has arrived than one response; once true, this stays true. */
+    /** Whether more than one response, or undecodable input, has arrived; never reset. */
     private boolean surplusReceived;
 
     ResponseHandler(HttpClientConnection connection) {
         this.connection = connection;
     }
 
-    /** The message is released by the caller after this method; what outlives it is retained. */
+    /** Handles a message, which the caller releases on return; retains what is used later. */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (message instanceof FullHttpResponse response) {
@@ -58,7 +58,7 @@
         long length = HttpUtil.getContentLength(head, -1L);
         if (connection.state().hasResponse()) {
             surplusReceived = true;
-        } else if (head.decoderResult().isFailure() || !hasKnownEnd(head, length)) {
+        } else if (head.decoderResult().isFailure() || !isStreamable(head, length)) {
             context.close();
         } else {
             connection.enter(ConnectionState.STREAMING_RESPONSE);
@@ -68,10 +68,12 @@
     }
 
     /**
-     * Only a response that announces its end can be known to be complete, and one that announces
-     * more than may be streamed is not begun. The length is that of the head, or negative.
+     * Returns whether the headers of a response define where its body ends, so that completeness
+     * can be checked, and its length, if it is stated, is within the streaming limit.
+     *
+     * @param length value of {@code Content-Length}; negative if there is none
      */
-    private boolean hasKnownEnd(HttpResponse head, long length) {
+    private boolean isStreamable(HttpResponse head, long length) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (length > connection.maxStreamedBytes()) {
             return false;
@@ -92,6 +94,7 @@
         }
         remainingStreamBytes -= part.content().readableBytes();
         if (part.decoderResult().isFailure() || remainingStreamBytes < 0) {
+            // In this state, neither later parts nor the end of the response are reported.
             connection.enter(ConnectionState.AWAITING_RESPONSE);
             context.close();
             return;
@@ -111,14 +114,14 @@
         if (connection.state().hasResponse()) {
             surplusReceived = true;
         } else if (isInterim(response)) {
-            // One or more of them may precede the final response.
+            // One or more interim responses may precede the final response.
             return;
         } else if (response.decoderResult().isFailure()
                 || !context.channel().isActive()
                 || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            // A body that only the end of the connection delimits is complete where the server has
-            // announced that end (RFC 9112, 6.3); on a closed channel, as after a reset, that is
-            // not known. After a change of protocol no response comes.
+            // A body that is delimited by the end of the connection is complete after a half-close
+            // by the server (RFC 9112, 6.3); on a closed channel, as after a reset, it may be
+            // incomplete. After 101 (Switching Protocols), no HTTP response follows.
             context.close();
         } else {
             connection.enter(ConnectionState.RESPONSE_COLLECTED);
@@ -147,10 +150,10 @@
     }
 
     private void reportStreamedEnd(ChannelHandlerContext context) {
-        HttpHeaders last = trailers;
+        HttpHeaders receivedTrailers = trailers;
         trailers = null;
         connection.enter(ConnectionState.IDLE);
-        connection.listener().responseFinished(last, isClean(context));
+        connection.listener().responseFinished(receivedTrailers, isClean(context));
     }
 
     private void reportCollected(ChannelHandlerContext context) {
@@ -164,7 +167,7 @@
         }
     }
 
-    /** Whether nothing has arrived beyond the response, the end of the input included. */
+    /** Returns whether nothing arrived beyond the response, not even the end of the input. */
     private boolean isClean(ChannelHandlerContext context) {
         return !surplusReceived
                 && connection.decoder().isEmpty()
@@ -173,8 +176,8 @@
     }
 
     /**
-     * Half-open: the server has announced that nothing more comes. A response that this end
-     * completes has been reported before.
+     * Closes the connection after a half-close by the server. If the half-close completes a
+     * response, that response has already been reported.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
@@ -183,7 +186,7 @@
         }
     }
 
-    /** Input that cannot be decoded, or an I/O error: the listener learns of it by the close. */
+    /** Closes the connection after an I/O or decoding error, which notifies the listener. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         surplusReceived = true;
--- a/sidecar/src/main/java/sagefall/http/UnsolicitedInputGate.java
+++ b/sidecar/src/main/java/sagefall/http/UnsolicitedInputGate.java
@@ -5,8 +5,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Closes the connection when bytes arrive while no request is outstanding: they would be taken for
- * the response to the next request.
+ * Closes the connection when bytes arrive while no request is outstanding, because such bytes would
+ * be taken for the response to the next request.
  */
 final class UnsolicitedInputGate extends ChannelInboundHandlerAdapter {
 
@@ -16,7 +16,7 @@
         this.connection = connection;
     }
 
-    /** Takes ownership of the bytes: passes them on, or releases them. */
+    /** Passes the bytes on, or releases them if no request is outstanding. */
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
         if (connection.state().expectsInput()) {
--- a/sidecar/src/main/java/sagefall/http/package-info.java
+++ b/sidecar/src/main/java/sagefall/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 as a client: one outgoing connection with its Netty handlers, and the names of the
- * protocol's header fields. Everything runs on the event loop of the connection.
+ * An HTTP/1.1 client: one outgoing connection with its Netty handlers, and the names of the
+ * protocol's header fields. All code runs on the event loop of the connection.
  */
 package sagefall.http;
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -21,14 +21,15 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Attempts of requests at endpoints: sends, times out and cancels them, and reports each outcome to
- * the balancer once. Used on the event loop only.
+ * Sends, times out and cancels the attempts of requests at endpoints, and reports the outcome of
+ * each attempt to the balancer exactly once. Used on the event loop only.
  */
 final class AttemptForwarder implements AttemptListener {
 
     /**
-     * Answers that say to a client that a retry is harmless: only the balancer may say so, so these
-     * are not passed on from an endpoint.
+     * Statuses that a client takes as permission to retry. Only the balancer may give that
+     * permission, so an endpoint's early response to an upload is not forwarded if it has one of
+     * these statuses.
      */
     private static final Set<HttpResponseStatus> RETRYABLE_STATUSES =
             Set.of(HttpResponseStatus.TOO_MANY_REQUESTS, HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -42,7 +43,7 @@
     private final StreamedResponses streamedResponses;
     private final ConnectionPool pool;
 
-    /** Also opens the pool of connections that the attempts use. */
+    /** Creates the forwarder and the connection pool that its attempts use. */
     AttemptForwarder(
             EventLoop loop,
             WallClock clock,
@@ -60,22 +61,23 @@
         pool = new ConnectionPool(loop, clock, config, this);
     }
 
-    /** The connections that the attempts use. */
+    /** Returns the pool of the connections that the attempts use. */
     ConnectionPool pool() {
         return pool;
     }
 
-    /** Sets how answers that begin from now on are streamed. */
+    /** Sets the streaming settings for responses that begin after this call. */
     void useStreaming(StreamingSettings settings) {
         pool.setStreaming(settings.isOn());
         streamedResponses.useStreaming(settings);
     }
 
     /**
-     * Sends an attempt; nothing happens if the request is unknown.
+     * Sends an attempt; has no effect if no request with this id is in flight.
      *
-     * @param timeoutMicros time to its answer; 0 for as long as the client waits
-     * @param latestMicros from when on its first byte may not go out any more
+     * @param timeoutMicros duration after which the attempt is cancelled; 0 to wait until the
+     *     deadline of the request
+     * @param latestMicros time from which the first byte must no longer be sent
      */
     void send(String requestId, long endpoint, long timeoutMicros, long latestMicros) {
         ProxiedRequest request = requests.byId(requestId);
@@ -83,8 +85,8 @@
             return;
         }
         long now = clock.micros();
-        long giveUpAt = giveUpAt(request, now, timeoutMicros);
-        ForwardedAttempt attempt = new ForwardedAttempt(request, endpoint, now, giveUpAt);
+        long attemptDeadline = attemptDeadline(request, now, timeoutMicros);
+        ForwardedAttempt attempt = new ForwardedAttempt(request, endpoint, now, attemptDeadline);
         attempt.timeoutMicros = timeoutMicros;
         attempt.latestStartMicros = latestMicros;
         request.attempts.add(attempt);
@@ -96,20 +98,26 @@
     }
 
     private void scheduleTimeout(ForwardedAttempt attempt, long now) {
-        attempt.timeout =
+        attempt.timeoutTimer =
                 loop.schedule(
                         () -> stop(attempt, AttemptResult.TIMED_OUT),
                         attempt.giveUpAtMicros - now,
                         TimeUnit.MICROSECONDS);
     }
 
-    private static long giveUpAt(ProxiedRequest request, long now, long timeoutMicros) {
+    /** Returns the end of the timeout or the deadline of the request, whichever is earlier. */
+    private static long attemptDeadline(ProxiedRequest request, long now, long timeoutMicros) {
         return timeoutMicros == 0
                 ? request.deadlineMicros
                 : Math.min(request.deadlineMicros, now + timeoutMicros);
     }
 
-    /** Cancels the attempt with this number; nothing happens if it is unknown or has ended. */
+    /**
+     * Cancels an attempt; has no effect if the request or the attempt is unknown, or if the attempt
+     * has ended.
+     *
+     * @param number index of the attempt among the attempts of the request
+     */
     void cancel(String requestId, int number) {
         ProxiedRequest request = requests.byId(requestId);
         if (request != null && number >= 0 && number < request.attempts.size()) {
@@ -118,8 +126,9 @@
     }
 
     /**
-     * Ends an attempt that has not ended yet, and its connection. Until its last byte is written an
-     * attempt can't have run, and the balancer gets that proof in place of the given result.
+     * Ends an attempt unless it has already ended, and closes its connection. An endpoint cannot
+     * have executed a request whose last byte was not written, so the result {@code NOT_SENT} is
+     * then reported to the balancer in place of the given one.
      */
     private void stop(ForwardedAttempt attempt, AttemptResult resultIfWritten) {
         if (attempt.result == null) {
@@ -133,8 +142,9 @@
     }
 
     /**
-     * Answers a request at its deadline. The loop is late, else its attempts had ended by then and
-     * the balancer had answered it.
+     * Ends the attempts of a request whose deadline has passed and responds with 504. This method
+     * is called only if the balancer has not completed the request at its deadline, as when the
+     * event loop is late.
      */
     void expire(ProxiedRequest request) {
         List.copyOf(request.attempts).forEach(a -> stop(a, AttemptResult.TIMED_OUT));
@@ -142,8 +152,8 @@
     }
 
     /**
-     * Answers a request that the balancer has not answered and can't any more; nothing happens if
-     * it is finished.
+     * Responds to a request that the balancer will not complete. To make the balancer drop the
+     * request, a disconnect of its client is reported. Has no effect if the request is finished.
      */
     void abort(ProxiedRequest request, HttpResponseStatus status) {
         if (request.finished) {
@@ -156,7 +166,10 @@
         }
     }
 
-    /** Ends the attempts of a request whose endpoint has stopped to read or to write. */
+    /**
+     * Ends the attempts of a request whose endpoint no longer reads the request or sends the
+     * response.
+     */
     void endStalled(ProxiedRequest request) {
         for (ForwardedAttempt attempt : List.copyOf(request.attempts)) {
             if (attempt.result == null) {
@@ -171,9 +184,9 @@
     }
 
     /**
-     * Ends the attempts of a request whose client has left and whose body or answer is streamed.
-     * This holds also where attempts may not be cancelled: what is streamed has no receiver any
-     * more.
+     * Ends the attempts of a request whose client has disconnected and whose body or response is
+     * streamed. This includes attempts that the balancer would not cancel, because without the
+     * client a streamed body has no sender and a streamed response has no receiver.
      */
     void endStreams(ProxiedRequest request) {
         if (request.streamingAttempt != null) {
@@ -189,20 +202,20 @@
         return attempt.request.client.isStillWaiting();
     }
 
-    /** The time-out of an upload counts from its last byte. */
+    /** Restarts the timeout, because the timeout of an upload counts from its last byte. */
     @Override
     public void uploadWritten(ForwardedAttempt attempt) {
         long now = clock.micros();
-        attempt.timedFromMicros = now;
-        attempt.giveUpAtMicros = giveUpAt(attempt.request, now, attempt.timeoutMicros);
-        if (attempt.timeout != null) {
-            attempt.timeout.cancel(false);
+        attempt.durationStartMicros = now;
+        attempt.giveUpAtMicros = attemptDeadline(attempt.request, now, attempt.timeoutMicros);
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel(false);
         }
         scheduleTimeout(attempt, now);
     }
 
     /**
-     * @param response stays the caller's; null if there is none
+     * @param response remains owned by the connection; null if there is none
      */
     @Override
     public void attemptEnded(
@@ -216,8 +229,8 @@
             return;
         }
         attempt.result = result;
-        if (attempt.timeout != null) {
-            attempt.timeout.cancel(false);
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel(false);
         }
         if (result == AttemptResult.ERROR
                 && !attempt.written
@@ -231,7 +244,7 @@
         outcomes.report(attempt, result, report);
     }
 
-    /** Copies the response, which stays the caller's. */
+    /** Copies the response, whose ownership does not change. */
     private static ProxiedRequest.UploadRefusal copyOf(FullHttpResponse response) {
         return new ProxiedRequest.UploadRefusal(
                 response.status(),
@@ -254,7 +267,7 @@
     }
 
     /**
-     * @param part taken over
+     * @param part ownership passes to this method
      */
     @Override
     public void responsePart(ForwardedAttempt attempt, ByteBuf part) {
--- a/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
@@ -7,20 +7,20 @@
 import sagefall.logging.LogLine;
 
 /**
- * Delivers events to the load balancer. Every call into the balancer goes through here, on the
- * event loop. What it guarantees:
+ * Delivers events to the load balancer. Every event reaches the balancer through this class, on the
+ * event loop. The driver guarantees:
  *
  * <ul>
- *   <li><b>No re-entrancy.</b> An event that an action causes at once, such as an attempt that
- *       fails while it is being sent, is queued and delivered right after the event that is being
- *       delivered, never within it.
+ *   <li><b>No re-entrancy.</b> If an action of the balancer causes an event at once, such as the
+ *       failure of an attempt while it is being sent, that event is queued and delivered when the
+ *       balancer has returned from the current one.
  *   <li><b>Order.</b> Events are delivered in the order in which they are handed over, each with
  *       the time of its delivery.
- *   <li><b>What has arrived or expired goes first.</b> Before an event from outside is queued,
- *       {@link #catchUp} ends requests whose deadline has passed and reads what discovery has
- *       written. An endpoint list that has arrived counts as known, also where the loop is late and
- *       a request, an answer or a timer would be handled first.
- *   <li><b>Isolation.</b> An exception or error from the balancer costs the request that the event
+ *   <li><b>Expired deadlines and received endpoint lists first.</b> Before an event that the
+ *       balancer did not cause is queued, {@link #catchUp} ends requests whose deadline has passed
+ *       and reads what discovery has sent. So the balancer knows an endpoint list that has arrived
+ *       even if a late loop would handle a request, a response or a timer before it.
+ *   <li><b>Isolation.</b> An exception or error from the balancer aborts the request that the event
  *       concerns, and no other.
  * </ul>
  */
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Least time between two reads of discovery's connection here, beside those that the loop
-     * itself does.
+     * Shortest time between two reads of discovery's connection by {@link #catchUp}. The event loop
+     * also reads that connection itself when input arrives.
      */
     private static final long DISCOVERY_READ_INTERVAL_MICROS = 20_000;
 
@@ -50,14 +50,15 @@
     /** Whether an event is being delivered. */
     private boolean delivering;
 
+    /** Time at which {@link #catchUp} last read discovery's connection. */
     private long discoveryReadAtMicros;
 
-    /** An event, and the request that it concerns; null where it concerns none. */
+    /** An event and the request that it concerns, or null if it concerns none. */
     private record QueuedEvent(ProxiedRequest request, BalancerEvent event) {}
 
     /**
-     * @param readDiscovery reads what discovery has written and the loop has not read yet
-     * @param abortRequest gives a request whose event failed an answer, if it has none
+     * @param readDiscovery reads what discovery has sent and the loop has not read yet
+     * @param abortRequest sends the response of a request whose event failed, if none was sent
      */
     BalancerDriver(
             WallClock clock,
@@ -74,8 +75,8 @@
         this.log = log;
     }
 
-    /** Sets the balancer, once and before the first event. */
-    void drive(LoadBalancer newBalancer) {
+    /** Sets the balancer; to be called once, before the first event. */
+    void setBalancer(LoadBalancer newBalancer) {
         balancer = newBalancer;
     }
 
@@ -85,9 +86,10 @@
     }
 
     /**
-     * Delivers an event now, or right after those that are being delivered.
+     * Delivers an event at once or, if another event is being delivered, after that event and all
+     * events in the queue.
      *
-     * @param request the request that is aborted where the balancer fails; null for none
+     * @param request the request that is aborted if the balancer fails; null for none
      */
     void deliver(ProxiedRequest request, BalancerEvent event) {
         if (!delivering) {
@@ -113,8 +115,9 @@
     }
 
     /**
-     * Catches errors as widely as it does since one request must not harm the others. Lost are the
-     * rest of the event and, if the request still waits, its answer: the client gets a 500.
+     * Delivers one event. Every exception and error is caught, because a failure for one request
+     * must not affect the others. The balancer does not complete its handling of that event; if the
+     * request has no response yet, its client receives a 500.
      */
     private void deliverOne(QueuedEvent next) {
         try {
@@ -147,10 +150,11 @@
     }
 
     /**
-     * Handles what has arrived or expired and that the loop has not come to: first requests whose
-     * deadline has passed, then what discovery has written.
+     * Handles pending input and timers that the loop has not reached yet: first requests whose
+     * deadline has passed, then what discovery has sent.
      */
     void catchUp() {
+        // Records when this iteration began to read, before the handling of events delays it.
         latencyClock.earliestArrivalNanos();
         long now = clock.micros();
         deadlines.expire(now);
--- a/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
@@ -14,8 +14,8 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Takes requests from the client side, registers them and delivers them to the balancer. Used on
- * the event loop only.
+ * Receives requests from the client connections, registers them and delivers them to the balancer.
+ * Used on the event loop only.
  */
 final class BalancerRequestHandler implements RequestHandler {
 
@@ -28,7 +28,7 @@
     private StreamingSettings streaming;
 
     /**
-     * @param readiness whether a request would find an endpoint
+     * @param readiness supplies whether an endpoint is available for requests
      */
     BalancerRequestHandler(
             WallClock clock,
@@ -45,7 +45,7 @@
         this.readiness = readiness;
     }
 
-    /** Sets how requests that arrive from now on are streamed. */
+    /** Sets the streaming settings for requests that arrive after this call. */
     void useStreaming(StreamingSettings settings) {
         streaming = settings;
     }
@@ -56,7 +56,7 @@
     }
 
     /**
-     * @param http stays the caller's: its body is copied
+     * @param http remains owned by the caller: its body is copied
      */
     @Override
     public void handle(FullHttpRequest http, ProxiedRequest.Client client)
@@ -97,14 +97,14 @@
         private final long headMicros;
 
         /**
-         * @param headMicros when the head of the request was read
+         * @param headMicros time at which the head of the request was read
          */
         UploadListener(ProxiedRequest request, long headMicros) {
             this.request = request;
             this.headMicros = headMicros;
         }
 
-        /** The client's time counts from its last byte, as for a request that is not streamed. */
+        /** Moves the deadline of the request, because it counts from the last byte of the body. */
         @Override
         public void uploadComplete() {
             long now = clock.micros();
--- a/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
+++ b/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
@@ -9,9 +9,9 @@
 import sagefall.config.SidecarConfig;
 
 /**
- * Reloads the configuration of a running sidecar, off the event loop. Discovery's address in the
- * file goes before what the environment said at the start. A file that is wrong anywhere changes
- * nothing: the old configuration stays.
+ * Reloads the configuration of a running sidecar, off the event loop. On a reload, discovery's
+ * address in the file takes precedence over the one in the environment. If any file is invalid, the
+ * current configuration stays in force as a whole.
  */
 final class ConfigurationReloader {
 
@@ -19,7 +19,7 @@
     private final Map<String, String> environment;
     private final PrintStream log;
 
-    /** One thread, so that the last file read is the last one applied. */
+    /** Has one thread, so that configurations are applied in the order in which they are read. */
     private final ExecutorService readerThread =
             Executors.newSingleThreadExecutor(
                     new DefaultThreadFactory("configuration-reload", true));
@@ -30,20 +30,20 @@
         this.log = log;
     }
 
-    /** Reloads soon, after the reloads that were requested before; any thread. */
+    /** Schedules a reload, which runs after all earlier ones. May be called on any thread. */
     void requestReload() {
         readerThread.execute(this::reload);
     }
 
     /**
-     * Reads the files and hands them to the sidecar, or writes one line that says what is wrong
-     * with them. Blocks for the files; not for the event loop.
+     * Reads the files and applies them to the sidecar, or logs one line that says what is wrong
+     * with them. Blocks on file access, so it must not be called on the event loop.
      */
     void reload() {
         try {
             server.reconfigure(SidecarConfig.reread(environment));
         } catch (IOException | RuntimeException e) {
-            // Whatever is wrong with a file must not end a process that serves; lost is the reload.
+            // An invalid file must not end a serving process; only the reload is skipped.
             log.println(
                     StartupException.configurationErrorLine(e) + "; the old configuration stays");
         }
--- a/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
+++ b/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
@@ -8,10 +8,11 @@
 import java.util.function.Consumer;
 
 /**
- * Requests in flight by the time at which their clients must have an answer. The loop runs timers
- * behind all that it has read in one iteration, so where an iteration is long the nearest deadline
- * is checked before each event too. One timer for all, since nearly all requests are answered
- * before theirs would fire. Used on the event loop only.
+ * Holds unfinished requests in the order of their expiry times, and removes and reports those whose
+ * expiry time has passed. The event loop runs timers only after it has handled everything that it
+ * read in an iteration; because an iteration may be long, {@link #expire} is also called before
+ * each event. All requests share one timer, because nearly all of them complete before they expire.
+ * Used on the event loop only.
  */
 final class DeadlineTimers {
 
@@ -23,13 +24,14 @@
                     Comparator.comparingLong((ProxiedRequest r) -> r.expiresAtMicros)
                             .thenComparing(r -> r.request.id()));
 
-    /** Null while none is scheduled. */
+    /** Fires at the earliest expiry time or before; null while none is scheduled. */
     private Future<?> timer;
 
+    /** Time at which the scheduled timer fires. */
     private long timerAtMicros;
 
     /**
-     * @param onExpired gets each request whose deadline has passed, once and already removed
+     * @param onExpired receives each request whose expiry time has passed, after its removal
      */
     DeadlineTimers(EventLoop loop, WallClock clock, Consumer<ProxiedRequest> onExpired) {
         this.loop = loop;
@@ -37,7 +39,7 @@
         this.onExpired = onExpired;
     }
 
-    /** Adds a request, or moves its deadline. */
+    /** Adds a request, or changes its expiry time. */
     void set(ProxiedRequest request, long expiresAtMicros) {
         byExpiry.remove(request);
         request.expiresAtMicros = expiresAtMicros;
@@ -45,12 +47,12 @@
         schedule();
     }
 
-    /** Removes a request, if it is there. */
+    /** Removes a request; has no effect if it was not added. */
     void remove(ProxiedRequest request) {
         byExpiry.remove(request);
     }
 
-    /** Hands over all requests whose deadline has passed, the earliest first. */
+    /** Removes and reports all requests whose expiry time has passed, the earliest first. */
     void expire(long nowMicros) {
         while (!byExpiry.isEmpty() && byExpiry.first().expiresAtMicros <= nowMicros) {
             onExpired.accept(byExpiry.pollFirst());
--- a/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
@@ -6,13 +6,13 @@
 import sagefall.persistence.SnapshotStore;
 
 /**
- * Hands each endpoint list to those that persist it: this sidecar's own snapshot and the one that
- * the leader writes for all sidecars of the machine. Neither is there unless the extensions ask for
- * it. Used on the event loop only; nothing here waits for a disk.
+ * Passes each endpoint list to the stores that persist it: this sidecar's own snapshot, and the
+ * snapshot that the leader writes for all sidecars of the machine. Each of the two exists only if
+ * an extension turns it on. Used on the event loop only; no method waits for a disk.
  */
 final class EndpointRecorder {
 
-    private final EndpointListCodec lists;
+    private final EndpointListCodec codec;
 
     /** Null while persistence is off. */
     private SnapshotStore store;
@@ -20,27 +20,27 @@
     /** Null while leader election is off. */
     private SharedEndpointSnapshot sharedSnapshot;
 
-    EndpointRecorder(EndpointListCodec lists) {
-        this.lists = lists;
+    EndpointRecorder(EndpointListCodec codec) {
+        this.codec = codec;
     }
 
-    /** From now on lists go to this store too. */
+    /** Sets this sidecar's own store, which receives the lists recorded after this call. */
     void recordTo(SnapshotStore newStore) {
         store = newStore;
     }
 
-    /** From now on lists go to this snapshot too. */
+    /** Sets the shared snapshot, which receives the lists recorded after this call. */
     void recordTo(SharedEndpointSnapshot newSharedSnapshot) {
         sharedSnapshot = newSharedSnapshot;
     }
 
-    /** Records a list, complete or of changes. */
+    /** Records a complete list or a list of changes. */
     void record(EndpointList list) {
         if (store != null) {
-            store.persist(lists.toSnapshotChange(list, store.wallMillis()));
+            store.persist(codec.toSnapshotChange(list, store.wallMillis()));
         }
         if (sharedSnapshot != null) {
-            sharedSnapshot.record(lists.toSnapshotChange(list, System.currentTimeMillis()));
+            sharedSnapshot.record(codec.toSnapshotChange(list, System.currentTimeMillis()));
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
@@ -7,31 +7,31 @@
 import sagefall.proxy.upstream.ConnectionPool;
 
 /**
- * Endpoint lists on their way to the connection pool, to the balancer and to those that persist
- * them. Used on the event loop only.
+ * Passes endpoint lists to the connection pool, the balancer and the {@link EndpointRecorder}. Used
+ * on the event loop only.
  */
 final class EndpointUpdates implements DiscoveryClient.Listener {
 
     private final BalancerDriver driver;
     private final ConnectionPool pool;
     private final EndpointRecorder recorder;
-    private final Runnable discoveryAnswered;
+    private final Runnable onDiscoveryResult;
 
     /**
-     * @param discoveryAnswered runs after each list and each failure of discovery
+     * @param onDiscoveryResult runs after each list and each failure of discovery
      */
     EndpointUpdates(
             BalancerDriver driver,
             ConnectionPool pool,
             EndpointRecorder recorder,
-            Runnable discoveryAnswered) {
+            Runnable onDiscoveryResult) {
         this.driver = driver;
         this.pool = pool;
         this.recorder = recorder;
-        this.discoveryAnswered = discoveryAnswered;
+        this.onDiscoveryResult = onDiscoveryResult;
     }
 
-    /** Applies a list that was known before discovery answered. */
+    /** Passes a list to the connection pool and the balancer, without recording it. */
     void apply(EndpointListKind kind, EndpointList list) {
         pool.update(list);
         driver.deliver(
@@ -43,7 +43,7 @@
     public void listed(EndpointList list) {
         apply(list.complete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list);
         recorder.record(list);
-        discoveryAnswered.run();
+        onDiscoveryResult.run();
     }
 
     @Override
@@ -51,6 +51,6 @@
         driver.deliver(
                 (balancer, now) ->
                         balancer.onEndpointList(now, EndpointListKind.FAILED, List.of()));
-        discoveryAnswered.run();
+        onDiscoveryResult.run();
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
+++ b/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
@@ -8,42 +8,46 @@
  * Used on the event loop only.
  */
 public final class ForwardedAttempt {
-    /** The request that it belongs to. */
+    /** The request that this attempt belongs to. */
     public final ProxiedRequest request;
 
-    /** Its number among the attempts of the request, from 0. */
+    /** Index of this attempt among the attempts of the request, from 0. */
     final int number;
 
-    /** Id of the endpoint. */
+    /** Id of the endpoint that this attempt is sent to. */
     public final long endpointId;
 
-    /** From when its duration counts: when it was sent, of an upload its last byte. */
-    long timedFromMicros;
+    /**
+     * Start of the duration that is reported to the balancer: the time at which this attempt was
+     * sent or, for an upload, at which the last byte of the body was written.
+     */
+    long durationStartMicros;
 
-    /** When the sidecar gives it up. */
+    /** Deadline of this attempt, at which the sidecar ends it. */
     public long giveUpAtMicros;
 
-    /** From when on its first byte may not go out any more. */
+    /** Time from which the first byte must no longer be sent. */
     public long latestStartMicros = Long.MAX_VALUE;
 
-    /** How long the balancer lets it run; 0 for as long as the client waits. */
+    /** Timeout that the balancer set; 0 if only the deadline of the request applies. */
     long timeoutMicros;
 
-    /** Whether the last byte of the request has left: from then on it may have run. */
+    /** Whether the last byte was written, so that the endpoint may have executed the request. */
     public boolean written;
 
-    /** How it ended; null while it is in flight. */
+    /** How this attempt ended; null while it is in flight. */
     public AttemptResult result;
 
-    /** Ends it when its time is up; null where that time does not run yet. */
-    Future<?> timeout;
-
-    /** The next attempt of the request, which does not count it yet. */
-    public ForwardedAttempt(ProxiedRequest call, long server, long sentAt, long giveUpAt) {
-        this.request = call;
-        this.endpointId = server;
-        timedFromMicros = sentAt;
-        this.giveUpAtMicros = giveUpAt;
-        number = call.attempts.size();
+    /** Timer that ends this attempt at its deadline; null if it has not been started. */
+    Future<?> timeoutTimer;
+
+    /** Creates the next attempt of the request, without adding it to {@code request.attempts}. */
+    public ForwardedAttempt(
+            ProxiedRequest request, long endpointId, long sentAtMicros, long deadlineMicros) {
+        this.request = request;
+        this.endpointId = endpointId;
+        durationStartMicros = sentAtMicros;
+        giveUpAtMicros = deadlineMicros;
+        number = request.attempts.size();
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/HostActions.java
+++ b/sidecar/src/main/java/sagefall/proxy/HostActions.java
@@ -8,8 +8,8 @@
 import sagefall.discovery.DiscoveryClient;
 
 /**
- * The balancer's actions, each passed on to the part of the sidecar that carries it out. Used on
- * the event loop only.
+ * Implements the balancer's actions by passing each one to the part of the sidecar that carries it
+ * out. Used on the event loop only.
  */
 final class HostActions implements BalancerActions {
 
--- a/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * The requests that have no answer yet or have attempts that have not ended, by id and by client.
- * Used on the event loop only.
+ * Holds the requests that have not completed or whose attempts have not all ended, by id and by
+ * client. Used on the event loop only.
  */
 final class InFlightRequests {
 
     /**
-     * The balancer ends its requests at their deadline; this much later the sidecar does, so that a
-     * request is answered also where the loop is late.
+     * Time after its deadline at which the sidecar ends a request. The balancer completes requests
+     * at the deadline; the sidecar ends only those that the balancer did not complete, as when the
+     * loop is late.
      */
     private static final long DEADLINE_GRACE_MICROS = 5_000;
 
@@ -23,7 +24,7 @@
         this.deadlines = deadlines;
     }
 
-    /** Adds a request, unless one with its id is in flight already; whether it was added. */
+    /** Adds a request unless one with the same id is in flight; returns whether it was added. */
     boolean add(ProxiedRequest request) {
         if (byId.putIfAbsent(request.request.id(), request) != null) {
             return false;
@@ -32,29 +33,29 @@
         return true;
     }
 
-    /** The request with this id; null if none is in flight. */
+    /** Returns the request with this id, or null if none is in flight. */
     ProxiedRequest byId(String id) {
         return byId.get(id);
     }
 
-    /** The request that this client waits for; null if it waits for none. */
+    /** Returns the request that this client waits for, or null if it waits for none. */
     ProxiedRequest byClient(ProxiedRequest.Client client) {
         return byClient.get(client);
     }
 
-    /** From now on the request ends at its deadline; moves a deadline that was set before. */
+    /** Starts or restarts the timer that ends the request shortly after its deadline. */
     void startDeadline(ProxiedRequest request) {
         deadlines.set(request, request.deadlineMicros + DEADLINE_GRACE_MICROS);
     }
 
-    /** The deadline no longer ends the request. */
+    /** Stops the timer, so that the request does not end at its deadline. */
     void stopDeadline(ProxiedRequest request) {
         deadlines.remove(request);
     }
 
     /**
-     * Nothing is owed to the client any more: it has its answer, or it has left. The request stays
-     * until its attempts have ended.
+     * Marks a request as finished, because its response has been sent or its client has
+     * disconnected. The request stays registered by its id until its attempts have ended.
      */
     void finish(ProxiedRequest request) {
         request.finished = true;
@@ -66,7 +67,7 @@
         removeIfComplete(request);
     }
 
-    /** Removes a request that is finished and has no attempt in flight. */
+    /** Removes a request if it is finished and has no attempt in flight. */
     void removeIfComplete(ProxiedRequest request) {
         if (request.finished && request.attemptsInFlight == 0) {
             byId.remove(request.request.id(), request);
--- a/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -16,18 +16,17 @@
 import sagefall.proxy.downstream.DownstreamListener;
 
 /**
- * Made-up requests before the first real one, so that the runtime has loaded and compiled the code
- * that requests use: a second {@link SidecarServer} between {@link WarmUpClient}s and a {@link
- * WarmUpService}, which stands for all of its endpoints behind the address that the real sidecar
- * will listen on. Nothing of it outlasts the warm-up but compiled code, and nothing leaves the
- * process.
+ * Sends artificial requests before the sidecar serves, so that the JVM has loaded and compiled the
+ * code that handles requests. A temporary {@link SidecarServer} runs between {@link WarmUpClient}s
+ * and a {@link WarmUpService}; the service listens on the address of the real sidecar and acts as
+ * all endpoints. Only compiled code remains after the warm-up, and no request leaves the process.
  *
- * <p>Without it a sidecar is open to all of its clients while each of their requests costs tens of
- * times its usual CPU time and the compiler takes half of what there is; what then waits is late,
- * is retried, and keeps the process busy for seconds. That holds for whatever is scarce at the
- * start, be it the share of a core or a busy neighbour. Harm: the time that it takes is added to
- * the time that a restart takes, so it ends by the clock as well as by count; meanwhile {@code
- * /healthz} answers 503.
+ * <p>Without a warm-up, a sidecar accepts all of its clients while each request costs tens of times
+ * its usual CPU time and the JIT compiler takes half of the available CPU time. Waiting requests
+ * are then late and are retried, which keeps the process busy for seconds. This occurs whenever CPU
+ * time is scarce at the start, because the process has a small share of a core or because other
+ * processes are busy. The warm-up prolongs a restart, so it is limited in time as well as in the
+ * number of requests; while it runs, {@code /healthz} responds with 503.
  */
 final class JvmWarmUp implements WarmUpClient.Progress {
 
@@ -35,7 +34,7 @@
     private static final int CLIENTS = 4;
     private static final int MAX_CONNECTIONS = 128;
 
-    /** Enough for the loop to begin another iteration. */
+    /** Delay after which the loop has begun another iteration. */
     private static final long LOOP_ITERATION_MILLIS = 1;
 
     private static final long LOOP_SHUTDOWN_SECONDS = 1;
@@ -48,10 +47,10 @@
     private final WarmUpService service;
     private final DownstreamListener listener;
 
-    /** Open until enough requests are answered, or the warm-up cannot start. */
+    /** Counted down when enough requests have completed, or when the address cannot be bound. */
     private final CountDownLatch ended = new CountDownLatch(1);
 
-    private int answered;
+    private int completedRequests;
     private boolean closing;
 
     private JvmWarmUp(
@@ -66,14 +65,15 @@
     }
 
     /**
-     * Sends so many requests, or as many as there is time for. Blocks; its sockets are closed when
-     * it returns.
+     * Runs a warm-up with the given configuration until enough requests have completed or the
+     * timeout has passed. Blocks; all sockets of the warm-up are closed when this method returns.
      *
-     * @return how many were answered
+     * @param requestCount number of responses after which the warm-up ends
+     * @return the number of requests that received a response
      */
     static int run(SidecarConfig config, int requestCount, long timeoutMillis)
             throws InterruptedException {
-        // A loop of its own: with it go all connections and timers of the warm-up.
+        // Shutting down this separate loop ends all connections and timers of the warm-up.
         LoopLatencyClock latencyClock = new LoopLatencyClock();
         var group = latencyClock.group();
         JvmWarmUp warmUp = new JvmWarmUp(group.next(), latencyClock, config, requestCount);
@@ -83,7 +83,7 @@
             CountDownLatch closed = new CountDownLatch(1);
             warmUp.loop.execute(() -> warmUp.close(closed::countDown));
             closed.await();
-            return warmUp.answered;
+            return warmUp.completedRequests;
         } finally {
             group.shutdownGracefully(0, LOOP_SHUTDOWN_SECONDS, TimeUnit.SECONDS).await();
         }
@@ -102,8 +102,8 @@
     }
 
     /**
-     * The kernel lets go of the address only when the selector, in a later iteration of the loop,
-     * has let go of the listening socket.
+     * Closes the listener and runs the task once the address is free. The selector deregisters the
+     * listening socket in a later loop iteration, and only then does the kernel free the address.
      */
     private void close(Runnable closed) {
         closing = true;
@@ -146,9 +146,9 @@
     }
 
     @Override
-    public boolean onAnswered() {
-        answered++;
-        if (answered >= requestCount) {
+    public boolean onResponse() {
+        completedRequests++;
+        if (completedRequests >= requestCount) {
             ended.countDown();
             return false;
         }
--- a/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
+++ b/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
@@ -18,13 +18,13 @@
 import sagefall.logging.LogLine;
 
 /**
- * This process's part in the leader election among the sidecars of a machine: the leader writes the
- * endpoint snapshot that all of them share. The election runs on a thread of its own; no request
+ * Takes part in the leader election among the sidecars of a machine. The leader writes the endpoint
+ * snapshot that all of these sidecars share. The election runs on a thread of its own; no request
  * waits for it.
  */
 final class LeaderElectionService implements AutoCloseable {
 
-    /** Longest that the start waits for the lease directory: a stalled disk delays it no more. */
+    /** Longest time that the start waits for the lease directory, in case the disk stalls. */
     private static final long OPEN_TIMEOUT_MILLIS = 250;
 
     private final PublishedSnapshot snapshotAtStart;
@@ -40,14 +40,14 @@
         this.elector = elector;
     }
 
-    /** A store that could be opened, and the snapshot in it; null where it could not be read. */
+    /** An open lease store, and the snapshot in it; the snapshot is null if it is unreadable. */
     private record OpenedStore(LeaseStore store, PublishedSnapshot snapshot) {}
 
     /**
-     * Reads the shared snapshot and becomes a candidate. Blocks for a bounded time; not for the
-     * event loop.
+     * Reads the shared snapshot and becomes a candidate. Blocks for a bounded time, so it must not
+     * be called on the event loop.
      *
-     * @return null where the lease directory cannot be used, which is logged
+     * @return null if the lease directory cannot be used, which is logged
      */
     static LeaderElectionService start(SidecarConfig config, WallClock clock, Consumer<String> log)
             throws InterruptedException {
@@ -61,7 +61,8 @@
             logUnavailable(StartupException.oneLine(e), log);
             return null;
         } catch (TimeoutException e) {
-            logUnavailable("no answer within " + OPEN_TIMEOUT_MILLIS + " ms", log);
+            logUnavailable(
+                    "lease directory not available within " + OPEN_TIMEOUT_MILLIS + " ms", log);
             return null;
         }
         SharedEndpointSnapshot snapshot = new SharedEndpointSnapshot();
@@ -102,22 +103,25 @@
         }
     }
 
-    /** A name that no other process has or had: the sidecar's, its process id and its start. */
+    /** Builds a unique name from the sidecar's name, the process id and the current time. */
     private static String candidateName(SidecarConfig config, WallClock clock) {
         return config.name() + "#" + ProcessHandle.current().pid() + "#" + clock.micros();
     }
 
-    /** What the leader had written when this process started; null where there was nothing. */
+    /** Returns the shared snapshot that was read at the start, or null if there was none. */
     PublishedSnapshot snapshotAtStart() {
         return snapshotAtStart;
     }
 
-    /** The snapshot that this process writes while it is leader. */
+    /** Returns the shared snapshot, which this process writes while it is the leader. */
     SharedEndpointSnapshot snapshot() {
         return snapshot;
     }
 
-    /** Gives the lease back, if this process holds it; blocks for a bounded time. Any thread. */
+    /**
+     * Releases the lease if this process holds it. Blocks for a bounded time; may be called on any
+     * thread.
+     */
     @Override
     public void close() {
         elector.close();
--- a/sidecar/src/main/java/sagefall/proxy/LifecycleState.java
+++ b/sidecar/src/main/java/sagefall/proxy/LifecycleState.java
@@ -1,21 +1,21 @@
 package sagefall.proxy;
 
 /**
- * Where a {@link SidecarServer} stands between its construction and its end. All transitions that
- * exist are in {@link #canBecome}; a state only ever moves forward.
+ * The life cycle of a {@link SidecarServer}. All transitions are listed in {@link #canBecome}; no
+ * transition leads back to an earlier state.
  */
 enum LifecycleState {
-    /** Built, with nothing delivered to the balancer and no socket open. */
+    /** Constructed; no endpoint list has been delivered to the balancer, and no socket is open. */
     CREATED,
-    /** The initial endpoint list is delivered; the first answer of discovery is awaited. */
+    /** The initial endpoint list has been delivered; the first result of discovery is awaited. */
     AWAITING_ENDPOINTS,
     /** The listening socket is being bound. */
     BINDING,
-    /** Clients are accepted. */
+    /** Client connections are accepted. */
     SERVING,
     /** The listening socket could not be bound. */
     FAILED,
-    /** Requests in flight are answered, and clients that still connect; no others. */
+    /** Shutting down: requests in flight, and those of newly connected clients, are completed. */
     DRAINING,
     /** Every connection is closed. */
     STOPPED;
@@ -32,9 +32,9 @@
     }
 
     /**
-     * The given state, if it may follow this one.
+     * Returns the given state if this state may change to it.
      *
-     * @throws IllegalStateException if it may not; the message names both states
+     * @throws IllegalStateException if there is no such transition; the message names both states
      */
     LifecycleState transitionTo(LifecycleState next) {
         if (!canBecome(next)) {
@@ -43,7 +43,7 @@
         return next;
     }
 
-    /** Whether the end has begun. */
+    /** Returns whether the shutdown has begun or is complete. */
     boolean isStopping() {
         return this == DRAINING || this == STOPPED;
     }
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -7,54 +7,66 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Since when what an iteration of an event loop reads may have waited. A client's time counts from
- * its last byte, and the loop reads that byte only in its next iteration: where an iteration is
- * long, as under a burst or with little of a core, that is much of a deadline, and counted from the
- * reading the answer would come too late.
+ * Estimates the earliest time at which the input that an event loop iteration reads can have
+ * arrived. The deadline of a request counts from its last byte, but the loop reads that byte only
+ * in its next iteration. If an iteration is long, as in a burst or with a small share of a core,
+ * this delay is a large fraction of the time until the deadline; if the deadline counted from the
+ * read, the response would be too late.
  *
- * <p>What is there when an iteration begins has arrived since the one before began. Where the loop
- * had to sleep for it, it has arrived only now; but a sleep that was shorter than the iteration
- * before looks the same as a select that found something, and as the compiler having the core.
- * Harm: what arrived at the end of a long iteration, or soon after, counts as as old as that
- * iteration, and what arrives at an idle process that is not swept for longer than it is.
+ * <p>Input that is present when an iteration begins has arrived since the previous iteration began.
+ * If the loop had to sleep until there was input, the input has just arrived; but a sleep that was
+ * shorter than the previous iteration cannot be distinguished from a select that found input at
+ * once, nor from the JIT compiler occupying the core. The estimate is too early in two cases: input
+ * that arrived at the end of a long iteration, or soon after it, is taken to be as old as that
+ * iteration; and if no periodic sweep of the client connections wakes the loop, input that arrives
+ * after a long sleep is taken to be as old as that sleep.
  *
  * <p>Used on the event loop only.
  */
 public final class LoopLatencyClock implements SelectStrategy {
 
+    /** A shorter time between the select and the first read is not taken for a sleep. */
     private static final long SHORTEST_SLEEP_NANOS = 2_000_000;
 
     /**
-     * Connections are swept every 25 ms: a loop that begins so much later has been stopped, not
-     * asleep.
+     * A longer time between the select and the first read is not taken for a sleep: the periodic
+     * sweep of the client connections wakes the loop every 25 ms, so the process must have been
+     * stopped meanwhile.
      */
     private static final long LONGEST_SLEEP_NANOS = 50_000_000;
 
     private long iteration;
 
-    /** Whether the current iteration has read something. */
+    /** Whether the current iteration has read input. */
     private boolean reading = true;
 
+    /**
+     * Time at which the current iteration began to read or, if the process was stopped before that,
+     * to select.
+     */
     private long readingSinceNanos = System.nanoTime();
 
     private long earliestArrivalNanos = readingSinceNanos;
 
-    /** When the iteration before began to read. */
+    /** Time at which the previous iteration began to read or, if it read nothing, to select. */
     private long previousSinceNanos = readingSinceNanos;
 
-    /** When the current iteration began to select, which is when the one before ended. */
+    /** Time at which the current iteration began to select and the previous one ended. */
     private long selectingSinceNanos = readingSinceNanos;
 
-    /** A new event loop, whose iterations this clock measures from now on. */
+    /** Creates an event loop group with one loop, whose iterations this clock measures. */
     MultiThreadIoEventLoopGroup group() {
         return new MultiThreadIoEventLoopGroup(
                 1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> this));
     }
 
-    /** Called by the loop at the beginning of each iteration; as Netty's default strategy. */
+    /**
+     * Records the beginning of an iteration and selects as Netty's default strategy does. The loop
+     * calls this method at the beginning of each iteration.
+     */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        // An iteration that read nothing may have had long tasks all the same.
+        // An iteration that read nothing may have run long tasks: it is measured from its select.
         iteration++;
         previousSinceNanos = reading ? readingSinceNanos : selectingSinceNanos;
         reading = false;
@@ -62,14 +74,14 @@
         return hasTasks ? selectNow.get() : SELECT;
     }
 
-    /** Number of the current iteration, counted from the start. */
+    /** Returns the number of iterations that have begun since the start. */
     public long turnNumber() {
         return iteration;
     }
 
     /**
-     * The earliest time at which what is read now can have arrived, on the clock of {@code
-     * System.nanoTime()}.
+     * Returns the earliest time at which the input that is being read can have arrived, on the
+     * clock of {@code System.nanoTime()}.
      */
     public long earliestArrivalNanos() {
         if (!reading) {
--- a/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
+++ b/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
@@ -5,8 +5,8 @@
 import sagefall.balancer.api.LoadReport;
 
 /**
- * Reports the outcome of each attempt to the balancer, and lets go of the request with its last
- * attempt. Used on the event loop only.
+ * Reports the outcome of each attempt to the balancer, and removes a finished request after its
+ * last attempt. Used on the event loop only.
  */
 final class OutcomeReporter {
 
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Reports how an attempt ended; after the client has got its answer, if this attempt brought
-     * it.
+     * Reports how an attempt ended. If the response to the client comes from this attempt, it must
+     * be sent before this call.
      *
-     * @param report the endpoint's load report; null where there was none
+     * @param report the endpoint's load report; null if there was none
      */
     void report(ForwardedAttempt attempt, AttemptResult result, LoadReport report) {
         ProxiedRequest request = attempt.request;
@@ -36,7 +36,7 @@
                                         attempt.number,
                                         attempt.endpointId,
                                         result,
-                                        now - attempt.timedFromMicros,
+                                        now - attempt.durationStartMicros,
                                         request.finished,
                                         report)));
         requests.removeIfComplete(request);
--- a/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -13,38 +13,38 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * A client's request, from its last byte, or the head of a streamed upload, until it is answered
- * and its attempts have ended. Used on the event loop only.
+ * A client's request. It exists from its last byte (or from the head of a streamed upload) until it
+ * has completed and its attempts have ended. Used on the event loop only.
  */
 public final class ProxiedRequest {
 
-    /** The client's connection, which waits for the answer. */
+    /** The client's side of a request: sends the response on the client's connection. */
     public interface Client {
         /**
-         * Whether it still waits. Reads first what has come from it so far, the end of the
-         * connection included.
+         * Returns whether the client still waits for the response. Reads its connection first, so
+         * that a disconnect which has already arrived is noticed.
          */
         default boolean isStillWaiting() {
             return true;
         }
 
-        /** How long the request may have waited to be read, in microseconds. */
+        /** Returns the longest time that the request can have been unread, in microseconds. */
         default long waitedMicros() {
             return 0;
         }
 
         /**
-         * Sends a complete answer.
+         * Sends a complete response.
          *
-         * @param content taken over
+         * @param content ownership passes to this method
          */
         void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
         /**
-         * Sends the head of an answer of status 200 whose body is streamed.
+         * Sends the head of a response of status 200 whose body is streamed.
          *
-         * @param length of the body; negative where it is not known yet
-         * @param source lets the client stop the endpoint from sending, and let it go on
+         * @param length length of the body in bytes; negative if it is not known yet
+         * @param source pauses and resumes reading from the endpoint
          */
         default void startStreamedResponse(
                 HttpHeaders headers,
@@ -57,27 +57,27 @@
         /**
          * Sends a part of a streamed body; {@link #flush} follows.
          *
-         * @param part taken over
+         * @param part ownership passes to this method
          */
         default void writeBody(ByteBuf part) {
             part.release();
         }
 
-        /** All parts that arrived together have been handed over. */
+        /** Flushes the written parts; called once for all parts that arrived together. */
         default void flush() {}
 
         /**
-         * Ends a streamed answer.
+         * Ends a streamed response.
          *
-         * @param taken runs once the client has received all of it
+         * @param onWritten runs once the whole response has been written to the client's socket
          */
-        default void endStreamedResponse(HttpHeaders trailers, Runnable taken) {}
+        default void endStreamedResponse(HttpHeaders trailers, Runnable onWritten) {}
 
-        /** Ends a streamed answer so that the client sees that it is not complete. */
+        /** Ends a streamed response in a way that shows the client that it is not complete. */
         default void abortResponse() {}
     }
 
-    /** What the balancer knows of it. */
+    /** The description of this request that the balancer receives. */
     final Request request;
 
     /** Method of the request line. */
@@ -89,48 +89,51 @@
     /** Headers as the client sent them. */
     public final HttpHeaders headers;
 
-    /** The body; null where it is streamed. */
+    /** The body; null if it is streamed. */
     public final byte[] body;
 
-    /** The body where it is streamed, else null. */
+    /** The body if it is streamed, otherwise null. */
     public final StreamedUpload upload;
 
-    /** Largest answer that is streamed, in bytes; 0 where answers are collected. */
+    /** Largest response that is streamed, in bytes; 0 if responses are collected. */
     public final long maxStreamedBytes;
 
-    /** Where the answer goes. */
+    /** Sends the response of this request. */
     final Client client;
 
-    /** By number, those that have ended included. */
+    /** All attempts, including those that have ended, indexed by their number. */
     final List<ForwardedAttempt> attempts = new ArrayList<>(2);
 
-    /** Attempts that have not ended. */
+    /** Number of attempts that have not ended. */
     int attemptsInFlight;
 
-    /** Nothing is owed any more: it has its one answer, or the client has left. */
+    /** Whether the one final response has been sent, or the client has disconnected. */
     public boolean finished;
 
-    /** How an endpoint failed an upload before it was complete; null where none did. */
+    /** Error response of an endpoint to an incomplete upload; null if there was none. */
     UploadRefusal uploadRefusal;
 
-    /** The attempt whose answer is streamed to the client; null while there is none. */
+    /** The attempt whose response is streamed to the client; null while there is none. */
     ForwardedAttempt streamingAttempt;
 
-    /** The load report that came with the streamed answer; null where there was none. */
+    /** The load report of the streamed response; null if there was none. */
     LoadReport streamedLoadReport;
 
     /**
-     * Until when the client waits, in microseconds; of an upload it is moved when the last byte has
-     * come.
+     * Deadline of this request, in microseconds; for an upload, it is moved when the last byte has
+     * arrived.
      */
     long deadlineMicros;
 
-    /** When {@link DeadlineTimers} ends it, while it is there. */
+    /** Expiry time, used by {@link DeadlineTimers} while it holds this request. */
     long expiresAtMicros;
 
     /**
-     * @param body null where the body is streamed
-     * @param upload null where it is not
+     * Creates a request without attempts.
+     *
+     * @param body null if the body is streamed
+     * @param upload null if the body is not streamed
+     * @param maxStreamedBytes largest response that is streamed, in bytes; 0 to collect responses
      */
     public ProxiedRequest(
             Request request,
@@ -139,12 +142,12 @@
             HttpHeaders headers,
             byte[] body,
             StreamedUpload upload,
-            long mostStreamed,
+            long maxStreamedBytes,
             Client client) {
         this.request = request;
         deadlineMicros = request.deadlineMicros();
         this.upload = upload;
-        this.maxStreamedBytes = mostStreamed;
+        this.maxStreamedBytes = maxStreamedBytes;
         this.method = method;
         this.uri = uri;
         this.headers = headers;
@@ -152,6 +155,6 @@
         this.client = client;
     }
 
-    /** An endpoint's answer to an upload that it does not want; the content is a copy. */
+    /** An endpoint's error response to an upload that was not complete; the content is a copy. */
     record UploadRefusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 }
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -14,10 +14,10 @@
 import sagefall.proxy.upstream.ConnectionPool;
 
 /**
- * The endpoints that a sidecar starts with: those of its configuration, and what was persisted
- * before. This sidecar's own snapshot may add endpoints while it is fresh; an old one, and the one
- * that the sidecars of a machine share, only keep the balancer away from endpoints that had left.
- * Used on the event loop only.
+ * Delivers the endpoints that a sidecar starts with: those of its configuration and those of
+ * persisted snapshots. This sidecar's own snapshot may add endpoints while it is fresh. If it is
+ * older, it only keeps the balancer from using endpoints that had been removed; so does the
+ * snapshot that the sidecars of a machine share. Used on the event loop only.
  */
 final class RecoveryStartup {
 
@@ -32,10 +32,10 @@
     /** Null while persistence is off. */
     private SnapshotStore store;
 
-    /** What an earlier incarnation persisted; null where nothing could be read. */
+    /** The snapshot of an earlier incarnation; null if it could not be read. */
     private EndpointSnapshot persisted;
 
-    /** What the leader had written at the start; null where there is none. */
+    /** The snapshot that the leader had written before the start; null if there is none. */
     private PublishedSnapshot shared;
 
     RecoveryStartup(
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Sets this sidecar's own store, before the initial endpoints are delivered.
+     * Sets this sidecar's own store; to be called before the initial endpoints are delivered.
      *
-     * @param snapshot what it holds; null where it could not be read in time
+     * @param snapshot content of the store; null if it could not be read in time
      */
     void recoverFrom(SnapshotStore newStore, EndpointSnapshot snapshot) {
         store = newStore;
@@ -66,14 +66,16 @@
     }
 
     /**
-     * Sets the snapshot that the sidecars of the machine share, before the initial endpoints are
-     * delivered; null where there is none.
+     * Sets the snapshot that the sidecars of the machine share; to be called before the initial
+     * endpoints are delivered.
+     *
+     * @param snapshot null if there is none
      */
     void recoverFrom(PublishedSnapshot snapshot) {
         shared = snapshot;
     }
 
-    /** Delivers to the balancer what was persisted, if anything was, and then its first list. */
+    /** Delivers the persisted endpoints, if there are any, and then the configured ones. */
     void deliverInitialEndpoints() {
         EndpointList configured = config.configuredEndpoints();
         if (persisted != null && persisted.revision() > 0) {
@@ -112,7 +114,7 @@
                                 EndpointListKind.CACHED,
                                 configured.revision(),
                                 configured.endpoints()));
-        // Discovery may be behind what was persisted, so its changes alone would not do.
+        // Discovery may be at an older revision than the snapshot, so changes are not enough.
         discovery.requireCompleteList();
         if (configured.revision() >= recovered.revision()) {
             recorder.record(configured);
@@ -131,7 +133,10 @@
         log.accept(describe(line, "known_", configured).toString());
     }
 
-    /** The shared snapshot only restricts: another sidecar's list has another's addresses. */
+    /**
+     * Delivers the shared snapshot as not fresh, so that it adds no endpoint to the balancer: its
+     * list, including the addresses, comes from another sidecar.
+     */
     private void recoverShared() {
         EndpointList recovered = config.endpointListCodec().fromSnapshot(shared.snapshot());
         log.accept(
--- a/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
+++ b/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
@@ -3,18 +3,18 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP, which ends the runtime by default. The platform has no supported interface for
- * signals; the unsupported one is reached by reflection, since a mention of it in the source is a
- * compiler warning that nothing suppresses.
+ * Handles SIGHUP, which terminates the JVM by default. Java has no supported API for signals. The
+ * unsupported one is accessed by reflection, because a direct use of it causes a compiler warning
+ * that cannot be suppressed.
  */
 final class ReloadSignal {
 
     private ReloadSignal() {}
 
     /**
-     * From now on each SIGHUP runs the task, on a thread of its own.
+     * Installs a handler that runs the task on each SIGHUP, on a thread of its own.
      *
-     * @throws ReflectiveOperationException if the runtime offers no signals
+     * @throws ReflectiveOperationException if the JVM does not support signal handlers
      */
     static void handle(Runnable task) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
@@ -23,6 +23,7 @@
                 Proxy.newProxyInstance(
                         ReloadSignal.class.getClassLoader(),
                         new Class<?>[] {handler},
+                        // The proxy also receives the methods of Object.
                         (self, method, arguments) ->
                                 switch (method.getName()) {
                                     case "handle" -> {
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -11,8 +11,8 @@
 import sagefall.http.ProtocolHeaders;
 
 /**
- * Writes the one answer of a request: an endpoint's, a rejection or a failure. A request that is
- * finished gets no further answer. Used on the event loop only.
+ * Sends the one final response of a request: a forwarded response, a rejection or a failure. No
+ * further response is sent for a finished request. Used on the event loop only.
  */
 final class ResponseWriter {
 
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Answers with 200 and what an endpoint answered, without the headers that concern one
-     * connection or the endpoint's load.
+     * Responds with 200, the body of an endpoint's response, and its headers except the hop-by-hop
+     * headers and the load report.
      *
-     * @param response stays the caller's: its content is retained for the client
+     * @param response remains owned by the caller: its content is retained for the client
      */
     void forward(ProxiedRequest request, FullHttpResponse response) {
         HttpHeaders headers = ProtocolHeaders.endToEnd(response.headers());
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Answers with 503.
+     * Responds with 503.
      *
-     * @param retryAfterMicros goes into {@code Retry-After}, in seconds with milliseconds; 0 for no
-     *     such header
+     * @param retryAfterMicros value of the header {@code Retry-After}, which is written in seconds
+     *     and at least 1 ms; 0 to omit the header
      */
     void reject(String requestId, long retryAfterMicros) {
         HttpHeaders headers = new DefaultHttpHeaders();
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Answers a request whose attempts have failed: with what an endpoint said of its upload, else
-     * with 504 if an attempt timed out and 502 if none did.
+     * Responds to a request whose attempts have failed: with the error response of an endpoint to
+     * its upload if there is one, otherwise with 504 if an attempt timed out and 502 if none did.
      */
     void fail(String requestId) {
         ProxiedRequest request = requests.byId(requestId);
@@ -79,15 +79,15 @@
                 new DefaultHttpHeaders());
     }
 
-    /** Answers without a body, unless the request is null or finished. */
+    /** Sends a response without a body, unless the request is null or finished. */
     void write(ProxiedRequest request, HttpResponseStatus status, HttpHeaders headers) {
         write(request, status, headers, Unpooled.EMPTY_BUFFER);
     }
 
     /**
-     * Answers, unless the request is null or finished.
+     * Sends a response, unless the request is null or finished.
      *
-     * @param content taken over: passed on to the client, or released where there is no answer
+     * @param content ownership passes to this method; released if no response is sent
      */
     private void write(
             ProxiedRequest request,
--- a/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
@@ -15,27 +15,31 @@
 import sagefall.persistence.SnapshotStore;
 
 /**
- * The process of a sidecar: reads the configuration, warms up the runtime, starts the {@link
- * SidecarServer} and ends it when the platform says so.
+ * Runs the process of a sidecar: reads the configuration, warms up the JVM, starts the {@link
+ * SidecarServer} and stops it when the process is terminated.
  */
 public final class SidecarProcess {
 
-    /** Exit code of a process that has served until it was terminated. */
+    /** Exit code after a shutdown that was requested by a signal. */
     private static final int EXIT_CODE_OK = 0;
 
     /**
-     * Requests of the warm-up, and the time since the start at which it ends all the same, so that
-     * a restart is ready within 10 s: with a seventh of a core it then comes to a third of them,
-     * which cost the most. A limit of its own of 1.5 s left such a process cold, and its clients'
-     * requests unread for a second.
+     * Number of warm-up requests. With a seventh of a core, only a third of them complete before
+     * {@link #WARM_UP_END_MILLIS}; the first requests are the ones that cost the most CPU time.
      */
     private static final int WARM_UP_REQUESTS = 250;
 
+    /**
+     * Time since the start of the process at which the warm-up ends even if requests remain, so
+     * that a restarted sidecar is ready within 10 s. When the warm-up was limited to 1.5 s of its
+     * own, a process with a seventh of a core was still so cold afterwards that requests stayed
+     * unread for a second.
+     */
     private static final long WARM_UP_END_MILLIS = 6_000;
 
     /**
-     * Longest that the start waits for the persisted snapshot after the warm-up, during which it is
-     * read: a stalled disk delays the start no more than this.
+     * Longest time that the start waits for the persisted snapshot after the warm-up. The snapshot
+     * is read during the warm-up, so there is a wait only if the disk stalls.
      */
     private static final long SNAPSHOT_TIMEOUT_MILLIS = 250;
 
@@ -50,7 +54,10 @@
      */
     private volatile SnapshotStore snapshotStore;
 
-    /** The same; null while leader election is off or unavailable. */
+    /**
+     * Written by the main thread and closed by the shutdown hook; null while leader election is off
+     * or unavailable.
+     */
     private volatile LeaderElectionService leaderElection;
 
     private SidecarProcess(long startedAtNanos, SidecarConfig config, PrintStream log)
@@ -69,9 +76,10 @@
     /**
      * Runs a sidecar until the process is terminated.
      *
-     * @param environment the variables {@code LB_*}
-     * @param log where all lines for operators go
-     * @return the exit code: 2 for a wrong configuration, 1 where the sidecar could not start
+     * @param environment the environment variables {@code LB_*}
+     * @param log destination of all log lines
+     * @return the exit code: 0 after a shutdown, 2 for an invalid configuration, 1 if the sidecar
+     *     could not start
      */
     public static int run(Map<String, String> environment, PrintStream log) {
         long startedAtNanos = System.nanoTime();
@@ -134,7 +142,11 @@
         }
     }
 
-    /** Begins to read what was persisted, beside the warm-up; null while persistence is off. */
+    /**
+     * Opens the store, which reads the persisted snapshot in the background.
+     *
+     * @return null if persistence is off
+     */
     private SnapshotStore openSnapshotStore() {
         PersistenceSettings settings = config.extensions().persistence();
         return settings.isOn() ? new SnapshotStore(settings, config.name(), server::log) : null;
@@ -169,8 +181,8 @@
     }
 
     /**
-     * Answers what is in flight, gives the lease back and writes what is still to be persisted. On
-     * the thread of the shutdown hook.
+     * Completes the requests in flight, releases the lease and writes what is still to be
+     * persisted. Runs on the thread of the shutdown hook.
      */
     private void shutDown() {
         loop.execute(() -> server.stop(stopped::countDown));
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -28,9 +28,9 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * One sidecar: its parts, put together, and its lifecycle from the initial endpoint list to the
- * last closed connection, as a {@link LifecycleState}. All of it runs on one event loop; methods
- * are called on that loop unless they say otherwise.
+ * Assembles the parts of one sidecar and controls its life cycle, from the initial endpoint list to
+ * the last closed connection, as a {@link LifecycleState}. The sidecar runs on one event loop;
+ * methods must be called on that loop unless their documentation says otherwise.
  */
 final class SidecarServer {
 
@@ -47,7 +47,7 @@
     private final BalancerRequestHandler requestHandler;
     private final DownstreamListener listener;
 
-    /** Completes with the address once clients can connect. */
+    /** Completes with the listening address once clients can connect. */
     private final CompletableFuture<InetSocketAddress> started = new CompletableFuture<>();
 
     private LifecycleState state = LifecycleState.CREATED;
@@ -58,15 +58,15 @@
     }
 
     /**
-     * @param latencyClock the one of the loop's group
-     * @param balancers makes the load balancer; tests bring their own
+     * @param latencyClock the clock that measures the iterations of the loop
+     * @param balancerFactory creates the load balancer; tests pass their own
      */
     SidecarServer(
             EventLoop loop,
             LoopLatencyClock latencyClock,
             SidecarConfig config,
             PrintStream logStream,
-            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers) {
+            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancerFactory) {
         this.loop = loop;
         this.config = config;
         log = line -> logStream.println(config.name() + " " + line);
@@ -98,7 +98,7 @@
                         loop, latencyClock, requestHandler, config.maxClientConnections(), log);
         HostActions actions =
                 new HostActions(loop, clock, driver, forwarder, responses, discovery, log);
-        driver.drive(balancers.apply(config.settings(), actions));
+        driver.setBalancer(balancerFactory.apply(config.settings(), actions));
         applyExtensions(config.extensions());
     }
 
@@ -125,7 +125,7 @@
         forwarder.abort(request, HttpResponseStatus.INTERNAL_SERVER_ERROR);
     }
 
-    /** Requests that began under other extensions end under them. */
+    /** Applies extensions to new requests; requests in flight keep their earlier settings. */
     private void applyExtensions(Extensions extensions) {
         StreamingSettings streaming = extensions.streaming();
         requestHandler.useStreaming(streaming);
@@ -135,7 +135,10 @@
         driver.deliver((balancer, now) -> balancer.onBufferLimit(now, bufferLimit));
     }
 
-    /** Applies discovery's address and the extensions of a configuration; any thread. */
+    /**
+     * Applies discovery's address and the extensions of a configuration. May be called on any
+     * thread.
+     */
     void reconfigure(SidecarConfig newConfig) {
         loop.execute(
                 () -> {
@@ -145,9 +148,10 @@
     }
 
     /**
-     * Sets where lists are persisted and what an earlier incarnation left there; before the start.
+     * Sets the store in which endpoint lists are persisted, and the snapshot that an earlier
+     * incarnation wrote there; to be called before the start.
      *
-     * @param snapshot null where it could not be read in time
+     * @param snapshot null if it could not be read in time
      */
     void usePersistence(SnapshotStore store, EndpointSnapshot snapshot) {
         recovery.recoverFrom(store, snapshot);
@@ -155,35 +159,37 @@
     }
 
     /**
-     * Sets the snapshot that the sidecars of a machine share; before the start.
+     * Sets the snapshot that the sidecars of a machine share; to be called before the start.
      *
-     * @param snapshotAtStart its content; null where there was none
+     * @param snapshot receives the lists that this process publishes while it is the leader
+     * @param snapshotAtStart the snapshot that was read at the start; null if there was none
      */
     void useSharedSnapshot(SharedEndpointSnapshot snapshot, PublishedSnapshot snapshotAtStart) {
         recovery.recoverFrom(snapshotAtStart);
         recorder.recordTo(snapshot);
     }
 
-    /** Where requests come in. */
+    /** Returns the handler of client requests. */
     BalancerRequestHandler requestHandler() {
         return requestHandler;
     }
 
-    /** Where endpoint lists come in. */
+    /** Returns the receiver of endpoint lists. */
     EndpointUpdates endpointUpdates() {
         return endpointUpdates;
     }
 
-    /** Delivers the initial endpoints to the balancer; part of the start. */
+    /** Delivers the initial endpoints to the balancer; {@link #start} includes this step. */
     void deliverInitialEndpoints() {
         recovery.deliverInitialEndpoints();
     }
 
     /**
-     * Starts to serve; any thread. A sidecar that has been stopped before does not start any more,
-     * and the future does not complete.
+     * Starts to serve. May be called on any thread. If the sidecar has been stopped, this call has
+     * no effect and the future never completes.
      *
-     * @return the address once clients can connect, or why it could not be bound
+     * @return a future that completes with the listening address once clients can connect, or fails
+     *     if the address cannot be bound
      */
     CompletableFuture<InetSocketAddress> start() {
         loop.execute(
@@ -200,9 +206,10 @@
         if (config.settings().pollsDiscovery()) {
             bind();
         } else {
-            // Pushed lists wait at an agent, which answers a watch; the balancer asks for nothing
-            // then. What the agent has counts as known from the first moment, so it is read before
-            // any request.
+            // In push mode, a local agent holds the endpoint list and responds to a watch. The
+            // balancer does not poll then, so the watch is started here. Clients can connect once
+            // the agent has responded or the call has failed, so that the balancer knows the
+            // agent's list before the first request.
             state = state.transitionTo(LifecycleState.AWAITING_ENDPOINTS);
             discovery.subscribe();
         }
@@ -237,9 +244,10 @@
     }
 
     /**
-     * Answers all requests in flight and closes all connections. Only the first call counts.
+     * Waits until all requests in flight have completed, then closes all connections. Does not
+     * block; only the first call has an effect.
      *
-     * @param stopped runs on the loop once all of that is done
+     * @param stopped runs on the loop once all connections are closed
      */
     void stop(Runnable stopped) {
         if (!state.isStopping()) {
@@ -267,7 +275,7 @@
         }
     }
 
-    /** Writes a line under the sidecar's name; any thread. */
+    /** Logs a line that begins with the sidecar's name. May be called on any thread. */
     void log(String line) {
         log.accept(line);
     }
--- a/sidecar/src/main/java/sagefall/proxy/SignalHandlers.java
+++ b/sidecar/src/main/java/sagefall/proxy/SignalHandlers.java
@@ -1,8 +1,8 @@
 package sagefall.proxy;
 
 /**
- * The signals that the process reacts to: SIGHUP reloads the configuration, SIGTERM and SIGINT end
- * the process through the runtime's shutdown hook.
+ * Installs the signal handlers of the process: SIGHUP reloads the configuration; SIGTERM and SIGINT
+ * shut the process down through a shutdown hook.
  */
 final class SignalHandlers {
 
@@ -17,10 +17,10 @@
     /**
      * Installs the handlers.
      *
-     * @param reload runs on a thread of its own for each SIGHUP
-     * @param shutDown runs once, on the hook's thread; when it returns the process ends with exit
-     *     code 0
-     * @throws ReflectiveOperationException if the runtime offers no signals
+     * @param reload runs for each SIGHUP, on a thread of its own
+     * @param shutDown runs once, on the thread of the shutdown hook; when it returns, the process
+     *     exits with code 0
+     * @throws ReflectiveOperationException if the JVM does not support signal handlers
      */
     static SignalHandlers install(Runnable reload, Runnable shutDown)
             throws ReflectiveOperationException {
@@ -29,7 +29,7 @@
                 new Thread(
                         () -> {
                             shutDown.run();
-                            // The runtime would report the signal as its exit code.
+                            // Otherwise the JVM would derive the exit code from the signal.
                             Runtime.getRuntime().halt(EXIT_CODE_AFTER_SIGNAL);
                         },
                         "shutdown");
@@ -37,7 +37,7 @@
         return new SignalHandlers(shutdownHook);
     }
 
-    /** Removes the shutdown hook, so that the process ends with its own exit code. */
+    /** Removes the shutdown hook, so that the process exits with its own exit code. */
     void removeShutdownHook() {
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
--- a/sidecar/src/main/java/sagefall/proxy/StartupException.java
+++ b/sidecar/src/main/java/sagefall/proxy/StartupException.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 
 /**
- * A failure that keeps the process from starting. The message is the one line for the operator; the
- * exit code goes to the platform.
+ * Signals that the process cannot start. The message is the single line that the operator reads;
+ * {@link #exitCode} is the exit code of the process.
  */
 final class StartupException extends Exception {
 
-    /** Exit code where the configuration is missing or wrong: a further start does not help. */
+    /** Exit code if the configuration is missing or invalid, so that a restart does not help. */
     static final int INVALID_CONFIGURATION = 2;
 
-    /** Exit code where something else failed, such as binding the listening address. */
+    /** Exit code for any other failure, such as binding the listening address. */
     static final int CANNOT_START = 1;
 
     private static final long serialVersionUID = 1L;
@@ -24,22 +24,22 @@
         this.exitCode = exitCode;
     }
 
-    /** The configuration cannot be read; the cause's message says where and why. */
+    /** Creates the exception for a configuration that cannot be read; the cause says why. */
     static StartupException invalidConfiguration(IOException cause) {
         return new StartupException(configurationErrorLine(cause), INVALID_CONFIGURATION, cause);
     }
 
-    /** Anything but the configuration. */
+    /** Creates the exception for any failure other than an invalid configuration. */
     static StartupException cannotStart(Throwable cause) {
         return new StartupException(PREFIX + "cannot start: " + cause, CANNOT_START, cause);
     }
 
-    /** What an operator reads of a configuration that is wrong, on one line. */
+    /** Returns the error line for a configuration that cannot be read. */
     static String configurationErrorLine(Exception cause) {
         return PREFIX + oneLine(cause);
     }
 
-    /** The exception's message without line breaks. */
+    /** Returns the exception's message with each line break replaced by a space. */
     static String oneLine(Exception cause) {
         return String.valueOf(cause.getMessage()).replaceAll("\\s+", " ");
     }
--- a/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -11,7 +11,7 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Answers that are passed on to the client while the endpoint still sends them. Used on the event
+ * Forwards each response to its client while the endpoint is still sending it. Used on the event
  * loop only.
  */
 final class StreamedResponses {
@@ -29,19 +29,22 @@
         this.outcomes = outcomes;
     }
 
-    /** Answers that have begun go on under the settings under which they began. */
+    /** Sets the streaming settings for responses that begin after this call. */
     void useStreaming(StreamingSettings newSettings) {
         settings = newSettings;
     }
 
-    /** The head of an answer has arrived: the attempt is the request's only one from now on. */
+    /**
+     * Starts to forward a response whose head has arrived. From this call on, no other attempt can
+     * provide the response of the request.
+     */
     void begin(
             ForwardedAttempt attempt,
             HttpResponse head,
             LoadReport report,
             FlowControl.Source source) {
         ProxiedRequest request = attempt.request;
-        attempt.timeout.cancel(false);
+        attempt.timeoutTimer.cancel(false);
         requests.stopDeadline(request);
         request.streamingAttempt = attempt;
         request.streamedLoadReport = report;
@@ -53,7 +56,7 @@
                                 request.request.id(),
                                 attempt.number,
                                 attempt.endpointId,
-                                now - attempt.timedFromMicros));
+                                now - attempt.durationStartMicros));
         HttpHeaders headers = ProtocolHeaders.endToEnd(head.headers());
         headers.remove(ProtocolHeaders.LOAD);
         request.client.startStreamedResponse(
@@ -61,9 +64,9 @@
     }
 
     /**
-     * Passes a part of the body on.
+     * Forwards a part of the body.
      *
-     * @param part taken over: passed on to the client, or released if the request is finished
+     * @param part ownership passes to this method; released if the request is finished
      */
     void forwardPart(ForwardedAttempt attempt, ByteBuf part) {
         if (attempt.request.finished) {
@@ -73,7 +76,7 @@
         }
     }
 
-    /** All parts that arrived together have been passed on. */
+    /** Flushes the client's connection; called once for all parts that arrived together. */
     void flush(ForwardedAttempt attempt) {
         if (!attempt.request.finished) {
             attempt.request.client.flush();
@@ -81,8 +84,8 @@
     }
 
     /**
-     * The endpoint has sent everything. The request stays in flight until its client has received
-     * all of it.
+     * Ends a response that the endpoint has sent completely. The request stays in flight until the
+     * whole response has been written to the client's socket.
      */
     void finish(ForwardedAttempt attempt, HttpHeaders trailers) {
         ProxiedRequest request = attempt.request;
@@ -95,7 +98,10 @@
         }
     }
 
-    /** Ends an answer, complete or broken off; only the first call for an attempt counts. */
+    /**
+     * Finishes the request and reports the outcome of its attempt; aborts the response if the
+     * result is not {@code SERVED}. Only the first call for an attempt has an effect.
+     */
     void end(ForwardedAttempt attempt, AttemptResult result) {
         ProxiedRequest request = attempt.request;
         if (attempt.result != null) {
--- a/sidecar/src/main/java/sagefall/proxy/WallClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/WallClock.java
@@ -4,9 +4,9 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Unix time in microseconds, read from the wall clock once and carried on by the monotonic clock:
- * start times from discovery and deadlines can be compared with it, and a step of the wall clock
- * moves neither. Safe for any thread.
+ * Provides Unix time in microseconds, which is read from the wall clock once and advanced by the
+ * monotonic clock. So the times can be compared with start times from discovery and with deadlines,
+ * and a later step of the wall clock does not affect them. Thread-safe.
  */
 public final class WallClock {
 
@@ -15,7 +15,7 @@
     private final long offsetNanos =
             ChronoUnit.NANOS.between(Instant.EPOCH, Instant.now()) - System.nanoTime();
 
-    /** Now, in microseconds of Unix time. */
+    /** Returns the current Unix time in microseconds. */
     public long micros() {
         return (offsetNanos + System.nanoTime()) / NANOS_PER_MICRO;
     }
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
@@ -7,23 +7,23 @@
 import sagefall.http.HttpConnectionListener;
 
 /**
- * A client of the warm-up, on one connection: it sends the next request as soon as it has an
- * answer. Used on the event loop only.
+ * Sends the requests of the warm-up on one connection, each as soon as the response to the previous
+ * one has arrived. Used on the event loop only.
  */
 final class WarmUpClient implements HttpConnectionListener {
 
-    /** The warm-up that the client works for. */
+    /** Tracks the progress of the warm-up across its clients. */
     interface Progress {
-        /** Whether requests may still be sent. */
+        /** Returns whether requests may still be sent. */
         boolean isRunning();
 
-        /** Counts an answer; whether its client sends a further request. */
-        boolean onAnswered();
+        /** Counts a response; returns whether its client is to send a further request. */
+        boolean onResponse();
     }
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final long connectMicros;
+    private final long connectTimeoutMicros;
     private final WarmUpRequests requests;
     private final Progress progress;
     private HttpClientConnection connection;
@@ -31,21 +31,25 @@
     WarmUpClient(
             EventLoop loop,
             InetSocketAddress address,
-            long connectMicros,
+            long connectTimeoutMicros,
             WarmUpRequests requests,
             Progress progress) {
         this.loop = loop;
         this.address = address;
-        this.connectMicros = connectMicros;
+        this.connectTimeoutMicros = connectTimeoutMicros;
         this.requests = requests;
         this.progress = progress;
     }
 
-    /** Connects, once, and begins to send. */
+    /** Connects and begins to send; to be called once. */
     void connect() {
         connection =
                 new HttpClientConnection(
-                        loop, address, HttpClientConnection.MAX_BODY_BYTES, connectMicros, this);
+                        loop,
+                        address,
+                        HttpClientConnection.MAX_BODY_BYTES,
+                        connectTimeoutMicros,
+                        this);
     }
 
     @Override
@@ -59,12 +63,12 @@
     public void requestWritten() {}
 
     /**
-     * @param answer stays the connection's
+     * @param response remains owned by the connection
      */
     @Override
-    public void responseCollected(FullHttpResponse answer, boolean clean) {
-        if (progress.onAnswered() && clean) {
-            // Not from inside the answer, which the connection has still to release.
+    public void responseCollected(FullHttpResponse response, boolean clean) {
+        if (progress.onResponse() && clean) {
+            // Sent in a later task, because the connection has not released the response yet.
             loop.execute(() -> connection.send(requests.next()));
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
@@ -13,22 +13,23 @@
 import sagefall.balancer.api.RequestClass;
 import sagefall.http.ProtocolHeaders;
 
-/** The requests of the warm-up: one class and tenant of the settings after the other. */
+/** Creates the requests of the warm-up, cycling through the classes and tenants of the settings. */
 final class WarmUpRequests {
 
-    /** Size of the bodies of requests and answers that have one. */
+    /** Size of the bodies of requests and responses that have one. */
     static final int BODY_BYTES = 256;
 
-    /** One request in so many is rejected, since its time is up when it is read. */
+    /** One request in this many has a timeout so short that it is rejected. */
     private static final int REJECTED_EVERY = 8;
 
+    /** Timeout of a request whose deadline has passed when the request is read. */
     private static final long EXPIRED_TIMEOUT_MILLIS = 1;
 
     private static final long MICROS_PER_MILLI = 1000;
 
     private final BalancerSettings settings;
 
-    /** Begins the id of each of these requests, and of no other's. */
+    /** Prefix of the ids of these requests, and of no other requests. */
     private final String idPrefix;
 
     private int created;
@@ -38,12 +39,12 @@
         idPrefix = Long.toHexString(new SplittableRandom(settings.seed()).nextLong()) + "-";
     }
 
-    /** Whether a request with this id is one of the warm-up's. */
+    /** Returns whether the request with this id belongs to the warm-up. */
     boolean contains(String requestId) {
         return requestId.startsWith(idPrefix);
     }
 
-    /** The next request; the caller owns its buffer. */
+    /** Creates the next request; the caller owns its buffer. */
     FullHttpRequest next() {
         int number = created++;
         RequestClass requestClass = settings.classes().get(number % settings.classes().size());
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
@@ -12,9 +12,10 @@
 import sagefall.proxy.downstream.RequestHandler;
 
 /**
- * What listens during the warm-up: a request goes to the warm-up's sidecar when it comes for the
- * first time; the second time it comes from that sidecar and gets an answer as of an endpoint. Used
- * on the event loop only.
+ * Handles the requests that arrive at the listening address during the warm-up. A request that
+ * arrives for the first time comes from a warm-up client and is passed to the sidecar of the
+ * warm-up. A request that arrives again was forwarded by that sidecar, so this service responds as
+ * an endpoint. Used on the event loop only.
  */
 final class WarmUpService implements RequestHandler {
 
@@ -23,7 +24,7 @@
 
     private final WarmUpRequests requests;
 
-    /** Ids of the requests that the sidecar has got. */
+    /** Ids of the requests that were passed to the sidecar of the warm-up. */
     private final Set<String> forwardedIds = new HashSet<>();
 
     private RequestHandler sidecar;
@@ -32,7 +33,7 @@
         this.requests = requests;
     }
 
-    /** Sets the warm-up's sidecar, before the first request of the warm-up. */
+    /** Sets the sidecar of the warm-up; to be called before its first request. */
     void forwardTo(RequestHandler newSidecar) {
         sidecar = newSidecar;
     }
@@ -47,8 +48,8 @@
             throws BadRequestException {
         String id = String.valueOf(http.headers().get(ProtocolHeaders.REQUEST_ID));
         if (!requests.contains(id)) {
-            // A client that does not wait for the process to be ready. The real sidecar does not
-            // run yet, and a 502 says nothing about a retry.
+            // Sent by a real client before the process is ready. The real sidecar does not run yet;
+            // a 502 does not tell the client that a retry is safe.
             client.answer(
                     HttpResponseStatus.BAD_GATEWAY,
                     new DefaultHttpHeaders(),
--- a/sidecar/src/main/java/sagefall/proxy/package-info.java
+++ b/sidecar/src/main/java/sagefall/proxy/package-info.java
@@ -1,11 +1,10 @@
 /**
- * The network host of the load balancer: one process between its clients and the endpoints of a
- * fleet. {@link sagefall.proxy.SidecarProcess} runs the process, {@link
- * sagefall.proxy.SidecarServer} is the proxy itself, all of it on one event loop. The host turns
- * what happens on sockets into events of the balancer and the balancer's actions into what happens
- * on sockets; it decides nothing.
+ * The network host of the load balancer: the sidecar process between a client and the endpoints of
+ * a fleet. {@link sagefall.proxy.SidecarProcess} runs the process; {@link
+ * sagefall.proxy.SidecarServer} is the proxy itself, which runs on one event loop. The host
+ * translates network input into events of the balancer, and the balancer's actions into network
+ * output; it makes no balancing decisions.
  *
- * <p>The client side is in {@code downstream}, the connections to endpoints are in {@code
- * upstream}.
+ * <p>Client connections are in {@code downstream}, connections to endpoints in {@code upstream}.
  */
 package sagefall.proxy;
--- a/sidecar/src/test/java/sagefall/http/ConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/http/ConnectionStateTest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The states of an outgoing HTTP connection and their transitions. */
+/** Tests the states of an outgoing HTTP connection and their transitions. */
 class ConnectionStateTest {
 
+    /** All states that each state can change to. */
     private static final Map<ConnectionState, Set<ConnectionState>> SUCCESSORS =
             Map.of(
                     ConnectionState.CONNECTING,
@@ -43,7 +44,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void stateHasTheSuccessorsOfTheTableAndNoOthers(ConnectionState state) {
+    void onlyTheListedTransitionsExist(ConnectionState state) {
         for (ConnectionState next : ConnectionState.values()) {
             assertEquals(
                     SUCCESSORS.get(state).contains(next),
@@ -71,7 +72,7 @@
     }
 
     @Test
-    void secondResponseIsSurplusFromTheBeginningOfTheFirst() {
+    void stateHasAResponseFromItsBeginningUntilItsEndIsReported() {
         assertFalse(ConnectionState.AWAITING_RESPONSE.hasResponse());
         assertTrue(ConnectionState.STREAMING_RESPONSE.hasResponse());
         assertTrue(ConnectionState.RESPONSE_STREAMED.hasResponse());
--- a/sidecar/src/test/java/sagefall/http/HttpClientConnectionTest.java
+++ b/sidecar/src/test/java/sagefall/http/HttpClientConnectionTest.java
@@ -28,13 +28,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One connection against a server that writes bytes by hand. */
+/** Tests one connection against a server socket to which the tests write raw bytes. */
 class HttpClientConnectionTest {
 
-    private static final long CONNECT_MICROS = 5_000_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 5_000_000;
     private static final long EVENT_TIMEOUT_SECONDS = 20;
+
+    /** Time after which a test concludes that no further event is reported. */
     private static final long QUIET_MILLIS = 100;
-    private static final int COLLECTED = 0;
+
+    /** Streaming limit of a request whose response is collected. */
+    private static final int NOT_STREAMED = 0;
+
     private static final int MAX_STREAMED_BYTES = 10;
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
@@ -44,7 +49,7 @@
     private ServerSocket server;
     private HttpClientConnection connection;
 
-    /** Records what is reported, a word and its details a line. */
+    /** Appends each reported event to {@link #events} as a short text. */
     private final class Recorder implements HttpConnectionListener {
         @Override
         public void connectionOpened() {
@@ -57,8 +62,8 @@
         }
 
         @Override
-        public void responseCollected(FullHttpResponse answer, boolean clean) {
-            events.add("collected " + answer.content().toString(US_ASCII) + " clean=" + clean);
+        public void responseCollected(FullHttpResponse response, boolean clean) {
+            events.add("collected " + response.content().toString(US_ASCII) + " clean=" + clean);
         }
 
         @Override
@@ -103,26 +108,26 @@
                                                 loop,
                                                 address,
                                                 HttpClientConnection.MAX_BODY_BYTES,
-                                                CONNECT_MICROS,
+                                                CONNECT_TIMEOUT_MICROS,
                                                 true,
                                                 new Recorder()))
                         .get();
     }
 
-    private Socket connected() throws Exception {
+    private Socket connectAndAccept() throws Exception {
         connect();
         Socket peer = server.accept();
-        assertEquals("opened", event());
+        assertEquals("opened", nextEvent());
         return peer;
     }
 
-    private Socket requested(int maxStreamedBytes) throws Exception {
-        Socket peer = connected();
-        request(maxStreamedBytes);
+    private Socket connectAndSendRequest(int maxStreamedBytes) throws Exception {
+        Socket peer = connectAndAccept();
+        sendRequest(maxStreamedBytes);
         return peer;
     }
 
-    private void request(int maxStreamedBytes) throws Exception {
+    private void sendRequest(int maxStreamedBytes) throws Exception {
         loop.submit(
                         () ->
                                 connection.send(
@@ -133,16 +138,17 @@
                                                 Unpooled.EMPTY_BUFFER),
                                         maxStreamedBytes))
                 .get();
-        assertEquals("written", event());
+        assertEquals("written", nextEvent());
     }
 
+    /** Writes a text with CR LF line ends. */
     private static void write(Socket peer, String text) throws IOException {
         peer.getOutputStream().write(text.replace("\n", "\r\n").getBytes(US_ASCII));
     }
 
-    private String event() throws InterruptedException {
+    private String nextEvent() throws InterruptedException {
         String event = events.poll(EVENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(event, "nothing was reported");
+        assertNotNull(event, "no event was reported");
         return event;
     }
 
@@ -151,7 +157,7 @@
     }
 
     private void assertClosedOnce() throws InterruptedException {
-        assertEquals("closed", event());
+        assertEquals("closed", nextEvent());
         assertNoFurtherEvent();
     }
 
@@ -165,57 +171,57 @@
                                         loop,
                                         address,
                                         HttpClientConnection.MAX_BODY_BYTES,
-                                        CONNECT_MICROS,
+                                        CONNECT_TIMEOUT_MICROS,
                                         new Recorder()))
                 .get();
         assertClosedOnce();
     }
 
     @Test
-    void connectionIsUsableForFurtherRequestsAfterACleanResponse() throws Exception {
-        try (Socket peer = requested(COLLECTED)) {
+    void connectionIsReusableAfterACleanResponse() throws Exception {
+        try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok");
-            assertEquals("collected ok clean=true", event());
-            request(COLLECTED);
+            assertEquals("collected ok clean=true", nextEvent());
+            sendRequest(NOT_STREAMED);
             write(peer, "HTTP/1.1 200 OK\nContent-Length: 3\n\ntwo");
-            assertEquals("collected two clean=true", event());
+            assertEquals("collected two clean=true", nextEvent());
             assertNoFurtherEvent();
         }
     }
 
     @Test
     void responseWithSurplusBytesIsNotClean() throws Exception {
-        try (Socket peer = requested(COLLECTED)) {
+        try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 200 OK\nContent-Length: 2\n\nokHTTP/1.1");
-            assertEquals("collected ok clean=false", event());
+            assertEquals("collected ok clean=false", nextEvent());
         }
     }
 
     @Test
     void unsolicitedBytesCloseAnIdleConnection() throws Exception {
-        try (Socket peer = connected()) {
+        try (Socket peer = connectAndAccept()) {
             write(peer, "H");
             assertClosedOnce();
         }
     }
 
     @Test
-    void halfCloseByTheServerEndsAResponseWithoutLength() throws Exception {
-        try (Socket peer = requested(COLLECTED)) {
+    void halfCloseByTheServerCompletesAResponseWithoutLength() throws Exception {
+        try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 200 OK\n\nok");
             assertNoFurtherEvent();
             peer.shutdownOutput();
-            assertEquals("collected ok clean=false", event());
+            assertEquals("collected ok clean=false", nextEvent());
             assertClosedOnce();
         }
     }
 
     @Test
     void resetDoesNotCompleteAResponseWithoutLength() throws Exception {
-        try (Socket peer = requested(COLLECTED)) {
+        try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 200 OK\n\nok");
             assertNoFurtherEvent();
-            // With this the close is a reset.
+            // Makes the close send a reset.
             peer.setSoLinger(true, 0);
         }
         assertClosedOnce();
@@ -223,48 +229,48 @@
 
     @Test
     void interimResponsesAreSkipped() throws Exception {
-        try (Socket peer = requested(COLLECTED)) {
+        try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 103 Early Hints\n\nHTTP/1.1 200 OK\nContent-Length: 2\n\nok");
-            assertEquals("collected ok clean=true", event());
+            assertEquals("collected ok clean=true", nextEvent());
         }
     }
 
     @Test
     void streamedResponseIsReportedInParts() throws Exception {
-        try (Socket peer = requested(MAX_STREAMED_BYTES)) {
+        try (Socket peer = connectAndSendRequest(MAX_STREAMED_BYTES)) {
             write(peer, "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n2\nab\n");
-            assertEquals("started", event());
-            assertEquals("part ab", event());
+            assertEquals("started", nextEvent());
+            assertEquals("part ab", nextEvent());
             write(peer, "1\nc\n0\n\n");
-            assertEquals("part c", event());
-            assertEquals("finished clean=true", event());
+            assertEquals("part c", nextEvent());
+            assertEquals("finished clean=true", nextEvent());
             assertNoFurtherEvent();
         }
     }
 
     @Test
-    void streamLongerThanItsLimitClosesTheConnection() throws Exception {
-        try (Socket peer = requested(MAX_STREAMED_BYTES)) {
+    void streamedResponseBeyondItsLimitClosesTheConnection() throws Exception {
+        try (Socket peer = connectAndSendRequest(MAX_STREAMED_BYTES)) {
             write(peer, "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n");
-            assertEquals("started", event());
+            assertEquals("started", nextEvent());
             write(peer, "b\n0123456789a\n0\n\n");
             assertClosedOnce();
         }
     }
 
     @Test
-    void streamWithoutAnnouncedEndIsNotBegun() throws Exception {
-        try (Socket peer = requested(MAX_STREAMED_BYTES)) {
+    void responseWithUnknownEndClosesTheConnectionInsteadOfBeingStreamed() throws Exception {
+        try (Socket peer = connectAndSendRequest(MAX_STREAMED_BYTES)) {
             write(peer, "HTTP/1.1 200 OK\n\nab");
             assertClosedOnce();
         }
     }
 
     @Test
-    void otherStatusThanOkIsCollectedThoughItMayBeStreamed() throws Exception {
-        try (Socket peer = requested(MAX_STREAMED_BYTES)) {
+    void responseWithAnotherStatusThan200IsCollectedAndNotStreamed() throws Exception {
+        try (Socket peer = connectAndSendRequest(MAX_STREAMED_BYTES)) {
             write(peer, "HTTP/1.1 503 No\nContent-Length: 2\n\nno");
-            assertEquals("collected no clean=true", event());
+            assertEquals("collected no clean=true", nextEvent());
         }
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
+++ b/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Just enough HTTP/1.1 to look at the bytes that the sidecar writes. */
+/** Reads HTTP/1.1 messages of a known length, as the sidecar writes them. */
 final class HttpMessages {
 
     private HttpMessages() {}
 
     /**
-     * A message of a known length.
+     * An HTTP message whose length is known.
      *
      * @param startLine the request or status line
-     * @param headers by name in any case; of a repeated one the last
-     * @param body one character a byte; empty where no length is stated
+     * @param headers headers by case-insensitive name; of a repeated header only the last value
+     * @param body one character for each byte; empty if there is no {@code Content-Length}
      */
     record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
@@ -25,32 +25,33 @@
         }
     }
 
-    /** The next message, or null at the end of the connection. */
+    /** Reads the next message; returns null at the end of the input. */
     static Message read(InputStream in) throws IOException {
-        String startLine = line(in);
+        String startLine = readLine(in);
         if (startLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line = String.valueOf(line(in));
+        // At the end of the input, the line is "null", which has no colon.
+        for (String line = String.valueOf(readLine(in));
                 !line.isEmpty();
-                line = String.valueOf(line(in))) {
+                line = String.valueOf(readLine(in))) {
             int colon = line.indexOf(':');
             if (colon < 0) {
-                throw new EOFException("ended within the head");
+                throw new EOFException("input ended within the head");
             }
             headers.put(line.substring(0, colon), line.substring(colon + 1).trim());
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("ended within the body");
+            throw new EOFException("input ended within the body");
         }
         return new Message(startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** The next line without its end; null if the connection ends before that. */
-    private static String line(InputStream in) throws IOException {
+    /** Reads the next line without its line end; returns null if the input ends before that. */
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         int next = in.read();
         while (next != '\n') {
--- a/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import sagefall.config.SidecarConfig;
 
-/** The warm-up sends its requests through a complete sidecar, and nothing out of the process. */
+/** Tests that the warm-up sends its requests through a sidecar and none out of the process. */
 class JvmWarmUpTest extends SocketTest {
 
     private static final int REQUESTS = 50;
@@ -32,9 +32,12 @@
         }
     }
 
-    /** Several times: before, the address was at times still in use when the warm-up had ended. */
+    /**
+     * Guards against an address that is still in use after the warm-up. Runs several times, because
+     * that happens in some runs only.
+     */
     @Test
-    void allRequestsAreAnsweredAndNothingLeavesTheProcess() throws Exception {
+    void allRequestsCompleteAndNoneLeavesTheProcess() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         SidecarConfig config = configListeningAt(harness, freePort());
@@ -48,16 +51,16 @@
     }
 
     @Test
-    void itEndsAtItsTimeLimit() throws Exception {
+    void warmUpEndsAtItsTimeLimit() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         JvmWarmUp.run(configListeningAt(harness, freePort()), Integer.MAX_VALUE, 100);
-        assertTrue(System.nanoTime() - since < 5_000_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 5_000_000_000L);
     }
 
-    /** No client gets an answer of the warm-up's own servers. */
+    /** A real client must not receive a response that the warm-up's simulated endpoints create. */
     @Test
-    void clientsAreNotServed() throws Exception {
+    void clientRequestsFailDuringTheWarmUp() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
         SidecarConfig config = configListeningAt(harness, freePort());
         var running =
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -14,22 +14,24 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.balancer.api.Request;
 
-/** Requests of a loop that reads them late, since it has too little of a core or too much to do. */
+/** Tests requests that the event loop reads late, because it is short of CPU time or busy. */
 class LateEventLoopTest extends SocketTest {
 
-    /** Where a request is queued while the loop is busy. */
+    /** The kind of connection on which a request waits while the loop is busy. */
     private enum Place {
+        /** A connection on which an earlier request has completed. */
         ON_AN_IDLE_CONNECTION,
+        /** A connection that the sidecar has not accepted yet. */
         TO_BE_ACCEPTED
     }
 
     /**
-     * Before, its time counted from its reading, so it was answered as much too late as it had been
-     * unread.
+     * Guards against a deadline that counts from the read of the request: the response would be
+     * late by the time that the request had been unread.
      */
     @ParameterizedTest
     @EnumSource
-    void timeRunsFromTheLastByteAndNotFromItsReading(Place place) throws Exception {
+    void deadlineCountsFromTheArrivalOfTheLastByte(Place place) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("first"));
         SidecarHarness harness = sidecar(server);
         AtomicReference<TestClient> client = new AtomicReference<>();
@@ -49,13 +51,13 @@
                 },
                 () -> spin(sentAt[0], 1_500));
         client.get().answer();
-        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt[0]);
-        assertTrue(took < 2_500, took + " ms");
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt[0]);
+        assertTrue(elapsedMillis < 2_500, elapsedMillis + " ms");
     }
 
-    /** What came while the loop slept has not waited: its time must not be cut short. */
+    /** A request that wakes the sleeping loop has not waited, so its timeout is not shortened. */
     @Test
-    void timeOfARequestThatIsReadAtOnceIsItsOwn() throws Exception {
+    void deadlineOfARequestThatIsReadAtOnceIsNotShortened() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("first"));
         SidecarHarness harness = sidecar(server);
         TestClient client = harness.client().search(2_000);
@@ -69,27 +71,28 @@
     }
 
     /**
-     * The second request keeps the loop busy until the deadline of the first is over; the third
-     * then waits for the answer of the first.
+     * Keeps the loop busy with the second request until the deadline of the first has passed; at
+     * the third request, waits until the test has received the response to the first.
      */
     private static final class SlowBalancer extends NoOpLoadBalancer {
         final Set<String> requestIds = new HashSet<>();
         final CountDownLatch firstRequest = new CountDownLatch(1);
-        final CountDownLatch answered = new CountDownLatch(1);
-        volatile boolean inTime;
-        private long deadline;
+        final CountDownLatch firstResponseReceived = new CountDownLatch(1);
+        volatile boolean firstResponseInTime;
+        private long firstDeadlineNanos;
 
         @Override
         public void onRequest(long nowMicros, Request request) {
             requestIds.add(request.id());
             if (requestIds.size() == 1) {
-                deadline = System.nanoTime() + (request.deadlineMicros() - nowMicros) * 1000;
+                firstDeadlineNanos =
+                        System.nanoTime() + (request.deadlineMicros() - nowMicros) * 1000;
                 firstRequest.countDown();
             } else if (requestIds.size() == 2) {
-                spin(deadline, 100);
+                spin(firstDeadlineNanos, 100);
             } else {
                 try {
-                    inTime = answered.await(5, TimeUnit.SECONDS);
+                    firstResponseInTime = firstResponseReceived.await(5, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -98,16 +101,16 @@
     }
 
     /**
-     * The loop runs timers behind all that an iteration has read, so before, a deadline waited for
-     * the requests of a burst.
+     * Guards against deadlines that are handled too late in a burst: the loop runs timers only
+     * after it has handled all requests that it read in the same iteration.
      */
     @Test
-    void deadlineComesBeforeTheNextRequestOfTheSameIteration() throws Exception {
+    void expiredDeadlineIsHandledBeforeTheNextRequestOfTheSameIteration() throws Exception {
         SlowBalancer balancer = new SlowBalancer();
         SidecarHarness harness = harness().start((settings, actions) -> balancer);
         List<TestClient> others = List.of(harness.client(), harness.client());
         for (TestClient other : others) {
-            // Accepted, so that what it sends is read in one iteration with the other's.
+            // Ensures that the connection is accepted, so that one iteration reads both requests.
             other.healthCheck().answer();
         }
         TestClient client = harness.client().search(500);
@@ -120,13 +123,13 @@
                 },
                 () -> {});
         assertEquals(504, client.answer().status());
-        balancer.answered.countDown();
+        balancer.firstResponseReceived.countDown();
         harness.awaitLoop();
         assertEquals(3, balancer.requestIds.size());
-        assertTrue(balancer.inTime);
+        assertTrue(balancer.firstResponseInTime);
     }
 
-    /** Keeps the loop busy until so long after a time. */
+    /** Keeps the loop busy until the given duration has passed since the given time. */
     private static void spin(long sinceNanos, long millis) {
         while (System.nanoTime() - sinceNanos < TimeUnit.MILLISECONDS.toNanos(millis)) {
             Thread.onSpinWait();
--- a/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.balancer.DefaultLoadBalancer;
 
-/** The states of a sidecar, from its construction to its end. */
+/** Tests the life cycle states of a sidecar. */
 class LifecycleTest extends SocketTest {
 
-    /** Of each state all that may follow it; what is not named may not. */
+    /** Each line names a state and all states that may follow it. */
     @ParameterizedTest
     @CsvSource({
         "CREATED,            AWAITING_ENDPOINTS BINDING DRAINING",
@@ -33,7 +33,7 @@
         "DRAINING,           STOPPED",
         "STOPPED,            ''",
     })
-    void onlyTheseTransitionsExist(LifecycleState from, String successors) {
+    void onlyTheListedTransitionsExist(LifecycleState from, String successors) {
         for (LifecycleState to : LifecycleState.values()) {
             if (List.of(successors.split(" ")).contains(to.name())) {
                 assertSame(to, from.transitionTo(to));
@@ -46,7 +46,8 @@
     }
 
     /**
-     * As where SIGTERM comes during the warm-up: no client may be accepted while the process ends.
+     * Guards against accepting clients while the process shuts down, as after a SIGTERM during the
+     * warm-up.
      */
     @ParameterizedTest
     @CsvSource({"ask", "push"})
@@ -67,9 +68,9 @@
 
     @Test
     void addressInUseFailsTheStart() throws Exception {
-        ServerSocket taken = opened(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+        ServerSocket boundSocket = opened(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
-        harness.withConfig("127.0.0.1:0", "127.0.0.1:" + taken.getLocalPort());
+        harness.withConfig("127.0.0.1:0", "127.0.0.1:" + boundSocket.getLocalPort());
         CompletableFuture<InetSocketAddress> started = harness.startAsync(DefaultLoadBalancer::new);
         ExecutionException failure =
                 assertThrows(ExecutionException.class, () -> started.get(10, TimeUnit.SECONDS));
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -20,16 +20,16 @@
 import sagefall.balancer.api.Request;
 import sagefall.http.HttpClientConnection;
 
-/** Servers that send more than one answer, and clients that send malformed requests. */
+/** Tests servers that send more than one response and clients that send malformed requests. */
 class MalformedTrafficTest extends SocketTest {
 
-    private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-    /** Sends the second request from inside the event that ends the first. */
+    /** Sends the attempt of the second request while it handles the outcome of the first one. */
     private static final class ChainingBalancer extends NoOpLoadBalancer {
         private final BalancerActions actions;
         private final List<String> requestIds = new ArrayList<>();
-        private long server;
+        private long endpoint;
 
         ChainingBalancer(BalancerActions actions) {
             this.actions = actions;
@@ -39,7 +39,7 @@
         public void onEndpointList(
                 long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {
             if (!list.isEmpty()) {
-                server = list.get(0).id();
+                endpoint = list.get(0).id();
             }
         }
 
@@ -47,41 +47,42 @@
         public void onRequest(long nowMicros, Request request) {
             requestIds.add(request.id());
             if (requestIds.size() == 1) {
-                actions.send(request.id(), server, 0, Long.MAX_VALUE);
+                actions.send(request.id(), endpoint, 0, Long.MAX_VALUE);
             }
         }
 
         @Override
         public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
             if (requestIds.size() == 2 && outcome.requestId().equals(requestIds.get(0))) {
-                actions.send(requestIds.get(1), server, 0, Long.MAX_VALUE);
+                actions.send(requestIds.get(1), endpoint, 0, Long.MAX_VALUE);
             }
         }
     }
 
     /**
-     * Before, a second copy or noise right behind an answer counted as the answer to the next
-     * request.
+     * Guards against taking a second response, or other bytes that directly follow a response, for
+     * the response to the next request.
      */
     @ParameterizedTest
-    @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
-    void bytesBehindAnAnswerAreNoAnswer(String behind) throws Exception {
+    @ValueSource(
+            strings = {RESPONSE_HEAD + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
+    void bytesAfterAResponseAreNotTakenForTheNextResponse(String surplus) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         harness.start((settings, actions) -> new ChainingBalancer(actions));
         TestClient first = harness.client().search(5_000);
-        ReceivedRequest one = server.take();
+        ReceivedRequest received = server.take();
         TestClient second = harness.client().search(5_000);
-        // Rejected once the one before has been read, since the loop reads one after the other.
+        // The loop reads in order: once this request is rejected, the second one has been read.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
-        one.raw(COPY + "mine" + behind);
+        received.raw(RESPONSE_HEAD + "mine" + surplus);
         assertEquals("mine", first.answer().body());
         server.take().reply("200 OK", "", "other");
         assertEquals("other", second.answer().body());
     }
 
     @Test
-    void byteOnAnIdleConnectionEndsIt() throws Exception {
+    void byteOnAnIdleConnectionClosesIt() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         assertEquals(200, sidecar(server).client().search(2_000).answer().status());
         server.take().raw("x");
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void informationalResponsesAreNotTheAnswer() throws Exception {
+    void informationalResponsesAndAnInvalidLoadReportAreIgnored() throws Exception {
         ScriptedPeer server =
                 server(
                         seen -> {
@@ -105,7 +106,7 @@
         assertEquals("ok", sidecar(server).client().book("x", 2_000).answer().body());
     }
 
-    /** None of these reaches a server: the end of such a request is ambiguous. */
+    /** The end of each of these requests is ambiguous, so none may be forwarded to a server. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -136,9 +137,9 @@
         assertTrue(server.receivedRequests.isEmpty());
     }
 
-    /** The same for bytes that come while the request is in flight: its attempt is cancelled. */
+    /** The attempt of the rejected request is cancelled. */
     @Test
-    void bytesBehindARequestInFlightRejectIt() throws Exception {
+    void requestInFlightIsRejectedWhenMoreBytesArrive() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         TestClient client = sidecar(server).client().search(2_000);
         server.take();
@@ -155,53 +156,54 @@
                 "GET /search/k HTTP/1.1\r\nHost: a\r\n",
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
-    void clientThatDoesNotCompleteItsRequestIsDisconnected(String part) throws Exception {
-        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().raw(part);
-        long since = System.nanoTime();
-        if (!part.isEmpty()) {
+    void clientThatDoesNotCompleteItsRequestIsDisconnected(String sent) throws Exception {
+        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().raw(sent);
+        long startNanos = System.nanoTime();
+        if (!sent.isEmpty()) {
             assertEquals(408, client.answer().status());
         }
         client.assertClosed();
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
+        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 3_000);
     }
 
     /**
-     * Before, the answer was lost to a reset where the connection was closed with bytes of the body
-     * unread.
+     * Guards against losing the response to a reset, which the kernel sends if the connection is
+     * closed while bytes of the body are unread.
      */
     @Test
-    void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
+    void clientThatExceedsTheBodyLimitReceivesTheRejection() throws Exception {
         TestClient client = sidecar(server(ScriptedPeer.SILENT)).client();
         client.raw(TestClient.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
-        byte[] some = new byte[1024 * 1024];
+        byte[] chunk = new byte[1024 * 1024];
         for (int i = 0; i < 32; i++) {
-            client.socket.getOutputStream().write(some);
+            client.socket.getOutputStream().write(chunk);
         }
         assertEquals(413, client.answer().status());
         client.assertClosed();
     }
 
-    /** Before, silent clients up to the limit shut out others until one of them left by itself. */
+    /** Guards against silent clients that occupy all connections until they disconnect. */
     @Test
-    void silentClientsDoNotShutOutOthers() throws Exception {
+    void silentClientsBeyondTheLimitDoNotBlockOtherClients() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harnessOfFewSockets(server);
         harness.start();
         for (int i = 0; i < harness.config().maxClientConnections() + 20; i++) {
             harness.client();
         }
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals(200, harness.client().search(5_000).answer().status());
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 1_500);
+        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 1_500);
     }
 
     /**
-     * Before, with one connection accepted in each iteration of a slow loop, clients' time ran out
-     * in the kernel's queue. The task is due in each iteration, so it counts them, and makes each
-     * long enough for the clients to read.
+     * Guards against accepting only one connection in each iteration of a slow loop, so that
+     * deadlines pass while connections wait in the kernel's accept queue. The scheduled task runs
+     * once in each iteration, to count the iterations and to make each of them long enough for the
+     * clients to read their responses.
      */
     @Test
-    void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
+    void slowLoopAcceptsSeveralConnectionsInOneIteration() throws Exception {
         SidecarHarness harness = sidecar(server(ScriptedPeer.serves("ok")));
         AtomicInteger iterations = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
@@ -233,11 +235,11 @@
     }
 
     /**
-     * Before, clients that send one request and stay connected used up the limit until the usual
-     * idle time was over.
+     * Guards against clients that send one request and stay connected: they would occupy all
+     * connections until the usual idle timeout.
      */
     @Test
-    void idleClientsPastHalfOfTheLimitAreClosedSoon() throws Exception {
+    void idleConnectionsBeyondHalfOfTheLimitAreClosedSoon() throws Exception {
         SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok")));
         harness.start();
         int half = harness.config().maxClientConnections() / 2;
@@ -246,37 +248,39 @@
             clients.add(harness.client().search(5_000));
             assertEquals(200, clients.get(i).answer().status());
         }
-        long since = System.nanoTime();
-        for (TestClient longest : clients.subList(0, 5)) {
-            longest.assertClosed();
+        long startNanos = System.nanoTime();
+        for (TestClient longestIdle : clients.subList(0, 5)) {
+            longestIdle.assertClosed();
         }
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
-        for (TestClient staying : clients.subList(5, clients.size())) {
-            assertEquals(200, staying.search(5_000).answer().status());
+        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 3_000);
+        for (TestClient remaining : clients.subList(5, clients.size())) {
+            assertEquals(200, remaining.search(5_000).answer().status());
         }
     }
 
     /**
-     * Three times the limit of clients that send much and disconnect, by an end or a reset, leave
-     * no connection behind.
+     * Connects three times as many clients as the limit allows; each sends more bytes than its
+     * request announces and then closes or resets its connection. If any of these connections were
+     * not released, the requests at the end of the test could not all be served.
      */
     @Test
-    void clientsThatSendMuchAndDisconnectLeaveNoConnection() throws Exception {
+    void connectionsOfClientsThatSendTooMuchAndDisconnectAreReleased() throws Exception {
         SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok"))).start();
         int limit = harness.config().maxClientConnections();
-        TestClient staying = harness.client();
-        String much = TestClient.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
+        TestClient remaining = harness.client();
+        String oversized =
+                TestClient.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
         for (int i = 0; i < 3 * limit; i++) {
             TestClient flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
             try {
-                flooding.raw(much);
+                flooding.raw(oversized);
             } catch (IOException e) {
-                // Disconnected, as it may be.
+                // The sidecar may have closed the connection.
             }
             flooding.close();
             if (i % 10 == 0) {
-                assertEquals(200, staying.search(5_000).answer().status());
+                assertEquals(200, remaining.search(5_000).answer().status());
             }
         }
         for (int i = 0; i < limit - 1; i++) {
@@ -285,7 +289,7 @@
     }
 
     @Test
-    void errorInTheBalancerIsAnsweredToo() throws Exception {
+    void errorInTheBalancerIsReportedAs500() throws Exception {
         SidecarHarness harness = harness();
         harness.start(
                 (settings, actions) ->
@@ -300,7 +304,7 @@
     }
 
     @Test
-    void longListIsRead() throws Exception {
+    void endpointListBeyondTheDefaultBodyLimitIsRead() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness();
         List<ScriptedPeer> many = new ArrayList<>();
@@ -319,6 +323,7 @@
                     }
                 });
         harness.start();
+        // The second call shows that the sidecar has read the response to the first.
         harness.discovery.take();
         harness.discovery.take();
         assertEquals(200, harness.client().search(2_000).answer().status());
--- a/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
@@ -7,7 +7,7 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.Request;
 
-/** A load balancer that does nothing; tests override what they want to observe. */
+/** A load balancer that does nothing; tests override the methods that they observe. */
 class NoOpLoadBalancer implements LoadBalancer {
     @Override
     public void onEndpointList(
@@ -22,7 +22,7 @@
     public void onRequest(long nowMicros, Request request) {}
 
     @Override
-    public void onBufferLimit(long nowMicros, long mostBytes) {}
+    public void onBufferLimit(long nowMicros, long maxBytes) {}
 
     @Override
     public void onUploadComplete(long nowMicros, String requestId, long deadlineMicros) {}
@@ -32,7 +32,7 @@
 
     @Override
     public void onStreamStarted(
-            long nowMicros, String requestId, int attempt, long server, long elapsedMicros) {}
+            long nowMicros, String requestId, int attempt, long endpoint, long elapsedMicros) {}
 
     @Override
     public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {}
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
@@ -17,12 +17,12 @@
 import sagefall.discovery.StableIds;
 
 /**
- * A load balancer that decides nothing: the test reads its events, each as a short text, and acts
- * in its place.
+ * A load balancer that makes no decisions: it records each event as a short text for the test, and
+ * sends only the attempts that the test requests.
  */
 final class ScriptedBalancer extends NoOpLoadBalancer {
 
-    /** The event of a failure of discovery. */
+    /** Text that is recorded when a call to discovery fails. */
     static final String DISCOVERY_FAILED = "discovery failed";
 
     private static final long AWAIT_SECONDS = 10;
@@ -34,14 +34,14 @@
         this.actions = actions;
     }
 
-    /** The event of an endpoint list of so many entries. */
+    /** Returns the text that is recorded for an endpoint list with this number of entries. */
     static String listOf(int entries) {
         return "list of " + entries;
     }
 
     /**
-     * Starts a sidecar that knows one server, and waits until discovery has answered its first
-     * call, without changes, and until it listens.
+     * Starts a sidecar that is configured with one endpoint, responds to its first call to
+     * discovery with a list without changes, and waits until the sidecar listens.
      */
     static ScriptedBalancer start(SidecarHarness harness) throws Exception {
         AtomicReference<ScriptedBalancer> created = new AtomicReference<>();
@@ -53,44 +53,50 @@
                         });
         ScriptedBalancer balancer = created.get();
         Assertions.assertEquals(listOf(1), balancer.nextEvent());
-        balancer.awaitFirstAnswer(harness);
+        balancer.awaitFirstDiscoveryResponse(harness);
         harness.awaitStart(started);
         return balancer;
     }
 
     /**
-     * A process that is still cold may give its call up before it reads the answer; it is then made
-     * to call again, as a load balancer would.
+     * Responds to calls to discovery until the sidecar has received a response. If the process is
+     * still cold, the call may time out before the response is read; this method then requests
+     * another call, as a load balancer would.
      */
-    private void awaitFirstAnswer(SidecarHarness harness) throws InterruptedException {
-        answerWithoutChanges(harness);
+    private void awaitFirstDiscoveryResponse(SidecarHarness harness) throws InterruptedException {
+        respondWithoutChanges(harness);
         String next = nextEvent();
         while (!next.equals(listOf(0))) {
             Assertions.assertEquals(DISCOVERY_FAILED, next);
             harness.loop.execute(actions::requestEndpointUpdates);
-            answerWithoutChanges(harness);
+            respondWithoutChanges(harness);
             next = nextEvent();
         }
     }
 
-    private static void answerWithoutChanges(SidecarHarness harness) throws InterruptedException {
+    private static void respondWithoutChanges(SidecarHarness harness) throws InterruptedException {
         try {
             harness.discovery
                     .take()
                     .reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
         } catch (IOException e) {
-            // The call has been given up, which is an event.
+            // The call has timed out, which is recorded as an event.
         }
     }
 
-    /** Waits for the next event: an id of a request, a result of an attempt, a list. */
+    /**
+     * Waits for the next event: a request id, the result of an attempt, an endpoint list or a
+     * failure of discovery.
+     *
+     * @return the text "null" if there is no event in time
+     */
     String nextEvent() throws InterruptedException {
         return String.valueOf(events.poll(AWAIT_SECONDS, TimeUnit.SECONDS));
     }
 
     /**
-     * The next event that is not discovery's: a silent discovery is given up and called again
-     * meanwhile.
+     * Waits for the next event that does not come from discovery. In the meantime, calls to a
+     * silent discovery may time out and be retried.
      */
     String nextEventButLists() throws InterruptedException {
         String next = nextEvent();
@@ -100,7 +106,7 @@
         return next;
     }
 
-    /** Sends an attempt without a time-out; on the loop. */
+    /** Sends an attempt without a timeout; to be called on the event loop. */
     void send(String requestId, ScriptedPeer server) {
         actions.send(requestId, StableIds.of("s-" + server.port()), 0, Long.MAX_VALUE);
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -27,27 +27,27 @@
 import sagefall.discovery.EndpointList;
 import sagefall.proxy.upstream.ConnectionPool;
 
-/** A sidecar between real sockets. */
+/** Tests a sidecar with clients, servers and discovery on real sockets. */
 class SidecarServerTest extends SocketTest {
 
     @Test
-    void answerIsForwardedUnchanged() throws Exception {
+    void responseIsForwardedWithoutTheLoadReport() throws Exception {
         ScriptedPeer server =
                 server(
                         ScriptedPeer.answers(
                                 "200 OK",
                                 "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n",
                                 "\u00ff\0b"));
-        HttpMessages.Message answer = sidecar(server).client().book("slot=7", 2_000).answer();
-        assertEquals(200, answer.status());
-        assertEquals("\u00ff\0b", answer.body());
-        assertEquals("text/x", answer.headers().get("Content-Type"));
-        assertNull(answer.headers().get("Server-Load"));
-        HttpMessages.Message sent = server.take().request();
-        assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.startLine());
-        assertEquals("slot=7", sent.body());
-        assertEquals(16, sent.headers().get("Request-Id").length());
-        long forwarded = Long.parseLong(sent.headers().get("Request-Timeout-Ms"));
+        HttpMessages.Message response = sidecar(server).client().book("slot=7", 2_000).answer();
+        assertEquals(200, response.status());
+        assertEquals("\u00ff\0b", response.body());
+        assertEquals("text/x", response.headers().get("Content-Type"));
+        assertNull(response.headers().get("Server-Load"));
+        HttpMessages.Message received = server.take().request();
+        assertEquals("POST /book/k1?x=1 HTTP/1.1", received.startLine());
+        assertEquals("slot=7", received.body());
+        assertEquals(16, received.headers().get("Request-Id").length());
+        long forwarded = Long.parseLong(received.headers().get("Request-Timeout-Ms"));
         assertTrue(forwarded > 1_000 && forwarded < 2_000, "forwarded " + forwarded);
     }
 
@@ -59,7 +59,7 @@
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
-    /** Each of these may have run, so a request that is not idempotent fails and is not retried. */
+    /** After each of these responses, the request may have run, and it is not idempotent. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -85,23 +85,23 @@
                         + "HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
                 "'' | true",
             })
-    void requestThatMayHaveRunIsNotRetried(String text, boolean hangUp) throws Exception {
+    void requestThatMayHaveRunIsNotRetried(String raw, boolean closesConnection) throws Exception {
         ScriptedPeer.Script script =
                 seen -> {
-                    seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
-                    if (hangUp) {
+                    seen.raw(raw.strip().replace("\\r", "\r").replace("\\n", "\n"));
+                    if (closesConnection) {
                         seen.socket().close();
                     }
                 };
         ScriptedPeer one = server(script);
         ScriptedPeer two = server(script);
-        HttpMessages.Message answer = sidecar(one, two).client().book("x", 1_000).answer();
-        assertEquals(502, answer.status());
+        HttpMessages.Message response = sidecar(one, two).client().book("x", 1_000).answer();
+        assertEquals(502, response.status());
         assertEquals(1, one.receivedRequests.size() + two.receivedRequests.size());
     }
 
     @Test
-    void requestThatWasNotStartedGoesToAnotherServer() throws Exception {
+    void requestThatWasNotStartedIsRetriedOnAnotherServer() throws Exception {
         for (String status : List.of("503 Full", "504 Over")) {
             ScriptedPeer one = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
             ScriptedPeer two = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
@@ -120,49 +120,49 @@
     }
 
     @Test
-    void refusedConnectionAllowsAnotherServer() throws Exception {
-        ScriptedPeer gone = server(ScriptedPeer.SILENT);
-        gone.close();
-        ScriptedPeer here = server(ScriptedPeer.serves("here"));
-        SidecarHarness harness = sidecar(gone, here);
+    void refusedConnectionIsRetriedOnAnotherServer() throws Exception {
+        ScriptedPeer unreachable = server(ScriptedPeer.SILENT);
+        unreachable.close();
+        ScriptedPeer reachable = server(ScriptedPeer.serves("here"));
+        SidecarHarness harness = sidecar(unreachable, reachable);
         for (int i = 0; i < 8; i++) {
             assertEquals("here", harness.client().book("x", 2_000).answer().body());
         }
     }
 
     @Test
-    void noReachableServerIsARejectionWithRetryAfter() throws Exception {
-        ScriptedPeer gone = server(ScriptedPeer.SILENT);
-        gone.close();
-        HttpMessages.Message answer = sidecar(gone).client().book("x", 300).answer();
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
+    void requestIsRejectedWithRetryAfterWhenNoServerIsReachable() throws Exception {
+        ScriptedPeer unreachable = server(ScriptedPeer.SILENT);
+        unreachable.close();
+        HttpMessages.Message response = sidecar(unreachable).client().book("x", 300).answer();
+        assertEquals(503, response.status());
+        assertTrue(Double.parseDouble(response.headers().get("Retry-After")) > 0);
     }
 
     @Test
-    void silentServerIsATimeOutBeforeTheDeadline() throws Exception {
+    void requestToASilentServerTimesOutAndIsNotRetried() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         long start = System.nanoTime();
-        HttpMessages.Message answer = sidecar(server).client().book("x", 400).answer();
+        HttpMessages.Message response = sidecar(server).client().book("x", 400).answer();
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-        assertEquals(504, answer.status());
-        assertTrue(millis < 2_000, "answered after " + millis + " ms");
+        assertEquals(504, response.status());
+        assertTrue(millis < 2_000, "response after " + millis + " ms");
         assertEquals(1, server.receivedRequests.size());
         server.awaitEnd();
     }
 
     /**
-     * Answers that come shortly before or after the deadline: each request gets one answer, and
-     * always its own.
+     * Responses arrive shortly before or after the deadline. Each request must receive exactly one
+     * response, and never that of another request.
      */
     @Test
-    void oneAnswerWhenOutcomesRace() throws Exception {
+    void requestReceivesOneResponseWhenOutcomesRace() throws Exception {
         ScriptedPeer server =
                 server(
                         seen -> {
-                            int late = seen.request().headers().get("Request-Id").hashCode() % 12;
+                            int jitter = seen.request().headers().get("Request-Id").hashCode() % 12;
                             seen.socket().setTcpNoDelay(true);
-                            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + late));
+                            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + jitter));
                             seen.reply("200 OK", "", seen.request().headers().get("Request-Id"));
                         });
         SidecarHarness harness = sidecar(server);
@@ -170,11 +170,12 @@
         for (int i = 0; i < 30; i++) {
             String head = TestClient.head("GET", "/search/k", 100, "", 0);
             String id = head.replaceAll("(?s).*Request-Id: (\\w+).*", "$1");
-            HttpMessages.Message answer = client.raw(head).answer();
-            if (answer.status() == 200) {
-                assertEquals(id, answer.body());
+            HttpMessages.Message response = client.raw(head).answer();
+            if (response.status() == 200) {
+                assertEquals(id, response.body());
             } else {
-                assertTrue(List.of(502, 503, 504).contains(answer.status()), answer.startLine());
+                assertTrue(
+                        List.of(502, 503, 504).contains(response.status()), response.startLine());
             }
         }
         client.raw("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -188,6 +189,7 @@
         TestClient client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client.search(2_000).answer().status());
+            // A connection is not reused directly after a response.
             LockSupport.parkNanos(
                     TimeUnit.MICROSECONDS.toNanos(2 * ConnectionPool.REUSE_DELAY_MICROS));
         }
@@ -195,11 +197,11 @@
     }
 
     /**
-     * A server may end an idle connection at any time; what is written to it afterwards would be
-     * lost.
+     * A server may close an idle connection at any time; a request that is written to it afterwards
+     * would be lost.
      */
     @Test
-    void idleConnectionThatEndedIsNotUsed() throws Exception {
+    void closedIdleConnectionIsNotReused() throws Exception {
         ScriptedPeer server = server(seen -> seen.reply("200 OK", "", "ok"));
         TestClient client = sidecar(server).client();
         assertEquals(200, client.book("x", 2_000).answer().status());
@@ -210,14 +212,14 @@
     }
 
     @Test
-    void clientThatLeavesEndsItsAttempt() throws Exception {
+    void clientDisconnectEndsTheAttempt() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         TestClient client = harness.client().book("x", 30_000);
-        Socket carrying = server.take().socket();
+        Socket attemptSocket = server.take().socket();
         client.close();
         server.awaitEnd();
-        assertTrue(carrying.isClosed());
+        assertTrue(attemptSocket.isClosed());
     }
 
     @ParameterizedTest
@@ -240,7 +242,7 @@
                 "POST /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms:"
                         + " 9;Content-Length: 65537 | 413",
             })
-    void badRequestReachesNoServer(String text, int status) throws Exception {
+    void badRequestIsNotForwarded(String text, int status) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = sidecar(server);
         TestClient client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
@@ -251,7 +253,7 @@
     }
 
     @Test
-    void requestIdInFlightIsRejected() throws Exception {
+    void requestWithAnIdInFlightIsRejected() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         String head = TestClient.head("GET", "/search/k", 5_000, "", 0);
@@ -261,7 +263,7 @@
     }
 
     @Test
-    void healthNeedsAServer() throws Exception {
+    void healthCheckFailsWithoutAnEndpoint() throws Exception {
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         SidecarHarness harness = sidecar();
         assertEquals(503, harness.client().raw(health).answer().status());
@@ -271,11 +273,11 @@
     }
 
     /**
-     * An exception costs its own request the result, never the answer, and no other request
-     * anything.
+     * The client of the request that caused the exception receives a response, and other requests
+     * are not affected.
      */
     @Test
-    void exceptionInTheBalancerIsAnsweredAndLogged() throws Exception {
+    void exceptionInTheBalancerIsReportedAs500AndLogged() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server);
         harness.start(
@@ -303,11 +305,9 @@
                 log);
     }
 
-    /**
-     * An event that an action causes at once is delivered after the call that the action is from.
-     */
+    /** An event that an action causes at once is delivered after the event being handled. */
     @Test
-    void balancerIsNotReEnteredFromItsOwnAction() throws Exception {
+    void balancerIsNotReenteredFromItsOwnAction() throws Exception {
         SidecarHarness harness = harness();
         List<String> order = new ArrayList<>();
         harness.start(
@@ -317,7 +317,7 @@
                             public void onRequest(long nowMicros, Request request) {
                                 order.add("request");
                                 actions.send(request.id(), 1, 0, Long.MAX_VALUE);
-                                order.add("sent to a server that no list names");
+                                order.add("sent to an unlisted endpoint");
                             }
 
                             @Override
@@ -327,18 +327,18 @@
                             }
                         });
         assertEquals(502, harness.client().search(2_000).answer().status());
-        assertEquals(List.of("request", "sent to a server that no list names", "NOT_SENT"), order);
+        assertEquals(List.of("request", "sent to an unlisted endpoint", "NOT_SENT"), order);
     }
 
-    /** Past the limit a client takes the place of an idle one; descriptors never run out. */
+    /** Beyond the limit, a new connection replaces an idle one, so descriptors never run out. */
     @Test
-    void clientsPastTheLimitReplaceIdleOnes() throws Exception {
+    void connectionsBeyondTheLimitReplaceIdleOnes() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harnessOfFewSockets(server);
         harness.start();
         TestClient first = harness.client();
         assertEquals(200, first.search(5_000).answer().status());
-        // Idle ones that came a moment ago are left alone, so that their first request can arrive.
+        // Connections that were just accepted are not replaced, so their first request can arrive.
         Thread.sleep(150);
         for (int i = 0; i < harness.config().maxClientConnections(); i++) {
             assertEquals(200, harness.client().search(5_000).answer().status());
@@ -346,29 +346,29 @@
         first.assertClosed();
     }
 
-    /** A request that the balancer never ends is answered by the sidecar, at its deadline. */
+    /** At the deadline, the sidecar itself ends a request that the balancer has not completed. */
     @Test
-    void requestThatTheBalancerForgetsIsAnsweredAndReported() throws Exception {
+    void uncompletedRequestTimesOutAndIsReportedToTheBalancerAsDisconnected() throws Exception {
         SidecarHarness harness = harness();
-        var left = new LinkedBlockingQueue<String>();
+        var disconnected = new LinkedBlockingQueue<String>();
         harness.start(
                 (settings, actions) ->
                         new NoOpLoadBalancer() {
                             @Override
                             public void onClientDisconnected(long nowMicros, String requestId) {
-                                left.add(requestId);
+                                disconnected.add(requestId);
                             }
                         });
         assertEquals(504, harness.client().search(200).answer().status());
-        assertEquals(16, left.poll(10, TimeUnit.SECONDS).length());
+        assertEquals(16, disconnected.poll(10, TimeUnit.SECONDS).length());
     }
 
     /**
-     * Where all are busy a new client waits, and takes the place of the next connection that is
-     * answered.
+     * If all connections have a request in flight, a new client waits; its connection replaces the
+     * next one whose request completes.
      */
     @Test
-    void clientPastTheLimitIsAcceptedAfterAnAnswer() throws Exception {
+    void clientBeyondTheLimitIsAcceptedAfterAResponse() throws Exception {
         SidecarHarness harness = harnessOfFewSockets();
         var inFlight = new LinkedBlockingQueue<String>();
         var actions = new AtomicReference<BalancerActions>();
@@ -394,8 +394,8 @@
             clients.add(harness.client().search(30_000));
         }
         assertNull(inFlight.poll(200, TimeUnit.MILLISECONDS));
-        String refused = first;
-        harness.loop.execute(() -> actions.get().reject(refused, 0, RejectionReason.ADMISSION));
+        String rejected = first;
+        harness.loop.execute(() -> actions.get().reject(rejected, 0, RejectionReason.ADMISSION));
         assertEquals(503, clients.get(0).answer().status());
         clients.get(0).assertClosed();
         assertEquals(16, inFlight.poll(10, TimeUnit.SECONDS).length());
@@ -405,7 +405,7 @@
     // ---- Discovery
 
     @Test
-    void drainingServerGetsNoRequest() throws Exception {
+    void drainingServerReceivesNoRequest() throws Exception {
         ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
         ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
         SidecarHarness harness = sidecar(leaving, staying);
@@ -417,19 +417,19 @@
     }
 
     @Test
-    void serverMissingFromACompleteListGetsNoRequest() throws Exception {
-        ScriptedPeer gone = server(ScriptedPeer.serves("gone"));
+    void serverMissingFromACompleteListReceivesNoRequest() throws Exception {
+        ScriptedPeer removed = server(ScriptedPeer.serves("removed"));
         ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        SidecarHarness harness = sidecar(gone, staying);
+        SidecarHarness harness = sidecar(removed, staying);
         harness.publishEndpoints(2, SidecarHarness.list(2, true, "in_service", staying));
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
     }
 
-    /** A watch that fails in any way keeps the old list, and is retried until it is answered. */
+    /** After a failed watch the old list stays valid; the watch is retried until it succeeds. */
     @Test
-    void watchIsRestored() throws Exception {
+    void failedWatchIsRetried() throws Exception {
         ScriptedPeer old = server(ScriptedPeer.serves("old"));
         ScriptedPeer fresh = server(ScriptedPeer.serves("fresh"));
         SidecarHarness harness = sidecar(old);
@@ -439,13 +439,14 @@
         ReceivedRequest retry = harness.discovery.take();
         assertTrue(retry.request().startLine().contains("from=1&"), retry.request().startLine());
         assertEquals("old", harness.client().search(2_000).answer().body());
+        // Puts the call back, because publishEndpoints takes it.
         harness.discovery.receivedRequests.add(retry);
         harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", fresh));
         assertEquals("fresh", harness.client().search(2_000).answer().body());
     }
 
     @Test
-    void silentDiscoveryIsGivenUp() throws Exception {
+    void silentDiscoveryTimesOut() throws Exception {
         ScriptedPeer silent = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness();
         var address = SocketAddresses.parse("127.0.0.1:" + silent.port());
@@ -479,7 +480,7 @@
     // ---- Graceful shutdown
 
     @Test
-    void requestsInFlightAreAnsweredDuringShutdown() throws Exception {
+    void requestsInFlightCompleteDuringShutdown() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         TestClient busy = harness.client().book("x", 30_000);
@@ -494,9 +495,9 @@
         idle.assertClosed();
         assertNotEquals(0, stopped.getCount());
         inFlight.reply("200 OK", "", "in flight");
-        HttpMessages.Message answer = busy.answer();
-        assertEquals("in flight", answer.body());
-        assertEquals("close", answer.headers().get("Connection"));
+        HttpMessages.Message response = busy.answer();
+        assertEquals("in flight", response.body());
+        assertEquals("close", response.headers().get("Connection"));
         busy.assertClosed();
         assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
