--- a/sidecar/src/main/java/sagefall/proxy/downstream/BadRequestException.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/BadRequestException.java
@@ -1,10 +1,10 @@
 package sagefall.proxy.downstream;
 
-/** A message that no client of the protocol sends; its text goes into the 400. */
+/** Thrown for a message that violates the protocol; its text is the body of the 400 response. */
 public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception with the text of the response. */
+    /** Creates an exception with the body of the response. */
     public BadRequestException(String message) {
         super(message);
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
@@ -6,8 +6,9 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * Builds the pipeline of an accepted channel: the gate discards unwanted input before it is
- * decoded, and the connection sees messages last.
+ * Builds the pipeline of an accepted channel. {@link ClientConnection} comes first and discards
+ * input that is no longer accepted before it is decoded; {@link RequestReader} comes last and
+ * receives the messages.
  */
 final class ClientChannelInitializer extends ChannelInitializer<Channel> {
     private final DownstreamListener listener;
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -15,37 +15,45 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * A client's connection and its state; it carries one request at a time. The state changes only in
- * the methods of this class, each of which is one transition of {@link ClientConnectionState}.
+ * A client connection and its state; it carries one request at a time. The state changes only in
+ * this class, along the transitions that {@link ClientConnectionState} allows.
  *
- * <p>It is also the first handler of its channel, the gate: input that is not accepted any more is
- * discarded there, before any time is spent on decoding it. {@link RequestReader} is the last.
+ * <p>This class is also the first handler of the channel's pipeline: it discards input that is no
+ * longer accepted before any time is spent on decoding it. {@link RequestReader} is the last
+ * handler.
  *
- * <p>One object serves as both because it exists once for each of up to a thousand connections.
+ * <p>One object serves as connection and as handler, which saves memory: there can be a thousand
+ * connections.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
-    /** A new connection has this long to send its request before it may be evicted or drained. */
+    /** Time that a new connection has to send its request before it may be evicted or drained. */
     static final long FIRST_REQUEST_GRACE_MILLIS = 100;
 
     private final DownstreamListener listener;
     private final Channel channel;
     private final RequestReader reader;
 
-    /** Since when it may have waited to be accepted. */
-    private final long waitedSinceNanos;
+    /**
+     * The earliest time at which the client can have connected, as a time of {@link
+     * System#nanoTime()}.
+     */
+    private final long earliestConnectNanos;
 
-    /** The turn of the loop in which it was accepted. */
-    private final long acceptedInTurn;
+    /** Number of the event loop iteration in which the connection was accepted. */
+    private final long acceptedInIteration;
 
     private final long acceptedAtNanos;
 
-    /** The request that is being handled, until its response is complete or its client is gone. */
+    /**
+     * The exchange whose response is not complete yet; null between requests and after the client
+     * has disconnected.
+     */
     private ClientExchange exchange;
 
     private ClientConnectionState state = ClientConnectionState.ACCEPTED;
 
-    /** When the state began; for a connection's first request, when it was accepted. */
+    /** Time at which the state was entered; while the first request is read, the accept time. */
     private long stateSinceNanos;
 
     private long lastInputNanos;
@@ -54,8 +62,8 @@
         this.listener = listener;
         this.channel = channel;
         reader = new RequestReader(this);
-        waitedSinceNanos = listener.loopClock().earliestArrivalNanos();
-        acceptedInTurn = listener.loopClock().turnNumber();
+        earliestConnectNanos = listener.loopClock().earliestArrivalNanos();
+        acceptedInIteration = listener.loopClock().turnNumber();
         acceptedAtNanos = System.nanoTime();
         stateSinceNanos = acceptedAtNanos;
     }
@@ -65,7 +73,10 @@
         stateSinceNanos = System.nanoTime();
     }
 
-    /** Input has arrived that begins a request. The time of a first one runs from the accept. */
+    /**
+     * Called when the first bytes of a request arrive. The time limit for reading the first request
+     * of a connection runs from the accept.
+     */
     private void startReadingRequest() {
         if (state == ClientConnectionState.ACCEPTED) {
             state = state.transitionTo(ClientConnectionState.READING_REQUEST);
@@ -74,36 +85,40 @@
         }
     }
 
-    /** A request head has been read whose body is streamed; returns its exchange. */
+    /** Starts the exchange of a request whose body is streamed and whose head has been read. */
     ClientExchange startReadingBody(HttpRequest head) {
         exchange = new ClientExchange(this, head);
         enter(ClientConnectionState.READING_BODY);
         return exchange;
     }
 
-    /** A request has been read completely; returns its exchange. */
+    /** Starts the exchange of a request that has been read completely. */
     ClientExchange startRequest(FullHttpRequest request) {
         exchange = new ClientExchange(this, request);
         enter(ClientConnectionState.IN_FLIGHT);
         return exchange;
     }
 
-    /** The streamed body has been read completely. */
-    void bodyRead() {
+    /** Called when the streamed body has been read completely. */
+    void bodyCompleted() {
         enter(ClientConnectionState.IN_FLIGHT);
     }
 
     /**
-     * The exchange has ended with a complete response, which is about to be written.
+     * Ends the exchange. Called before a complete response is written, or after the last part of a
+     * streamed one has been written.
      *
-     * @param last whether the connection ends after it
+     * @param last whether the connection closes after this response
      */
     void startWriting(boolean last) {
         exchange = null;
         enter(last ? ClientConnectionState.WRITING_LAST : ClientConnectionState.WRITING);
     }
 
-    /** A complete response has been written; a further request may already be arriving. */
+    /**
+     * Called when a complete response is written. If the next request is already being read, the
+     * state does not change.
+     */
     void responseWritten() {
         if (state == ClientConnectionState.WRITING_LAST) {
             shutDownOutput();
@@ -117,9 +132,10 @@
         ((SocketChannel) channel).shutdownOutput();
     }
 
-    /** The response can't be completed: closes the connection after what is already written. */
+    /** Flushes the written part of a response that cannot be completed; closes the connection. */
     void abortResponse(ClientExchange aborted) {
-        // The client may have gone in this very turn, or an earlier abort is under way.
+        // The transition is illegal if the client has disconnected in this event loop iteration, or
+        // if an earlier abort is still in progress.
         if (state.canBecome(ClientConnectionState.LINGERING)) {
             enter(ClientConnectionState.LINGERING);
         }
@@ -130,7 +146,7 @@
         channel.close();
     }
 
-    /** The channel is closed, and all that was read has been handled. */
+    /** Called when the channel is closed and everything read from it has been handled. */
     void channelClosed() {
         listener.connectionClosed(this);
         reader.releasePending();
@@ -144,23 +160,26 @@
         context.fireChannelActive();
     }
 
-    /** The gate: passes the buffer on, and its ownership with it, or releases it. */
+    /** Passes the buffer and its ownership on, or releases it if its bytes are discarded. */
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
-        if (admitsInput()) {
+        if (updateStateForInput()) {
             context.fireChannelRead(bytes);
         } else {
             ReferenceCountUtil.release(bytes);
         }
     }
 
-    private boolean admitsInput() {
-        // Before the bytes are looked at: in a cold process that alone is as long as a sleep.
+    /** Updates the state for input that has arrived; returns whether the input is decoded. */
+    private boolean updateStateForInput() {
+        // The clock records the start of reading when it is first called in an iteration. It is
+        // called before the bytes are decoded because decoding in a cold process takes so long that
+        // the clock could not distinguish it from a sleep of the event loop.
         listener.loopClock().earliestArrivalNanos();
         lastInputNanos = System.nanoTime();
         if (state == ClientConnectionState.IN_FLIGHT) {
-            // Clients send one request at a time. What comes behind can't be distinguished from a
-            // wrong length of the current one, which so is no request either.
+            // Clients send one request at a time. The further bytes may also belong to the current
+            // request, if its length is wrong, so the current request is rejected too.
             reject(HttpResponseStatus.BAD_REQUEST, RequestReader.SEVERAL_REQUESTS);
         }
         if (state.isBetweenRequests() || state == ClientConnectionState.WRITING) {
@@ -169,17 +188,21 @@
         return !state.discardsInput();
     }
 
-    /** Rejects the current request as none of the protocol. */
+    /**
+     * Rejects the current request because it violates the protocol. The request handler has thrown
+     * the exception and is not notified of the end of the exchange.
+     */
     void rejectMalformed(BadRequestException malformed) {
         exchange = null;
         reject(HttpResponseStatus.BAD_REQUEST, malformed.getMessage());
     }
 
     /**
-     * Answers what is no request, or not in time, and ends the connection; what still arrives on it
-     * is discarded. A response that has begun is aborted instead.
+     * Sends an error response to a message that is malformed, too large or late, and closes the
+     * connection; further input is discarded. If the response to the current request has been
+     * started, that response is aborted instead.
      *
-     * @param reason the text of the response
+     * @param reason the body of the response
      */
     void reject(HttpResponseStatus status, String reason) {
         if (state.discardsInput()) {
@@ -199,7 +222,10 @@
                 Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8));
     }
 
-    /** Ends the exchange, if there is one: its client can't be answered any more. */
+    /**
+     * Ends the current exchange, if there is one, and notifies the request handler, whose response
+     * can no longer be sent.
+     */
     void abandonExchange() {
         if (exchange != null) {
             ClientExchange abandoned = exchange;
@@ -208,7 +234,7 @@
         }
     }
 
-    /** Whether it is between requests, seen with all that has arrived so far. */
+    /** Reads what has arrived so far, then returns whether the connection is between requests. */
     boolean isStillBetweenRequests() {
         if (state.isBetweenRequests()) {
             HttpClientConnection.readAvailableFrom(channel);
@@ -217,9 +243,10 @@
     }
 
     /**
-     * Ends the connection if it is between requests, as HTTP/1.1 asks (RFC 9112, 9.6): shuts its
-     * output down, then reads until the client has closed too. A request that crosses this is not
-     * handled, and its client can see that; a close over its unread bytes would be a reset.
+     * Half-closes the connection if it is between requests, as RFC 9112, section 9.6, requires:
+     * shuts down the output, then reads until the client closes too. A request that arrives after
+     * the half-close is not handled, which its client can tell from the end of the stream. Closing
+     * the socket instead would send a reset if there were unread bytes.
      */
     void halfClose() {
         if (isStillBetweenRequests()) {
@@ -244,29 +271,29 @@
         return state;
     }
 
-    /** The current exchange, or null. */
+    /** Returns the current exchange, or null. */
     ClientExchange exchange() {
         return exchange;
     }
 
-    /** Whether this exchange is the current one; only then may it still be answered. */
+    /** Whether the given exchange is the current one; no other may send a response. */
     boolean carries(ClientExchange candidate) {
         return exchange == candidate;
     }
 
-    /** On the clock of {@link System#nanoTime()}. */
+    /** Returns when the connection was accepted, as a time of {@link System#nanoTime()}. */
     long acceptedAtNanos() {
         return acceptedAtNanos;
     }
 
     /**
-     * The earliest time at which what is read now can have arrived, on the clock of {@link
-     * System#nanoTime()}: what is read in the turn after the accepting one may have arrived with
-     * the connection.
+     * Returns the earliest time at which input that is read now can have arrived, as a time of
+     * {@link System#nanoTime()}. Input that is read in the event loop iteration of the accept or in
+     * the next iteration may have arrived together with the connection.
      */
     long earliestArrivalNanos() {
-        return listener.loopClock().turnNumber() <= acceptedInTurn + 1
-                ? waitedSinceNanos
+        return listener.loopClock().turnNumber() <= acceptedInIteration + 1
+                ? earliestConnectNanos
                 : listener.loopClock().earliestArrivalNanos();
     }
 
@@ -278,12 +305,12 @@
         return DownstreamListener.millisSince(stateSinceNanos);
     }
 
-    /** Since the last input or, where that is later, since the state began. */
+    /** Returns the time since the last input or the start of the state, whichever is later. */
     long millisWithoutInput() {
         return DownstreamListener.millisSince(Math.max(lastInputNanos, stateSinceNanos));
     }
 
-    /** Time since the last response while nothing of a further request has been read; else 0. */
+    /** Returns the time since the last response if the connection is idle, else 0. */
     long idleMillis() {
         return state == ClientConnectionState.IDLE ? millisInState() : 0;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
@@ -4,47 +4,48 @@
 import java.util.Set;
 
 /**
- * What a client connection is doing, and what it may do next.
+ * The states of a client connection and their legal transitions.
  *
- * <p>Bytes from the client move {@link #ACCEPTED}, {@link #IDLE} and {@link #WRITING} on to {@link
- * #READING_REQUEST}; in {@link #READING_BODY} they are expected; in {@link #IN_FLIGHT} they are one
- * request too many; in the states after these they are discarded. The end of the client's output
- * closes the connection in every state. Shutdown, the idle time limit and a shortage of descriptors
- * end the connection in {@link #ACCEPTED} and {@link #IDLE}, after a last look for bytes; {@link
- * IdleSweeper} limits the time spent in each of the others.
+ * <p>Bytes from the client change {@link #ACCEPTED}, {@link #IDLE} and {@link #WRITING} to {@link
+ * #READING_REQUEST}. They are expected in {@link #READING_BODY}, are rejected as a second request
+ * in {@link #IN_FLIGHT}, and are discarded in the states for which {@link #discardsInput} returns
+ * true. The end of the client's output closes the connection in every state. In {@link #ACCEPTED}
+ * and {@link #IDLE}, shutdown, the idle timeout and the connection limit may close the connection,
+ * after checking once more for unread bytes; {@link IdleSweeper} limits the time for reading a
+ * request, writing and lingering, and ends streams that have stalled.
  */
 enum ClientConnectionState {
-    /** Accepted; not one byte has been read. */
+    /** Accepted; no byte has been read yet. */
     ACCEPTED,
 
-    /** The last request is answered, and nothing of a further one has been read. */
+    /** The last response is written, and no byte of a further request has been read. */
     IDLE,
 
-    /** A part of a request has been read, or all of one in this very turn of the loop. */
+    /** A part of a request has been read, or a complete request that is not handled yet. */
     READING_REQUEST,
 
-    /** A request has been handed on at its head, and its streamed body is still being read. */
+    /** The head of a request has been handed on, and its streamed body is still being read. */
     READING_BODY,
 
-    /** A request has been read completely and waits for its response, or for the rest of it. */
+    /** A request has been read completely, and its response is not complete yet. */
     IN_FLIGHT,
 
     /** A complete response is being written; the connection stays open after it. */
     WRITING,
 
-    /** A complete response is being written; it is the last one of this connection. */
+    /** A complete response is being written; the connection closes after it. */
     WRITING_LAST,
 
     /**
      * Half-closed: the output is shut down, and input is read and discarded until the client closes
-     * too. Also the state of an aborted response until its channel is reported closed.
+     * too. Also the state after an aborted response until the channel is reported closed.
      */
     LINGERING,
 
     /** The channel is closed. */
     CLOSED;
 
-    // The table of legal transitions: the possible successors of each state.
+    // Defines the legal transitions by the possible successors of each state.
     static {
         ACCEPTED.successors = EnumSet.of(READING_REQUEST, WRITING_LAST, LINGERING, CLOSED);
         IDLE.successors = EnumSet.of(READING_REQUEST, WRITING_LAST, LINGERING, CLOSED);
@@ -59,7 +60,7 @@
 
     private Set<ClientConnectionState> successors;
 
-    /** Whether the table allows this state to be followed by that one. */
+    /** Whether the transition from this state to the given one is legal. */
     boolean canBecome(ClientConnectionState next) {
         return successors.contains(next);
     }
@@ -67,7 +68,7 @@
     /**
      * Returns the next state.
      *
-     * @throws IllegalStateException if the table does not allow it; the message names both states
+     * @throws IllegalStateException if the transition is not legal; the message names both states
      */
     ClientConnectionState transitionTo(ClientConnectionState next) {
         if (!canBecome(next)) {
@@ -77,12 +78,12 @@
         return next;
     }
 
-    /** Whether bytes from the client are read only to be thrown away. */
+    /** Whether bytes from the client are read and discarded. */
     boolean discardsInput() {
         return this == WRITING_LAST || this == LINGERING || this == CLOSED;
     }
 
-    /** Whether the connection carries no request and nothing of one has been read. */
+    /** Whether the connection carries no request and no byte of a request has been read. */
     boolean isBetweenRequests() {
         return this == ACCEPTED || this == IDLE;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -28,9 +28,9 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * One request of a client connection and its response. Only the first response counts: once it is
- * complete, or the client is gone, the connection no longer {@linkplain ClientConnection#carries
- * carries} the exchange and what comes for it is dropped.
+ * One request of a client connection and its response. Only the first response is sent: once that
+ * response is complete, or the client has disconnected, the connection no longer {@linkplain
+ * ClientConnection#carries carries} the exchange, and further response data is dropped.
  */
 final class ClientExchange implements ProxiedRequest.Client {
     private final ClientConnection connection;
@@ -39,28 +39,31 @@
     /** Whether the client understands chunked transfer coding. */
     private final boolean chunkedAllowed;
 
+    /**
+     * Earliest time at which the request can have arrived, as a time of {@link System#nanoTime()}.
+     */
     private final long arrivedAtNanos;
 
     /**
-     * Whether the end of the response is that of the connection; only a reset then tells that the
-     * response is not complete.
+     * Whether the close of the connection marks the end of the response. An incomplete response
+     * then has to end with a reset, so that the client can tell.
      */
     private boolean endsByClose;
 
     /** The body of the request if it is streamed, else null. */
     private StreamedUpload upload;
 
-    /** Whether the client waits for a 100 before it sends the body. */
+    /** Whether the client waits for a 100 response before it sends the body. */
     private boolean continueExpected;
 
-    /** The flow of a streamed response from its beginning on, else null. */
+    /** Flow control of the response once a streamed response has been started, else null. */
     private FlowControl responseFlow;
 
     /**
      * Starts an exchange.
      *
-     * @param request null for what can't be read as a request: then there is nothing to keep the
-     *     connection for
+     * @param request the request, or null if the input is rejected without one: the connection is
+     *     then closed after the response
      */
     ClientExchange(ClientConnection connection, HttpRequest request) {
         this.connection = connection;
@@ -77,7 +80,7 @@
         return connection.listener();
     }
 
-    /** Whether the connection still waits for this exchange. */
+    /** Whether this is the connection's current exchange. */
     private boolean isCurrent() {
         return connection.carries(this);
     }
@@ -86,7 +89,7 @@
         return connection.state() == ClientConnectionState.READING_BODY;
     }
 
-    /** Whether a streamed response has begun, which can only be completed or aborted. */
+    /** Whether a streamed response has been started, which can only be completed or aborted. */
     boolean isResponseStarted() {
         return responseFlow != null;
     }
@@ -96,7 +99,10 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivedAtNanos);
     }
 
-    /** The end of an upload is not looked for: reading it is up to its flow control. */
+    /**
+     * First reads what has arrived, which detects a disconnect. If the body is streamed, nothing is
+     * read here: only flow control decides when the client is read.
+     */
     @Override
     public boolean isStillWaiting() {
         if (isCurrent() && upload == null) {
@@ -108,7 +114,7 @@
         return isCurrent();
     }
 
-    /** Begins to read a streamed body of at most so many bytes. */
+    /** Creates the upload of a streamed body of at most {@code maxBytes}. */
     StreamedUpload startUpload(HttpRequest head, long maxBytes) {
         continueExpected = HttpUtil.is100ContinueExpected(head);
         upload =
@@ -116,14 +122,17 @@
                         listener().streamingSettings(),
                         listener().buffers(),
                         maxBytes,
-                        this::readBody);
+                        this::setReadingBody);
         return upload;
     }
 
-    /** Starts or stops reading the body; a client that waits for a 100 gets it first. */
-    private void readBody(boolean on) {
-        channel().config().setAutoRead(on || !isCurrent());
-        if (on && continueExpected && isCurrent()) {
+    /**
+     * Resumes or pauses reading the body. When reading begins, sends a 100 response if the client
+     * expects one. After the end of the exchange, the connection is read in any case.
+     */
+    private void setReadingBody(boolean reading) {
+        channel().config().setAutoRead(reading || !isCurrent());
+        if (reading && continueExpected && isCurrent()) {
             continueExpected = false;
             channel()
                     .writeAndFlush(
@@ -134,34 +143,37 @@
         }
     }
 
-    /** Takes the bytes over and releases them; false where the body has become too large. */
+    /** Forwards bytes of the body and takes ownership; returns false if the body is too large. */
     boolean forwardBody(ByteBuf bytes) {
         return upload.receive(bytes);
     }
 
-    /** All that arrived in one go has been forwarded. */
+    /** Flushes the bytes that have been forwarded since the last flush. */
     void flushUpload() {
         upload.flush();
     }
 
-    /** All of the body has been forwarded; the caller releases its end. */
+    /** Forwards the end of the body, which the caller releases. */
     void endUpload(LastHttpContent end) {
         upload.end(ProtocolHeaders.forwardableTrailers(end.trailingHeaders()));
     }
 
-    /** Ends what is streamed where the client or the server has stalled. */
+    /** Ends the streams of this exchange if the client or the endpoint has stalled. */
     void checkStalls() {
         if (isReadingBody() && upload.isClientStalled()) {
             connection.reject(HttpResponseStatus.REQUEST_TIMEOUT, "the body stopped coming");
-        } else if (hasServerStalled()) {
+        } else if (hasEndpointStalled()) {
             listener().requestHandler().serverStalled(this);
         } else if (responseFlow != null && responseFlow.isSinkStalled()) {
             reset();
         }
     }
 
-    /** The time to drain is up: ends what is still streamed so that its client notices it. */
-    void cutShort() {
+    /**
+     * Ends the streams of this exchange when the drain timeout has expired, so that the client can
+     * tell that they are incomplete.
+     */
+    void abortStreams() {
         if (isResponseStarted()) {
             abortResponse();
         } else if (isReadingBody()) {
@@ -170,18 +182,21 @@
         }
     }
 
-    private boolean hasServerStalled() {
-        return (upload != null && upload.isServerStalled())
+    private boolean hasEndpointStalled() {
+        return (upload != null && upload.isEndpointStalled())
                 || (responseFlow != null && responseFlow.isSourceStalled());
     }
 
     @Override
     public void startStreamedResponse(
-            HttpHeaders headers, long length, StreamingSettings limits, FlowControl.Source source) {
+            HttpHeaders headers,
+            long length,
+            StreamingSettings settings,
+            FlowControl.Source source) {
         if (!isCurrent()) {
             return;
         }
-        responseFlow = new FlowControl(limits, listener().buffers(), source);
+        responseFlow = new FlowControl(settings, listener().buffers(), source);
         HttpResponse head =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers);
         endsByClose = length < 0 && !chunkedAllowed;
@@ -194,7 +209,7 @@
         channel().write(head);
     }
 
-    /** Takes the part over: it is released here, or by the channel once it is written. */
+    /** Takes ownership of the part, which is released here or by the channel once written. */
     @Override
     public void writeBody(ByteBuf part) {
         if (!isCurrent()) {
@@ -215,7 +230,7 @@
     }
 
     @Override
-    public void endStreamedResponse(HttpHeaders trailers, Runnable taken) {
+    public void endStreamedResponse(HttpHeaders trailers, Runnable onWritten) {
         if (!isCurrent()) {
             return;
         }
@@ -225,14 +240,14 @@
                 .addListener(
                         written -> {
                             if (written.isSuccess() && isCurrent()) {
-                                streamedResponseWritten(taken);
+                                streamedResponseWritten(onWritten);
                             }
                         });
     }
 
-    private void streamedResponseWritten(Runnable taken) {
+    private void streamedResponseWritten(Runnable onWritten) {
         connection.startWriting(!keepAlive || endsByClose || listener().endsConnections());
-        taken.run();
+        onWritten.run();
         connection.responseWritten();
     }
 
@@ -244,13 +259,17 @@
         connection.abortResponse(this);
     }
 
-    /** For a client that takes nothing: what waits for it is discarded too. */
+    /** Resets the connection of a client that reads nothing; unsent data is discarded. */
     private void reset() {
+        // Makes abortResponse() send a reset.
         endsByClose = true;
         abortResponse();
     }
 
-    /** Takes the content over: it is released here, or by the channel once it is written. */
+    /**
+     * Sends a complete response, or aborts a streamed response that has been started. Takes
+     * ownership of the content, which is released here or by the channel once written.
+     */
     @Override
     public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
         if (!isCurrent() || isResponseStarted()) {
@@ -260,7 +279,7 @@
             }
             return;
         }
-        // Where a body has not been read completely, what follows is the rest of it.
+        // The rest of a body that has not been read completely would be read as the next request.
         boolean last = !keepAlive || listener().endsConnections() || isReadingBody();
         if (upload != null) {
             channel().config().setAutoRead(true);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientRequestDecoder.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientRequestDecoder.java
@@ -4,8 +4,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * An HTTP request decoder that can say whether it holds a part of a further message: bytes behind a
- * request mean that the request does not end where its framing says, or is not alone.
+ * An HTTP request decoder that reports whether it holds a part of a further message. Bytes after a
+ * request mean that the framing of the request is wrong or that another request follows.
  */
 final class ClientRequestDecoder extends HttpRequestDecoder {
     private boolean messageStarted;
@@ -16,12 +16,12 @@
         return super.createMessage(initialLine);
     }
 
-    /** The current message has been handed on completely; what is decoded next is another one. */
+    /** Called when a message has been handed on completely; further input is a new message. */
     void messageCompleted() {
         messageStarted = false;
     }
 
-    /** Whether nothing of a further message has been read. */
+    /** Whether no byte of a further message has been read. */
     boolean isEmpty() {
         return !messageStarted && actualReadableBytes() == 0;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * Keeps the number of client connections, and so of descriptors, within its limit: accepts only as
- * many as there is capacity for, and at the limit evicts a connection that carries no request.
+ * Limits the number of client connections and thereby of descriptors: accepts only as many as there
+ * is capacity for, and at the limit evicts a connection that carries no request.
  */
 final class ConnectionLimiter {
 
-    /** Most connections accepted in one turn of the loop. */
-    private static final int MAX_ACCEPTS_PER_TURN = 64;
+    /** Maximum number of connections accepted in one event loop iteration. */
+    private static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
     /** Eviction precedence of a connection that must stay open. */
     private static final int NOT_EVICTABLE = 0;
@@ -19,10 +19,10 @@
     /** Eviction precedence of a connection that has had a response and is idle. */
     private static final int IDLE_PRECEDENCE = 1;
 
-    /** Eviction precedence of a connection that never sent anything. */
+    /** Eviction precedence of a connection that has never sent anything. */
     private static final int UNUSED_PRECEDENCE = 2;
 
-    /** Eviction precedence of a connection that only waits for its client to close. */
+    /** Eviction precedence of a half-closed connection that waits for its client to close. */
     private static final int LINGERING_PRECEDENCE = 3;
 
     private final Set<ClientConnection> connections;
@@ -35,35 +35,38 @@
         this.maxConnections = maxConnections;
     }
 
-    /** The allocator of the listening channel: it says how many connections a turn accepts. */
+    /** Returns the listening channel's allocator; limits the accepts per event loop iteration. */
     ServerChannelRecvByteBufAllocator acceptAllocator() {
         return acceptAllocator;
     }
 
-    /** How many connections there are beyond half of the limit; not positive below it. */
+    /** Returns the number of connections minus half of the limit. */
     long connectionsBeyondHalfLimit() {
         return (long) connections.size() - maxConnections / 2;
     }
 
     /**
-     * Adjusts how many connections the listening channel accepts. At the limit one connection that
-     * waits for nothing is evicted: one that was rejected, else one that sent nothing at all, else
-     * the one that was answered the longest time ago. Where all are busy, new ones wait to be
-     * accepted.
+     * Adjusts how many connections the listening channel accepts. At the limit, evicts one
+     * connection that carries no request: a half-closed one, else one that has never sent anything,
+     * else the one that has been idle longest. If all connections are busy, new ones wait in the
+     * kernel's accept queue.
      *
-     * <p>Up to the limit all that wait are accepted at once. One in each turn of the loop was too
-     * few where turns are long (a cold runtime, no CPU left, a pause): requests then spent their
-     * time in the kernel's queue, unseen by the balancer, which neither rejected them nor knew how
-     * old they were, and each client that gave up came back behind the others. Harm: a burst gets
-     * its descriptors at once, so the limit has to be enforced here, not by the rate of accepting.
+     * <p>Below the limit, all waiting connections are accepted at once. Accepting one per event
+     * loop iteration is too slow if iterations are long (a cold JVM, no CPU time, a pause):
+     * requests then spend their time in the accept queue, where the balancer can neither reject
+     * them nor know their age, and each client that times out reconnects at the end of the queue.
+     * Drawback: a burst takes its descriptors at once, so the limit has to be enforced here and not
+     * by the accept rate.
      */
     void adjustAccepting(Channel listening) {
         boolean hasCapacity = connections.size() < maxConnections || evictOne();
         int capacity = maxConnections - connections.size();
-        acceptAllocator.maxMessagesPerRead(Math.max(1, Math.min(MAX_ACCEPTS_PER_TURN, capacity)));
+        acceptAllocator.maxMessagesPerRead(
+                Math.max(1, Math.min(MAX_ACCEPTS_PER_ITERATION, capacity)));
         listening.config().setAutoRead(hasCapacity);
     }
 
+    /** Evicts the connection with the highest rank; returns whether one has been closed. */
     private boolean evictOne() {
         ClientConnection victim = null;
         for (ClientConnection connection : connections) {
@@ -74,7 +77,7 @@
         return victim != null && evict(victim);
     }
 
-    /** Closes a connection at once unless a request has arrived; whether it is closed. */
+    /** Closes a connection unless a request has arrived on it; returns whether it is closed. */
     private static boolean evict(ClientConnection connection) {
         boolean evictable =
                 connection.state() == ClientConnectionState.LINGERING
@@ -86,8 +89,9 @@
     }
 
     /**
-     * How well this connection can be spared, by its precedence and then by the time spent in its
-     * state; 0 where it can't.
+     * Returns the eviction rank; 0 if the connection must not be evicted. The rank grows with the
+     * precedence and, by less than 1, with the time spent in the state, so the time decides only
+     * among connections of one precedence.
      */
     private static double evictionRank(ClientConnection connection) {
         int precedence = evictionPrecedence(connection);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -17,12 +17,13 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * The listening side of the sidecar: accepts client connections within their limit and ends them
- * without losing a request. Not thread-safe: all methods are called on the event loop.
+ * The listening socket of the sidecar and its client connections: accepts connections up to a limit
+ * and closes them without losing a request. Not thread-safe: all methods are called on the event
+ * loop.
  */
 public final class DownstreamListener {
 
-    /** Connections that the kernel keeps until they are accepted. */
+    /** Maximum length of the kernel's accept queue, in connections. */
     private static final int ACCEPT_BACKLOG = 1_024;
 
     private final EventLoop loop;
@@ -43,10 +44,10 @@
      * Creates a listener that does not listen yet.
      *
      * @param loop the event loop of the listening channel and of all connections
-     * @param loopClock says since when what is read may have waited
+     * @param loopClock gives the earliest arrival time of the input that is read
      * @param requestHandler handles the requests that are read
-     * @param maxConnections most client connections open at a time
-     * @param log takes log lines
+     * @param maxConnections maximum number of open client connections
+     * @param log receives log lines
      */
     public DownstreamListener(
             EventLoop loop,
@@ -63,7 +64,7 @@
         shutdown = new GracefulShutdown(loop, this);
     }
 
-    /** Starts to listen; the future tells when the address is bound, or why it can't be. */
+    /** Starts to listen; the future completes when the address is bound, or with the error. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -84,24 +85,24 @@
         return bound;
     }
 
-    /** Sets which bodies are streamed from now on, and how. */
+    /** Sets the streaming settings that apply from now on. */
     public void updateStreamingSettings(StreamingSettings next) {
         streaming = next;
     }
 
-    /** What streamed bodies hold in memory. */
+    /** Returns the accounting of the bytes that streamed bodies have buffered. */
     public BufferAccounting buffers() {
         return buffers;
     }
 
-    /** The address that it listens on, once it is bound. */
+    /** Returns the address of the listening socket, once it is bound. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listening.localAddress();
     }
 
     /**
-     * Closes all connections at once, whether or not they have requests in flight. The future tells
-     * when the listening socket is closed.
+     * Closes all connections at once, whether or not they have requests in flight. The future
+     * completes when the listening socket is closed.
      */
     public ChannelFuture closeNow() {
         List.copyOf(connections).forEach(connection -> connection.channel().close());
@@ -111,14 +112,14 @@
     /**
      * Shuts down gracefully, see {@link GracefulShutdown}.
      *
-     * @param ended called when all connections and the listening socket are closed; at once if it
-     *     never listened
+     * @param onClosed called when all connections and the listening socket are closed; at once if
+     *     {@link #listen} has not been called
      */
-    public void shutDownGracefully(Runnable ended) {
+    public void shutDownGracefully(Runnable onClosed) {
         if (listening == null) {
-            ended.run();
+            onClosed.run();
         } else {
-            shutdown.start(ended);
+            shutdown.start(onClosed);
         }
     }
 
@@ -140,20 +141,21 @@
         limiter.adjustAccepting(listening);
     }
 
-    /** An idle connection is about to be half-closed. */
+    /** Called when a connection without a request is about to be half-closed. */
     void connectionHalfClosed() {
         shutdown.connectionHalfClosed();
     }
 
     /**
-     * Whether every response now is the last of its connection: during shutdown, and while others
-     * wait to be accepted, whom a connection that stays open and idle shuts out.
+     * Whether connections are closed after their current response: during shutdown, and while
+     * accepting is paused at the connection limit, where an idle connection would keep out a client
+     * that waits to be accepted.
      */
     boolean endsConnections() {
         return shutdown.isDraining() || !listening.config().isAutoRead();
     }
 
-    /** Whether the shutdown has begun to end connections. */
+    /** Whether the shutdown has begun to close connections. */
     boolean isDraining() {
         return shutdown.isDraining();
     }
@@ -170,7 +172,7 @@
         return streaming;
     }
 
-    /** The open connections, in the order in which they were accepted. */
+    /** Returns the open connections, in the order in which they were accepted. */
     Set<ClientConnection> connections() {
         return connections;
     }
@@ -183,7 +185,7 @@
         log.accept(line);
     }
 
-    /** Whole milliseconds since this time of {@link System#nanoTime()}. */
+    /** Returns the whole milliseconds since the given time of {@link System#nanoTime()}. */
     static long millisSince(long nanos) {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -7,38 +7,39 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * Ends the listener without losing a request: goes on accepting while clients still connect, then
- * ends each connection after its response. Idle connections are closed before the listening socket,
- * so that a client whose request crosses the close can reconnect and resend it.
+ * Shuts down the listener without losing a request: goes on accepting while clients still connect,
+ * then closes each connection after its response. Idle connections are half-closed before the
+ * listening socket is closed, so that a client whose request arrives just after the half-close can
+ * reconnect and resend it.
  */
 final class GracefulShutdown {
 
     /**
-     * How long connections are accepted as usual after the shutdown was announced: new ones go on
-     * arriving for 0.2 to 0.4 s after SIGTERM (PROTOCOL).
+     * Time after the start of the shutdown during which connections are handled as usual: according
+     * to the protocol, clients go on connecting for 0.2 to 0.4 s after SIGTERM.
      */
     private static final long ACCEPT_PERIOD_MILLIS = 400;
 
     /**
-     * The listening socket closes after this time, even if clients still connect: a process must
-     * end, and only what arrived in the first 0.7 s after SIGTERM may not be left unanswered
-     * (PROTOCOL).
+     * Time after which the listening socket is closed even if clients still connect: the process
+     * must exit, and the protocol requires responses only to requests that arrive within 0.7 s
+     * after SIGTERM.
      */
     private static final long MAX_ACCEPT_PERIOD_MILLIS = 1_500;
 
     /**
-     * The listening socket closes once no client has connected for so long, so that one whose idle
-     * connection was closed can connect once more.
+     * The listening socket is closed once no client has connected and no connection has been
+     * half-closed for this time, so that a client whose idle connection was closed can reconnect.
      */
     private static final long QUIET_PERIOD_MILLIS = 100;
 
-    /** Time between two looks at the connections while they drain. */
+    /** Interval of the checks of all connections while they drain. */
     private static final long DRAIN_INTERVAL_MILLIS = IdleSweeper.SWEEP_INTERVAL_MILLIS;
 
     private final EventLoop loop;
     private final DownstreamListener listener;
     private boolean draining;
-    private long announcedAtNanos;
+    private long startedAtNanos;
     private long lastAcceptedNanos = System.nanoTime();
     private long lastHalfClosedNanos = lastAcceptedNanos;
 
@@ -47,53 +48,57 @@
         this.listener = listener;
     }
 
-    /** Whether each connection ends after its current response. */
+    /** Whether each connection is closed after its current response. */
     boolean isDraining() {
         return draining;
     }
 
-    /** A connection was accepted at this time of {@link System#nanoTime()}. */
+    /** Records that a connection was accepted at this time of {@link System#nanoTime()}. */
     void connectionAccepted(long acceptedAtNanos) {
         lastAcceptedNanos = acceptedAtNanos;
     }
 
-    /** An idle connection is about to be half-closed; its client may connect once more. */
+    /** Records that a connection is being half-closed, after which its client may reconnect. */
     void connectionHalfClosed() {
         lastHalfClosedNanos = System.nanoTime();
     }
 
     /**
-     * Announces the shutdown.
+     * Starts the shutdown.
      *
-     * @param ended called when all connections and the listening socket are closed
+     * @param onClosed called when all connections and the listening socket are closed
      */
-    void start(Runnable ended) {
-        announcedAtNanos = System.nanoTime();
+    void start(Runnable onClosed) {
+        startedAtNanos = System.nanoTime();
         loop.schedule(
                 () -> {
                     draining = true;
-                    drain(ended);
+                    drain(onClosed);
                 },
                 ACCEPT_PERIOD_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void drain(Runnable ended) {
-        endConnections();
+    private void drain(Runnable onClosed) {
+        closeConnections();
         Channel listening = listener.listeningChannel();
         if (listening.isOpen() && isQuiet()) {
             closeListening(listening);
         }
         if (!listening.isOpen() && listener.connections().isEmpty()) {
-            ended.run();
+            onClosed.run();
         } else {
-            loop.schedule(() -> drain(ended), DRAIN_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> drain(onClosed), DRAIN_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void endConnections() {
-        if (millisSinceAnnounced() >= listener.streamingSettings().drainMillis()) {
-            List.copyOf(listener.connections()).forEach(GracefulShutdown::cutShort);
+    /**
+     * Half-closes the connections between requests, except new ones whose first request may still
+     * arrive. Aborts all streams once the drain timeout has expired.
+     */
+    private void closeConnections() {
+        if (millisSinceStart() >= listener.streamingSettings().drainMillis()) {
+            List.copyOf(listener.connections()).forEach(GracefulShutdown::abortStreams);
         }
         for (ClientConnection connection : List.copyOf(listener.connections())) {
             if (connection.millisSinceAccepted() > ClientConnection.FIRST_REQUEST_GRACE_MILLIS) {
@@ -102,14 +107,17 @@
         }
     }
 
-    private static void cutShort(ClientConnection connection) {
+    private static void abortStreams(ClientConnection connection) {
         ClientExchange exchange = connection.exchange();
         if (exchange != null) {
-            exchange.cutShort();
+            exchange.abortStreams();
         }
     }
 
-    /** Accepts what is already connected, since closing the socket would reset it. */
+    /**
+     * Accepts waiting connections, which the close of the listening socket would reset, then closes
+     * the socket if the quiet period still holds.
+     */
     private void closeListening(Channel listening) {
         listening.config().setAutoRead(true);
         HttpClientConnection.readAvailableFrom(listening);
@@ -118,14 +126,17 @@
         }
     }
 
-    /** Nobody has connected for a while, nor was half-closed and may connect once more. */
+    /**
+     * Whether no client has connected and no connection has been half-closed for the quiet period,
+     * or the maximum accept period has passed.
+     */
     private boolean isQuiet() {
-        long lastSignOfClients = Math.max(lastAcceptedNanos, lastHalfClosedNanos);
-        return DownstreamListener.millisSince(lastSignOfClients) > QUIET_PERIOD_MILLIS
-                || millisSinceAnnounced() > MAX_ACCEPT_PERIOD_MILLIS;
+        long lastActivityNanos = Math.max(lastAcceptedNanos, lastHalfClosedNanos);
+        return DownstreamListener.millisSince(lastActivityNanos) > QUIET_PERIOD_MILLIS
+                || millisSinceStart() > MAX_ACCEPT_PERIOD_MILLIS;
     }
 
-    private long millisSinceAnnounced() {
-        return DownstreamListener.millisSince(announcedAtNanos);
+    private long millisSinceStart() {
+        return DownstreamListener.millisSince(startedAtNanos);
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Enforces the time limits of client connections and closes surplus idle ones. One look at all
- * connections takes the place of timers for each, of which a flood of connections would leave
- * thousands.
+ * Enforces the time limits of client connections and closes surplus idle ones. It checks all
+ * connections periodically instead of using a timer for each, since a flood of connections would
+ * leave thousands of timers.
  */
 final class IdleSweeper {
 
@@ -16,27 +16,30 @@
     static final long SWEEP_INTERVAL_MILLIS = 25;
 
     /**
-     * From the connection, or from a later request's first byte, until the request has been read;
-     * the same without any byte on a new connection.
+     * Maximum time from the accept, or from the first byte of a later request, until the request
+     * has been read. A new connection without any input is half-closed after this time too.
      */
     private static final long REQUEST_READ_TIMEOUT_MILLIS = 2_000;
 
-    /** Without a request in flight, since the last response. */
+    /** Maximum time for which a connection may be idle after its last response. */
     private static final long IDLE_TIMEOUT_MILLIS = 5_000;
 
-    /** The same where connections are many, see {@link #closeSurplus}. */
+    /** Idle timeout of surplus connections, see {@link #closeSurplus}. */
     private static final long SURPLUS_IDLE_TIMEOUT_MILLIS = 200;
 
-    /** A response that the client has not taken in this time is given up. */
+    /** Maximum time for writing a response; if it takes longer, the connection is closed. */
     private static final long WRITE_TIMEOUT_MILLIS = 5_000;
 
     /**
-     * A half-closed connection may go on sending for so long: closing with bytes unread resets the
-     * connection, and the client could lose the response.
+     * Maximum time for which input on a half-closed connection is read before the socket is closed.
+     * Closing a socket with unread bytes sends a reset, and the client could lose the response.
      */
     private static final long LINGER_TIMEOUT_MILLIS = 5_000;
 
-    /** A half-closed connection is closed once it is silent for so long: nothing is on its way. */
+    /**
+     * A half-closed connection is closed after this time without input: no more bytes are expected
+     * to be in transit then.
+     */
     private static final long LINGER_QUIET_TIMEOUT_MILLIS = 300;
 
     private final Set<ClientConnection> connections;
@@ -47,7 +50,7 @@
         this.limiter = limiter;
     }
 
-    /** Looks at all connections once. */
+    /** Checks all connections once. */
     void sweep() {
         for (ClientConnection connection : List.copyOf(connections)) {
             enforceTimeLimit(connection);
@@ -79,13 +82,13 @@
                 }
             }
             case CLOSED -> {
-                // Nothing is left to be limited.
+                // A closed connection has no time limit.
             }
         }
     }
 
-    /** An exchange whose client was found gone ends before its channel is reported closed. */
     private static void checkStalls(ClientConnection connection) {
+        // The exchange is null if the client has disconnected but the close is not reported yet.
         ClientExchange exchange = connection.exchange();
         if (exchange != null) {
             exchange.checkStalls();
@@ -99,11 +102,12 @@
     }
 
     /**
-     * Beyond half of the limit, connections that have been idle for a while are closed, the longest
-     * idle first. Some clients ask once and keep their connection; clients may hold only so many in
-     * all, and those that still have something to ask then find none, though the sidecar and its
-     * servers have little to do. Against leaks of connections in clients and floods of them too.
-     * Harm: a client that asks less often has to reconnect.
+     * Half-closes idle connections beyond half of the connection limit, the longest idle first. The
+     * number of client connections is limited, and some clients send one request and keep their
+     * connection open, which would keep other clients out although the sidecar and its endpoints
+     * have little load. Closing surplus connections also guards against connection leaks in clients
+     * and against connection floods. Drawback: a client that seldom sends a request has to
+     * reconnect.
      */
     private void closeSurplus() {
         long surplus = limiter.connectionsBeyondHalfLimit();
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
@@ -10,8 +10,8 @@
 
 /**
  * Collects a request and its body into one message, unless the body is streamed: then head and
- * content pass as they arrive. A body that is too large to be collected is answered with 413, and
- * the connection ends.
+ * content are passed on as they arrive. A body that is too large to be collected is rejected with
+ * 413, and the connection is closed.
  */
 final class RequestAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
@@ -6,45 +6,47 @@
 import sagefall.streaming.StreamedUpload;
 
 /**
- * Handles the requests that the client connections have read. All methods are called on the event
+ * Handles the requests that are read from client connections. All methods are called on the event
  * loop of the listener.
  */
 public interface RequestHandler {
-    /** Whether a request would find an endpoint; {@code /healthz} reports it. */
+    /** Whether an endpoint is ready for requests; {@code /healthz} reports this. */
     boolean hasReadyEndpoint();
 
     /**
-     * Handles a request that has been read completely. The handler answers it once through the
+     * Handles a request that has been read completely. The handler sends one response through the
      * client, now or later, or throws.
      *
      * @param http the request; the caller releases it when this method returns
      * @param client the exchange that takes the response
-     * @throws BadRequestException if this is no request of the protocol; the caller answers
+     * @throws BadRequestException if the request violates the protocol; the caller sends the 400
+     *     response
      */
     void handle(FullHttpRequest http, ProxiedRequest.Client client) throws BadRequestException;
 
     /**
-     * Largest body of this request, in bytes, that is streamed as it arrives; 0 where the body is
-     * collected first.
+     * Returns the maximum length, in bytes, up to which the body of this request is streamed as it
+     * arrives; 0 if the body is collected first.
      */
     default long maxUploadBytes(HttpRequest head) {
         return 0;
     }
 
     /**
-     * Handles a request whose body is streamed, from its head on. The handler answers it once
-     * through the client, now or later, or throws.
+     * Handles a request whose body is streamed, when its head has been read. The handler sends one
+     * response through the client, now or later, or throws.
      *
-     * @throws BadRequestException if this is no request of the protocol; the caller answers
+     * @throws BadRequestException if the request violates the protocol; the caller sends the 400
+     *     response
      */
     default void handle(HttpRequest head, StreamedUpload upload, ProxiedRequest.Client client)
             throws BadRequestException {
         throw new UnsupportedOperationException();
     }
 
-    /** The server of this request has neither read nor sent anything for too long. */
+    /** Called when the endpoint of this request has read or sent nothing for too long. */
     default void serverStalled(ProxiedRequest.Client client) {}
 
-    /** The client of this request has disconnected and can't be answered any more. */
+    /** Called when the client of this request can no longer be sent a response. */
     void clientDisconnected(ProxiedRequest.Client client);
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -20,18 +20,18 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Parses a client's HTTP message into a request of the protocol, or says why it is none. Reads the
- * settings only, so one parser serves all connections; not thread-safe.
+ * Parses a client's HTTP message into a request, or reports how the message violates the protocol.
+ * One parser serves all connections, since no state is kept between requests. Not thread-safe.
  */
 public final class RequestParser {
 
     /**
-     * A client's time runs from when it sent the request; at most this much of it is set aside for
-     * the way here and back.
+     * Maximum share of a client's timeout that is reserved for the network transit of the request
+     * and the response, since the timeout runs from when the client sent the request.
      */
     private static final long MAX_TRANSIT_MARGIN_MICROS = 20_000;
 
-    /** The margin is at most this part of the client's timeout: a tenth. */
+    /** The transit margin is at most the client's timeout divided by this number. */
     private static final int TRANSIT_MARGIN_DIVISOR = 10;
 
     private static final int MAX_REQUEST_ID_LENGTH = 128;
@@ -58,15 +58,16 @@
     }
 
     /**
-     * Parses a request. Its deadline counts from when the client may have sent it.
+     * Parses a request. The deadline of the request is the earliest time at which the request can
+     * have arrived, plus the client's timeout, minus the transit margin.
      *
      * @param now the current time in microseconds
-     * @param http the message, or its head where the body is streamed; not retained
-     * @param body the body that came with the request, or null where it is streamed
-     * @param upload the body that is streamed as it arrives, else null
+     * @param http the message, or its head if the body is streamed; not retained
+     * @param body the complete body, or null if it is streamed
+     * @param upload the body if it is streamed as it arrives, else null
      * @param streaming which bodies may be streamed
      * @param client the exchange that takes the response
-     * @throws BadRequestException if this is no request of the protocol
+     * @throws BadRequestException if the request violates the protocol
      */
     public ProxiedRequest parse(
             long now,
@@ -91,7 +92,7 @@
                 http.headers(),
                 body,
                 upload,
-                streaming.bounds(requestClass.name()).answerBytes(),
+                streaming.bounds(requestClass.name()).responseBytes(),
                 client);
     }
 
@@ -107,7 +108,7 @@
         String id = requestId(headers);
         long timeoutMicros = timeoutMillis(headers) * MICROS_PER_MILLI;
         long waitedMicros = client.waitedMicros();
-        boolean responseStreamed = streaming.bounds(requestClass.name()).answerBytes() > 0;
+        boolean responseStreamed = streaming.bounds(requestClass.name()).responseBytes() > 0;
         return new Request(
                 id,
                 classIndexes.get(requestClass.name()),
@@ -126,7 +127,7 @@
         return now - waitedMicros + timeoutMicros - margin;
     }
 
-    /** The class that a path names, or null if there is no such class. */
+    /** Returns the class that a path names, or null if there is no such class. */
     public RequestClass requestClass(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
@@ -134,7 +135,10 @@
         return index == null ? null : settings.classes().get(index);
     }
 
-    /** The key is the last segment of a path that has more than the class. */
+    /**
+     * Returns the routing key: the stable id of the last path segment, or {@link #NO_KEY} if the
+     * path names only the class.
+     */
     private static long key(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
@@ -150,8 +154,9 @@
     }
 
     /**
-     * The decoder rejects lengths that are odd, repeated or beside a transfer coding; other codings
-     * it lets pass.
+     * Checks the framing and the HTTP version. The decoder itself rejects a content length that is
+     * malformed, repeated or combined with a transfer coding, but accepts transfer codings other
+     * than chunked.
      */
     private static void checkFraming(HttpRequest http) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
@@ -171,8 +176,8 @@
     }
 
     /**
-     * The method and the idempotency key say what the client takes the class for; it must be what
-     * the settings say.
+     * Checks that the method, the body and the idempotency key match the idempotency that the
+     * settings define for the request class.
      */
     private static void checkMethod(HttpRequest http, Idempotency idempotency, boolean hasBody)
             throws BadRequestException {
@@ -221,7 +226,7 @@
         return millis;
     }
 
-    /** The number that the text is, or -1, which is no timeout. */
+    /** Parses a number; returns -1, which is no valid timeout, for a missing or malformed one. */
     private static long parseLong(String text) {
         try {
             return text == null ? -1 : Long.parseLong(text);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -20,18 +20,18 @@
 
 /**
  * The last handler of a client connection: hands complete requests and streamed bodies to the
- * {@link RequestHandler}. A request is handled once all that arrived with it has been read: bytes
- * behind it mean that it does not end where it says, or that it is not alone.
+ * {@link RequestHandler}. A request is handled only after everything that arrived with it has been
+ * read: bytes after it mean that its framing is wrong or that another request follows.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** The text of the response to bytes that are not HTTP. */
+    /** The body of the response to bytes that are not HTTP. */
     static final String NOT_HTTP = "not HTTP";
 
-    /** The text of the response where a request follows before the first is answered. */
+    /** The body of the response if input follows a request before its response is complete. */
     static final String SEVERAL_REQUESTS = "more than one request";
 
-    /** The text of the response to a body over its limit. */
+    /** The body of the response to a request body over its limit. */
     static final String BODY_TOO_LARGE = "the body is too large";
 
     private static final String HEALTH_CHECK_PATH = "/healthz";
@@ -39,20 +39,20 @@
     private final ClientConnection connection;
     private final ClientRequestDecoder decoder = new ClientRequestDecoder();
 
-    /** A request that was read completely, until it is seen that nothing follows it. */
+    /** A complete request that is not handled yet because further input may follow it; or null. */
     private FullHttpRequest completeRequest;
 
-    /** The end of a streamed body, until it is seen that nothing follows it. */
+    /** The end of a streamed body, not forwarded yet because input may follow it; or null. */
     private LastHttpContent bodyEnd;
 
-    /** Whether a further message was read together with a request; the connection then ends. */
+    /** Whether a further message was read together with a request, which is then rejected. */
     private boolean furtherMessageRead;
 
     RequestReader(ClientConnection connection) {
         this.connection = connection;
     }
 
-    /** The decoder of this connection, to be put into its pipeline. */
+    /** Returns the decoder of this connection, to be added to its pipeline. */
     ClientRequestDecoder decoder() {
         return decoder;
     }
@@ -62,7 +62,7 @@
         connection.channelClosed();
     }
 
-    /** An error in the pipeline costs this connection its request; the others go on. */
+    /** Ends the request of this connection after an error; other connections are not affected. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         ClientExchange exchange = connection.exchange();
@@ -89,15 +89,15 @@
         connection.listener().log(line.toString());
     }
 
-    /** The caller releases the message; what is needed for longer is retained. */
+    /** Dispatches a message. The caller releases it; what is needed for longer is retained. */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (message instanceof FullHttpRequest request) {
-            requestRead(request);
+            onRequest(request);
         } else if (message instanceof HttpRequest head) {
-            uploadHeadRead(head);
+            onUploadHead(head);
         } else if (message instanceof HttpContent content) {
-            bodyContentRead(content);
+            onBodyContent(content);
         }
     }
 
@@ -105,7 +105,7 @@
      * Retains the request until {@link #channelReadComplete}, which releases it, or {@link
      * #releasePending}.
      */
-    private void requestRead(FullHttpRequest request) {
+    private void onRequest(FullHttpRequest request) {
         decoder.messageCompleted();
         if (completeRequest != null || connection.exchange() != null) {
             furtherMessageRead = true;
@@ -115,8 +115,9 @@
     }
 
     /**
-     * Largest body of this request, in bytes, that is streamed; 0 for one that is small or not
-     * known to be allowed, or no request.
+     * Returns the maximum length, in bytes, up to which the body of this request is streamed, or 0
+     * if the body is not streamed: the body is small or larger than allowed, the request class has
+     * no streamed uploads, or the message does not start a request.
      */
     long maxStreamedBodyBytes(HttpRequest head) {
         boolean startsRequest =
@@ -133,7 +134,7 @@
         return small || length > maxBytes ? 0 : maxBytes;
     }
 
-    private void uploadHeadRead(HttpRequest head) {
+    private void onUploadHead(HttpRequest head) {
         long maxBytes = maxStreamedBodyBytes(head);
         ClientExchange exchange = connection.startReadingBody(head);
         StreamedUpload upload = exchange.startUpload(head, maxBytes);
@@ -148,7 +149,7 @@
      * Forwards the content, or retains the end of the body until {@link #channelReadComplete},
      * which releases it, or {@link #releasePending}. The caller releases its own reference.
      */
-    private void bodyContentRead(HttpContent content) {
+    private void onBodyContent(HttpContent content) {
         if (!isReadingBody()) {
             return;
         }
@@ -163,8 +164,8 @@
     }
 
     /**
-     * Forwards the bytes of the content under a reference of their own, which the upload releases;
-     * the caller releases the content. False where the body has become too large.
+     * Forwards the bytes of the content. The caller releases the content; the upload releases a
+     * reference of its own. Returns false if the body is too large.
      */
     private boolean forwardBody(HttpContent content) {
         boolean fits = connection.exchange().forwardBody(content.content().retain());
@@ -174,7 +175,7 @@
         return fits;
     }
 
-    /** All that arrived in one go has been read. */
+    /** Called when everything that one read of the socket returned has been handled. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (completeRequest != null) {
@@ -195,18 +196,18 @@
         context.fireChannelReadComplete();
     }
 
-    /** The caller releases the request. */
+    /** Handles a complete request, which the caller releases. */
     private void handleRequest(FullHttpRequest request) {
         if (connection.state().discardsInput()) {
             return;
         }
-        if (anythingFollows()) {
+        if (hasFurtherInput()) {
             connection.reject(HttpResponseStatus.BAD_REQUEST, SEVERAL_REQUESTS);
             return;
         }
         ClientExchange exchange = connection.startRequest(request);
         if (request.decoderResult().isSuccess() && request.uri().equals(HEALTH_CHECK_PATH)) {
-            answerHealthCheck(exchange);
+            respondToHealthCheck(exchange);
             return;
         }
         try {
@@ -216,7 +217,7 @@
         }
     }
 
-    private void answerHealthCheck(ClientExchange exchange) {
+    private void respondToHealthCheck(ClientExchange exchange) {
         exchange.answer(
                 requestHandler().hasReadyEndpoint()
                         ? HttpResponseStatus.OK
@@ -226,17 +227,17 @@
     }
 
     /**
-     * Forwards the end of a streamed body only when nothing follows it: until then no server can
-     * have run the request.
+     * Forwards the end of a streamed body if nothing follows it. Before the end is forwarded, no
+     * server can have run the request, so it can still be rejected.
      */
     private void endBody() {
         LastHttpContent end = bodyEnd;
         bodyEnd = null;
         try {
-            if (anythingFollows()) {
+            if (hasFurtherInput()) {
                 connection.reject(HttpResponseStatus.BAD_REQUEST, SEVERAL_REQUESTS);
             } else if (forwardBody(end) && isReadingBody()) {
-                connection.bodyRead();
+                connection.bodyCompleted();
                 connection.exchange().endUpload(end);
             }
         } finally {
@@ -248,11 +249,11 @@
         return connection.state() == ClientConnectionState.READING_BODY;
     }
 
-    private boolean anythingFollows() {
+    private boolean hasFurtherInput() {
         return furtherMessageRead || !decoder.isEmpty();
     }
 
-    /** Releases what was read and not yet handled. */
+    /** Releases messages that have been read and not handled yet. */
     void releasePending() {
         ReferenceCountUtil.release(completeRequest);
         ReferenceCountUtil.release(bodyEnd);
--- a/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
@@ -10,28 +10,29 @@
 import sagefall.streaming.FlowControl;
 
 /**
- * What the connection pool reports of attempts, always on the event loop. An attempt that was
- * abandoned is not reported any more. The methods for streams need to be implemented only by who
- * starts attempts that are streamed.
+ * Receives the events of attempts from the connection pool, always on the event loop. No events are
+ * reported for an attempt that has been abandoned. The methods for streams need to be implemented
+ * only if uploads or responses are streamed.
  */
 public interface AttemptListener {
 
     /**
-     * An attempt has ended, unless by the end of a streamed response.
+     * Called when an attempt has ended, except by the end of a streamed response.
      *
-     * @param report the server's load report, or null
-     * @param answer the server's response, or null where it gave none; owned by the connection,
+     * @param report the endpoint's load report, or null
+     * @param response the endpoint's response, or null if there is none; owned by the connection,
      *     which releases it on return
      */
     void attemptEnded(
             ForwardedAttempt attempt,
             AttemptResult result,
             LoadReport report,
-            FullHttpResponse answer);
+            FullHttpResponse response);
 
     /**
-     * Asked directly before the first byte of an attempt is written. The listener takes in what has
-     * arrived and has not been read yet, endpoint lists too; it may abandon the attempt meanwhile.
+     * Called directly before the first byte of an attempt is written. The listener first reads and
+     * handles everything that has arrived, including endpoint lists, and may abandon the attempt
+     * during this call.
      *
      * @return whether the client still waits for the response
      */
@@ -39,13 +40,13 @@
         return true;
     }
 
-    /** The last byte of a streamed upload has been written. */
+    /** Called when the last byte of a streamed upload has been written. */
     default void uploadWritten(ForwardedAttempt attempt) {}
 
     /**
-     * A streamed response has begun.
+     * Called when the head of a streamed response has arrived.
      *
-     * @param report the server's load report, or null
+     * @param report the endpoint's load report, or null
      * @param source pauses and resumes reading the response
      */
     default void responseStarted(
@@ -55,7 +56,7 @@
             FlowControl.Source source) {}
 
     /**
-     * A part of a streamed response has arrived.
+     * Called when a part of the body of a streamed response has arrived.
      *
      * @param part ownership passes to the listener
      */
@@ -63,9 +64,9 @@
         part.release();
     }
 
-    /** All parts that one read of the socket brought have been reported. */
+    /** Called when all parts that one read of the socket returned have been reported. */
     default void responseReadComplete(ForwardedAttempt attempt) {}
 
-    /** A streamed response is complete; the attempt has left its connection. */
+    /** Called when a streamed response is complete and the attempt has left its connection. */
     default void responseFinished(ForwardedAttempt attempt, HttpHeaders trailers) {}
 }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -18,22 +18,22 @@
 import sagefall.proxy.WallClock;
 
 /**
- * The connections to all endpoints: which idle connection an attempt is sent on, whether a new one
- * may be opened, and when idle ones are closed. The pool itself never sends an attempt twice. To be
- * used on the event loop only.
+ * Holds the connections to all endpoints. Selects the idle connection that an attempt is sent on,
+ * decides whether a new one may be opened, and closes connections that have been idle for too long.
+ * The pool never sends an attempt twice. Used on the event loop only.
  */
 public final class ConnectionPool {
 
     /**
-     * How long a connection is not used after a response, in microseconds: a second copy of the
-     * response may come this much later.
+     * Time after a response during which its connection is not reused, in microseconds. A duplicate
+     * of the response may arrive this much later and would be read as the next response.
      */
     public static final long REUSE_DELAY_MICROS = 20_000;
 
-    /** How often idle connections are looked through within one idle timeout. */
+    /** Number of checks for expired idle connections within one idle timeout. */
     private static final int SWEEPS_PER_IDLE_TIMEOUT = 10;
 
-    /** However long the idle timeout, idle connections are looked through once in this time. */
+    /** Maximum interval of the checks for expired idle connections. */
     private static final long MAX_SWEEP_INTERVAL_MICROS = 1_000_000;
 
     private final EventLoop loop;
@@ -46,10 +46,10 @@
     private final Map<ForwardedAttempt, UpstreamConnection> connectionsInUse = new HashMap<>();
     private boolean streaming;
 
-    /** Connections in any state but closed. */
+    /** Number of connections that are not closed. */
     private int connectionCount;
 
-    /** A pool without endpoints; those come with {@link #update}. */
+    /** Creates a pool without endpoints; {@link #update} adds them. */
     public ConnectionPool(
             EventLoop loop, WallClock clock, SidecarConfig config, AttemptListener listener) {
         this.loop = loop;
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Whether responses may be streamed from now on. Idle connections that were opened under the
-     * other setting are closed, as they read in pieces of another size.
+     * Sets whether responses may be streamed from now on. If the setting changes, closes all idle
+     * connections, since their socket reads have the size for the previous setting.
      */
     public void setStreaming(boolean next) {
         if (streaming != next) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Takes over an endpoint list from discovery, complete or of changes. */
+    /** Applies an endpoint list from discovery, which may be complete or contain only changes. */
     public void update(EndpointList list) {
         Set<Long> listedIds = new HashSet<>();
         for (EndpointList.Entry entry : list.entries()) {
@@ -91,10 +91,13 @@
                 }
             }
         }
-        endpoints.values().removeIf(PooledEndpoint::isForgettable);
+        endpoints.values().removeIf(PooledEndpoint::isUnused);
     }
 
-    /** The endpoint that an entry is about; a new one replaces a process that has ended. */
+    /**
+     * Returns the endpoint that an entry describes. If the known endpoint with this id is another
+     * process or has another address, a new endpoint replaces it.
+     */
     private PooledEndpoint endpointFor(EndpointList.Entry entry) {
         ListedEndpoint listed = entry.server();
         PooledEndpoint known = endpoints.get(listed.id());
@@ -115,8 +118,8 @@
     }
 
     /**
-     * Sends an attempt on the connection used last, or on a new one, which may come up late. How
-     * the attempt ends is reported to the listener, perhaps during this call.
+     * Sends an attempt on the most recently used reusable connection, or on a new one once that is
+     * established. Reports the result to the listener, possibly during this call.
      */
     public void send(ForwardedAttempt attempt) {
         PooledEndpoint endpoint = endpoints.get(attempt.endpointId);
@@ -127,7 +130,7 @@
         UpstreamConnection reusable = endpoint.takeReusable(nowMicros());
         if (reusable != null) {
             connectionsInUse.put(attempt, reusable);
-            reusable.use(attempt);
+            reusable.assign(attempt);
         } else if (makeRoomForConnection()) {
             connectionsInUse.put(attempt, new UpstreamConnection(endpoint, attempt));
         } else {
@@ -136,15 +139,15 @@
     }
 
     /**
-     * Whether one more connection may be opened, if need be in place of the one that has been idle
-     * longest. The bound leaves descriptors for clients; past it an attempt never leaves this
-     * process.
+     * Makes room for one more connection: at the limit, closes the connection that has been idle
+     * longest. Returns false if none is idle; the attempt is then not sent. The limit leaves
+     * descriptors for clients.
      */
     private boolean makeRoomForConnection() {
         return connectionCount < maxConnections || closeOldestIdle();
     }
 
-    /** Stops an attempt and closes its connection, which tells the server of it. */
+    /** Cancels an attempt and closes its connection, which notifies the server. */
     public void abandon(ForwardedAttempt attempt) {
         UpstreamConnection connection = release(attempt);
         if (connection != null) {
@@ -152,15 +155,15 @@
         }
     }
 
-    /** Closes the idle connections to one endpoint. */
-    public void closeIdle(long server) {
-        PooledEndpoint endpoint = endpoints.get(server);
+    /** Closes the idle connections to the endpoint with this id, if the pool has one. */
+    public void closeIdle(long endpointId) {
+        PooledEndpoint endpoint = endpoints.get(endpointId);
         if (endpoint != null) {
             endpoint.closeIdleConnections();
         }
     }
 
-    /** Closes all connections; the attempts on them are not reported any more. */
+    /** Closes all connections; no further events of their attempts are reported. */
     public void close() {
         closeAllIdle();
         List.copyOf(connectionsInUse.keySet()).forEach(this::abandon);
@@ -185,18 +188,18 @@
         return true;
     }
 
-    private static boolean isIdleLonger(PooledEndpoint endpoint, PooledEndpoint than) {
-        return endpoint.oldestIdle().idleSinceMicros() < than.oldestIdle().idleSinceMicros();
+    private static boolean isIdleLonger(PooledEndpoint endpoint, PooledEndpoint other) {
+        return endpoint.oldestIdle().idleSinceMicros() < other.oldestIdle().idleSinceMicros();
     }
 
     private void closeExpiredIdle() {
         long nowMicros = nowMicros();
         for (PooledEndpoint endpoint : endpoints.values()) {
-            endpoint.closeIdleSince(nowMicros, idleTimeoutMicros);
+            endpoint.closeExpiredIdle(nowMicros, idleTimeoutMicros);
         }
     }
 
-    /** Begins to connect on behalf of a new connection of this pool. */
+    /** Starts to connect to an endpoint on behalf of a new connection of this pool. */
     HttpClientConnection connect(PooledEndpoint endpoint, UpstreamConnection connection) {
         connectionCount++;
         endpoint.connectionOpened();
@@ -209,32 +212,32 @@
                 connection);
     }
 
-    /** A connection has ended; an endpoint that is not listed goes with its last one. */
+    /** Called when a connection is closed; drops a removed endpoint without connections. */
     void connectionClosed(PooledEndpoint endpoint, UpstreamConnection connection) {
         connectionCount--;
         endpoint.connectionClosed(connection);
-        if (endpoint.isForgettable()) {
+        if (endpoint.isUnused()) {
             endpoints.remove(endpoint.id(), endpoint);
         }
     }
 
     /**
-     * Reports the end of an attempt, unless that has been done.
+     * Reports the end of an attempt, unless it has been reported already.
      *
-     * @param answer stays the caller's
+     * @param response owned by the caller, or null
      */
     void end(
             ForwardedAttempt attempt,
             AttemptResult result,
             LoadReport report,
-            FullHttpResponse answer) {
+            FullHttpResponse response) {
         release(attempt);
         if (attempt.result == null) {
-            listener.attemptEnded(attempt, result, report, answer);
+            listener.attemptEnded(attempt, result, report, response);
         }
     }
 
-    /** Takes an attempt off its connection; null where it has none. */
+    /** Detaches an attempt from its connection and returns the connection, or null if none. */
     UpstreamConnection release(ForwardedAttempt attempt) {
         UpstreamConnection connection = connectionsInUse.remove(attempt);
         if (connection != null && attempt.request.upload != null) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
@@ -7,20 +7,20 @@
 import sagefall.discovery.EndpointList;
 
 /**
- * An endpoint in the connection pool: one process at one address. After a restart or a move the
- * same server is another endpoint.
+ * An endpoint in the connection pool: one process at one address. After a restart or a change of
+ * address, a new object represents the endpoint.
  */
 final class PooledEndpoint {
 
-    /** Whether new attempts may be sent to the endpoint. */
+    /** The state of the endpoint according to the latest endpoint list. */
     enum State {
-        /** Listed as ready. */
+        /** Listed as ready: attempts may be sent. */
         IN_SERVICE,
 
-        /** Listed, but not as ready: attempts in progress go on, no new one is sent. */
+        /** Listed, but not as ready: attempts in flight go on, no new one is sent. */
         DRAINING,
 
-        /** Not listed any more; forgotten together with its last connection. */
+        /** No longer listed; dropped from the pool with its last connection. */
         REMOVED
     }
 
@@ -29,10 +29,10 @@
     private ListedEndpoint listed;
     private State state = State.IN_SERVICE;
 
-    /** Connections in any state but closed. */
+    /** Number of connections that are not closed. */
     private int connectionCount;
 
-    /** The most recently used last. */
+    /** Idle connections; the most recently used is the last. */
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
 
     PooledEndpoint(ConnectionPool pool, InetSocketAddress address, ListedEndpoint listed) {
@@ -53,13 +53,13 @@
         return listed.id();
     }
 
-    /** Whether the entry of a list is about this very process at this address. */
+    /** Whether the entry of an endpoint list describes this process at this address. */
     boolean matches(EndpointList.Entry entry) {
         return entry.address().equals(address)
                 && entry.server().startMicros() == listed.startMicros();
     }
 
-    /** Takes over what discovery says of this endpoint. */
+    /** Applies the latest entry of this endpoint in an endpoint list. */
     void update(ListedEndpoint latest) {
         listed = latest;
         if (latest.phase() == EndpointPhase.READY) {
@@ -75,11 +75,12 @@
         leaveService(State.DRAINING);
     }
 
-    /** It is not listed any more. */
+    /** Called when the endpoint is no longer listed. */
     void remove() {
         leaveService(State.REMOVED);
     }
 
+    /** Changes the state; closes the idle connections if the endpoint was in service. */
     private void leaveService(State next) {
         boolean wasInService = isInService();
         state = next;
@@ -88,13 +89,13 @@
         }
     }
 
-    /** Whether a new attempt may be sent. */
+    /** Whether a new attempt may be sent to the endpoint. */
     boolean isInService() {
         return state == State.IN_SERVICE;
     }
 
-    /** Whether nothing is left that needs this endpoint. */
-    boolean isForgettable() {
+    /** Whether the endpoint is removed and has no connection left. */
+    boolean isUnused() {
         return state == State.REMOVED && connectionCount == 0;
     }
 
@@ -111,22 +112,22 @@
         idle.addLast(connection);
     }
 
-    /** The connection that has been idle longest, or null. */
+    /** Returns the connection that has been idle longest, or null. */
     UpstreamConnection oldestIdle() {
         return idle.peekFirst();
     }
 
     /**
-     * Takes the most recently used of the connections that have been idle for the reuse delay, and
-     * that are still usable; those that are found closed are dropped.
+     * Removes and returns the most recently used of the idle connections that are still usable and
+     * have been idle for at least the reuse delay; drops those that turn out to be closed.
      *
-     * @return null where there is none
+     * @return the connection, or null if there is none
      */
     UpstreamConnection takeReusable(long nowMicros) {
-        for (var latest = idle.descendingIterator(); latest.hasNext(); ) {
-            UpstreamConnection connection = latest.next();
+        for (var newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
+            UpstreamConnection connection = newestFirst.next();
             if (connection.idleMicros(nowMicros) >= ConnectionPool.REUSE_DELAY_MICROS) {
-                latest.remove();
+                newestFirst.remove();
                 if (connection.isReusable()) {
                     return connection;
                 }
@@ -139,8 +140,8 @@
         idle.pollFirst().close();
     }
 
-    /** Closes connections that have been idle for so long, in microseconds. */
-    void closeIdleSince(long nowMicros, long idleTimeoutMicros) {
+    /** Closes the connections that have been idle for at least the idle timeout. */
+    void closeExpiredIdle(long nowMicros, long idleTimeoutMicros) {
         while (!idle.isEmpty() && idle.peekFirst().idleMicros(nowMicros) >= idleTimeoutMicros) {
             closeOldestIdle();
         }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -13,26 +13,26 @@
 import sagefall.proxy.ForwardedAttempt;
 
 /**
- * A connection to an endpoint, which carries one attempt at a time. It is opened for an attempt,
- * and idle between attempts. To be used on the event loop only.
+ * A connection to an endpoint, which carries one attempt at a time. The connection is opened for an
+ * attempt and is idle between attempts. Used on the event loop only.
  */
 final class UpstreamConnection implements HttpConnectionListener {
 
-    /** What the connection is used for; {@link #canBecome(State)} is the table of transitions. */
+    /** The states of a connection; {@link #canBecome(State)} defines the legal transitions. */
     enum State {
-        /** It is being established, for an attempt that waits for it. */
+        /** The connection is being established for an attempt that waits for it. */
         CONNECTING,
 
-        /** It carries an attempt. */
+        /** The connection carries an attempt. */
         IN_USE,
 
-        /** It is among the idle connections of its endpoint. */
+        /** The connection is among the idle connections of its endpoint. */
         IDLE,
 
-        /** It carries nothing and is not used any more; its end has not been reported yet. */
+        /** The connection is no longer used; its close has not been reported yet. */
         CLOSING,
 
-        /** Its end has been reported. */
+        /** The close of the connection has been reported. */
         CLOSED;
 
         boolean canBecome(State next) {
@@ -50,41 +50,42 @@
     private final HttpClientConnection connection;
     private State state = State.CONNECTING;
 
-    /** The attempt that waits for this connection or is carried by it, else null. */
+    /** The attempt that waits for this connection or is carried by it, or null. */
     private ForwardedAttempt attempt;
 
     private long idleSinceMicros;
 
-    /** Whether the streamed response in progress lets the connection be used afterwards. */
+    /** Whether the streamed response in progress permits reuse of the connection. */
     private boolean keepAlive;
 
-    /** Begins to connect, for an attempt that waits for it. */
+    /** Starts to connect for an attempt, which waits until the connection is established. */
     UpstreamConnection(PooledEndpoint endpoint, ForwardedAttempt attempt) {
         this.endpoint = endpoint;
         this.attempt = attempt;
         connection = endpoint.pool().connect(endpoint, this);
     }
 
-    /** Leaves the idle connections for an attempt; the caller has taken it from among them. */
-    void use(ForwardedAttempt next) {
+    /** Sends an attempt; the caller has removed this connection from the idle ones. */
+    void assign(ForwardedAttempt next) {
         enter(State.IN_USE);
         attempt = next;
-        sendAfterLastCheck();
+        sendUnlessOutdated();
     }
 
-    /** Time in microseconds for which this idle connection has been idle. */
+    /** Returns the time in microseconds for which this idle connection has been idle. */
     long idleMicros(long nowMicros) {
         return nowMicros - idleSinceMicros;
     }
 
-    /** When it became idle, in microseconds. */
+    /** Returns when the connection became idle, in microseconds. */
     long idleSinceMicros() {
         return idleSinceMicros;
     }
 
     /**
-     * Whether this connection, which the caller has taken from the idle ones, is open and clean,
-     * seen with everything that has arrived.
+     * Reads everything that has arrived, then returns whether this connection can carry another
+     * attempt; if not, the connection is closing. The caller has removed the connection from the
+     * idle ones.
      */
     boolean isReusable() {
         if (connection.isReusable()) {
@@ -94,7 +95,7 @@
         return false;
     }
 
-    /** Closes the connection; an attempt that it carries is not reported any more. */
+    /** Closes the connection; no further events of an attempt on it are reported. */
     void close() {
         attempt = null;
         enter(State.CLOSING);
@@ -102,16 +103,17 @@
     }
 
     /**
-     * The last check before the first byte. A connection may come up long after the decision that
-     * asked for it, and by now the request may be over, its client gone, its time or its window
-     * used up, or the endpoint draining. How long ago that was announced is not known where the
-     * event loop is late, so there is no grace period.
+     * Sends the attempt unless it is outdated. A connection may be established long after the
+     * decision to send the attempt. By then the request may be completed, its client disconnected,
+     * the timeout or the latest start of the attempt passed, or the endpoint draining. Nothing is
+     * sent to a draining endpoint, not even within a grace period: if the event loop is late, it is
+     * not known how long ago the endpoint began to drain.
      */
-    private void sendAfterLastCheck() {
+    private void sendUnlessOutdated() {
         ForwardedAttempt checked = attempt;
         boolean awaited = listener().isStillAwaited(checked);
         if (attempt != checked) {
-            // Its client is gone, and it was abandoned by that very check.
+            // The check found that the client has disconnected, and abandoned the attempt.
             return;
         }
         long nowMicros = endpoint.pool().nowMicros();
@@ -143,7 +145,7 @@
         }
     }
 
-    /** Joins the idle connections, or closes where it is not going to be used any more. */
+    /** Adds the connection to the idle ones, or closes it if its endpoint is not in service. */
     private void becomeIdle() {
         if (endpoint.isInService()) {
             attempt = null;
@@ -163,12 +165,12 @@
         }
     }
 
-    /** It came up, perhaps late; an attempt that was abandoned meanwhile has closed it. */
+    /** Sends the waiting attempt, unless it has been abandoned and the connection is closing. */
     @Override
     public void connectionOpened() {
         if (state == State.CONNECTING) {
             enter(State.IN_USE);
-            sendAfterLastCheck();
+            sendUnlessOutdated();
         }
     }
 
@@ -180,22 +182,23 @@
     }
 
     /**
-     * A collected response. What may throw comes before the attempt leaves the connection: then the
-     * end of the connection ends it. A response that arrives before the request was written is
-     * none.
+     * Ends the attempt with a collected response. Whatever may throw is done while the connection
+     * still carries the attempt, so that after an exception the close of the connection ends the
+     * attempt. A response that arrives before the request is written is not valid, unless it
+     * rejects an upload.
      */
     @Override
-    public void responseCollected(FullHttpResponse answer, boolean clean) {
+    public void responseCollected(FullHttpResponse response, boolean clean) {
         if (attempt == null
-                || (!attempt.written && !UpstreamResponses.refusesUpload(attempt, answer))) {
+                || (!attempt.written && !UpstreamResponses.rejectsUpload(attempt, response))) {
             connection.close();
             return;
         }
-        ForwardedAttempt done = attempt;
-        AttemptResult result = UpstreamResponses.result(answer);
-        LoadReport report = UpstreamResponses.loadReport(answer);
-        becomeIdleOrClose(clean && done.written && HttpUtil.isKeepAlive(answer));
-        endpoint.pool().end(done, result, report, answer);
+        ForwardedAttempt ended = attempt;
+        AttemptResult result = UpstreamResponses.result(response);
+        LoadReport report = UpstreamResponses.loadReport(response);
+        becomeIdleOrClose(clean && ended.written && HttpUtil.isKeepAlive(response));
+        endpoint.pool().end(ended, result, report, response);
     }
 
     @Override
@@ -204,16 +207,16 @@
             connection.close();
             return;
         }
-        ForwardedAttempt receiver = attempt;
+        ForwardedAttempt streamed = attempt;
         keepAlive = HttpUtil.isKeepAlive(head);
         LoadReport report = UpstreamResponses.loadReport(head);
         listener()
-                .responseStarted(receiver, head, report, reading -> setReading(receiver, reading));
+                .responseStarted(streamed, head, report, reading -> setReading(streamed, reading));
     }
 
-    /** Once the response is complete the connection may carry another attempt. */
-    private void setReading(ForwardedAttempt receiver, boolean reading) {
-        if (attempt == receiver) {
+    /** Resumes or pauses reading, unless the connection no longer carries the given attempt. */
+    private void setReading(ForwardedAttempt streamed, boolean reading) {
+        if (attempt == streamed) {
             connection.setReading(reading);
         }
     }
@@ -241,11 +244,11 @@
             connection.close();
             return;
         }
-        ForwardedAttempt done = attempt;
-        endpoint.pool().release(done);
+        ForwardedAttempt ended = attempt;
+        endpoint.pool().release(ended);
         connection.setReading(true);
         becomeIdleOrClose(clean && keepAlive);
-        listener().responseFinished(done, trailers);
+        listener().responseFinished(ended, trailers);
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
@@ -15,14 +15,14 @@
 import sagefall.proxy.ForwardedAttempt;
 import sagefall.proxy.ProxiedRequest;
 
-/** The request that an endpoint is sent for an attempt. */
+/** Builds the HTTP requests that are sent to endpoints. */
 final class UpstreamRequests {
 
     private static final long MICROS_PER_MILLI = 1000;
 
     private UpstreamRequests() {}
 
-    /** The head of a request whose body is streamed, framed as its client framed it. */
+    /** Returns the head of a request whose body is streamed, framed as the client framed it. */
     static HttpRequest streamedHead(ForwardedAttempt attempt, long nowMicros) {
         HttpHeaders headers = headers(attempt, nowMicros);
         if (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
@@ -32,7 +32,7 @@
         return new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers);
     }
 
-    /** A request with its body; the caller owns it. */
+    /** Returns a request with its body, owned by the caller. */
     static FullHttpRequest complete(ForwardedAttempt attempt, long nowMicros) {
         ProxiedRequest request = attempt.request;
         HttpHeaders headers = headers(attempt, nowMicros);
@@ -49,7 +49,7 @@
                 new DefaultHttpHeaders());
     }
 
-    /** The client's fields, with the time that is left for this attempt. */
+    /** Returns the client's end-to-end headers, with the attempt's remaining time as timeout. */
     private static HttpHeaders headers(ForwardedAttempt attempt, long nowMicros) {
         HttpHeaders headers = ProtocolHeaders.endToEnd(attempt.request.headers);
         long remainingMillis = (attempt.giveUpAtMicros - nowMicros) / MICROS_PER_MILLI;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
@@ -9,14 +9,14 @@
 import sagefall.http.ProtocolHeaders;
 import sagefall.proxy.ForwardedAttempt;
 
-/** What an endpoint's response says of the attempt and of the endpoint. */
+/** Reads the result of an attempt and the load report from an endpoint's response. */
 final class UpstreamResponses {
 
-    private static final String YES = "1";
+    private static final String NOT_STARTED_VALUE = "1";
 
     private UpstreamResponses() {}
 
-    /** What a collected response means; it stays the caller's. */
+    /** Returns the result of an attempt with this collected response, owned by the caller. */
     static AttemptResult result(FullHttpResponse response) {
         int status = response.status().code();
         if (status == HttpResponseStatus.OK.code()) {
@@ -25,20 +25,21 @@
         boolean rejected =
                 (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                                 || status == HttpResponseStatus.GATEWAY_TIMEOUT.code())
-                        && YES.equals(response.headers().get(ProtocolHeaders.NOT_STARTED));
+                        && NOT_STARTED_VALUE.equals(
+                                response.headers().get(ProtocolHeaders.NOT_STARTED));
         return rejected ? AttemptResult.REJECTED : AttemptResult.ERROR;
     }
 
     /**
-     * Whether a response that comes before the upload is written counts all the same: a server may
-     * reject or fail an upload that it has not received completely, but cannot have served it.
+     * Whether a response is valid although the upload has not been written completely: a server may
+     * reject or fail an upload before it has received all of it, but cannot have served it.
      */
-    static boolean refusesUpload(ForwardedAttempt attempt, FullHttpResponse response) {
+    static boolean rejectsUpload(ForwardedAttempt attempt, FullHttpResponse response) {
         return attempt.request.upload != null
                 && response.status().code() >= HttpResponseStatus.BAD_REQUEST.code();
     }
 
-    /** The load report that a response carries, or null. */
+    /** Returns the load report in a response, or null. */
     static LoadReport loadReport(HttpResponse response) {
         return LoadReportReader.parse(response.headers().getAll(ProtocolHeaders.LOAD));
     }
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -4,37 +4,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Back-pressure for one direction of a stream. Bytes that have come from the source and that the
- * sink has not taken are counted; at the high watermark the source is paused, until the count is
- * down to the low watermark. So a slow sink slows the source down, and the process buffers a window
- * however long the body is. To be used on the event loop only.
+ * Back-pressure for one direction of a stream. Counts the bytes that have been received from the
+ * source and not yet been written to the sink. At the high watermark the source is paused until the
+ * count has dropped to the low watermark. A slow sink thus slows the source down, and the buffered
+ * bytes are bounded however long the body is. Used on the event loop only.
  */
 public final class FlowControl {
 
-    /** The side that the bytes come from. */
+    /** The side of a stream from which the bytes are received. */
     public interface Source {
         /** Resumes reading from the source, or pauses it. */
         void setReading(boolean reading);
     }
 
-    /** Whether the source is read, and if not, why. */
+    /** Whether the source is being read, and the reason if it is not. */
     private enum State {
-        /** The source is read. */
+        /** The source is being read. */
         READING,
 
-        /** The high watermark was reached, and the count is not down to the low one yet. */
+        /** The high watermark was reached, and the count is still above the low watermark. */
         PAUSED_BY_WATERMARK,
 
-        /** There is no sink, so the source is paused however little is buffered. */
+        /** There is no sink, so the source is paused whatever the count is. */
         PAUSED_WITHOUT_SINK,
 
-        /** The source has brought everything; it is not touched any more. */
+        /** The source has sent everything and is neither paused nor resumed any more. */
         FINISHED
     }
 
     /**
-     * What a part counts for beside its bytes: a peer that sends single bytes must not get a window
-     * full of them.
+     * Overhead that is counted for each part in addition to its bytes. Thereby the watermarks also
+     * limit the number of buffers of a peer that sends single bytes.
      */
     private static final int PART_OVERHEAD_BYTES = 256;
 
@@ -42,29 +42,31 @@
     private final BufferAccounting accounting;
     private final Source source;
     private State state = State.READING;
+
+    /** Weight of the parts that have been received and not yet been written. */
     private long pendingBytes;
 
-    /** When the source last brought something or was resumed or paused, by the nano clock. */
+    /** Time of {@link System#nanoTime} when the source last sent, was paused or was resumed. */
     private long sourceActiveNanos = System.nanoTime();
 
-    /** When the sink last took something, or had nothing to take. */
+    /** Time when the sink last took bytes, or when the first pending bytes arrived if later. */
     private long sinkActiveNanos = sourceActiveNanos;
 
-    /** Flow control of a source that is being read. */
+    /** Creates the flow control of a source that is being read. */
     public FlowControl(StreamingSettings settings, BufferAccounting accounting, Source source) {
         this.settings = settings;
         this.accounting = accounting;
         this.source = source;
     }
 
-    /** What a part counts for, in bytes; the part stays the caller's. */
+    /** Returns the bytes counted for a part, including overhead; the caller owns the part. */
     public static int weight(ByteBuf part) {
         return part.readableBytes() + PART_OVERHEAD_BYTES;
     }
 
     /**
-     * The same bytes without a much larger buffer behind them: a small slice of a read would keep
-     * the memory of all of it.
+     * Copies the part if its backing buffer is much larger: a small slice of a socket read would
+     * otherwise keep the memory of the whole read allocated.
      *
      * @param part ownership passes to this method
      * @return the part itself or a copy, owned by the caller
@@ -79,7 +81,7 @@
         return copy;
     }
 
-    /** A part of that weight has come from the source and waits for the sink. */
+    /** Records that a part of this weight has been received from the source. */
     public void bytesReceived(int weight) {
         sourceActiveNanos = System.nanoTime();
         if (pendingBytes == 0) {
@@ -90,7 +92,7 @@
         applyWatermarks();
     }
 
-    /** The sink has taken a part of that weight, or never will. */
+    /** Records that the write of a part of this weight to the sink has completed or failed. */
     public void bytesWritten(int weight) {
         sinkActiveNanos = System.nanoTime();
         pendingBytes -= weight;
@@ -98,7 +100,7 @@
         applyWatermarks();
     }
 
-    /** There is no sink: the source is paused until there is one. */
+    /** Pauses the source until {@link #resumeWithSink} is called. */
     void pauseWithoutSink() {
         if (state == State.READING) {
             pause(State.PAUSED_WITHOUT_SINK);
@@ -107,7 +109,7 @@
         }
     }
 
-    /** There is a sink: the source is read as far as the watermarks allow. */
+    /** Called when there is a sink again: resumes the source if the watermarks allow it. */
     void resumeWithSink() {
         if (state == State.PAUSED_WITHOUT_SINK) {
             state = State.PAUSED_BY_WATERMARK;
@@ -115,15 +117,16 @@
         }
     }
 
-    /** The source has brought everything. */
+    /** Records that the source has sent everything. */
     public void sourceFinished() {
         state = State.FINISHED;
     }
 
     private void applyWatermarks() {
-        if (state == State.READING && pendingBytes >= settings.highWatermark()) {
+        if (state == State.READING && pendingBytes >= settings.highWatermarkBytes()) {
             pause(State.PAUSED_BY_WATERMARK);
-        } else if (state == State.PAUSED_BY_WATERMARK && pendingBytes <= settings.lowWatermark()) {
+        } else if (state == State.PAUSED_BY_WATERMARK
+                && pendingBytes <= settings.lowWatermarkBytes()) {
             resume();
         }
     }
@@ -140,13 +143,13 @@
         source.setReading(true);
     }
 
-    /** Whether the source is read and has brought nothing for longer than the read stall limit. */
+    /** Whether the source is not paused and has sent nothing for longer than the stall limit. */
     public boolean isSourceStalled() {
         return state == State.READING
                 && millisSince(sourceActiveNanos) > settings.readStallMillis();
     }
 
-    /** Whether bytes are pending and the sink has taken none for longer than its stall limit. */
+    /** Whether bytes are pending and none was written for longer than the write stall limit. */
     public boolean isSinkStalled() {
         return pendingBytes > 0 && millisSince(sinkActiveNanos) > settings.writeStallMillis();
     }
--- a/sidecar/src/main/java/sagefall/streaming/ReplayBuffer.java
+++ b/sidecar/src/main/java/sagefall/streaming/ReplayBuffer.java
@@ -4,8 +4,9 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * A copy of the beginning of an upload, so that another server can be sent the body from its first
- * byte on. An upload that grows past the limit can no longer be replayed, and the copy is dropped.
+ * A copy of the beginning of an upload, so that a retry can send the body to another endpoint from
+ * its first byte. An upload that grows past the limit can no longer be replayed, and the copy is
+ * dropped.
  */
 final class ReplayBuffer {
 
@@ -19,7 +20,7 @@
         this.accounting = accounting;
     }
 
-    /** Copies a part, which stays the caller's, unless the upload can no longer be replayed. */
+    /** Copies a part, owned by the caller, unless the upload can no longer be replayed. */
     void append(ByteBuf part) {
         if (replayable) {
             bytes.writeBytes(part, part.readerIndex(), part.readableBytes());
@@ -27,23 +28,24 @@
         }
     }
 
-    /** Whether there are bytes to send. */
+    /** Whether the buffer holds any bytes. */
     boolean isReadable() {
         return bytes.isReadable();
     }
 
-    /** A copy of all bytes, owned by the caller. */
+    /** Returns a copy of all bytes, owned by the caller. */
     ByteBuf copy() {
         return bytes.copy();
     }
 
     /**
-     * Gives up on a replay where the upload is past the limit.
+     * Drops the copy if the upload has grown past the limit; the upload can then no longer be
+     * replayed.
      *
      * @param receivedBytes length of the upload so far
-     * @return true in the one call that changes it
+     * @return whether this call has dropped the copy
      */
-    boolean giveUpPastLimit(long receivedBytes) {
+    boolean dropPastLimit(long receivedBytes) {
         if (!replayable || receivedBytes <= limitBytes) {
             return false;
         }
@@ -52,7 +54,7 @@
         return true;
     }
 
-    /** Drops the bytes and their memory. */
+    /** Drops the bytes and frees their memory. */
     void clear() {
         accounting.add(-bytes.readableBytes());
         bytes.clear().capacity(0);
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -9,19 +9,19 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * The body of a request on its way from a client to a server. Its beginning stays in the {@link
- * ReplayBuffer}, so that a retry can send all of it to another server while no more than that has
- * been forwarded; past it the body can only go where it is going. The client is read only while a
- * server is attached. To be used on the event loop only.
+ * The body of a request that is forwarded from a client to an endpoint as it arrives. The beginning
+ * of the body is kept in a {@link ReplayBuffer}. As long as no bytes beyond this beginning have
+ * been forwarded, a retry can send the whole body to another endpoint. The client is read only
+ * while an endpoint is attached. Used on the event loop only.
  */
 public final class StreamedUpload {
 
-    /** Notified of the progress of an upload. */
+    /** Receives the events of an upload. */
     public interface Listener {
-        /** The last byte has come from the client. */
+        /** Called when the last byte has been received from the client. */
         void uploadComplete();
 
-        /** The upload cannot be replayed from now on. */
+        /** Called when the upload can no longer be replayed. */
         void replayLost();
     }
 
@@ -29,10 +29,10 @@
         /** The client has not sent all of the body yet. */
         RECEIVING,
 
-        /** The last byte has come from the client. */
+        /** The last byte has been received from the client. */
         COMPLETE,
 
-        /** The request is over: nothing more is accepted or buffered. */
+        /** The request has completed; nothing more is accepted or buffered. */
         CLOSED
     }
 
@@ -43,17 +43,17 @@
     private State state = State.RECEIVING;
     private long receivedBytes;
 
-    /** Set once the body is complete; perhaps empty. */
+    /** The trailers of a complete body, which may be empty; null until the body is complete. */
     private HttpHeaders trailers;
 
-    /** The server of the attempt in progress, or null. */
+    /** The channel to the endpoint of the attempt in flight, or null. */
     private Channel sink;
 
-    /** Run when the last byte has been written to the sink. */
+    /** Runs when the last byte has been written to the sink. */
     private Runnable onWritten;
 
     /**
-     * An upload of at most so many bytes, whose source is paused until there is a server.
+     * Creates an upload and pauses its source until an endpoint is attached.
      *
      * @param maxBytes largest body that is accepted
      * @param source the client
@@ -69,12 +69,12 @@
         flow.pauseWithoutSink();
     }
 
-    /** Sets who is notified, before the first part. */
+    /** Sets the listener; to be called before the first part is received. */
     public void setListener(Listener next) {
         listener = next;
     }
 
-    /** Whether the last byte has come from the client; stays so once the upload is closed. */
+    /** Whether the last byte has been received from the client; unchanged by {@link #close}. */
     public boolean isComplete() {
         return trailers != null;
     }
@@ -83,7 +83,7 @@
      * Buffers and forwards a part from the client.
      *
      * @param part ownership passes to the upload
-     * @return false where the body has become larger than is accepted
+     * @return false if the body is longer than is accepted; after {@link #close}, always true
      */
     public boolean receive(ByteBuf part) {
         receivedBytes += part.readableBytes();
@@ -95,27 +95,28 @@
         replayBuffer.append(part);
         if (sink != null) {
             write(FlowControl.compact(part));
-            giveUpReplayPastLimit();
+            dropReplayPastLimit();
         } else {
+            // The replay buffer holds a copy, which attach() forwards.
             part.release();
         }
         return true;
     }
 
-    /** All parts that one read of the client's socket brought have come. */
+    /** Flushes the parts that one read of the client's socket returned. */
     public void flush() {
         if (sink != null) {
             sink.flush();
         }
     }
 
-    /** The end of the body, with those trailers that are forwarded. */
-    public void end(HttpHeaders last) {
+    /** Ends the body; the trailers are forwarded. */
+    public void end(HttpHeaders forwardedTrailers) {
         if (state != State.RECEIVING) {
             return;
         }
         state = State.COMPLETE;
-        trailers = last;
+        trailers = forwardedTrailers;
         flow.sourceFinished();
         listener.uploadComplete();
         if (sink != null) {
@@ -124,18 +125,18 @@
     }
 
     /**
-     * Sends everything that has come, and what still comes, to a server.
+     * Forwards everything that has been received, and further parts as they arrive, to an endpoint.
      *
-     * @param server the channel to write to; the head of the request has been written to it
-     * @param lastWritten run when the last byte has been written, unless the write fails
+     * @param endpoint the channel to write to, to which the head of the request has been written
+     * @param lastWritten runs when the last byte has been written, unless the write fails
      */
-    public void attach(Channel server, Runnable lastWritten) {
-        sink = server;
+    public void attach(Channel endpoint, Runnable lastWritten) {
+        sink = endpoint;
         onWritten = lastWritten;
         if (replayBuffer.isReadable()) {
             write(replayBuffer.copy());
         }
-        giveUpReplayPastLimit();
+        dropReplayPastLimit();
         if (isComplete()) {
             writeLast();
         } else {
@@ -144,7 +145,7 @@
         sink.flush();
     }
 
-    /** The attempt has ended; a retry, if there is one, replays the upload. */
+    /** Detaches the endpoint when its attempt has ended; a retry may replay the upload. */
     public void detach() {
         sink = null;
         onWritten = null;
@@ -153,58 +154,58 @@
         }
     }
 
-    /** The request is over: nothing more is accepted, and the replay buffer is freed. */
+    /** Called when the request has completed: accepts nothing more and frees the replay buffer. */
     public void close() {
         state = State.CLOSED;
         sink = null;
         replayBuffer.clear();
     }
 
-    /** Whether the client is read and has sent nothing for longer than the read stall limit. */
+    /** Whether the client is being read but has sent nothing for longer than the stall limit. */
     public boolean isClientStalled() {
         return state == State.RECEIVING && flow.isSourceStalled();
     }
 
-    /** Whether the server has taken nothing for longer than the write stall limit. */
-    public boolean isServerStalled() {
+    /** Whether the endpoint has read nothing for longer than the write stall limit. */
+    public boolean isEndpointStalled() {
         return state != State.CLOSED && sink != null && flow.isSinkStalled();
     }
 
     /** Writes a part, whose ownership passes to the channel, and counts it until it is written. */
     private void write(ByteBuf part) {
         int weight = FlowControl.weight(part);
-        Channel server = sink;
-        server.write(new DefaultHttpContent(part))
+        Channel endpoint = sink;
+        endpoint.write(new DefaultHttpContent(part))
                 .addListener(
                         written -> {
                             flow.bytesWritten(weight);
                             if (!written.isSuccess()) {
-                                server.close();
+                                endpoint.close();
                             }
                         });
         flow.bytesReceived(weight);
     }
 
     private void writeLast() {
-        Channel server = sink;
+        Channel endpoint = sink;
         Runnable lastWritten = onWritten;
         LastHttpContent last =
                 trailers.isEmpty()
                         ? LastHttpContent.EMPTY_LAST_CONTENT
                         : new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers);
-        server.writeAndFlush(last)
+        endpoint.writeAndFlush(last)
                 .addListener(
                         written -> {
                             if (written.isSuccess()) {
                                 lastWritten.run();
                             } else {
-                                server.close();
+                                endpoint.close();
                             }
                         });
     }
 
-    private void giveUpReplayPastLimit() {
-        if (replayBuffer.giveUpPastLimit(receivedBytes)) {
+    private void dropReplayPastLimit() {
+        if (replayBuffer.dropPastLimit(receivedBytes)) {
             listener.replayLost();
         }
     }
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -8,22 +8,23 @@
 import sagefall.config.ConfigSection;
 
 /**
- * The section {@code streaming}: which bodies are streamed, and what they may buffer meanwhile. The
- * bodies of a class that it does not name are collected before they are forwarded.
+ * The settings of the section {@code streaming}: which bodies are streamed, and how much they may
+ * buffer. The bodies of a class that the section does not name are collected before they are
+ * forwarded.
  *
- * @param classes bounds by the name of the class
- * @param highWatermark pending bytes of one direction at which its source is paused
- * @param lowWatermark pending bytes at which a paused source is resumed
- * @param readStallMillis how long a source that is read may bring nothing
- * @param writeStallMillis how long a sink with bytes pending may take nothing
- * @param replayBytes length up to which an upload can be replayed
- * @param bufferedBytes what all streams may buffer together
- * @param drainMillis how long streams may go on after a graceful shutdown has begun
+ * @param classes bounds by the name of the request class
+ * @param highWatermarkBytes pending bytes of one direction at which its source is paused
+ * @param lowWatermarkBytes pending bytes at which a paused source is resumed
+ * @param readStallMillis maximum time for which a source that is not paused may send nothing
+ * @param writeStallMillis maximum time for which a sink with pending bytes may take nothing
+ * @param replayBytes maximum length of an upload that can be replayed
+ * @param bufferedBytes maximum number of bytes that all streams together may buffer
+ * @param drainMillis maximum time for which streams go on after the start of a graceful shutdown
  */
 public record StreamingSettings(
         Map<String, Bounds> classes,
-        int highWatermark,
-        int lowWatermark,
+        int highWatermarkBytes,
+        int lowWatermarkBytes,
         long readStallMillis,
         long writeStallMillis,
         int replayBytes,
@@ -31,18 +32,19 @@
         long drainMillis) {
 
     /**
-     * Largest bodies of a class, in bytes. A direction with a bound of 0 is not streamed.
+     * Maximum lengths of the streamed bodies of a request class. A direction with a bound of 0 is
+     * not streamed.
      *
-     * @param requestBytes bound of a request's body
-     * @param answerBytes bound of a response's body
+     * @param requestBytes maximum length of the body of a request
+     * @param responseBytes maximum length of the body of a response
      */
-    public record Bounds(long requestBytes, long answerBytes) {}
+    public record Bounds(long requestBytes, long responseBytes) {}
 
-    /** Without the section nothing is streamed. */
+    /** The settings without the section: nothing is streamed. */
     public static final StreamingSettings OFF =
             new StreamingSettings(Map.of(), 0, 0, 0, 0, 0, 0, 0);
 
-    /** The most that one read takes from a socket, in bytes. */
+    /** Maximum number of bytes that one read takes from a socket. */
     public static final int READ_BYTES = 16 * 1024;
 
     private static final Bounds NOT_STREAMED = new Bounds(0, 0);
@@ -58,12 +60,12 @@
     /**
      * Reads the section.
      *
-     * @param settings the classes that the fleet's settings define
-     * @throws ConfigException if a value is malformed or out of bounds
+     * @param requestClasses the request classes that the fleet's settings define
+     * @throws ConfigException if a value is malformed or out of range
      */
-    public static StreamingSettings read(ConfigSection section, List<RequestClass> settings)
+    public static StreamingSettings read(ConfigSection section, List<RequestClass> requestClasses)
             throws ConfigException {
-        Map<String, Bounds> classes = readClasses(section.section("classes"), settings);
+        Map<String, Bounds> classes = readClasses(section.section("classes"), requestClasses);
         int high = bufferBytes(section, "high_watermark_bytes", DEFAULT_HIGH_WATERMARK_BYTES, 1);
         int low = bufferBytes(section, "low_watermark_bytes", high / 2, 0);
         if (low >= high) {
@@ -100,11 +102,11 @@
     }
 
     private static Map<String, Bounds> readClasses(
-            ConfigSection section, List<RequestClass> settings) throws ConfigException {
+            ConfigSection section, List<RequestClass> requestClasses) throws ConfigException {
         Map<String, Bounds> classes = new LinkedHashMap<>();
         for (String name : section.keys()) {
             RequestClass requestClass =
-                    settings.stream()
+                    requestClasses.stream()
                             .filter(c -> c.name().equals(name))
                             .findFirst()
                             .orElseThrow(
@@ -121,23 +123,25 @@
                         section.integer("max_request_bytes", 0, 0, LARGEST_BODY_BYTES),
                         section.integer("max_answer_bytes", 0, 0, LARGEST_BODY_BYTES));
         section.rejectUnknownKeys();
-        if (bounds.answerBytes > 0 && !requestClass.streaming()) {
+        if (bounds.responseBytes > 0 && !requestClass.streaming()) {
             throw section.invalid(
-                    "max_answer_bytes", "the settings do not let this class stream its answers");
+                    "max_answer_bytes",
+                    "the settings do not allow streamed responses for this class");
         }
         return bounds;
     }
 
+    /** Rejects a buffer limit below the need of one upload or, without uploads, one response. */
     private void checkBufferHoldsOneStream(ConfigSection section) throws ConfigException {
         boolean uploads = classes.values().stream().anyMatch(b -> b.requestBytes > 0);
-        long window = reservedBytes(uploads, !uploads);
-        if (bufferedBytes < window) {
+        long minBytes = reservedBytes(uploads, !uploads);
+        if (bufferedBytes < minBytes) {
             throw section.invalid(
-                    "max_buffered_bytes", "must be at least one stream's window, " + window);
+                    "max_buffered_bytes", "must be at least one stream's window, " + minBytes);
         }
     }
 
-    /** The bounds of a class, by its name; both are 0 where the class is not streamed. */
+    /** Returns the bounds of the named class; both are 0 if the class is not streamed. */
     public Bounds bounds(String requestClass) {
         return classes.getOrDefault(requestClass, NOT_STREAMED);
     }
@@ -148,15 +152,15 @@
     }
 
     /**
-     * What a request may buffer at once, in bytes: what is reserved for it while it is in progress.
-     * In each direction that is the high watermark, the read that passes it, and one that is being
-     * taken apart; an upload has its replay buffer besides.
+     * Returns the bytes that a request may buffer at once, which are reserved for it until it
+     * completes. Each streamed direction needs the high watermark, the read that exceeds it, and
+     * one read that is being decoded; an upload also needs its replay buffer.
      *
-     * @param upload whether the request is streamed
-     * @param answer whether the response is streamed
+     * @param upload whether the body of the request is streamed
+     * @param response whether the body of the response is streamed
      */
-    public long reservedBytes(boolean upload, boolean answer) {
-        long window = highWatermark + 2L * READ_BYTES;
-        return (upload ? window + replayBytes : 0) + (answer ? window : 0);
+    public long reservedBytes(boolean upload, boolean response) {
+        long directionBytes = highWatermarkBytes + 2L * READ_BYTES;
+        return (upload ? directionBytes + replayBytes : 0) + (response ? directionBytes : 0);
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/RawConnection.java
+++ b/sidecar/src/test/java/sagefall/proxy/RawConnection.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * One end of a connection whose bytes a test writes and reads piece by piece: bodies are not read
- * ahead.
+ * One end of a connection, on which a test writes and reads messages piece by piece instead of
+ * reading whole bodies at once.
  */
 final class RawConnection implements AutoCloseable {
 
     private static final int READ_TIMEOUT_MILLIS = 20_000;
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     final Socket socket;
     private final InputStream in;
@@ -36,25 +36,25 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** A client's connection to a sidecar. */
+    /** Connects to a sidecar as a client. */
     static RawConnection to(InetSocketAddress address) throws IOException {
         return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
     }
 
-    /** The head of a message; header names in any case. */
+    /** The head of a message; header names are case-insensitive. */
     record Head(String startLine, Map<String, String> headers) {
-        /** The value of a header; null where it is missing. */
+        /** Returns the value of a header, or null if it is missing. */
         String header(String name) {
             return headers.get(name);
         }
     }
 
-    /** Writes bytes, one for each character. */
+    /** Writes the text as bytes, one for each character. */
     RawConnection raw(String text) throws IOException {
         return raw(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Writes bytes. */
+    /** Writes the bytes. */
     RawConnection raw(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
@@ -65,13 +65,13 @@
         return raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** Reads a line, without its end. */
+    /** Reads a line and returns it without its line end. */
     String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         int next = in.read();
         while (next != '\n') {
             if (next < 0) {
-                throw new EOFException("ended within a line: " + line);
+                throw new EOFException("connection closed within a line: " + line);
             }
             if (next != '\r') {
                 line.write(next);
@@ -95,23 +95,24 @@
         return fields;
     }
 
-    /** Reads exactly so many bytes. */
+    /** Reads exactly {@code count} bytes. */
     byte[] bytes(int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         if (bytes.length < count) {
-            throw new EOFException("ended after " + bytes.length + " of " + count);
+            throw new EOFException(
+                    "connection closed after " + bytes.length + " of " + count + " bytes");
         }
         return bytes;
     }
 
-    /** Reads exactly so many bytes as text. */
+    /** Reads exactly {@code count} bytes as text. */
     String text(int count) throws IOException {
         return new String(bytes(count), StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads the next chunk; null for the last one, behind which {@link #trailers} come. */
+    /** Reads the next chunk; returns null for the last one, which {@link #trailers} follow. */
     byte[] chunk() throws IOException {
-        byte[] chunk = bytes(Integer.parseInt(line(), HEX));
+        byte[] chunk = bytes(Integer.parseInt(line(), HEX_RADIX));
         if (chunk.length == 0) {
             return null;
         }
@@ -119,7 +120,7 @@
         return chunk;
     }
 
-    /** Reads what still comes up to the last chunk. */
+    /** Reads all remaining chunks, up to the last one, and returns their content. */
     byte[] chunks() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         byte[] next = chunk();
@@ -135,12 +136,12 @@
         return fields();
     }
 
-    /** Reads to the end of the connection, and fails if it ends with a last chunk. */
+    /** Reads chunks until the connection closes; fails if a last chunk arrives. */
     void assertBroken() {
         Assertions.assertThrows(IOException.class, this::chunks);
     }
 
-    /** Reads to the end of the connection, whatever still comes. */
+    /** Reads and discards everything until the connection closes. */
     void awaitEnd() {
         try {
             int next = in.read();
@@ -148,9 +149,9 @@
                 next = in.read();
             }
         } catch (SocketTimeoutException e) {
-            Assertions.fail("the connection did not end");
+            Assertions.fail("the connection did not close");
         } catch (IOException e) {
-            // Reset, which is an end too.
+            // A reset closes the connection too.
         }
     }
 
@@ -159,7 +160,7 @@
         socket.close();
     }
 
-    /** A server whose connections are handed to the test. */
+    /** A server that hands its connections to the test. */
     static final class Server implements AutoCloseable {
         private static final int BACKLOG = 50;
         private static final long AWAIT_SECONDS = 10;
@@ -168,7 +169,7 @@
                 new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         private final BlockingQueue<RawConnection> accepted;
 
-        /** Listens from now on. */
+        /** Starts to listen on a free port. */
         Server() throws IOException {
             this(new LinkedBlockingQueue<>());
         }
@@ -186,11 +187,11 @@
                     accepted.add(new RawConnection(listening.accept()));
                 }
             } catch (IOException e) {
-                // Closed: the test is over.
+                // The server was closed at the end of the test.
             }
         }
 
-        /** Another one, whose connections this one hands to the test too. */
+        /** Starts another server, whose connections {@link #take} returns too. */
         Server another() throws IOException {
             return new Server(accepted);
         }
@@ -199,14 +200,14 @@
             return listening.getLocalPort();
         }
 
-        /** Waits for the next connection. */
+        /** Waits for the next connection and returns it. */
         RawConnection take() throws InterruptedException {
             RawConnection next = accepted.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
-            Assertions.assertNotNull(next, "no connection came");
+            Assertions.assertNotNull(next, "no connection arrived");
             return next;
         }
 
-        /** Whether no connection has come that the test has not taken. */
+        /** Whether the test has taken all connections that have arrived. */
         boolean hasNoConnection() {
             return accepted.isEmpty();
         }
--- a/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
+++ b/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
@@ -5,14 +5,14 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A request as it came, and the connection that it came on. */
+/** A request as a server received it, and the connection on which it arrived. */
 public record ReceivedRequest(HttpMessages.Message request, Socket socket) {
     /**
-     * Answers it.
+     * Sends a response to the request.
      *
-     * @param status code and reason
-     * @param headers further lines of the head, each with its end
-     * @param body one byte a character
+     * @param status status code and reason phrase
+     * @param headers further header lines, each with its line end
+     * @param body the body, one byte for each character
      */
     public void reply(String status, String headers, String body) throws IOException {
         raw(
@@ -26,7 +26,7 @@
                         + body);
     }
 
-    /** Writes bytes, one for each character. */
+    /** Writes the text as bytes, one for each character. */
     void raw(String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
@@ -14,77 +14,77 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * A server or a discovery on a free loopback port: a script says what it does with each request,
- * and the test may take the requests and answer them itself. Each connection is read by a thread of
- * its own, on which the script runs.
+ * A server or a discovery agent on a free loopback port. A script handles each request, and the
+ * test may take the requests and respond itself. Each connection is read by a thread of its own, on
+ * which the script runs.
  */
 public final class ScriptedPeer implements AutoCloseable {
 
     private static final int BACKLOG = 50;
     private static final long AWAIT_SECONDS = 10;
 
-    /** What the peer does with one request. */
+    /** Handles a request. */
     public interface Script {
-        /** Runs on the thread that reads the connection; an exception ends the connection. */
-        void on(ReceivedRequest seen) throws IOException;
+        /** Runs on the thread that reads the connection; an exception closes the connection. */
+        void on(ReceivedRequest received) throws IOException;
     }
 
     /** Leaves each request to the test. */
-    public static final Script SILENT = seen -> {};
+    public static final Script SILENT = received -> {};
 
-    /** Closes the connection without an answer. */
-    public static final Script HANG_UP = seen -> seen.socket().close();
+    /** Closes the connection without a response. */
+    public static final Script HANG_UP = received -> received.socket().close();
 
-    /** The requests that have come and that no test has taken. */
+    /** The requests that have arrived and that the test has not taken. */
     public final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
 
-    /** How many connections have come up. */
+    /** Number of connections that have been accepted. */
     public final AtomicInteger accepted = new AtomicInteger();
 
-    private final BlockingQueue<Socket> endedConnections = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket listening;
     private final Thread accepting;
     private volatile Script script;
 
-    /** Listens from now on. */
+    /** Starts to listen on a free port. */
     ScriptedPeer(Script script) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         accepting = startDaemon(this::accept);
     }
 
-    /** Answers each request in the same way, as {@link ReceivedRequest#reply} does. */
+    /** Sends the given response to each request, as {@link ReceivedRequest#reply} does. */
     public static Script answers(String status, String headers, String body) {
-        return seen -> seen.reply(status, headers, body);
+        return received -> received.reply(status, headers, body);
     }
 
-    /** Answers each request with 200 and this body. */
+    /** Responds to each request with 200 and the given body. */
     public static Script serves(String body) {
         return answers("200 OK", "", body);
     }
 
-    /** From the next request on another script runs. */
+    /** Sets the script that handles requests from the next one on. */
     public void script(Script next) {
         script = next;
     }
 
-    /** The port that it listens on. */
+    /** Returns the port of the listening socket. */
     public int port() {
         return listening.getLocalPort();
     }
 
-    /** Waits for the next request that no test has taken yet. */
+    /** Waits for the next request that the test has not taken yet, and returns it. */
     public ReceivedRequest take() throws InterruptedException {
         ReceivedRequest next = receivedRequests.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
-        Assertions.assertNotNull(next, "no request came");
+        Assertions.assertNotNull(next, "no request arrived");
         return next;
     }
 
-    /** Waits for the end of a connection, each of which counts once. */
+    /** Waits until a connection is closed that no earlier call has waited for. */
     public void awaitEnd() throws InterruptedException {
-        Socket ended = endedConnections.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
-        Assertions.assertNotNull(ended, "no connection ended");
+        Socket closed = closedConnections.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
+        Assertions.assertNotNull(closed, "no connection closed");
     }
 
     private static Thread startDaemon(Runnable task) {
@@ -103,7 +103,7 @@
                 startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the test is over.
+            // The peer was closed at the end of the test.
         }
     }
 
@@ -113,22 +113,22 @@
             HttpMessages.Message message = HttpMessages.read(in);
             while (message != null) {
                 ReceivedRequest next = new ReceivedRequest(message, socket);
-                // Whoever takes this request may change the script for the next one.
+                // The test may change the script as soon as it has taken this request.
                 Script current = script;
                 receivedRequests.add(next);
                 current.on(next);
                 message = HttpMessages.read(in);
             }
         } catch (IOException e) {
-            // The peer hung up, which a test may want.
+            // The other side has closed the connection, which a test may intend.
         } finally {
-            endedConnections.add(socket);
+            closedConnections.add(socket);
         }
     }
 
     /**
-     * Once this returns, connections are refused: while the accepting thread runs, some still come
-     * up.
+     * Closes the sockets. Waits for the accepting thread, since connections may still be accepted
+     * while it runs; after this method they are refused.
      */
     @Override
     public void close() throws IOException {
--- a/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
@@ -4,24 +4,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a slow period of the process or of the network causes must not outlast it. */
+/** Tests that the effects of a slow period of the process or the network end with the period. */
 class SlowPeriodTest extends SocketTest {
 
     /**
-     * Before, slow first answers looked like slow connection set-ups. Then no connection was made
-     * any more to a server that had none, such as those of a release, and only one could have shown
-     * that set-ups were short by then.
+     * Guards against taking slow first responses for slow connection set-ups. The sidecar then
+     * opened no connection to endpoints without one, such as those started by a release, although
+     * only a new connection could have shown that set-ups were fast again.
      */
     @Test
-    void slowSetUpsDoNotForbidTheNextOne() throws Exception {
+    void slowFirstResponsesDoNotPreventNewConnections() throws Exception {
         ScriptedPeer.Script slow =
-                seen -> {
+                received -> {
                     try {
                         Thread.sleep(800);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
-                    seen.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
+                    received.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
                 };
         ScriptedPeer next = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = sidecar(server(slow), server(slow));
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Before, the traffic of a crashed sidecar came at once, and was rejected although servers had
-     * free cores.
+     * Guards against a limit that grows too slowly: the traffic of a crashed sidecar, which arrives
+     * all at once, was rejected although servers had free cores.
      */
     @Test
-    void limitGrowsFastWhileCoresAreFree() throws Exception {
+    void concurrencyLimitGrowsFastWhileCoresAreFree() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         for (int i = 0; i < 40; i++) {
@@ -52,23 +52,24 @@
     }
 
     /**
-     * Before, a connection that fell silent kept its server out of rotation until the deadline of
-     * the request on it.
+     * Guards against a silent connection that keeps its server out of rotation until the deadline
+     * of the request on that connection.
      */
     @Test
-    void silentConnectionDoesNotKeepOutAServerThatAnswers() throws Exception {
+    void serverThatRespondsStaysInRotationDespiteASilentConnection() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         harness.client().search(20_000);
         server.take();
         harness.awaitLoop(200_000);
         TestClient other = harness.client().search(20_000);
-        ReceivedRequest answering = server.take();
+        ReceivedRequest second = server.take();
         harness.awaitLoop(400_000);
         TestClient next = harness.client().search(20_000);
-        // Read by now, since the loop reads the connections one after the other.
+        // The event loop reads the connections one after the other: when it has responded to this
+        // malformed request, it has also read the previous request.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
-        answering.reply("200 OK", "", "other");
+        second.reply("200 OK", "", "other");
         assertEquals(200, other.answer().status());
         server.take().reply("200 OK", "", "next");
         assertEquals("next", next.answer().body());
--- a/sidecar/src/test/java/sagefall/proxy/SocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SocketTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A test between real sockets. What it has opened is closed after it, the last first. */
+/**
+ * Base class of tests with real sockets. Closes the resources of a test after it, in reverse order.
+ */
 @Timeout(60)
 public abstract class SocketTest {
 
@@ -24,28 +26,28 @@
         }
     }
 
-    /** Closes this after the test; gives it back. */
-    public final <T extends AutoCloseable> T opened(T next) {
-        open.add(next);
-        return next;
+    /** Closes the resource after the test; returns the resource. */
+    public final <T extends AutoCloseable> T opened(T resource) {
+        open.add(resource);
+        return resource;
     }
 
-    /** A new server or discovery. */
+    /** Starts a server or a discovery agent. */
     public final ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
         return opened(new ScriptedPeer(script));
     }
 
-    /** A sidecar that knows these servers and has not been started. */
+    /** Creates a sidecar that has these servers as its endpoints, without starting the sidecar. */
     final SidecarHarness harness(ScriptedPeer... servers) throws Exception {
         return opened(new SidecarHarness(folder, servers));
     }
 
-    /** The same of few descriptors, so that a test comes to the limits of connections. */
+    /** Creates a sidecar with few descriptors, so that a test can reach the connection limits. */
     final SidecarHarness harnessOfFewSockets(ScriptedPeer... servers) throws Exception {
         return opened(new SidecarHarness(folder, 250_000, 128, servers));
     }
 
-    /** A sidecar that knows these servers and listens. */
+    /** Starts a sidecar with these servers as its endpoints. */
     final SidecarHarness sidecar(ScriptedPeer... servers) throws Exception {
         return harness(servers).start();
     }
--- a/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagefall.proxy.upstream.ConnectionPool;
 
-/** Answers that are passed on while the server still sends them. */
+/** Tests responses that are forwarded while the server is still sending them. */
 class StreamedResponseTest extends StreamingSocketTest {
 
     @Test
-    void answerIsStreamedAsItArrivesAndItsConnectionIsReused() throws Exception {
+    void responseIsStreamedAsItArrivesAndItsConnectionIsReused() throws Exception {
         start("");
-        RawConnection to = export(client);
-        to.raw(
+        RawConnection upstream = sendExport(client);
+        upstream.raw(
                         "HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.2\r\nContent-Type: text/x\r\n"
                                 + "Transfer-Encoding: chunked\r\n\r\n")
                 .chunk("first");
@@ -35,34 +35,36 @@
         assertEquals("text/x", head.header("Content-Type"));
         assertNull(head.header("Server-Load"));
         assertEquals("first", new String(client.chunk(), UTF_8));
-        to.chunk("second").raw("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
+        upstream.chunk("second").raw("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
         assertEquals("second", new String(client.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), client.trailers());
-        // A second answer on both connections, of a known length.
+        // A second response on both connections, with a known length.
         TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
         client.raw(exportRequest(2_000));
-        to.head();
-        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
+        upstream.head();
+        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
         assertEquals("5", client.head().header("Content-Length"));
         assertEquals("third", client.text(5));
         assertTrue(server.hasNoConnection());
     }
 
-    /** From its head on neither the attempt's time-out nor the client's deadline runs. */
+    /** After the head of the response, neither attempt timeout nor client deadline applies. */
     @Test
-    void noDeadlineRunsOnceTheAnswerHasStarted() throws Exception {
+    void startedResponseHasNoDeadline() throws Exception {
         start("");
         client.raw(exportRequest(300));
-        RawConnection to = acceptRequest();
-        to.raw(OK_CHUNKED).chunk("a");
+        RawConnection upstream = acceptRequest();
+        upstream.raw(OK_CHUNKED).chunk("a");
         client.head();
         assertEquals("a", new String(client.chunk(), UTF_8));
         try (RawConnection other = connect()) {
+            // Waits until the timeout of the first request, 300 ms, has passed: the server does not
+            // respond to this later request either.
             other.raw(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
         }
-        to.chunk("b").raw(LAST_CHUNK);
+        upstream.chunk("b").raw(LAST_CHUNK);
         assertEquals("b", new String(client.chunks(), UTF_8));
     }
 
@@ -73,65 +75,66 @@
                 "Content-Length: 5\r\n\r\nabc",
                 "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nno size\r\n"
             })
-    void serverThatDiesMidAnswerIsSeenByTheClient(String text) throws Exception {
+    void clientCanTellThatAResponseIsIncomplete(String text) throws Exception {
         start("");
-        RawConnection to = export(client);
-        to.raw("HTTP/1.1 200 OK\r\n" + text);
+        RawConnection upstream = sendExport(client);
+        upstream.raw("HTTP/1.1 200 OK\r\n" + text);
         RawConnection.Head head = client.head();
         if (head.header("Content-Length") != null) {
             assertEquals("abc", client.text(3));
         } else {
             assertEquals("abc", new String(client.chunk(), UTF_8));
         }
-        to.close();
+        upstream.close();
         assertThrows(IOException.class, () -> client.bytes(1));
     }
 
-    /** Where only the end of the connection ends an answer, a broken one has to end in a reset. */
+    /** If the close of the connection ends a response, an incomplete one must end with a reset. */
     @Test
-    void clientOfVersion10SeesABrokenAnswerToo() throws Exception {
+    void http10ClientCanTellThatAResponseIsIncomplete() throws Exception {
         start("");
         client.raw(exportRequest(2_000).replace("HTTP/1.1", "HTTP/1.0"));
-        RawConnection to = acceptRequest();
-        to.raw(OK_CHUNKED).chunk("abc");
+        RawConnection upstream = acceptRequest();
+        upstream.raw(OK_CHUNKED).chunk("abc");
         assertNull(client.head().header("Transfer-Encoding"));
         assertEquals("abc", client.text(3));
-        to.close();
+        upstream.close();
         assertThrows(java.net.SocketException.class, () -> client.bytes(1));
     }
 
-    /** Also where the settings let no attempt be cancelled: such an answer has no receiver. */
+    /** The attempt ends even if the settings disable cancelling: its response cannot be sent. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void clientThatLeavesMidAnswerFreesTheServerAndItsBuffers(boolean cancelling) throws Exception {
+    void disconnectDuringAResponseEndsTheAttemptAndFreesItsBuffers(boolean cancelling)
+            throws Exception {
         newHarness()
                 .withConfig("'cancelling':true", "'cancelling':" + cancelling)
                 .withExtensions(streaming(BUFFERS_FOR_ONE_STREAM))
                 .start();
         for (int i = 0; i < 3; i++) {
-            try (RawConnection one = connect()) {
-                RawConnection to = export(one);
-                to.raw(OK_CHUNKED).chunk("abc");
-                one.head();
-                one.socket.close();
-                to.awaitEnd();
+            try (RawConnection disconnecting = connect()) {
+                RawConnection upstream = sendExport(disconnecting);
+                upstream.raw(OK_CHUNKED).chunk("abc");
+                disconnecting.head();
+                disconnecting.socket.close();
+                upstream.awaitEnd();
             }
         }
     }
 
     @Test
-    void pastTheBufferLimitNewStreamsAreRejectedAtOnceAndRunningOnesGoOn() throws Exception {
+    void newStreamsAreRejectedAtTheBufferLimitWhileOthersGoOn() throws Exception {
         start(BUFFERS_FOR_ONE_STREAM);
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         try (RawConnection other = connect()) {
             other.raw(exportRequest(2_000));
             RawConnection.Head rejected = other.head();
             assertEquals("HTTP/1.1 503 Service Unavailable", rejected.startLine());
             assertNotNull(rejected.header("Retry-After"));
             assertTrue(server.hasNoConnection());
-            to.raw(LAST_CHUNK);
+            upstream.raw(LAST_CHUNK);
             assertEquals("abc", new String(client.chunks(), UTF_8));
-            // Its buffers are free for the next one.
+            // The buffers of the completed stream are free for the next one.
             client.trailers();
             client.raw(exportRequest(2_000));
             acceptRequest().raw(OK_WITHOUT_BODY);
@@ -140,15 +143,15 @@
     }
 
     @Test
-    void clientThatReadsNothingIsGivenUp() throws Exception {
+    void responseToAStalledClientIsAborted() throws Exception {
         start(",'write_stall_ms':100,'high_watermark_bytes':5000");
-        RawConnection to = export(client);
-        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
+        RawConnection upstream = sendExport(client);
+        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
         assertThrows(
                 IOException.class,
                 () -> {
                     for (int i = 0; i < 90; i++) {
-                        to.raw(new byte[1_000_000]);
+                        upstream.raw(new byte[1_000_000]);
                     }
                 });
         client.head();
@@ -157,28 +160,28 @@
     }
 
     @Test
-    void serverThatSendsNothingIsGivenUp() throws Exception {
+    void responseOfAStalledServerIsAborted() throws Exception {
         start(",'read_stall_ms':100");
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         client.assertBroken();
-        to.awaitEnd();
+        upstream.awaitEnd();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny", "noise\r\n\r\n", "x"})
-    void bytesBehindAnAnswerEndItsConnectionOnly(String behind) throws Exception {
+    void bytesAfterAResponseCloseOnlyTheServerConnection(String following) throws Exception {
         start("");
-        RawConnection to = export(client);
-        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc" + behind);
+        RawConnection upstream = sendExport(client);
+        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc" + following);
         client.head();
         assertEquals("abc", client.text(3));
-        to.awaitEnd();
+        upstream.awaitEnd();
         client.raw(exportRequest(2_000));
         acceptRequest().raw(OK_WITHOUT_BODY);
         assertStatus(200, client);
     }
 
-    /** Of these no byte reaches the client; the first of a class that does not stream. */
+    /** No byte of these responses is forwarded. The class {@code book} is not streamed. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -191,7 +194,7 @@
                 "export | Content-Type: text/x",
                 "export | Content-Length: -1",
             })
-    void answerWithoutALimitedEndIsNotForwarded(String requestClass, String header)
+    void responseWithInvalidFramingOrLengthIsNotForwarded(String requestClass, String header)
             throws Exception {
         start("");
         client.raw(
@@ -201,30 +204,30 @@
                         600,
                         "",
                         0));
-        RawConnection to = acceptRequest();
-        to.raw("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
-        to.awaitEnd();
+        RawConnection upstream = acceptRequest();
+        upstream.raw("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
+        upstream.awaitEnd();
         assertTrue(client.head().startLine().startsWith("HTTP/1.1 50"));
     }
 
     @Test
-    void answerThatGrowsPastItsLimitIsBroken() throws Exception {
+    void responseThatGrowsOverItsLimitIsAborted() throws Exception {
         start(
                 newHarness()
                         .withExtensions(
                                 "{'streaming':{'classes':{'export':{'max_answer_bytes':4}}}}"));
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         client.chunk();
-        to.chunk("de");
+        upstream.chunk("de");
         client.assertBroken();
-        to.awaitEnd();
+        upstream.awaitEnd();
     }
 
     @Test
-    void informationalResponseIsNotTheAnswer() throws Exception {
+    void informationalResponseIsNotForwarded() throws Exception {
         start("");
-        RawConnection to = export(client);
-        to.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+        RawConnection upstream = sendExport(client);
+        upstream.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
                 .raw(OK_CHUNKED)
                 .chunk("abc")
                 .raw(LAST_CHUNK);
@@ -233,20 +236,20 @@
     }
 
     @Test
-    void bytesFromTheClientDuringAnAnswerBreakIt() throws Exception {
+    void bytesFromTheClientDuringAResponseAbortTheResponse() throws Exception {
         start("");
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         client.chunk();
         client.raw(exportRequest(2_000));
         client.assertBroken();
-        to.awaitEnd();
+        upstream.awaitEnd();
         assertTrue(server.hasNoConnection());
     }
 
     @Test
-    void streamGoesOnWhileItsServerDrainsAndIsRemoved() throws Exception {
+    void streamGoesOnWhileItsEndpointDrainsAndIsRemoved() throws Exception {
         start("");
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         for (String state : List.of("terminating", "terminated")) {
             String list =
                     SidecarHarness.json(
@@ -263,56 +266,56 @@
                                 return null;
                             })
                     .get();
-            to.chunk(state);
+            upstream.chunk(state);
         }
-        to.raw(LAST_CHUNK);
+        upstream.raw(LAST_CHUNK);
         assertEquals("abcterminatingterminated", new String(client.chunks(), UTF_8));
-        to.awaitEnd();
+        upstream.awaitEnd();
     }
 
     @Test
-    void streamInFlightIsCompletedBeforeTheSidecarStops() throws Exception {
+    void streamInFlightCompletesBeforeTheSidecarStops() throws Exception {
         start(",'drain_ms':20000");
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         CountDownLatch stopped = harness.stop();
         client.chunk();
         assertFalse(stopped.await(600, TimeUnit.MILLISECONDS), "stopped with a stream in flight");
-        to.chunk("d").raw(LAST_CHUNK);
+        upstream.chunk("d").raw(LAST_CHUNK);
         assertEquals("d", new String(client.chunks(), UTF_8));
         assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void streamThatOutlastsTheDrainIsCutShort() throws Exception {
+    void streamIsAbortedAfterTheDrainTimeout() throws Exception {
         start(",'drain_ms':100");
-        RawConnection to = startedExport();
+        RawConnection upstream = startedExport();
         CountDownLatch stopped = harness.stop();
         client.assertBroken();
-        to.awaitEnd();
+        upstream.awaitEnd();
         assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void bigAnswerArrivesCompleteAtASlowClient() throws Exception {
+    void largeResponseArrivesCompletelyAtASlowClient() throws Exception {
         start(",'high_watermark_bytes':5000");
-        RawConnection to = export(client);
-        byte[] body = noise(BIG_BODY_BYTES);
+        RawConnection upstream = sendExport(client);
+        byte[] body = randomBytes(BIG_BODY_BYTES);
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + BIG_BODY_BYTES + "\r\n\r\n";
-        Thread writing = writeInBackground(() -> to.raw(head).raw(body));
+        Thread writing = writeInBackground(() -> upstream.raw(head).raw(body));
         client.head();
-        assertArrives(body, client);
+        assertBodyArrives(body, client);
         writing.join();
     }
 
-    /** Without the section bodies are collected, up to 64 KiB. */
+    /** Without the section {@code streaming}, bodies of up to 64 KiB are collected. */
     @Test
-    void withoutTheSectionNothingIsStreamed() throws Exception {
+    void nothingIsStreamedWithoutTheSection() throws Exception {
         start(newHarness());
-        RawConnection to = export(client);
-        to.raw(OK_CHUNKED).chunk("abc").raw(LAST_CHUNK);
+        RawConnection upstream = sendExport(client);
+        upstream.raw(OK_CHUNKED).chunk("abc").raw(LAST_CHUNK);
         assertEquals("3", client.head().header("Content-Length"));
         assertEquals("abc", client.text(3));
-        client.raw(append("Content-Length: 70000"));
+        client.raw(appendRequest("Content-Length: 70000"));
         assertStatus(413, client);
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
@@ -19,73 +19,75 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagefall.proxy.upstream.ConnectionPool;
 
-/** Bodies of requests that are passed on while the client still sends them. */
+/** Tests uploads that are forwarded while the client is still sending them. */
 class StreamedUploadTest extends StreamingSocketTest {
 
     @Test
     void uploadIsStreamedAsItArrives() throws Exception {
         start("");
-        client.raw(append("Transfer-Encoding: chunked")).chunk("first");
-        RawConnection to = server.take();
-        RawConnection.Head head = to.head();
+        client.raw(appendRequest("Transfer-Encoding: chunked")).chunk("first");
+        RawConnection upstream = server.take();
+        RawConnection.Head head = upstream.head();
         assertEquals("chunked", head.header("Transfer-Encoding"));
-        assertEquals("first", new String(to.chunk(), UTF_8));
+        assertEquals("first", new String(upstream.chunk(), UTF_8));
         client.chunk("second").raw("0\r\nCheck: sum\r\nRequest-Id: other\r\n\r\n");
-        assertEquals("second", new String(to.chunks(), UTF_8));
-        assertEquals(Map.of("Check", "sum"), to.trailers());
-        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        assertEquals("second", new String(upstream.chunks(), UTF_8));
+        assertEquals(Map.of("Check", "sum"), upstream.trailers());
+        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         client.head();
         assertEquals("ok", client.text(2));
-        // Small ones are still sent complete, on the same connections.
+        // A small body is collected first and uses the same connections.
         TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
-        client.raw(append("Content-Length: 3") + "abc");
-        assertEquals("3", to.head().header("Content-Length"));
-        assertEquals("abc", to.text(3));
-        to.raw(OK_WITHOUT_BODY);
+        client.raw(appendRequest("Content-Length: 3") + "abc");
+        assertEquals("3", upstream.head().header("Content-Length"));
+        assertEquals("abc", upstream.text(3));
+        upstream.raw(OK_WITHOUT_BODY);
         assertStatus(200, client);
     }
 
     @Test
-    void continueIsSentOnceAServerReadsTheBody() throws Exception {
+    void continueResponseIsSentOnceAServerIsAttached() throws Exception {
         start("");
-        client.raw(append("Content-Length: 100000\r\nExpect: 100-continue"));
-        RawConnection to = server.take();
-        assertNull(to.head().header("Expect"));
+        client.raw(appendRequest("Content-Length: 100000\r\nExpect: 100-continue"));
+        RawConnection upstream = server.take();
+        assertNull(upstream.head().header("Expect"));
         assertStatus(100, client);
-        byte[] body = noise(100_000);
+        byte[] body = randomBytes(100_000);
         client.raw(body);
-        assertArrayEquals(body, to.bytes(100_000));
-        to.raw(OK_WITHOUT_BODY);
+        assertArrayEquals(body, upstream.bytes(100_000));
+        upstream.raw(OK_WITHOUT_BODY);
         assertStatus(200, client);
     }
 
-    /** The client's time counts from its last byte, not from its first. */
+    /** The timeout of the client runs from the last byte of an upload, not from the first one. */
     @Test
-    void timeCountsFromTheLastByte() throws Exception {
+    void timeoutRunsFromTheLastByteOfAnUpload() throws Exception {
         start("");
-        client.raw(append("Transfer-Encoding: chunked").replace("2000", "300")).chunk("a");
-        RawConnection to = acceptRequest();
-        to.chunk();
+        client.raw(appendRequest("Transfer-Encoding: chunked").replace("2000", "300")).chunk("a");
+        RawConnection upstream = acceptRequest();
+        upstream.chunk();
         try (RawConnection other = connect()) {
+            // Waits until the timeout of the upload, 300 ms, has passed since its first byte: the
+            // server does not respond to this later request either.
             other.raw(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
         }
         client.raw(LAST_CHUNK);
-        to.chunks();
-        to.trailers();
-        // From here on it counts.
+        upstream.chunks();
+        upstream.trailers();
+        // The timeout runs from here on.
         assertStatus(504, client);
     }
 
     @Test
-    void bodyInTheReplayBufferIsSentCompleteToAnotherServer() throws Exception {
+    void uploadWithinTheReplayBufferIsRetriedAtAnotherServer() throws Exception {
         try (RawConnection.Server other = server.another()) {
             harness = opened(new SidecarHarness(folder, List.of(server.port(), other.port())));
             start(harness.withExtensions(streaming("")));
-            RawConnection to = startedUpload("first");
-            to.raw(NOT_STARTED);
-            to.awaitEnd();
+            RawConnection upstream = startedUpload("first");
+            upstream.raw(NOT_STARTED);
+            upstream.awaitEnd();
             RawConnection next = acceptRequest();
             assertEquals("first", new String(next.chunk(), UTF_8));
             client.chunk("second").raw(LAST_CHUNK);
@@ -97,18 +99,18 @@
     }
 
     /**
-     * Past the replay buffer it is never sent a second time; it has not run, so it may be rejected,
+     * An upload past the replay buffer is never retried. The request has not run, so it is rejected
      * at once.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void bodyPastTheReplayBufferIsRejectedAtOnce(boolean dies) throws Exception {
+    void uploadPastTheReplayBufferIsRejectedAtOnce(boolean serverCloses) throws Exception {
         start(",'replay_bytes':4");
-        RawConnection to = startedUpload("first");
-        if (dies) {
-            to.close();
+        RawConnection upstream = startedUpload("first");
+        if (serverCloses) {
+            upstream.close();
         } else {
-            to.raw(NOT_STARTED);
+            upstream.raw(NOT_STARTED);
         }
         RawConnection.Head rejected = client.head();
         assertEquals("HTTP/1.1 503 Service Unavailable", rejected.startLine());
@@ -118,43 +120,43 @@
     }
 
     @Test
-    void errorBeforeTheEndOfTheBodyIsForwardedAndEndsBothConnections() throws Exception {
+    void errorBeforeTheEndOfTheBodyIsForwardedAndClosesBothConnections() throws Exception {
         start("");
-        RawConnection to = startedUpload();
-        to.raw("HTTP/1.1 413 Too Much\r\nContent-Length: 2\r\n\r\nno");
+        RawConnection upstream = startedUpload();
+        upstream.raw("HTTP/1.1 413 Too Much\r\nContent-Length: 2\r\n\r\nno");
         RawConnection.Head head = client.head();
         assertTrue(head.startLine().startsWith("HTTP/1.1 413 "), head.startLine());
         assertEquals("no", client.text(2));
-        to.awaitEnd();
+        upstream.awaitEnd();
         client.raw(new byte[50_000]).socket.shutdownOutput();
         client.awaitEnd();
         assertTrue(server.hasNoConnection());
     }
 
-    /** A server starts a request with its last byte: a 200 before it is no answer to it. */
+    /** A server runs a request after its last byte, so an earlier 200 cannot be its response. */
     @Test
-    void answerBeforeTheEndOfTheBodyIsNotForwarded() throws Exception {
+    void successBeforeTheEndOfTheBodyIsNotForwarded() throws Exception {
         start(",'replay_bytes':4");
-        RawConnection to = startedUpload();
-        to.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
-        to.awaitEnd();
+        RawConnection upstream = startedUpload();
+        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
+        upstream.awaitEnd();
         assertStatus(503, client);
     }
 
     @Test
-    void clientThatSendsNothingIsGivenUp() throws Exception {
+    void uploadOfAStalledClientIsRejectedAndCancelled() throws Exception {
         start(",'read_stall_ms':100");
-        client.raw(append("Content-Length: 100000") + "begin");
-        RawConnection to = acceptRequest();
+        client.raw(appendRequest("Content-Length: 100000") + "begin");
+        RawConnection upstream = acceptRequest();
         assertStatus(408, client);
-        to.awaitEnd();
+        upstream.awaitEnd();
     }
 
     @Test
-    void serverThatReadsNothingIsGivenUp() throws Exception {
+    void uploadToAStalledServerIsRejectedAndCancelled() throws Exception {
         start(",'write_stall_ms':100,'replay_bytes':4,'high_watermark_bytes':5000");
-        client.raw(append("Content-Length: 90000000"));
-        RawConnection to = acceptRequest();
+        client.raw(appendRequest("Content-Length: 90000000"));
+        RawConnection upstream = acceptRequest();
         Thread writing =
                 writeInBackground(
                         () -> {
@@ -163,12 +165,15 @@
                             }
                         });
         assertStatus(503, client);
-        to.awaitEnd();
+        upstream.awaitEnd();
         writing.join();
         assertBuffersLimited();
     }
 
-    /** No request can hide in such a body: the server never sees its end. */
+    /**
+     * The server never receives the end of such a body, so no request can be smuggled in it. A body
+     * of {@code 0} stands for 70 000 bytes.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -183,80 +188,81 @@
                 "Content-Length: 200000000 | '' | '' | 413",
                 "Transfer-Encoding: gzip, chunked | 3\\r\\nabc\\r\\n0\\r\\n\\r\\n | '' | 400",
             })
-    void malformedBodyEndsInAnError(String framing, String body, String behind, int status)
+    void malformedBodyIsRejected(String framing, String body, String following, int status)
             throws Exception {
         start("");
         String text = body.equals("0") ? "x".repeat(70_000) : body.replace("\\r\\n", "\r\n");
         client.raw(
-                append(framing.replace("\\r\\n", "\r\n"))
+                appendRequest(framing.replace("\\r\\n", "\r\n"))
                         + text
-                        + behind.replace("\\r\\n", "\r\n"));
+                        + following.replace("\\r\\n", "\r\n"));
         String first = client.head().startLine();
         assertTrue(first.startsWith("HTTP/1.1 " + status), first);
         if (!server.hasNoConnection()) {
-            RawConnection to = acceptRequest();
+            RawConnection upstream = acceptRequest();
             assertThrows(
                     IOException.class,
                     () -> {
                         if (body.equals("0")) {
-                            to.bytes(70_000);
+                            upstream.bytes(70_000);
                         } else {
-                            to.chunks();
+                            upstream.chunks();
                         }
                     });
         }
     }
 
     @Test
-    void trailersWithoutEndAreNotForwarded() throws Exception {
+    void endlessTrailersAreNotForwarded() throws Exception {
         start("");
-        client.raw(append("Transfer-Encoding: chunked")).chunk("abc").raw("0\r\n");
-        RawConnection to = acceptRequest();
-        to.chunk();
+        client.raw(appendRequest("Transfer-Encoding: chunked")).chunk("abc").raw("0\r\n");
+        RawConnection upstream = acceptRequest();
+        upstream.chunk();
         assertThrows(
                 IOException.class,
                 () -> {
                     for (int i = 0; i < 10_000; i++) {
                         client.raw("A" + i + ": " + "x".repeat(100) + "\r\n");
                     }
+                    // If all writes succeed, the connection must close after them.
                     client.awaitEnd();
                     throw new IOException("ended");
                 });
-        assertThrows(IOException.class, to::chunks);
+        assertThrows(IOException.class, upstream::chunks);
     }
 
     @Test
-    void bodyPastItsLimitIsTooLarge() throws Exception {
+    void bodyOverItsLimitIsRejected() throws Exception {
         start(
                 newHarness()
                         .withExtensions(
                                 "{'streaming':{'classes':{'append':{'max_request_bytes':4}}}}"));
-        RawConnection to = startedUpload("abc");
+        RawConnection upstream = startedUpload("abc");
         client.chunk("de");
         assertStatus(413, client);
-        assertThrows(IOException.class, to::chunks);
+        assertThrows(IOException.class, upstream::chunks);
     }
 
     @Test
-    void clientThatLeavesMidUploadEndsItAtTheServer() throws Exception {
+    void disconnectDuringAnUploadClosesTheServerConnection() throws Exception {
         start("");
-        client.raw(append("Content-Length: 100000") + "begin");
-        RawConnection to = acceptRequest();
+        client.raw(appendRequest("Content-Length: 100000") + "begin");
+        RawConnection upstream = acceptRequest();
         client.close();
-        assertThrows(IOException.class, () -> to.bytes(100_000));
+        assertThrows(IOException.class, () -> upstream.bytes(100_000));
     }
 
     @Test
-    void uploadsAreCompletedOrAnsweredBeforeTheSidecarStops() throws Exception {
+    void uploadsCompleteOrAreRejectedBeforeTheSidecarStops() throws Exception {
         start(",'drain_ms':1000");
-        RawConnection to = startedUpload("abc");
+        RawConnection upstream = startedUpload("abc");
         try (RawConnection slow = connect()) {
-            slow.raw(append("Transfer-Encoding: chunked")).chunk("abc");
+            slow.raw(appendRequest("Transfer-Encoding: chunked")).chunk("abc");
             RawConnection second = acceptRequest();
             CountDownLatch stopped = harness.stop();
             client.raw(LAST_CHUNK);
-            to.chunks();
-            to.raw(OK_WITHOUT_BODY);
+            upstream.chunks();
+            upstream.raw(OK_WITHOUT_BODY);
             assertStatus(200, client);
             assertStatus(504, slow);
             second.awaitEnd();
@@ -266,15 +272,17 @@
     }
 
     @Test
-    void bigUploadArrivesCompleteAtASlowServer() throws Exception {
+    void largeUploadArrivesCompletelyAtASlowServer() throws Exception {
         start(",'high_watermark_bytes':5000");
-        byte[] body = noise(BIG_BODY_BYTES);
+        byte[] body = randomBytes(BIG_BODY_BYTES);
         Thread writing =
                 writeInBackground(
-                        () -> client.raw(append("Content-Length: " + BIG_BODY_BYTES)).raw(body));
-        RawConnection to = acceptRequest();
-        assertArrives(body, to);
-        to.raw(OK_WITHOUT_BODY);
+                        () ->
+                                client.raw(appendRequest("Content-Length: " + BIG_BODY_BYTES))
+                                        .raw(body));
+        RawConnection upstream = acceptRequest();
+        assertBodyArrives(body, upstream);
+        upstream.raw(OK_WITHOUT_BODY);
         assertStatus(200, client);
         writing.join();
     }
--- a/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
@@ -17,20 +17,21 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * A test of bodies that are streamed, between real sockets: one server, one sidecar, one client,
- * whose bytes the test writes and reads. The tests wait for events, not for times.
+ * Base class of tests of streamed bodies with real sockets: one server, one sidecar and one client.
+ * A test writes and reads the bytes of the server and the client itself, and waits for events
+ * instead of fixed times.
  */
 abstract class StreamingSocketTest extends SocketTest {
 
-    /** Extensions that let {@code export} stream its answers and {@code append} its uploads. */
+    /** Extensions that stream the responses of {@code export} and the uploads of {@code append}. */
     static final String STREAMING =
             "{'streaming':{'classes':{'export':{'max_answer_bytes':100000000},"
                     + "'append':{'max_request_bytes':100000000}}MORE}}";
 
-    /** A body that no buffer takes as a whole. */
+    /** Length of a body that no buffer can hold completely. */
     static final int BIG_BODY_BYTES = 3_000_000;
 
-    /** Further settings that leave buffers for one stream. */
+    /** Further settings that allow buffers for only one stream. */
     static final String BUFFERS_FOR_ONE_STREAM =
             ",'high_watermark_bytes':1000,'replay_bytes':0,"
                     + "'max_buffered_bytes':"
@@ -51,7 +52,7 @@
         server = opened(new RawConnection.Server());
     }
 
-    /** A sidecar that knows the server and has not been started. */
+    /** Creates a sidecar that has the server as its endpoint, without starting the sidecar. */
     final SidecarHarness newHarness() throws Exception {
         harness = opened(new SidecarHarness(folder, List.of(server.port())));
         return harness;
@@ -64,7 +65,7 @@
     }
 
     /**
-     * Starts a sidecar that streams, and connects a client.
+     * Starts a sidecar with streaming and connects a client.
      *
      * @param settings further settings of the section {@code streaming}, with a comma before each
      */
@@ -72,85 +73,99 @@
         start(newHarness().withExtensions(streaming(settings)));
     }
 
-    /** The extensions with further settings, with a comma before each. */
+    /** Returns the streaming extensions with further settings, with a comma before each. */
     static String streaming(String settings) {
         return STREAMING.replace("MORE", settings);
     }
 
-    /** A further client. */
+    /** Connects a further client. */
     final RawConnection connect() throws IOException {
         return opened(RawConnection.to(harness.address));
     }
 
-    /** A request of the class whose answers are streamed. */
+    /** Returns a request of the class whose responses are streamed. */
     static String exportRequest(long timeoutMillis) {
         return TestClient.head("GET", "/export/k1", timeoutMillis, "", 0);
     }
 
-    /** Sends a request whose answer is streamed; the server's connection, the request read. */
-    final RawConnection export(RawConnection from) throws Exception {
+    /**
+     * Sends a request with a streamed response.
+     *
+     * @return the server's connection, after reading the head of the request
+     */
+    final RawConnection sendExport(RawConnection from) throws Exception {
         from.raw(exportRequest(2_000));
         return acceptRequest();
     }
 
-    /** The same, with the head and the first three bytes of an answer written and the head read. */
+    /**
+     * Sends a request with a streamed response. The server has written the head and the first three
+     * bytes of the response, and the client has read the head.
+     *
+     * @return the server's connection
+     */
     final RawConnection startedExport() throws Exception {
-        RawConnection to = export(client);
-        to.raw(OK_CHUNKED).chunk("abc");
+        RawConnection upstream = sendExport(client);
+        upstream.raw(OK_CHUNKED).chunk("abc");
         client.head();
-        return to;
+        return upstream;
     }
 
-    /** The server's next connection, with the head of the request read. */
+    /** Returns the server's next connection after reading the head of the request. */
     final RawConnection acceptRequest() throws Exception {
-        RawConnection to = server.take();
-        to.head();
-        return to;
+        RawConnection upstream = server.take();
+        upstream.head();
+        return upstream;
     }
 
-    /** The head of a request of the class whose uploads are streamed. */
-    static String append(String framing) {
+    /** Returns the head of a request of the class whose uploads are streamed. */
+    static String appendRequest(String framing) {
         return TestClient.head("POST", "/append/k1", 2_000, framing + "\r\n", 0);
     }
 
-    /** Sends the first five of 100 000 bytes; the server's connection, these bytes read. */
+    /**
+     * Sends the first 5 bytes of an upload of 100 000 bytes.
+     *
+     * @return the server's connection, after reading these bytes
+     */
     final RawConnection startedUpload() throws Exception {
-        client.raw(append("Content-Length: 100000") + "begin");
-        RawConnection to = acceptRequest();
-        to.text(5);
-        return to;
+        client.raw(appendRequest("Content-Length: 100000") + "begin");
+        RawConnection upstream = acceptRequest();
+        upstream.text(5);
+        return upstream;
     }
 
-    /** Sends a part of a chunked upload; the server's connection, this chunk read. */
+    /** Sends one chunk of an upload; returns the server's connection after reading the chunk. */
     final RawConnection startedUpload(String chunk) throws Exception {
-        client.raw(append("Transfer-Encoding: chunked")).chunk(chunk);
-        RawConnection to = acceptRequest();
-        assertEquals(chunk, new String(to.chunk(), UTF_8));
-        return to;
-    }
-
-    /** Reads a body in 300 parts, each of which must be the body's. */
-    static void assertArrives(byte[] body, RawConnection from) throws IOException {
-        int part = body.length / 300;
-        for (int at = 0; at < body.length; at += part) {
-            assertArrayEquals(Arrays.copyOfRange(body, at, at + part), from.bytes(part));
+        client.raw(appendRequest("Transfer-Encoding: chunked")).chunk(chunk);
+        RawConnection upstream = acceptRequest();
+        assertEquals(chunk, new String(upstream.chunk(), UTF_8));
+        return upstream;
+    }
+
+    /** Reads a body in 300 parts and checks each of them. */
+    static void assertBodyArrives(byte[] body, RawConnection from) throws IOException {
+        int partLength = body.length / 300;
+        for (int start = 0; start < body.length; start += partLength) {
+            assertArrayEquals(
+                    Arrays.copyOfRange(body, start, start + partLength), from.bytes(partLength));
         }
     }
 
-    /** Bytes without a pattern, the same in each run. */
-    static byte[] noise(int length) {
+    /** Returns pseudorandom bytes with a fixed seed. */
+    static byte[] randomBytes(int length) {
         byte[] bytes = new byte[length];
         new Random(7).nextBytes(bytes);
         return bytes;
     }
 
-    /** Writes a body. */
+    /** Writes a message or a part of it. */
     interface BodyWriter {
-        /** Writes all of it, or fails where the connection ends. */
+        /** Writes everything; throws if the connection closes. */
         void write() throws IOException;
     }
 
-    /** Writes on a thread of its own, until the peer closes the connection. */
+    /** Writes on a separate thread until the peer closes the connection. */
     static Thread writeInBackground(BodyWriter writer) {
         Thread thread =
                 new Thread(
@@ -158,21 +173,21 @@
                             try {
                                 writer.write();
                             } catch (IOException e) {
-                                // Closed by the peer: the test sees there that too little arrives.
+                                // The test checks on the receiving side whether bytes are missing.
                             }
                         });
         thread.start();
         return thread;
     }
 
-    /** Reads the head of an answer, which must have this status. */
+    /** Reads the head of a response and checks its status. */
     static void assertStatus(int status, RawConnection from) throws IOException {
         assertEquals("HTTP/1.1 " + HttpResponseStatus.valueOf(status), from.head().startLine());
     }
 
     /**
-     * Stops the sidecar. However much one side has sent, no more was buffered than the watermark of
-     * 5000 bytes and two reads.
+     * Stops the sidecar and checks the peak of the buffered bytes: at least the high watermark of
+     * 5000 bytes, and less than the watermark plus two reads.
      */
     final void assertBuffersLimited() throws Exception {
         client.close();
@@ -184,6 +199,7 @@
         assertTrue(used.find(), log);
         long peak = Long.parseLong(used.group(1));
         assertTrue(
-                peak >= 5000 && peak < 5000 + 2 * StreamingSettings.READ_BYTES, "buffered " + peak);
+                peak >= 5000 && peak < 5000 + 2 * StreamingSettings.READ_BYTES,
+                "peak of buffered bytes: " + peak);
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/TestClient.java
+++ b/sidecar/src/test/java/sagefall/proxy/TestClient.java
@@ -7,11 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Assertions;
 
-/** A client's connection. */
+/** A client connection to a sidecar. */
 public final class TestClient implements AutoCloseable {
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    private static int ids;
+    private static int lastId;
 
     final Socket socket;
 
@@ -21,16 +21,16 @@
         socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     }
 
-    /** An id that no other request of the process has, 16 characters long. */
+    /** Returns a request id of 16 characters that is unique in this process. */
     public static synchronized String id() {
-        return String.format("%016x", ++ids);
+        return String.format("%016x", ++lastId);
     }
 
     /**
-     * A request up to its body.
+     * Returns the head of a request.
      *
-     * @param headers further lines of the head, each with its end
-     * @param length of the body; no header says it where it is 0
+     * @param headers further header lines, each with its line end
+     * @param length length of the body; if 0, there is no {@code Content-Length} header
      */
     static String head(String method, String path, long timeoutMillis, String headers, int length) {
         return method
@@ -46,7 +46,7 @@
                 + "\r\n";
     }
 
-    /** Writes bytes, one for each character. */
+    /** Writes the text as bytes, one for each character. */
     TestClient raw(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
@@ -63,21 +63,21 @@
         return raw(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
     }
 
-    /** Asks for the sidecar's health. */
+    /** Sends a health check. */
     TestClient healthCheck() throws IOException {
         return raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
-    /** Waits for the next answer; fails where the connection ends without one. */
+    /** Waits for the next response; fails if the connection closes without one. */
     HttpMessages.Message answer() throws IOException {
-        HttpMessages.Message answer = HttpMessages.read(socket.getInputStream());
-        Assertions.assertNotNull(answer, "closed without an answer");
-        return answer;
+        HttpMessages.Message response = HttpMessages.read(socket.getInputStream());
+        Assertions.assertNotNull(response, "closed without a response");
+        return response;
     }
 
-    /** Waits for the end of the connection, before which nothing more may come. */
+    /** Waits until the connection closes; fails if anything more arrives before. */
     void assertClosed() throws IOException {
-        Assertions.assertEquals(-1, socket.getInputStream().read(), "more than one answer");
+        Assertions.assertEquals(-1, socket.getInputStream().read(), "more than one response");
     }
 
     @Override
--- a/sidecar/src/test/java/sagefall/proxy/downstream/ClientConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/downstream/ClientConnectionStateTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The table of legal transitions of a client connection. */
+/** Checks which transitions of a client connection are legal. */
 class ClientConnectionStateTest {
 
-    /** A successor in the order of the constants: {@code x} is legal, {@code .} is not. */
+    /** Successors in the order of the constants: {@code x} is legal, {@code .} is illegal. */
     private static final List<String> TABLE =
             List.of(
                     // to: accepted idle request body flight writing last lingering closed
@@ -27,7 +27,7 @@
                     "CLOSED          . . . . . . . . .");
 
     @Test
-    void legalTransitionsAreThoseOfTheTable() {
+    void exactlyTheTransitionsInTheTableAreLegal() {
         List<String> actual = new ArrayList<>();
         for (ClientConnectionState from : ClientConnectionState.values()) {
             StringBuilder row = new StringBuilder(String.format("%-15s", from));
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void legalTransitionGivesTheNextState() {
+    void legalTransitionReturnsTheNextState() {
         assertSame(
                 ClientConnectionState.READING_REQUEST,
                 ClientConnectionState.IDLE.transitionTo(ClientConnectionState.READING_REQUEST));
     }
 
     @Test
-    void errorOfAnIllegalTransitionNamesBothStates() {
+    void errorForAnIllegalTransitionNamesBothStates() {
         IllegalStateException error =
                 assertThrows(
                         IllegalStateException.class,
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void inputIsDiscardedOnlyWhereNoFurtherRequestCanFollow() {
+    void inputIsDiscardedOnlyIfNoFurtherRequestCanFollow() {
         for (ClientConnectionState state : ClientConnectionState.values()) {
             if (state.discardsInput()) {
                 assertFalse(state.canBecome(ClientConnectionState.READING_REQUEST), state.name());
