--- a/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -37,10 +37,13 @@
 import sagefall.proxy.TestClient;
 import sagefall.proxy.WallClock;
 
-/** The pool alone: what the balancer's own limits would keep a complete sidecar from reaching. */
+/**
+ * Tests the pool without a balancer: in a complete sidecar, the limits of the balancer prevent the
+ * cases that are tested here.
+ */
 class ConnectionPoolTest extends SocketTest {
 
-    private static final long CONNECT_MICROS = 20_000_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 20_000_000;
 
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
     private final WallClock clock = new WallClock();
@@ -49,20 +52,23 @@
     private ConnectionPool pool;
 
     private void start(int sockets, ScriptedPeer... servers) throws Exception {
-        harness = opened(new SidecarHarness(folder, CONNECT_MICROS, sockets, servers));
+        harness = opened(new SidecarHarness(folder, CONNECT_TIMEOUT_MICROS, sockets, servers));
         SidecarConfig config = harness.config();
         pool =
                 harness.loop
-                        .submit(() -> new ConnectionPool(harness.loop, clock, config, this::ended))
+                        .submit(
+                                () ->
+                                        new ConnectionPool(
+                                                harness.loop, clock, config, this::onAttemptEnded))
                         .get();
         update(SidecarHarness.list(1, true, "in_service", servers));
     }
 
-    private void ended(
+    private void onAttemptEnded(
             ForwardedAttempt attempt,
             AttemptResult result,
             LoadReport report,
-            FullHttpResponse answer) {
+            FullHttpResponse response) {
         attempt.result = result;
         lastReport = report;
         results.add(result);
@@ -84,7 +90,7 @@
     private ForwardedAttempt send(int port) throws Exception {
         long now = clock.micros();
         Request request = new Request(TestClient.id(), 0, 0, false, -1, now + 60_000_000, false);
-        ProxiedRequest call =
+        ProxiedRequest proxied =
                 new ProxiedRequest(
                         request,
                         HttpMethod.GET,
@@ -96,19 +102,19 @@
                         null);
         ForwardedAttempt attempt =
                 new ForwardedAttempt(
-                        call, StableIds.of("s-" + port), now, request.deadlineMicros());
+                        proxied, StableIds.of("s-" + port), now, request.deadlineMicros());
         harness.loop.submit(() -> pool.send(attempt)).get();
         return attempt;
     }
 
-    private AttemptResult result() throws InterruptedException {
+    private AttemptResult awaitResult() throws InterruptedException {
         AttemptResult result = results.poll(20, TimeUnit.SECONDS);
         assertNotNull(result, "no attempt ended");
         return result;
     }
 
-    /** Waits until connections that have just brought a response may be reused. */
-    private void settle() throws InterruptedException {
+    /** Waits until connections that have just received a response may be reused. */
+    private void awaitReuseDelay() throws InterruptedException {
         assertNull(results.poll(2 * ConnectionPool.REUSE_DELAY_MICROS, TimeUnit.MICROSECONDS));
     }
 
@@ -116,23 +122,23 @@
     void attemptBeyondTheConnectionLimitIsNotSent() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(128, server);
-        int bound = harness.config().maxEndpointConnections();
-        for (int i = 0; i < bound; i++) {
+        int limit = harness.config().maxEndpointConnections();
+        for (int i = 0; i < limit; i++) {
             send(server.port());
             server.take();
         }
         send(server.port());
-        assertEquals(AttemptResult.NO_CONNECTION, result());
-        assertEquals(bound, server.accepted.get());
+        assertEquals(AttemptResult.NO_CONNECTION, awaitResult());
+        assertEquals(limit, server.accepted.get());
     }
 
     @Test
-    void idleConnectionIsClosedWhereTheLimitIsReached() throws Exception {
+    void idleConnectionToAnotherEndpointIsClosedAtTheConnectionLimit() throws Exception {
         ScriptedPeer first = server(ScriptedPeer.serves("ok"));
         ScriptedPeer second = server(ScriptedPeer.SILENT);
         start(128, first, second);
         send(first.port());
-        assertEquals(AttemptResult.SERVED, result());
+        assertEquals(AttemptResult.SERVED, awaitResult());
         for (int i = 0; i < harness.config().maxEndpointConnections(); i++) {
             send(second.port());
             second.take();
@@ -142,7 +148,7 @@
     }
 
     @Test
-    void responsesAndFailuresHaveTheirOwnResults() throws Exception {
+    void resultTellsResponsesAndFailuresApart() throws Exception {
         ScriptedPeer server =
                 server(
                         ScriptedPeer.answers(
@@ -151,22 +157,22 @@
                                 "ok"));
         start(1024, server);
         send(server.port());
-        assertEquals(AttemptResult.SERVED, result());
+        assertEquals(AttemptResult.SERVED, awaitResult());
         assertEquals(0.5, lastReport.utilization());
         assertTrue(Double.isNaN(lastReport.rate()) && Double.isNaN(lastReport.errorRate()));
         server.script(ScriptedPeer.answers("500 No", "", ""));
         send(server.port());
-        assertEquals(AttemptResult.ERROR, result());
+        assertEquals(AttemptResult.ERROR, awaitResult());
         assertNull(lastReport);
         server.script(ScriptedPeer.answers("504 Over", "Not-Started: 1\r\n", ""));
         send(server.port());
-        assertEquals(AttemptResult.REJECTED, result());
+        assertEquals(AttemptResult.REJECTED, awaitResult());
         server.script(ScriptedPeer.HANG_UP);
         send(server.port());
-        assertEquals(AttemptResult.BROKEN, result());
+        assertEquals(AttemptResult.BROKEN, awaitResult());
         server.close();
         send(server.port());
-        assertEquals(AttemptResult.NO_CONNECTION, result());
+        assertEquals(AttemptResult.NO_CONNECTION, awaitResult());
     }
 
     @Test
@@ -178,10 +184,10 @@
         send(server.port());
         ReceivedRequest second = server.take();
         second.reply("200 OK", "", "");
-        assertEquals(AttemptResult.SERVED, result());
+        assertEquals(AttemptResult.SERVED, awaitResult());
         first.reply("200 OK", "", "");
-        assertEquals(AttemptResult.SERVED, result());
-        settle();
+        assertEquals(AttemptResult.SERVED, awaitResult());
+        awaitReuseDelay();
         send(server.port());
         assertEquals(first.socket(), server.take().socket());
     }
@@ -191,34 +197,34 @@
         ScriptedPeer server = server(ScriptedPeer.answers("200 OK", "Connection: close\r\n", "ok"));
         start(1024, server);
         send(server.port());
-        assertEquals(AttemptResult.SERVED, result());
+        assertEquals(AttemptResult.SERVED, awaitResult());
         server.awaitEnd();
         send(server.port());
-        assertEquals(AttemptResult.SERVED, result());
+        assertEquals(AttemptResult.SERVED, awaitResult());
         assertEquals(2, server.accepted.get());
     }
 
-    /** A listening socket whose queue is full: connections to it come up only once it accepts. */
+    /** A listening socket with a full accept queue; new connections wait until it accepts some. */
     private static final class FullBacklog implements AutoCloseable {
         final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> filling = new ArrayList<>();
+        private final List<Socket> queued = new ArrayList<>();
 
         FullBacklog() throws IOException {
             try {
-                while (filling.size() < 20) {
+                while (queued.size() < 20) {
                     Socket next = new Socket();
-                    filling.add(next);
+                    queued.add(next);
                     next.connect(socket.getLocalSocketAddress(), 300);
                 }
             } catch (SocketTimeoutException e) {
                 return;
             }
-            throw new IOException("the queue never filled up");
+            throw new IOException("the accept queue did not fill up");
         }
 
-        /** Closes what fills the queue and gives the connection that comes up then. */
+        /** Closes the connections that fill the queue and returns the one established next. */
         Socket acceptNext() throws IOException {
-            for (int i = 0; i < filling.size() - 1; i++) {
+            for (int i = 0; i < queued.size() - 1; i++) {
                 socket.accept().close();
             }
             return socket.accept();
@@ -226,7 +232,7 @@
 
         @Override
         public void close() throws IOException {
-            for (Socket s : filling) {
+            for (Socket s : queued) {
                 s.close();
             }
             socket.close();
@@ -246,44 +252,44 @@
                                 + "'}]");
     }
 
-    /** What makes a decision outdated while its connection comes up late. */
-    private enum Meanwhile {
+    /** Changes that make an attempt outdated while its connection is being established. */
+    private enum Change {
         ENDPOINT_DRAINS,
-        SEND_WINDOW_ENDS,
-        REQUEST_IS_OVER
+        LATEST_START_PASSES,
+        REQUEST_COMPLETES
     }
 
     @ParameterizedTest
     @EnumSource
-    void attemptIsNotSentOnceItsDecisionIsOutdated(Meanwhile meanwhile) throws Exception {
+    void attemptIsNotSentIfOutdatedOnceConnected(Change change) throws Exception {
         FullBacklog backlog = opened(new FullBacklog());
         start(1024);
         update(listOf(1, "in_service", backlog));
         ForwardedAttempt attempt = send(backlog.socket.getLocalPort());
-        switch (meanwhile) {
+        switch (change) {
             case ENDPOINT_DRAINS -> update(listOf(2, "terminating", backlog));
-            case SEND_WINDOW_ENDS -> attempt.latestStartMicros = clock.micros();
+            case LATEST_START_PASSES -> attempt.latestStartMicros = clock.micros();
             default -> attempt.request.finished = true;
         }
-        Socket up = backlog.acceptNext();
-        assertEquals(AttemptResult.NOT_SENT, result());
+        Socket established = backlog.acceptNext();
+        assertEquals(AttemptResult.NOT_SENT, awaitResult());
         assertFalse(attempt.written);
         harness.loop.submit(pool::close).get();
-        assertEquals(-1, up.getInputStream().read());
+        assertEquals(-1, established.getInputStream().read());
     }
 
-    /** Nothing new is sent on an idle connection either, and an attempt in progress goes on. */
+    /** No new attempt is sent to a draining endpoint, but the attempt in flight goes on. */
     @Test
-    void attemptInProgressCompletesWhileTheEndpointDrains() throws Exception {
+    void onlyAttemptsInFlightGoOnWhileTheEndpointDrains() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(1024, server);
         send(server.port());
-        ReceivedRequest begun = server.take();
+        ReceivedRequest inFlight = server.take();
         update(SidecarHarness.list(2, true, "terminating", server));
         send(server.port());
-        assertEquals(AttemptResult.NOT_SENT, result());
-        begun.reply("200 OK", "", "ok");
-        assertEquals(AttemptResult.SERVED, result());
+        assertEquals(AttemptResult.NOT_SENT, awaitResult());
+        inFlight.reply("200 OK", "", "ok");
+        assertEquals(AttemptResult.SERVED, awaitResult());
         assertTrue(server.receivedRequests.isEmpty());
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/upstream/UpstreamConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/UpstreamConnectionStateTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.proxy.upstream.UpstreamConnection.State;
 
-/** The transitions of a connection to an endpoint. */
+/** Checks which transitions of a connection to an endpoint are legal. */
 class UpstreamConnectionStateTest {
 
     private static final Map<State, Set<State>> SUCCESSORS =
@@ -27,7 +27,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void stateHasTheSuccessorsOfTheTableAndNoOthers(State state) {
+    void exactlyTheTransitionsInTheTableAreLegal(State state) {
         for (State next : State.values()) {
             assertEquals(
                     SUCCESSORS.get(state).contains(next),
--- a/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
@@ -14,49 +14,50 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The watermarks of one direction of a stream. */
+/** Tests the watermarks of one direction of a stream. */
 class FlowControlTest {
 
+    /** Settings with a high watermark of 1000 bytes and a low watermark of 400 bytes. */
     private static final StreamingSettings SETTINGS =
             new StreamingSettings(Map.of(), 1000, 400, 1000, 1000, 0, 0, 0);
 
-    private final List<Boolean> reads = new ArrayList<>();
+    private final List<Boolean> readingChanges = new ArrayList<>();
     private final BufferAccounting accounting = new BufferAccounting();
-    private final FlowControl flow = new FlowControl(SETTINGS, accounting, reads::add);
+    private final FlowControl flow = new FlowControl(SETTINGS, accounting, readingChanges::add);
 
     @Test
     void sourceIsPausedAtTheHighWatermarkAndResumedAtTheLowOne() {
         flow.bytesReceived(999);
-        assertEquals(List.of(), reads);
+        assertEquals(List.of(), readingChanges);
         flow.bytesReceived(1);
-        assertEquals(List.of(false), reads);
+        assertEquals(List.of(false), readingChanges);
         flow.bytesWritten(599);
-        assertEquals(List.of(false), reads);
+        assertEquals(List.of(false), readingChanges);
         flow.bytesWritten(1);
-        assertEquals(List.of(false, true), reads);
+        assertEquals(List.of(false, true), readingChanges);
     }
 
     @Test
-    void sourceWithoutSinkIsNotReadThoughLittleIsPending() {
+    void sourceWithoutSinkIsNotReadBelowTheLowWatermark() {
         flow.pauseWithoutSink();
         flow.bytesReceived(2000);
         flow.bytesWritten(2000);
-        assertEquals(List.of(false), reads);
+        assertEquals(List.of(false), readingChanges);
         flow.resumeWithSink();
-        assertEquals(List.of(false, true), reads);
+        assertEquals(List.of(false, true), readingChanges);
     }
 
     @Test
     void finishedSourceIsNeitherPausedNorStalled() {
         flow.sourceFinished();
         flow.bytesReceived(2000);
-        assertEquals(List.of(), reads);
+        assertEquals(List.of(), readingChanges);
         assertFalse(flow.isSourceStalled());
     }
 
     /**
-     * Whatever the order of bringing and taking, the pending bytes stay within the watermark and
-     * one part.
+     * The pending bytes exceed the high watermark by less than one part, in whatever order parts
+     * are received and written.
      */
     @Test
     void pendingBytesAreBounded() {
@@ -73,16 +74,16 @@
                 flow.bytesWritten(part);
                 pending -= part;
             }
-            reading = reads.isEmpty() || reads.get(reads.size() - 1);
+            reading = readingChanges.isEmpty() || readingChanges.get(readingChanges.size() - 1);
             assertEquals(pending, accounting.reservedBytes());
             assertTrue(pending < 1300 && accounting.peakBytes() < 1300);
-            assertTrue(reading || pending > 400, "not read though little is pending");
+            assertTrue(reading || pending > 400, "not read at the low watermark");
         }
     }
 
-    /** A slice of a few bytes would keep the memory of a large read. */
+    /** A slice of a few bytes must not keep the memory of a large read. */
     @Test
-    void smallPartIsCopiedOutOfALargeRead() {
+    void smallPartOfALargeReadIsCopied() {
         ByteBuf read = Unpooled.buffer(16_384).writeZero(16_384);
         ByteBuf small = FlowControl.compact(read.retainedSlice(0, 3));
         assertEquals(3, small.readableBytes());
--- a/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** An upload between a client and the servers of its attempts. */
+/** Tests the forwarding of an upload to the endpoints of its attempts. */
 class StreamedUploadTest {
 
     private static final int REPLAY_BYTES = 8;
@@ -27,11 +27,11 @@
     private static final StreamingSettings SETTINGS =
             new StreamingSettings(Map.of(), 10_000, 4_000, 1_000, 1_000, REPLAY_BYTES, 0, 0);
 
-    private final List<Boolean> reads = new ArrayList<>();
+    private final List<Boolean> readingChanges = new ArrayList<>();
     private final List<String> events = new ArrayList<>();
     private final BufferAccounting accounting = new BufferAccounting();
     private final StreamedUpload upload =
-            new StreamedUpload(SETTINGS, accounting, MAX_BYTES, reads::add);
+            new StreamedUpload(SETTINGS, accounting, MAX_BYTES, readingChanges::add);
 
     StreamedUploadTest() {
         upload.setListener(
@@ -59,7 +59,7 @@
         upload.attach(server, () -> events.add("written"));
     }
 
-    /** The body that a server has got so far; its end is marked with a dot. */
+    /** Returns the body that a server has received so far; its end is marked with a dot. */
     private static String received(EmbeddedChannel server) {
         StringBuilder body = new StringBuilder();
         while (!server.outboundMessages().isEmpty()) {
@@ -74,16 +74,16 @@
     }
 
     @Test
-    void clientIsReadOnlyWhileAServerIsAttached() {
-        assertEquals(List.of(false), reads);
+    void clientIsReadOnlyWhileAnEndpointIsAttached() {
+        assertEquals(List.of(false), readingChanges);
         attach(new EmbeddedChannel());
-        assertEquals(List.of(false, true), reads);
+        assertEquals(List.of(false, true), readingChanges);
         upload.detach();
-        assertEquals(List.of(false, true, false), reads);
+        assertEquals(List.of(false, true, false), readingChanges);
     }
 
     @Test
-    void retryGetsTheBodyFromItsFirstByteWithinTheReplayLimit() {
+    void retrySendsTheBodyFromItsFirstByteWithinTheReplayLimit() {
         EmbeddedChannel first = new EmbeddedChannel();
         receive("ab");
         attach(first);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void replayIsLostOnceMoreThanTheLimitIsForwarded() {
+    void uploadCannotBeReplayedOnceMoreThanTheLimitIsForwarded() {
         receive("0123456789");
         assertEquals(List.of(), events);
         assertEquals(10, accounting.reservedBytes());
@@ -114,13 +114,13 @@
     }
 
     @Test
-    void bodyLongerThanTheBoundIsRefused() {
+    void bodyLongerThanTheLimitIsRejected() {
         assertTrue(receive("x".repeat(MAX_BYTES)));
         assertFalse(receive("x"));
     }
 
     @Test
-    void partsAreReleasedAfterTheClose() {
+    void partsReceivedAfterCloseAreReleased() {
         receive("abc");
         upload.close();
         assertEquals(0, accounting.reservedBytes());
@@ -134,14 +134,14 @@
     }
 
     @Test
-    void uploadStaysCompleteAfterTheClose() {
+    void uploadStaysCompleteAfterClose() {
         upload.end(EmptyHttpHeaders.INSTANCE);
         upload.close();
         assertTrue(upload.isComplete());
     }
 
     @Test
-    void partThatCannotBeWrittenIsReleasedAndNoLongerCounted() {
+    void partThatCannotBeWrittenIsReleasedAndCountedOnlyInTheReplayBuffer() {
         EmbeddedChannel server = new EmbeddedChannel();
         attach(server);
         server.close();
