--- a/sidecar/src/main/java/sagefall/Main.java
+++ b/sidecar/src/main/java/sagefall/Main.java
@@ -3,7 +3,7 @@
 import sagefall.proxy.SidecarProcess;
 import sagefall.simulator.SimulatorAdapter;
 
-/** Starts the host of the balancer: the sidecar, or the simulator's adapter. */
+/** Starts a host of the balancer: the sidecar, or the adapter for the simulator. */
 public final class Main {
 
     private static final int EXIT_USAGE = 2;
@@ -11,9 +11,9 @@
     private Main() {}
 
     /**
-     * Runs the host that the one argument names, and exits with its status.
+     * Runs the host that the only argument names, and exits with the host's exit status.
      *
-     * @param args {@code serve} or {@code simhost}
+     * @param args {@code serve} for the sidecar or {@code simhost} for the simulator adapter
      */
     public static void main(String[] args) {
         String host = args.length == 1 ? args[0] : "";
--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -3,105 +3,123 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When the next call to discovery is made and how long it may take. A call asks discovery to hold
- * its answer until the list changes, at most for the hold time; an answer that is the answer
- * timeout late after that is taken for lost. The watch then ends, and the balancer starts the next
- * one: within 150 ms from an agent, within 600 ms from a shared service.
+ * Computes the timeout of each call to discovery and the pause before the next call. A call asks
+ * discovery to hold the response until the endpoint list changes, at most for the hold time. The
+ * call fails if no response arrives within the hold time plus the response timeout. A failure ends
+ * the watch, and the balancer starts it again: within 150 ms if discovery is an agent, within 600
+ * ms if it is a shared service.
  *
- * <h2>Why the 6 s bound holds</h2>
+ * <h2>Why a change is received within 6 s</h2>
  *
- * What a lost call would have brought counts as notified 6 s after the peer fell silent, or 2 s
- * after the end of the hold time, if that is later. The worst case is a watch that falls silent as
- * it is asked:
+ * If a call is lost, the sidecar must know of the changes that the call would have reported within
+ * 6 s after discovery stopped responding, or within 2 s after the end of the hold time, whichever
+ * is later. In the worst case discovery stops responding at the start of a long poll:
  *
  * <ul>
- *   <li>An agent on the own machine answers at once. The loss is noticed after 3 + 0.5 s (hold time
- *       and answer timeout); the balancer retries within 0.15 s, and that call may be lost once
- *       more, 0.5 s: the list is there at 4.3 s.
- *   <li>A shared service answers in turn, up to 1.75 s late. The loss is noticed after 1 + 1.75 s;
- *       the balancer retries within 0.6 s, and that call may be lost once more, 1.75 s: the third
- *       call is made at 5.7 s.
+ *   <li>An agent on the local machine responds at once. The loss is detected after 3 + 0.5 s (hold
+ *       time and response timeout). The balancer retries within 0.15 s. If that call is lost as
+ *       well, 0.5 s more pass before its failure, and the list arrives at 4.3 s.
+ *   <li>A shared service serves its clients one after another and responds up to 1.75 s late. The
+ *       loss is detected after 1 + 1.75 s. The balancer retries within 0.6 s. If that call is lost
+ *       as well, 1.75 s more pass before its failure, and the third call is made at 5.7 s.
  * </ul>
  *
- * <p>However many calls have failed before, a change counts as notified 6 s after discovery had it
- * and could be reached. The call that is in flight at that moment need not hold its answer, and may
- * be lost, as may the next: from an agent the list is there after 2 (0.5 + 0.15) s and an answer,
- * from a service after 2 (1.75 + 0.6) s and an answer. After SIGHUP, where a change counts after 4
- * s, the new address is called at once, and one call may be lost: 1.75 + 0.6 s and an answer.
+ * <p>After any number of failed calls, the sidecar must know of a change within 6 s from the time
+ * at which discovery has the change and is reachable. The call in flight at that time asks for no
+ * hold. If that call and the next one are lost, the list arrives after 2 (0.5 + 0.15) s and the
+ * time of one response from an agent, and after 2 (1.75 + 0.6) s and the time of one response from
+ * a service. After SIGHUP, which may change the address of discovery, the sidecar must know of the
+ * changes within 4 s: the new address is called at once, and if that call is lost, the list arrives
+ * after 1.75 + 0.6 s and the time of one response.
  *
- * <p>A watch that goes on costs the service nothing, so a shorter hold time costs only the
- * sidecar's own processor time. Belongs to the event loop.
+ * <p>A pending long poll costs the service nothing, so a shorter hold time costs only the sidecar's
+ * own processor time. Used on the event loop only.
  */
 final class Backoff {
 
-    /** An agent on the own machine answers at once, so a late answer is noticed soon. */
+    /**
+     * Timeouts for an agent on the local machine, which responds at once, so that a lost call can
+     * be detected after a short response timeout.
+     */
     static final DiscoveryTimeouts AGENT_TIMEOUTS = new DiscoveryTimeouts(3_000, 500);
 
-    /** A shared service serves its callers in turn; watched for 1 s at a time. */
+    /**
+     * Timeouts for a shared service, which serves its clients one after another, so that a response
+     * may be late.
+     */
     static final DiscoveryTimeouts SERVICE_TIMEOUTS = new DiscoveryTimeouts(1_000, 1_750);
 
     /**
-     * The hold time of the first call, and of the first one after a failure. Its answer is due at
-     * once, so a peer that is still silent is noticed soon, and not as late as one in a watch.
+     * Hold time of the first call, and of the first call after a failure or a change of the
+     * address. The response is due at once, so a peer that does not respond is detected after the
+     * response timeout alone.
      */
     private static final long FIRST_HOLD_MILLIS = 1;
 
     /**
-     * The pause after an answer without changes that came early: a peer that does not hold its
-     * answers is not called in a tight loop. A watch goes on for 200 ms after an answer.
+     * Pause after a response without changes that arrived within half of the hold time, so that a
+     * peer that does not hold its responses is not called in a tight loop. A watch continues only
+     * while each next call comes within 200 ms of the last response, so the pause must be shorter
+     * than that.
      */
-    private static final long EARLY_ANSWER_PAUSE_MILLIS = 100;
+    private static final long EARLY_RESPONSE_PAUSE_MILLIS = 100;
 
     private final DiscoveryTimeouts timeouts;
 
     /**
-     * Whether the last call was answered, so that the next answer may be delayed until there is a
-     * change.
+     * Whether the last call received a response, so that discovery may hold the next response until
+     * there is a change. False after {@link #reset}.
      */
-    private boolean lastCallAnswered;
+    private boolean lastCallSucceeded;
 
+    /** Hold time of the current call, in milliseconds. */
     private long holdMillis;
-    private long calledAtNanos;
+
+    /** Start of the current call, as {@link System#nanoTime} reports it. */
+    private long callStartNanos;
 
     Backoff(DiscoveryTimeouts timeouts) {
         this.timeouts = timeouts;
     }
 
-    /** A call begins; from here on {@link #holdMillis} is that of this call. */
-    void callBegins(long nowNanos) {
-        calledAtNanos = nowNanos;
-        holdMillis = lastCallAnswered ? timeouts.holdMillis() : FIRST_HOLD_MILLIS;
+    /** Records the start of a call and sets {@link #holdMillis} for this call. */
+    void onCallStarted(long nowNanos) {
+        callStartNanos = nowNanos;
+        holdMillis = lastCallSucceeded ? timeouts.holdMillis() : FIRST_HOLD_MILLIS;
     }
 
-    /** How long discovery may hold the answer of this call, in milliseconds. */
+    /** Returns how long discovery may hold the response to the current call, in milliseconds. */
     long holdMillis() {
         return holdMillis;
     }
 
     /**
-     * How long after its begin this call is taken for lost, in milliseconds.
+     * Returns the timeout of the current call, in milliseconds from its start.
      *
-     * @param completeList whether the complete list is asked for, whose answer is never delayed
+     * @param completeList whether the call requests the complete list, which is never held
      */
     long callTimeoutMillis(boolean completeList) {
         return (completeList ? 0 : holdMillis) + timeouts.answerMillis();
     }
 
     /**
-     * The call was answered.
+     * Records the response to the current call.
      *
-     * @param changed whether the answer holds any endpoint
+     * @param hasChanges whether the response contains any endpoint
      * @return the pause before the next call, in milliseconds
      */
-    long callAnswered(boolean changed, long nowNanos) {
-        boolean early = nowNanos - calledAtNanos < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
-        boolean pauses = lastCallAnswered && !changed && early;
-        lastCallAnswered = true;
-        return pauses ? EARLY_ANSWER_PAUSE_MILLIS : 0;
+    long onResponse(boolean hasChanges, long nowNanos) {
+        boolean early = nowNanos - callStartNanos < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
+        boolean pauseNeeded = lastCallSucceeded && !hasChanges && early;
+        lastCallSucceeded = true;
+        return pauseNeeded ? EARLY_RESPONSE_PAUSE_MILLIS : 0;
     }
 
-    /** The call failed, or the peer is another one: the next answer is not to be delayed. */
+    /**
+     * Sets the hold time of the next call to its minimum. Called after a failure and after a change
+     * of the address.
+     */
     void reset() {
-        lastCallAnswered = false;
+        lastCallSucceeded = false;
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -7,30 +7,37 @@
 import sagefall.logging.LogLine;
 
 /**
- * Watches the list of endpoints. Once started, the watch goes on by itself; when a call fails it
- * ends, and it is the balancer that restarts it. All methods are called on the event loop.
+ * Watches the endpoint list by long polls. A started watch continues until a call fails; then the
+ * balancer restarts it. All methods must be called on the event loop.
  */
 public final class DiscoveryClient {
 
-    /** What the watch brings, always on the event loop. */
+    /** Receives the results of the watch, always on the event loop. */
     public interface Listener {
-        /** A complete list, or changes to the last one. */
+        /** Handles a complete endpoint list, or the changes to the last one. */
         void listed(EndpointList list);
 
-        /** The watch has ended; the reason is for people. */
-        void failed(String why);
+        /**
+         * Handles the failure of a call, which ends the watch.
+         *
+         * @param reason description of the cause, for logs only
+         */
+        void failed(String reason);
     }
 
     private final EndpointWatch watch;
     private final Consumer<String> log;
 
+    /** Reason for the failure of the last call; null if that call succeeded or none was made. */
     private String lastFailure;
+
     private boolean closed;
 
     /**
-     * Prepares a watch; nothing is sent before {@link #subscribe}.
+     * Creates a client that sends nothing before {@link #subscribe}.
      *
-     * @param revision of the list that is known already; the first call asks for changes since
+     * @param revision revision of the list that the sidecar already has; the first call requests
+     *     the changes since this revision
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -51,35 +58,38 @@
                         new FailureLogger(listener));
     }
 
-    /** Starts the watch; while it is on this does nothing. */
+    /** Starts the watch; does nothing if the watch is already running. */
     public void subscribe() {
         watch.start();
     }
 
-    /** Asks for the complete list next, and not for changes. */
+    /** Makes the next call request the complete list instead of changes. */
     public void requireCompleteList() {
         watch.requireCompleteList();
     }
 
-    /** Goes on at another address. What the old one still sends is ignored. */
-    public void moveTo(InetSocketAddress to) {
+    /** Changes the address of discovery; responses from the old address are ignored. */
+    public void moveTo(InetSocketAddress newAddress) {
         if (!closed) {
-            watch.moveTo(to);
+            watch.changeAddress(newAddress);
         }
     }
 
-    /** Ends the watch and its connection, and ignores later moves. */
+    /** Stops the watch, closes its connection, and ignores later changes of the address. */
     public void close() {
         closed = true;
         watch.stop();
     }
 
-    /** Reads what discovery has written and the loop has not come to read yet. */
+    /** Reads data that discovery has sent and that the event loop has not read yet. */
     public void catchUp() {
-        watch.catchUp();
+        watch.readAvailable();
     }
 
-    /** Logs a failure before it is reported, unless the call before failed for the same reason. */
+    /**
+     * Logs each failure, unless the previous call failed for an equal reason, and forwards all
+     * results to the listener.
+     */
     private final class FailureLogger implements Listener {
         private final Listener listener;
 
@@ -94,13 +104,15 @@
         }
 
         @Override
-        public void failed(String why) {
-            if (!why.equals(lastFailure)) {
-                lastFailure = why;
+        public void failed(String reason) {
+            if (!reason.equals(lastFailure)) {
+                lastFailure = reason;
                 log.accept(
-                        LogLine.of(LogEvent.DISCOVERY_CALL_FAILED).with("reason", why).toString());
+                        LogLine.of(LogEvent.DISCOVERY_CALL_FAILED)
+                                .with("reason", reason)
+                                .toString());
             }
-            listener.failed(why);
+            listener.failed(reason);
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryTimeouts.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryTimeouts.java
@@ -1,18 +1,21 @@
 package sagefall.discovery;
 
 /**
- * How long discovery may hold its answer until there is a change, and how long after that the
- * answer may take; then the call is taken for lost. {@link Backoff} has the reason of the figures.
+ * Timeouts of a call to discovery. {@link Backoff} explains the values.
+ *
+ * @param holdMillis how long discovery may hold the response until there is a change
+ * @param answerMillis response timeout: how long after the hold time a call without a response
+ *     fails
  */
 public record DiscoveryTimeouts(long holdMillis, long answerMillis) {
 
     /**
-     * The timeouts for a kind of discovery.
+     * Returns the timeouts for a kind of discovery.
      *
-     * @param onAsk whether lists are polled from a shared service; else an agent on the own machine
-     *     pushes them
+     * @param polls whether the endpoint list is polled from a shared service; otherwise an agent on
+     *     the local machine pushes changes
      */
-    public static DiscoveryTimeouts of(boolean onAsk) {
-        return onAsk ? Backoff.SERVICE_TIMEOUTS : Backoff.AGENT_TIMEOUTS;
+    public static DiscoveryTimeouts of(boolean polls) {
+        return polls ? Backoff.SERVICE_TIMEOUTS : Backoff.AGENT_TIMEOUTS;
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointList.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointList.java
@@ -8,24 +8,29 @@
 import sagefall.balancer.api.ListedEndpoint;
 
 /**
- * Endpoints as discovery lists them.
+ * A list of endpoints as discovery reports it.
  *
- * @param revision discovery's number of the state that the list describes; higher is newer
- * @param complete whether the list holds all endpoints, and not only the changes since the revision
- *     that was asked for
+ * @param revision version number of the list in discovery; higher is newer
+ * @param complete whether the list contains all endpoints; otherwise only the endpoints that have
+ *     changed since the requested revision
  * @param entries the endpoints in discovery's order
  */
 public record EndpointList(long revision, boolean complete, List<Entry> entries) {
 
-    /** An endpoint and the socket address that requests for it go to. */
+    /**
+     * An endpoint and its socket address.
+     *
+     * @param server the endpoint
+     * @param address where requests for the endpoint are sent
+     */
     public record Entry(ListedEndpoint server, InetSocketAddress address) {}
 
-    /** The endpoints without their addresses, in the order of the list. */
+    /** Returns the endpoints without their addresses, in the order of the list. */
     public List<ListedEndpoint> endpoints() {
         return entries.stream().map(Entry::server).toList();
     }
 
-    /** A summary for a log line. */
+    /** Returns a summary for a log line. */
     public String summary() {
         long notReady =
                 entries.stream().filter(e -> e.server().phase() != EndpointPhase.READY).count();
@@ -33,14 +38,15 @@
                 + revision
                 + " with "
                 + (entries.size() - notReady)
-                + " servers in service and "
+                + " ready endpoints and "
                 + notReady
-                + " not";
+                + " not ready";
     }
 
     /**
-     * The union of both lists. Of an endpoint that both have, the incarnation that started later is
-     * taken, and this list's entry where both have the same incarnation.
+     * Returns the union of both lists as a complete list with the higher revision. Of an endpoint
+     * in both lists, the result contains the incarnation that started later; if the start times are
+     * equal, the result contains this list's entry.
      */
     public EndpointList mergedWith(EndpointList other) {
         Map<Long, Entry> merged = new LinkedHashMap<>();
@@ -50,7 +56,7 @@
                 Math.max(revision, other.revision), true, List.copyOf(merged.values()));
     }
 
-    private static Entry newer(Entry theirs, Entry mine) {
-        return theirs.server().startMicros() > mine.server().startMicros() ? theirs : mine;
+    private static Entry newer(Entry other, Entry own) {
+        return other.server().startMicros() > own.server().startMicros() ? other : own;
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
@@ -12,20 +12,20 @@
 import sagefall.persistence.SnapshotEntry;
 
 /**
- * Converts endpoint lists from discovery's form, and to and from the persisted form. In memory
- * zones and models are numbers, as in the settings; on the wire and on disk they are names, since
- * the numbers change with the settings. Immutable, for any thread.
+ * Converts endpoint lists from discovery's JSON form, and to and from the persisted form. Zones and
+ * models are numbers in memory, namely indices into the lists of the settings, and names on the
+ * wire and on disk, since the numbers change with the settings. Immutable and thread-safe.
  */
 public final class EndpointListCodec {
 
-    /** The number of a zone or model that the settings do not name. */
+    /** Number of a zone or model that is not in the settings. */
     private static final int UNKNOWN = -1;
 
     private final List<String> zones;
     private final List<String> models;
     private final EndpointListParser parser;
 
-    /** Numbers zones and models by their place in these lists. */
+    /** Creates a codec that numbers zones and models by their index in these lists. */
     public EndpointListCodec(List<String> zones, List<String> models) {
         this.zones = zones;
         this.models = models;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Parses a list in discovery's form.
+     * Parses a list in discovery's JSON form.
      *
      * @throws IOException if the text is not JSON or not an endpoint list
      */
@@ -41,27 +41,31 @@
         return parser.parse(text);
     }
 
-    /** Converts a list in discovery's form that has been read as JSON already. */
+    /** Converts a list in discovery's form whose JSON has already been parsed. */
     public EndpointList parse(Map<?, ?> json) throws MalformedEndpointListException {
         return parser.parse(json);
     }
 
-    /** What is to be persisted of a list that was received at this wall-clock time. */
-    public SnapshotChange toSnapshotChange(EndpointList list, long atMillis) {
+    /**
+     * Converts a list to the form in which it is persisted.
+     *
+     * @param receivedAtMillis when the list was received, in Unix time
+     */
+    public SnapshotChange toSnapshotChange(EndpointList list, long receivedAtMillis) {
         Map<Long, SnapshotEntry> entries = new LinkedHashMap<>();
         for (EndpointList.Entry entry : list.entries()) {
-            entries.put(entry.server().id(), persisted(entry));
+            entries.put(entry.server().id(), toSnapshotEntry(entry));
         }
-        return new SnapshotChange(list.complete(), list.revision(), atMillis, entries);
+        return new SnapshotChange(list.complete(), list.revision(), receivedAtMillis, entries);
     }
 
-    private SnapshotEntry persisted(EndpointList.Entry entry) {
+    private SnapshotEntry toSnapshotEntry(EndpointList.Entry entry) {
         ListedEndpoint endpoint = entry.server();
         return new SnapshotEntry(
                 endpoint.id(),
                 SocketAddresses.format(entry.address()),
-                name(zones, endpoint.zone()),
-                name(models, endpoint.kind()),
+                nameOf(zones, endpoint.zone()),
+                nameOf(models, endpoint.kind()),
                 endpoint.cell(),
                 endpoint.phase(),
                 endpoint.startMicros(),
@@ -69,22 +73,23 @@
                 0);
     }
 
-    private static String name(List<String> names, int number) {
+    private static String nameOf(List<String> names, int number) {
         return number == UNKNOWN ? "" : names.get(number);
     }
 
-    /** The list as it was persisted, with the endpoints that had been removed among it. */
+    /** Converts a persisted snapshot to a complete list that includes the removed endpoints. */
     public EndpointList fromSnapshot(EndpointSnapshot snapshot) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (SnapshotEntry persisted : snapshot.endpoints().values()) {
             entries.add(
                     new EndpointList.Entry(
-                            endpoint(persisted), SocketAddresses.parse(persisted.address())));
+                            toListedEndpoint(persisted),
+                            SocketAddresses.parse(persisted.address())));
         }
         return new EndpointList(snapshot.revision(), true, entries);
     }
 
-    private ListedEndpoint endpoint(SnapshotEntry persisted) {
+    private ListedEndpoint toListedEndpoint(SnapshotEntry persisted) {
         return new ListedEndpoint(
                 persisted.id(),
                 zones.indexOf(persisted.zone()),
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
@@ -13,10 +13,12 @@
 import sagefall.config.SocketAddresses;
 
 /**
- * Parses endpoint lists in discovery's JSON form, the one place that knows its keys.
+ * Parses endpoint lists in discovery's JSON form. No other class uses the keys of this form.
  *
- * @param zones the zones of the settings; an endpoint's zone is its index in them, -1 if unknown
- * @param models the server models of the settings, numbered likewise
+ * @param zones zone names of the settings; an endpoint's zone is an index into this list, or -1 if
+ *     unknown
+ * @param models model names of the settings; an endpoint's model is an index into this list, or -1
+ *     if unknown
  */
 record EndpointListParser(List<String> zones, List<String> models) {
 
@@ -24,14 +26,18 @@
 
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** Parses a text that holds one list and nothing else. */
+    /** Parses a JSON text that consists of exactly one list. */
     EndpointList parse(byte[] text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
             return parse(Json.parseDocument(parser));
         }
     }
 
-    /** Converts a list that has been read as JSON; all or nothing. */
+    /**
+     * Converts a list whose JSON has already been parsed.
+     *
+     * @throws MalformedEndpointListException if the list or any of its entries is malformed
+     */
     EndpointList parse(Map<?, ?> json) throws MalformedEndpointListException {
         if (!(json.get("rev") instanceof Long revision)
                 || !(json.get("all") instanceof Boolean complete)
@@ -40,12 +46,12 @@
         }
         List<EndpointList.Entry> entries = new ArrayList<>(targets.size());
         for (Object target : targets) {
-            entries.add(entry(target));
+            entries.add(parseEntry(target));
         }
         return new EndpointList(revision, complete, entries);
     }
 
-    private EndpointList.Entry entry(Object target) throws MalformedEndpointListException {
+    private EndpointList.Entry parseEntry(Object target) throws MalformedEndpointListException {
         if (!(target instanceof Map<?, ?> json)
                 || !(json.get("uid") instanceof String uid)
                 || !(json.get("endpoint") instanceof String address)) {
@@ -57,13 +63,13 @@
                         zones.indexOf(json.get("az")),
                         models.indexOf(json.get("model")),
                         (int) Json.longValue(json, "pod_group", 0),
-                        phase(json.get("state")),
+                        parsePhase(json.get("state")),
                         Json.longValue(json, "boot_ms", 0) * MICROS_PER_MILLI,
                         Json.doubleValue(json, "capacity_hint", 1));
-        return new EndpointList.Entry(endpoint, socketAddress(address));
+        return new EndpointList.Entry(endpoint, parseAddress(address));
     }
 
-    private static EndpointPhase phase(Object state) throws MalformedEndpointListException {
+    private static EndpointPhase parsePhase(Object state) throws MalformedEndpointListException {
         return switch (String.valueOf(state)) {
             case "in_service" -> EndpointPhase.READY;
             case "terminating" -> EndpointPhase.DRAINING;
@@ -72,7 +78,7 @@
         };
     }
 
-    private static InetSocketAddress socketAddress(String address)
+    private static InetSocketAddress parseAddress(String address)
             throws MalformedEndpointListException {
         try {
             return SocketAddresses.parse(address);
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -16,39 +16,36 @@
 import sagefall.http.HttpConnectionListener;
 
 /**
- * Calls to discovery over one connection, one at a time. Each call ends by an answer or a failure;
- * after {@link #close} nothing that the connection still brings is reported. Belongs to the event
- * loop.
+ * Makes calls to discovery over one connection, one at a time. Each call ends with a response or a
+ * failure, which is reported to the listener. After {@link #close}, nothing is reported any more.
+ * Used on the event loop only.
  */
 final class EndpointPoll {
 
-    static final String REASON_NO_ANSWER = "no answer";
+    static final String REASON_NO_RESPONSE = "no answer";
     static final String REASON_CONNECTION_LOST = "connection lost";
 
     /**
-     * Largest list, in bytes: over a thousand servers with long names, indented; in memory only
-     * while it is read.
+     * Maximum length in bytes of an endpoint list. Enough for over a thousand endpoints with long
+     * names in indented JSON; the bytes are in memory only while a list is parsed.
      */
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
-    /**
-     * The owner of the calls: it names the target and receives the results, always on the event
-     * loop.
-     */
+    /** Provides the target of each call and receives the results, always on the event loop. */
     interface Listener {
         /**
-         * Path and query of the call. Asked for as the request is written, which may be later than
-         * {@link EndpointPoll#call}: it says what is known by then.
+         * Returns the path and query of the call. Called when the request is written, which may be
+         * later than {@link EndpointPoll#call}, so the target can reflect the state at that time.
          */
         String requestTarget();
 
-        /** The call was answered; the answer is released by the caller after this returns. */
-        void answered(FullHttpResponse answer);
+        /** Handles the response to the call; it is released after this method has returned. */
+        void onResponse(FullHttpResponse response);
 
-        /** The call failed, or the connection broke between two calls. */
-        void failed(String reason);
+        /** Handles the failure of the call, or the loss of the connection between two calls. */
+        void onFailure(String reason);
     }
 
     private final EventLoop loop;
@@ -59,12 +56,14 @@
     private boolean connected;
     private boolean closed;
 
-    /** An answer is being reported; the connection is not to be read meanwhile. */
+    /** Whether a response is being reported; the connection must not be read meanwhile. */
     private boolean reporting;
 
+
+    /** Timer of the last call's timeout; null before the first call. */
     private Future<?> timeout;
 
-    /** Begins to connect; the first call may be made at once. */
+    /** Starts to connect; {@link #call} may be used before the connection is established. */
     EndpointPoll(EventLoop loop, InetSocketAddress address, Listener listener) {
         this.loop = loop;
         this.address = address;
@@ -78,11 +77,15 @@
                         new ConnectionEvents());
     }
 
-    /** Makes a call, as soon as the connection is there; the timeout runs from now on. */
+    /**
+     * Makes a call, as soon as the connection is established.
+     *
+     * @param timeoutMillis duration from now after which the call fails
+     */
     void call(long timeoutMillis) {
         timeout =
                 loop.schedule(
-                        () -> listener.failed(REASON_NO_ANSWER),
+                        () -> listener.onFailure(REASON_NO_RESPONSE),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
         if (connected) {
@@ -90,14 +93,14 @@
         }
     }
 
-    /** Reads what discovery has written and the loop has not come to read yet. */
-    void catchUp() {
+    /** Reads data that discovery has sent and that the event loop has not read yet. */
+    void readAvailable() {
         if (connected && !reporting) {
             connection.readAvailable();
         }
     }
 
-    /** Ends the call and the connection; neither is reported. */
+    /** Cancels any call in flight and closes the connection; the listener is not notified. */
     void close() {
         closed = true;
         cancelTimeout();
@@ -134,14 +137,14 @@
         public void requestWritten() {}
 
         @Override
-        public void responseCollected(FullHttpResponse answer, boolean clean) {
+        public void responseCollected(FullHttpResponse response, boolean clean) {
             if (closed) {
                 return;
             }
             reporting = true;
             try {
                 cancelTimeout();
-                listener.answered(answer);
+                listener.onResponse(response);
             } finally {
                 reporting = false;
             }
@@ -150,7 +153,7 @@
         @Override
         public void connectionClosed() {
             if (!closed) {
-                listener.failed(REASON_CONNECTION_LOST);
+                listener.onFailure(REASON_CONNECTION_LOST);
             }
         }
     }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
@@ -11,15 +11,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A series of long polls: each answer is followed by the next call, from the revision of that
- * answer. A failure ends the watch until it is restarted. Belongs to the event loop.
+ * Watches the endpoint list by a series of long polls. Each response is followed by the next call,
+ * which requests the changes since the revision of that response. A failure stops the watch until
+ * it is restarted. Used on the event loop only.
  */
 final class EndpointWatch implements EndpointPoll.Listener {
 
     private static final String PATH = "/v1/servers";
 
     private enum State {
-        /** Nothing has been asked for yet: the first list comes from elsewhere. */
+        /** No call has been made yet; the first list comes from the settings or stored data. */
         NOT_STARTED,
         /** A call is in flight, or the next one is due after a pause. */
         WATCHING,
@@ -35,15 +36,19 @@
     private InetSocketAddress address;
     private State state = State.NOT_STARTED;
 
-    /** The revision of the last list; calls ask for the changes since. */
+    /** Revision of the last list; calls request the changes since this revision. */
     private long revision;
 
-    /** The next answer must be the complete list: the revision of another service says nothing. */
+    /**
+     * Whether the next response must be the complete list. Set by {@link #requireCompleteList}, and
+     * after a change of the address, since revisions of different services are not comparable.
+     */
     private boolean completeListRequired;
 
-    /** The connection in use; null between a failure and the next start. */
+    /** The current connection; null if there is none, as between a failure and the next start. */
     private EndpointPoll poll;
 
+    /** Timer of the last pause before a call; null before the first pause. */
     private Future<?> pause;
 
     EndpointWatch(
@@ -61,7 +66,7 @@
         this.listener = listener;
     }
 
-    /** Starts the watch, unless it is on already. */
+    /** Starts the watch, unless it is already running. */
     void start() {
         if (state != State.WATCHING) {
             state = State.WATCHING;
@@ -69,16 +74,19 @@
         }
     }
 
-    /** Asks for the complete list next, from a call whose request is not written yet. */
+    /**
+     * Makes the next request that is written request the complete list; a call that waits for its
+     * connection has not written its request yet.
+     */
     void requireCompleteList() {
         completeListRequired = true;
     }
 
     /**
-     * Goes on at another address, at once if the watch has ever been started. What the old peer
-     * still brings is ignored.
+     * Changes the address of discovery, and calls the new address at once if the watch has ever
+     * been started. Responses from the old address are ignored.
      */
-    void moveTo(InetSocketAddress newAddress) {
+    void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -92,7 +100,7 @@
         }
     }
 
-    /** Stops the watch; it may be restarted. */
+    /** Stops the watch and closes its connection; {@link #start} restarts the watch. */
     void stop() {
         if (state == State.WATCHING) {
             state = State.STOPPED;
@@ -100,15 +108,15 @@
         disconnect();
     }
 
-    /** Reads what discovery has written and the loop has not come to read yet. */
-    void catchUp() {
+    /** Reads data that discovery has sent and that the event loop has not read yet. */
+    void readAvailable() {
         if (poll != null) {
-            poll.catchUp();
+            poll.readAvailable();
         }
     }
 
     private void callDiscovery() {
-        backoff.callBegins(System.nanoTime());
+        backoff.onCallStarted(System.nanoTime());
         if (poll == null) {
             poll = new EndpointPoll(loop, address, this);
         }
@@ -124,28 +132,28 @@
     }
 
     @Override
-    public void answered(FullHttpResponse answer) {
-        if (!answer.status().equals(HttpResponseStatus.OK)) {
-            failed("status " + answer.status().code());
+    public void onResponse(FullHttpResponse response) {
+        if (!response.status().equals(HttpResponseStatus.OK)) {
+            onFailure("status " + response.status().code());
             return;
         }
         EndpointList list;
         try {
-            list = codec.parse(ByteBufUtil.getBytes(answer.content()));
+            list = codec.parse(ByteBufUtil.getBytes(response.content()));
         } catch (IOException | RuntimeException e) {
-            failed("a malformed list: " + e.getMessage());
+            onFailure("malformed endpoint list: " + e.getMessage());
             return;
         }
         if (completeListRequired && !list.complete()) {
-            failed("changes in place of the whole list");
+            onFailure("received changes instead of the complete endpoint list");
             return;
         }
         completeListRequired = false;
         revision = list.revision();
-        if (!HttpUtil.isKeepAlive(answer)) {
+        if (!HttpUtil.isKeepAlive(response)) {
             disconnect();
         }
-        scheduleNextCall(backoff.callAnswered(!list.entries().isEmpty(), System.nanoTime()));
+        scheduleNextCall(backoff.onResponse(!list.entries().isEmpty(), System.nanoTime()));
         listener.listed(list);
     }
 
@@ -158,14 +166,14 @@
     }
 
     @Override
-    public void failed(String reason) {
+    public void onFailure(String reason) {
         state = State.STOPPED;
         backoff.reset();
         disconnect();
         listener.failed(reason);
     }
 
-    /** Ends the call in flight or the pause before the next one. */
+    /** Cancels the pause before the next call, and closes the connection with any call on it. */
     private void disconnect() {
         if (pause != null) {
             pause.cancel(false);
--- a/sidecar/src/main/java/sagefall/discovery/MalformedEndpointListException.java
+++ b/sidecar/src/main/java/sagefall/discovery/MalformedEndpointListException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * An endpoint list that is not in discovery's form. None of it is used: a list that is wrong in one
- * place is not trusted in another.
+ * Reports an endpoint list that is not in discovery's form. Such a list is rejected as a whole,
+ * since a list with one wrong entry may be wrong elsewhere too.
  */
 public final class MalformedEndpointListException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/sidecar/src/main/java/sagefall/discovery/StableIds.java
+++ b/sidecar/src/main/java/sagefall/discovery/StableIds.java
@@ -1,6 +1,6 @@
 package sagefall.discovery;
 
-/** Numbers for strings, the same in every sidecar and after every restart. */
+/** Maps strings to numbers that are equal in every sidecar and after every restart. */
 public final class StableIds {
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -9,8 +9,9 @@
     private StableIds() {}
 
     /**
-     * FNV-1a in 64 bits over the UTF-16 code units, without the sign bit. Endpoint ids and keys
-     * must agree between sidecars, so the function is part of the wire and of stored data.
+     * Returns the 64-bit FNV-1a hash over the UTF-16 code units, without the sign bit. Used for
+     * endpoint ids and request keys, which must be equal in all sidecars, so this function is part
+     * of the wire format and of the format of stored data.
      */
     public static long of(String text) {
         long hash = FNV_OFFSET_BASIS;
--- a/sidecar/src/main/java/sagefall/discovery/package-info.java
+++ b/sidecar/src/main/java/sagefall/discovery/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The client of the discovery service: it watches the list of endpoints by long polls, parses the
- * lists, and decides when a call is taken for lost. What follows from a list or from a failure is
- * the balancer's decision.
+ * Client of the discovery service: watches the endpoint list by long polls, parses the lists, and
+ * decides when a call has failed. The balancer decides what follows from a list or a failure.
  */
 package sagefall.discovery;
--- a/sidecar/src/main/java/sagefall/package-info.java
+++ b/sidecar/src/main/java/sagefall/package-info.java
@@ -1,2 +1,2 @@
-/** The product's entry point; everything else is in the packages below. */
+/** Contains the entry point of the program. */
 package sagefall;
--- a/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
+++ b/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
@@ -3,26 +3,30 @@
 import java.io.IOException;
 
 /**
- * A small file of one record that is only ever replaced completely. It is written under a temporary
- * name, forced, renamed, and the directory forced, so a power loss leaves either the old file or
- * the new one.
+ * Reads and atomically replaces small files of one record each. The new content is written to a
+ * temporary file and forced to the disk; then the file is renamed and the directory forced, so that
+ * a power loss leaves either the old content or the new one.
  */
 public final class AtomicFile {
 
-    /** What a temporary name has after the file's own; a writer's suffix may follow. */
+    /** Suffix of a temporary file's name, which may be followed by the suffix of a writer. */
     public static final String TEMPORARY_SUFFIX = ".next";
 
     private AtomicFile() {}
 
-    /** Replaces the file; it is on the disk once this returns. For files with a single writer. */
+    /**
+     * Replaces a file that only one process writes. The new content is durable once this method
+     * returns.
+     */
     public static void write(Storage storage, String file, byte[] body) throws IOException {
         write(storage, file, body, "");
     }
 
     /**
-     * Replaces a file that several processes write; it is on the disk once this returns.
+     * Replaces a file that several processes write. The new content is durable once this method
+     * returns.
      *
-     * @param writerSuffix ends the temporary name; no two writers may use the same at a time
+     * @param writerSuffix suffix of the temporary name; must differ between concurrent writers
      */
     public static void write(Storage storage, String file, byte[] body, String writerSuffix)
             throws IOException {
@@ -33,10 +37,10 @@
     }
 
     /**
-     * Creates a file that does not exist yet; it is on the disk once this returns.
+     * Creates a file unless the file already exists. The file is durable once this method returns.
      *
-     * @param writerSuffix ends the temporary name; no two writers may use the same at a time
-     * @return false if another writer was first; then nothing has changed
+     * @param writerSuffix suffix of the temporary name; must differ between concurrent writers
+     * @return false if the file already existed, which leaves it unchanged
      */
     public static boolean createExclusively(
             Storage storage, String file, byte[] body, String writerSuffix) throws IOException {
@@ -58,9 +62,9 @@
     }
 
     /**
-     * Reads the file's body.
+     * Reads the body of a file.
      *
-     * @return null where there is no such file
+     * @return null if the file does not exist
      * @throws StoredDataException if the file is corrupt, of a newer format or too large
      */
     public static byte[] read(Storage storage, String file, long maxBytes) throws IOException {
@@ -68,18 +72,18 @@
         return bytes == null ? null : bodyOf(file, bytes);
     }
 
-    /** The body of a file with that content, which has to be one intact record. */
+    /** Returns the body of a file with this content, which must be exactly one intact record. */
     static byte[] bodyOf(String file, byte[] bytes) throws StoredDataException {
         RecordFormat.checkMagic(file, bytes);
         byte[] body = RecordFormat.bodyAt(bytes, RecordFormat.MAGIC.length);
-        if (body == null || lengthWith(body) != bytes.length) {
+        if (body == null || fileLength(body) != bytes.length) {
             throw StoredDataException.corrupt(file);
         }
         return body;
     }
 
-    /** Length in bytes of a file with that body. */
-    static long lengthWith(byte[] body) {
+    /** Returns the length in bytes of a file with this body. */
+    static long fileLength(byte[] body) {
         return (long) RecordFormat.MAGIC.length + RecordFormat.HEADER_BYTES + body.length;
     }
 }
--- a/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
+++ b/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
@@ -3,43 +3,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A daemon thread that does blocking work beside the event loop, and its orderly end: {@link
- * #close} asks the thread to end, wakes it, and waits for it for a bounded time, so that a disk
- * that does not answer cannot hold up the end of the process.
+ * Runs blocking work on a daemon thread outside the event loop. {@link #close} requests the thread
+ * to exit, wakes it, and waits for a bounded time, so that a disk that does not respond cannot
+ * delay the exit of the process.
  *
- * <p>This object's monitor guards the request to end. Subclasses guard with the same monitor what
- * other threads hand to the worker, so that one {@code notifyAll} wakes it for either.
+ * <p>This object's monitor guards the request to exit. Subclasses must use this monitor also to
+ * guard data that other threads pass to the worker, so that the worker waits on one monitor for
+ * data and for the request to exit.
  */
 public abstract class BackgroundWorker implements AutoCloseable {
 
-    /** Longest time that {@link #close} waits for the thread to finish its last work. */
+    /** Maximum time for which {@link #close} waits for the thread to finish its work. */
     private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
     private final Thread thread;
 
-    /** Guarded by this object's monitor. */
+    /** Whether the thread has been requested to exit. Guarded by this object's monitor. */
     private boolean closing;
 
-    /** Prepares the thread; the subclass starts it once its own fields are set. */
+    /** Creates the thread; the subclass starts it once its own fields are set. */
     protected BackgroundWorker(String threadName) {
         thread = new Thread(this::run, threadName);
         thread.setDaemon(true);
     }
 
-    /** Starts the thread; to be called once, at the end of the subclass's constructor. */
+    /** Starts the thread; must be called once, at the end of the subclass's constructor. */
     protected final void start() {
         thread.start();
     }
 
-    /** The thread's work: returns soon after {@link #isClosing} has become true. */
+    /** Does the thread's work; must return soon after {@link #isClosing} has become true. */
     protected abstract void run();
 
-    /** Whether the thread has been asked to end; any thread. */
+    /** Returns whether the thread has been requested to exit; may be called on any thread. */
     protected final synchronized boolean isClosing() {
         return closing;
     }
 
-    /** Waits for that time, or until the worker is closed; 0 or less: not at all. */
+    /**
+     * Waits for a duration, or until the worker is closed if that is sooner.
+     *
+     * @param millis maximum duration of the wait; no wait if 0 or negative
+     */
     protected final synchronized void sleepUnlessClosing(long millis) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         long remainingMillis = millis;
@@ -49,7 +54,10 @@
         }
     }
 
-    /** Asks the thread to end and waits for it for at most half a second; any other thread. */
+    /**
+     * Requests the thread to exit, and waits for its exit for at most half a second. May be called
+     * on any other thread.
+     */
     @Override
     public final void close() {
         synchronized (this) {
--- a/sidecar/src/main/java/sagefall/persistence/CborObject.java
+++ b/sidecar/src/main/java/sagefall/persistence/CborObject.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 import sagefall.config.Json;
 
-/** The body of a record: one CBOR object. */
+/** Encodes and decodes the body of a record, which is one CBOR object. */
 public final class CborObject {
 
     private static final CBORFactory CBOR = new CBORFactory();
 
     private CborObject() {}
 
-    /** Writes an object's fields, between its start and its end. */
+    /** Writes the fields of an object. */
     public interface FieldWriter {
 
-        /** Writes each field with its name, in the order of the format. */
+        /** Writes each field with its name, in the order in which the fields are stored. */
         void writeFields(JsonGenerator out) throws IOException;
     }
 
-    /** Encodes an object. */
+    /** Encodes an object with the fields that the writer writes. */
     public static byte[] encode(FieldWriter fields) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Decodes an object into plain values, by field name.
+     * Decodes an object into its values by field name.
      *
-     * @param file where the body comes from, for the error
-     * @throws StoredDataException with {@code CORRUPT} if it is not one CBOR object
+     * @param file name of the file that contains the body, for the error message
+     * @throws StoredDataException with {@code CORRUPT} if the body is not one CBOR object
      */
     public static Map<String, Object> decode(String file, byte[] body) throws StoredDataException {
         try (JsonParser parser = CBOR.createParser(body)) {
--- a/sidecar/src/main/java/sagefall/persistence/DirectoryStorage.java
+++ b/sidecar/src/main/java/sagefall/persistence/DirectoryStorage.java
@@ -16,19 +16,20 @@
 import java.util.stream.Stream;
 
 /**
- * {@link Storage} in a directory of the file system, locked by one process or shared by several.
+ * Implements {@link Storage} in a directory of the file system. The directory is either locked by
+ * one process or shared by several.
  */
 public final class DirectoryStorage implements Storage {
 
     private static final String LOCK_FILE = "lock";
 
-    /** How the JDK words ENOSPC and EDQUOT, for which it has no exception types. */
-    private static final Set<String> FULL_MESSAGES =
+    /** Exception messages of the JDK for ENOSPC and EDQUOT, which have no types of their own. */
+    private static final Set<String> NO_SPACE_MESSAGES =
             Set.of("No space left on device", "Disk quota exceeded");
 
     private final Path directory;
 
-    /** Open, and so locked, until {@link #close}; null if the directory is shared. */
+    /** The lock file, open and locked until {@link #close}; null for a shared directory. */
     private final FileChannel lock;
 
     private DirectoryStorage(Path directory, FileChannel lock) {
@@ -37,9 +38,9 @@
     }
 
     /**
-     * Opens a directory for this process alone; creates it where there is none.
+     * Opens a directory for exclusive use by this process, and creates it if it does not exist.
      *
-     * @throws StoredDataException with {@code LOCKED} if another process has it open
+     * @throws StoredDataException with {@code LOCKED} if the directory is already locked
      */
     public static DirectoryStorage openExclusive(Path directory) throws IOException {
         Files.createDirectories(directory);
@@ -59,12 +60,12 @@
         try {
             return lock.tryLock() != null;
         } catch (OverlappingFileLockException e) {
-            // Held by this very process.
+            // This process already has the lock.
             return false;
         }
     }
 
-    /** Opens a directory that several processes use at a time; creates it where there is none. */
+    /** Opens a directory that several processes may use, and creates it if it does not exist. */
     public static DirectoryStorage openShared(Path directory) throws IOException {
         return new DirectoryStorage(Files.createDirectories(directory), null);
     }
@@ -122,8 +123,8 @@
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
@@ -144,7 +145,7 @@
         }
     }
 
-    /** An open file of the directory. */
+    /** Writes to an open file of the directory. */
     private static final class ChannelOutput implements Output {
 
         private final String file;
@@ -163,7 +164,7 @@
                     channel.write(remaining);
                 }
             } catch (IOException e) {
-                throw typed(e);
+                throw translate(e);
             }
         }
 
@@ -172,14 +173,14 @@
             try {
                 channel.force(true);
             } catch (IOException e) {
-                throw typed(e);
+                throw translate(e);
             }
         }
 
-        private IOException typed(IOException error) {
+        private IOException translate(IOException error) {
             String message = error.getMessage();
-            boolean full = message != null && FULL_MESSAGES.contains(message);
-            return full ? StoredDataException.full(file, error) : error;
+            boolean noSpace = message != null && NO_SPACE_MESSAGES.contains(message);
+            return noSpace ? StoredDataException.full(file, error) : error;
         }
 
         @Override
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -8,63 +8,70 @@
 import sagefall.balancer.api.EndpointPhase;
 
 /**
- * What a sidecar persists over its restarts: its name, how often it has started, and the endpoints
- * as discovery last reported them, removed ones included. Requests in flight are not part of it: a
- * crash proves nothing about what has run, so no later incarnation may send one again. Immutable.
+ * The state that a sidecar persists across restarts: its name, the number of its starts, and the
+ * endpoints as discovery last reported them, including removed ones. Requests in flight are not
+ * included: after a crash it is unknown which of them have run, so no later incarnation may send
+ * one of them again. Immutable.
  *
- * @param name of the sidecar
- * @param epoch grows with each start
- * @param revision of the newest list; what discovery reports later has a greater one
- * @param atMillis when that was reported, in Unix time
- * @param endpoints the endpoints by id; never changed
+ * @param name name of the sidecar
+ * @param epoch number of the incarnation; increases with each start
+ * @param revision revision of the newest endpoint list; later lists of discovery have a higher one
+ * @param atMillis when discovery reported this revision, in Unix time
+ * @param endpoints the endpoints by id; must not be modified
  */
 public record EndpointSnapshot(
         String name, long epoch, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
 
-    /** The most removed endpoints that a snapshot remembers; the latest ones stay. */
+    /**
+     * Maximum number of removed endpoints in a snapshot. Those that have not been ready for the
+     * longest time are dropped first.
+     */
     static final int MAX_REMOVED = 1024;
 
-    /** A snapshot without endpoints, of before the first start. */
+    /** Returns the snapshot before the first start, which has no endpoints. */
     public static EndpointSnapshot empty(String name) {
         return withEpoch(name, 0);
     }
 
-    /** A snapshot without endpoints, after that many starts. */
+    /** Returns a snapshot without endpoints, with this epoch. */
     static EndpointSnapshot withEpoch(String name, long epoch) {
         return new EndpointSnapshot(name, epoch, 0, 0, Map.of());
     }
 
-    /** The same for the next start. */
+    /** Returns this snapshot with the epoch of the next start. */
     EndpointSnapshot withNextEpoch() {
         return new EndpointSnapshot(name, epoch + 1, revision, atMillis, endpoints);
     }
 
-    /** This snapshot with a change applied. */
+    /** Returns this snapshot with a change applied. */
     public EndpointSnapshot with(SnapshotChange change) {
         Map<Long, SnapshotEntry> next = new LinkedHashMap<>(endpoints);
         if (change.complete()) {
-            removeUnlisted(next, change);
+            markUnlistedAsRemoved(next, change);
         }
         change.endpoints()
                 .forEach(
                         (id, entry) ->
-                                next.put(id, entry.reportedAfter(next.get(id), change.atMillis())));
-        forgetOldestRemoved(next);
+                                next.put(
+                                        id,
+                                        entry.withNotReadySince(next.get(id), change.atMillis())));
+        dropOldestRemoved(next);
         return new EndpointSnapshot(name, epoch, change.revision(), change.atMillis(), next);
     }
 
-    private static void removeUnlisted(Map<Long, SnapshotEntry> entries, SnapshotChange change) {
+    private static void markUnlistedAsRemoved(
+            Map<Long, SnapshotEntry> entries, SnapshotChange change) {
         entries.replaceAll(
                 (id, entry) ->
                         change.endpoints().containsKey(id)
                                 ? entry
-                                : entry.removed(change.atMillis()));
+                                : entry.asRemoved(change.atMillis()));
     }
 
-    private static void forgetOldestRemoved(Map<Long, SnapshotEntry> entries) {
+    private static void dropOldestRemoved(Map<Long, SnapshotEntry> entries) {
         List<SnapshotEntry> removed = new ArrayList<>(entries.values());
         removed.removeIf(entry -> entry.phase() != EndpointPhase.REMOVED);
-        removed.sort(Comparator.comparingLong(SnapshotEntry::leavingSinceMillis));
+        removed.sort(Comparator.comparingLong(SnapshotEntry::notReadySinceMillis));
         int excess = Math.max(0, removed.size() - MAX_REMOVED);
         for (SnapshotEntry entry : removed.subList(0, excess)) {
             entries.remove(entry.id());
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -9,8 +9,10 @@
 import sagefall.config.Json;
 
 /**
- * Snapshots and changes as CBOR, the bodies of records. The field names and the numbers of the
- * phases are the stored format: they stay, whatever the code calls these things.
+ * Encodes snapshots and changes as CBOR for the bodies of records, and decodes them. The field
+ * names and the numbers of the phases are part of the stored format and must not change, even if
+ * the names in the code do. The parameter {@code file} of the decoding methods is the name of the
+ * file that contains the body, for error messages.
  */
 public final class EndpointSnapshotCodec {
 
@@ -29,20 +31,20 @@
     private static final String PHASE = "phase";
     private static final String START_MICROS = "start_us";
     private static final String WEIGHT = "weight";
-    private static final String LEAVING_SINCE_MILLIS = "told_ms";
+    private static final String NOT_READY_SINCE_MILLIS = "told_ms";
 
     private static final double DEFAULT_WEIGHT = 1;
 
     private EndpointSnapshotCodec() {}
 
     /**
-     * A snapshot with the number under which it was written.
+     * A snapshot and the generation of its file.
      *
-     * @param generation of the snapshot file; the log with the same number belongs to it
+     * @param generation number of the snapshot file; the log with this number belongs to it
      */
     record StoredSnapshot(EndpointSnapshot snapshot, long generation) {}
 
-    /** Encodes a snapshot, with a number that the writer chooses. */
+    /** Encodes a snapshot with the generation of its file. */
     public static byte[] encode(EndpointSnapshot snapshot, long generation) throws IOException {
         return CborObject.encode(
                 out -> {
@@ -85,20 +87,16 @@
         out.writeNumberField(PHASE, numberOf(entry.phase()));
         out.writeNumberField(START_MICROS, entry.startMicros());
         out.writeNumberField(WEIGHT, entry.weight());
-        out.writeNumberField(LEAVING_SINCE_MILLIS, entry.leavingSinceMillis());
+        out.writeNumberField(NOT_READY_SINCE_MILLIS, entry.notReadySinceMillis());
         out.writeEndObject();
     }
 
-    /**
-     * Decodes a snapshot.
-     *
-     * @param file where the body comes from, for the error
-     */
+    /** Decodes a snapshot. */
     public static EndpointSnapshot decode(String file, byte[] body) throws StoredDataException {
         return snapshotOf(file, CborObject.decode(file, body));
     }
 
-    /** Decodes a snapshot and its number. */
+    /** Decodes a snapshot and the generation of its file. */
     static StoredSnapshot decodeStored(String file, byte[] body) throws StoredDataException {
         Map<String, Object> fields = CborObject.decode(file, body);
         EndpointSnapshot snapshot = snapshotOf(file, fields);
@@ -110,7 +108,7 @@
         return changeOf(file, CborObject.decode(file, body));
     }
 
-    /** The snapshot that has these fields. */
+    /** Returns the snapshot with these fields. */
     static EndpointSnapshot snapshotOf(String file, Map<?, ?> fields) throws StoredDataException {
         return new EndpointSnapshot(
                 requiredText(file, fields, NAME),
@@ -120,7 +118,7 @@
                 endpointsOf(file, fields));
     }
 
-    /** The change that has these fields. */
+    /** Returns the change with these fields. */
     static SnapshotChange changeOf(String file, Map<?, ?> fields) throws StoredDataException {
         return new SnapshotChange(
                 Json.isTrue(fields, COMPLETE),
@@ -134,7 +132,7 @@
         Map<Long, SnapshotEntry> entries = new LinkedHashMap<>();
         for (Object element : Json.arrayValue(fields, ENDPOINTS)) {
             if (!(element instanceof Map<?, ?> entryFields)) {
-                throw StoredDataException.malformed(file, "a server that is no object", null);
+                throw StoredDataException.malformed(file, "an endpoint is not an object", null);
             }
             SnapshotEntry entry = entryOf(file, entryFields);
             entries.put(entry.id(), entry);
@@ -152,7 +150,7 @@
                 phaseOf(file, requiredNumber(file, fields, PHASE)),
                 requiredNumber(file, fields, START_MICROS),
                 Json.doubleValue(fields, WEIGHT, DEFAULT_WEIGHT),
-                requiredNumber(file, fields, LEAVING_SINCE_MILLIS));
+                requiredNumber(file, fields, NOT_READY_SINCE_MILLIS));
     }
 
     private static int numberOf(EndpointPhase phase) {
@@ -169,7 +167,7 @@
                 return phase;
             }
         }
-        throw StoredDataException.malformed(file, "an unknown phase, " + number, null);
+        throw StoredDataException.malformed(file, "unknown phase " + number, null);
     }
 
     private static long requiredNumber(String file, Map<?, ?> fields, String name)
@@ -177,7 +175,7 @@
         if (fields.get(name) instanceof Long number) {
             return number;
         }
-        throw StoredDataException.malformed(file, "'" + name + "' is no whole number", null);
+        throw StoredDataException.malformed(file, "'" + name + "' is not a whole number", null);
     }
 
     private static String requiredText(String file, Map<?, ?> fields, String name)
@@ -185,6 +183,6 @@
         if (fields.get(name) instanceof String text) {
             return text;
         }
-        throw StoredDataException.malformed(file, "'" + name + "' is no text", null);
+        throw StoredDataException.malformed(file, "'" + name + "' is not a string", null);
     }
 }
--- a/sidecar/src/main/java/sagefall/persistence/LogReader.java
+++ b/sidecar/src/main/java/sagefall/persistence/LogReader.java
@@ -4,17 +4,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads what earlier incarnations have written: the snapshot, and the log of its generation on top
- * of it. One object reads once; what it found out on the way is known even if reading fails.
+ * Reads the state that earlier incarnations have written: the snapshot, and the changes in the log
+ * of its generation. {@link #read} may be called once. If it fails, the accessors return the
+ * values found before the failure.
  *
- * <p>A bad record that a later intact one says was forced before is damage. Any other is a tail
- * that a power loss tore, and is left out.
+ * <p>If a record is bad, and a later intact record states that the file had been forced beyond the
+ * start of the bad one, the log is corrupt. Otherwise the bad record and the bytes after it are a
+ * tail that a power loss has torn; the tail is discarded.
  */
 final class LogReader {
 
-    private static final Pattern LOG_NAME = Pattern.compile(WriteAheadLog.LOG + "[0-9]{1,18}");
+    private static final Pattern LOG_NAME =
+            Pattern.compile(WriteAheadLog.LOG_PREFIX + "[0-9]{1,18}");
 
-    /** Bytes that are summed at most in the search for a record behind a bad one. */
+    /** Maximum number of bytes checksummed in the search for an intact record after a bad one. */
     private static final long MAX_CHECKSUMMED_BYTES = 64 * 1024 * 1024;
 
     private static final int FIRST_RECORD_OFFSET = RecordFormat.MAGIC.length;
@@ -30,51 +33,51 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The greatest generation of any file found; 0 if there is none. */
+    /** Returns the greatest generation of the files found; 0 if there are none. */
     long newestGeneration() {
         return newestGeneration;
     }
 
-    /** The epoch of this sidecar's snapshot; 0 if there is none or it cannot be read. */
+    /** Returns the epoch of this sidecar's snapshot; 0 if the snapshot is missing or unusable. */
     long epoch() {
         return epoch;
     }
 
-    /** Length of the torn tail that was left out. */
+    /** Returns the length in bytes of the discarded tail of the log. */
     long discardedBytes() {
         return discardedBytes;
     }
 
     /**
-     * Reads snapshot and log.
+     * Reads the snapshot and the log.
      *
-     * @return an empty snapshot where nothing is stored
-     * @throws StoredDataException if what is stored cannot be used
+     * @return an empty snapshot if there is no stored snapshot
+     * @throws StoredDataException if the stored data cannot be used
      * @throws IOException if the directory cannot be listed
      */
     EndpointSnapshot read(String sidecarName) throws IOException {
         newestGeneration = newestLogGeneration();
-        byte[] bytes = readFile(WriteAheadLog.STATE);
+        byte[] bytes = readFile(WriteAheadLog.SNAPSHOT_FILE);
         if (bytes == null) {
             return EndpointSnapshot.empty(sidecarName);
         }
-        byte[] body = AtomicFile.bodyOf(WriteAheadLog.STATE, bytes);
+        byte[] body = AtomicFile.bodyOf(WriteAheadLog.SNAPSHOT_FILE, bytes);
         EndpointSnapshotCodec.StoredSnapshot stored =
-                EndpointSnapshotCodec.decodeStored(WriteAheadLog.STATE, body);
+                EndpointSnapshotCodec.decodeStored(WriteAheadLog.SNAPSHOT_FILE, body);
         EndpointSnapshot snapshot = stored.snapshot();
         if (!snapshot.name().equals(sidecarName)) {
-            throw StoredDataException.foreign(WriteAheadLog.STATE, snapshot.name());
+            throw StoredDataException.foreign(WriteAheadLog.SNAPSHOT_FILE, snapshot.name());
         }
         newestGeneration = Math.max(newestGeneration, stored.generation());
         epoch = snapshot.epoch();
-        return applyLog(snapshot, WriteAheadLog.LOG + stored.generation());
+        return applyLog(snapshot, WriteAheadLog.LOG_PREFIX + stored.generation());
     }
 
     private long newestLogGeneration() throws IOException {
         long newest = 0;
         for (String file : storage.list()) {
             if (LOG_NAME.matcher(file).matches()) {
-                long generation = Long.parseLong(file.substring(WriteAheadLog.LOG.length()));
+                long generation = Long.parseLong(file.substring(WriteAheadLog.LOG_PREFIX.length()));
                 newest = Math.max(newest, generation);
             }
         }
@@ -98,7 +101,7 @@
             return snapshot;
         }
         if (bytes.length <= FIRST_RECORD_OFFSET) {
-            // No record yet, so these bytes may not have been forced either.
+            // The log has no record yet, so its first bytes may not have been forced either.
             discardedBytes = bytes.length < FIRST_RECORD_OFFSET ? bytes.length : 0;
             return snapshot;
         }
@@ -119,9 +122,10 @@
     }
 
     /**
-     * Whether any intact record behind the bad one says that the file had been forced past the bad
-     * one's beginning. Bytes made to look like many records would take for ever to check: past a
-     * bound they count as damage.
+     * Returns whether an intact record after the bad one states that the file had been forced
+     * beyond the start of the bad one. The search is bounded, since bytes that look like the
+     * headers of many records would take too long to checksum. If the bound is reached, this method
+     * returns true, so that the file is treated as corrupt.
      */
     private static boolean wasForcedBeyond(byte[] bytes, int badOffset) {
         long budget = MAX_CHECKSUMMED_BYTES;
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -5,23 +5,26 @@
 import sagefall.config.ConfigSection;
 
 /**
- * The section {@code recovery} of the extensions file: where and how a sidecar persists what
- * discovery reports. Without the section no file is touched.
+ * Settings of the section {@code recovery} of the extensions file: where and how a sidecar persists
+ * the endpoint list. Without the section, nothing is persisted.
  *
- * @param directory of this sidecar alone; null: nothing is persisted
- * @param maxBytes bound on each file that is read, and on snapshot and log together
- * @param maxAgeMillis an older snapshot only names endpoints that must not be used
- * @param forceEach whether each change is forced to the disk, or only snapshots and the epoch
- * @param clockOffsetMillis added to the wall clock, for trials of clocks that are wrong
+ * @param directory directory for exclusive use by this sidecar; null if nothing is persisted
+ * @param maxBytes maximum length of each file that is read, and of snapshot and log together; a
+ *     snapshot replaces the log when the log would exceed half of this
+ * @param maxAgeMillis maximum age of a snapshot that is used as an endpoint list; an older
+ *     one only restricts other lists, so that draining and removed endpoints get no requests
+ * @param forceEachChange whether each change is forced to the disk; otherwise only snapshots are,
+ *     which include the epoch
+ * @param clockOffsetMillis offset added to the wall clock, to test the effect of a wrong clock
  */
 public record PersistenceSettings(
         Path directory,
         long maxBytes,
         long maxAgeMillis,
-        boolean forceEach,
+        boolean forceEachChange,
         long clockOffsetMillis) {
 
-    /** Without the section. */
+    /** The settings that apply if the section is absent. */
     public static final PersistenceSettings OFF = new PersistenceSettings(null, 0, 0, false, 0);
 
     private static final String SYNC_EACH = "each";
@@ -35,7 +38,8 @@
     /**
      * Reads the section.
      *
-     * @throws ConfigException with one line that names the key and what is wrong with it
+     * @throws ConfigException if a value is invalid; the message is one line that names the key and
+     *     the problem
      */
     public static PersistenceSettings read(ConfigSection section) throws ConfigException {
         Path directory = readDirectory(section);
@@ -61,26 +65,26 @@
     }
 
     /**
-     * Reads the key {@code directory} of a section, which is required.
+     * Reads the required key {@code directory} of a section.
      *
-     * @throws ConfigException if it is not the absolute path of a directory
+     * @throws ConfigException if the value is missing or is not an absolute path
      */
     public static Path readDirectory(ConfigSection section) throws ConfigException {
         String directory = section.string("directory", "");
         if (directory.isEmpty()
                 || directory.indexOf('\0') >= 0
                 || !Path.of(directory).isAbsolute()) {
-            throw section.invalid("directory", "must be the absolute path of a folder");
+            throw section.invalid("directory", "must be the absolute path of a directory");
         }
         return Path.of(directory);
     }
 
-    /** Whether anything is persisted. */
+    /** Returns whether persistence is enabled. */
     public boolean isOn() {
         return directory != null;
     }
 
-    /** Unix time in milliseconds, as this sidecar takes it. */
+    /** Returns the Unix time in milliseconds, including the configured offset. */
     long wallMillis() {
         return System.currentTimeMillis() + clockOffsetMillis;
     }
--- a/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
+++ b/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
@@ -5,29 +5,29 @@
 import java.util.zip.CRC32C;
 
 /**
- * The framing that all stored files share: {@link #MAGIC}, then records. A record is a header (body
- * length, CRC32C, the number of bytes of the file that had been forced to the disk when the record
- * was written) and a body. The checksum covers that number and the body. All numbers are big
- * endian.
+ * The framing of all stored files: {@link #MAGIC}, followed by records. A record consists of a
+ * header and a body. The header holds the body length, a CRC32C checksum, and the number of forced
+ * bytes, which is how much of the file had been forced to the disk when the record was written. The
+ * checksum covers the number of forced bytes and the body. All numbers are big endian.
  */
 final class RecordFormat {
 
-    /** The first bytes of each file; the last one is the version of the format. */
+    /** First bytes of each file; the last of them is the version of the format. */
     static final byte[] MAGIC = {'S', 'F', 'K', 'E', 'P', 'T', 0, 1};
 
-    /** Length of a record's header: body length (4), CRC32C (4), forced bytes (8). */
+    /** Length of a record's header: body length (4), CRC32C (4), number of forced bytes (8). */
     static final int HEADER_BYTES = 16;
 
     private static final int VERSION_OFFSET = MAGIC.length - 1;
     private static final int CHECKSUM_OFFSET = 4;
     private static final int FORCED_BYTES_OFFSET = 8;
 
-    /** What the checksum covers beside the body: the number of forced bytes. */
+    /** Length of the part of the header that the checksum covers: the number of forced bytes. */
     private static final int CHECKED_HEADER_BYTES = HEADER_BYTES - FORCED_BYTES_OFFSET;
 
     private RecordFormat() {}
 
-    /** Checks the first bytes of a file. */
+    /** Checks the first bytes of a file, including the version of the format. */
     static void checkMagic(String file, byte[] bytes) throws StoredDataException {
         if (bytes.length < MAGIC.length
                 || !Arrays.equals(bytes, 0, VERSION_OFFSET, MAGIC, 0, VERSION_OFFSET)) {
@@ -39,7 +39,11 @@
         }
     }
 
-    /** A record with that body, as bytes. */
+    /**
+     * Returns the bytes of a record with this body.
+     *
+     * @param forcedBytes how many bytes of the file have been forced to the disk
+     */
     static byte[] encode(byte[] body, long forcedBytes) {
         ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + body.length);
         record.putInt(body.length);
@@ -51,7 +55,7 @@
         return record.array();
     }
 
-    /** The body of the record that begins at that offset; null where no intact record does. */
+    /** Returns the body of the record at this offset; null if there is no intact record. */
     static byte[] bodyAt(byte[] bytes, int offset) {
         if (bytes.length - offset < HEADER_BYTES) {
             return null;
@@ -69,12 +73,12 @@
         return Arrays.copyOfRange(bytes, bodyOffset, bodyOffset + bodyLength);
     }
 
-    /** The body length that a header at that offset states, whether or not it is one. */
+    /** Returns the body length in the header at this offset, without checking the record. */
     static int bodyLengthAt(byte[] bytes, int offset) {
         return ByteBuffer.wrap(bytes, offset, HEADER_BYTES).getInt();
     }
 
-    /** The forced bytes that a header at that offset states, whether or not it is one. */
+    /** Returns the forced bytes in the header at this offset, without checking the record. */
     static long forcedBytesAt(byte[] bytes, int offset) {
         return ByteBuffer.wrap(bytes, offset, HEADER_BYTES).getLong(offset + FORCED_BYTES_OFFSET);
     }
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What discovery reported: the complete list, or the endpoints that have changed.
+ * A change that discovery reported: a complete endpoint list, or the endpoints that have changed.
  *
- * @param complete whether the endpoints are all that there are
- * @param revision of the list with this change applied
- * @param atMillis when it was reported, in Unix time
- * @param endpoints by id; never changed
+ * @param complete whether the change is a complete list
+ * @param revision revision of the endpoint list after this change
+ * @param atMillis when discovery reported the change, in Unix time
+ * @param endpoints the endpoints by id; must not be modified
  */
 public record SnapshotChange(
         boolean complete, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
 
-    /** Both changes in one, the other one applied after this one. */
+    /** Returns one change that has the effect of applying this change and then the next one. */
     public SnapshotChange then(SnapshotChange next) {
         if (next.complete) {
             return next;
@@ -24,7 +24,11 @@
         return new SnapshotChange(complete, next.revision, next.atMillis, merged);
     }
 
-    /** The next change merged into what is pending, which is null if nothing is. */
+    /**
+     * Returns the pending change followed by the next one, merged into one change.
+     *
+     * @param pending change that is not yet written; null if there is none
+     */
     public static SnapshotChange merge(SnapshotChange pending, SnapshotChange next) {
         return pending == null ? next : pending.then(next);
     }
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotEntry.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotEntry.java
@@ -3,18 +3,19 @@
 import sagefall.balancer.api.EndpointPhase;
 
 /**
- * One endpoint of a snapshot.
+ * An endpoint of a snapshot.
  *
- * @param id of the endpoint, stable over restarts of the sidecar
- * @param address as text
- * @param zone by name, since other settings may give it another number
- * @param kind by name, for the same reason
+ * @param id id of the endpoint, stable across restarts of the sidecar
+ * @param address socket address as text
+ * @param zone name of the zone, since its number depends on the settings
+ * @param kind name of the model, since its number depends on the settings
  * @param cell number of the endpoint's cell
- * @param phase as last reported
- * @param startMicros start of its process in Unix time, 0 if that is long ago
+ * @param phase phase that was last reported
+ * @param startMicros start of the endpoint's process in Unix time; 0 if the process started long
+ *     ago
  * @param weight capacity relative to other endpoints
- * @param leavingSinceMillis when it was first reported as draining or removed, in Unix time; 0
- *     while it is ready
+ * @param notReadySinceMillis when the endpoint was first reported as draining or removed, in Unix
+ *     time; 0 while it is ready
  */
 public record SnapshotEntry(
         long id,
@@ -25,35 +26,37 @@
         EndpointPhase phase,
         long startMicros,
         double weight,
-        long leavingSinceMillis) {
+        long notReadySinceMillis) {
 
     /**
-     * This entry with the time since when it leaves: that of the entry before, if it is the same
-     * process and was leaving already, else the time of this report.
+     * Returns this entry with {@code notReadySinceMillis} set. The value is 0 if the endpoint is
+     * ready. If the previous entry has an equal start time and was not ready either, its value is
+     * kept. Otherwise the value is the time of this report.
      *
-     * @param before null if the endpoint is new
+     * @param previous the previous entry of the endpoint; null if the endpoint is new
+     * @param nowMillis time of this report, in Unix time
      */
-    SnapshotEntry reportedAfter(SnapshotEntry before, long nowMillis) {
-        return with(phase, leavingSince(before, nowMillis));
+    SnapshotEntry withNotReadySince(SnapshotEntry previous, long nowMillis) {
+        return with(phase, computeNotReadySince(previous, nowMillis));
     }
 
-    private long leavingSince(SnapshotEntry before, long nowMillis) {
+    private long computeNotReadySince(SnapshotEntry previous, long nowMillis) {
         if (phase == EndpointPhase.READY) {
             return 0;
         }
-        boolean sameProcess = before != null && before.startMicros == startMicros;
-        if (sameProcess && before.phase != EndpointPhase.READY) {
-            return before.leavingSinceMillis;
+        boolean sameProcess = previous != null && previous.startMicros == startMicros;
+        if (sameProcess && previous.phase != EndpointPhase.READY) {
+            return previous.notReadySinceMillis;
         }
         return nowMillis;
     }
 
-    /** This entry as one that a complete list no longer has. */
-    SnapshotEntry removed(long nowMillis) {
-        return with(EndpointPhase.REMOVED, leavingSinceMillis).reportedAfter(this, nowMillis);
+    /** Returns this entry as removed, because a complete list no longer contains the endpoint. */
+    SnapshotEntry asRemoved(long nowMillis) {
+        return with(EndpointPhase.REMOVED, notReadySinceMillis).withNotReadySince(this, nowMillis);
     }
 
-    private SnapshotEntry with(EndpointPhase newPhase, long newLeavingSinceMillis) {
+    private SnapshotEntry with(EndpointPhase newPhase, long newNotReadySinceMillis) {
         return new SnapshotEntry(
                 id,
                 address,
@@ -63,6 +66,6 @@
                 newPhase,
                 startMicros,
                 weight,
-                newLeavingSinceMillis);
+                newNotReadySinceMillis);
     }
 }
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -10,25 +10,26 @@
 import sagefall.logging.LogLine;
 
 /**
- * Persists what discovery reports, on a thread of its own. Changes that arrive while the disk is
- * busy are merged into one, so a stalled or full disk costs bounded memory and delays no request;
- * once it takes writes again a new snapshot is written.
+ * Persists the endpoint list that discovery reports, on a separate thread. Changes that arrive
+ * while the disk is busy are merged into one, so that a stalled or full disk costs bounded memory
+ * and delays no request. The first successful write after a failure is that of a new snapshot.
  *
- * <p>Owners: the worker thread alone has the {@link WriteAheadLog} and with it all files. {@code
- * pending} is handed from the reporting thread to the worker under this object's monitor. {@code
- * recovered} is completed once by the worker and read by whoever starts the sidecar.
+ * <p>Only the worker thread uses the {@link WriteAheadLog}, and so the files. {@code pending} is
+ * passed from the reporting thread to the worker under this object's monitor. {@code recovered} is
+ * completed once by the worker and read by the thread that starts the sidecar.
  */
 public final class SnapshotStore extends BackgroundWorker {
 
-    /** Opens the directory, on the worker thread. */
+    /** Opens the storage. */
     interface StorageOpener {
+        /** Opens the storage; called on the worker thread. */
         Storage open() throws IOException;
     }
 
     private static final String THREAD_NAME = "persistence";
 
-    /** Wait after a failed write, unless another change arrives sooner. */
-    private static final long RETRY_MILLIS = 1_000;
+    /** Delay before the retry of a failed write, unless another change arrives sooner. */
+    private static final long RETRY_DELAY_MILLIS = 1_000;
 
     private final PersistenceSettings settings;
     private final String sidecarName;
@@ -36,14 +37,14 @@
     private final StorageOpener opener;
     private final CompletableFuture<EndpointSnapshot> recovered = new CompletableFuture<>();
 
-    /** What is still to be written; null if nothing is. Guarded by this object's monitor. */
+    /** Change that is not yet written; null if there is none. Guarded by this object's monitor. */
     private SnapshotChange pending;
 
     /**
-     * Begins to open the directory, on the worker thread; never waits for a disk.
+     * Starts to open the directory on the worker thread; never waits for the disk.
      *
-     * @param sidecarName whose data it is: another sidecar's data is set aside
-     * @param logger takes log lines, on any thread
+     * @param sidecarName name of this sidecar; stored data of another sidecar is set aside
+     * @param logger receives log lines, on any thread
      */
     public SnapshotStore(
             PersistenceSettings settings, String sidecarName, Consumer<String> logger) {
@@ -68,10 +69,11 @@
     }
 
     /**
-     * Waits for what earlier incarnations have persisted, with the epoch of this one.
+     * Waits for the snapshot that earlier incarnations have persisted and returns it with the epoch
+     * of this incarnation.
      *
-     * @param timeoutMillis longest wait
-     * @return null, and a log line, if the directory cannot be used or does not answer in time
+     * @param timeoutMillis maximum duration of the wait
+     * @return null if the directory cannot be used or has not been read in time; this is logged
      */
     public EndpointSnapshot awaitRecovered(long timeoutMillis) throws InterruptedException {
         try {
@@ -89,39 +91,40 @@
     }
 
     /**
-     * Whether a recovered snapshot is recent enough to stand in for a list, and not only to name
-     * endpoints that must not be used.
+     * Returns whether a recovered snapshot is recent enough to be used as an endpoint list. An
+     * older one only restricts other lists, so that draining and removed endpoints get no requests.
      */
     public boolean isFresh(EndpointSnapshot snapshot) {
         long ageMillis = settings.wallMillis() - snapshot.atMillis();
         return snapshot.revision() > 0 && ageMillis >= 0 && ageMillis <= settings.maxAgeMillis();
     }
 
-    /** Unix time in milliseconds, as this sidecar takes it. */
+    /** Returns the Unix time in milliseconds, including the configured offset. */
     public long wallMillis() {
         return settings.wallMillis();
     }
 
-    /** Takes over a change to be persisted; never waits for a disk. */
+    /** Passes a change to the worker thread to be persisted; never waits for the disk. */
     public synchronized void persist(SnapshotChange change) {
         pending = SnapshotChange.merge(pending, change);
         notifyAll();
     }
 
     /**
-     * Waits for the next change; after a failure only until it is time to retry.
+     * Waits for the next change. After a failed write, waits until another change arrives or the
+     * retry is due, even if a change is already pending.
      *
-     * @return null if there is none to be written
+     * @param failing whether the last write failed
+     * @return null if there is no change to write
      */
-    // After a failure any wake-up, also a spurious one, may end the wait: the retry only comes
-    // sooner.
+    // After a failed write, a spurious wake-up only makes the retry earlier.
     @SuppressWarnings("WaitNotInLoop")
     private synchronized SnapshotChange awaitChange(boolean failing) throws InterruptedException {
         while (pending == null && !isClosing() && !failing) {
             wait();
         }
         if (failing && !isClosing()) {
-            wait(RETRY_MILLIS);
+            wait(RETRY_DELAY_MILLIS);
         }
         SnapshotChange change = pending;
         pending = null;
@@ -141,7 +144,7 @@
                             opener.open(),
                             sidecarName,
                             settings.maxBytes(),
-                            settings.forceEach(),
+                            settings.forceEachChange(),
                             logger);
         } catch (IOException | RuntimeException e) {
             recovered.completeExceptionally(e);
@@ -168,11 +171,12 @@
     }
 
     /**
-     * Writes a change, or, if the write before failed, everything. The first of several failures is
-     * logged, and the first success after them.
+     * Writes a change, or the whole snapshot if there is no change and the last write failed. Logs
+     * the first of several successive failures, and the first success after them.
      *
-     * @param change null if there is none
-     * @return whether everything up to now is written
+     * @param change null if there is no change
+     * @param failedBefore whether the last write failed
+     * @return whether all changes up to now are written
      */
     private boolean tryWrite(
             WriteAheadLog writeAheadLog, SnapshotChange change, boolean failedBefore) {
--- a/sidecar/src/main/java/sagefall/persistence/Storage.java
+++ b/sidecar/src/main/java/sagefall/persistence/Storage.java
@@ -5,13 +5,14 @@
 import java.util.List;
 
 /**
- * The operations on one directory that persistence and leader election need, so that tests can lose
- * power at each of these calls. Written content counts as durable only once it was forced, and a
- * file's name only once the directory was. Not safe for use by several threads at a time.
+ * File operations in one directory, as persistence and leader election need them. The interface
+ * lets tests simulate a power loss at each call. The content of a file is durable only once the
+ * file has been forced, and the name of a file only once the directory has been forced. Not
+ * thread-safe.
  */
 public interface Storage extends Closeable {
 
-    /** A file that is written from its beginning on. */
+    /** Writes a file from its start. */
     interface Output extends Closeable {
 
         /**
@@ -21,35 +22,43 @@
          */
         void write(byte[] bytes) throws IOException;
 
-        /** Returns once all that was written is on the disk. */
+        /** Forces all written bytes to the disk; returns once they are durable. */
         void force() throws IOException;
     }
 
-    /** The names of the files in the directory. */
+    /** Returns the names of the files in the directory. */
     List<String> list() throws IOException;
 
-    /** Whether a file of that name exists; writing to an open one does not show that it is gone. */
+    /**
+     * Returns whether a file exists. Detects that an open file has been deleted, which writing
+     * cannot detect, since writing to a deleted file still succeeds.
+     */
     boolean exists(String file);
 
     /**
-     * A file's content; null where there is no such file.
+     * Returns the content of a file.
      *
-     * @throws StoredDataException with {@code TOO_LARGE} if it is longer than the bound
+     * @return null if the file does not exist
+     * @throws StoredDataException with {@code TOO_LARGE} if the file is longer than the bound
      */
     byte[] read(String file, long maxBytes) throws IOException;
 
-    /** Creates a file, or truncates an existing one. */
+    /** Creates a file, or truncates an existing one, and opens it for writing. */
     Output create(String file) throws IOException;
 
-    /** Renames a file, atomically, in place of the one that has the new name. */
+    /** Renames a file atomically, replacing any file that has the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** Gives a file a second name; false, and nothing done, if that name is taken. */
+    /**
+     * Adds a second name to a file.
+     *
+     * @return false if a file with the second name already exists; nothing is changed then
+     */
     boolean link(String from, String to) throws IOException;
 
-    /** Deletes a file, if it exists. */
+    /** Deletes a file if it exists. */
     void delete(String file) throws IOException;
 
-    /** Returns once the directory's names are on the disk as they are now. */
+    /** Forces the current names in the directory to the disk; returns once they are durable. */
     void forceDirectory() throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
+++ b/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 
-/** A file or directory of stored data cannot be used; says which one, and why. */
+/** Reports a file or directory of stored data that cannot be used, and the reason. */
 public final class StoredDataException extends IOException {
 
     private static final long serialVersionUID = 1;
 
-    /** Why stored data cannot be used. */
+    /** Reasons why stored data cannot be used. */
     public enum Reason {
-        /** The content is not what was written: a bad checksum, length, magic or field. */
+        /** The content differs from what was written: a bad checksum, length, magic or field. */
         CORRUPT("corrupt"),
         /** The data belongs to a sidecar of another name. */
         FOREIGN("foreign"),
@@ -17,7 +17,7 @@
         NEWER_FORMAT("newer_format"),
         /** The file is, or would become, longer than the configured bound. */
         TOO_LARGE("too_large"),
-        /** Another process has the directory locked. */
+        /** The directory is already locked, usually by another process. */
         LOCKED("locked"),
         /** The file system has no space left, or a disk quota is exhausted. */
         FULL("full"),
@@ -30,13 +30,13 @@
             this.logName = logName;
         }
 
-        /** The value of the log field {@code reason}; it stays when the constant is renamed. */
+        /** Returns the value of the log field {@code reason}, which never changes. */
         public String logName() {
             return logName;
         }
     }
 
-    /** The log field {@code reason} of any other {@link IOException}. */
+    /** Value of the log field {@code reason} for any other error. */
     private static final String OTHER_ERROR = "io_error";
 
     private final String file;
@@ -48,74 +48,78 @@
         this.reason = reason;
     }
 
-    /** The magic, length or checksum is wrong. */
+    /** Reports a wrong magic, length or checksum. */
     static StoredDataException corrupt(String file) {
         return new StoredDataException(file, Reason.CORRUPT, file + " is damaged", null);
     }
 
-    /** A record that was known to be forced to the disk is not intact. */
+    /**
+     * Reports a corrupt record that had already been forced to the disk.
+     *
+     * @param offset start of the record in the file, in bytes
+     */
     static StoredDataException corruptAt(String file, int offset) {
         return new StoredDataException(
                 file, Reason.CORRUPT, file + " is damaged at byte " + offset, null);
     }
 
-    /** The checksum is right, but the content cannot be decoded. */
+    /** Reports content that has a correct checksum but cannot be decoded. */
     public static StoredDataException malformed(String file, String problem, Throwable cause) {
         return new StoredDataException(file, Reason.CORRUPT, file + ": " + problem, cause);
     }
 
-    /** The file belongs to the sidecar of that name. */
+    /** Reports a file that belongs to another sidecar. */
     static StoredDataException foreign(String file, String ownerName) {
         return new StoredDataException(
                 file, Reason.FOREIGN, file + " belongs to the sidecar '" + ownerName + "'", null);
     }
 
-    /** The file's format version is not the one that this program writes. */
-    static StoredDataException newerFormat(String file, int version, int knownVersion) {
+    /** Reports a file whose format version is not the supported one. */
+    static StoredDataException newerFormat(String file, int version, int supportedVersion) {
         return new StoredDataException(
                 file,
                 Reason.NEWER_FORMAT,
-                file + " has format " + version + ", this program knows " + knownVersion,
+                file + " has format version " + version + ", expected " + supportedVersion,
                 null);
     }
 
-    /** The file's length is over the bound. */
+    /** Reports a file that is longer than the bound. */
     static StoredDataException tooLarge(String file, long bytes, long maxBytes) {
         return new StoredDataException(
                 file,
                 Reason.TOO_LARGE,
-                file + " holds " + bytes + " bytes, over the bound of " + maxBytes,
+                file + " holds " + bytes + " bytes, more than the maximum of " + maxBytes,
                 null);
     }
 
-    /** Another process has locked the directory. */
+    /** Reports a directory that is already locked, usually by another process. */
     static StoredDataException locked(String directory) {
         return new StoredDataException(
                 directory, Reason.LOCKED, directory + " is in use by another process", null);
     }
 
-    /** The file system refused a write for lack of space. */
+    /** Reports a write that failed because the file system has no space left. */
     static StoredDataException full(String file, IOException cause) {
         return new StoredDataException(file, Reason.FULL, file + ": " + cause.getMessage(), cause);
     }
 
-    /** Reading failed in the operating system. */
+    /** Reports a read that failed in the operating system. */
     static StoredDataException unreadable(String file, IOException cause) {
         return new StoredDataException(
                 file, Reason.UNREADABLE, file + ": " + cause.getMessage(), cause);
     }
 
-    /** The file's name in its directory, or the directory's path where that is concerned. */
+    /** Returns the name of the file in its directory, or the path of an unusable directory. */
     public String file() {
         return file;
     }
 
-    /** Why it cannot be used. */
+    /** Returns why the file or directory cannot be used. */
     public Reason reason() {
         return reason;
     }
 
-    /** The log field {@code reason} for any error of storage. */
+    /** Returns the value of the log field {@code reason} for an error of the storage. */
     public static String logReason(Throwable error) {
         return error instanceof StoredDataException e ? e.reason.logName() : OTHER_ERROR;
     }
--- a/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
+++ b/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
@@ -7,80 +7,84 @@
 import sagefall.logging.LogLine;
 
 /**
- * Snapshot and write-ahead log of one sidecar's endpoint list. A snapshot is written under a
- * temporary name, forced, renamed, and the directory forced. The log that belongs to it has its
- * generation in its name, so that neither can be read with another's. Files that cannot be used
- * (corrupt, of a newer format, of another sidecar, too large) are set aside and the sidecar starts
- * without them; {@link LogReader} decides which.
+ * Writes the snapshot and the write-ahead log of one sidecar's endpoint list. A snapshot is written
+ * to a temporary file and forced to the disk; then the file is renamed and the directory forced.
+ * The name of a log contains the generation of its snapshot, so that a snapshot is never combined
+ * with the log of another snapshot. Files that cannot be used (corrupt, of a newer format, of
+ * another sidecar, too large) are detected by {@link LogReader} and set aside, and the sidecar
+ * starts without them.
  *
  * <p>Each start writes a snapshot with the next epoch, so that nothing is ever appended to the log
  * of an earlier incarnation.
  *
- * <p>Not thread-safe: the thread of {@link SnapshotStore} owns this object and all the files.
+ * <p>Not thread-safe; used only by the thread of {@link SnapshotStore}.
  */
 final class WriteAheadLog implements Closeable {
 
-    /** The snapshot's file. */
-    static final String STATE = "state";
+    /** Name of the snapshot file. */
+    static final String SNAPSHOT_FILE = "state";
 
-    /** A log's file has this and its generation. */
-    static final String LOG = "log-";
+    /** Prefix of a log's file name; the generation follows. */
+    static final String LOG_PREFIX = "log-";
 
-    /** A file that was set aside has this before its kind. */
-    static final String ASIDE = "aside-";
+    /** Prefix of the name of a file that was set aside. */
+    static final String SET_ASIDE_PREFIX = "aside-";
 
-    private static final String ASIDE_LOG = ASIDE + "log";
-    private static final String ASIDE_STATE = ASIDE + STATE;
+    private static final String SET_ASIDE_LOG = SET_ASIDE_PREFIX + "log";
+    private static final String SET_ASIDE_SNAPSHOT = SET_ASIDE_PREFIX + SNAPSHOT_FILE;
 
     private final Storage storage;
     private final long maxBytes;
-    private final boolean forceEach;
+    private final boolean forceEachChange;
+
+    /** The snapshot including all appended changes. */
     private EndpointSnapshot state;
 
-    /** Number of the snapshot on the disk, and of the log that belongs to it. */
+    /** Number of the snapshot on the disk and of its log. */
     private long generation;
 
     /** The open log; null until the first change after a snapshot. */
     private Storage.Output log;
 
-    /** Length of the open log. */
+    /** Length of the open log in bytes. */
     private long writtenBytes;
 
-    /** How much of the open log is known to be on the disk. */
+    /** Number of bytes of the open log that have been forced to the disk. */
     private long forcedBytes;
 
-    /** The files may not hold all that was appended: only a snapshot may follow. */
+    /** Whether the files may lack an appended change, so that a snapshot must be written next. */
     private boolean snapshotNeeded;
 
-    private WriteAheadLog(Storage storage, long maxBytes, boolean forceEach) {
+    private WriteAheadLog(Storage storage, long maxBytes, boolean forceEachChange) {
         this.storage = storage;
         this.maxBytes = maxBytes;
-        this.forceEach = forceEach;
+        this.forceEachChange = forceEachChange;
     }
 
     /**
-     * Reads what is stored and begins the next epoch, which is on the disk once this returns. One
-     * log line says what was left out or set aside, and why.
+     * Reads the stored state and starts the next epoch, which is durable once this method returns.
+     * Logs one line if a torn log tail was discarded or files were set aside.
      *
-     * @param forceEach whether each change is forced to the disk, or only snapshots are
+     * @param forceEachChange whether each change is forced to the disk; otherwise only snapshots
+     *     are
      */
     static WriteAheadLog open(
             Storage storage,
             String sidecarName,
             long maxBytes,
-            boolean forceEach,
+            boolean forceEachChange,
             Consumer<String> logger)
             throws IOException {
-        WriteAheadLog log = new WriteAheadLog(storage, maxBytes, forceEach);
+        WriteAheadLog log = new WriteAheadLog(storage, maxBytes, forceEachChange);
         LogReader reader = new LogReader(storage, maxBytes);
         EndpointSnapshot recovered;
         try {
             recovered = reader.read(sidecarName);
             logDiscardedTail(reader.discardedBytes(), logger);
         } catch (StoredDataException e) {
-            log.setAside();
+            log.setFilesAside();
             logSetAside(e, logger);
-            // An epoch that could be read goes on; the reader takes none from another's file.
+            // The epoch continues if it could be read; the reader ignores another sidecar's epoch.
             recovered = EndpointSnapshot.withEpoch(sidecarName, reader.epoch());
         }
         log.generation = reader.newestGeneration();
@@ -107,23 +111,23 @@
                         .toString());
     }
 
-    /** The snapshot with all changes that were appended. */
+    /** Returns the snapshot including all appended changes. */
     EndpointSnapshot state() {
         return state;
     }
 
     /**
-     * Applies a change to {@link #state} and writes it: to the log, or as a snapshot if the log
-     * would become too long, is gone, or may be damaged. With {@code forceEach} it is on the disk
-     * once this returns.
+     * Applies a change to {@link #state} and writes it to the log, or writes a snapshot if the log
+     * would become too long, has been deleted, or may be incomplete. With {@code forceEachChange}
+     * the change is durable once this method returns.
      *
-     * @throws IOException if it could not be written; {@link #state} has it all the same, and the
-     *     next call writes a snapshot
+     * @throws IOException if the change could not be written; {@link #state} includes it
+     *     nevertheless, and the next call writes a snapshot
      */
     void append(SnapshotChange change) throws IOException {
         state = state.with(change);
         byte[] body = EndpointSnapshotCodec.encode(change);
-        if (snapshotNeeded || logIsGone() || logWouldBeTooLong(body)) {
+        if (snapshotNeeded || logFileIsMissing() || logWouldBeTooLong(body)) {
             writeSnapshot();
             return;
         }
@@ -133,19 +137,25 @@
         }
         log.write(RecordFormat.encode(body, forcedBytes));
         writtenBytes += RecordFormat.HEADER_BYTES + body.length;
-        if (forceEach) {
+        if (forceEachChange) {
             log.force();
             forcedBytes = writtenBytes;
         }
         snapshotNeeded = false;
     }
 
-    /** Writing to an open file would not show that it was deleted or its directory moved. */
-    private boolean logIsGone() {
+    /**
+     * Returns whether the file of the open log no longer exists. Writing to the open file would
+     * still succeed if the file was deleted or its directory moved.
+     */
+    private boolean logFileIsMissing() {
         return log != null && !storage.exists(logFile());
     }
 
-    /** The log may take half of the bound, a snapshot the other half. */
+    /**
+     * Returns whether the open log with this record would exceed half of {@code maxBytes}; the
+     * other half is left for the snapshot. Returns false if no log is open.
+     */
     private boolean logWouldBeTooLong(byte[] body) {
         long length = writtenBytes + RecordFormat.HEADER_BYTES + body.length;
         return log != null && length > maxBytes / 2;
@@ -160,16 +170,19 @@
         forcedBytes = writtenBytes;
     }
 
-    /** Writes all of {@link #state} as a new snapshot and ends the log; on the disk on return. */
+    /**
+     * Writes {@link #state} as a new snapshot and closes the log. The snapshot is durable once this
+     * method returns.
+     */
     void writeSnapshot() throws IOException {
         byte[] body = EndpointSnapshotCodec.encode(state, generation + 1);
-        long length = AtomicFile.lengthWith(body);
+        long length = AtomicFile.fileLength(body);
         if (length > maxBytes) {
-            throw StoredDataException.tooLarge(STATE, length, maxBytes);
+            throw StoredDataException.tooLarge(SNAPSHOT_FILE, length, maxBytes);
         }
         snapshotNeeded = true;
         closeLog();
-        AtomicFile.write(storage, STATE, body);
+        AtomicFile.write(storage, SNAPSHOT_FILE, body);
         generation++;
         writtenBytes = 0;
         forcedBytes = 0;
@@ -179,31 +192,34 @@
 
     private void deleteOldLogs() throws IOException {
         for (String file : storage.list()) {
-            if (file.startsWith(LOG) && !file.equals(logFile())) {
+            if (file.startsWith(LOG_PREFIX) && !file.equals(logFile())) {
                 storage.delete(file);
             }
         }
     }
 
     private String logFile() {
-        return LOG + generation;
+        return LOG_PREFIX + generation;
     }
 
     private void closeLog() throws IOException {
-        Storage.Output open = log;
+        Storage.Output openLog = log;
         log = null;
-        if (open != null) {
-            open.close();
+        if (openLog != null) {
+            openLog.close();
         }
     }
 
-    /** The files that were set aside last stay there for whoever looks into it. */
-    private void setAside() throws IOException {
+    /**
+     * Renames the snapshot and the logs to keep them for analysis, replacing files that were set
+     * aside earlier.
+     */
+    private void setFilesAside() throws IOException {
         for (String file : storage.list()) {
-            if (file.equals(STATE)) {
-                storage.rename(file, ASIDE_STATE);
-            } else if (file.startsWith(LOG)) {
-                storage.rename(file, ASIDE_LOG);
+            if (file.equals(SNAPSHOT_FILE)) {
+                storage.rename(file, SET_ASIDE_SNAPSHOT);
+            } else if (file.startsWith(LOG_PREFIX)) {
+                storage.rename(file, SET_ASIDE_LOG);
             }
         }
         storage.forceDirectory();
--- a/sidecar/src/main/java/sagefall/simulator/BatchReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/BatchReader.java
@@ -5,8 +5,9 @@
 import java.io.IOException;
 
 /**
- * Reads batches: an object with the time and groups, each with the name of an instance and its
- * messages. Messages are handed on as they come, so that a batch is never in memory.
+ * Reads batches of messages. A batch is an object with a time and groups; a group has the name of
+ * an instance and the messages for this instance. Each message is passed to the handler as it is
+ * parsed, so that a batch is never held in memory as a whole.
  */
 final class BatchReader {
 
@@ -14,18 +15,24 @@
     private static final String BATCH = "batch";
     private static final String GROUP = "group";
 
-    /** Takes what a batch holds. */
+    /** Receives the contents of a batch. */
     interface Handler {
         /**
-         * The messages from here on are for this instance.
+         * Sets the instance that the following messages are for. Called with null at the start of
+         * each group, and again if the group names its instance.
          *
-         * @param instance null where the group has no name so far; the tables of endpoints belong
-         *     to the process, so a group that holds nothing else may come without one
+         * @param instance null if the group has not named an instance; a group needs no name if it
+         *     has only endpoint tables, which belong to the process
          */
-        void groupBegins(String instance) throws IOException;
+        void onGroup(String instance) throws IOException;
 
-        /** A message; the parser is at its start, and has to be at its end on return. */
-        void message(long nowMicros, JsonParser parser)
+        /**
+         * Handles a message.
+         *
+         * @param parser parser at the start of the message; must be at the end of the message when
+         *     this method returns
+         */
+        void onMessage(long nowMicros, JsonParser parser)
                 throws IOException, MalformedMessageException;
     }
 
@@ -37,7 +44,7 @@
         this.handler = handler;
     }
 
-    /** Reads the next batch; false at the end of the input. */
+    /** Reads the next batch; returns false at the end of the input. */
     boolean readBatch() throws IOException, MalformedMessageException {
         JsonToken token = parser.nextToken();
         if (token == null) {
@@ -92,7 +99,7 @@
     }
 
     private void readGroup(long nowMicros) throws IOException, MalformedMessageException {
-        handler.groupBegins(null);
+        handler.onGroup(null);
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String field = parser.currentName();
             JsonToken value = parser.nextToken();
@@ -101,8 +108,8 @@
                     require(
                             value == JsonToken.VALUE_STRING,
                             WireNames.INSTANCE,
-                            "group: 'who' must be a text");
-                    handler.groupBegins(parser.getText());
+                            "group: 'who' must be a string");
+                    handler.onGroup(parser.getText());
                 }
                 case WireNames.MESSAGES -> readMessages(value, nowMicros);
                 default -> parser.skipChildren();
@@ -120,8 +127,8 @@
             require(
                     parser.currentToken() == JsonToken.START_OBJECT,
                     WireNames.MESSAGES,
-                    "an event must be an object");
-            handler.message(nowMicros, parser);
+                    "a message must be an object");
+            handler.onMessage(nowMicros, parser);
         }
     }
 
--- a/sidecar/src/main/java/sagefall/simulator/HostedBalancers.java
+++ b/sidecar/src/main/java/sagefall/simulator/HostedBalancers.java
@@ -13,26 +13,27 @@
 import sagefall.balancer.api.LoadBalancer;
 
 /**
- * One balancer for each instance of the simulator, and the tables of endpoints that they share.
- * Hands each message to its balancer; the actions go to the writer. One thread.
+ * Holds one balancer for each instance of the simulator, and the endpoint tables that all instances
+ * share. Passes each message to the balancer of its instance; the balancers pass their actions to
+ * the writer. Not thread-safe.
  */
-final class HostedBalancers implements BatchReader.Handler, MessageReader.Recipient {
+final class HostedBalancers implements BatchReader.Handler, MessageReader.InstanceValidator {
 
-    /** The writer's name for a group without an instance, which has no actions. */
+    /** Instance name for the writer in a group without an instance, which has no actions. */
     private static final String NO_INSTANCE = "";
 
     private final MessageWriter writer;
     private final MessageReader reader = new MessageReader();
     private final Map<String, LoadBalancer> balancers = new HashMap<>();
 
-    /** The endpoints of each table by its number; null where none have been sent. */
+    /** Endpoints of each table by the table's number; null for a table that was never sent. */
     private final List<List<ListedEndpoint>> tables =
-            new ArrayList<>(Collections.nCopies(MessageReader.TABLES, null));
+            new ArrayList<>(Collections.nCopies(MessageReader.TABLE_COUNT, null));
 
-    /** The instance of the group that is being read; null where it has no name. */
+    /** Instance of the group that is being read; null if the group has not named one. */
     private String instance;
 
-    /** The balancer that the message at hand is for. */
+    /** Balancer of the current message; set by {@link #requireInstance}. */
     private LoadBalancer balancer;
 
     HostedBalancers(MessageWriter writer) {
@@ -40,13 +41,13 @@
     }
 
     @Override
-    public void groupBegins(String name) throws IOException {
+    public void onGroup(String name) throws IOException {
         instance = name;
         writer.beginInstance(name == null ? NO_INSTANCE : name);
     }
 
     @Override
-    public void requireName() throws MalformedMessageException {
+    public void requireInstanceName() throws MalformedMessageException {
         if (instance == null) {
             throw MalformedMessageException.ofField("group", WireNames.INSTANCE, "is missing");
         }
@@ -62,7 +63,7 @@
     }
 
     @Override
-    public void message(long nowMicros, JsonParser parser)
+    public void onMessage(long nowMicros, JsonParser parser)
             throws IOException, MalformedMessageException {
         SimulatorMessage message = reader.read(parser, this);
         if (message instanceof SimulatorMessage.PoolUpdate update) {
@@ -104,7 +105,9 @@
         List<ListedEndpoint> endpoints = tables.get(number);
         if (endpoints == null) {
             throw MalformedMessageException.ofOperation(
-                    WireNames.ENDPOINTS, WireNames.TABLE, "no Pool of number " + number);
+                    WireNames.ENDPOINTS,
+                    WireNames.TABLE,
+                    "no Pool message has defined table " + number);
         }
         return endpoints;
     }
--- a/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
+++ b/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
@@ -1,6 +1,9 @@
 package sagefall.simulator;
 
-/** Input that breaks the wire's rules; its message is the one line that the user sees. */
+/**
+ * Reports input that violates the simulator's protocol. The exception message is one line, which
+ * the adapter prints to standard error.
+ */
 final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -16,33 +19,36 @@
         this.reason = reason;
     }
 
-    /** A field that is missing or of a wrong type: {@code Call: 'type' is missing}. */
+    /** Reports a field that is missing or has a wrong type: {@code Call: 'type' is missing}. */
     static MalformedMessageException ofField(String operation, String field, String reason) {
         return new MalformedMessageException(
                 operation, field, reason, operation + ": '" + field + "' " + reason);
     }
 
-    /** A value that makes no sense in its operation: {@code Pool: unknown status 'x'}. */
+    /** Reports a value that is invalid in its operation: {@code Pool: unknown status 'x'}. */
     static MalformedMessageException ofOperation(String operation, String field, String reason) {
         return new MalformedMessageException(operation, field, reason, operation + ": " + reason);
     }
 
-    /** A reason that says all by itself. */
+    /**
+     * Reports an error whose reason is used as the exception message without a prefix: {@code
+     * unknown verdict 'x'}.
+     */
     static MalformedMessageException ofReason(String operation, String field, String reason) {
         return new MalformedMessageException(operation, field, reason, reason);
     }
 
-    /** The operation, or the part of the batch, that is malformed. */
+    /** Returns the operation, or the part of the batch, that is malformed. */
     String operation() {
         return operation;
     }
 
-    /** The field that is malformed; null where it is the entire message. */
+    /** Returns the field that is malformed; null if the entire batch or message is malformed. */
     String field() {
         return field;
     }
 
-    /** What is wrong with it. */
+    /** Returns what is wrong with the field or the operation. */
     String reason() {
         return reason;
     }
--- a/sidecar/src/main/java/sagefall/simulator/MessageFields.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageFields.java
@@ -7,29 +7,33 @@
 import java.util.Map;
 import sagefall.config.Json;
 
-/** The fields of one message with checked types; used for one message after the other. */
+/** Gives access to the fields of a message with type checks. Reused for one message at a time. */
 final class MessageFields {
 
-    /** Stands for the operation in an error about a message that names none. */
-    private static final String ANY_OPERATION = "event";
+    /** Name that an error gives instead of the operation if the message has no operation. */
+    private static final String UNKNOWN_OPERATION = "event";
 
     private final Map<String, Object> values = new HashMap<>();
 
-    /** Reads the object whose start the parser is at, in place of the message before. */
+    /**
+     * Reads a message and replaces the fields of the previous one.
+     *
+     * @param parser parser at the start of the message's object
+     */
     void read(JsonParser parser) throws IOException {
         values.clear();
         Json.readInto(parser, values);
     }
 
-    /** A string that has to be there. */
+    /** Returns a required string. */
     String string(String field) throws MalformedMessageException {
         if (values.get(field) instanceof String string) {
             return string;
         }
-        throw invalid(field, "a text");
+        throw invalid(field, "a string");
     }
 
-    /** An integer that has to be there. */
+    /** Returns a required integer. */
     long integer(String field) throws MalformedMessageException {
         if (values.get(field) instanceof Long number) {
             return number;
@@ -37,17 +41,17 @@
         throw invalid(field, "a whole number");
     }
 
-    /** An integer; the default where the field is absent. */
+    /** Returns an optional integer, or the default value if the field is absent. */
     long integer(String field, long defaultValue) throws MalformedMessageException {
         return values.get(field) == null ? defaultValue : integer(field);
     }
 
-    /** Whether the field is {@code true}. */
+    /** Returns whether the field is present and {@code true}. */
     boolean isTrue(String field) {
         return Json.isTrue(values, field);
     }
 
-    /** An array that has to be there. */
+    /** Returns a required array. */
     List<?> array(String field) throws MalformedMessageException {
         if (values.get(field) instanceof List<?> array) {
             return array;
@@ -55,7 +59,7 @@
         throw invalid(field, "an array");
     }
 
-    /** An object that has to be there. */
+    /** Returns a required object. */
     Map<?, ?> object(String field) throws MalformedMessageException {
         if (values.get(field) instanceof Map<?, ?> object) {
             return object;
@@ -63,7 +67,7 @@
         throw invalid(field, "an object");
     }
 
-    /** An object; null where the field is absent or something else. */
+    /** Returns an optional object; null if the field is absent or not an object. */
     Map<?, ?> objectOrNull(String field) {
         return values.get(field) instanceof Map<?, ?> object ? object : null;
     }
@@ -71,7 +75,7 @@
     private MalformedMessageException invalid(String field, String expected) {
         Object operation = values.get(WireNames.OPERATION);
         return MalformedMessageException.ofField(
-                operation instanceof String string ? string : ANY_OPERATION,
+                operation instanceof String string ? string : UNKNOWN_OPERATION,
                 field,
                 values.get(field) == null ? "is missing" : "must be " + expected);
     }
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -18,41 +18,50 @@
 import sagefall.config.Json;
 import sagefall.config.LoadReportReader;
 
-/** Decodes the simulator's messages. */
+/** Decodes the simulator's messages into the balancer's types. */
 final class MessageReader {
 
-    /** Tables that endpoint lists may refer to. */
-    static final int TABLES = 16;
+    /** Number of endpoint tables that endpoint lists may refer to. */
+    static final int TABLE_COUNT = 16;
 
+    /** Value of the key field of a request that has no key. */
     private static final long NO_KEY = -1;
 
     /**
-     * Whom a message is for. Checked before the fields of the message are, so that of two faults
-     * the address is the one that is named.
+     * Checks the instance that a message is for. The instance is checked before the message's
+     * fields, so that the error names the instance if both are wrong.
      */
-    interface Recipient {
-        /** Fails unless the group names an instance. */
-        void requireName() throws MalformedMessageException;
-
-        /** Fails unless that instance runs. */
+    interface InstanceValidator {
+        /** Throws an exception unless the group names an instance. */
+        void requireInstanceName() throws MalformedMessageException;
+
+        /**
+         * Throws an exception unless the named instance is running.
+         *
+         * @param operation operation of the message, for the error message
+         */
         void requireInstance(String operation) throws MalformedMessageException;
     }
 
     private final MessageFields fields = new MessageFields();
 
-    /** Decodes the message whose start the parser is at. */
-    SimulatorMessage read(JsonParser parser, Recipient recipient)
+    /**
+     * Decodes a message.
+     *
+     * @param parser parser at the start of the message's object
+     */
+    SimulatorMessage read(JsonParser parser, InstanceValidator instanceValidator)
             throws IOException, MalformedMessageException {
         fields.read(parser);
         String operation = fields.string(WireNames.OPERATION);
         if (operation.equals(WireNames.POOL)) {
             return new SimulatorMessage.PoolUpdate(table(), endpoints());
         }
-        recipient.requireName();
+        instanceValidator.requireInstanceName();
         if (operation.equals(WireNames.START)) {
             return new SimulatorMessage.InstanceStart(settings());
         }
-        recipient.requireInstance(operation);
+        instanceValidator.requireInstance(operation);
         return switch (operation) {
             case WireNames.POWER_OFF -> new SimulatorMessage.InstanceStop();
             case WireNames.ENDPOINTS -> endpointList();
@@ -77,11 +86,11 @@
 
     private int table() throws MalformedMessageException {
         long table = fields.integer(WireNames.TABLE);
-        if (table < 0 || table >= TABLES) {
+        if (table < 0 || table >= TABLE_COUNT) {
             throw MalformedMessageException.ofReason(
                     fields.string(WireNames.OPERATION),
                     WireNames.TABLE,
-                    "table " + table + " is not between 0 and " + (TABLES - 1));
+                    "table " + table + " is not between 0 and " + (TABLE_COUNT - 1));
         }
         return (int) table;
     }
--- a/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
@@ -7,30 +7,30 @@
 import sagefall.balancer.api.RejectionReason;
 
 /**
- * Encodes the actions of a batch as they come, with a group for each run of actions of one
- * instance. A group is begun only once it has an action. The wire has no field for the reason of a
- * rejection.
+ * Writes the balancers' actions to the reply to a batch, in the order in which the actions are
+ * called. Successive actions of one instance form a group; a group is written only if it has an
+ * action. The protocol has no field for the reason of a rejection, so the reason is not written.
  */
 final class MessageWriter implements BalancerActions {
 
     private final JsonGenerator json;
 
-    /** Whose actions come now. */
+    /** Instance of the following actions. */
     private String instance;
 
-    private boolean groupBegun;
-    private boolean replyBegun;
+    private boolean groupStarted;
+    private boolean replyStarted;
 
     MessageWriter(JsonGenerator json) {
         this.json = json;
     }
 
-    /** Writes the fields of an action behind its operation. */
+    /** Writes the fields of an action that follow the operation. */
     private interface ActionFields {
         void write() throws IOException;
     }
 
-    /** From here on, actions are those of this instance. */
+    /** Sets the instance of the following actions. */
     void beginInstance(String name) throws IOException {
         endGroup();
         instance = name;
@@ -44,20 +44,20 @@
         json.writeEndObject();
         json.writeRaw('\n');
         json.flush();
-        replyBegun = false;
+        replyStarted = false;
     }
 
     private void beginReply() throws IOException {
-        if (!replyBegun) {
-            replyBegun = true;
+        if (!replyStarted) {
+            replyStarted = true;
             json.writeStartObject();
             json.writeArrayFieldStart(WireNames.GROUPS);
         }
     }
 
     private void beginGroup() throws IOException {
-        if (!groupBegun) {
-            groupBegun = true;
+        if (!groupStarted) {
+            groupStarted = true;
             json.writeStartObject();
             json.writeStringField(WireNames.INSTANCE, instance);
             json.writeArrayFieldStart(WireNames.ACTIONS);
@@ -65,14 +65,14 @@
     }
 
     private void endGroup() throws IOException {
-        if (groupBegun) {
-            groupBegun = false;
+        if (groupStarted) {
+            groupStarted = false;
             json.writeEndArray();
             json.writeEndObject();
         }
     }
 
-    private void action(String operation, ActionFields fields) {
+    private void writeAction(String operation, ActionFields fields) {
         try {
             beginReply();
             beginGroup();
@@ -86,12 +86,12 @@
     }
 
     @Override
-    public void send(String requestId, long server, long timeoutMicros, long latestMicros) {
-        action(
+    public void send(String requestId, long endpoint, long timeoutMicros, long latestMicros) {
+        writeAction(
                 WireNames.PLACE,
                 () -> {
                     json.writeStringField(WireNames.REQUEST_ID, requestId);
-                    json.writeNumberField(WireNames.ENDPOINT, server);
+                    json.writeNumberField(WireNames.ENDPOINT, endpoint);
                     if (timeoutMicros != 0) {
                         json.writeNumberField(WireNames.ATTEMPT_TIMEOUT, timeoutMicros);
                     }
@@ -99,8 +99,8 @@
     }
 
     @Override
-    public void reject(String requestId, long retryAfterMicros, RejectionReason why) {
-        action(
+    public void reject(String requestId, long retryAfterMicros, RejectionReason reason) {
+        writeAction(
                 WireNames.PUSH_BACK,
                 () -> {
                     json.writeStringField(WireNames.REQUEST_ID, requestId);
@@ -111,15 +111,15 @@
     }
 
     @Override
-    public void fail(String requestId, RejectionReason why) {
-        action(
+    public void fail(String requestId, RejectionReason reason) {
+        writeAction(
                 WireNames.REPORT_FAILURE,
                 () -> json.writeStringField(WireNames.REQUEST_ID, requestId));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        action(
+        writeAction(
                 WireNames.DROP_ATTEMPT,
                 () -> {
                     json.writeStringField(WireNames.REQUEST_ID, requestId);
@@ -129,7 +129,7 @@
 
     @Override
     public void scheduleTimer(long atMicros, long token) {
-        action(
+        writeAction(
                 WireNames.DEFER,
                 () -> {
                     json.writeNumberField(WireNames.TIMER_TIME, atMicros);
@@ -138,17 +138,17 @@
     }
 
     @Override
-    public void closeIdleConnections(long server) {
-        action(WireNames.LET_GO, () -> json.writeNumberField(WireNames.ENDPOINT, server));
+    public void closeIdleConnections(long endpoint) {
+        writeAction(WireNames.LET_GO, () -> json.writeNumberField(WireNames.ENDPOINT, endpoint));
     }
 
     @Override
     public void requestEndpointUpdates() {
-        action(WireNames.SUBSCRIBE, () -> json.writeBooleanField(WireNames.WANTED, true));
+        writeAction(WireNames.SUBSCRIBE, () -> json.writeBooleanField(WireNames.WANTED, true));
     }
 
     @Override
     public void log(String line) {
-        action(WireNames.PRINT, () -> json.writeStringField(WireNames.LOG_LINE, line));
+        writeAction(WireNames.PRINT, () -> json.writeStringField(WireNames.LOG_LINE, line));
     }
 }
--- a/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
@@ -11,9 +11,9 @@
 import sagefall.config.ConfigException;
 
 /**
- * The program that the simulator starts: reads batches, answers each with the balancers' actions,
- * and ends with the input. Input that breaks the wire's rules ends it with one line on standard
- * error.
+ * The process that the simulator starts. Reads batches of messages, replies to each batch with the
+ * balancers' actions, and exits at the end of the input. Input that violates the protocol makes the
+ * process exit with one line on standard error.
  */
 public final class SimulatorAdapter {
 
@@ -24,19 +24,19 @@
 
     SimulatorAdapter() {}
 
-    /** Serves standard input and output until the input ends; the exit status. */
+    /** Serves standard input and output until the input ends, and returns the exit status. */
     public static int serve() {
         return new SimulatorAdapter().run(System.in, System.out, System.err);
     }
 
-    /** Answers batches until the input ends; the exit status. */
+    /** Replies to batches until the input ends, and returns the exit status. */
     int run(InputStream in, OutputStream out, PrintStream errors) {
         try (JsonParser parser = json.createParser(in);
                 JsonGenerator generator = json.createGenerator(out)) {
             generator.setRootValueSeparator(null);
             generator.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             generator.disable(JsonGenerator.Feature.AUTO_CLOSE_JSON_CONTENT);
-            answerBatches(parser, new MessageWriter(generator));
+            processBatches(parser, new MessageWriter(generator));
             return EXIT_OK;
         } catch (MalformedMessageException e) {
             errors.println("sagefall: " + e.getMessage());
@@ -44,7 +44,8 @@
             errors.println("sagefall: not JSON: " + oneLine(e.getOriginalMessage()));
         } catch (ConfigException | IllegalArgumentException e) {
             errors.println(
-                    "sagefall: bad settings or event: " + oneLine(String.valueOf(e.getMessage())));
+                    "sagefall: invalid settings or message: "
+                            + oneLine(String.valueOf(e.getMessage())));
         } catch (IOException e) {
             errors.println("sagefall: " + oneLine(String.valueOf(e.getMessage())));
         }
@@ -52,7 +53,7 @@
         return EXIT_MALFORMED_INPUT;
     }
 
-    private static void answerBatches(JsonParser parser, MessageWriter writer)
+    private static void processBatches(JsonParser parser, MessageWriter writer)
             throws IOException, MalformedMessageException {
         BatchReader reader = new BatchReader(parser, new HostedBalancers(writer));
         while (reader.readBatch()) {
--- a/sidecar/src/main/java/sagefall/simulator/SimulatorMessage.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorMessage.java
@@ -7,43 +7,46 @@
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.Request;
 
-/** One message of the simulator, in the balancer's types. Times are microseconds. */
+/** A decoded message of the simulator. Times are in microseconds. */
 sealed interface SimulatorMessage {
 
-    /** The endpoints of a table, which later lists refer to; tables belong to the process. */
+    /**
+     * Defines the endpoints of a table, which later endpoint lists refer to. Tables belong to the
+     * process and are shared by its instances.
+     */
     record PoolUpdate(int table, List<ListedEndpoint> endpoints) implements SimulatorMessage {}
 
-    /** An instance starts, or replaces the one of its name. */
+    /** Starts an instance, which replaces any instance with its name. */
     record InstanceStart(BalancerSettings settings) implements SimulatorMessage {}
 
-    /** An instance ends; what it knew is lost. */
+    /** Stops an instance and discards its state. */
     record InstanceStop() implements SimulatorMessage {}
 
-    /** An endpoint list, which is the present content of a table. */
+    /** Reports an endpoint list, which consists of the current content of a table. */
     record EndpointListUpdate(EndpointListKind kind, int table) implements SimulatorMessage {}
 
-    /** A call to discovery failed. */
+    /** Reports that a call to discovery failed. */
     record EndpointListFailure() implements SimulatorMessage {}
 
-    /** A client's request. */
+    /** Reports that a client's request arrived. */
     record RequestArrival(Request request) implements SimulatorMessage {}
 
-    /** The answer of a streamed class has begun. */
+    /** Reports that a streamed response to an attempt has started. */
     record StreamStart(String requestId, int attempt, long endpoint, long elapsedMicros)
             implements SimulatorMessage {}
 
-    /** An attempt has ended, or its answer has arrived. */
+    /** Reports that an attempt has ended, or that the response to it has arrived. */
     record AttemptEnd(AttemptOutcome outcome) implements SimulatorMessage {}
 
-    /** A client no longer waits for its request. */
+    /** Reports that a client has disconnected and no longer waits for the response. */
     record ClientDisconnect(String requestId) implements SimulatorMessage {}
 
-    /** A timer that the instance had scheduled expires. */
+    /** Reports that a timer scheduled by the instance has expired. */
     record TimerExpiry(long token) implements SimulatorMessage {}
 
     /**
-     * A message without a meaning for the balancer, which neither sends health checks nor messages
-     * to its peers.
+     * Stands for a message that the balancer does not use: the result of a health check or a
+     * message from a peer. The balancer sends neither health checks nor messages to peers.
      */
     record Ignored() implements SimulatorMessage {}
 }
--- a/sidecar/src/main/java/sagefall/simulator/WireNames.java
+++ b/sidecar/src/main/java/sagefall/simulator/WireNames.java
@@ -1,9 +1,9 @@
 package sagefall.simulator;
 
-/** The names of operations and fields on the simulator's wire; nothing else spells them. */
+/** Defines the names of all operations and fields in the simulator's protocol. */
 final class WireNames {
 
-    // Batches and groups, both ways
+    // Batches and groups, in both directions
     static final String BATCH_TIME = "at_time_us";
     static final String GROUPS = "groups";
     static final String INSTANCE = "who";
@@ -24,7 +24,7 @@
     static final String CHECK_RESULT = "CheckResult";
     static final String PEER = "Peer";
 
-    // Operations that an instance asks for
+    // Operations that an instance sends
     static final String PLACE = "Place";
     static final String PUSH_BACK = "PushBack";
     static final String REPORT_FAILURE = "ReportFailure";
--- a/sidecar/src/main/java/sagefall/simulator/package-info.java
+++ b/sidecar/src/main/java/sagefall/simulator/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Hosts balancers for the simulator: batches of events come on standard input as JSON, the
- * balancers' actions go to standard output. It translates and never decides; no sockets, no files,
- * no clock, one thread. {@code WireNames} has the words of the wire.
+ * Hosts balancers for the simulator: reads batches of messages as JSON from standard input and
+ * writes the balancers' actions to standard output. Only translates between the protocol and the
+ * balancer's types. Uses one thread, and no sockets, files or clock. {@code WireNames} defines the
+ * names in the protocol.
  */
 package sagefall.simulator;
--- a/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -14,21 +14,24 @@
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
 
-/** Discovery's form of a list, key by key, and what becomes of a list that is malformed. */
+/** Tests the keys of discovery's JSON form and the errors for malformed lists. */
 class EndpointListCodecTest {
 
-    /** Lists that may be asked for null, as those that the configuration makes. */
+    /**
+     * Codec whose lists allow {@code indexOf(null)}, like the lists that the configuration reader
+     * creates.
+     */
     private final EndpointListCodec codec =
             new EndpointListCodec(Arrays.asList("north", "south"), Arrays.asList("small", "large"));
 
-    private EndpointList read(String quoted) throws IOException {
-        return codec.parse(quoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private EndpointList parse(String singleQuoted) throws IOException {
+        return codec.parse(singleQuoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void eachKeyIsRead() throws Exception {
+    void everyKeyIsParsed() throws Exception {
         EndpointList list =
-                read(
+                parse(
                         "{'rev':7,'all':false,'targets':[{'uid':'s-1','endpoint':'127.0.0.1:81',"
                                 + "'az':'south','model':'large','pod_group':4,"
                                 + "'state':'terminating','boot_ms':12,'capacity_hint':0.5,"
@@ -44,7 +47,7 @@
     }
 
     @Test
-    void idsOfServersAreTheSameInEachVersion() {
+    void stableIdsDoNotChangeBetweenVersions() {
         assertEquals(0x4bf29ce484222325L, StableIds.of(""));
         assertEquals(0x2f63dc4c8601ec8cL, StableIds.of("a"));
     }
@@ -62,8 +65,8 @@
                 "{'rev':1,'all':true,'targets':[{'uid':'a','endpoint':'name:1',"
                         + "'state':'in_service'}]} | 'name:1' is not an address and a port",
             })
-    void malformedListIsRejectedWhole(String quoted, String message) {
-        IOException e = assertThrows(IOException.class, () -> read(quoted));
+    void malformedListIsRejectedWithReason(String singleQuoted, String message) {
+        IOException e = assertThrows(IOException.class, () -> parse(singleQuoted));
         assertEquals(message, e.getMessage().replace('"', '\''));
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/DirectoryStorageTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/DirectoryStorageTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The errors of a directory, by their types. */
+/** Tests the reasons of the errors that {@link DirectoryStorage} reports. */
 class DirectoryStorageTest {
 
-    /** A device of Linux on which every write fails for lack of space. */
+    /** Linux device on which every write fails because there is no space. */
     private static final Path FULL_DEVICE = Path.of("/dev/full");
 
     @TempDir private Path directory;
 
     @Test
-    void directoryThatIsOpenAlreadyIsLocked() throws IOException {
+    void openingDirectoryTwiceFailsAsLocked() throws IOException {
         try (Storage first = DirectoryStorage.openExclusive(directory)) {
             StoredDataException error =
                     assertThrows(
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void fileOverTheBoundIsTooLarge() throws IOException {
+    void readingFileOverTheBoundFailsAsTooLarge() throws IOException {
         Files.write(directory.resolve("state"), new byte[11]);
         try (Storage storage = DirectoryStorage.openShared(directory)) {
             assertEquals(11, storage.read("state", 11).length);
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void writeWithoutSpaceIsFull() throws IOException {
-        assumeTrue(Files.exists(FULL_DEVICE), "no " + FULL_DEVICE);
+    void writeWithoutSpaceFailsAsFull() throws IOException {
+        assumeTrue(Files.exists(FULL_DEVICE), FULL_DEVICE + " does not exist");
         Path link = Files.createSymbolicLink(directory.resolve("log-1"), FULL_DEVICE);
         try (Storage storage = DirectoryStorage.openShared(directory);
                 Storage.Output output = storage.create("log-1")) {
--- a/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import sagefall.balancer.api.EndpointPhase;
 
-/** What a snapshot remembers of endpoints that leave. */
+/** Tests which draining and removed endpoints a snapshot keeps, and since when. */
 class EndpointSnapshotTest {
 
     private final EndpointSnapshot oneDraining =
@@ -16,23 +16,23 @@
                     .with(SnapshotChanges.draining(6, 3));
 
     @Test
-    void endpointThatDrainsIsRememberedWithItsTime() {
-        assertEquals(6000, oneDraining.endpoints().get(3L).leavingSinceMillis());
+    void drainingEndpointIsKeptWithTheTimeOfItsReport() {
+        assertEquals(6000, oneDraining.endpoints().get(3L).notReadySinceMillis());
     }
 
     @Test
-    void endpointsMissingFromACompleteListAreRemovedSinceTheyBeganToLeave() {
+    void endpointsMissingFromCompleteListBecomeRemovedAndKeepTheirDrainingTime() {
         SnapshotEntry ready = SnapshotChanges.entry(1, EndpointPhase.READY);
         EndpointSnapshot snapshot =
                 oneDraining.with(new SnapshotChange(true, 9, 9000, Map.of(1L, ready)));
         assertEquals(EndpointPhase.REMOVED, snapshot.endpoints().get(3L).phase());
-        assertEquals(6000, snapshot.endpoints().get(3L).leavingSinceMillis());
-        assertEquals(9000, snapshot.endpoints().get(2L).leavingSinceMillis());
+        assertEquals(6000, snapshot.endpoints().get(3L).notReadySinceMillis());
+        assertEquals(9000, snapshot.endpoints().get(2L).notReadySinceMillis());
         assertEquals(EndpointPhase.READY, snapshot.endpoints().get(1L).phase());
     }
 
     @Test
-    void onlyTheLatestRemovedEndpointsAreRemembered() {
+    void onlyTheLatestRemovedEndpointsAreKept() {
         SnapshotEntry ready = SnapshotChanges.entry(1, EndpointPhase.READY);
         EndpointSnapshot snapshot =
                 oneDraining.with(new SnapshotChange(true, 9, 9000, Map.of(1L, ready)));
--- a/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
+++ b/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
@@ -10,22 +10,24 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory that loses power at a given call. What was not forced by then is there,
- * lost, or cut anywhere, of each file and each name independently.
+ * Simulates in memory a directory that loses power at a given call. For each file and each name
+ * independently, unforced data may survive, be lost, or be truncated at any byte. Only calls that
+ * change the directory, or write or force a file, are counted.
  */
 public final class LossyStorage implements Storage {
 
-    /** Flips some bits of a byte that did not reach the disk. */
+    /** Mask that corrupts a byte, to simulate that the byte did not reach the disk. */
     private static final int HOLE_MASK = 0x5a;
 
-    /** One of so many files whose unforced bytes are partly there gets a hole. */
+    /** On average, one in this many files with surviving unforced bytes has a corrupt one. */
     private static final int FILES_PER_HOLE = 3;
 
-    /** Thrown by the call in which the power goes, and by all later ones. */
+    /** Thrown by the call during which the power is lost, and by all later calls. */
     public static final class PowerLoss extends IOException {
         private static final long serialVersionUID = 1;
     }
 
+    /** The written bytes of a file, of which a prefix has been forced. */
     private static final class Content {
         final ByteArrayOutputStream written = new ByteArrayOutputStream();
         int forcedBytes;
@@ -39,24 +41,27 @@
     }
 
     private final Map<String, Content> files = new TreeMap<>();
+
+    /** The files by name as of the last force of the directory. */
     private final Map<String, Content> forcedFiles = new TreeMap<>();
     private final SplittableRandom random;
     private long callsUntilLoss;
 
-    /** Bytes that still fit; what is written past it fails. */
+    /** Number of bytes that can still be written before writes fail. */
     long freeBytes = Long.MAX_VALUE;
 
     /**
-     * An empty directory.
+     * Creates an empty directory.
      *
-     * @param callsUntilLoss how many calls succeed before the power goes
-     * @param seed of what survives the loss
+     * @param callsUntilLoss number of counted calls that succeed before the power is lost
+     * @param seed seed of the random choice of the data that survives the loss
      */
     public LossyStorage(long callsUntilLoss, long seed) {
         this.callsUntilLoss = callsUntilLoss;
         random = new SplittableRandom(seed);
     }
 
+    /** Counts a call, and fails if the power is lost. */
     private void countCall() throws PowerLoss {
         boolean powerIsLost = callsUntilLoss <= 0;
         callsUntilLoss--;
@@ -65,26 +70,31 @@
         }
     }
 
-    /** The directory as it is found when the power is back. */
+    /**
+     * Returns the directory as found after the power is restored.
+     *
+     * @param nextCallsUntilLoss number of calls to the new directory before the next power loss
+     * @param seed seed of the new directory
+     */
     public LossyStorage afterPowerLoss(long nextCallsUntilLoss, long seed) {
         LossyStorage next = new LossyStorage(nextCallsUntilLoss, seed);
-        namesThatSurvive().forEach((file, content) -> next.put(file, bytesThatSurvive(content)));
+        survivingNames().forEach((file, content) -> next.put(file, survivingBytes(content)));
         return next;
     }
 
-    /** A name that was not forced is as it was before the change, or as it is after it. */
-    private Map<String, Content> namesThatSurvive() {
-        Map<String, Content> found = new TreeMap<>(forcedFiles);
+    /** Returns the files by name, where each unforced change of a name is randomly kept or lost. */
+    private Map<String, Content> survivingNames() {
+        Map<String, Content> surviving = new TreeMap<>(forcedFiles);
         for (String file : forcedAndUnforcedNames()) {
             boolean wasForced = files.get(file) == forcedFiles.get(file);
             if (!wasForced && random.nextBoolean()) {
-                found.remove(file);
+                surviving.remove(file);
                 if (files.containsKey(file)) {
-                    found.put(file, files.get(file));
+                    surviving.put(file, files.get(file));
                 }
             }
         }
-        return found;
+        return surviving;
     }
 
     private List<String> forcedAndUnforcedNames() {
@@ -93,13 +103,16 @@
         return all;
     }
 
-    /** Forced bytes are there; any number of those behind them may be, and one may be wrong. */
-    private byte[] bytesThatSurvive(Content content) {
+    /**
+     * Returns all forced bytes and a random number of the unforced bytes after them, of which one
+     * may be corrupt.
+     */
+    private byte[] survivingBytes(Content content) {
         byte[] bytes = content.written.toByteArray();
         int unforced = bytes.length - content.forcedBytes;
         int survivingUnforced = unforced == 0 ? 0 : random.nextInt(unforced + 1);
         byte[] surviving = Arrays.copyOf(bytes, content.forcedBytes + survivingUnforced);
-        // Pages reach the disk in any order: what is there may have a hole.
+        // Pages reach the disk in any order, so the surviving bytes may have a hole.
         boolean hasHole = random.nextInt(FILES_PER_HOLE) == 0;
         if (hasHole && survivingUnforced > 0) {
             int hole = content.forcedBytes + random.nextInt(survivingUnforced);
@@ -108,13 +121,14 @@
         return surviving;
     }
 
-    /** Puts bytes there as if they had always been. */
+    /** Stores a file with this content and forces it, without counting a call. */
     void put(String file, byte[] bytes) {
         Content content = Content.allForced(bytes);
         files.put(file, content);
         forcedFiles.put(file, content);
     }
 
+    /** Returns the written bytes of a file; null if the file does not exist. */
     byte[] get(String file) {
         return files.containsKey(file) ? files.get(file).written.toByteArray() : null;
     }
@@ -186,7 +200,7 @@
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            // The power may go in the middle of it.
+            // The power may be lost during the write, so that a part of the bytes is written.
             boolean powerIsLost = callsUntilLoss <= 0;
             int length = powerIsLost ? random.nextInt(bytes.length + 1) : bytes.length;
             content.written.write(bytes, 0, length);
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
@@ -12,18 +12,20 @@
 import sagefall.config.ConfigSection;
 import sagefall.config.Json;
 
+/** Tests the defaults of the section {@code recovery} and the errors for invalid sections. */
 class PersistenceSettingsTest {
 
-    private static PersistenceSettings read(String quoted) throws Exception {
+    private static PersistenceSettings read(String singleQuoted) throws Exception {
         return PersistenceSettings.read(
                 new ConfigSection(
                         "extensions.recovery",
                         Json.parseDocument(
-                                new JsonFactory().createParser(quoted.replace('\'', '"')))));
+                                new JsonFactory()
+                                        .createParser(singleQuoted.replace('\'', '"')))));
     }
 
     @Test
-    void defaultsAreThoseOfTheDocumentation() throws Exception {
+    void absentKeysHaveDocumentedDefaults() throws Exception {
         assertEquals(
                 new PersistenceSettings(Path.of("/a"), 4 * 1024 * 1024, 3_600_000, true, 0),
                 read("{'directory':'/a'}"));
@@ -33,9 +35,9 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "{} | extensions.recovery.directory: must be the absolute path of a folder",
+                "{} | extensions.recovery.directory: must be the absolute path of a directory",
                 "{'directory':'kept'} | extensions.recovery.directory: must be the absolute path of"
-                        + " a folder",
+                        + " a directory",
                 "{'directory':7} | extensions.recovery.directory: must be a text",
                 "{'directory':'/a','sync':'never'} | extensions.recovery.sync: must be 'each' or"
                         + " 'snapshot'",
@@ -45,8 +47,8 @@
                         + " whole number from 0",
                 "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown name",
             })
-    void wrongSectionIsRejectedWithOneLine(String quoted, String line) {
-        String message = assertThrows(ConfigException.class, () -> read(quoted)).getMessage();
+    void invalidSectionIsRejectedWithOneLine(String singleQuoted, String line) {
+        String message = assertThrows(ConfigException.class, () -> read(singleQuoted)).getMessage();
         assertEquals(line, message.substring(0, line.length()));
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/PowerLossTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PowerLossTest.java
@@ -14,37 +14,37 @@
 import org.junit.jupiter.api.Timeout;
 import sagefall.logging.LogEvent;
 
-/** What is recovered after a power loss is what was written, or an earlier state of it. */
+/** Tests that the state recovered after a power loss is one of the written states. */
 @Timeout(120)
 class PowerLossTest {
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** More calls than one incarnation makes. */
-    private static final int CALLS = 40;
+    /** More storage calls than one incarnation makes. */
+    private static final int MAX_CALLS = 40;
 
     private static final int CHANGES_PER_INCARNATION = 6;
     private static final int MAX_BYTES = 64 * 1024;
 
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
 
-    /** What several incarnations in a row have written and seen. */
+    /** The state that several successive incarnations have written and recovered. */
     private static final class Expectation {
         final Map<Long, EndpointSnapshot> snapshotsByRevision = new HashMap<>();
         long epoch;
 
-        /** The append of that revision has returned: it must not be lost any more. */
+        /** Last revision whose append has returned, so that it must not be lost any more. */
         long durableRevision;
 
-        void check(EndpointSnapshot found) {
-            assertTrue(found.epoch() > epoch, "epoch " + found.epoch() + " after " + epoch);
-            epoch = found.epoch();
+        void check(EndpointSnapshot recovered) {
+            assertTrue(recovered.epoch() > epoch, "epoch " + recovered.epoch() + " after " + epoch);
+            epoch = recovered.epoch();
             assertTrue(
-                    found.revision() >= durableRevision,
-                    "revision " + found.revision() + " after " + durableRevision);
-            if (found.revision() > 0) {
-                EndpointSnapshot written = snapshotsByRevision.get(found.revision());
-                assertEquals(written.endpoints(), found.endpoints());
+                    recovered.revision() >= durableRevision,
+                    "revision " + recovered.revision() + " after " + durableRevision);
+            if (recovered.revision() > 0) {
+                EndpointSnapshot written = snapshotsByRevision.get(recovered.revision());
+                assertEquals(written.endpoints(), recovered.endpoints());
             }
         }
     }
@@ -52,7 +52,7 @@
     private void runIncarnation(
             LossyStorage storage, Expectation expectation, SplittableRandom random)
             throws IOException {
-        WriteAheadLog log = WriteAheadLog.open(storage, "n1", MAX_BYTES, true, lines::add);
+        WriteAheadLog log = WriteAheadLog.open(storage, "n1", MAX_BYTES, true, logLines::add);
         expectation.check(log.state());
         for (int i = 0; i < CHANGES_PER_INCARNATION; i++) {
             long revision = log.state().revision() + 1;
@@ -69,10 +69,12 @@
     }
 
     /**
-     * Runs three incarnations over two losses of power, the first one at the given call; returns
-     * how many of the incarnations lost it.
+     * Runs three incarnations with up to two power losses.
+     *
+     * @param firstLossAt number of calls before the first power loss
+     * @return how many incarnations lost power
      */
-    private int losePower(long firstLossAt, SplittableRandom random) throws IOException {
+    private int runIncarnations(long firstLossAt, SplittableRandom random) throws IOException {
         LossyStorage storage = new LossyStorage(firstLossAt, random.nextLong());
         Expectation expectation = new Expectation();
         int losses = 0;
@@ -88,20 +90,22 @@
     }
 
     /**
-     * The power goes at every single call of an incarnation, and at some call of the next one, with
-     * twenty outcomes each for what was not forced: what is recovered is one whole earlier state,
-     * nothing that was relied on is lost, and no epoch comes twice.
+     * Loses power at each call of one incarnation and at a random call of the next one, with twenty
+     * seeds each for the unforced data that survives. The recovered state must be exactly one
+     * written state, no appended change may be lost, and no epoch may be used twice.
      */
     @Test
-    void powerLossAtAnyCallLeavesOneEarlierState() throws IOException {
+    void powerLossAtAnyCallLeavesOneWrittenState() throws IOException {
         int losses = 0;
         for (int seed = 0; seed < 20; seed++) {
-            for (long lossAt = 0; lossAt < CALLS; lossAt++) {
-                losses += losePower(lossAt, new SplittableRandom(1000L * seed + lossAt));
+            for (long lossAt = 0; lossAt < MAX_CALLS; lossAt++) {
+                losses += runIncarnations(lossAt, new SplittableRandom(1000L * seed + lossAt));
             }
         }
+        // On average, more than one loss in each of the 800 runs.
         assertTrue(losses > 800, losses + " losses");
         String setAside = LogEvent.SNAPSHOT_SET_ASIDE.eventName();
-        assertFalse(lines.stream().anyMatch(line -> line.contains(setAside)), lines::toString);
+        assertFalse(
+                logLines.stream().anyMatch(line -> line.contains(setAside)), logLines::toString);
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/ProcessKillTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/ProcessKillTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sagefall.logging.LogEvent;
 
-/** Processes that persist one change after another and are killed at any moment. */
+/** Tests that changes persisted by a process survive when the process is killed at any time. */
 @Timeout(600)
 class ProcessKillTest {
 
@@ -24,13 +24,13 @@
 
     @TempDir private Path directory;
 
-    /** The greatest epoch that a process has reported. */
+    /** Greatest epoch that a process has reported. */
     private long epoch;
 
-    /** The greatest revision that a process has found or persisted. */
+    /** Greatest revision that a process has recovered or persisted. */
     private long durableRevision;
 
-    /** Prints the epoch and revision that it found, then each revision once it is durable. */
+    /** Prints the new epoch and the recovered revision, then each revision once it is durable. */
     public static void main(String[] args) throws IOException {
         WriteAheadLog log =
                 WriteAheadLog.open(
@@ -40,7 +40,7 @@
                         true,
                         line -> System.out.println("log " + line));
         System.out.println("epoch " + log.state().epoch());
-        System.out.println("found " + log.state().revision());
+        System.out.println("recovered " + log.state().revision());
         while (true) {
             long revision = log.state().revision() + 1;
             log.append(change(revision));
@@ -67,8 +67,8 @@
                 .start();
     }
 
-    /** Kills the process after that many lines, then reads what it had still written. */
-    private void killAfter(int lines, Process process) throws IOException {
+    /** Kills the process after this many lines, then reads the rest of its output. */
+    private void killAfterLines(int lines, Process process) throws IOException {
         int remaining = lines;
         try (BufferedReader out =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8))) {
@@ -77,7 +77,7 @@
                 check(line);
                 remaining--;
                 if (remaining == 0) {
-                    // Not by the object that has its streams: they are still to be read.
+                    // Process.destroyForcibly may close the streams, which must still be read.
                     process.toHandle().destroyForcibly();
                 }
                 line = out.readLine();
@@ -87,7 +87,7 @@
 
     private void check(String line) {
         String[] words = line.split(" ", 2);
-        // A line that the kill cut says nothing.
+        // A line that was truncated by the kill has no usable value.
         boolean hasValue = words.length == 2 && words[1].matches("[0-9]+");
         long value = hasValue ? Long.parseLong(words[1]) : -1;
         switch (words[0]) {
@@ -95,7 +95,7 @@
                 assertTrue(value > epoch, "epoch " + value + " after " + epoch);
                 epoch = value;
             }
-            case "found" -> {
+            case "recovered" -> {
                 assertTrue(
                         value >= durableRevision,
                         "revision " + value + " after " + durableRevision);
@@ -107,12 +107,12 @@
     }
 
     @Test
-    void whatWasPersistedOutlivesAKill() throws Exception {
+    void persistedChangesSurviveAKill() throws Exception {
         SplittableRandom random = new SplittableRandom(7);
         for (int round = 0; round < ROUNDS; round++) {
             Process process = startProcess();
             try {
-                killAfter(2 + random.nextInt(400), process);
+                killAfterLines(2 + random.nextInt(400), process);
             } finally {
                 process.destroyForcibly().waitFor();
             }
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotChanges.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotChanges.java
@@ -4,14 +4,18 @@
 import java.util.Map;
 import sagefall.balancer.api.EndpointPhase;
 
-/** Changes for tests, of a fleet of eight endpoints with the ids from 1 on. */
+/** Creates changes for tests of a fleet of eight endpoints with the ids 1 to 8. */
 final class SnapshotChanges {
 
     static final int FLEET_SIZE = 8;
 
     private SnapshotChanges() {}
 
-    /** The complete list; those that are named drain, all others are ready. */
+    /**
+     * Returns a complete list.
+     *
+     * @param draining ids of the draining endpoints; all others are ready
+     */
     static SnapshotChange complete(long revision, int... draining) {
         Map<Long, SnapshotEntry> endpoints = new HashMap<>();
         for (int id = 1; id <= FLEET_SIZE; id++) {
@@ -20,7 +24,11 @@
         return change(true, revision, endpoints, draining);
     }
 
-    /** A change of those alone that are named: they drain. */
+    /**
+     * Returns a change that contains only draining endpoints.
+     *
+     * @param draining ids of the endpoints
+     */
     static SnapshotChange draining(long revision, int... draining) {
         return change(false, revision, new HashMap<>(), draining);
     }
@@ -33,7 +41,7 @@
         return new SnapshotChange(complete, revision, 1000 * revision, endpoints);
     }
 
-    /** An endpoint as discovery reports it. */
+    /** Returns an endpoint as discovery reports it. */
     static SnapshotEntry entry(long id, EndpointPhase phase) {
         return new SnapshotEntry(id, "127.0.0.1:" + (9000 + id), "a", "m", 0, phase, 10 * id, 1, 0);
     }
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.balancer.api.EndpointPhase;
 
-/** The thread that persists: what it does while the disk fails, and how it ends. */
+/** Tests the thread that persists changes: while the disk fails, and when the store is closed. */
 @Timeout(120)
 class SnapshotStoreTest {
 
@@ -29,7 +29,7 @@
     private static final String SIDECAR = "n1";
 
     @TempDir private Path parent;
-    private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
     private final LossyStorage storage = new LossyStorage(Long.MAX_VALUE, 1);
 
     private PersistenceSettings settings(long clockOffsetMillis) {
@@ -42,21 +42,22 @@
     }
 
     private SnapshotStore open(SnapshotStore.StorageOpener opener) {
-        return new SnapshotStore(settings(0), SIDECAR, lines::add, opener);
+        return new SnapshotStore(settings(0), SIDECAR, logLines::add, opener);
     }
 
     private SnapshotStore openDirectory() {
-        return new SnapshotStore(settings(0), SIDECAR, lines::add);
+        return new SnapshotStore(settings(0), SIDECAR, logLines::add);
     }
 
     private String nextLine() throws InterruptedException {
-        return lines.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        return logLines.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private static EndpointSnapshot read(Storage from) throws IOException {
         return WriteAheadLog.open(from, SIDECAR, MAX_BYTES, true, line -> {}).state();
     }
 
+    /** Returns the storage once the latch is released, like a disk that responds late. */
     private Storage openAfter(CountDownLatch opened) throws IOException {
         try {
             opened.await();
@@ -66,13 +67,14 @@
         return storage;
     }
 
-    /** While the disk does not answer the host goes on and changes are merged. */
+    /** A disk that does not respond does not block the host; changes are merged meanwhile. */
     @Test
-    void changesAreMergedWhileTheDiskDoesNotAnswer() throws Exception {
+    void changesAreMergedWhileTheDiskDoesNotRespond() throws Exception {
         CountDownLatch opened = new CountDownLatch(1);
         try (SnapshotStore store = open(() -> openAfter(opened))) {
             assertNull(store.awaitRecovered(1));
-            assertEquals("ERROR persistence_unavailable reason=timeout timeout_ms=1", lines.take());
+            assertEquals(
+                    "ERROR persistence_unavailable reason=timeout timeout_ms=1", logLines.take());
             store.persist(SnapshotChanges.complete(5));
             store.persist(SnapshotChanges.draining(6, 3));
             store.persist(SnapshotChanges.draining(7, 4));
@@ -85,7 +87,7 @@
     }
 
     @Test
-    void fullDiskIsLoggedOnceAndWritingResumesWhenThereIsSpace() throws Exception {
+    void fullDiskIsLoggedOnceAndWritingResumesOnceThereIsSpace() throws Exception {
         try (SnapshotStore store = open(() -> storage)) {
             assertEquals(1, store.awaitRecovered(TIMEOUT_MILLIS).epoch());
             storage.freeBytes = 10;
@@ -98,13 +100,13 @@
             store.persist(SnapshotChanges.draining(6, 3));
             assertEquals("INFO persistence_resumed", nextLine());
         }
-        assertTrue(lines.isEmpty(), lines::toString);
+        assertTrue(logLines.isEmpty(), logLines::toString);
         assertEquals(6, read(storage).revision());
     }
 
-    /** The directory goes while files of it are open. */
+    /** Moves the directory away while its files are open. */
     @Test
-    void missingDirectoryIsLoggedOnceAndWritingResumesWhenItIsBack() throws Exception {
+    void missingDirectoryIsLoggedOnceAndWritingResumesOnceItIsRestored() throws Exception {
         try (SnapshotStore store = openDirectory()) {
             assertEquals(1, store.awaitRecovered(TIMEOUT_MILLIS).epoch());
             store.persist(SnapshotChanges.complete(5));
@@ -124,7 +126,7 @@
     }
 
     @Test
-    void secondProcessRunsWithoutPersistence() throws Exception {
+    void onlyOneOfTwoStoresCanUseADirectory() throws Exception {
         try (SnapshotStore first = openDirectory();
                 SnapshotStore second = openDirectory()) {
             EndpointSnapshot recoveredFirst = first.awaitRecovered(TIMEOUT_MILLIS);
@@ -134,13 +136,14 @@
                     "ERROR persistence_unavailable reason=locked error=\""
                             + directory()
                             + " is in use by another process\"",
-                    lines.take());
+                    logLines.take());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"0, true", "-120000, false", "120000, false"})
-    void snapshotIsOldIfTheClockIsWrong(long clockOffsetMillis, boolean fresh) throws Exception {
+    void snapshotIsFreshOnlyIfTheClockIsRight(long clockOffsetMillis, boolean fresh)
+            throws Exception {
         SnapshotChange change =
                 new SnapshotChange(true, 5, System.currentTimeMillis() - 1000, Map.of());
         EndpointSnapshot snapshot = EndpointSnapshot.empty(SIDECAR).with(change);
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotWordsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotWordsTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.balancer.api.EndpointPhase;
 
-/** The field names and phase numbers of stored snapshots and changes. */
+/** Tests the field names and phase numbers of stored snapshots and changes. */
 class SnapshotWordsTest {
 
     private static final String FILE = "log-1";
 
-    private static Map<String, Object> server(long phase) {
+    private static Map<String, Object> endpointFields(long phase) {
         return Map.of(
                 "id",
                 4L,
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @CsvSource({"READY, 0", "DRAINING, 1", "REMOVED, 2"})
-    void snapshotHasTheStoredFieldNames(EndpointPhase phase, long number) throws IOException {
+    void storedSnapshotHasExpectedFieldNames(EndpointPhase phase, long number) throws IOException {
         EndpointSnapshot snapshot = new EndpointSnapshot("n1", 1, 2, 3, endpoints(phase));
         Map<String, Object> values =
                 Map.of(
@@ -59,7 +59,7 @@
                         "at_ms",
                         3L,
                         "servers",
-                        List.of(server(number)));
+                        List.of(endpointFields(number)));
         byte[] body = EndpointSnapshotCodec.encode(snapshot, 9);
         assertEquals(values, CborObject.decode(FILE, body));
         assertEquals(snapshot, EndpointSnapshotCodec.snapshotOf(FILE, values));
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @CsvSource({"READY, 0", "DRAINING, 1", "REMOVED, 2"})
-    void changeHasTheStoredFieldNames(EndpointPhase phase, long number) throws IOException {
+    void storedChangeHasExpectedFieldNames(EndpointPhase phase, long number) throws IOException {
         SnapshotChange change = new SnapshotChange(true, 2, 3, endpoints(phase));
         Map<String, Object> values =
                 Map.of(
@@ -78,7 +78,7 @@
                         "at_ms",
                         3L,
                         "servers",
-                        List.of(server(number)));
+                        List.of(endpointFields(number)));
         byte[] body = EndpointSnapshotCodec.encode(change);
         assertEquals(values, CborObject.decode(FILE, body));
         assertEquals(change, EndpointSnapshotCodec.changeOf(FILE, values));
@@ -96,18 +96,18 @@
                         "at_ms",
                         3L,
                         "servers",
-                        List.of(server(number)));
+                        List.of(endpointFields(number)));
         StoredDataException error =
                 assertThrows(
                         StoredDataException.class,
                         () -> EndpointSnapshotCodec.changeOf(FILE, values));
-        assertEquals(FILE + ": an unknown phase, " + number, error.getMessage());
+        assertEquals(FILE + ": unknown phase " + number, error.getMessage());
         assertEquals(StoredDataException.Reason.CORRUPT, error.reason());
         assertEquals(FILE, error.file());
     }
 
     @Test
-    void thereAreThreePhases() {
+    void everyPhaseHasATestedNumber() {
         assertEquals(3, EndpointPhase.values().length);
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
@@ -20,9 +20,9 @@
 import sagefall.balancer.api.EndpointPhase;
 
 /**
- * Directories of the section {@code recovery} that the build of commit 732727c wrote are read as
- * they were then, and what is written now has the same bytes. How they were made is in their
- * README.
+ * Tests that directories written by the build of commit 732727c for the section {@code recovery}
+ * can still be read, and that this build writes identical bytes. The README beside the stored data
+ * describes how the directories were created.
  */
 class StoredDataCompatibilityTest {
 
@@ -114,14 +114,14 @@
                     0);
 
     @TempDir private Path directory;
-    private final List<String> messages = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
 
-    private static Path stored(String name) throws URISyntaxException {
+    private static Path storedPath(String name) throws URISyntaxException {
         return Path.of(StoredDataCompatibilityTest.class.getResource(RESOURCES + name).toURI());
     }
 
-    private void copy(String name) throws IOException, URISyntaxException {
-        try (Stream<Path> files = Files.list(stored(name))) {
+    private void copyToDirectory(String name) throws IOException, URISyntaxException {
+        try (Stream<Path> files = Files.list(storedPath(name))) {
             for (Path file : files.toList()) {
                 Files.copy(file, directory.resolve(file.getFileName()));
             }
@@ -135,26 +135,26 @@
                         sidecar,
                         MAX_BYTES,
                         true,
-                        messages::add)) {
+                        logLines::add)) {
             return log.state();
         }
     }
 
-    private List<String> names() throws IOException {
+    private List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.map(file -> file.getFileName().toString()).sorted().toList();
         }
     }
 
-    private static Map<Long, SnapshotEntry> byId(SnapshotEntry... lines) {
-        return Arrays.stream(lines)
+    private static Map<Long, SnapshotEntry> byId(SnapshotEntry... entries) {
+        return Arrays.stream(entries)
                 .collect(Collectors.toMap(SnapshotEntry::id, Function.identity()));
     }
 
-    /** The epoch is that of the next start, 3. */
+    /** The stored epoch is 2, so the epoch of the next start is 3. */
     @Test
-    void intactDirectoryIsReadCompletely() throws Exception {
-        copy("intact");
+    void intactDirectoryIsRecoveredCompletely() throws Exception {
+        copyToDirectory("intact");
         assertEquals(
                 new EndpointSnapshot(
                         "n1",
@@ -163,13 +163,13 @@
                         1_700_000_009_000L,
                         byId(READY_1, DRAINING_2, REMOVED_3, REMOVED_4, READY_5)),
                 open(SIDECAR));
-        assertEquals(List.of(), messages);
-        assertEquals(List.of("lock", "state"), names());
+        assertEquals(List.of(), logLines);
+        assertEquals(List.of("lock", "state"), fileNames());
     }
 
     @Test
     void tornLogTailIsDiscarded() throws Exception {
-        copy("torn-log-tail");
+        copyToDirectory("torn-log-tail");
         assertEquals(
                 new EndpointSnapshot(
                         "n1",
@@ -178,43 +178,43 @@
                         1_700_000_008_000L,
                         byId(READY_1, DRAINING_2, REMOVED_3, READY_4, READY_5)),
                 open(SIDECAR));
-        assertEquals(List.of("WARN log_tail_discarded bytes=154"), messages);
-        assertEquals(List.of("lock", "state"), names());
+        assertEquals(List.of("WARN log_tail_discarded bytes=154"), logLines);
+        assertEquals(List.of("lock", "state"), fileNames());
     }
 
     @Test
     void damagedSnapshotIsSetAsideAndNothingIsRecovered() throws Exception {
-        copy("damaged-snapshot");
+        copyToDirectory("damaged-snapshot");
         assertEquals(new EndpointSnapshot("n1", 1, 0, 0, Map.of()), open(SIDECAR));
         assertEquals(
                 List.of(
                         "WARN snapshot_set_aside file=state reason=corrupt"
                                 + " error=\"state is damaged\""),
-                messages);
-        assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
+                logLines);
+        assertEquals(List.of("aside-log", "aside-state", "lock", "state"), fileNames());
         assertArrayEquals(
-                Files.readAllBytes(stored("damaged-snapshot/" + SNAPSHOT)),
+                Files.readAllBytes(storedPath("damaged-snapshot/" + SNAPSHOT)),
                 Files.readAllBytes(directory.resolve("aside-state")));
         assertArrayEquals(
-                Files.readAllBytes(stored("damaged-snapshot/" + LOG)),
+                Files.readAllBytes(storedPath("damaged-snapshot/" + LOG)),
                 Files.readAllBytes(directory.resolve("aside-log")));
     }
 
     @Test
     void directoryOfAnotherSidecarIsSetAside() throws Exception {
-        copy("intact");
+        copyToDirectory("intact");
         assertEquals(new EndpointSnapshot("n2", 1, 0, 0, Map.of()), open("n2"));
         assertEquals(
                 List.of(
                         "WARN snapshot_set_aside file=state reason=foreign"
                                 + " error=\"state belongs to the sidecar 'n1'\""),
-                messages);
-        assertEquals(List.of("aside-log", "aside-state", "lock", "state"), names());
+                logLines);
+        assertEquals(List.of("aside-log", "aside-state", "lock", "state"), fileNames());
     }
 
     @Test
-    void snapshotAloneIsReadAndWrittenWithTheSameBytes() throws Exception {
-        copy("intact");
+    void snapshotIsDecodedAndEncodedToIdenticalBytes() throws Exception {
+        copyToDirectory("intact");
         try (Storage storage = DirectoryStorage.openExclusive(directory)) {
             byte[] body = AtomicFile.read(storage, SNAPSHOT, MAX_BYTES);
             EndpointSnapshotCodec.StoredSnapshot stored =
@@ -232,29 +232,29 @@
             AtomicFile.write(storage, SNAPSHOT, encoded);
         }
         assertArrayEquals(
-                Files.readAllBytes(stored("intact/" + SNAPSHOT)),
+                Files.readAllBytes(storedPath("intact/" + SNAPSHOT)),
                 Files.readAllBytes(directory.resolve(SNAPSHOT)));
     }
 
-    /** The two runs of the README once more, in an empty directory. */
+    /** Repeats, in an empty directory, the two runs that the README describes. */
     @Test
-    void sameChangesAreWrittenWithTheSameBytes() throws Exception {
+    void repeatedRunsWriteIdenticalBytes() throws Exception {
         try (WriteAheadLog first =
                 WriteAheadLog.open(
                         DirectoryStorage.openExclusive(directory),
                         SIDECAR,
                         MAX_BYTES,
                         true,
-                        messages::add)) {
+                        logLines::add)) {
             first.append(
                     change(
                             true,
                             5,
                             READY_1,
                             READY_2,
-                            at(EndpointPhase.READY, DRAINING_3),
+                            withPhase(EndpointPhase.READY, DRAINING_3),
                             READY_4));
-            first.append(change(false, 6, at(EndpointPhase.DRAINING, DRAINING_3)));
+            first.append(change(false, 6, withPhase(EndpointPhase.DRAINING, DRAINING_3)));
         }
         try (WriteAheadLog second =
                 WriteAheadLog.open(
@@ -262,46 +262,47 @@
                         SIDECAR,
                         MAX_BYTES,
                         true,
-                        messages::add)) {
-            second.append(change(false, 7, at(EndpointPhase.DRAINING, READY_2), READY_5));
+                        logLines::add)) {
+            second.append(change(false, 7, withPhase(EndpointPhase.DRAINING, READY_2), READY_5));
             second.append(
                     change(
                             true,
                             8,
                             READY_1,
-                            at(EndpointPhase.DRAINING, READY_2),
+                            withPhase(EndpointPhase.DRAINING, READY_2),
                             READY_4,
                             READY_5));
-            second.append(change(false, 9, at(EndpointPhase.REMOVED, READY_4)));
+            second.append(change(false, 9, withPhase(EndpointPhase.REMOVED, READY_4)));
         }
-        assertEquals(List.of(), messages);
-        assertEquals(List.of("lock", LOG, SNAPSHOT), names());
+        assertEquals(List.of(), logLines);
+        assertEquals(List.of("lock", LOG, SNAPSHOT), fileNames());
         for (String name : List.of(LOG, SNAPSHOT)) {
             assertArrayEquals(
-                    Files.readAllBytes(stored("intact/" + name)),
+                    Files.readAllBytes(storedPath("intact/" + name)),
                     Files.readAllBytes(directory.resolve(name)),
                     name);
         }
     }
 
-    private static SnapshotEntry at(EndpointPhase phase, SnapshotEntry line) {
+    private static SnapshotEntry withPhase(EndpointPhase phase, SnapshotEntry entry) {
         return new SnapshotEntry(
-                line.id(),
-                line.address(),
-                line.zone(),
-                line.kind(),
-                line.cell(),
+                entry.id(),
+                entry.address(),
+                entry.zone(),
+                entry.kind(),
+                entry.cell(),
                 phase,
-                line.startMicros(),
-                line.weight(),
+                entry.startMicros(),
+                entry.weight(),
                 0);
     }
 
-    private static SnapshotChange change(boolean all, long revision, SnapshotEntry... lines) {
+    private static SnapshotChange change(
+            boolean complete, long revision, SnapshotEntry... entries) {
         Map<Long, SnapshotEntry> byId = new LinkedHashMap<>();
-        for (SnapshotEntry line : lines) {
-            byId.put(line.id(), line);
+        for (SnapshotEntry entry : entries) {
+            byId.put(entry.id(), entry);
         }
-        return new SnapshotChange(all, revision, 1_700_000_000_000L + 1_000 * revision, byId);
+        return new SnapshotChange(complete, revision, 1_700_000_000_000L + 1_000 * revision, byId);
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is recovered of files that were torn or damaged, and how long they become. */
+/** Tests recovery from torn and corrupt files, and the bound on the length of the files. */
 @Timeout(120)
 class WriteAheadLogTest {
 
@@ -24,18 +24,18 @@
     private static final int MAX_BYTES = 64 * 1024;
     private static final String SIDECAR = "n1";
 
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
 
     private WriteAheadLog open(Storage storage) throws IOException {
-        return WriteAheadLog.open(storage, SIDECAR, MAX_BYTES, true, lines::add);
+        return WriteAheadLog.open(storage, SIDECAR, MAX_BYTES, true, logLines::add);
     }
 
     private EndpointSnapshot reopen(LossyStorage storage) throws IOException {
-        lines.clear();
+        logLines.clear();
         return open(storage).state();
     }
 
-    /** A storage with a snapshot of epoch 1 and a log of three changes, revisions 5 to 7. */
+    /** Returns a storage with a snapshot of epoch 1 and a log of the revisions 5 to 7. */
     private LossyStorage writtenStorage() throws IOException {
         LossyStorage storage = new LossyStorage(NEVER, 1);
         WriteAheadLog log = open(storage);
@@ -52,8 +52,9 @@
         changeByte(storage, "log-1", lastByte, 'x');
         EndpointSnapshot recovered = reopen(storage);
         assertEquals(6, recovered.revision());
-        assertEquals(1, lines.size(), lines::toString);
-        assertTrue(lines.get(0).startsWith("WARN log_tail_discarded bytes="), lines::toString);
+        assertEquals(1, logLines.size(), logLines::toString);
+        assertTrue(
+                logLines.get(0).startsWith("WARN log_tail_discarded bytes="), logLines::toString);
         assertFalse(hasFilesSetAside(storage));
         assertEquals(2, recovered.epoch());
         assertEquals(3, reopen(storage).epoch());
@@ -63,32 +64,34 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                // file | offset | becomes | reason | error
+                // file | offset | replacement | reason | error
                 "log-1 | 60 | x | corrupt | log-1 is damaged at byte 8",
-                "log-1 | 7 | 2 | newer_format | log-1 has format 2, this program knows 1",
+                "log-1 | 7 | 2 | newer_format | log-1 has format version 2, expected 1",
                 "log-1 | 0 | x | corrupt | log-1 is damaged",
-                "state | 7 | 2 | newer_format | state has format 2, this program knows 1",
+                "state | 7 | 2 | newer_format | state has format version 2, expected 1",
                 "state | 30 | x | corrupt | state is damaged",
                 "state | 0 | x | corrupt | state is damaged",
             })
     void unusableFilesAreSetAside(
-            String file, int offset, char becomes, String reason, String error) throws IOException {
+            String file, int offset, char replacement, String reason, String error)
+            throws IOException {
         LossyStorage storage = writtenStorage();
-        changeByte(storage, file, offset, becomes);
+        changeByte(storage, file, offset, replacement);
         EndpointSnapshot recovered = reopen(storage);
         assertEquals(0, recovered.revision());
-        assertEquals(List.of(setAsideLine(file, reason, error)), lines);
+        assertEquals(List.of(setAsideLine(file, reason, error)), logLines);
         assertTrue(hasFilesSetAside(storage));
-        // An epoch is lost only with the one file that has it.
+        // The epoch is lost only if the snapshot file, which contains it, is unusable.
         assertEquals(file.equals("state") ? 1 : 2, recovered.epoch());
         assertEquals(recovered.epoch() + 1, reopen(storage).epoch());
     }
 
-    /** A digit is put there as the number that it stands for; anything else flips a bit. */
-    private static void changeByte(LossyStorage storage, String file, int offset, char becomes) {
+    /** Sets a byte to the value of a digit; flips a bit if the replacement is not a digit. */
+    private static void changeByte(
+            LossyStorage storage, String file, int offset, char replacement) {
         byte[] bytes = storage.get(file);
-        boolean isDigit = Character.isDigit(becomes);
-        bytes[offset] = (byte) (isDigit ? becomes - '0' : bytes[offset] ^ 0x40);
+        boolean isDigit = Character.isDigit(replacement);
+        bytes[offset] = (byte) (isDigit ? replacement - '0' : bytes[offset] ^ 0x40);
         storage.put(file, bytes);
     }
 
@@ -103,17 +106,18 @@
     }
 
     private static boolean hasFilesSetAside(LossyStorage storage) {
-        return storage.list().stream().anyMatch(file -> file.startsWith(WriteAheadLog.ASIDE));
+        return storage.list().stream()
+                .anyMatch(file -> file.startsWith(WriteAheadLog.SET_ASIDE_PREFIX));
     }
 
     @Test
     void filesOfAnotherSidecarAreSetAside() throws IOException {
         LossyStorage storage = writtenStorage();
-        WriteAheadLog log = WriteAheadLog.open(storage, "n2", MAX_BYTES, true, lines::add);
+        WriteAheadLog log = WriteAheadLog.open(storage, "n2", MAX_BYTES, true, logLines::add);
         assertEquals(0, log.state().revision());
         assertEquals(
                 List.of(setAsideLine("state", "foreign", "state belongs to the sidecar 'n1'")),
-                lines);
+                logLines);
         // Another sidecar's epoch is not continued.
         assertEquals(1, log.state().epoch());
     }
@@ -128,20 +132,20 @@
                         setAsideLine(
                                 "state",
                                 "too_large",
-                                "state holds 65537 bytes, over the bound of 65536")),
-                lines);
+                                "state holds 65537 bytes, more than the maximum of 65536")),
+                logLines);
     }
 
-    /** Any bytes at all: read in bounded time, and never as something that was not written. */
+    /** Arbitrary corruption must be handled in bounded time and never be read as valid data. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void randomDamageIsNeverReadAsData(long seed) throws IOException {
+    void randomCorruptionIsNeverReadAsData(long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         LossyStorage intact = writtenStorage();
         for (int i = 0; i < 3000; i++) {
             LossyStorage storage = new LossyStorage(NEVER, 1);
             for (String file : intact.list()) {
-                storage.put(file, damaged(intact.get(file), random));
+                storage.put(file, corrupted(intact.get(file), random));
             }
             EndpointSnapshot recovered = reopen(storage);
             assertTrue(List.of(0L, 5L, 6L, 7L).contains(recovered.revision()));
@@ -150,8 +154,8 @@
         }
     }
 
-    /** Up to three bytes are changed; one in eight is cut, or lengthened by zeros. */
-    private static byte[] damaged(byte[] bytes, SplittableRandom random) {
+    /** Changes up to three bytes, and truncates or zero-extends one file in eight. */
+    private static byte[] corrupted(byte[] bytes, SplittableRandom random) {
         for (int changes = random.nextInt(4); changes > 0; changes--) {
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
         }
@@ -160,7 +164,7 @@
     }
 
     @Test
-    void logIsFoldedIntoASnapshotBeforeItPassesTheBound() throws IOException {
+    void snapshotReplacesLogBeforeFilesExceedTheBound() throws IOException {
         LossyStorage storage = new LossyStorage(NEVER, 1);
         WriteAheadLog log = open(storage);
         for (int i = 1; i < 2000; i++) {
