--- a/sidecar/src/test/java/sagefall/simulator/MessageReaderTest.java
+++ b/sidecar/src/test/java/sagefall/simulator/MessageReaderTest.java
@@ -17,26 +17,27 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.Request;
 
-/** The words of the simulator's wire, message by message, and the errors for malformed ones. */
+/** Tests the names and values in each message of the protocol, and errors in messages. */
 class MessageReaderTest {
 
-    private static final class AnyInstance implements MessageReader.Recipient {
+    /** Accepts any instance. */
+    private static final class AnyInstance implements MessageReader.InstanceValidator {
         @Override
-        public void requireName() {}
+        public void requireInstanceName() {}
 
         @Override
         public void requireInstance(String operation) {}
     }
 
-    private static SimulatorMessage read(String quoted) throws Exception {
-        try (JsonParser parser = new JsonFactory().createParser(quoted.replace('\'', '"'))) {
+    private static SimulatorMessage read(String singleQuoted) throws Exception {
+        try (JsonParser parser = new JsonFactory().createParser(singleQuoted.replace('\'', '"'))) {
             parser.nextToken();
             return new MessageReader().read(parser, new AnyInstance());
         }
     }
 
     @Test
-    void poolHoldsEndpoints() throws Exception {
+    void poolMessageDefinesEndpoints() throws Exception {
         assertEquals(
                 new SimulatorMessage.PoolUpdate(
                         15,
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void requestHasDefaultsForWhatIsAbsent() throws Exception {
+    void absentFieldsOfRequestHaveDefaults() throws Exception {
         assertEquals(
                 new SimulatorMessage.RequestArrival(new Request("t", 1, 2, true, 3, 4, true)),
                 read(
@@ -72,7 +73,7 @@
         "CANCELLED, CANCELLED",
         "TOO_LATE, NOT_SENT",
     })
-    void resultOfAnAttemptHasItsWord(String word, AttemptResult result) throws Exception {
+    void attemptResultIsDecoded(String wireName, AttemptResult result) throws Exception {
         double unknown = Double.NaN;
         assertEquals(
                 new SimulatorMessage.AttemptEnd(
@@ -86,21 +87,21 @@
                                 new LoadReport(unknown, unknown, 0.5, unknown, unknown, unknown))),
                 read(
                         "{'op':'Response','ticket':'t','go':1,'server':9,'verdict':'"
-                                + word
+                                + wireName
                                 + "','cost_time_us':7,'terminal':true,"
                                 + "'server_stats':{'cpu':0.5}}"));
     }
 
     @ParameterizedTest
     @CsvSource({"diff, CHANGES", "snapshot, COMPLETE", "disk, CACHED"})
-    void kindOfAListHasItsWord(String word, EndpointListKind kind) throws Exception {
+    void endpointListKindIsDecoded(String wireName, EndpointListKind kind) throws Exception {
         assertEquals(
                 new SimulatorMessage.EndpointListUpdate(kind, 3),
-                read("{'op':'Endpoints','how':'" + word + "','epoch':1,'table':3}"));
+                read("{'op':'Endpoints','how':'" + wireName + "','epoch':1,'table':3}"));
     }
 
     @Test
-    void otherMessagesHaveTheirWords() throws Exception {
+    void failureStreamClientTimerAndInstanceMessagesAreDecoded() throws Exception {
         assertEquals(
                 new SimulatorMessage.EndpointListFailure(),
                 read("{'op':'Endpoints','how':'error'}"));
@@ -142,10 +143,10 @@
                 "{'op':'Surprise'} | Surprise | op | unknown op 'Surprise'"
                         + " | unknown op 'Surprise'",
             })
-    void malformedMessageIsAnErrorWithMessageFieldAndReason(
-            String quoted, String operation, String field, String reason, String line) {
+    void malformedMessageIsReportedWithOperationFieldAndReason(
+            String singleQuoted, String operation, String field, String reason, String line) {
         MalformedMessageException e =
-                assertThrows(MalformedMessageException.class, () -> read(quoted));
+                assertThrows(MalformedMessageException.class, () -> read(singleQuoted));
         assertEquals(operation, e.operation());
         assertEquals(field, e.field());
         assertEquals(reason, e.reason());
--- a/sidecar/src/test/java/sagefall/simulator/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/sagefall/simulator/SimulatorAdapterTest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests whole batches through standard input and output, and the errors for invalid input. */
 class SimulatorAdapterTest {
 
-    private static final String FACTS =
+    private static final String SETTINGS =
             "{'classes':[{'name':'c','effect':'pure','aim_us':200000,"
                     + "'deadline_us':1000000,'worth':1,'new_key':[1,{'x':null}]}],'zones':['a'],"
                     + "'zone':0,"
@@ -24,7 +25,7 @@
     private static final String START =
             "{'at_time_us':10,'groups':[{'who':'sidecar_0','msgs':[{'op':'Start',"
                     + "'salt':5,'facts':"
-                    + FACTS
+                    + SETTINGS
                     + "},{'op':'Pool','table':3,'rows':[{'server':9,"
                     + "'status':'SERVING'}]},"
                     + "{'op':'Endpoints','how':'disk','epoch':1,'table':3}]}]}\n";
@@ -43,12 +44,16 @@
         return out.toString(StandardCharsets.UTF_8).replace('"', '\'');
     }
 
-    private static String batch(long at, String events) {
-        return "{'at_time_us':" + at + ",'groups':[{'who':'sidecar_0','msgs':[" + events + "]}]}\n";
+    private static String batch(long timeMicros, String messages) {
+        return "{'at_time_us':"
+                + timeMicros
+                + ",'groups':[{'who':'sidecar_0','msgs':["
+                + messages
+                + "]}]}\n";
     }
 
     @Test
-    void oneReplyForEachBatch() {
+    void eachBatchGetsOneReply() {
         assertEquals(
                 "{'groups':[]}\n{'groups':[]}\n",
                 run("{'at_time_us':1,'groups':[]}\n" + "{'at_time_us':2,'groups':[]}\n"));
@@ -56,7 +61,7 @@
     }
 
     @Test
-    void requestIsPlacedAndAnswered() {
+    void requestIsSentToTheEndpointAndCompletes() {
         String out =
                 run(
                         START
@@ -78,7 +83,7 @@
     }
 
     @Test
-    void poolNumbersAreReplacedWithinABatch() {
+    void endpointTableIsReplacedWithinABatch() {
         String out =
                 run(
                         START
@@ -94,13 +99,13 @@
     }
 
     @Test
-    void instanceMayRestartInOneBatch() {
+    void instanceMayRestartWithinABatch() {
         run(
                 START
                         + batch(
                                 20,
                                 "{'op':'PowerOff'},{'op':'Start','salt':6,'facts':"
-                                        + FACTS
+                                        + SETTINGS
                                         + "},{'op':'Endpoints','how':'disk','epoch':1,'table':3},"
                                         + "{'op':'Call','ticket':'ab','type':0,"
                                         + "'drop_dead_us':900000}"));
@@ -124,7 +129,7 @@
                         + "'facts':{}}]}]}"
                         + " | classes",
             })
-    void badInputEndsWithOneClearLine(String input, String message) {
+    void invalidInputIsReportedWithOneLine(String input, String message) {
         String out = run(input);
         assertEquals(1, status);
         assertEquals("", out);
@@ -133,7 +138,7 @@
     }
 
     @Test
-    void unknownEventIsNamed() {
+    void unknownOperationIsNamedInTheError() {
         run(START + batch(20, "{'op':'Surprise'}"));
         assertEquals(1, status);
         assertTrue(errors.contains("Surprise"), errors);
