--- a/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
@@ -11,37 +11,40 @@
 import sagefall.persistence.Storage;
 
 /**
- * A lease for the processes of one machine, in a directory that they share, without any lock: a
- * process that is stopped keeps nobody out, whatever it was doing.
+ * A lease store in a directory that the processes of one machine share. The store uses no lock, so
+ * a process that is suspended in the middle of an operation does not block the others.
  *
  * <ul>
- *   <li>A term is a file, {@code term-N}, that only the first process to link it under that name
- *       gets, and that only its owner writes again. It is on the disk before anybody acts under it,
- *       so no term is granted twice.
- *   <li>An owner that renews writes its own file and then looks for a newer term; a process that
- *       takes over creates the next term's file and then looks how long the term before lasts. So
- *       either the one sees the newer term and stops, or the other sees the renewal, and waits
- *       until that has expired.
- *   <li>A value is a file for each term that wrote it; the one of the greatest term counts. An old
- *       owner that wakes up late writes a file that nobody reads.
+ *   <li>Each term has a file, {@code term-N}. The term is granted to the first process that links a
+ *       file under that name. After that, the file is written only on behalf of the term's leader,
+ *       to extend or release the term. The file is on the disk before the leader acts under the
+ *       term, so no term is granted twice.
+ *   <li>A leader that renews writes the file of its term and then looks for a newer term. A process
+ *       that takes over creates the file of the next term and then checks when the previous term
+ *       expires. So either the former leader sees the newer term and stops, or the new leader sees
+ *       the renewal and waits until the renewed term has expired.
+ *   <li>A published value has a file for each term that wrote one; readers use the file of the
+ *       greatest term. A former leader that resumes after a suspension may write the file of its
+ *       own term, which is not read any more.
  * </ul>
  *
- * <p>Times are of the machine's monotonic clock, which all its processes share; a grant of before
- * the machine's last start has expired. Not thread-safe: one object for each thread.
+ * <p>Expiry times refer to the machine's monotonic clock, which all processes of the machine share.
+ * A grant from before the machine's last boot counts as expired. Not thread-safe: each thread needs
+ * an instance of its own.
  */
 public final class DirectoryLeaseStore implements LeaseStore {
 
     private static final String TERM_PREFIX = "term-";
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    /** Stands for the machine's start where the system has no id for it. */
+    /** Substitute for the boot id on systems that provide none. */
     private static final String UNKNOWN_BOOT_ID = "";
 
     private final LeaseDirectory directory;
     private final LongSupplier nanoClock;
     private final String bootId;
 
-    /** Opens the directory; creates it where there is none. */
+    /** Creates a store in the directory, which is created if it does not exist. */
     public DirectoryLeaseStore(Path directory) throws IOException {
         this(
                 DirectoryStorage.openShared(directory),
@@ -51,11 +54,12 @@
     }
 
     /**
-     * A store in any storage.
+     * Creates a store on the given storage.
      *
-     * @param nanoClock that all processes of the machine share
-     * @param bootId of the machine's start
-     * @param writer differs between the processes that use the storage at a time
+     * @param nanoClock monotonic clock that all processes of the machine share
+     * @param bootId id of the machine's current boot
+     * @param writer suffix of temporary file names, unique among the processes that use the storage
+     *     at the same time
      */
     DirectoryLeaseStore(Storage storage, LongSupplier nanoClock, String bootId, String writer) {
         directory = new LeaseDirectory(storage, writer);
@@ -77,32 +81,32 @@
         for (long number : directory.numberedFiles(TERM_PREFIX).keySet()) {
             LeaseTerm term = readTerm(number);
             if (term != null) {
-                past.add(new PastTerm(term.number(), term.owner(), term.atMillis()));
+                past.add(new PastTerm(term.number(), term.leader(), term.grantedAtMillis()));
             }
         }
         return new LeaseStatus(grantOf(newestTerm()), past);
     }
 
     @Override
-    public LeaseGrant acquire(String owner, long leaseNanos) throws IOException {
-        LeaseTerm before = newestTerm();
-        if (remainingNanos(before) > 0) {
-            return grantOf(before);
+    public LeaseGrant acquire(String candidate, long leaseNanos) throws IOException {
+        LeaseTerm previous = newestTerm();
+        if (remainingNanos(previous) > 0) {
+            return grantOf(previous);
         }
         LeaseTerm own =
                 new LeaseTerm(
-                        before.number() + 1,
-                        owner,
+                        previous.number() + 1,
+                        candidate,
                         bootId,
                         nanoClock.getAsLong() + leaseNanos,
                         System.currentTimeMillis());
-        if (!directory.createExclusively(fileOf(own), LeaseTermCodec.encode(own))) {
+        if (!directory.createExclusively(fileName(own), LeaseTermCodec.encode(own))) {
             return grantOf(newestTerm());
         }
-        // The owner of the term before may have renewed until the file was created.
-        long waitNanos = remainingNanosAfterRenewal(before);
+        // The previous leader may have renewed its term before the new file was created.
+        long waitNanos = remainingNanosAfterRenewal(previous);
         if (waitNanos > 0) {
-            own = own.withUntilNanos(nanoClock.getAsLong() + waitNanos + leaseNanos);
+            own = own.withExpiresAtNanos(nanoClock.getAsLong() + waitNanos + leaseNanos);
             writeTerm(own);
         }
         directory.cleanUp(TERM_PREFIX, own.number());
@@ -110,25 +114,25 @@
         if (newest.number() != own.number()) {
             return grantOf(newest);
         }
-        return new LeaseGrant(own.number(), owner, remainingNanos(own), waitNanos);
+        return new LeaseGrant(own.number(), candidate, remainingNanos(own), waitNanos);
     }
 
     @Override
-    public LeaseGrant renew(String owner, long term, long leaseNanos) throws IOException {
+    public LeaseGrant renew(String leader, long term, long leaseNanos) throws IOException {
         LeaseTerm newest = newestTerm();
         if (newest.number() != term
-                || !newest.owner().equals(owner)
+                || !newest.leader().equals(leader)
                 || !newest.bootId().equals(bootId)) {
             return grantOf(newest);
         }
-        writeTerm(newest.withUntilNanos(nanoClock.getAsLong() + leaseNanos));
+        writeTerm(newest.withExpiresAtNanos(nanoClock.getAsLong() + leaseNanos));
         return grantOf(newestTerm());
     }
 
     @Override
-    public void release(String owner, long term) throws IOException {
+    public void release(String leader, long term) throws IOException {
         LeaseTerm newest = newestTerm();
-        if (newest.number() == term && newest.owner().equals(owner)) {
+        if (newest.number() == term && newest.leader().equals(leader)) {
             writeTerm(newest.released(bootId));
         }
     }
@@ -153,7 +157,7 @@
             }
             long term = values.lastKey();
             byte[] body = directory.read(values.get(term));
-            // If it is gone since, another process has cleaned up, so there is a newer one.
+            // Null means that a process's cleanup has deleted the file, so a newer one exists.
             if (body != null) {
                 return new FencedValue(term, body);
             }
@@ -171,36 +175,41 @@
                 return LeaseTerm.none(bootId);
             }
             LeaseTerm newest = readTerm(terms.lastKey());
-            // If it is gone since, another process has cleaned up, so there is a newer one.
+            // Null means that a process's cleanup has deleted the file, so a newer one exists.
             if (newest != null) {
                 return newest;
             }
         }
     }
 
-    private long remainingNanosAfterRenewal(LeaseTerm before) throws IOException {
-        LeaseTerm renewed = before.number() == 0 ? before : readTerm(before.number());
+    /**
+     * Reads a term again, since its leader may have renewed it, and returns the time until it
+     * expires; 0 if it has expired or has no file.
+     */
+    private long remainingNanosAfterRenewal(LeaseTerm term) throws IOException {
+        LeaseTerm renewed = term.number() == 0 ? term : readTerm(term.number());
         return renewed == null ? 0 : Math.max(0, remainingNanos(renewed));
     }
 
+    /** Returns the time until a term expires; 0 or less if it has expired. */
     private long remainingNanos(LeaseTerm term) {
-        boolean isOfThisBoot = term.bootId().equals(bootId);
-        return isOfThisBoot ? term.untilNanos() - nanoClock.getAsLong() : 0;
+        boolean isOfCurrentBoot = term.bootId().equals(bootId);
+        return isOfCurrentBoot ? term.expiresAtNanos() - nanoClock.getAsLong() : 0;
     }
 
     private LeaseGrant grantOf(LeaseTerm term) {
-        return new LeaseGrant(term.number(), term.owner(), remainingNanos(term), 0);
+        return new LeaseGrant(term.number(), term.leader(), remainingNanos(term), 0);
     }
 
-    private static String fileOf(LeaseTerm term) {
+    private static String fileName(LeaseTerm term) {
         return TERM_PREFIX + term.number();
     }
 
     private void writeTerm(LeaseTerm term) throws IOException {
-        directory.write(fileOf(term), LeaseTermCodec.encode(term));
+        directory.write(fileName(term), LeaseTermCodec.encode(term));
     }
 
-    /** Null where there is no such term. */
+    /** Returns the term with the given number, or null if the term has no file. */
     private LeaseTerm readTerm(long number) throws IOException {
         String file = TERM_PREFIX + number;
         byte[] body = directory.read(file);
--- a/sidecar/src/main/java/sagefall/leaderelection/FencedValue.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/FencedValue.java
@@ -1,9 +1,9 @@
 package sagefall.leaderelection;
 
 /**
- * A value and the term that it was written under.
+ * A value in the lease store and the fencing token that it was written with.
  *
- * @param term of the leader that wrote it
- * @param body as it was written
+ * @param term term of the leader that wrote the value
+ * @param body bytes of the value
  */
 public record FencedValue(long term, byte[] body) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
@@ -10,47 +10,49 @@
 import sagefall.persistence.StoredDataException;
 
 /**
- * Runs a {@link LeaseStateMachine} against a store, and a task while this process is leader, on a
- * thread of its own. No request ever waits for any of it. Every field belongs to that thread.
+ * Runs a {@link LeaseStateMachine} on a lease store and, while this process is leader, a {@link
+ * LeaderTask}. Each elector has one thread for both, so that no client's request waits for the
+ * store. All fields are confined to that thread.
  */
 public final class LeaderElector extends BackgroundWorker {
 
     private static final String THREAD_NAME = "leader-election";
 
     private final LeaseStore store;
-    private final String owner;
+    private final String processName;
     private final LeaderTask task;
     private final LeaseTimings timings;
     private final Consumer<String> logger;
     private final SplittableRandom random;
     private final LeaseStateMachine lease;
 
-    /** The last request failed, so that only the first of several failures is logged. */
+    /** Whether the last step failed. Only the first of consecutive failures is logged. */
     private boolean storeUnavailable;
 
     /**
      * Starts the thread.
      *
-     * @param owner a name that no other process has, nor had: the sidecar's, and its start
-     * @param leaseMillis how long a grant lasts that is not renewed
-     * @param seed of the spread among candidates
-     * @param logger takes log lines, on the thread of this object
+     * @param processName name that no other process has or ever had: it contains the sidecar's name
+     *     and the process's id and start time
+     * @param leaseMillis duration of a grant that is not renewed
+     * @param seed seed of the random delays before attempts to acquire the lease
+     * @param logger receives the log lines, on the elector's thread
      */
     public LeaderElector(
             LeaseStore store,
-            String owner,
+            String processName,
             LeaderTask task,
             long leaseMillis,
             long seed,
             Consumer<String> logger) {
         super(THREAD_NAME);
         this.store = store;
-        this.owner = owner;
+        this.processName = processName;
         this.task = task;
         this.logger = logger;
         timings = LeaseTimings.of(TimeUnit.MILLISECONDS.toNanos(leaseMillis));
         random = new SplittableRandom(seed);
-        lease = new LeaseStateMachine(timings, owner, System.nanoTime());
+        lease = new LeaseStateMachine(timings, processName, System.nanoTime());
         start();
     }
 
@@ -68,8 +70,8 @@
     }
 
     private long sleepMillis() {
-        long untilWake = lease.wakeAt() - System.nanoTime();
-        long nanos = Math.min(untilWake, timings.longestSleepNanos());
+        long untilWakeNanos = lease.nextWakeAt() - System.nanoTime();
+        long nanos = Math.min(untilWakeNanos, timings.longestSleepNanos());
         return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
 
@@ -79,7 +81,7 @@
         }
         try {
             updateLease();
-            actIfLeader();
+            runTaskIfLeader();
             storeUnavailable = false;
         } catch (IOException e) {
             lease.onFailure(System.nanoTime());
@@ -101,9 +103,9 @@
         long sentAt = System.nanoTime();
         LeaseGrant grant = send(request);
         boolean changed =
-                lease.onAnswer(request, sentAt, System.nanoTime(), grant, random.nextDouble());
+                lease.onGrant(request, sentAt, System.nanoTime(), grant, random.nextDouble());
         if (changed && lease.isLeader()) {
-            log(eventOfTerm(LogEvent.LEASE_ACQUIRED));
+            log(eventWithTerm(LogEvent.LEASE_ACQUIRED));
         } else if (changed) {
             logLost("superseded");
         }
@@ -111,34 +113,34 @@
 
     private LeaseGrant send(LeaseRequest request) throws IOException {
         return switch (request) {
-            case ACQUIRE -> store.acquire(owner, timings.leaseNanos());
-            case RENEW -> store.renew(owner, lease.term(), timings.leaseNanos());
+            case ACQUIRE -> store.acquire(processName, timings.leaseNanos());
+            case RENEW -> store.renew(processName, lease.term(), timings.leaseNanos());
             case READ -> store.status().grant();
-            case NONE -> throw new IllegalArgumentException("nothing to send");
+            case NONE -> throw new IllegalArgumentException("LeaseRequest.NONE cannot be sent");
         };
     }
 
-    private void actIfLeader() throws IOException {
+    private void runTaskIfLeader() throws IOException {
         if (!task.isDue() || !lease.mayAct(System.nanoTime())) {
             return;
         }
         if (!task.run(store, lease.term())) {
-            log(eventOfTerm(LogEvent.FENCED_WRITE_REJECTED));
+            log(eventWithTerm(LogEvent.FENCED_WRITE_REJECTED));
         }
     }
 
     private void releaseIfLeader() throws IOException {
         if (lease.isLeader()) {
-            store.release(owner, lease.term());
-            log(eventOfTerm(LogEvent.LEASE_RELEASED));
+            store.release(processName, lease.term());
+            log(eventWithTerm(LogEvent.LEASE_RELEASED));
         }
     }
 
     private void logLost(String reason) {
-        log(eventOfTerm(LogEvent.LEASE_LOST).with("reason", reason));
+        log(eventWithTerm(LogEvent.LEASE_LOST).with("reason", reason));
     }
 
-    private LogLine eventOfTerm(LogEvent event) {
+    private LogLine eventWithTerm(LogEvent event) {
         return event(event).with("term", lease.term());
     }
 
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
@@ -2,22 +2,25 @@
 
 import java.io.IOException;
 
-/** Work that the leader does for all processes; called on the thread of {@link LeaderElector}. */
+/**
+ * Work that the leader does on behalf of all processes that share a lease store. The thread of
+ * {@link LeaderElector} calls all methods.
+ */
 public interface LeaderTask {
 
-    /** What it is called in the log. */
+    /** Returns the name of the task in log lines. */
     String name();
 
-    /** Whether there is work to do. */
+    /** Returns whether there is work to do. */
     boolean isDue();
 
     /**
-     * Does the work, changing nothing but what is in the store. Ends within a fraction of the
-     * lease.
+     * Does the work. An implementation changes nothing outside the store and returns within a
+     * fraction of the lease.
      *
-     * @param term the fencing token to write with
-     * @return false if the store rejected a write, as there is a newer term
-     * @throws IOException if the store does not answer; the work is retried
+     * @param term the leader's term, which is the fencing token of each write
+     * @return false if the store rejected a write because there is a newer term
+     * @throws IOException if the store fails; the work is then retried
      */
     boolean run(LeaseStore store, long term) throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
@@ -9,36 +9,40 @@
 import sagefall.persistence.Storage;
 
 /**
- * The files of a lease's directory, of which several kinds have a number at the end of their name,
- * such as {@code term-3}. Several processes use them at a time, each under its own temporary names.
+ * Reads and writes the files in a lease's directory. The names of the files consist of a prefix and
+ * a number, such as {@code term-3}. Several processes may use the directory at the same time; they
+ * use different names for their temporary files.
  */
 final class LeaseDirectory {
 
     private static final int MAX_FILE_BYTES = 4 * 1024 * 1024;
 
-    /** Files of that many numbers before the newest one stay, as a history. */
-    private static final int MAX_OLD_FILES = 32;
+    /** Number of terms before the newest one whose files are kept as a history. */
+    private static final int MAX_PAST_TERMS = 32;
 
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern TEMPORARY_OF_PROCESS =
+
+    /** Name of a temporary file; the group is the id of the process that created the file. */
+    private static final Pattern TEMPORARY_FILE_NAME =
             Pattern.compile(".+" + Pattern.quote(AtomicFile.TEMPORARY_SUFFIX) + "-([0-9]{1,18})");
 
     private final Storage storage;
 
-    /** Ends this process's temporary names. */
+    /** Suffix of this process's temporary file names. */
     private final String writerSuffix;
 
     /**
-     * A directory as one process uses it.
+     * Creates an instance for one process.
      *
-     * @param writer differs between the processes that use the directory at a time
+     * @param writer suffix of temporary file names, unique among the processes that use the
+     *     directory at the same time
      */
     LeaseDirectory(Storage storage, String writer) {
         this.storage = storage;
         writerSuffix = "-" + writer;
     }
 
-    /** The names of the files that begin with the prefix, by the numbers that they end in. */
+    /** Returns the file names that consist of the prefix and a number, in order of the numbers. */
     SortedMap<Long, String> numberedFiles(String prefix) throws IOException {
         SortedMap<Long, String> files = new TreeMap<>();
         for (String file : storage.list()) {
@@ -52,24 +56,25 @@
         return files;
     }
 
-    /** A file's body; null where there is no such file. */
+    /** Returns the body of a file, or null if the file does not exist. */
     byte[] read(String file) throws IOException {
         return AtomicFile.read(storage, file, MAX_FILE_BYTES);
     }
 
-    /** Replaces a file; it is on the disk once this returns. */
+    /** Replaces a file. The new body is on the disk when this method returns. */
     void write(String file, byte[] body) throws IOException {
         AtomicFile.write(storage, file, body, writerSuffix);
     }
 
-    /** Creates a file that does not exist yet; false if another process was first. */
+    /** Creates a file; returns false and changes nothing if the file already exists. */
     boolean createExclusively(String file, byte[] body) throws IOException {
         return AtomicFile.createExclusively(storage, file, body, writerSuffix);
     }
 
     /**
-     * Deletes files far behind the newest one; an old owner may bring one back, which nobody reads.
-     * So do the temporary files of processes that have died.
+     * Deletes the temporary files of processes that have exited, and the files with the prefix
+     * whose number is less than the newest one by more than {@link #MAX_PAST_TERMS}. A former
+     * leader may write a deleted file again, which has no effect because there is a newer one.
      */
     void cleanUp(String prefix, long newest) throws IOException {
         for (String file : storage.list()) {
@@ -77,15 +82,16 @@
                 storage.delete(file);
             }
         }
-        SortedMap<Long, String> old = numberedFiles(prefix).headMap(newest - MAX_OLD_FILES);
+        SortedMap<Long, String> old = numberedFiles(prefix).headMap(newest - MAX_PAST_TERMS);
         for (String file : old.values()) {
             storage.delete(file);
         }
     }
 
+    /** Returns whether the file is a temporary file of a process that has exited. */
     private static boolean isAbandoned(String file) {
-        Matcher temporary = TEMPORARY_OF_PROCESS.matcher(file);
-        return temporary.matches()
-                && ProcessHandle.of(Long.parseLong(temporary.group(1))).isEmpty();
+        Matcher temporaryName = TEMPORARY_FILE_NAME.matcher(file);
+        return temporaryName.matches()
+                && ProcessHandle.of(Long.parseLong(temporaryName.group(1))).isEmpty();
     }
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseRequest.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseRequest.java
@@ -1,13 +1,13 @@
 package sagefall.leaderelection;
 
-/** What a {@link LeaseStateMachine} wants from the store. */
+/** A request that a {@link LeaseStateMachine} makes to the lease store. */
 public enum LeaseRequest {
-    /** Nothing now. */
+    /** No request is due. */
     NONE,
-    /** Read who holds the lease. */
+    /** Read the newest grant. */
     READ,
-    /** Acquire the lease, which was found free. */
+    /** Acquire the lease, which the last read found to be free. */
     ACQUIRE,
-    /** Renew the lease for the machine's current term. */
+    /** Renew the lease for the state machine's current term. */
     RENEW
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -1,114 +1,119 @@
 package sagefall.leaderelection;
 
 /**
- * Decides when one process asks for the lease, renews it, and stops counting itself leader. Pure:
- * time and randomness come in, requests to the store come out, so that the thread that runs it and
- * the model that explores it host the very same code. Not thread-safe. All times are nanoseconds of
- * one monotonic clock.
+ * Decides when one process acquires the lease, renews it, and steps down as leader. The state
+ * machine does no I/O: times and random numbers are passed in and requests to the store are
+ * returned, so that production code and simulating tests run the same logic. Not thread-safe. All
+ * times are nanoseconds on one monotonic clock.
  *
- * <p>The leader counts its lease from the moment before it asked, the store from a later one, on
- * the same clock; so the leader stops by the margin before the lease can have expired there. Having
- * been paused for longer than {@link LeaseTimings#pauseNanos}, it does nothing until it has
- * renewed.
+ * <p>For the leader, its lease begins when it sends the request; for the store, the lease begins
+ * when the store handles the request, which is later. The leader therefore stops acting at least
+ * {@link LeaseTimings#marginNanos} before the lease expires in the store. A leader whose process
+ * was paused for longer than {@link LeaseTimings#pauseNanos} does not act until it has renewed the
+ * lease.
  */
 public final class LeaseStateMachine {
 
-    /** What this process knows of its own part. */
+    /** The role of this process in the election, as far as the process knows. */
     private enum State {
-        /** Another process holds the lease, as far as is known. */
+        /** Another process is leader, or the newest grant has not been read yet. */
         FOLLOWER,
-        /** The lease was found free: acquire it when it is time. */
+        /** The lease was free at the last read; the next request acquires it. */
         CANDIDATE,
-        /** The store has a grant of ours whose answer was lost: only a renewal confirms it. */
+        /**
+         * The last read returned a grant to this process although it is not leader, for example
+         * because the reply to its acquire request was lost. A renewal must confirm the grant.
+         */
         UNCONFIRMED,
-        /** Leader, and may act. */
+        /** Leader that may act. */
         LEADER,
-        /** Leader, but was paused: has to renew before it acts. */
+        /** Leader that was paused and has to renew the lease before it acts. */
         LEADER_PAUSED
     }
 
     private final LeaseTimings timings;
-    private final String owner;
+    private final String processName;
     private State state = State.FOLLOWER;
 
-    /** Of the grant that this process holds, or held or found last. */
+    /** Term of the last grant to this process that it received or read; 0 if there is none. */
     private long term;
 
-    /** From when on the leader may act. */
-    private long actFrom;
+    /** Time from which the leader may act. */
+    private long mayActFrom;
 
-    /** Until when the leader knows that the lease is its own. */
-    private long leaderUntil;
+    /** Time at which the leader steps down unless it has renewed the lease. */
+    private long stepDownAt;
 
-    /** When to make the next request. */
-    private long requestAt;
+    /** Time at which the next request is due, unless the state requires a renewal at once. */
+    private long nextRequestAt;
 
-    /** When this process was last seen running. */
-    private long runningAt;
+    /** Time of the last call of {@link #stepDownIfExpired}; a long gap since then is a pause. */
+    private long lastRunningAt;
 
     /**
-     * A follower; its first request is due at once.
+     * Creates a follower whose first request is due immediately.
      *
-     * @param owner a name that no other process has, nor had
+     * @param processName name that no other process has or ever had
      */
-    public LeaseStateMachine(LeaseTimings timings, String owner, long now) {
+    public LeaseStateMachine(LeaseTimings timings, String processName, long now) {
         this.timings = timings;
-        this.owner = owner;
-        requestAt = now;
-        runningAt = now;
+        this.processName = processName;
+        nextRequestAt = now;
+        lastRunningAt = now;
     }
 
-    /** The term that is held, or was held last. */
+    /** Returns the term of the last grant to this process; 0 if there is none. */
     public long term() {
         return term;
     }
 
-    /** Whether this process counts itself leader, be it that it has to renew before it acts. */
+    /** Returns whether this process is leader, including one that must renew before it acts. */
     public boolean isLeader() {
         return state == State.LEADER || state == State.LEADER_PAUSED;
     }
 
     /**
-     * Whether an action may begin. To be asked right before it; the store has the last word all the
-     * same.
+     * Returns whether an action of the leader may begin at this time. Must be called directly
+     * before the action. If the lease expires during the action, the store rejects its writes once
+     * there is a newer term.
      */
     public boolean mayAct(long now) {
-        return state == State.LEADER && now >= actFrom && now < leaderUntil && !wasPaused(now);
+        return state == State.LEADER && now >= mayActFrom && now < stepDownAt && !wasPaused(now);
     }
 
     private boolean wasPaused(long now) {
-        return now - runningAt > timings.pauseNanos();
+        return now - lastRunningAt > timings.pauseNanos();
     }
 
-    /** When {@link #nextRequest} wants to be called at the latest. */
-    public long wakeAt() {
-        return isLeader() ? Math.min(requestAt, leaderUntil) : requestAt;
+    /** Returns the latest time of the next {@link #stepDownIfExpired} and {@link #nextRequest}. */
+    public long nextWakeAt() {
+        return isLeader() ? Math.min(nextRequestAt, stepDownAt) : nextRequestAt;
     }
 
     /**
-     * Time has passed.
+     * Updates the state to the current time: detects a pause of the process and an expired lease.
      *
-     * @return whether the leader steps down now, as its lease may have expired
+     * @return true if the leader has stepped down because its lease may have expired
      */
     public boolean stepDownIfExpired(long now) {
         if (state == State.LEADER && wasPaused(now)) {
             state = State.LEADER_PAUSED;
         }
-        runningAt = now;
-        if (isLeader() && now >= leaderUntil) {
+        lastRunningAt = now;
+        if (isLeader() && now >= stepDownAt) {
             state = State.FOLLOWER;
-            requestAt = now;
+            nextRequestAt = now;
             return true;
         }
         return false;
     }
 
     /**
-     * What to ask the store now. Each request has to be followed by {@link #onAnswer} or {@link
-     * #onFailure}.
+     * Returns the request to send to the store now. Each request other than {@link
+     * LeaseRequest#NONE} must be followed by {@link #onGrant} or {@link #onFailure}.
      */
     public LeaseRequest nextRequest(long now) {
-        boolean isDue = now >= requestAt;
+        boolean isDue = now >= nextRequestAt;
         return switch (state) {
             case UNCONFIRMED, LEADER_PAUSED -> LeaseRequest.RENEW;
             case LEADER -> isDue ? LeaseRequest.RENEW : LeaseRequest.NONE;
@@ -118,33 +123,34 @@
     }
 
     /**
-     * The store has answered.
+     * Handles the grant that the store returned for a request.
      *
-     * @param sentAt when it was asked, by this process's clock
-     * @param draw random, from 0 to 1: spreads the candidates, over a third of a lease where the
-     *     leader was lost and over one poll where the lease was released
-     * @return whether this process has become leader, or ceased to be it, by this
+     * @param sentAt time at which the request was sent
+     * @param randomFraction random number from 0 to 1 that determines how long a candidate waits
+     *     before it acquires a free lease: up to a third of a lease if the lease expired, up to a
+     *     poll interval if the lease was released
+     * @return true if this process has become leader or is no longer leader
      */
-    public boolean onAnswer(
-            LeaseRequest request, long sentAt, long now, LeaseGrant grant, double draw) {
-        boolean isOwn = grant.owner().equals(owner) && grant.remainingNanos() > 0;
+    public boolean onGrant(
+            LeaseRequest request, long sentAt, long now, LeaseGrant grant, double randomFraction) {
+        boolean isOwn = grant.owner().equals(processName) && grant.remainingNanos() > 0;
         if (request == LeaseRequest.READ) {
-            onRead(now, grant, isOwn, draw);
+            onStatusRead(now, grant, isOwn, randomFraction);
             return false;
         }
         boolean wasLeader = isLeader();
         boolean isLeader = isOwn && (request == LeaseRequest.ACQUIRE || grant.term() == term);
         if (isLeader) {
             boolean isNewTerm = request == LeaseRequest.ACQUIRE;
-            lead(grant, sentAt, now, isNewTerm);
+            applyOwnGrant(grant, sentAt, now, isNewTerm);
         } else {
             state = State.FOLLOWER;
-            requestAt = now + timings.pollNanos();
+            nextRequestAt = now + timings.pollNanos();
         }
         return wasLeader != isLeader;
     }
 
-    private void onRead(long now, LeaseGrant grant, boolean isOwn, double draw) {
+    private void onStatusRead(long now, LeaseGrant grant, boolean isOwn, double randomFraction) {
         if (isOwn) {
             state = State.UNCONFIRMED;
             term = grant.term();
@@ -154,29 +160,31 @@
         if (state == State.CANDIDATE) {
             boolean wasReleased = grant.owner().isEmpty();
             long spread = wasReleased ? timings.pollNanos() : timings.takeoverSpreadNanos();
-            requestAt = now + (long) (draw * spread);
+            nextRequestAt = now + (long) (randomFraction * spread);
         } else {
-            requestAt = now + Math.min(timings.pollNanos(), grant.remainingNanos());
+            nextRequestAt = now + Math.min(timings.pollNanos(), grant.remainingNanos());
         }
     }
 
-    private void lead(LeaseGrant grant, long sentAt, long now, boolean isNewTerm) {
+    private void applyOwnGrant(LeaseGrant grant, long sentAt, long now, boolean isNewTerm) {
         term = grant.term();
-        long grantActsFrom = now + grant.waitNanos();
-        actFrom = isNewTerm ? Math.max(0, grantActsFrom) : Math.max(actFrom, grantActsFrom);
-        leaderUntil = sentAt + timings.leaseNanos() - timings.marginNanos();
-        requestAt = sentAt + timings.renewalNanos();
-        boolean answeredLate = now - sentAt > timings.pauseNanos();
-        state = answeredLate ? State.LEADER_PAUSED : State.LEADER;
+        long grantMayActFrom = now + grant.waitNanos();
+        mayActFrom =
+                isNewTerm ? Math.max(0, grantMayActFrom) : Math.max(mayActFrom, grantMayActFrom);
+        stepDownAt = sentAt + timings.leaseNanos() - timings.marginNanos();
+        nextRequestAt = sentAt + timings.renewalNanos();
+        boolean isLateGrant = now - sentAt > timings.pauseNanos();
+        state = isLateGrant ? State.LEADER_PAUSED : State.LEADER;
     }
 
     /**
-     * The store did not answer, or not clearly: a leader retries soon, and steps down if it must.
+     * Handles a request that failed or whose effect is unknown. A leader retries after a poll
+     * interval and stays leader until it must step down; any other process becomes a follower.
      */
     public void onFailure(long now) {
         if (!isLeader()) {
             state = State.FOLLOWER;
         }
-        requestAt = now + timings.pollNanos();
+        nextRequestAt = now + timings.pollNanos();
     }
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStore.java
@@ -3,34 +3,48 @@
 import java.io.IOException;
 
 /**
- * Keeps a lease: one owner at a time, each grant with a term that only grows; and what leaders
- * write, each value with the term that it was written under, of which only the one of the newest
- * term counts. An operation that throws may have been done all the same.
+ * Stores a lease and the values that its leaders publish.
+ *
+ * <p>The lease is granted to at most one process at a time, and the term increases with each grant.
+ * Each value is stored with the term under which it was written; readers see the value of the
+ * newest term. An operation that throws an exception may nevertheless have taken effect.
  */
 public interface LeaseStore {
 
-    /** Reads who holds the lease, and who held it. */
+    /** Reads the newest grant and the history of grants. */
     LeaseStatus status() throws IOException;
 
-    /** Acquires the lease if nobody holds it; returns the newest grant, whose ever it is. */
-    LeaseGrant acquire(String owner, long leaseNanos) throws IOException;
+    /**
+     * Acquires the lease for a process if the lease is free.
+     *
+     * @param candidate name of the process
+     * @param leaseNanos duration of the lease
+     * @return the newest grant, which may be another process's
+     */
+    LeaseGrant acquire(String candidate, long leaseNanos) throws IOException;
 
     /**
-     * Makes the lease last from now on, if that term is still the newest one and this owner's;
-     * returns the newest grant, whose ever it is.
+     * Extends the lease to its full duration from now, if the term is the newest one and was
+     * granted to this leader.
+     *
+     * @param leaseNanos full duration of the lease
+     * @return the newest grant, which may be another process's
      */
-    LeaseGrant renew(String owner, long term, long leaseNanos) throws IOException;
+    LeaseGrant renew(String leader, long term, long leaseNanos) throws IOException;
 
-    /** Releases the lease, if it is this owner's, so that another may acquire it at once. */
-    void release(String owner, long term) throws IOException;
+    /**
+     * Releases the lease, so that another process can acquire it at once, if the term is the newest
+     * one and was granted to this leader.
+     */
+    void release(String leader, long term) throws IOException;
 
     /**
-     * Writes a value with that term as fencing token.
+     * Writes a value with the term as its fencing token.
      *
-     * @return false if there is a newer term; then the value does not count
+     * @return false if there is a newer term; the value then has no effect
      */
     boolean publish(long term, String name, byte[] body) throws IOException;
 
-    /** The value of the newest term that wrote one; null where there is none. */
+    /** Returns the value of the newest term that has one, or null if there is no value. */
     FencedValue read(String name) throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
@@ -3,12 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The durations of a lease.
+ * Durations that govern a lease.
  *
- * @param leaseNanos how long a grant lasts that is not renewed
- * @param marginNanos by which the leader stops sooner than the store lets others in
- * @param pauseNanos how long the leader may have been paused and still act without renewing
- * @param pollNanos between two reads of who holds the lease
+ * @param leaseNanos duration of a grant that is not renewed
+ * @param marginNanos time by which the leader stops acting before its lease expires
+ * @param pauseNanos longest pause of the leader's process after which the leader may act without
+ *     renewing its lease first
+ * @param pollNanos interval between two reads of the newest grant
  */
 public record LeaseTimings(long leaseNanos, long marginNanos, long pauseNanos, long pollNanos) {
 
@@ -19,8 +20,9 @@
     private static final long LONGEST_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
-     * What follows from a lease: a sixth as margin, for a late step and an action under way; as
-     * much for a pause that needs no renewal; polls of a thirtieth, 100 ms at the most.
+     * Returns durations that are fractions of the lease: a sixth as the margin, which covers a late
+     * step of the state machine and an action in progress; a sixth as the longest pause that
+     * requires no renewal; a thirtieth, at most 100 ms, as the poll interval.
      */
     public static LeaseTimings of(long leaseNanos) {
         return new LeaseTimings(
@@ -30,17 +32,26 @@
                 Math.min(leaseNanos / POLLS_PER_LEASE, LONGEST_POLL_NANOS));
     }
 
-    /** Between two renewals: a third of a lease, so that one of two may fail. */
+    /**
+     * Returns the interval between two renewals: a third of the lease, so that the lease does not
+     * expire if one of two renewals fails.
+     */
     long renewalNanos() {
         return leaseNanos / RENEWALS_PER_LEASE;
     }
 
-    /** Longest delay of a candidate after a leader was lost, so that not all ask at once. */
+    /**
+     * Returns the longest random delay before a candidate acquires an expired lease. The delays
+     * keep the candidates from sending their requests at the same time.
+     */
     long takeoverSpreadNanos() {
         return leaseNanos / RENEWALS_PER_LEASE;
     }
 
-    /** Longest time that the leader's thread sleeps, so that it notices pauses of its own. */
+    /**
+     * Returns the longest time that the election thread sleeps: short enough for the thread to
+     * detect pauses of its own process.
+     */
     long longestSleepNanos() {
         return leaseNanos / POLLS_PER_LEASE;
     }
--- a/sidecar/src/main/java/sagefall/leaderelection/PastTerm.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/PastTerm.java
@@ -1,10 +1,10 @@
 package sagefall.leaderelection;
 
 /**
- * A grant of the lease in the past.
+ * An entry in the history of the lease's grants.
  *
- * @param term of the grant
- * @param owner to whom it was granted; empty once it was released
- * @param atMillis when, in Unix time
+ * @param term term of the grant
+ * @param owner name of the process that the lease was granted to; empty once the lease was released
+ * @param atMillis time of the grant, in Unix time
  */
 public record PastTerm(long term, String owner, long atMillis) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/PublishedSnapshot.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/PublishedSnapshot.java
@@ -3,9 +3,9 @@
 import sagefall.persistence.EndpointSnapshot;
 
 /**
- * The snapshot that was written last.
+ * The endpoint snapshot that a leader published last.
  *
- * @param snapshot the snapshot
- * @param term of the leader that wrote it
+ * @param snapshot the published endpoints
+ * @param term term of the leader that wrote the snapshot
  */
 public record PublishedSnapshot(EndpointSnapshot snapshot, long term) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
@@ -6,32 +6,33 @@
 import sagefall.persistence.SnapshotChange;
 
 /**
- * The leader's task of writing down, for all sidecars of a machine, what discovery reported last: a
- * sidecar that starts without a snapshot of its own learns from it which endpoints not to use. It
- * adds no endpoint, as another sidecar's list has another's addresses; and it never goes back to an
- * older revision, whoever is leader.
+ * The leader's task: publishes, for all sidecars of a machine, the endpoints that discovery
+ * reported last. A sidecar that starts without a snapshot of its own reads from the published one
+ * which endpoints not to use. It takes no additional endpoints from the published snapshot, since
+ * the addresses in one sidecar's endpoint list differ from those in another's. The published
+ * revision never decreases, even when the leader changes.
  *
- * <p>{@code pending} is handed from the event loop to the thread of {@link LeaderElector} under
- * this object's monitor; {@code state} belongs to that thread.
+ * <p>The event loop passes {@code pending} to the thread of {@link LeaderElector} under this
+ * object's monitor; {@code snapshot} is confined to that thread.
  */
 public final class SharedEndpointSnapshot implements LeaderTask {
 
-    /** Name of the value, of the task in the log, and of the snapshot in the stored data. */
-    private static final String DIGEST = "digest";
+    /** Name of the task in log lines, of its value in the lease store and of the snapshot. */
+    private static final String SNAPSHOT_NAME = "digest";
 
-    private EndpointSnapshot state = EndpointSnapshot.empty(DIGEST);
+    private EndpointSnapshot snapshot = EndpointSnapshot.empty(SNAPSHOT_NAME);
 
-    /** What is still to be written; null if nothing is. */
+    /** Changes that are not published yet; null if there are none. */
     private SnapshotChange pending;
 
-    /** Takes over what discovery reported; never waits for a disk. */
+    /** Records a change that discovery reported. Does no I/O. */
     public synchronized void record(SnapshotChange change) {
         pending = SnapshotChange.merge(pending, change);
     }
 
     @Override
     public String name() {
-        return DIGEST;
+        return SNAPSHOT_NAME;
     }
 
     @Override
@@ -39,12 +40,13 @@
         return pending != null;
     }
 
+    /** Returns the snapshot with the pending changes, which are then no longer pending. */
     private synchronized EndpointSnapshot applyPending() {
         if (pending != null) {
-            state = state.with(pending);
+            snapshot = snapshot.with(pending);
             pending = null;
         }
-        return state;
+        return snapshot;
     }
 
     @Override
@@ -54,16 +56,16 @@
         if (stored != null && stored.snapshot().revision() > next.revision()) {
             return true;
         }
-        return store.publish(term, DIGEST, EndpointSnapshotCodec.encode(next, term));
+        return store.publish(term, SNAPSHOT_NAME, EndpointSnapshotCodec.encode(next, term));
     }
 
-    /** What was written last; null where there is none. */
+    /** Returns the snapshot that was published last, or null if there is none. */
     public static PublishedSnapshot read(LeaseStore store) throws IOException {
-        FencedValue value = store.read(DIGEST);
+        FencedValue value = store.read(SNAPSHOT_NAME);
         if (value == null) {
             return null;
         }
         return new PublishedSnapshot(
-                EndpointSnapshotCodec.decode(DIGEST, value.body()), value.term());
+                EndpointSnapshotCodec.decode(SNAPSHOT_NAME, value.body()), value.term());
     }
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/package-info.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/package-info.java
@@ -1,14 +1,14 @@
 /**
- * Elects one leader among the sidecars of a machine, by a lease in a directory that they share, for
- * work that one of them does for all.
+ * Elects one leader among the sidecars of a machine, by a lease in a directory that they share. The
+ * leader does work on behalf of all these sidecars.
  *
- * <p>{@link sagefall.leaderelection.LeaderElector} runs the thread. When to ask for the lease, when
- * to renew it and when to stop acting is decided by {@link
- * sagefall.leaderelection.LeaseStateMachine}, which is pure. {@link
- * sagefall.leaderelection.LeaseStore} keeps the lease; each grant has a term that only grows and
- * that serves as fencing token: what an older term writes counts no more once a newer one has
- * begun. {@link sagefall.leaderelection.LeaderTask} is the leader's work; {@link
- * sagefall.leaderelection.SharedEndpointSnapshot} is the one that there is. {@code
- * docs/LEADER_ELECTION.md} has the guarantees.
+ * <p>{@link sagefall.leaderelection.LeaderElector} runs the election on its own thread. {@link
+ * sagefall.leaderelection.LeaseStateMachine} decides when to acquire the lease, when to renew it
+ * and when to stop acting; it does no I/O. {@link sagefall.leaderelection.LeaseStore} stores the
+ * lease. Each grant has a term that is greater than all earlier ones and that serves as fencing
+ * token: once a newer term has begun, writes of an older term have no effect. {@link
+ * sagefall.leaderelection.LeaderTask} is the leader's work; its only implementation is {@link
+ * sagefall.leaderelection.SharedEndpointSnapshot}. {@code docs/LEADER_ELECTION.md} states the
+ * guarantees.
  */
 package sagefall.leaderelection;
--- a/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
@@ -14,55 +14,64 @@
 import sagefall.persistence.LossyStorage;
 import sagefall.persistence.StoredDataException;
 
-/** The lease's files over power losses, and when one is damaged. */
+/** Tests the files of a lease store after a power loss and with a damaged file. */
 @Timeout(300)
 class DirectoryLeaseStoreTest {
 
-    private static final long LEASE = 20_000;
+    private static final long LEASE_NANOS = 20_000;
     private static final int SEEDS = 30;
 
-    /** More calls than the use of one term makes. */
-    private static final int CALLS = 30;
+    /** Upper bound on the number of storage calls that {@link #useTerm} makes. */
+    private static final int MAX_STORAGE_CALLS = 30;
 
     private static final int BOOTS = 3;
 
-    /** The power goes at every call of a term, with random outcomes: no term is granted twice. */
+    /**
+     * Loses the power at a given storage call of the first boot and of the second boot, for each
+     * call that the use of a term makes. The unforced writes that survive are chosen at random.
+     */
     @Test
-    void noTermIsGrantedTwiceOverAPowerLoss() throws IOException {
+    void termGrantedBeforePowerLossIsNotGrantedAgain() throws IOException {
         for (int seed = 0; seed < SEEDS; seed++) {
-            for (long lossAt = 0; lossAt < CALLS; lossAt++) {
-                losePower(seed, lossAt);
+            for (long lossAtCall = 0; lossAtCall < MAX_STORAGE_CALLS; lossAtCall++) {
+                assertTermsIncreaseAfterPowerLoss(seed, lossAtCall);
             }
         }
     }
 
-    private static void losePower(int seed, long lossAt) throws IOException {
-        LossyStorage storage = new LossyStorage(lossAt, 31L * seed + lossAt);
+    private static void assertTermsIncreaseAfterPowerLoss(int seed, long lossAtCall)
+            throws IOException {
+        LossyStorage storage = new LossyStorage(lossAtCall, 31L * seed + lossAtCall);
         long granted = 0;
         for (int boot = 0; boot < BOOTS; boot++) {
             granted = useTerm(storage, boot, granted);
-            long nextLossAt = boot == 0 ? lossAt : Long.MAX_VALUE;
-            storage = storage.afterPowerLoss(nextLossAt, seed + lossAt);
+            long nextLossAtCall = boot == 0 ? lossAtCall : Long.MAX_VALUE;
+            storage = storage.afterPowerLoss(nextLossAtCall, seed + lossAtCall);
         }
     }
 
-    /** Acquires a term after that one and uses it; returns the newest term that was granted. */
-    private static long useTerm(LossyStorage storage, int boot, long before) throws IOException {
+    /**
+     * Acquires a term and uses it; returns the newest term that was granted, which is the previous
+     * one if the power is lost before the grant.
+     */
+    private static long useTerm(LossyStorage storage, int boot, long previousTerm)
+            throws IOException {
         DirectoryLeaseStore store = new DirectoryLeaseStore(storage, () -> 0, "boot" + boot, "w");
-        String owner = "o" + boot;
-        long granted = before;
+        String leader = "o" + boot;
+        long granted = previousTerm;
         try {
-            LeaseGrant grant = store.acquire(owner, LEASE);
-            assertEquals(owner, grant.owner(), "a grant of before the loss has expired");
-            assertTrue(grant.term() > before, "term " + grant.term() + " after " + before);
+            LeaseGrant grant = store.acquire(leader, LEASE_NANOS);
+            assertEquals(leader, grant.owner(), "a grant from before the power loss has expired");
+            assertTrue(
+                    grant.term() > previousTerm, "term " + grant.term() + " after " + previousTerm);
             granted = grant.term();
-            store.renew(owner, granted, LEASE);
+            store.renew(leader, granted, LEASE_NANOS);
             assertTrue(store.publish(granted, "x", new byte[] {(byte) boot}));
             assertFalse(store.publish(granted - 1, "x", new byte[1]));
             assertEquals(boot, store.read("x").body()[0]);
-            store.release(owner, granted);
+            store.release(leader, granted);
         } catch (LossyStorage.PowerLoss e) {
-            // What was asked last may have been done or not.
+            // The operation that the power loss interrupted may have taken effect or not.
         }
         return granted;
     }
@@ -70,7 +79,7 @@
     @Test
     void damagedTermIsReportedAsCorrupt(@TempDir Path directory) throws IOException {
         DirectoryLeaseStore store = new DirectoryLeaseStore(directory);
-        store.acquire("n1", LEASE);
+        store.acquire("n1", LEASE_NANOS);
         Path file = directory.resolve("term-1");
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length - 1] ^= 1;
--- a/sidecar/src/test/java/sagefall/leaderelection/InterleavedStorage.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/InterleavedStorage.java
@@ -6,16 +6,17 @@
 import java.lang.reflect.Proxy;
 import sagefall.persistence.Storage;
 
-/** A storage that lets other processes take steps before each of its calls. */
+/** Wraps a storage so that a step, such as one of another process, runs before each call. */
 final class InterleavedStorage {
 
-    /** What happens before a call. */
+    /** A step that runs before a call to the storage. */
     interface Step {
         void run() throws IOException;
     }
 
     private InterleavedStorage() {}
 
+    /** Returns a storage that runs the step and then forwards the call to the target. */
     static Storage around(Storage target, Step before) {
         return (Storage)
                 Proxy.newProxyInstance(
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
@@ -21,8 +21,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes that run for leader; the leader is stopped past its lease and woken, killed, and
- * told to end, again and again. What they did is judged from what anybody reads.
+ * Tests leader election among several JVM processes. In each round the leader is suspended past its
+ * lease and resumed, or killed, or terminated. The published values must show that each term has
+ * one leader and that neither terms nor a term's actions go backwards.
  */
 @Timeout(600)
 class LeaderElectorTest {
@@ -31,11 +32,11 @@
     private static final int PROCESSES = 3;
     private static final long LEASE_MILLIS = 600;
     private static final long TIMEOUT_SECONDS = 60;
-    private static final long LOOK_MILLIS = 2;
+    private static final long POLL_MILLIS = 2;
     private static final String TASK = "test";
     private static final String ACTIONS = "actions";
 
-    /** What befalls a leader; the first rounds have one each, later ones any. */
+    /** A fault that a round injects into the leader: first each fault once, then random ones. */
     private enum Fault {
         STOP("STOP"),
         KILL("KILL"),
@@ -52,20 +53,20 @@
     private final SplittableRandom random = new SplittableRandom(5);
     private final Map<String, Process> processes = new HashMap<>();
 
-    /** Each action that counted at some moment, in the order in which they were seen. */
-    private final List<String> seenActions = new ArrayList<>();
+    /** The different published actions, in the order in which the test read them. */
+    private final List<String> publishedActions = new ArrayList<>();
 
     private Path directory;
     private DirectoryLeaseStore store;
-    private int started;
+    private int startedProcesses;
 
-    /** Writes the term, the owner and the number of the action, whenever it is leader. */
+    /** Publishes actions, each of which consists of the term, the process's name and a count. */
     private static final class CountingTask implements LeaderTask {
-        private final String owner;
+        private final String processName;
         private long count;
 
-        CountingTask(String owner) {
-            this.owner = owner;
+        CountingTask(String processName) {
+            this.processName = processName;
         }
 
         @Override
@@ -81,22 +82,22 @@
         @Override
         public boolean run(LeaseStore store, long term) throws IOException {
             count++;
-            String action = term + " " + owner + " " + count;
+            String action = term + " " + processName + " " + count;
             return store.publish(term, ACTIONS, action.getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    /** Runs for leader until it is told to end. */
+    /** Takes part in the election until the process is terminated. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Path directory = Path.of(args[0]);
-        String owner = args[1];
+        String processName = args[1];
         LeaderElector elector =
                 new LeaderElector(
                         new DirectoryLeaseStore(directory),
-                        owner,
-                        new CountingTask(owner),
+                        processName,
+                        new CountingTask(processName),
                         LEASE_MILLIS,
-                        owner.hashCode(),
+                        processName.hashCode(),
                         System.out::println);
         Runtime.getRuntime().addShutdownHook(new Thread(elector::close));
         Thread.currentThread().join();
@@ -119,8 +120,8 @@
     }
 
     private void startProcess() throws IOException {
-        started++;
-        String owner = "p" + started;
+        startedProcesses++;
+        String processName = "p" + startedProcesses;
         Process process =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -128,49 +129,49 @@
                                 System.getProperty("java.class.path"),
                                 LeaderElectorTest.class.getName(),
                                 directory.toString(),
-                                owner)
+                                processName)
                         .redirectErrorStream(true)
-                        .redirectOutput(logOf(owner).toFile())
+                        .redirectOutput(logFile(processName).toFile())
                         .start();
-        processes.put(owner, process);
+        processes.put(processName, process);
     }
 
-    private Path logOf(String owner) {
-        return parent.resolve(owner + ".log");
+    private Path logFile(String processName) {
+        return parent.resolve(processName + ".log");
     }
 
     @Test
-    void formerLeaderThatWakesUpLateDoesNoHarm() throws Exception {
+    void publishedActionsStayInOrderWhenLeaderIsSuspendedKilledOrTerminated() throws Exception {
         LeaseGrant leader = awaitLeaderAfterTerm(0);
         for (int round = 0; round < ROUNDS; round++) {
-            leader = replaceLeader(leader, faultOf(round));
+            leader = replaceLeader(leader, faultOfRound(round));
         }
         assertActionsInOrder();
     }
 
-    private Fault faultOf(int round) {
+    private Fault faultOfRound(int round) {
         Fault[] all = Fault.values();
         return all[round < all.length ? round : random.nextInt(all.length)];
     }
 
-    /** Lets the fault happen to the leader and waits for the next one. */
+    /** Injects the fault into the leader's process and waits for the next leader. */
     private LeaseGrant replaceLeader(LeaseGrant leader, Fault fault) throws Exception {
-        String owner = leader.owner();
-        Process process = processes.get(owner);
-        awaitLogLine(owner, "INFO lease_acquired task=test term=" + leader.term() + "\n");
+        String processName = leader.owner();
+        Process process = processes.get(processName);
+        awaitLogLine(processName, "INFO lease_acquired task=test term=" + leader.term() + "\n");
         long faultAt = System.nanoTime();
         signal(fault.signal, process);
         LeaseGrant next = awaitLeaderAfterTerm(leader.term());
         System.out.printf(
-                "%s: next leader after %d ms of a lease of %d%n",
+                "%s: next leader after %d ms, with a lease of %d ms%n",
                 fault, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - faultAt), LEASE_MILLIS);
         if (fault == Fault.STOP) {
             signal("CONT", process);
-            // Whatever it does late is looked for until it says that it has stepped down.
-            awaitLogLine(owner, "WARN lease_lost task=test term=" + leader.term() + " ");
+            // Late writes of the former leader are recorded until it logs that it has stepped down.
+            awaitLogLine(processName, "WARN lease_lost task=test term=" + leader.term() + " ");
         } else {
             process.waitFor();
-            processes.remove(owner);
+            processes.remove(processName);
             startProcess();
         }
         return next;
@@ -183,7 +184,7 @@
         assertEquals(0, kill.waitFor());
     }
 
-    /** Who holds a term after that one; looks until there is somebody. */
+    /** Waits for a leader with a term newer than the given one and returns its grant. */
     private LeaseGrant awaitLeaderAfterTerm(long term) throws IOException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (true) {
@@ -193,27 +194,28 @@
                     return grant;
                 }
             } catch (IOException e) {
-                // Read between two writes of another process.
+                // Another process changed the files during the read, so they are read again.
             }
-            lookAtActions();
-            assertTrue(System.nanoTime() < deadline, "nobody took term " + (term + 1));
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LOOK_MILLIS));
+            recordPublishedAction();
+            assertTrue(System.nanoTime() < deadline, "no leader after term " + term);
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(POLL_MILLIS));
         }
     }
 
-    private void awaitLogLine(String owner, String line) throws IOException, InterruptedException {
-        Process process = processes.get(owner);
+    private void awaitLogLine(String processName, String line)
+            throws IOException, InterruptedException {
+        Process process = processes.get(processName);
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
-        while (!Files.readString(logOf(owner)).contains(line)) {
+        while (!Files.readString(logFile(processName)).contains(line)) {
             assertTrue(
-                    process.isAlive() && System.nanoTime() < deadline, () -> line + " never came");
-            lookAtActions();
-            process.waitFor(LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                    process.isAlive() && System.nanoTime() < deadline, () -> "not logged: " + line);
+            recordPublishedAction();
+            process.waitFor(POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** What counts at this moment, as anybody sees it. */
-    private void lookAtActions() throws IOException {
+    /** Reads the published action and records it if it differs from the last one. */
+    private void recordPublishedAction() throws IOException {
         FencedValue value = store.read(ACTIONS);
         if (value == null) {
             return;
@@ -221,29 +223,32 @@
         String action = new String(value.body(), StandardCharsets.US_ASCII);
         assertTrue(action.startsWith(value.term() + " "), action + " under term " + value.term());
         boolean isNew =
-                seenActions.isEmpty() || !seenActions.get(seenActions.size() - 1).equals(action);
+                publishedActions.isEmpty()
+                        || !publishedActions.get(publishedActions.size() - 1).equals(action);
         if (isNew) {
-            seenActions.add(action);
+            publishedActions.add(action);
         }
     }
 
-    /** Each term has one owner, terms only grow, and so do the actions of a term. */
+    /** Asserts that each term has one leader and that terms and counts within a term never fall. */
     private void assertActionsInOrder() {
-        Map<Long, String> owners = new HashMap<>();
+        Map<Long, String> leadersByTerm = new HashMap<>();
         long term = 0;
         long count = 0;
-        for (String action : seenActions) {
+        for (String action : publishedActions) {
             String[] words = action.split(" ", 0);
             long nextTerm = Long.parseLong(words[0]);
-            String owner = words[1];
+            String processName = words[1];
             long nextCount = Long.parseLong(words[2]);
-            assertEquals(owner, owners.computeIfAbsent(nextTerm, t -> owner), action);
+            assertEquals(
+                    processName, leadersByTerm.computeIfAbsent(nextTerm, t -> processName), action);
             assertTrue(nextTerm >= term, action + " after term " + term);
             assertTrue(nextTerm > term || nextCount >= count, action + " after action " + count);
             term = nextTerm;
             count = nextCount;
         }
-        // Some are killed before they have done anything.
-        assertTrue(owners.size() > 1, seenActions.size() + " actions of " + owners);
+        // Only two terms are required, since a leader may be killed before it publishes an action.
+        assertTrue(
+                leadersByTerm.size() > 1, publishedActions.size() + " actions of " + leadersByTerm);
     }
 }
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseCandidate.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseCandidate.java
@@ -3,48 +3,49 @@
 import java.io.IOException;
 
 /**
- * One process of a {@link LeaseModel}: between any two of its steps any time may pass, which is
- * what a pause is.
+ * The state of one simulated process in a {@link LeaseModel}. Any duration may pass between two
+ * steps of the process, which simulates a pause.
  */
 final class LeaseCandidate {
 
-    String owner;
+    String processName;
     DirectoryLeaseStore store;
     LeaseStateMachine lease;
     LeaseRequest request = LeaseRequest.NONE;
     long sentAt;
 
-    /** The store's answer to the request; null until it is there. */
-    LeaseGrant answer;
+    /** Grant that the store returned for the request; null before the store has returned one. */
+    LeaseGrant grant;
 
-    /** Until then nothing that it asks arrives. */
-    long cutOffUntil;
+    /** Time until which no request of the process reaches the store. */
+    long disconnectedUntil;
 
-    /** Until then it stands still, whatever it was doing. */
-    long stoppedUntil;
+    /** Time until which the process is suspended. */
+    long suspendedUntil;
 
-    /** The term of an action that has begun and not yet changed anything; 0: none. */
+    /** Term of the action that has begun but has not yet written its value; 0 if there is none. */
     long actingTerm;
 
-    /** Begins as a new process; faults of the machine go on. */
-    void restart(String newOwner, DirectoryLeaseStore newStore, LeaseStateMachine newLease) {
-        owner = newOwner;
+    /** Replaces the process with a new one, which the remaining faults of the old one affect. */
+    void restart(String newProcessName, DirectoryLeaseStore newStore, LeaseStateMachine newLease) {
+        processName = newProcessName;
         store = newStore;
         lease = newLease;
         request = LeaseRequest.NONE;
         actingTerm = 0;
     }
 
+    /** Sends a request to the store and returns the grant in the store's reply. */
     LeaseGrant send(LeaseRequest toSend, long leaseNanos) throws IOException {
         return switch (toSend) {
-            case ACQUIRE -> store.acquire(owner, leaseNanos);
-            case RENEW -> store.renew(owner, lease.term(), leaseNanos);
+            case ACQUIRE -> store.acquire(processName, leaseNanos);
+            case RENEW -> store.renew(processName, lease.term(), leaseNanos);
             default -> store.status().grant();
         };
     }
 
     @Override
     public String toString() {
-        return owner + " with term " + lease.term();
+        return processName + " with term " + lease.term();
     }
 }
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
@@ -9,10 +9,10 @@
 import sagefall.persistence.Storage;
 
 /**
- * Three processes that run the real state machine against the real store, on a clock and with a
- * random generator of the model's. Every step may be late, answers may be lost, and processes die.
- * The model watches for breaches: two processes that may act at one moment, and a change of an
- * older term after one of a newer term.
+ * Simulates three processes that run the production state machine and lease store on a simulated
+ * clock. Steps may be delayed, replies of the store may be lost, and processes may be killed and
+ * replaced. The model detects two violations: two processes may act at the same time, or a write of
+ * an older term is accepted after one of a newer term.
  */
 final class LeaseModel {
 
@@ -25,6 +25,8 @@
     private final List<LeaseCandidate> candidates =
             List.of(new LeaseCandidate(), new LeaseCandidate(), new LeaseCandidate());
     private final LossyStorage storage = new LossyStorage(Long.MAX_VALUE, 1);
+
+    /** Candidates that are in the middle of a step and take no other step. */
     private final Set<LeaseCandidate> busy = new HashSet<>();
     private final Storage interleavedStorage = InterleavedStorage.around(storage, this::interleave);
     private final DirectoryLeaseStore observer =
@@ -35,11 +37,15 @@
     private int newTerms;
     private int starts;
     private int rejections;
-    private String breach;
+    private String violation;
 
     /**
-     * @param timings that the processes use; the store's lease is {@code leaseNanos}
-     * @param isFenced false: what the store rejects counts all the same
+     * Creates a model whose processes are followers.
+     *
+     * @param leaseNanos duration of the lease in the store
+     * @param timings durations that the processes use
+     * @param isFenced whether writes that the store rejects have no effect; otherwise the model
+     *     counts them as accepted
      */
     LeaseModel(long seed, long leaseNanos, LeaseTimings timings, boolean isFenced) {
         random = new SplittableRandom(seed);
@@ -49,27 +55,27 @@
         candidates.forEach(this::restart);
     }
 
-    /** Changes that were accepted. */
+    /** Returns the number of writes that were accepted. */
     int actions() {
         return actions;
     }
 
-    /** Terms that have changed something. */
+    /** Returns the number of accepted writes whose term was newer than all before. */
     int newTerms() {
         return newTerms;
     }
 
-    /** Writes that the store has rejected, as there was a newer term. */
+    /** Returns the number of writes that the store rejected because there was a newer term. */
     int rejections() {
         return rejections;
     }
 
-    /** The newest term that has changed something. */
+    /** Returns the newest term with an accepted write. */
     long newestTerm() {
         return newestTerm;
     }
 
-    /** The lease as somebody else reads it. */
+    /** Returns access to the store for a reader that takes no part in the election. */
     LeaseStore observer() {
         return observer;
     }
@@ -78,31 +84,37 @@
         return now;
     }
 
-    /** Runs until a breach or for that many steps; returns the breach, null if there was none. */
+    /**
+     * Runs until a violation or for the given number of steps.
+     *
+     * @return the violation, or null if there was none
+     */
     String run(int steps) throws IOException {
-        for (int i = 0; i < steps && breach == null; i++) {
+        for (int i = 0; i < steps && violation == null; i++) {
             step();
         }
-        return breach;
+        return violation;
     }
 
-    /** Called between any two calls of a process at its files: others may take steps. */
+    /** Before a storage call of a process, lets another process take a step, at random. */
     private void interleave() throws IOException {
         if (busy.size() < PROCESSES && random.nextInt(4) == 0) {
             step();
         }
     }
 
+    /** Replaces the candidate's process with a new one that has a new name. */
     private void restart(LeaseCandidate candidate) {
         starts++;
-        String owner = "p" + starts;
+        String processName = "p" + starts;
         DirectoryLeaseStore store =
-                new DirectoryLeaseStore(interleavedStorage, this::now, "b", owner);
-        candidate.restart(owner, store, new LeaseStateMachine(timings, owner, now));
+                new DirectoryLeaseStore(interleavedStorage, this::now, "b", processName);
+        candidate.restart(processName, store, new LeaseStateMachine(timings, processName, now));
     }
 
+    /** Advances the clock and lets a random candidate take a step unless it is busy. */
     private void step() throws IOException {
-        now += passedNanos();
+        now += randomStepNanos();
         LeaseCandidate candidate = candidates.get(random.nextInt(candidates.size()));
         if (!busy.add(candidate)) {
             return;
@@ -114,8 +126,8 @@
         }
     }
 
-    /** Mostly small steps, now and then long ones. */
-    private long passedNanos() {
+    /** Returns a random duration: mostly a short one, rarely a long one. */
+    private long randomStepNanos() {
         if (random.nextInt(4) > 0) {
             return random.nextInt(40);
         }
@@ -130,15 +142,15 @@
             restart(candidate);
             return;
         }
-        if (now < candidate.stoppedUntil) {
+        if (now < candidate.suspendedUntil) {
             return;
         }
         if (random.nextInt(500) == 0) {
-            candidate.stoppedUntil = now + faultNanos();
+            candidate.suspendedUntil = now + randomFaultNanos();
             return;
         }
         if (random.nextInt(1000) == 0) {
-            candidate.cutOffUntil = now + faultNanos();
+            candidate.disconnectedUntil = now + randomFaultNanos();
         }
         if (candidate.actingTerm > 0 && random.nextBoolean()) {
             finishAction(candidate);
@@ -147,20 +159,20 @@
         }
     }
 
-    private long faultNanos() {
+    private long randomFaultNanos() {
         return random.nextInt((int) (3 * leaseNanos));
     }
 
     private void advanceLease(LeaseCandidate candidate) throws IOException {
         if (candidate.request == LeaseRequest.NONE) {
             chooseRequest(candidate);
-        } else if (candidate.answer != null) {
-            receiveAnswer(candidate);
-        } else if (now < candidate.cutOffUntil) {
+        } else if (candidate.grant != null) {
+            receiveGrant(candidate);
+        } else if (now < candidate.disconnectedUntil) {
             candidate.lease.onFailure(now);
             candidate.request = LeaseRequest.NONE;
         } else {
-            candidate.answer = candidate.send(candidate.request, leaseNanos);
+            candidate.grant = candidate.send(candidate.request, leaseNanos);
         }
     }
 
@@ -169,33 +181,29 @@
         beginAction(candidate);
         candidate.request = candidate.lease.nextRequest(now);
         candidate.sentAt = now;
-        candidate.answer = null;
+        candidate.grant = null;
     }
 
-    private void receiveAnswer(LeaseCandidate candidate) {
+    private void receiveGrant(LeaseCandidate candidate) {
         boolean isLost = random.nextInt(20) == 0;
         if (isLost) {
             candidate.lease.onFailure(now);
         } else {
-            candidate.lease.onAnswer(
-                    candidate.request,
-                    candidate.sentAt,
-                    now,
-                    candidate.answer,
-                    random.nextDouble());
+            candidate.lease.onGrant(
+                    candidate.request, candidate.sentAt, now, candidate.grant, random.nextDouble());
         }
         candidate.request = LeaseRequest.NONE;
         beginAction(candidate);
     }
 
-    /** No two processes may act at one moment. */
+    /** Checks that no other process may act at this time, and begins an action at random. */
     private void beginAction(LeaseCandidate candidate) {
         if (!candidate.lease.mayAct(now)) {
             return;
         }
         for (LeaseCandidate other : candidates) {
             if (other != candidate && other.lease.mayAct(now)) {
-                breach = candidate + " and " + other + " may act at once";
+                violation = candidate + " and " + other + " may act at the same time";
             }
         }
         if (candidate.actingTerm == 0 && random.nextInt(3) == 0) {
@@ -212,9 +220,10 @@
             rejections++;
         }
         if (isAccepted || !isFenced) {
-            // What was accepted while this was under way may come before it or after.
+            // A write accepted during this one counts as either earlier or later, so the term is
+            // compared with the newest one from before this write.
             if (term < newestBefore) {
-                breach = "term " + term + " changed something after term " + newestTerm;
+                violation = "term " + term + " wrote after term " + newestTerm;
             }
             if (term > newestTerm) {
                 newTerms++;
@@ -224,27 +233,27 @@
         }
     }
 
-    /** Without any more faults: whether some process may act before that time has passed. */
-    boolean somebodyMayActWithin(long nanos) throws IOException {
-        // All are busy: no steps in between.
+    /** Runs without further faults; returns whether a process may act before the duration ends. */
+    boolean mayAnyCandidateActWithin(long nanos) throws IOException {
+        // While all candidates are marked as busy, no steps are interleaved.
         busy.addAll(candidates);
-        long until = now + nanos;
+        long deadline = now + nanos;
         boolean mayAct = false;
-        while (!mayAct && now < until) {
+        while (!mayAct && now < deadline) {
             now += 200;
             for (LeaseCandidate candidate : candidates) {
-                mayAct |= turnWithoutFault(candidate);
+                mayAct |= stepWithoutFault(candidate);
             }
         }
         return mayAct;
     }
 
-    private boolean turnWithoutFault(LeaseCandidate candidate) throws IOException {
+    private boolean stepWithoutFault(LeaseCandidate candidate) throws IOException {
         candidate.lease.stepDownIfExpired(now);
         LeaseRequest request = candidate.lease.nextRequest(now);
         if (request != LeaseRequest.NONE) {
             LeaseGrant grant = candidate.send(request, leaseNanos);
-            candidate.lease.onAnswer(request, now, now, grant, random.nextDouble());
+            candidate.lease.onGrant(request, now, now, grant, random.nextDouble());
         }
         return candidate.lease.mayAct(now);
     }
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
@@ -12,62 +12,72 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state machine and the store, explored by a {@link LeaseModel}: whatever the order of steps,
- * no older term changes anything after a newer one.
+ * Tests the state machine and the lease store together, with random orders of steps in a {@link
+ * LeaseModel}: the store must accept no write of an older term after one of a newer term.
  */
 @Timeout(300)
 class LeaseStateMachineTest {
 
-    private static final long LEASE = 20_000;
-    private static final LeaseTimings TIMINGS = LeaseTimings.of(LEASE);
+    private static final long LEASE_NANOS = 20_000;
+    private static final LeaseTimings TIMINGS = LeaseTimings.of(LEASE_NANOS);
     private static final int STEPS = Integer.getInteger("steps", 100_000);
     private static final boolean FENCED = true;
 
     private static LeaseModel model(long seed, LeaseTimings timings) {
-        return new LeaseModel(seed, LEASE, timings, FENCED);
+        return new LeaseModel(seed, LEASE_NANOS, timings, FENCED);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void noOlderTermActsAfterANewerOne(long seed) throws IOException {
+    void noWriteOfOlderTermIsAcceptedAfterNewerTerm(long seed) throws IOException {
         LeaseModel model = model(seed, TIMINGS);
         assertNull(model.run(STEPS));
         assertTrue(
                 model.actions() > STEPS / 200 && model.newTerms() > STEPS / 10_000,
                 model.actions() + " actions, " + model.newTerms() + " terms");
-        assertTrue(model.rejections() > 0, "no late owner was ever rejected");
+        assertTrue(model.rejections() > 0, "no write of a former leader was rejected");
         assertEquals(
                 model.newestTerm(),
                 model.observer().read("x").term(),
-                "what counts is the newest term's");
+                "the published value is not that of the newest term");
     }
 
     @Test
-    void modelFindsABreachWithoutTheMargin() throws IOException {
-        LeaseTimings late =
-                new LeaseTimings(LEASE, -LEASE / 2, TIMINGS.pauseNanos(), TIMINGS.pollNanos());
-        assertNotNull(model(1, late).run(STEPS), "no margin");
+    void modelFindsViolationWithoutMargin() throws IOException {
+        LeaseTimings withoutMargin =
+                new LeaseTimings(
+                        LEASE_NANOS, -LEASE_NANOS / 2, TIMINGS.pauseNanos(), TIMINGS.pollNanos());
+        assertNotNull(model(1, withoutMargin).run(STEPS), "no violation found without the margin");
     }
 
     @Test
-    void marginCoversPausesThatAreNotNoticed() throws IOException {
-        LeaseTimings blind =
-                new LeaseTimings(LEASE, TIMINGS.marginNanos(), 100 * LEASE, TIMINGS.pollNanos());
-        assertNull(model(1, blind).run(STEPS), "a pause alone is what the margin covers");
+    void noViolationOccursWithMarginAndWithoutPauseDetection() throws IOException {
+        LeaseTimings withoutPauseDetection =
+                new LeaseTimings(
+                        LEASE_NANOS, TIMINGS.marginNanos(), 100 * LEASE_NANOS, TIMINGS.pollNanos());
+        assertNull(
+                model(1, withoutPauseDetection).run(STEPS),
+                "the margin does not cover undetected pauses");
     }
 
     @Test
-    void modelFindsABreachWithoutTheFencingToken() throws IOException {
-        LeaseModel unfenced = new LeaseModel(1, LEASE, TIMINGS, !FENCED);
-        assertNotNull(unfenced.run(STEPS), "no token check");
+    void modelFindsViolationWithoutFencingToken() throws IOException {
+        LeaseModel unfenced = new LeaseModel(1, LEASE_NANOS, TIMINGS, !FENCED);
+        assertNotNull(unfenced.run(STEPS), "no violation found without the token check");
     }
 
+    /**
+     * The takeover takes at most the rest of a lease, the random delay of up to a third of a lease,
+     * and some poll intervals.
+     */
     @Test
-    void onceFaultsEndSomebodyLeadsWithinALeaseTheSpreadAndSomePolls() throws IOException {
+    void leaderIsElectedWithinTakeoverTimeAfterFaultsEnd() throws IOException {
         for (int seed = 0; seed < 200; seed++) {
             LeaseModel model = model(seed, TIMINGS);
             model.run(300);
-            assertTrue(model.somebodyMayActWithin(LEASE + LEASE / 3 + 3_000), "seed " + seed);
+            assertTrue(
+                    model.mayAnyCandidateActWithin(LEASE_NANOS + LEASE_NANOS / 3 + 3_000),
+                    "seed " + seed);
         }
     }
 }
--- a/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
@@ -22,25 +22,26 @@
 import sagefall.persistence.SnapshotEntry;
 
 /**
- * A directory of the section {@code duties} that the build of commit 732727c wrote is read as it
- * was then, and what is written now has the same bytes. How it was made is in its README.
+ * Tests that the current build correctly reads a lease directory that the build of commit 732727c
+ * wrote, and writes identical bytes. The README of the stored data describes how the directory was
+ * created.
  */
 class StoredDataCompatibilityTest {
 
     private static final String RESOURCES = "/stored-data/duties";
-    private static final String BOOT = "boot-of-the-test";
-    private static final String OWNER_2 = "n2#102#2000000";
-    private static final String OWNER_3 = "n3#103#3000000";
-    private static final String OWNER_4 = "n4#104#4000000";
-    private static final long SECOND = 1_000_000_000L;
-    private static final long LEASE = 3 * SECOND;
-    private static final long RENEWED_AT = 5_100_000_000L;
+    private static final String BOOT_ID = "boot-of-the-test";
+    private static final String LEADER_2 = "n2#102#2000000";
+    private static final String LEADER_3 = "n3#103#3000000";
+    private static final String CANDIDATE_4 = "n4#104#4000000";
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long LEASE_NANOS = 3 * NANOS_PER_SECOND;
+    private static final long RENEWED_AT_NANOS = 5_100_000_000L;
     private static final long TERM_1_AT_MILLIS = 1_796_233_634_156L;
     private static final long TERM_2_AT_MILLIS = 1_796_233_634_332L;
     private static final long TERM_3_AT_MILLIS = 1_796_233_634_342L;
-    private static final long ENDS_AT = RENEWED_AT + LEASE;
+    private static final long EXPIRES_AT_NANOS = RENEWED_AT_NANOS + LEASE_NANOS;
 
-    private static final EndpointSnapshot DIGEST =
+    private static final EndpointSnapshot SNAPSHOT =
             new EndpointSnapshot(
                     "digest",
                     0,
@@ -82,79 +83,88 @@
                                             1_700_000_007_000L)));
 
     @TempDir private Path directory;
-    private long now = RENEWED_AT;
+    private long nowNanos = RENEWED_AT_NANOS;
 
-    private static Path stored() throws URISyntaxException {
+    private static Path storedDirectory() throws URISyntaxException {
         return Path.of(StoredDataCompatibilityTest.class.getResource(RESOURCES).toURI());
     }
 
     @BeforeEach
-    void copy() throws IOException, URISyntaxException {
-        try (Stream<Path> files = Files.list(stored())) {
+    void copyStoredDirectory() throws IOException, URISyntaxException {
+        try (Stream<Path> files = Files.list(storedDirectory())) {
             for (Path file : files.toList()) {
                 Files.copy(file, directory.resolve(file.getFileName()));
             }
         }
     }
 
-    private DirectoryLeaseStore store(String boot) throws IOException {
+    private DirectoryLeaseStore store(String bootId) throws IOException {
         return new DirectoryLeaseStore(
-                DirectoryStorage.openShared(directory), () -> now, boot, "1");
+                DirectoryStorage.openShared(directory), () -> nowNanos, bootId, "1");
     }
 
-    /** Term 1 was released, so it names no owner any more; term 2 expired; term 3 is held. */
+    /** Of the stored terms, 1 was released and has no leader, 2 has expired, and 3 is current. */
     @Test
-    void termsAndOwnersAreRead() throws IOException {
-        LeaseStatus status = store(BOOT).status();
-        assertEquals(new LeaseGrant(3, OWNER_3, LEASE, 0), status.grant());
+    void termsAndLeadersAreRead() throws IOException {
+        LeaseStatus status = store(BOOT_ID).status();
+        assertEquals(new LeaseGrant(3, LEADER_3, LEASE_NANOS, 0), status.grant());
         assertEquals(
                 List.of(
                         new PastTerm(1, "", TERM_1_AT_MILLIS),
-                        new PastTerm(2, OWNER_2, TERM_2_AT_MILLIS),
-                        new PastTerm(3, OWNER_3, TERM_3_AT_MILLIS)),
+                        new PastTerm(2, LEADER_2, TERM_2_AT_MILLIS),
+                        new PastTerm(3, LEADER_3, TERM_3_AT_MILLIS)),
                 status.past());
     }
 
     @Test
-    void digestOfTheGreatestTermIsRead() throws IOException {
-        assertEquals(new PublishedSnapshot(DIGEST, 2), SharedEndpointSnapshot.read(store(BOOT)));
+    void snapshotOfGreatestTermIsRead() throws IOException {
+        assertEquals(
+                new PublishedSnapshot(SNAPSHOT, 2), SharedEndpointSnapshot.read(store(BOOT_ID)));
     }
 
     @Test
-    void heldTermKeepsOthersOutUntilItExpires() throws IOException {
-        now = ENDS_AT - 1;
-        assertEquals(new LeaseGrant(3, OWNER_3, 1, 0), store(BOOT).acquire(OWNER_4, LEASE));
-        now = ENDS_AT;
-        assertEquals(new LeaseGrant(4, OWNER_4, LEASE, 0), store(BOOT).acquire(OWNER_4, LEASE));
+    void leaseIsNotGrantedToAnotherProcessUntilItExpires() throws IOException {
+        nowNanos = EXPIRES_AT_NANOS - 1;
+        assertEquals(
+                new LeaseGrant(3, LEADER_3, 1, 0),
+                store(BOOT_ID).acquire(CANDIDATE_4, LEASE_NANOS));
+        nowNanos = EXPIRES_AT_NANOS;
+        assertEquals(
+                new LeaseGrant(4, CANDIDATE_4, LEASE_NANOS, 0),
+                store(BOOT_ID).acquire(CANDIDATE_4, LEASE_NANOS));
     }
 
     @Test
-    void termOfAnEarlierBootHasExpired() throws IOException {
-        assertEquals(new LeaseGrant(3, OWNER_3, 0, 0), store("later-boot").status().grant());
+    void termOfEarlierBootHasExpired() throws IOException {
+        assertEquals(new LeaseGrant(3, LEADER_3, 0, 0), store("later-boot").status().grant());
         assertEquals(
-                new LeaseGrant(4, OWNER_4, LEASE, 0), store("later-boot").acquire(OWNER_4, LEASE));
+                new LeaseGrant(4, CANDIDATE_4, LEASE_NANOS, 0),
+                store("later-boot").acquire(CANDIDATE_4, LEASE_NANOS));
     }
 
     @Test
-    void onlyTheNewestTermPublishes() throws IOException {
-        byte[] body = EndpointSnapshotCodec.encode(DIGEST, 2);
-        assertFalse(store(BOOT).publish(2, "digest", body));
-        assertTrue(store(BOOT).publish(3, "digest", body));
-        assertEquals(new PublishedSnapshot(DIGEST, 3), SharedEndpointSnapshot.read(store(BOOT)));
+    void onlyNewestTermPublishes() throws IOException {
+        byte[] body = EndpointSnapshotCodec.encode(SNAPSHOT, 2);
+        assertFalse(store(BOOT_ID).publish(2, "digest", body));
+        assertTrue(store(BOOT_ID).publish(3, "digest", body));
+        assertEquals(
+                new PublishedSnapshot(SNAPSHOT, 3), SharedEndpointSnapshot.read(store(BOOT_ID)));
     }
 
     @Test
-    void renewedTermIsWrittenWithTheSameBytes() throws IOException, URISyntaxException {
-        assertEquals(new LeaseGrant(3, OWNER_3, LEASE, 0), store(BOOT).renew(OWNER_3, 3, LEASE));
+    void renewedTermIsWrittenWithIdenticalBytes() throws IOException, URISyntaxException {
+        assertEquals(
+                new LeaseGrant(3, LEADER_3, LEASE_NANOS, 0),
+                store(BOOT_ID).renew(LEADER_3, 3, LEASE_NANOS));
         assertArrayEquals(
-                Files.readAllBytes(stored().resolve("term-3")),
+                Files.readAllBytes(storedDirectory().resolve("term-3")),
                 Files.readAllBytes(directory.resolve("term-3")));
     }
 
     @Test
-    void digestIsWrittenWithTheSameBytes() throws IOException {
-        FencedValue value = store(BOOT).read("digest");
-        EndpointSnapshot digest = EndpointSnapshotCodec.decode("digest", value.body());
-        assertArrayEquals(value.body(), EndpointSnapshotCodec.encode(digest, value.term()));
+    void snapshotIsWrittenWithIdenticalBytes() throws IOException {
+        FencedValue value = store(BOOT_ID).read("digest");
+        EndpointSnapshot snapshot = EndpointSnapshotCodec.decode("digest", value.body());
+        assertArrayEquals(value.body(), EndpointSnapshotCodec.encode(snapshot, value.term()));
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -34,23 +34,23 @@
 import sagefall.proxy.downstream.BadRequestException;
 import sagefall.proxy.upstream.ConnectionPool;
 
-/** Events that race: each test forces an order that must do no harm. */
+/** Tests race conditions. Each test forces one order of concurrent events. */
 class RaceConditionTest extends SocketTest {
 
-    /** Keeps the loop, on which it is called, busy for so long, as a slow iteration does. */
+    /** Blocks the event loop that calls it for the duration, as a slow iteration does. */
     private static void stall(long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
     }
 
     // ---- Endpoint lists
 
-    /** Within this time a call connects and is answered. */
-    private static final long ANSWER_MILLIS = 250;
+    /** Assumed time from the start of a discovery request's connection to its response. */
+    private static final long RESPONSE_MILLIS = 250;
 
-    /** What a discovery client reports, each as a short text. */
+    /** Records the events that a discovery client reports, each as a short text. */
     private static final class DiscoveryEvents implements DiscoveryClient.Listener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
@@ -69,9 +69,12 @@
         }
     }
 
-    /** Before, a silent peer was awaited for as long after a failure as in a watch. */
+    /**
+     * Guards against a fault in which the first discovery request after a failure had the hold time
+     * of a watch. A discovery service that was still silent was therefore detected late.
+     */
     @Test
-    void afterSilenceTheFirstCallDoesNotWait() throws Exception {
+    void firstDiscoveryRequestAfterTimeoutHasMinimalHoldTime() throws Exception {
         SidecarHarness harness = harness();
         DiscoveryEvents events = new DiscoveryEvents();
         SidecarConfig config = harness.config();
@@ -104,105 +107,114 @@
     }
 
     /**
-     * Noticing, the backoff, a further call that is lost and the next one end within the 6 s after
-     * which a list counts as known.
+     * The sidecar is treated as notified of an endpoint list change 6 s after the change. Within
+     * that time it must detect that a discovery request is lost, send a second request after the
+     * backoff, detect that this one is lost too, and receive the response to a third request after
+     * a further backoff.
      */
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
-    void silenceOfDiscoveryIsOverBeforeItsListCountsAsKnown(boolean polls, long backoffMillis) {
+    void endpointListArrivesWithinSixSecondsAfterTwoLostRequests(
+            boolean polls, long backoffMillis) {
         DiscoveryTimeouts timeouts = DiscoveryTimeouts.of(polls);
-        long asked = timeouts.holdMillis() + 2 * (timeouts.answerMillis() + backoffMillis);
-        assertTrue(asked + ANSWER_MILLIS < 6_000, asked + " ms");
+        long thirdRequestMillis =
+                timeouts.holdMillis() + 2 * (timeouts.answerMillis() + backoffMillis);
+        assertTrue(thirdRequestMillis + RESPONSE_MILLIS < 6_000, thirdRequestMillis + " ms");
     }
 
     /**
-     * What an agent has counts as known from the first moment, so clients are accepted only after
-     * its first answer.
+     * The sidecar is treated as notified of an agent's endpoint list from the start, so it accepts
+     * clients only after the agent's first response.
      */
     @Test
-    void agentIsReadBeforeTheFirstRequest() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        SidecarHarness harness = harness(leaving, staying).withPushedEndpoints();
+    void clientsAreAcceptedOnlyAfterFirstEndpointListOfAgent() throws Exception {
+        ScriptedPeer draining = server(ScriptedPeer.serves("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.serves("ready"));
+        SidecarHarness harness = harness(draining, ready).withPushedEndpoints();
         CompletableFuture<InetSocketAddress> started = harness.startAsync(DefaultLoadBalancer::new);
-        awaitCall(harness.discovery);
+        awaitDiscoveryRequest(harness.discovery);
         assertFalse(started.isDone());
-        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
+        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", draining));
         harness.awaitStart(started);
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("ready", harness.client().search(2_000).answer().body());
         }
     }
 
     @Test
-    void silentAgentDoesNotPreventTheStart() throws Exception {
+    void silentAgentDoesNotPreventStartup() throws Exception {
         SidecarHarness harness =
                 harness(server(ScriptedPeer.serves("known"))).withPushedEndpoints().start();
         assertEquals("known", harness.client().search(2_000).answer().body());
     }
 
     /**
-     * Before, a replica of discovery that was behind, as after SIGHUP, made a server ready that had
-     * been listed as draining.
+     * Guards against a fault in which an older endpoint list made a draining endpoint ready again.
+     * The sidecar may receive such a list from a discovery replica that lags behind, for example
+     * after a SIGHUP.
      */
     @Test
-    void listThatIsBehindEndsNoDrain() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        SidecarHarness harness = harness(leaving, staying).start();
-        harness.publishEndpoints(5, SidecarHarness.list(5, false, "terminating", leaving));
-        harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", leaving, staying));
+    void olderEndpointListDoesNotMakeDrainingEndpointReady() throws Exception {
+        ScriptedPeer first = server(ScriptedPeer.serves("first"));
+        ScriptedPeer second = server(ScriptedPeer.serves("second"));
+        SidecarHarness harness = harness(first, second).start();
+        harness.publishEndpoints(5, SidecarHarness.list(5, false, "terminating", first));
+        harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", first, second));
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("second", harness.client().search(2_000).answer().body());
         }
-        // One that is ahead does.
-        harness.publishEndpoints(6, SidecarHarness.list(6, false, "terminating", staying));
-        harness.publishEndpoints(7, SidecarHarness.list(7, false, "in_service", leaving));
-        assertEquals("leaving", harness.client().search(2_000).answer().body());
+        // A newer list makes the first endpoint ready again.
+        harness.publishEndpoints(6, SidecarHarness.list(6, false, "terminating", second));
+        harness.publishEndpoints(7, SidecarHarness.list(7, false, "in_service", first));
+        assertEquals("first", harness.client().search(2_000).answer().body());
     }
 
     /**
-     * Before, at a SIGHUP during the start, the first list, which may be old, was delivered behind
-     * discovery's.
+     * Guards against a fault in which a SIGHUP during startup caused the configured endpoint list,
+     * which may be old, to be applied after the list from discovery.
      */
     @Test
-    void hangupDuringTheStartWaitsForTheFirstList() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        ScriptedPeer next = server(ScriptedPeer.SILENT);
-        SidecarHarness harness = harness(leaving, staying).withPushedEndpoints();
+    void reloadDuringStartupWaitsForFirstEndpointList() throws Exception {
+        ScriptedPeer draining = server(ScriptedPeer.serves("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.serves("ready"));
+        ScriptedPeer newDiscovery = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(draining, ready).withPushedEndpoints();
         harness.create(DefaultLoadBalancer::new);
-        harness.withConfig(":" + harness.discovery.port(), ":" + next.port());
+        harness.withConfig(":" + harness.discovery.port(), ":" + newDiscovery.port());
         harness.reload();
-        // A connection that the loop has begun by then is accepted before this one.
+        // A connection that the reload had opened would be accepted before the test's own client.
         harness.awaitLoop();
         harness.awaitLoop();
-        try (TestClient own =
+        try (TestClient ownClient =
                 new TestClient(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port()))) {
-            own.raw("GET /own HTTP/1.1\r\n\r\n");
-            assertEquals("GET /own HTTP/1.1", next.take().request().startLine());
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), newDiscovery.port()))) {
+            ownClient.raw("GET /own HTTP/1.1\r\n\r\n");
+            assertEquals("GET /own HTTP/1.1", newDiscovery.take().request().startLine());
         }
-        assertEquals(1, next.accepted.get());
+        assertEquals(1, newDiscovery.accepted.get());
         CompletableFuture<InetSocketAddress> started = harness.sidecar.start();
-        assertEquals("GET /v1/servers HTTP/1.1", awaitCall(next).request().startLine());
+        assertEquals(
+                "GET /v1/servers HTTP/1.1",
+                awaitDiscoveryRequest(newDiscovery).request().startLine());
         SidecarHarness.publishEndpoints(
-                next, 2, SidecarHarness.list(2, true, "in_service", staying));
+                newDiscovery, 2, SidecarHarness.list(2, true, "in_service", ready));
         harness.awaitStart(started);
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("ready", harness.client().search(2_000).answer().body());
         }
         assertTrue(harness.discovery.receivedRequests.isEmpty());
     }
 
-    /** Waits for the next call, which stays to be answered. */
-    private static ReceivedRequest awaitCall(ScriptedPeer discovery) throws InterruptedException {
-        ReceivedRequest call = discovery.take();
-        discovery.receivedRequests.add(call);
-        return call;
+    /** Waits for the next discovery request and leaves it in the queue for a later response. */
+    private static ReceivedRequest awaitDiscoveryRequest(ScriptedPeer discovery)
+            throws InterruptedException {
+        ReceivedRequest request = discovery.take();
+        discovery.receivedRequests.add(request);
+        return request;
     }
 
-    /** Hands the sidecar a request whose client does not look at the answer; on the loop. */
+    /** Passes a request to the sidecar and discards the response. Called on the event loop. */
     private static void handleRequest(SidecarServer sidecar) {
         FullHttpRequest http =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/search/k");
@@ -218,17 +230,18 @@
     }
 
     /**
-     * Before, a request that was handled first after a stall went to a server that had been listed
-     * as draining meanwhile.
+     * Guards against a fault in which the first request after a stall of the event loop was sent to
+     * an endpoint that a list, received by the socket during the stall, reported as draining.
      */
     @Test
-    void listThatCameDuringAStallGoesBeforeTheRequest() throws Exception {
+    void endpointListReceivedDuringStallIsAppliedBeforeNextRequest() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
         ScriptedBalancer balancer = ScriptedBalancer.start(harness);
         ReceivedRequest watch = harness.discovery.take();
         harness.whileLoopIsStalled(
                 () -> watch.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
                 () -> {
+                    // Longer than the driver's minimum interval between reads from discovery.
                     stall(25);
                     handleRequest(harness.sidecar);
                 });
@@ -238,13 +251,13 @@
 
     // ---- Clients that disconnect
 
-    /** How a client disconnects. */
-    private enum Leaving {
+    /** Ways in which a client ends its connection. */
+    private enum DisconnectMode {
         CLOSES,
         RESETS,
         ENDS_SENDING;
 
-        void by(TestClient client) throws IOException {
+        void disconnect(TestClient client) throws IOException {
             if (this == ENDS_SENDING) {
                 client.socket.shutdownOutput();
                 return;
@@ -255,17 +268,20 @@
     }
 
     /**
-     * Waits until connections that have brought an answer may be used for the next request, so that
-     * it goes out at once.
+     * Waits until the connections to servers may be reused after their last response, so that the
+     * next attempt is sent immediately.
      */
     private static void awaitReusableConnections(SidecarHarness harness) throws Exception {
         harness.awaitLoop(2 * ConnectionPool.REUSE_DELAY_MICROS);
     }
 
-    /** Before, a request was forwarded whose bytes came with the end of the connection. */
+    /**
+     * Guards against a fault in which a request was forwarded although the sidecar read the end of
+     * the client's connection together with the request.
+     */
     @ParameterizedTest
     @EnumSource
-    void requestWhoseClientHasLeftIsNotForwarded(Leaving leaving) throws Exception {
+    void requestOfDisconnectedClientIsNotForwarded(DisconnectMode mode) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
         assertEquals("ok", harness.client().book("warm", 5_000).answer().body());
@@ -273,39 +289,42 @@
         harness.whileLoopIsStalled(
                 () -> {
                     for (int i = 0; i < 20; i++) {
-                        leaving.by(harness.client().book("left", 5_000));
+                        mode.disconnect(harness.client().book("left", 5_000));
                     }
                 },
                 () -> {});
-        // Accepted after them, and so read after them.
+        // The sidecar accepts, and therefore reads, this connection after those closed above.
         assertEquals("ok", harness.client().book("stays", 5_000).answer().body());
         assertEquals(
                 List.of("warm", "stays"),
-                server.receivedRequests.stream().map(seen -> seen.request().body()).toList());
+                server.receivedRequests.stream()
+                        .map(received -> received.request().body())
+                        .toList());
     }
 
-    /** The same for one that waits for an attempt while the loop is slow. */
+    /** The client disconnects while its request awaits an attempt and the event loop is stalled. */
     @ParameterizedTest
     @EnumSource
-    void pendingRequestWhoseClientLeavesDuringAStallIsNotForwarded(Leaving leaving)
+    void pendingRequestIsNotForwardedAfterDisconnectDuringStall(DisconnectMode mode)
             throws Exception {
         PendingRequest pending = new PendingRequest("'cancelling':true", 1, false);
-        pending.harness.whileLoopIsStalled(() -> leaving.by(pending.client), pending::sendAttempt);
+        pending.harness.whileLoopIsStalled(
+                () -> mode.disconnect(pending.client), pending::sendAttempt);
         assertEquals("NOT_SENT", pending.nextEvent());
         assertTrue(pending.server.receivedRequests.isEmpty());
     }
 
-    /** Between two attempts too, also where attempts may not be cancelled. */
+    /** The client disconnects between two attempts while cancelling of attempts is turned off. */
     @ParameterizedTest
     @EnumSource
-    void furtherAttemptIsNotStartedForAClientThatHasLeft(Leaving leaving) throws Exception {
+    void retryIsNotSentForDisconnectedClient(DisconnectMode mode) throws Exception {
         PendingRequest pending = new PendingRequest("'cancelling':false", 2, true);
         pending.harness.loop.execute(pending::sendAttempt);
-        ReceivedRequest first = pending.server.take();
+        ReceivedRequest firstAttempt = pending.server.take();
         pending.harness.whileLoopIsStalled(
                 () -> {
-                    first.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
-                    leaving.by(pending.client);
+                    firstAttempt.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
+                    mode.disconnect(pending.client);
                 },
                 pending::sendAttempt);
         String earlier = pending.nextEvent();
@@ -315,8 +334,8 @@
     }
 
     /**
-     * A request that the balancer knows and has not sent, beside idle connections to its server, so
-     * that each attempt would go out at once.
+     * A request that the balancer has received but has not sent. The sidecar has idle connections
+     * to the server, so an attempt is sent immediately.
      */
     private final class PendingRequest {
         private final ScriptedPeer server = server(ScriptedPeer.SILENT);
@@ -324,17 +343,19 @@
         private final ScriptedBalancer balancer;
         private final TestClient client;
         private final String id;
-        private final boolean listsMayIntervene;
+        private final boolean skipsEndpointLists;
 
         /**
-         * @param cancelling the setting, as the configuration says it
-         * @param idleConnections how many attempts can go out at once
-         * @param listsMayIntervene whether endpoint lists may come between the events; otherwise
-         *     one that does fails the test
+         * Starts a sidecar and sends the request.
+         *
+         * @param cancelling the {@code cancelling} setting, in the configuration's notation
+         * @param idleConnections number of idle connections to the server
+         * @param skipsEndpointLists whether {@link #nextEvent} skips events of discovery; otherwise
+         *     such an event fails the test
          */
-        PendingRequest(String cancelling, int idleConnections, boolean listsMayIntervene)
+        PendingRequest(String cancelling, int idleConnections, boolean skipsEndpointLists)
                 throws Exception {
-            this.listsMayIntervene = listsMayIntervene;
+            this.skipsEndpointLists = skipsEndpointLists;
             harness.withConfig("'cancelling':true", cancelling);
             balancer = ScriptedBalancer.start(harness);
             openConnections(idleConnections);
@@ -360,67 +381,67 @@
         }
 
         private String nextEvent() throws InterruptedException {
-            return listsMayIntervene ? balancer.nextEventButLists() : balancer.nextEvent();
+            return skipsEndpointLists ? balancer.nextEventButLists() : balancer.nextEvent();
         }
 
-        /** On the loop. */
+        /** Sends an attempt of the request. Called on the event loop. */
         void sendAttempt() {
             balancer.send(id, server);
         }
     }
 
-    // ---- Answers that end with the connection
+    // ---- Responses that end with the connection
 
-    /** Without a length the end of the server's sending is that of the answer (RFC 9112, 6.3). */
+    /** A response without a length ends when the server closes the connection (RFC 9112, 6.3). */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY_BYTES})
-    void answerWithoutALengthEndsWithTheConnection(int length) throws Exception {
+    void responseWithoutLengthEndsWhenConnectionCloses(int length) throws Exception {
         String body = "x".repeat(length);
         ScriptedPeer server =
                 server(
-                        seen -> {
-                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
-                            seen.socket().close();
+                        request -> {
+                            request.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
+                            request.socket().close();
                         });
         SidecarHarness harness = harness(server).start();
         for (int i = 0; i < 2; i++) {
-            HttpMessages.Message answer = harness.client().book("x", 5_000).answer();
-            assertEquals(200, answer.status());
-            assertEquals(body, answer.body());
+            HttpMessages.Message response = harness.client().book("x", 5_000).answer();
+            assertEquals(200, response.status());
+            assertEquals(body, response.body());
         }
         assertEquals(2, server.accepted.get());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY_BYTES})
-    void resetDoesNotEndAnAnswer(int length) throws Exception {
-        BlockingQueue<ReceivedRequest> written = new LinkedBlockingQueue<>();
+    void resetDoesNotCompleteResponseWithoutLength(int length) throws Exception {
+        BlockingQueue<ReceivedRequest> respondedTo = new LinkedBlockingQueue<>();
         ScriptedPeer server =
                 server(
-                        seen -> {
-                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
-                            written.add(seen);
+                        request -> {
+                            request.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
+                            respondedTo.add(request);
                         });
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client().book("x", 5_000);
-        ReceivedRequest seen = written.poll(10, TimeUnit.SECONDS);
-        // What was written is read in this iteration or an earlier one, so before the reset.
+        ReceivedRequest request = respondedTo.poll(10, TimeUnit.SECONDS);
+        // When awaitLoop returns, the event loop has read the bytes that the server has written.
         harness.awaitLoop();
-        seen.socket().setSoLinger(true, 0);
-        seen.socket().close();
+        request.socket().setSoLinger(true, 0);
+        request.socket().close();
         assertEquals(502, client.answer().status());
         assertEquals(1, server.receivedRequests.size());
     }
 
     @Test
-    void answerWithoutALengthIsLimitedToo() throws Exception {
+    void responseWithoutLengthIsLimitedInSize() throws Exception {
         ScriptedPeer server =
                 server(
-                        seen -> {
-                            seen.raw(
+                        request -> {
+                            request.raw(
                                     "HTTP/1.1 200 OK\r\n\r\n"
                                             + "x".repeat(HttpClientConnection.MAX_BODY_BYTES + 1));
-                            seen.socket().close();
+                            request.socket().close();
                         });
         assertEquals(502, harness(server).start().client().book("x", 5_000).answer().status());
     }
@@ -428,38 +449,41 @@
     // ---- Graceful shutdown
 
     /**
-     * Before, an idle connection was closed at once and then reset by a request on its way, and the
-     * reset took what was unread.
+     * Guards against a fault in which the sidecar closed an idle connection completely at shutdown.
+     * A request that arrived after the close caused a reset, which discarded data that the client
+     * had not read yet.
      */
     @Test
-    void idleClientIsHalfClosedAndNotReset() throws Exception {
+    void idleClientConnectionIsHalfClosedAtShutdown() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
         server.take();
-        CountDownLatch ended = harness.stop();
+        CountDownLatch stopped = harness.stop();
         client.assertClosed();
         client.search(5_000).search(5_000);
-        // Read and thrown away by now, since this comes behind it on the same loop.
+        // A reset would make this read fail.
         client.assertClosed();
+        // The event loop reads and discards both requests before it reads this half-close.
         client.socket.shutdownOutput();
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
         assertTrue(server.receivedRequests.isEmpty());
     }
 
     /**
-     * Stops the sidecar and lets peers act between the reads of an iteration of the loop and the
-     * end of accepting: both that act and that end are due when a long iteration is over, and so
-     * run one after the other in the next.
+     * Stops the sidecar and runs the peers' action in the event loop iteration in which the
+     * listening socket closes: after the reads of that iteration and before the close. The action
+     * is due after 380 ms and the close after 400 ms. The event loop is stalled for 450 ms, so the
+     * next iteration runs first the action and then the close.
      */
-    private static CountDownLatch stopAndRace(
+    private static CountDownLatch stopAndActBeforeListenerCloses(
             SidecarHarness harness, SidecarHarness.PeerAction peers) throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch stopped = new CountDownLatch(1);
         harness.loop
                 .submit(
                         () -> {
-                            harness.sidecar.stop(ended::countDown);
+                            harness.sidecar.stop(stopped::countDown);
                             harness.loop.schedule(
                                     () -> {
                                         peers.run();
@@ -470,31 +494,35 @@
                             stall(450);
                         })
                 .get();
-        return ended;
+        return stopped;
     }
 
     /**
-     * Before, a connection that had been idle was closed although a request was in its socket
-     * already.
+     * Guards against a fault in which an idle connection was closed at shutdown although its socket
+     * already held a request.
      */
     @Test
-    void requestThatHasComeBeforeTheEndIsAnswered() throws Exception {
+    void requestThatArrivesBeforeListenerClosesCompletes() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client();
         assertEquals("ok", client.search(5_000).answer().body());
-        CountDownLatch ended = stopAndRace(harness, () -> client.search(5_000));
-        HttpMessages.Message answer = client.answer();
-        assertEquals("ok", answer.body());
-        assertEquals("close", answer.headers().get("Connection"));
+        CountDownLatch stopped =
+                stopAndActBeforeListenerCloses(harness, () -> client.search(5_000));
+        HttpMessages.Message response = client.answer();
+        assertEquals("ok", response.body());
+        assertEquals("close", response.headers().get("Connection"));
         client.assertClosed();
         client.close();
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 
-    /** Before, a connection on which part of a request had come counted as idle, and was closed. */
+    /**
+     * Guards against a fault in which a connection with a partially received request was treated as
+     * idle and closed at shutdown.
+     */
     @Test
-    void partOfARequestKeepsItsConnectionOpen() throws Exception {
+    void partiallyReceivedRequestKeepsConnectionOpenDuringShutdown() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient idle = harness.client();
@@ -509,25 +537,28 @@
         client.assertClosed();
     }
 
-    /** Connections in the queue of the listening socket would be reset when it closes. */
+    /**
+     * Closing the listening socket resets the connections that have not been accepted yet, so the
+     * sidecar must accept them before it closes the socket.
+     */
     @Test
-    void connectionNotYetAcceptedAtTheStopIsAnswered() throws Exception {
+    void requestsOnConnectionsNotYetAcceptedAtShutdownComplete() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
         SidecarHarness harness = harness(server).start();
-        BlockingQueue<TestClient> late = new LinkedBlockingQueue<>();
-        CountDownLatch ended =
-                stopAndRace(
+        BlockingQueue<TestClient> lateClients = new LinkedBlockingQueue<>();
+        CountDownLatch stopped =
+                stopAndActBeforeListenerCloses(
                         harness,
                         () -> {
                             for (int i = 0; i < 5; i++) {
-                                late.add(harness.client().search(5_000));
+                                lateClients.add(harness.client().search(5_000));
                             }
                         });
         for (int i = 0; i < 5; i++) {
-            try (TestClient client = late.poll(10, TimeUnit.SECONDS)) {
+            try (TestClient client = lateClients.poll(10, TimeUnit.SECONDS)) {
                 assertEquals("ok", client.answer().body());
             }
         }
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -24,13 +24,13 @@
 import sagefall.config.SidecarConfig;
 
 /**
- * A sidecar on free loopback ports between scripted servers, a scripted discovery and clients whose
- * bytes the test writes. Closing it closes its clients, discovery and event loop; servers are the
- * test's.
+ * Runs a sidecar on loopback ports with a scripted discovery service, scripted servers and clients
+ * that send the bytes a test writes. Closing the harness closes its clients, its discovery service
+ * and its event loop; the test closes the servers.
  */
 public final class SidecarHarness implements AutoCloseable {
 
-    /** An answer of discovery without changes since revision 1. */
+    /** A discovery response without changes since revision 1. */
     static final String NO_CHANGES = "{'rev':1,'all':false,'targets':[]}";
 
     private static final long DEFAULT_CONNECT_MICROS = 250_000;
@@ -58,7 +58,7 @@
             'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,
             'cold_us':1000000,'fall_us':1000000},'tick_us':1000}""";
 
-    /** Answers the sidecar's calls for endpoint lists; silent but for what a test publishes. */
+    /** The discovery service; it responds only with the endpoint lists that a test publishes. */
     final ScriptedPeer discovery;
 
     /** The sidecar's event loop. */
@@ -68,7 +68,7 @@
     private final MultiThreadIoEventLoopGroup group = latencyClock.group();
     private final List<TestClient> clients = new ArrayList<>();
 
-    /** What the sidecar has logged. */
+    /** The sidecar's log output. */
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     /** The file that {@code LB_CONFIG} names. */
@@ -76,30 +76,30 @@
 
     private final Path extensionsFile;
 
-    /** Null before the start. */
+    /** The sidecar; null before it is created. */
     SidecarServer sidecar;
 
-    /** Where the sidecar listens; null before the start. */
+    /** Address that the sidecar listens on; null before the sidecar is started. */
     InetSocketAddress address;
 
-    /** One that knows these servers, all of them in service. */
+    /** Creates a harness whose configuration lists these servers as in service. */
     SidecarHarness(Path folder, ScriptedPeer... servers) throws Exception {
         this(folder, DEFAULT_CONNECT_MICROS, DEFAULT_SOCKETS, servers);
     }
 
     /**
-     * One that knows these servers, all of them in service.
+     * Creates a harness whose configuration lists these servers as in service.
      *
-     * @param folder gets the configuration's files
-     * @param connectMicros how long a connection to a server may take to come up
-     * @param sockets the process's limit of descriptors, as the platform states it
+     * @param folder directory for the configuration files
+     * @param connectMicros timeout of connecting to a server
+     * @param sockets configured limit on the number of the process's sockets
      */
     public SidecarHarness(Path folder, long connectMicros, int sockets, ScriptedPeer... servers)
             throws Exception {
         this(folder, connectMicros, sockets, portsOf(servers));
     }
 
-    /** One that knows servers on these ports, all of them in service. */
+    /** Creates a harness whose configuration lists servers on these ports as in service. */
     SidecarHarness(Path folder, List<Integer> ports) throws Exception {
         this(folder, DEFAULT_CONNECT_MICROS, DEFAULT_SOCKETS, ports);
     }
@@ -127,22 +127,22 @@
         return Stream.of(servers).map(ScriptedPeer::port).toList();
     }
 
-    /** JSON from text with single quotes. */
+    /** Converts text with single quotes to JSON. */
     public static String json(String quoted) {
         return quoted.replace('\'', '"');
     }
 
     /**
-     * An endpoint list in discovery's form, with single quotes.
+     * Returns an endpoint list in discovery's JSON format, with single quotes.
      *
-     * @param all whether it is complete, and not of changes
-     * @param state of each server, in discovery's word
+     * @param all whether the list is complete; otherwise it contains only changes
+     * @param state state of all the servers, such as {@code in_service}
      */
     public static String list(int revision, boolean all, String state, ScriptedPeer... servers) {
         return list(revision, all, state, portsOf(servers));
     }
 
-    /** The same, of servers on these ports. */
+    /** Returns an endpoint list, with single quotes, of servers on these ports. */
     static String list(int revision, boolean all, String state, List<Integer> ports) {
         String targets =
                 ports.stream().map(port -> target(port, state)).collect(Collectors.joining(","));
@@ -157,12 +157,12 @@
                 + "','boot_ms':0}";
     }
 
-    /** The configuration as the files hold it now. */
+    /** Returns the configuration that the files contain. */
     public SidecarConfig config() throws IOException {
         return SidecarConfig.read(environment());
     }
 
-    /** The variables that name the configuration's files, of those that exist. */
+    /** Returns the environment variables that name the existing configuration files. */
     Map<String, String> environment() {
         return Files.exists(extensionsFile)
                 ? Map.of(
@@ -171,18 +171,18 @@
                 : Map.of("LB_CONFIG", configFile.toString());
     }
 
-    /** Writes the file of extensions. */
+    /** Writes the extensions file. */
     SidecarHarness withExtensions(String quoted) throws IOException {
         Files.writeString(extensionsFile, json(quoted));
         return this;
     }
 
-    /** Endpoint lists are pushed, so wait at an agent of the own machine. */
+    /** Configures discovery as an agent on the same machine, which pushes endpoint lists. */
     SidecarHarness withPushedEndpoints() throws IOException {
         return withConfig("'discovery':'ask'", "'discovery':'push'");
     }
 
-    /** Changes the configuration's file: each occurrence of a text, with single quotes. */
+    /** Replaces each occurrence of a text with single quotes in the configuration file. */
     SidecarHarness withConfig(String quotedBefore, String quotedAfter) throws IOException {
         String text = Files.readString(configFile);
         Files.writeString(configFile, text.replace(json(quotedBefore), json(quotedAfter)));
@@ -194,23 +194,24 @@
         return start(DefaultLoadBalancer::new);
     }
 
-    /** The same, with a load balancer of the test. */
-    SidecarHarness start(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers)
+    /** Starts the sidecar with a load balancer from this factory and waits until it listens. */
+    SidecarHarness start(
+            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancerFactory)
             throws Exception {
-        awaitStart(startAsync(balancers));
+        awaitStart(startAsync(balancerFactory));
         return this;
     }
 
-    /** Starts the sidecar; {@link #awaitStart} waits until it listens. */
+    /** Begins to start the sidecar; {@link #awaitStart} waits until the sidecar listens. */
     CompletableFuture<InetSocketAddress> startAsync(
-            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers)
+            BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancerFactory)
             throws Exception {
-        create(balancers);
+        create(balancerFactory);
         return sidecar.start();
     }
 
-    /** Makes the sidecar without starting it. */
-    void create(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancers)
+    /** Creates the sidecar without starting it. */
+    void create(BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancerFactory)
             throws Exception {
         SidecarConfig config = config();
         sidecar =
@@ -221,65 +222,68 @@
                                                 latencyClock,
                                                 config,
                                                 new PrintStream(log, true),
-                                                balancers))
+                                                balancerFactory))
                         .get();
     }
 
-    /** Waits until the sidecar listens; clients connect to it from then on. */
+    /** Waits until the sidecar listens, and sets the address to which clients connect. */
     void awaitStart(CompletableFuture<InetSocketAddress> started) throws Exception {
         address = started.get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     /**
-     * Answers calls for what is newer with this list, until the sidecar has read it, which its next
-     * call shows.
+     * Responds to the sidecar's discovery requests with this list until the sidecar has read it,
+     * which the revision in its next request shows.
      */
     void publishEndpoints(int revision, String quotedList) throws InterruptedException {
         publishEndpoints(discovery, revision, quotedList);
     }
 
-    /** The same, by another discovery. */
+    /**
+     * Responds to the sidecar's requests to the given discovery service with this list until the
+     * sidecar has read it.
+     */
     static void publishEndpoints(ScriptedPeer discovery, int revision, String quotedList)
             throws InterruptedException {
-        ReceivedRequest call = discovery.take();
-        while (!call.request().startLine().contains("from=" + revision + "&")) {
+        ReceivedRequest request = discovery.take();
+        while (!request.request().startLine().contains("from=" + revision + "&")) {
             try {
-                call.reply("200 OK", "", json(quotedList));
+                request.reply("200 OK", "", json(quotedList));
             } catch (IOException e) {
-                // The sidecar has given this call up meanwhile and makes another.
+                // The sidecar has cancelled this request in the meantime and sends another one.
             }
-            call = discovery.take();
+            request = discovery.take();
         }
     }
 
-    /** Reloads the configuration as SIGHUP does, but on the thread of the caller. */
+    /** Reloads the configuration as SIGHUP does, but on the calling thread. */
     void reload() throws IOException {
         new ConfigurationReloader(sidecar, environment(), new PrintStream(log, true)).reload();
     }
 
-    /** Waits until the loop has done what was due before. */
+    /** Waits until the event loop has run the tasks that were due before this call. */
     void awaitLoop() throws Exception {
         loop.submit(() -> {}).get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits for so long, and until the loop has come to it. */
+    /** Waits until the event loop has run a task that it schedules with this delay. */
     void awaitLoop(long micros) throws Exception {
         loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).get();
     }
 
     /**
-     * Keeps the loop from everything until what the peers do is done, and then acts on the loop
-     * before it reads anything.
+     * Blocks the event loop while the peers' action runs on the calling thread. Then runs a task on
+     * the event loop before the event loop reads from any connection.
      */
-    void whileLoopIsStalled(PeerAction peers, Runnable actOnLoop) throws Exception {
+    void whileLoopIsStalled(PeerAction peers, Runnable loopTask) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        var acted =
+        var loopTaskResult =
                 loop.submit(
                         () -> {
                             stalled.countDown();
                             done.await();
-                            actOnLoop.run();
+                            loopTask.run();
                             return null;
                         });
         stalled.await();
@@ -288,23 +292,23 @@
         } finally {
             done.countDown();
         }
-        acted.get(AWAIT_SECONDS, TimeUnit.SECONDS);
+        loopTaskResult.get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** What clients, servers or discovery do. */
+    /** An action of the sidecar's peers: clients, servers or discovery. */
     interface PeerAction {
-        /** Does it, on the thread of the test. */
+        /** Runs the action. */
         void run() throws Exception;
     }
 
-    /** A new client's connection, which is closed with the harness. */
+    /** Connects a new client, which is closed with the harness. */
     TestClient client() throws IOException {
         TestClient client = new TestClient(address);
         clients.add(client);
         return client;
     }
 
-    /** Begins the graceful shutdown; the latch opens at its end. */
+    /** Begins a graceful shutdown; the returned latch opens when the sidecar has stopped. */
     CountDownLatch stop() {
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> sidecar.stop(stopped::countDown));
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -21,29 +21,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as the platform runs it. */
+/** Tests the sidecar as a whole process: signals, exit codes, limits and configuration. */
 class SidecarProcessTest extends SocketTest {
 
-    /** Alone, or with another signal directly before or after it. */
+    /** SIGTERM arrives alone, or immediately before or after another signal. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "HUP TERM", "TERM HUP", "TERM TERM"})
-    void terminationAnswersRequestsInFlightAndExitsWithZero(String signals) throws Exception {
+    void terminationCompletesRequestsInFlightAndExitsWithZero(String signals) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarProgram program = opened(new SidecarProgram(harness(server)).start());
         TestClient client = opened(program.connect());
         client.book("x", 20_000);
         ReceivedRequest inFlight = server.take();
         program.signal(signals.split(" "));
-        assertTrue(program.runsFor(600), "ended with a request in flight");
+        assertTrue(program.keepsRunningFor(600), "exited with a request in flight");
         inFlight.reply("200 OK", "", "done");
         assertEquals("done", client.answer().body());
         client.assertClosed();
         program.assertExitCode(0);
     }
 
-    /** Before the agent's first answer no client is accepted, so nothing is owed to any. */
+    /** Before the agent's first response no client is accepted, so no request is in flight. */
     @Test
-    void terminationBeforeTheFirstListEndsAtOnce() throws Exception {
+    void terminationBeforeFirstEndpointListExitsImmediately() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
         SidecarProgram program = opened(new SidecarProgram(harness).start());
         harness.discovery.take();
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void addressInUseIsOnePlainLineAndExitCodeOne() throws Exception {
+    void addressInUseIsReportedInOneLineWithExitCodeOne() throws Exception {
         SidecarProgram program = opened(new SidecarProgram(harness(server(ScriptedPeer.SILENT))));
         opened(new ServerSocket(program.address.getPort(), 1, program.address.getAddress()));
         program.start().assertExitCode(1);
@@ -62,23 +62,25 @@
         assertTrue(output.get(0).contains("BindException"), output.get(0));
     }
 
-    /** The memory that the deploy file's {@code run} allows. */
-    private static String[] limitsOfRun() throws IOException {
+    /** Returns the JVM's memory options in the {@code run} command of the deploy file. */
+    private static String[] memoryOptionsOfRunCommand() throws IOException {
         String run =
                 Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
                         .filter(line -> line.startsWith("run = "))
                         .findFirst()
                         .orElseThrow();
         return Stream.of(run.split(" "))
-                .filter(o -> o.matches("-X(mx|ss).*|-XX:(Max|Reserved).*"))
+                .filter(option -> option.matches("-X(mx|ss).*|-XX:(Max|Reserved).*"))
                 .toArray(String[]::new);
     }
 
     /**
-     * Names as long as a domain's may be, indented: over 1 MiB, more than a list might have before.
+     * Guards against a limit of 1 MiB on the size of an endpoint list, which an earlier version
+     * had. The list of this test is larger because it is indented and its names have 253
+     * characters, the maximum length of a domain name.
      */
     @Test
-    void fleetOf1024IsKnownWithinTheLimitsOfRun() throws Exception {
+    void listOf1024EndpointsIsReadWithinMemoryLimitsOfRunCommand() throws Exception {
         String zone = "a".repeat(253);
         ScriptedPeer old = server(ScriptedPeer.HANG_UP);
         ScriptedPeer server = server(ScriptedPeer.serves("of the list"));
@@ -86,9 +88,9 @@
                 harness(old)
                         .withConfig("'a'", "'" + zone + "'")
                         .withConfig("'tick_us'", "'replicas_of_me':1024,'tick_us'");
-        String[] limits = limitsOfRun();
-        assertTrue(limits.length >= 3, String.join(" ", limits));
-        SidecarProgram program = opened(new SidecarProgram(harness, limits).start());
+        String[] memoryOptions = memoryOptionsOfRunCommand();
+        assertTrue(memoryOptions.length >= 3, String.join(" ", memoryOptions));
+        SidecarProgram program = opened(new SidecarProgram(harness, memoryOptions).start());
         TestClient client = opened(program.connect());
         String list = listOf1024(zone, server.port());
         assertTrue(list.length() > 1024 * 1024, list.length() + " bytes");
@@ -121,66 +123,73 @@
         return "{\"rev\": 2, \"all\": true, \"targets\": [" + targets + "]}";
     }
 
-    /** Idle clients take all that clients may have; discovery's connection is not theirs. */
+    /**
+     * Idle clients may use up the descriptors for client connections, but not the one for the
+     * connection to discovery.
+     */
     @Test
-    void idleClientsWhileDiscoveryIsDownShutOutNeitherItNorRequests() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+    void idleClientsDuringDiscoveryOutageBlockNeitherDiscoveryNorRequests() throws Exception {
+        ScriptedPeer draining = server(ScriptedPeer.serves("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.serves("ready"));
         SidecarHarness harness =
-                opened(new SidecarHarness(folder, 250_000, 256, leaving, staying))
+                opened(new SidecarHarness(folder, 250_000, 256, draining, ready))
                         .withPushedEndpoints();
-        // The class path of a test is of many files, each of which is open.
+        // 64 more than the configured sockets, for the files of the test's class path, which the
+        // JVM keeps open.
         SidecarProgram program =
-                opened(new SidecarProgram(harness).withDescriptors(256 + 64).start());
+                opened(new SidecarProgram(harness).withDescriptorLimit(256 + 64).start());
         program.connect().close();
         for (int round = 0; round < 3; round++) {
             List<TestClient> idle = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
                 idle.add(opened(new TestClient(program.address)));
             }
-            // Its place is given to one that came later.
+            // The sidecar closes an idle connection to make room for a newer one.
             idle.get(0).assertClosed();
         }
-        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
+        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", draining));
         for (int i = 0; i < 20; i++) {
             try (TestClient client = new TestClient(program.address)) {
-                assertEquals("staying", client.search(5_000).answer().body());
+                assertEquals("ready", client.search(5_000).answer().body());
             }
         }
-        assertTrue(program.runsFor(0));
+        assertTrue(program.keepsRunningFor(0));
     }
 
     /**
-     * SIGHUP: the file's discovery goes before the environment's, and a wrong file changes nothing.
+     * At SIGHUP the discovery address in the configuration file takes precedence over that in the
+     * environment, and an invalid file changes nothing.
      */
     @Test
-    void hangupChangesToTheNewDiscovery() throws Exception {
+    void reloadSwitchesToNewDiscoveryAddress() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        ScriptedPeer next = server(ScriptedPeer.SILENT);
+        ScriptedPeer newDiscovery = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         String oldDiscovery = "127.0.0.1:" + harness.discovery.port();
         SidecarProgram program = opened(new SidecarProgram(harness));
         program.withEnvironment("LB_DISCOVERY", oldDiscovery).start();
         TestClient client = opened(program.connect());
         harness.discovery.take();
-        String text = Files.readString(harness.configFile);
-        Files.writeString(harness.configFile, text.substring(0, text.length() / 2));
+        String configuration = Files.readString(harness.configFile);
+        Files.writeString(
+                harness.configFile, configuration.substring(0, configuration.length() / 2));
         program.signal("HUP");
         assertEquals(200, client.search(2_000).answer().status());
         Files.writeString(
-                harness.configFile, text.replace(oldDiscovery, "127.0.0.1:" + next.port()));
+                harness.configFile,
+                configuration.replace(oldDiscovery, "127.0.0.1:" + newDiscovery.port()));
         program.signal("HUP");
-        ReceivedRequest call = next.take();
-        assertEquals("GET /v1/servers HTTP/1.1", call.request().startLine());
+        ReceivedRequest request = newDiscovery.take();
+        assertEquals("GET /v1/servers HTTP/1.1", request.request().startLine());
         harness.discovery.awaitEnd();
-        // Until the new one has answered, the old list is used.
+        // The old endpoint list is used until the new discovery responds.
         assertEquals(200, client.search(2_000).answer().status());
-        next.receivedRequests.add(call);
+        newDiscovery.receivedRequests.add(request);
         SidecarHarness.publishEndpoints(
-                next, 7, SidecarHarness.list(7, true, "terminating", server));
+                newDiscovery, 7, SidecarHarness.list(7, true, "terminating", server));
         assertEquals(503, client.search(2_000).answer().status());
-        // And back to the old one.
-        Files.writeString(harness.configFile, text);
+        // Another reload switches back to the old discovery address.
+        Files.writeString(harness.configFile, configuration);
         program.signal("HUP");
         assertEquals("GET /v1/servers HTTP/1.1", harness.discovery.take().request().startLine());
     }
@@ -207,10 +216,10 @@
                         + "'known':{'rev':1},'settings':{}}"
                         + " | a list without",
             })
-    void badConfigurationIsOnePlainLine(String text, String message) throws Exception {
+    void invalidConfigurationIsReportedInOneLine(String text, String message) throws Exception {
         Path file = folder.resolve("bad.json");
         Files.writeString(file, SidecarHarness.json(text.equals("''") ? "" : text));
-        assertOneLine(Map.of("LB_CONFIG", file.toString()), message);
+        assertReportedInOneLine(Map.of("LB_CONFIG", file.toString()), message);
     }
 
     @ParameterizedTest
@@ -239,20 +248,20 @@
                 "{'streaming':{},'streaming':{}} | not JSON",
                 "[] | not a JSON object",
             })
-    void badExtensionsAreOnePlainLineAndChangeNothing(String text, String message)
+    void invalidExtensionsAreReportedInOneLineAndChangeNothing(String text, String message)
             throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         harness.withExtensions(text);
-        assertOneLine(harness.environment(), message);
+        assertReportedInOneLine(harness.environment(), message);
         harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70000}}}}")
                 .start();
         harness.withExtensions(text).reload();
         String log = harness.log.toString(StandardCharsets.UTF_8);
         assertTrue(log.contains(message) && log.contains("the old configuration stays"), log);
-        // Beside it there may be a line on the silent discovery, where this takes seconds.
-        assertEquals(1, log.lines().filter(l -> !l.contains("discovery")).count(), log);
-        // First by the old extensions, then by the new ones.
+        // In a run of several seconds, the sidecar may also log that discovery does not respond.
+        assertEquals(1, log.lines().filter(line -> !line.contains("discovery")).count(), log);
+        // The upload is larger than the current limit, but not than the limit after the reload.
         assertEquals(413, statusOfUpload(harness, 70_001));
         harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
         harness.reload();
@@ -270,21 +279,21 @@
     }
 
     @Test
-    void missingExtensionsAreOnePlainLine() throws Exception {
+    void missingExtensionsFileIsReportedInOneLine() throws Exception {
         Map<String, String> environment =
                 Map.of(
                         "LB_CONFIG", harness().configFile.toString(),
                         "LB_EXTENSIONS", folder.resolve("none").toString());
-        assertOneLine(environment, "none: can't be read");
+        assertReportedInOneLine(environment, "none: can't be read");
     }
 
     @Test
-    void missingConfigurationIsOnePlainLine() {
-        assertOneLine(Map.of(), "LB_CONFIG");
-        assertOneLine(Map.of("LB_CONFIG", folder.resolve("none").toString()), "none");
+    void missingConfigurationIsReportedInOneLine() {
+        assertReportedInOneLine(Map.of(), "LB_CONFIG");
+        assertReportedInOneLine(Map.of("LB_CONFIG", folder.resolve("none").toString()), "none");
     }
 
-    private static void assertOneLine(Map<String, String> environment, String message) {
+    private static void assertReportedInOneLine(Map<String, String> environment, String message) {
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         assertEquals(2, SidecarProcess.run(environment, new PrintStream(errors, true)));
         String text = errors.toString(StandardCharsets.UTF_8);
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
@@ -15,26 +15,27 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * The program in a process of its own, as the platform runs it, on a free port and with the
- * configuration of a {@link SidecarHarness} that is not started itself. Closing it kills the
- * process.
+ * Runs the sidecar as a process of its own, on a free port and with the configuration of a {@link
+ * SidecarHarness}, which does not start a sidecar itself. Closing this object kills the process.
  */
 final class SidecarProgram implements AutoCloseable {
 
     private static final long READY_POLL_MILLIS = 20;
-    private static final long END_SECONDS = 10;
+    private static final long EXIT_TIMEOUT_SECONDS = 10;
 
-    /** Where the program listens once it is ready. */
+    /** Address that the process listens on once it is ready. */
     final InetSocketAddress address;
 
     private final ProcessBuilder builder;
     private final Path output;
 
-    /** Null before the start. */
+    /** The process; null before it is started. */
     private Process process;
 
     /**
-     * @param options of the runtime
+     * Prepares the process without starting it.
+     *
+     * @param options options of the JVM
      */
     SidecarProgram(SidecarHarness harness, String... options) throws IOException {
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
@@ -51,19 +52,19 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0)) {
-            return free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0)) {
+            return socket.getLocalPort();
         }
     }
 
-    /** Sets a variable. */
+    /** Sets an environment variable of the process. */
     SidecarProgram withEnvironment(String name, String value) {
         builder.environment().put(name, value);
         return this;
     }
 
-    /** Limits the descriptors of the process. */
-    SidecarProgram withDescriptors(int descriptors) {
+    /** Limits the number of file descriptors of the process. */
+    SidecarProgram withDescriptorLimit(int descriptors) {
         String limit = "ulimit -n " + descriptors + " && exec \"$@\"";
         List<String> command = new ArrayList<>(List.of("sh", "-c", limit, "sh"));
         command.addAll(builder.command());
@@ -71,13 +72,13 @@
         return this;
     }
 
-    /** Starts the process, which is not ready then. */
+    /** Starts the process without waiting until it is ready. */
     SidecarProgram start() throws IOException {
         process = builder.start();
         return this;
     }
 
-    /** Connects a client once the program says that it is ready. */
+    /** Waits until a health check of the process succeeds and returns the client that sent it. */
     TestClient connect() throws InterruptedException {
         while (true) {
             try {
@@ -87,14 +88,14 @@
                 }
                 client.close();
             } catch (IOException | AssertionError e) {
-                // Not listening yet, or closed with the warm-up.
+                // The process does not listen yet, or closed this connection as its warm-up ended.
             }
-            Assertions.assertTrue(process.isAlive(), "the program ended");
+            Assertions.assertTrue(process.isAlive(), "the process has exited");
             process.waitFor(READY_POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Sends signals, one right after the other. */
+    /** Sends signals to the process, one immediately after the other. */
     void signal(String... signals) throws Exception {
         String kill =
                 Stream.of(signals)
@@ -103,20 +104,22 @@
         Assertions.assertEquals(0, new ProcessBuilder("sh", "-c", kill).start().waitFor());
     }
 
-    /** Whether the process runs, and goes on to for so long. */
-    boolean runsFor(long millis) throws InterruptedException {
+    /** Returns whether the process is still running after the duration. */
+    boolean keepsRunningFor(long millis) throws InterruptedException {
         return !process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Waits for the end of the process, which must have this exit code. */
+    /** Waits until the process exits and asserts its exit code. */
     void assertExitCode(int exitCode) throws InterruptedException {
-        Assertions.assertTrue(process.waitFor(END_SECONDS, TimeUnit.SECONDS), "still runs");
+        Assertions.assertTrue(
+                process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                "the process has not exited");
         Assertions.assertEquals(exitCode, process.exitValue());
     }
 
     /**
-     * The lines that it has written, but for those of the logging facade, which only the class path
-     * of a test has.
+     * Returns the lines that the process has written, without those of SLF4J, which is only on the
+     * class path of tests.
      */
     List<String> output() throws IOException {
         return Files.readAllLines(output, StandardCharsets.UTF_8).stream()
