--- a/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
@@ -29,7 +29,7 @@
     private final AttemptGate gate;
     private final RetryPolicy retryPolicy;
     private final RequestCloser closer;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private long queueLoggedAt;
 
     QueueDispatcher(
@@ -52,7 +52,7 @@
         this.gate = gate;
         this.retryPolicy = retryPolicy;
         this.closer = closer;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /**
@@ -123,7 +123,7 @@
     }
 
     private void logQueue(long now) {
-        if (now - queueLoggedAt < QUEUE_LOG_INTERVAL_TARGETS * targetMicros) {
+        if (now - queueLoggedAt < QUEUE_LOG_INTERVAL_TARGETS * meanTargetMicros) {
             return;
         }
         queueLoggedAt = now;
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -31,7 +31,7 @@
 
     private final BalancerSettings settings;
     private final SplittableRandom random;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final SubsetTree subsets;
     private final AdmissionController admission;
     private final EndpointHealth health;
@@ -56,7 +56,7 @@
         this.subsets = subsets;
         this.admission = admission;
         this.health = health;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
         queue = new RequestQueue(settings, admission, health.latency());
         retryPolicy = new RetryPolicy(settings.limits(), retryBudget, queue, openRequests);
         RetryAfterPolicy retryAfter = new RetryAfterPolicy(settings, random);
@@ -114,7 +114,8 @@
             return RejectionReason.BUFFER_LIMIT;
         }
         long remainingMicros = request.request().deadlineMicros() - now;
-        if (remainingMicros <= targetMicros / MIN_REMAINING_DIVISOR + 2 * settings.tickMicros()) {
+        if (remainingMicros
+                <= meanTargetMicros / MIN_REMAINING_DIVISOR + 2 * settings.tickMicros()) {
             // No timer could fire before the deadline: a request that arrived at its own deadline
             // used to be queued and never got a response.
             return RejectionReason.TOO_LATE;
--- a/sidecar/src/main/java/sagefall/balancer/RetryAfterPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/RetryAfterPolicy.java
@@ -11,12 +11,12 @@
 final class RetryAfterPolicy {
     private final BalancerSettings settings;
     private final SplittableRandom random;
-    private final double targetMicros;
+    private final double meanTargetMicros;
 
     RetryAfterPolicy(BalancerSettings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /**
@@ -27,7 +27,7 @@
         if (!settings.limits().retryAfterAllowed()) {
             return Math.min(0, settings.limits().maxRetryAfterMicros());
         }
-        double micros = targetMicros * (1 + random.nextDouble()) / 4;
+        double micros = meanTargetMicros * (1 + random.nextDouble()) / 4;
         return Math.min((long) micros, settings.limits().maxRetryAfterMicros());
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -46,7 +46,7 @@
     /** Creates a controller that admits every request. */
     public AdmissionController(BalancerSettings settings) {
         this.settings = settings;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
         rateWindowMicros = 2.0 * Math.max(1, settings.rules().overloadWindowMicros());
         totalShare = settings.tenants().stream().mapToDouble(Tenant::quotaShare).sum();
         tenantCredit = new double[Math.max(1, settings.tenants().size())];
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -36,7 +36,7 @@
         this.settings = settings;
         this.admission = admission;
         this.latency = latency;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /** Returns the number of queued requests. */
@@ -121,7 +121,7 @@
             lastUseful = Math.min(lastUseful, latest);
         }
         if (request.rules().lateWeightShare() == 0) {
-            long latestInTime = times.objectiveAt() - (long) latency.typicalMicros(request);
+            long latestInTime = times.latencyTargetAt() - (long) latency.typicalMicros(request);
             lastUseful = Math.min(lastUseful, latestInTime);
         }
         return lastUseful;
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
@@ -53,10 +53,10 @@
      * Returns the mean latency target over the request classes, in microseconds; a class without a
      * latency target counts with its deadline.
      */
-    public double meanTargetLatencyMicros() {
+    public double meanLatencyTargetMicros() {
         double sum = 0;
         for (RequestClass requestClass : classes) {
-            sum += requestClass.targetLatencyMicros();
+            sum += requestClass.latencyTargetOrDeadlineMicros();
         }
         return sum / classes.size();
     }
--- a/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
@@ -8,7 +8,7 @@
  * @param deduplicationScope endpoints at which retries are deduplicated by the idempotency key
  * @param deduplicationWindowMicros duration after the first attempt for which retries are
  *     deduplicated; not negative
- * @param latencyObjectiveMicros latency target: a slower response is late; 0 if there is none, not
+ * @param latencyTargetMicros latency target: a slower response is late; 0 if there is none, not
  *     negative
  * @param deadlineMicros longest time from the arrival of a request to its response; not negative
  * @param priorityWeight weight of a response that is not late; not negative
@@ -20,7 +20,7 @@
         Idempotency idempotency,
         DeduplicationScope deduplicationScope,
         long deduplicationWindowMicros,
-        long latencyObjectiveMicros,
+        long latencyTargetMicros,
         long deadlineMicros,
         double priorityWeight,
         double lateWeightShare,
@@ -33,9 +33,7 @@
      */
     public RequestClass {
         Preconditions.require(
-                latencyObjectiveMicros >= 0
-                        && deadlineMicros >= 0
-                        && deduplicationWindowMicros >= 0,
+                latencyTargetMicros >= 0 && deadlineMicros >= 0 && deduplicationWindowMicros >= 0,
                 "class '" + name + "' has a negative duration");
         Preconditions.require(
                 priorityWeight >= 0 && lateWeightShare >= 0,
@@ -46,7 +44,7 @@
      * Returns the latency target in microseconds, or the deadline if the class has no latency
      * target; at least 1.
      */
-    public long targetLatencyMicros() {
-        return Math.max(1, latencyObjectiveMicros > 0 ? latencyObjectiveMicros : deadlineMicros);
+    public long latencyTargetOrDeadlineMicros() {
+        return Math.max(1, latencyTargetMicros > 0 ? latencyTargetMicros : deadlineMicros);
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
@@ -47,7 +47,7 @@
     ConnectionTrust(BalancerSettings settings, BalancerActions actions, SplittableRandom random) {
         this.actions = actions;
         this.random = random;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
         idleTimeoutMicros = settings.limits().idleTimeoutMicros();
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -38,7 +38,7 @@
             AdmissionController admission) {
         this.subsets = subsets;
         this.admission = admission;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
         zoneLimits = new ZoneConcurrencyLimits(settings);
         latency = new LatencyEstimator(settings);
         loadReports = new LoadReportTracker(settings, zoneLimits);
@@ -183,7 +183,7 @@
         connections.recordResponse(now, attempt, elapsedMicros);
         outliers.recordResponse(endpoint);
         admission.recordResponse(elapsedMicros, admissionTargetMicros(attempt));
-        long latencyTarget = Math.max(1, attempt.request().rules().latencyObjectiveMicros());
+        long latencyTarget = Math.max(1, attempt.request().rules().latencyTargetMicros());
         ZoneConcurrencyLimit zoneLimit = zoneLimits.of(endpoint);
         zoneLimit.recordResponse(elapsedMicros / (double) latencyTarget);
         // The typical latency may have changed since the attempt was sent.
@@ -202,7 +202,7 @@
      * one.
      */
     private double admissionTargetMicros(Attempt attempt) {
-        return attempt.request().rules().latencyObjectiveMicros()
+        return attempt.request().rules().latencyTargetMicros()
                 * attempt.typicalMicros()
                 / latency.typicalMicros(attempt.request());
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -39,10 +39,11 @@
     private final PooledLatencyRatio zoneRatio = new PooledLatencyRatio();
 
     LatencyEstimator(BalancerSettings settings) {
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
         typicalMicros =
                 settings.classes().stream()
-                        .mapToDouble(c -> c.targetLatencyMicros() * INITIAL_TYPICAL_TARGETS)
+                        .mapToDouble(
+                                c -> c.latencyTargetOrDeadlineMicros() * INITIAL_TYPICAL_TARGETS)
                         .toArray();
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
@@ -27,7 +27,7 @@
     LoadReportTracker(BalancerSettings settings, ZoneConcurrencyLimits zoneLimits) {
         this.settings = settings;
         this.zoneLimits = zoneLimits;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /** Returns whether any endpoint has reported its utilization. */
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
@@ -38,7 +38,7 @@
         this.actions = actions;
         this.random = random;
         this.subsets = subsets;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /**
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -34,7 +34,7 @@
             BalancerSettings settings, ConnectionTrust connections, OutlierDetector outliers) {
         this.connections = connections;
         this.outliers = outliers;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /** Starts to observe an attempt whose response is awaited. */
--- a/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
@@ -6,13 +6,13 @@
 /** Arrival, latency target and deadline of a request, in microseconds of the host's clock. */
 public final class RequestTimes {
     private long arrivedAt;
-    private long objectiveAt;
+    private long latencyTargetAt;
     private long deadlineAt;
 
     RequestTimes(long now, Request request, RequestClass requestClass) {
         arrivedAt = now - request.waitedMicros();
         deadlineAt = request.deadlineMicros();
-        objectiveAt = arrivedAt + requestClass.latencyObjectiveMicros();
+        latencyTargetAt = arrivedAt + requestClass.latencyTargetMicros();
     }
 
     /**
@@ -27,8 +27,8 @@
      * Returns the point in time after which a response is late; the arrival of the request if its
      * class has no latency target.
      */
-    public long objectiveAt() {
-        return objectiveAt;
+    public long latencyTargetAt() {
+        return latencyTargetAt;
     }
 
     /** Returns the deadline of the request. */
@@ -39,7 +39,7 @@
     /** Restarts the latency at the last byte of an upload, and sets the new deadline. */
     void restart(long now, long newDeadlineAt) {
         deadlineAt = newDeadlineAt;
-        objectiveAt += now - arrivedAt;
+        latencyTargetAt += now - arrivedAt;
         arrivedAt = now;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -37,7 +37,7 @@
         this.subsets = subsets;
         this.health = health;
         this.admission = admission;
-        meanTargetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /**
@@ -100,7 +100,7 @@
                                 || now - connections.lastSetupAt() > meanTargetMicros);
         return mayMeasureSetup
                 || now + connections.setupMicros(now) + health.latency().typicalMicros(request)
-                        <= request.times().objectiveAt();
+                        <= request.times().latencyTargetAt();
     }
 
     /**
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -55,7 +55,7 @@
         this.health = health;
         this.admission = admission;
         eligibility = new EndpointEligibility(settings, subsets, health, admission);
-        cost = new EndpointCost(subsets, health, settings.meanTargetLatencyMicros());
+        cost = new EndpointCost(subsets, health, settings.meanLatencyTargetMicros());
     }
 
     /**
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -241,7 +241,7 @@
         operation.finished = true;
         long latencyMicros = events.now() - operation.arrivedAtMicros;
         accounting.recordLatency(operation, latencyMicros);
-        if (latencyMicros <= requestClass.latencyObjectiveMicros()) {
+        if (latencyMicros <= requestClass.latencyTargetMicros()) {
             accounting.recordServed(operation);
         } else {
             accounting.recordLoss(operation, CAUSE_LATE, true);
@@ -271,7 +271,7 @@
                 Math.min(
                         operation.deadlineMicros,
                         operation.arrivedAtMicros
-                                + requestClass.latencyObjectiveMicros() * MAX_OBJECTIVES);
+                                + requestClass.latencyTargetMicros() * MAX_OBJECTIVES);
         if (operation.requestCount > maxRetries || events.now() + delayMicros >= lastRetryMicros) {
             giveUp(operation, cause);
             return;
@@ -285,7 +285,6 @@
         }
         operation.finished = true;
         long elapsedMicros = events.now() - operation.arrivedAtMicros;
-        accounting.recordLoss(
-                operation, cause, elapsedMicros > requestClass.latencyObjectiveMicros());
+        accounting.recordLoss(operation, cause, elapsedMicros > requestClass.latencyTargetMicros());
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
@@ -64,7 +64,7 @@
                 "effect", effect(requestClass.idempotency()),
                 "group", group(requestClass.deduplicationScope()),
                 "dedup_window_us", requestClass.deduplicationWindowMicros(),
-                "aim_us", requestClass.latencyObjectiveMicros(),
+                "aim_us", requestClass.latencyTargetMicros(),
                 "deadline_us", requestClass.deadlineMicros(),
                 "worth", requestClass.priorityWeight(),
                 "late_value", requestClass.lateWeightShare(),
--- a/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
@@ -45,7 +45,7 @@
                         "window_us",
                         requestClass.deduplicationWindowMicros(),
                         "aim_us",
-                        requestClass.latencyObjectiveMicros(),
+                        requestClass.latencyTargetMicros(),
                         "drain_us",
                         1000 * scenario.service().drainGraceMillis(),
                         "attempts",
--- a/testbed/src/main/java/sagefall/policy/OracleBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/OracleBalancer.java
@@ -25,7 +25,7 @@
     @Override
     BaselineEndpoint pick(Request request, List<BaselineEndpoint> candidates) {
         BaselineEndpoint best = null;
-        double least = MAX_OBJECTIVE_SHARE * settings.classes().get(0).latencyObjectiveMicros();
+        double least = MAX_OBJECTIVE_SHARE * settings.classes().get(0).latencyTargetMicros();
         for (BaselineEndpoint candidate : candidates) {
             double micros = groundTruth.expectedAnswerMicros(candidate.id, settings.zone());
             if (micros < least) {
