--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -145,6 +145,6 @@
      */
     double weight(PendingRequest request) {
         double quotaWeight = request.isOverQuota() ? settings.overQuotaWeight() : 1;
-        return request.rules().priorityWeight() * quotaWeight;
+        return request.requestClass().priorityWeight() * quotaWeight;
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -120,7 +120,7 @@
             long latest = times.arrivedAt() + (long) (MAX_QUEUED_PART * total);
             lastUseful = Math.min(lastUseful, latest);
         }
-        if (request.rules().lateWeightShare() == 0) {
+        if (request.requestClass().lateWeightShare() == 0) {
             long latestInTime = times.latencyTargetAt() - (long) latency.typicalMicros(request);
             lastUseful = Math.min(lastUseful, latestInTime);
         }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
@@ -74,7 +74,7 @@
     }
 
     private boolean isSlow(Attempt attempt, double elapsedMicros) {
-        double latencyTarget = attempt.request().rules().latencyTargetMicros();
+        double latencyTarget = attempt.request().requestClass().latencyTargetMicros();
         double typical = TYPICAL_FACTOR * latency.typicalMicros(attempt.request());
         double threshold =
                 Math.min(
@@ -91,7 +91,7 @@
      */
     boolean exceedsLimitTarget(Attempt attempt, double latencyRatio) {
         return latencyRatio * attempt.typicalMicros()
-                > LIMIT_TARGET * attempt.request().rules().latencyTargetMicros();
+                > LIMIT_TARGET * attempt.request().requestClass().latencyTargetMicros();
     }
 
     private void cut(long now, Attempt attempt, ConcurrencyState state) {
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -183,7 +183,7 @@
         connections.recordResponse(now, attempt, elapsedMicros);
         outliers.recordResponse(endpoint);
         admission.recordResponse(elapsedMicros, admissionTargetMicros(attempt));
-        long latencyTarget = Math.max(1, attempt.request().rules().latencyTargetMicros());
+        long latencyTarget = Math.max(1, attempt.request().requestClass().latencyTargetMicros());
         ZoneConcurrencyLimit zoneLimit = zoneLimits.of(endpoint);
         zoneLimit.recordResponse(elapsedMicros / (double) latencyTarget);
         // The typical latency may have changed since the attempt was sent.
@@ -202,7 +202,7 @@
      * one.
      */
     private double admissionTargetMicros(Attempt attempt) {
-        return attempt.request().rules().latencyTargetMicros()
+        return attempt.request().requestClass().latencyTargetMicros()
                 * attempt.typicalMicros()
                 / latency.typicalMicros(attempt.request());
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
@@ -53,7 +53,7 @@
     }
 
     /** Returns the settings of the request class. */
-    public RequestClass rules() {
+    public RequestClass requestClass() {
         return repeatPolicy.requestClass();
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -132,7 +132,7 @@
         if (now < endpoint.outlier().ejectedUntil()) {
             return false;
         }
-        boolean idempotent = request.rules().idempotency() == Idempotency.IDEMPOTENT;
+        boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         if (!request.attempts().isEmpty() || (!idempotent && settings.anyIdempotentClass())) {
             return false;
         }
