--- a/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
@@ -68,7 +68,7 @@
         if (!request.isQueued()) {
             return;
         }
-        if (zoneLimits.anyFull()) {
+        if (zoneLimits.isAnyZoneFull()) {
             // No endpoint of the other zones has capacity either: a queued request would be late,
             // and would make later requests late.
             closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
@@ -109,7 +109,7 @@
         }
         if (now >= queue.lastUsefulAt(request, openRequests.size())) {
             closer.rejectOrFail(request, RejectionReason.QUEUE_TIMEOUT);
-        } else if (zoneLimits.anyFull()) {
+        } else if (zoneLimits.isAnyZoneFull()) {
             closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
         } else {
             scheduleRecheck(now, request);
@@ -118,7 +118,7 @@
     }
 
     private void scheduleRecheck(long now, PendingRequest request) {
-        long recheckAt = queue.nextCheckAt(now, request, openRequests.size());
+        long recheckAt = queue.nextRecheckAt(now, request, openRequests.size());
         timers.scheduleRecheck(recheckAt, request);
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -87,11 +87,11 @@
             return;
         }
         request.setRoutingSeed(random.nextLong());
-        admission.chargeTenant(request);
+        admission.countAgainstQuota(request);
         request.setCell(subsets.chooseCell(request, random));
         retryBudget.recordRequest(admission.admittedFraction());
         admission.recordRequest(now);
-        health.silence().check(now);
+        health.silence().detectHangingAttempts(now);
         if (openRequests.size() > settings.limits().maxOpenRequests()) {
             closer.rejectOrFail(queue.leastValuable(request), RejectionReason.OPEN_REQUESTS);
         }
@@ -120,7 +120,7 @@
             // used to be queued and never got a response.
             return RejectionReason.TOO_LATE;
         }
-        if (subsets.isSparse() && admission.sheds(request, random.nextDouble())) {
+        if (subsets.isSparse() && admission.shouldReject(request, random.nextDouble())) {
             return RejectionReason.ADMISSION;
         }
         return null;
@@ -181,7 +181,7 @@
         attempt.request().startResponse();
         attempt.startStreaming();
         health.stopAwaiting(attempt);
-        health.recordAnswer(now, attempt, elapsedMicros);
+        health.recordResponse(now, attempt, elapsedMicros);
         queueDispatcher.sendQueued(now);
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -76,7 +76,7 @@
      *
      * @param draw random number from 0 to 1
      */
-    public boolean sheds(PendingRequest request, double draw) {
+    public boolean shouldReject(PendingRequest request, double draw) {
         double exponent = request.isOverQuota() ? 1 / settings.overQuotaWeight() : 1;
         return draw >= Math.pow(admittedFraction, exponent);
     }
@@ -126,7 +126,7 @@
      * less than one request of credit was left. Every request adds to the credit of each tenant in
      * proportion to the quota of that tenant, so that the total request rate need not be known.
      */
-    public void chargeTenant(PendingRequest request) {
+    public void countAgainstQuota(PendingRequest request) {
         if (totalShare <= 0) {
             return;
         }
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -92,7 +92,7 @@
     }
 
     /** Returns the time of the next check of a queued request, in microseconds. */
-    public long nextCheckAt(long now, PendingRequest request, int openRequests) {
+    public long nextRecheckAt(long now, PendingRequest request, int openRequests) {
         long recheckAt = now + (long) (meanTargetMicros * RECHECK_TARGETS);
         return Math.max(now + 1, Math.min(lastUsefulAt(request, openRequests), recheckAt));
     }
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns whether the attempts in flight have reached the limit in any zone. */
-    public boolean anyFull() {
+    public boolean isAnyZoneFull() {
         for (ZoneConcurrencyLimit limit : limits) {
             if (limit.isFull()) {
                 return true;
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -111,7 +111,7 @@
         switch (outcome.result()) {
             case SERVED -> {
                 loadReports.record(now, attempt.endpoint(), outcome.report());
-                recordAnswer(now, attempt, outcome.elapsedMicros());
+                recordResponse(now, attempt, outcome.elapsedMicros());
             }
             case REJECTED -> recordRejection(now, attempt);
             case NO_CONNECTION -> recordFailedSetup(now, attempt, outcome);
@@ -178,7 +178,7 @@
     }
 
     /** Records a complete response, or the beginning of a streamed one. */
-    public void recordAnswer(long now, Attempt attempt, long elapsedMicros) {
+    public void recordResponse(long now, Attempt attempt, long elapsedMicros) {
         Endpoint endpoint = attempt.endpoint();
         connections.recordResponse(now, attempt, elapsedMicros);
         outliers.recordResponse(endpoint);
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -54,7 +54,7 @@
      * Detects attempts that hang. The search stops at the first attempt younger than half of the
      * mean latency target, since none of the following attempts is older.
      */
-    public void check(long now) {
+    public void detectHangingAttempts(long now) {
         for (Attempt attempt : awaited) {
             long ageMicros = now - attempt.awaitedSince();
             if (ageMicros < meanTargetMicros / 2) {
