--- a/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
+++ b/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
@@ -41,7 +41,7 @@
         if (!isRequestSendable(now, request) || !isEndpointAllowed(now, request, endpoint)) {
             return false;
         }
-        boolean onTrustedConnection = health.connections().isWarm(now, endpoint);
+        boolean onTrustedConnection = health.connections().hasTrustedConnection(now, endpoint);
         double typicalMicros = health.latency().typicalMicros(request);
         Attempt attempt = new Attempt(request, endpoint, now, typicalMicros, onTrustedConnection);
         if (attempt.onNewConnection()) {
@@ -84,8 +84,8 @@
      */
     private void closeIdleConnections(Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
-        if (connection.isOpened() && endpoint.concurrency().isIdle()) {
-            connection.closed();
+        if (connection.mayHaveIdleConnection() && endpoint.concurrency().isIdle()) {
+            connection.markIdleConnectionsClosed();
             actions.closeIdleConnections(endpoint.id());
         }
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
@@ -18,7 +18,7 @@
     int connectFailures;
 
     /** Whether a response has arrived since the idle connections were last closed. */
-    boolean opened;
+    boolean mayHaveIdleConnection;
 
     /** Whether several connection set-ups in a row failed, so that the endpoint may be down. */
     boolean suspectedDown;
@@ -57,13 +57,13 @@
     }
 
     /** Returns whether the host may hold an idle connection. */
-    public boolean isOpened() {
-        return opened;
+    public boolean mayHaveIdleConnection() {
+        return mayHaveIdleConnection;
     }
 
     /** Records that the host closes the idle connections. */
-    public void closed() {
-        opened = false;
+    public void markIdleConnectionsClosed() {
+        mayHaveIdleConnection = false;
         resetLastUsed();
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
@@ -56,7 +56,7 @@
      * connection that has been idle for longer than the trusted idle time or the idle timeout is
      * not trusted.
      */
-    public boolean isWarm(long now, Endpoint endpoint) {
+    public boolean hasTrustedConnection(long now, Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
         return connection.hasWorkingConnection()
                 && now - connection.lastUsedAt()
@@ -122,7 +122,7 @@
         }
         ConnectionState connection = attempt.endpoint().connection();
         connection.markUsed(now);
-        connection.opened = true;
+        connection.mayHaveIdleConnection = true;
         connection.connectFailures = 0;
         connection.connectAt = 0;
         if (connection.suspectedDown) {
@@ -139,7 +139,7 @@
     /** Records a rejection, which shows that the connection works. */
     void recordRejection(long now, Endpoint endpoint) {
         endpoint.connection().markUsed(now);
-        endpoint.connection().opened = true;
+        endpoint.connection().mayHaveIdleConnection = true;
     }
 
     /**
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -68,7 +68,7 @@
     }
 
     private static void suspect(long now, Attempt attempt) {
-        attempt.suspect();
+        attempt.markSuspected();
         SilenceState silence = attempt.endpoint().silence();
         silence.suspectedAttempts++;
         silence.lastSuspectedAt = now;
--- a/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
@@ -129,7 +129,7 @@
     }
 
     /** Marks the attempt as one that has had no response for too long. */
-    public void suspect() {
+    public void markSuspected() {
         suspected = true;
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
@@ -46,7 +46,7 @@
             cost /= MAX_HEADROOM - Math.min(1, loadReports.utilization(now, endpoint));
         }
         ConnectionTrust connections = health.connections();
-        if (subsets.isSparse() && !connections.isWarm(now, endpoint)) {
+        if (subsets.isSparse() && !connections.hasTrustedConnection(now, endpoint)) {
             cost *= NEW_CONNECTION + SETUP_COST * connections.setupMicros(now) / meanTargetMicros;
         }
         return cost;
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -88,7 +88,7 @@
      */
     private boolean isConnectable(long now, PendingRequest request, Endpoint endpoint) {
         ConnectionTrust connections = health.connections();
-        if (connections.isWarm(now, endpoint)) {
+        if (connections.hasTrustedConnection(now, endpoint)) {
             return true;
         }
         if (now < endpoint.connection().connectAt()) {
