--- a/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
+++ b/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
@@ -54,7 +54,7 @@
         // An endpoint can't respond before the last byte of an upload: until then the attempt
         // counts neither as in flight nor as one without a response.
         if (!request.isUploading()) {
-            health.startAwaiting(now, attempt);
+            health.startAwaitingResponse(now, attempt);
         }
         request.attemptSent(attempt);
         actions.send(request.id(), endpoint.id(), NO_TIMEOUT, latestSendAt);
@@ -72,7 +72,7 @@
     private boolean isEndpointAllowed(long now, PendingRequest request, Endpoint endpoint) {
         int attempts = request.attempts().size();
         return endpoint.isUsable()
-                && request.mayRunOn(now, endpoint)
+                && request.maySendTo(now, endpoint)
                 && attempts < Math.max(1, settings.limits().maxAttempts())
                 && (attempts == 0 || retryBudget.allowsRetry());
     }
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -139,7 +139,7 @@
         boolean wasStreaming = attempt.isStreaming();
         attempt.end(outcome.result());
         request.attemptEnded();
-        health.stopAwaiting(attempt);
+        health.stopAwaitingResponse(attempt);
         if (wasStreaming) {
             health.recordStreamEnd(now, attempt, outcome);
         } else {
@@ -180,7 +180,7 @@
         }
         attempt.request().startResponse();
         attempt.startStreaming();
-        health.stopAwaiting(attempt);
+        health.stopAwaitingResponse(attempt);
         health.recordResponse(now, attempt, elapsedMicros);
         queueDispatcher.sendQueued(now);
     }
@@ -196,7 +196,7 @@
         }
         request.uploadCompleted(now, deadlineAt);
         if (request.hasAttemptInFlight()) {
-            health.startAwaiting(now, request.lastAttempt());
+            health.startAwaitingResponse(now, request.lastAttempt());
         }
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -85,19 +85,19 @@
     }
 
     /** Starts to wait for the response to an attempt, which counts as in flight from now on. */
-    public void startAwaiting(long now, Attempt attempt) {
-        attempt.startAwaiting(now);
+    public void startAwaitingResponse(long now, Attempt attempt) {
+        attempt.startAwaitingResponse(now);
         silence.add(attempt);
         attempt.endpoint().concurrency().inFlight.addLast(attempt);
         zoneLimits.of(attempt.endpoint()).attemptStarted();
     }
 
     /** Stops waiting for the response to an attempt; has no effect if none is awaited. */
-    public void stopAwaiting(Attempt attempt) {
-        if (!attempt.isAwaited()) {
+    public void stopAwaitingResponse(Attempt attempt) {
+        if (!attempt.isAwaitingResponse()) {
             return;
         }
-        attempt.stopAwaiting();
+        attempt.stopAwaitingResponse();
         zoneLimits.of(attempt.endpoint()).attemptEnded();
         attempt.endpoint().concurrency().inFlight.remove(attempt);
         silence.remove(attempt);
--- a/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
@@ -105,18 +105,18 @@
      * endpoint. An upload counts from its last byte on, and an attempt no longer counts once its
      * response streams.
      */
-    public boolean isAwaited() {
+    public boolean isAwaitingResponse() {
         return awaited;
     }
 
     /** Marks the attempt as awaiting a response from now on. */
-    public void startAwaiting(long now) {
+    public void startAwaitingResponse(long now) {
         awaitedSince = now;
         awaited = true;
     }
 
     /** Marks the attempt as no longer awaiting a response. */
-    public void stopAwaiting() {
+    public void stopAwaitingResponse() {
         awaited = false;
     }
 
@@ -144,7 +144,7 @@
     }
 
     /** Returns whether the attempt may have run, or may still run. */
-    public boolean possiblyExecuted() {
+    public boolean mayHaveRun() {
         return result == null || !result.provesNotExecuted;
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
@@ -192,9 +192,9 @@
     }
 
     /** Returns the first attempt that may have run or may still run; null if there is none. */
-    public Attempt firstPossiblyExecuted() {
+    public Attempt firstThatMayHaveRun() {
         for (Attempt attempt : attempts) {
-            if (attempt.possiblyExecuted()) {
+            if (attempt.mayHaveRun()) {
                 return attempt;
             }
         }
@@ -222,8 +222,8 @@
     }
 
     /** Returns whether an attempt may be sent to this endpoint now, see {@link RepeatPolicy}. */
-    public boolean mayRunOn(long now, Endpoint endpoint) {
-        return repeatPolicy.mayRunOn(now, this, endpoint);
+    public boolean maySendTo(long now, Endpoint endpoint) {
+        return repeatPolicy.maySendTo(now, this, endpoint);
     }
 
     /** Returns the time from which on no attempt may be sent, see {@link RepeatPolicy}. */
--- a/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
@@ -39,7 +39,7 @@
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
         return deduplicatedEverywhere
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.firstPossiblyExecuted() == null;
+                || request.firstThatMayHaveRun() == null;
     }
 
     /** Returns whether idempotency could allow a retry, at some endpoint and time. */
@@ -53,7 +53,7 @@
      * Long#MAX_VALUE}.
      */
     long latestSendAt(PendingRequest request) {
-        Attempt first = request.firstPossiblyExecuted();
+        Attempt first = request.firstThatMayHaveRun();
         if (first == null || requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return Long.MAX_VALUE;
         }
@@ -64,11 +64,11 @@
      * Returns whether an attempt may be sent to this endpoint now. No endpoint is sent two attempts
      * of a request.
      */
-    boolean mayRunOn(long now, PendingRequest request, Endpoint endpoint) {
+    boolean maySendTo(long now, PendingRequest request, Endpoint endpoint) {
         if (request.wasSentTo(endpoint)) {
             return false;
         }
-        Attempt first = request.firstPossiblyExecuted();
+        Attempt first = request.firstThatMayHaveRun();
         if (first == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -52,7 +52,7 @@
                 || endpoint.isSilent()) {
             return false;
         }
-        if (!request.mayRunOn(now, endpoint) || !isConnectable(now, request, endpoint)) {
+        if (!request.maySendTo(now, endpoint) || !isConnectable(now, request, endpoint)) {
             return false;
         }
         if (endpoint.outlier().isEjected()) {
