--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
@@ -12,10 +12,10 @@
      * @param endpoint id of the endpoint
      * @param timeoutMicros duration after which the attempt is cancelled; 0 to bound it only by the
      *     deadline of the request
-     * @param latestMicros point in time from which on the first byte must not be sent, since the
-     *     request could take effect twice then; {@link Long#MAX_VALUE} if there is no such time
+     * @param latestStartMicros point in time from which on the first byte must not be sent, since
+     *     the request could take effect twice then; {@link Long#MAX_VALUE} if there is no such time
      */
-    void send(String requestId, long endpoint, long timeoutMicros, long latestMicros);
+    void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros);
 
     /**
      * Rejects a request: completes it with a response that allows the client to retry it.
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -77,9 +77,9 @@
      *
      * @param timeoutMicros duration after which the attempt is cancelled; 0 to wait until the
      *     deadline of the request
-     * @param latestMicros time from which the first byte must no longer be sent
+     * @param latestStartMicros time from which the first byte must no longer be sent
      */
-    void send(String requestId, long endpoint, long timeoutMicros, long latestMicros) {
+    void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros) {
         ProxiedRequest request = requests.byId(requestId);
         if (request == null) {
             return;
@@ -88,7 +88,7 @@
         long attemptDeadline = attemptDeadline(request, now, timeoutMicros);
         ForwardedAttempt attempt = new ForwardedAttempt(request, endpoint, now, attemptDeadline);
         attempt.timeoutMicros = timeoutMicros;
-        attempt.latestStartMicros = latestMicros;
+        attempt.latestStartMicros = latestStartMicros;
         request.attempts.add(attempt);
         request.attemptsInFlight++;
         if (request.upload == null || request.upload.isComplete()) {
--- a/sidecar/src/main/java/sagefall/proxy/HostActions.java
+++ b/sidecar/src/main/java/sagefall/proxy/HostActions.java
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public void send(String requestId, long endpoint, long timeoutMicros, long latestMicros) {
-        forwarder.send(requestId, endpoint, timeoutMicros, latestMicros);
+    public void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros) {
+        forwarder.send(requestId, endpoint, timeoutMicros, latestStartMicros);
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void send(String requestId, long endpoint, long timeoutMicros, long latestMicros) {
+    public void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros) {
         writeAction(
                 WireNames.PLACE,
                 () -> {
--- a/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
@@ -34,7 +34,7 @@
     final DefaultLoadBalancer balancer;
     long now = 1_000_000;
 
-    record Sent(String request, long server, long at, long latestMicros) {}
+    record Sent(String request, long server, long at, long latestStartMicros) {}
 
     /** Creates an instance with ready servers of ids from 1 on, in zones 0 and 1 by turns. */
     RecordingActions(BalancerSettings settings, int servers) {
@@ -102,8 +102,8 @@
     }
 
     @Override
-    public void send(String requestId, long server, long timeoutMicros, long latestMicros) {
-        sent.add(new Sent(requestId, server, now, latestMicros));
+    public void send(String requestId, long server, long timeoutMicros, long latestStartMicros) {
+        sent.add(new Sent(requestId, server, now, latestStartMicros));
         actions.add("send " + requestId + " " + server + " " + timeoutMicros);
     }
 
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -82,13 +82,13 @@
         host.request("x");
         long first = host.now;
         host.endLastAttempt(0, AttemptResult.NO_CONNECTION, 1000, false);
-        assertEquals(Long.MAX_VALUE, host.sent.get(0).latestMicros());
-        assertEquals(Long.MAX_VALUE, host.sent.get(1).latestMicros());
+        assertEquals(Long.MAX_VALUE, host.sent.get(0).latestStartMicros());
+        assertEquals(Long.MAX_VALUE, host.sent.get(1).latestStartMicros());
         host.endLastAttempt(1, AttemptResult.ERROR, 1000, false);
         if (idempotency == Idempotency.IDEMPOTENCY_KEY) {
-            assertEquals(first + 1000 + 500_000 - 1000, host.sent.get(2).latestMicros());
+            assertEquals(first + 1000 + 500_000 - 1000, host.sent.get(2).latestStartMicros());
         } else if (idempotency == Idempotency.IDEMPOTENT) {
-            assertEquals(Long.MAX_VALUE, host.sent.get(2).latestMicros());
+            assertEquals(Long.MAX_VALUE, host.sent.get(2).latestStartMicros());
         } else {
             assertEquals(2, host.sent.size());
         }
--- a/testbed/src/main/java/sagefall/emulator/SidecarActions.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void send(String requestId, long serverId, long timeoutMicros, long latestMicros) {
+    public void send(String requestId, long serverId, long timeoutMicros, long latestStartMicros) {
         EventQueue events = environment.events();
         ClientRequest request = sidecar.openRequest(requestId);
         EmulatedServer server = environment.server(serverId);
@@ -38,7 +38,7 @@
         int number = request.attempts.size();
         EmulatedAttempt attempt =
                 new EmulatedAttempt(request, sidecar, number, server, events.now());
-        attempt.sendDeadlineMicros = latestMicros;
+        attempt.sendDeadlineMicros = latestStartMicros;
         request.attempts.add(attempt);
         request.inFlight++;
         if (request.finished || events.now() >= request.deadlineMicros) {
