--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -36,7 +36,7 @@
     private final Channel channel;
     private final HttpConnectionListener listener;
     private final ResponseDecoder decoder = new ResponseDecoder();
-    private ConnectionState state = ConnectionState.CONNECTING;
+    private HttpConnectionState state = HttpConnectionState.CONNECTING;
 
     /** Largest response to the current request that is streamed, in bytes; 0 to collect it. */
     private long maxStreamedBytes;
@@ -100,15 +100,15 @@
     private void onConnectDone(EventLoop loop, Future<?> connected) {
         if (!connected.isSuccess()) {
             executeLater(loop, this::onClosed);
-        } else if (state != ConnectionState.CLOSED) {
-            enter(ConnectionState.IDLE);
+        } else if (state != HttpConnectionState.CLOSED) {
+            enter(HttpConnectionState.IDLE);
             listener.connectionOpened();
         }
     }
 
     private void onClosed() {
-        if (state != ConnectionState.CLOSED) {
-            enter(ConnectionState.CLOSED);
+        if (state != HttpConnectionState.CLOSED) {
+            enter(HttpConnectionState.CLOSED);
             listener.connectionClosed();
         }
     }
@@ -208,7 +208,7 @@
     }
 
     private void expectResponse(long newMaxStreamedBytes) {
-        enter(ConnectionState.AWAITING_RESPONSE);
+        enter(HttpConnectionState.AWAITING_RESPONSE);
         maxStreamedBytes = newMaxStreamedBytes;
     }
 
@@ -216,15 +216,15 @@
      * Changes the state. {@code CLOSED} is final: later transitions are ignored, because a closed
      * channel rejects all operations.
      */
-    void enter(ConnectionState next) {
-        if (state == ConnectionState.CLOSED) {
+    void enter(HttpConnectionState next) {
+        if (state == HttpConnectionState.CLOSED) {
             return;
         }
         assert state.canBecome(next) : "HTTP connection: " + state + " cannot become " + next;
         state = next;
     }
 
-    ConnectionState state() {
+    HttpConnectionState state() {
         return state;
     }
 
--- a/sidecar/src/main/java/sagefall/http/ConnectionState.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionState.java
@@ -1,10 +1,10 @@
 package sagefall.http;
 
 /**
- * The state of an {@link HttpClientConnection}. {@link #canBecome(ConnectionState)} defines the
+ * The state of an {@link HttpClientConnection}. {@link #canBecome(HttpConnectionState)} defines the
  * transitions.
  */
-enum ConnectionState {
+enum HttpConnectionState {
     /** The connection is being established. */
     CONNECTING(false, false),
 
@@ -29,7 +29,7 @@
     private final boolean expectsInput;
     private final boolean hasResponse;
 
-    ConnectionState(boolean expectsInput, boolean hasResponse) {
+    HttpConnectionState(boolean expectsInput, boolean hasResponse) {
         this.expectsInput = expectsInput;
         this.hasResponse = hasResponse;
     }
@@ -52,7 +52,7 @@
      * #IDLE} only if the decoder has buffered surplus bytes that the end of the input turns into a
      * response.
      */
-    boolean canBecome(ConnectionState next) {
+    boolean canBecome(HttpConnectionState next) {
         if (next == CLOSED) {
             return true;
         }
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -61,7 +61,7 @@
         } else if (head.decoderResult().isFailure() || !isStreamable(head, length)) {
             context.close();
         } else {
-            connection.enter(ConnectionState.STREAMING_RESPONSE);
+            connection.enter(HttpConnectionState.STREAMING_RESPONSE);
             remainingStreamBytes = connection.maxStreamedBytes();
             connection.listener().responseStarted(head);
         }
@@ -88,14 +88,14 @@
     }
 
     private void onStreamedPart(ChannelHandlerContext context, HttpContent part) {
-        if (connection.state() != ConnectionState.STREAMING_RESPONSE) {
+        if (connection.state() != HttpConnectionState.STREAMING_RESPONSE) {
             surplusReceived = true;
             return;
         }
         remainingStreamBytes -= part.content().readableBytes();
         if (part.decoderResult().isFailure() || remainingStreamBytes < 0) {
             // In this state, neither later parts nor the end of the response are reported.
-            connection.enter(ConnectionState.AWAITING_RESPONSE);
+            connection.enter(HttpConnectionState.AWAITING_RESPONSE);
             context.close();
             return;
         }
@@ -104,7 +104,7 @@
         }
         if (part instanceof LastHttpContent last) {
             connection.decoder().messageEnded();
-            connection.enter(ConnectionState.RESPONSE_STREAMED);
+            connection.enter(HttpConnectionState.RESPONSE_STREAMED);
             trailers = last.trailingHeaders();
         }
     }
@@ -124,7 +124,7 @@
             // incomplete. After 101 (Switching Protocols), no HTTP response follows.
             context.close();
         } else {
-            connection.enter(ConnectionState.RESPONSE_COLLECTED);
+            connection.enter(HttpConnectionState.RESPONSE_COLLECTED);
             collected = response.retain();
         }
     }
@@ -136,9 +136,9 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        ConnectionState state = connection.state();
-        if (state == ConnectionState.STREAMING_RESPONSE
-                || state == ConnectionState.RESPONSE_STREAMED) {
+        HttpConnectionState state = connection.state();
+        if (state == HttpConnectionState.STREAMING_RESPONSE
+                || state == HttpConnectionState.RESPONSE_STREAMED) {
             connection.listener().responseReadComplete();
         }
         if (trailers != null) {
@@ -152,14 +152,14 @@
     private void reportStreamedEnd(ChannelHandlerContext context) {
         HttpHeaders receivedTrailers = trailers;
         trailers = null;
-        connection.enter(ConnectionState.IDLE);
+        connection.enter(HttpConnectionState.IDLE);
         connection.listener().responseFinished(receivedTrailers, isClean(context));
     }
 
     private void reportCollected(ChannelHandlerContext context) {
         FullHttpResponse response = collected;
         collected = null;
-        connection.enter(ConnectionState.IDLE);
+        connection.enter(HttpConnectionState.IDLE);
         try {
             connection.listener().responseCollected(response, isClean(context));
         } finally {
--- a/sidecar/src/main/java/sagefall/proxy/HostActions.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxyActions.java
@@ -11,7 +11,7 @@
  * Implements the balancer's actions by passing each one to the part of the sidecar that carries it
  * out. Used on the event loop only.
  */
-final class HostActions implements BalancerActions {
+final class ProxyActions implements BalancerActions {
 
     private final EventLoop loop;
     private final WallClock clock;
@@ -21,7 +21,7 @@
     private final DiscoveryClient discovery;
     private final Consumer<String> log;
 
-    HostActions(
+    ProxyActions(
             EventLoop loop,
             WallClock clock,
             BalancerDriver driver,
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -96,8 +96,8 @@
         listener =
                 new DownstreamListener(
                         loop, latencyClock, requestHandler, config.maxClientConnections(), log);
-        HostActions actions =
-                new HostActions(loop, clock, driver, forwarder, responses, discovery, log);
+        ProxyActions actions =
+                new ProxyActions(loop, clock, driver, forwarder, responses, discovery, log);
         driver.setBalancer(balancerFactory.apply(config.settings(), actions));
         applyExtensions(config.extensions());
     }
