--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -54,7 +54,7 @@
      *
      * @throws ConfigException with a single line for the user
      */
-    public static SidecarConfig reread(Map<String, String> environment) throws ConfigException {
+    public static SidecarConfig reload(Map<String, String> environment) throws ConfigException {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
         withoutDiscovery.remove(SidecarConfigReader.DISCOVERY_VARIABLE);
         return read(withoutDiscovery);
--- a/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
+++ b/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
@@ -41,7 +41,7 @@
      */
     void reload() {
         try {
-            server.reconfigure(SidecarConfig.reread(environment));
+            server.reconfigure(SidecarConfig.reload(environment));
         } catch (IOException | RuntimeException e) {
             // An invalid file must not end a serving process; only the reload is skipped.
             log.println(
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -85,7 +85,7 @@
         forwarder = new AttemptForwarder(loop, clock, config, driver, requests, responses);
         pool = forwarder.pool();
         recorder = new EndpointRecorder(config.endpointListCodec());
-        endpointUpdates = new EndpointUpdates(driver, pool, recorder, this::onDiscoveryAnswered);
+        endpointUpdates = new EndpointUpdates(driver, pool, recorder, this::onDiscoveryResult);
         discovery = newDiscoveryClient();
         recovery =
                 new RecoveryStartup(
@@ -215,7 +215,7 @@
         }
     }
 
-    private void onDiscoveryAnswered() {
+    private void onDiscoveryResult() {
         if (state == LifecycleState.AWAITING_ENDPOINTS) {
             bind();
         }
