--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -101,7 +101,7 @@
         attempt.timeoutTimer =
                 loop.schedule(
                         () -> stop(attempt, AttemptResult.TIMED_OUT),
-                        attempt.giveUpAtMicros - now,
+                        attempt.deadlineMicros - now,
                         TimeUnit.MICROSECONDS);
     }
 
@@ -153,10 +153,10 @@
 
     /**
      * Responds to a request that the balancer will not complete. To make the balancer drop the
-     * request, a disconnect of its client is reported. Has no effect if the request is finished.
+     * request, a disconnect of its client is reported. Has no effect if the request is completed.
      */
     void abort(ProxiedRequest request, HttpResponseStatus status) {
-        if (request.finished) {
+        if (request.completed) {
             return;
         }
         responses.write(request, status, new DefaultHttpHeaders());
@@ -207,7 +207,7 @@
     public void uploadWritten(ForwardedAttempt attempt) {
         long now = clock.micros();
         attempt.durationStartMicros = now;
-        attempt.giveUpAtMicros = attemptDeadline(attempt.request, now, attempt.timeoutMicros);
+        attempt.deadlineMicros = attemptDeadline(attempt.request, now, attempt.timeoutMicros);
         if (attempt.timeoutTimer != null) {
             attempt.timeoutTimer.cancel(false);
         }
@@ -238,7 +238,7 @@
             request.uploadRefusal = copyOf(response);
         }
         request.attemptsInFlight--;
-        if (result == AttemptResult.SERVED && !request.finished) {
+        if (result == AttemptResult.SERVED && !request.completed) {
             responses.forward(request, response);
         }
         outcomes.report(attempt, result, report);
@@ -259,7 +259,7 @@
             LoadReport report,
             FlowControl.Source source) {
         ProxiedRequest request = attempt.request;
-        if (request.finished || request.streamingAttempt != null) {
+        if (request.completed || request.streamingAttempt != null) {
             stop(attempt, AttemptResult.CANCELLED);
             return;
         }
--- a/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
@@ -143,7 +143,7 @@
         if (request == null) {
             return "event_skipped";
         }
-        if (request.finished) {
+        if (request.completed) {
             return "already_answered";
         }
         return request.streamingAttempt == null ? "answered_500" : "stream_cut_short";
--- a/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
+++ b/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
@@ -24,7 +24,7 @@
     long durationStartMicros;
 
     /** Deadline of this attempt, at which the sidecar ends it. */
-    public long giveUpAtMicros;
+    public long deadlineMicros;
 
     /** Time from which the first byte must no longer be sent. */
     public long latestStartMicros = Long.MAX_VALUE;
@@ -47,7 +47,7 @@
         this.request = request;
         this.endpointId = endpointId;
         durationStartMicros = sentAtMicros;
-        giveUpAtMicros = deadlineMicros;
+        this.deadlineMicros = deadlineMicros;
         number = request.attempts.size();
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Marks a request as finished, because its response has been sent or its client has
+     * Marks a request as completed, because its response has been sent or its client has
      * disconnected. The request stays registered by its id until its attempts have ended.
      */
     void finish(ProxiedRequest request) {
-        request.finished = true;
+        request.completed = true;
         deadlines.remove(request);
         if (request.upload != null) {
             request.upload.close();
@@ -67,9 +67,9 @@
         removeIfComplete(request);
     }
 
-    /** Removes a request if it is finished and has no attempt in flight. */
+    /** Removes a request if it is completed and has no attempt in flight. */
     void removeIfComplete(ProxiedRequest request) {
-        if (request.finished && request.attemptsInFlight == 0) {
+        if (request.completed && request.attemptsInFlight == 0) {
             byId.remove(request.request.id(), request);
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
+++ b/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
@@ -5,7 +5,7 @@
 import sagefall.balancer.api.LoadReport;
 
 /**
- * Reports the outcome of each attempt to the balancer, and removes a finished request after its
+ * Reports the outcome of each attempt to the balancer, and removes a completed request after its
  * last attempt. Used on the event loop only.
  */
 final class OutcomeReporter {
@@ -37,7 +37,7 @@
                                         attempt.endpointId,
                                         result,
                                         now - attempt.durationStartMicros,
-                                        request.finished,
+                                        request.completed,
                                         report)));
         requests.removeIfComplete(request);
     }
--- a/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -38,7 +38,7 @@
          *
          * @param content ownership passes to this method
          */
-        void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
+        void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
         /**
          * Sends the head of a response of status 200 whose body is streamed.
@@ -108,7 +108,7 @@
     int attemptsInFlight;
 
     /** Whether the one final response has been sent, or the client has disconnected. */
-    public boolean finished;
+    public boolean completed;
 
     /** Error response of an endpoint to an incomplete upload; null if there was none. */
     UploadRefusal uploadRefusal;
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -12,7 +12,7 @@
 
 /**
  * Sends the one final response of a request: a forwarded response, a rejection or a failure. No
- * further response is sent for a finished request. Used on the event loop only.
+ * further response is sent for a completed request. Used on the event loop only.
  */
 final class ResponseWriter {
 
@@ -79,13 +79,13 @@
                 new DefaultHttpHeaders());
     }
 
-    /** Sends a response without a body, unless the request is null or finished. */
+    /** Sends a response without a body, unless the request is null or completed. */
     void write(ProxiedRequest request, HttpResponseStatus status, HttpHeaders headers) {
         write(request, status, headers, Unpooled.EMPTY_BUFFER);
     }
 
     /**
-     * Sends a response, unless the request is null or finished.
+     * Sends a response, unless the request is null or completed.
      *
      * @param content ownership passes to this method; released if no response is sent
      */
@@ -94,11 +94,11 @@
             HttpResponseStatus status,
             HttpHeaders headers,
             ByteBuf content) {
-        if (request == null || request.finished) {
+        if (request == null || request.completed) {
             content.release();
             return;
         }
         requests.finish(request);
-        request.client.answer(status, headers, content);
+        request.client.respond(status, headers, content);
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -66,10 +66,10 @@
     /**
      * Forwards a part of the body.
      *
-     * @param part ownership passes to this method; released if the request is finished
+     * @param part ownership passes to this method; released if the request is completed
      */
     void forwardPart(ForwardedAttempt attempt, ByteBuf part) {
-        if (attempt.request.finished) {
+        if (attempt.request.completed) {
             part.release();
         } else {
             attempt.request.client.writeBody(part);
@@ -78,7 +78,7 @@
 
     /** Flushes the client's connection; called once for all parts that arrived together. */
     void flush(ForwardedAttempt attempt) {
-        if (!attempt.request.finished) {
+        if (!attempt.request.completed) {
             attempt.request.client.flush();
         }
     }
@@ -89,7 +89,7 @@
      */
     void finish(ForwardedAttempt attempt, HttpHeaders trailers) {
         ProxiedRequest request = attempt.request;
-        if (request.finished) {
+        if (request.completed) {
             end(attempt, AttemptResult.SERVED);
         } else {
             request.client.endStreamedResponse(
@@ -109,7 +109,7 @@
         }
         attempt.result = result;
         request.attemptsInFlight--;
-        if (!request.finished) {
+        if (!request.completed) {
             requests.finish(request);
             if (result != AttemptResult.SERVED) {
                 request.client.abortResponse();
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
@@ -50,14 +50,14 @@
         if (!requests.contains(id)) {
             // Sent by a real client before the process is ready. The real sidecar does not run yet;
             // a 502 does not tell the client that a retry is safe.
-            client.answer(
+            client.respond(
                     HttpResponseStatus.BAD_GATEWAY,
                     new DefaultHttpHeaders(),
                     Unpooled.EMPTY_BUFFER);
         } else if (forwardedIds.add(id)) {
             sidecar.handle(http, client);
         } else {
-            client.answer(
+            client.respond(
                     HttpResponseStatus.OK,
                     LOAD_REPORT,
                     Unpooled.wrappedBuffer(new byte[WarmUpRequests.BODY_BYTES]));
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -216,7 +216,7 @@
         abandonExchange();
         channel.config().setAutoRead(true);
         exchange = new ClientExchange(this, null);
-        exchange.answer(
+        exchange.respond(
                 status,
                 new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "text/plain"),
                 Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8));
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -271,7 +271,7 @@
      * ownership of the content, which is released here or by the channel once written.
      */
     @Override
-    public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+    public void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
         if (!isCurrent() || isResponseStarted()) {
             content.release();
             if (isCurrent()) {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -70,7 +70,7 @@
             context.close();
         } else if (exchange != null && !isReadingBody()) {
             logFailure(exchange, cause);
-            exchange.answer(
+            exchange.respond(
                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
                     new DefaultHttpHeaders(),
                     Unpooled.EMPTY_BUFFER);
@@ -218,7 +218,7 @@
     }
 
     private void respondToHealthCheck(ClientExchange exchange) {
-        exchange.answer(
+        exchange.respond(
                 requestHandler().hasReadyEndpoint()
                         ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE,
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -117,8 +117,8 @@
             return;
         }
         long nowMicros = endpoint.pool().nowMicros();
-        boolean late = nowMicros >= Math.min(checked.giveUpAtMicros, checked.latestStartMicros);
-        if (!awaited || checked.request.finished || late || !endpoint.isInService()) {
+        boolean late = nowMicros >= Math.min(checked.deadlineMicros, checked.latestStartMicros);
+        if (!awaited || checked.request.completed || late || !endpoint.isInService()) {
             becomeIdle();
             endpoint.pool().end(checked, AttemptResult.NOT_SENT, null, null);
             return;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
@@ -52,7 +52,7 @@
     /** Returns the client's end-to-end headers, with the attempt's remaining time as timeout. */
     private static HttpHeaders headers(ForwardedAttempt attempt, long nowMicros) {
         HttpHeaders headers = ProtocolHeaders.endToEnd(attempt.request.headers);
-        long remainingMillis = (attempt.giveUpAtMicros - nowMicros) / MICROS_PER_MILLI;
+        long remainingMillis = (attempt.deadlineMicros - nowMicros) / MICROS_PER_MILLI;
         headers.set(ProtocolHeaders.TIMEOUT, Math.max(1, remainingMillis));
         return headers;
     }
--- a/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -269,7 +269,7 @@
         switch (change) {
             case ENDPOINT_DRAINS -> update(listOf(2, "terminating", backlog));
             case LATEST_START_PASSES -> attempt.latestStartMicros = clock.micros();
-            default -> attempt.request.finished = true;
+            default -> attempt.request.completed = true;
         }
         Socket established = backlog.acceptNext();
         assertEquals(AttemptResult.NOT_SENT, awaitResult());
