--- a/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
@@ -118,7 +118,7 @@
         }
 
         @Override
-        public void replayLost() {
+        public void replayBufferExceeded() {
             driver.deliver(
                     request,
                     (balancer, at) -> balancer.onReplayBufferExceeded(at, request.request.id()));
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void serverStalled(ProxiedRequest.Client client) {
+    public void endpointStalled(ProxiedRequest.Client client) {
         ProxiedRequest request = requests.byClient(client);
         if (request != null) {
             forwarder.endStalled(request);
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -75,7 +75,7 @@
     }
 
     /** Returns the number of iterations that have begun since the start. */
-    public long turnNumber() {
+    public long iterationNumber() {
         return iteration;
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -63,7 +63,7 @@
         this.channel = channel;
         reader = new RequestReader(this);
         earliestConnectNanos = listener.loopClock().earliestArrivalNanos();
-        acceptedInIteration = listener.loopClock().turnNumber();
+        acceptedInIteration = listener.loopClock().iterationNumber();
         acceptedAtNanos = System.nanoTime();
         stateSinceNanos = acceptedAtNanos;
     }
@@ -292,7 +292,7 @@
      * the next iteration may have arrived together with the connection.
      */
     long earliestArrivalNanos() {
-        return listener.loopClock().turnNumber() <= acceptedInIteration + 1
+        return listener.loopClock().iterationNumber() <= acceptedInIteration + 1
                 ? earliestConnectNanos
                 : listener.loopClock().earliestArrivalNanos();
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -163,7 +163,7 @@
         if (isReadingBody() && upload.isClientStalled()) {
             connection.reject(HttpResponseStatus.REQUEST_TIMEOUT, "the body stopped coming");
         } else if (hasEndpointStalled()) {
-            listener().requestHandler().serverStalled(this);
+            listener().requestHandler().endpointStalled(this);
         } else if (responseFlow != null && responseFlow.isSinkStalled()) {
             reset();
         }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
@@ -45,7 +45,7 @@
     }
 
     /** Called when the endpoint of this request has read or sent nothing for too long. */
-    default void serverStalled(ProxiedRequest.Client client) {}
+    default void endpointStalled(ProxiedRequest.Client client) {}
 
     /** Called when the client of this request can no longer be sent a response. */
     void clientDisconnected(ProxiedRequest.Client client);
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -22,7 +22,7 @@
         void uploadComplete();
 
         /** Called when the upload can no longer be replayed. */
-        void replayLost();
+        void replayBufferExceeded();
     }
 
     private enum State {
@@ -206,7 +206,7 @@
 
     private void dropReplayPastLimit() {
         if (replayBuffer.dropPastLimit(receivedBytes)) {
-            listener.replayLost();
+            listener.replayBufferExceeded();
         }
     }
 }
--- a/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
@@ -42,7 +42,7 @@
                     }
 
                     @Override
-                    public void replayLost() {
+                    public void replayBufferExceeded() {
                         events.add("replay lost");
                     }
                 });
