--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns whether this sidecar takes part in the election. */
-    public boolean isOn() {
+    public boolean isEnabled() {
         return directory != null;
     }
 }
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -80,7 +80,7 @@
     }
 
     /** Returns whether persistence is enabled. */
-    public boolean isOn() {
+    public boolean isEnabled() {
         return directory != null;
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -68,7 +68,7 @@
 
     /** Sets the streaming settings for responses that begin after this call. */
     void useStreaming(StreamingSettings settings) {
-        pool.setStreaming(settings.isOn());
+        pool.setStreaming(settings.isEnabled());
         streamedResponses.useStreaming(settings);
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
@@ -78,7 +78,7 @@
     @Override
     public long maxUploadBytes(HttpRequest head) {
         RequestClass requestClass = parser.requestClass(head.uri());
-        return requestClass == null ? 0 : streaming.bounds(requestClass.name()).requestBytes();
+        return requestClass == null ? 0 : streaming.bounds(requestClass.name()).maxRequestBytes();
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
@@ -119,7 +119,7 @@
         if (store != null) {
             usePersistence(store);
         }
-        if (config.extensions().leaderElection().isOn()) {
+        if (config.extensions().leaderElection().isEnabled()) {
             joinLeaderElection();
         }
         startServer(signals);
@@ -149,7 +149,9 @@
      */
     private SnapshotStore openSnapshotStore() {
         PersistenceSettings settings = config.extensions().persistence();
-        return settings.isOn() ? new SnapshotStore(settings, config.name(), server::log) : null;
+        return settings.isEnabled()
+                ? new SnapshotStore(settings, config.name(), server::log)
+                : null;
     }
 
     private void usePersistence(SnapshotStore store) throws InterruptedException {
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -131,7 +131,7 @@
         requestHandler.useStreaming(streaming);
         forwarder.useStreaming(streaming);
         listener.updateStreamingSettings(streaming);
-        long bufferLimit = streaming.isOn() ? streaming.bufferedBytes() : Long.MAX_VALUE;
+        long bufferLimit = streaming.isEnabled() ? streaming.maxBufferedBytes() : Long.MAX_VALUE;
         driver.deliver((balancer, now) -> balancer.onBufferLimit(now, bufferLimit));
     }
 
@@ -270,7 +270,7 @@
             log.accept(
                     LogLine.of(LogEvent.STREAM_BUFFERS_USED)
                             .with("peak_bytes", buffers.peakBytes())
-                            .with("remaining_bytes", buffers.reservedBytes())
+                            .with("remaining_bytes", buffers.bufferedBytes())
                             .toString());
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
@@ -20,7 +20,7 @@
     @Override
     protected void initChannel(Channel channel) {
         ClientConnection connection = new ClientConnection(listener, channel);
-        if (listener.streamingSettings().isOn()) {
+        if (listener.streamingSettings().isEnabled()) {
             channel.config().setRecvByteBufAllocator(HttpClientConnection.smallReadAllocator());
         }
         channel.pipeline()
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -217,11 +217,11 @@
             return;
         }
         ByteBuf compact = FlowControl.compact(part);
-        int weight = FlowControl.weight(compact);
+        int accountedBytes = FlowControl.accountedBytes(compact);
         channel()
                 .write(new DefaultHttpContent(compact))
-                .addListener(written -> responseFlow.bytesWritten(weight));
-        responseFlow.bytesReceived(weight);
+                .addListener(written -> responseFlow.bytesWritten(accountedBytes));
+        responseFlow.bytesReceived(accountedBytes);
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -92,7 +92,7 @@
                 http.headers(),
                 body,
                 upload,
-                streaming.bounds(requestClass.name()).responseBytes(),
+                streaming.bounds(requestClass.name()).maxResponseBytes(),
                 client);
     }
 
@@ -108,7 +108,7 @@
         String id = requestId(headers);
         long timeoutMicros = timeoutMillis(headers) * MICROS_PER_MILLI;
         long waitedMicros = client.waitedMicros();
-        boolean responseStreamed = streaming.bounds(requestClass.name()).responseBytes() > 0;
+        boolean responseStreamed = streaming.bounds(requestClass.name()).maxResponseBytes() > 0;
         return new Request(
                 id,
                 classIndexes.get(requestClass.name()),
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -58,7 +58,7 @@
         maxConnections = config.maxEndpointConnections();
         connectTimeoutMicros = config.connectTimeoutMicros();
         idleTimeoutMicros = config.settings().limits().idleTimeoutMicros();
-        streaming = config.extensions().streaming().isOn();
+        streaming = config.extensions().streaming().isEnabled();
         long interval =
                 Math.min(MAX_SWEEP_INTERVAL_MICROS, idleTimeoutMicros / SWEEPS_PER_IDLE_TIMEOUT);
         interval = Math.max(1, interval);
--- a/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
+++ b/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
@@ -7,18 +7,18 @@
  */
 public final class BufferAccounting {
 
-    private long reservedBytes;
+    private long bufferedBytes;
     private long peakBytes;
 
     /** Adds this number of bytes to the count; a negative number frees bytes. */
     void add(long bytes) {
-        reservedBytes += bytes;
-        peakBytes = Math.max(peakBytes, reservedBytes);
+        bufferedBytes += bytes;
+        peakBytes = Math.max(peakBytes, bufferedBytes);
     }
 
     /** Returns the number of bytes that are buffered now. */
-    public long reservedBytes() {
-        return reservedBytes;
+    public long bufferedBytes() {
+        return bufferedBytes;
     }
 
     /** Returns the largest number of bytes that have been buffered at once. */
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -43,7 +43,7 @@
     private final Source source;
     private State state = State.READING;
 
-    /** Weight of the parts that have been received and not yet been written. */
+    /** Accounted bytes of the parts that have been received and not yet been written. */
     private long pendingBytes;
 
     /** Time of {@link System#nanoTime} when the source last sent, was paused or was resumed. */
@@ -60,7 +60,7 @@
     }
 
     /** Returns the bytes counted for a part, including overhead; the caller owns the part. */
-    public static int weight(ByteBuf part) {
+    public static int accountedBytes(ByteBuf part) {
         return part.readableBytes() + PART_OVERHEAD_BYTES;
     }
 
@@ -81,22 +81,22 @@
         return copy;
     }
 
-    /** Records that a part of this weight has been received from the source. */
-    public void bytesReceived(int weight) {
+    /** Records that a part of this size has been received from the source. */
+    public void bytesReceived(int accountedBytes) {
         sourceActiveNanos = System.nanoTime();
         if (pendingBytes == 0) {
             sinkActiveNanos = sourceActiveNanos;
         }
-        pendingBytes += weight;
-        accounting.add(weight);
+        pendingBytes += accountedBytes;
+        accounting.add(accountedBytes);
         applyWatermarks();
     }
 
-    /** Records that the write of a part of this weight to the sink has completed or failed. */
-    public void bytesWritten(int weight) {
+    /** Records that the write of a part of this size to the sink has completed or failed. */
+    public void bytesWritten(int accountedBytes) {
         sinkActiveNanos = System.nanoTime();
-        pendingBytes -= weight;
-        accounting.add(-weight);
+        pendingBytes -= accountedBytes;
+        accounting.add(-accountedBytes);
         applyWatermarks();
     }
 
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -173,17 +173,17 @@
 
     /** Writes a part, whose ownership passes to the channel, and counts it until it is written. */
     private void write(ByteBuf part) {
-        int weight = FlowControl.weight(part);
+        int accountedBytes = FlowControl.accountedBytes(part);
         Channel endpoint = sink;
         endpoint.write(new DefaultHttpContent(part))
                 .addListener(
                         written -> {
-                            flow.bytesWritten(weight);
+                            flow.bytesWritten(accountedBytes);
                             if (!written.isSuccess()) {
                                 endpoint.close();
                             }
                         });
-        flow.bytesReceived(weight);
+        flow.bytesReceived(accountedBytes);
     }
 
     private void writeLast() {
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -18,7 +18,7 @@
  * @param readStallMillis maximum time for which a source that is not paused may send nothing
  * @param writeStallMillis maximum time for which a sink with pending bytes may take nothing
  * @param replayBytes maximum length of an upload that can be replayed
- * @param bufferedBytes maximum number of bytes that all streams together may buffer
+ * @param maxBufferedBytes maximum number of bytes that all streams together may buffer
  * @param drainMillis maximum time for which streams go on after the start of a graceful shutdown
  */
 public record StreamingSettings(
@@ -28,17 +28,17 @@
         long readStallMillis,
         long writeStallMillis,
         int replayBytes,
-        long bufferedBytes,
+        long maxBufferedBytes,
         long drainMillis) {
 
     /**
      * Maximum lengths of the streamed bodies of a request class. A direction with a bound of 0 is
      * not streamed.
      *
-     * @param requestBytes maximum length of the body of a request
-     * @param responseBytes maximum length of the body of a response
+     * @param maxRequestBytes maximum length of the body of a request
+     * @param maxResponseBytes maximum length of the body of a response
      */
-    public record Bounds(long requestBytes, long responseBytes) {}
+    public record Bounds(long maxRequestBytes, long maxResponseBytes) {}
 
     /** The settings without the section: nothing is streamed. */
     public static final StreamingSettings OFF =
@@ -123,7 +123,7 @@
                         section.integer("max_request_bytes", 0, 0, LARGEST_BODY_BYTES),
                         section.integer("max_answer_bytes", 0, 0, LARGEST_BODY_BYTES));
         section.rejectUnknownKeys();
-        if (bounds.responseBytes > 0 && !requestClass.streaming()) {
+        if (bounds.maxResponseBytes > 0 && !requestClass.streaming()) {
             throw section.invalid(
                     "max_answer_bytes",
                     "the settings do not allow streamed responses for this class");
@@ -133,9 +133,9 @@
 
     /** Rejects a buffer limit below the need of one upload or, without uploads, one response. */
     private void checkBufferHoldsOneStream(ConfigSection section) throws ConfigException {
-        boolean uploads = classes.values().stream().anyMatch(b -> b.requestBytes > 0);
+        boolean uploads = classes.values().stream().anyMatch(b -> b.maxRequestBytes > 0);
         long minBytes = reservedBytes(uploads, !uploads);
-        if (bufferedBytes < minBytes) {
+        if (maxBufferedBytes < minBytes) {
             throw section.invalid(
                     "max_buffered_bytes", "must be at least one stream's window, " + minBytes);
         }
@@ -147,7 +147,7 @@
     }
 
     /** Whether any class is streamed. */
-    public boolean isOn() {
+    public boolean isEnabled() {
         return !classes.isEmpty();
     }
 
--- a/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
@@ -75,7 +75,7 @@
                 pending -= part;
             }
             reading = readingChanges.isEmpty() || readingChanges.get(readingChanges.size() - 1);
-            assertEquals(pending, accounting.reservedBytes());
+            assertEquals(pending, accounting.bufferedBytes());
             assertTrue(pending < 1300 && accounting.peakBytes() < 1300);
             assertTrue(reading || pending > 400, "not read at the low watermark");
         }
--- a/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
@@ -103,14 +103,14 @@
     void uploadCannotBeReplayedOnceMoreThanTheLimitIsForwarded() {
         receive("0123456789");
         assertEquals(List.of(), events);
-        assertEquals(10, accounting.reservedBytes());
+        assertEquals(10, accounting.bufferedBytes());
         EmbeddedChannel server = new EmbeddedChannel();
         attach(server);
         assertEquals(List.of("replay lost"), events);
         receive("abc");
         assertEquals("0123456789abc", received(server));
         assertEquals(List.of("replay lost"), events);
-        assertEquals(0, accounting.reservedBytes());
+        assertEquals(0, accounting.bufferedBytes());
     }
 
     @Test
@@ -123,11 +123,11 @@
     void partsReceivedAfterCloseAreReleased() {
         receive("abc");
         upload.close();
-        assertEquals(0, accounting.reservedBytes());
+        assertEquals(0, accounting.bufferedBytes());
         ByteBuf part = Unpooled.copiedBuffer("def", UTF_8);
         assertTrue(upload.receive(part));
         assertEquals(0, part.refCnt());
-        assertEquals(0, accounting.reservedBytes());
+        assertEquals(0, accounting.bufferedBytes());
         upload.end(EmptyHttpHeaders.INSTANCE);
         assertFalse(upload.isComplete());
         assertEquals(List.of(), events);
@@ -150,7 +150,7 @@
         upload.end(EmptyHttpHeaders.INSTANCE);
         server.runPendingTasks();
         assertEquals(0, part.refCnt());
-        assertEquals("abc".length(), accounting.reservedBytes());
+        assertEquals("abc".length(), accounting.bufferedBytes());
         assertEquals(List.of("complete"), events);
     }
 
