--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -99,7 +99,7 @@
      * @param completeList whether the call requests the complete list, which is never held
      */
     long callTimeoutMillis(boolean completeList) {
-        return (completeList ? 0 : holdMillis) + timeouts.answerMillis();
+        return (completeList ? 0 : holdMillis) + timeouts.responseMillis();
     }
 
     /**
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -15,14 +15,14 @@
     /** Receives the results of the watch, always on the event loop. */
     public interface Listener {
         /** Handles a complete endpoint list, or the changes to the last one. */
-        void listed(EndpointList list);
+        void onEndpointList(EndpointList list);
 
         /**
          * Handles the failure of a call, which ends the watch.
          *
          * @param reason description of the cause, for logs only
          */
-        void failed(String reason);
+        void onFailure(String reason);
     }
 
     private final EndpointWatch watch;
@@ -69,7 +69,7 @@
     }
 
     /** Changes the address of discovery; responses from the old address are ignored. */
-    public void moveTo(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (!closed) {
             watch.changeAddress(newAddress);
         }
@@ -82,7 +82,7 @@
     }
 
     /** Reads data that discovery has sent and that the event loop has not read yet. */
-    public void catchUp() {
+    public void readAvailable() {
         watch.readAvailable();
     }
 
@@ -98,13 +98,13 @@
         }
 
         @Override
-        public void listed(EndpointList list) {
+        public void onEndpointList(EndpointList list) {
             lastFailure = null;
-            listener.listed(list);
+            listener.onEndpointList(list);
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailure(String reason) {
             if (!reason.equals(lastFailure)) {
                 lastFailure = reason;
                 log.accept(
@@ -112,7 +112,7 @@
                                 .with("reason", reason)
                                 .toString());
             }
-            listener.failed(reason);
+            listener.onFailure(reason);
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryTimeouts.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryTimeouts.java
@@ -4,10 +4,10 @@
  * Timeouts of a call to discovery. {@link Backoff} explains the values.
  *
  * @param holdMillis how long discovery may hold the response until there is a change
- * @param answerMillis response timeout: how long after the hold time a call without a response
+ * @param responseMillis response timeout: how long after the hold time a call without a response
  *     fails
  */
-public record DiscoveryTimeouts(long holdMillis, long answerMillis) {
+public record DiscoveryTimeouts(long holdMillis, long responseMillis) {
 
     /**
      * Returns the timeouts for a kind of discovery.
--- a/sidecar/src/main/java/sagefall/discovery/EndpointList.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointList.java
@@ -20,20 +20,20 @@
     /**
      * An endpoint and its socket address.
      *
-     * @param server the endpoint
+     * @param endpoint the endpoint
      * @param address where requests for the endpoint are sent
      */
-    public record Entry(ListedEndpoint server, InetSocketAddress address) {}
+    public record Entry(ListedEndpoint endpoint, InetSocketAddress address) {}
 
     /** Returns the endpoints without their addresses, in the order of the list. */
     public List<ListedEndpoint> endpoints() {
-        return entries.stream().map(Entry::server).toList();
+        return entries.stream().map(Entry::endpoint).toList();
     }
 
     /** Returns a summary for a log line. */
     public String summary() {
         long notReady =
-                entries.stream().filter(e -> e.server().phase() != EndpointPhase.READY).count();
+                entries.stream().filter(e -> e.endpoint().phase() != EndpointPhase.READY).count();
         return "revision "
                 + revision
                 + " with "
@@ -50,13 +50,13 @@
      */
     public EndpointList mergedWith(EndpointList other) {
         Map<Long, Entry> merged = new LinkedHashMap<>();
-        other.entries.forEach(entry -> merged.put(entry.server().id(), entry));
-        entries.forEach(entry -> merged.merge(entry.server().id(), entry, EndpointList::newer));
+        other.entries.forEach(entry -> merged.put(entry.endpoint().id(), entry));
+        entries.forEach(entry -> merged.merge(entry.endpoint().id(), entry, EndpointList::newer));
         return new EndpointList(
                 Math.max(revision, other.revision), true, List.copyOf(merged.values()));
     }
 
     private static Entry newer(Entry other, Entry own) {
-        return other.server().startMicros() > own.server().startMicros() ? other : own;
+        return other.endpoint().startMicros() > own.endpoint().startMicros() ? other : own;
     }
 }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
@@ -54,13 +54,13 @@
     public SnapshotChange toSnapshotChange(EndpointList list, long receivedAtMillis) {
         Map<Long, SnapshotEntry> entries = new LinkedHashMap<>();
         for (EndpointList.Entry entry : list.entries()) {
-            entries.put(entry.server().id(), toSnapshotEntry(entry));
+            entries.put(entry.endpoint().id(), toSnapshotEntry(entry));
         }
         return new SnapshotChange(list.complete(), list.revision(), receivedAtMillis, entries);
     }
 
     private SnapshotEntry toSnapshotEntry(EndpointList.Entry entry) {
-        ListedEndpoint endpoint = entry.server();
+        ListedEndpoint endpoint = entry.endpoint();
         return new SnapshotEntry(
                 endpoint.id(),
                 SocketAddresses.format(entry.address()),
--- a/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
@@ -154,7 +154,7 @@
             disconnect();
         }
         scheduleNextCall(backoff.onResponse(!list.entries().isEmpty(), System.nanoTime()));
-        listener.listed(list);
+        listener.onEndpointList(list);
     }
 
     private void scheduleNextCall(long pauseMillis) {
@@ -170,7 +170,7 @@
         state = State.STOPPED;
         backoff.reset();
         disconnect();
-        listener.failed(reason);
+        listener.onFailure(reason);
     }
 
     /** Cancels the pause before the next call, and closes the connection with any call on it. */
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -16,11 +16,15 @@
  * @param name name of the sidecar
  * @param epoch number of the incarnation; increases with each start
  * @param revision revision of the newest endpoint list; later lists of discovery have a higher one
- * @param atMillis when discovery reported this revision, in Unix time
+ * @param reportedAtMillis when discovery reported this revision, in Unix time
  * @param endpoints the endpoints by id; must not be modified
  */
 public record EndpointSnapshot(
-        String name, long epoch, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
+        String name,
+        long epoch,
+        long revision,
+        long reportedAtMillis,
+        Map<Long, SnapshotEntry> endpoints) {
 
     /**
      * Maximum number of removed endpoints in a snapshot. Those that have not been ready for the
@@ -40,7 +44,7 @@
 
     /** Returns this snapshot with the epoch of the next start. */
     EndpointSnapshot withNextEpoch() {
-        return new EndpointSnapshot(name, epoch + 1, revision, atMillis, endpoints);
+        return new EndpointSnapshot(name, epoch + 1, revision, reportedAtMillis, endpoints);
     }
 
     /** Returns this snapshot with a change applied. */
@@ -54,9 +58,11 @@
                         (id, entry) ->
                                 next.put(
                                         id,
-                                        entry.withNotReadySince(next.get(id), change.atMillis())));
+                                        entry.withNotReadySince(
+                                                next.get(id), change.reportedAtMillis())));
         dropOldestRemoved(next);
-        return new EndpointSnapshot(name, epoch, change.revision(), change.atMillis(), next);
+        return new EndpointSnapshot(
+                name, epoch, change.revision(), change.reportedAtMillis(), next);
     }
 
     private static void markUnlistedAsRemoved(
@@ -65,7 +71,7 @@
                 (id, entry) ->
                         change.endpoints().containsKey(id)
                                 ? entry
-                                : entry.asRemoved(change.atMillis()));
+                                : entry.asRemoved(change.reportedAtMillis()));
     }
 
     private static void dropOldestRemoved(Map<Long, SnapshotEntry> entries) {
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -52,7 +52,7 @@
                     out.writeNumberField(GENERATION, generation);
                     out.writeNumberField(EPOCH, snapshot.epoch());
                     out.writeNumberField(REVISION, snapshot.revision());
-                    out.writeNumberField(AT_MILLIS, snapshot.atMillis());
+                    out.writeNumberField(AT_MILLIS, snapshot.reportedAtMillis());
                     writeEndpoints(out, snapshot.endpoints().values());
                 });
     }
@@ -63,7 +63,7 @@
                 out -> {
                     out.writeBooleanField(COMPLETE, change.complete());
                     out.writeNumberField(REVISION, change.revision());
-                    out.writeNumberField(AT_MILLIS, change.atMillis());
+                    out.writeNumberField(AT_MILLIS, change.reportedAtMillis());
                     writeEndpoints(out, change.endpoints().values());
                 });
     }
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
@@ -8,11 +8,14 @@
  *
  * @param complete whether the change is a complete list
  * @param revision revision of the endpoint list after this change
- * @param atMillis when discovery reported the change, in Unix time
+ * @param reportedAtMillis when discovery reported the change, in Unix time
  * @param endpoints the endpoints by id; must not be modified
  */
 public record SnapshotChange(
-        boolean complete, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
+        boolean complete,
+        long revision,
+        long reportedAtMillis,
+        Map<Long, SnapshotEntry> endpoints) {
 
     /** Returns one change that has the effect of applying this change and then the next one. */
     public SnapshotChange then(SnapshotChange next) {
@@ -21,7 +24,7 @@
         }
         Map<Long, SnapshotEntry> merged = new LinkedHashMap<>(endpoints);
         merged.putAll(next.endpoints);
-        return new SnapshotChange(complete, next.revision, next.atMillis, merged);
+        return new SnapshotChange(complete, next.revision, next.reportedAtMillis, merged);
     }
 
     /**
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -95,7 +95,7 @@
      * older one only restricts other lists, so that draining and removed endpoints get no requests.
      */
     public boolean isFresh(EndpointSnapshot snapshot) {
-        long ageMillis = settings.wallMillis() - snapshot.atMillis();
+        long ageMillis = settings.wallMillis() - snapshot.reportedAtMillis();
         return snapshot.revision() > 0 && ageMillis >= 0 && ageMillis <= settings.maxAgeMillis();
     }
 
--- a/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
@@ -40,14 +40,14 @@
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void onEndpointList(EndpointList list) {
         apply(list.complete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, list);
         recorder.record(list);
         onDiscoveryResult.run();
     }
 
     @Override
-    public void failed(String reason) {
+    public void onFailure(String reason) {
         driver.deliver(
                 (balancer, now) ->
                         balancer.onEndpointList(now, EndpointListKind.FAILED, List.of()));
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -127,7 +127,7 @@
                 LogLine.of(LogEvent.SNAPSHOT_RECOVERED)
                         .with("epoch", persisted.epoch())
                         .with("revision", recovered.revision())
-                        .with("age_ms", store.wallMillis() - persisted.atMillis())
+                        .with("age_ms", store.wallMillis() - persisted.reportedAtMillis())
                         .with("used", used);
         describeEndpoints(line, "", recovered);
         log.accept(describe(line, "known_", configured).toString());
@@ -160,7 +160,7 @@
     private static LogLine describeEndpoints(LogLine line, String prefix, EndpointList list) {
         long ready =
                 list.entries().stream()
-                        .filter(e -> e.server().phase() == EndpointPhase.READY)
+                        .filter(e -> e.endpoint().phase() == EndpointPhase.READY)
                         .count();
         return line.with(prefix + "ready", ready)
                 .with(prefix + "not_ready", list.entries().size() - ready);
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -118,7 +118,7 @@
     }
 
     private void readDiscovery() {
-        discovery.catchUp();
+        discovery.readAvailable();
     }
 
     private void abortAfterFailure(ProxiedRequest request) {
@@ -142,7 +142,7 @@
     void reconfigure(SidecarConfig newConfig) {
         loop.execute(
                 () -> {
-                    discovery.moveTo(newConfig.discovery());
+                    discovery.changeAddress(newConfig.discovery());
                     applyExtensions(newConfig.extensions());
                 });
     }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -81,8 +81,8 @@
     public void update(EndpointList list) {
         Set<Long> listedIds = new HashSet<>();
         for (EndpointList.Entry entry : list.entries()) {
-            listedIds.add(entry.server().id());
-            endpointFor(entry).update(entry.server());
+            listedIds.add(entry.endpoint().id());
+            endpointFor(entry).update(entry.endpoint());
         }
         if (list.complete()) {
             for (Map.Entry<Long, PooledEndpoint> known : endpoints.entrySet()) {
@@ -99,7 +99,7 @@
      * process or has another address, a new endpoint replaces it.
      */
     private PooledEndpoint endpointFor(EndpointList.Entry entry) {
-        ListedEndpoint listed = entry.server();
+        ListedEndpoint listed = entry.endpoint();
         PooledEndpoint known = endpoints.get(listed.id());
         if (known != null && known.matches(entry)) {
             return known;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
@@ -56,7 +56,7 @@
     /** Whether the entry of an endpoint list describes this process at this address. */
     boolean matches(EndpointList.Entry entry) {
         return entry.address().equals(address)
-                && entry.server().startMicros() == listed.startMicros();
+                && entry.endpoint().startMicros() == listed.startMicros();
     }
 
     /** Applies the latest entry of this endpoint in an endpoint list. */
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -55,12 +55,12 @@
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
         @Override
-        public void listed(EndpointList list) {
+        public void onEndpointList(EndpointList list) {
             events.add("list " + list.revision());
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailure(String reason) {
             events.add(reason);
         }
 
@@ -118,7 +118,7 @@
             boolean polls, long backoffMillis) {
         DiscoveryTimeouts timeouts = DiscoveryTimeouts.of(polls);
         long thirdRequestMillis =
-                timeouts.holdMillis() + 2 * (timeouts.answerMillis() + backoffMillis);
+                timeouts.holdMillis() + 2 * (timeouts.responseMillis() + backoffMillis);
         assertTrue(thirdRequestMillis + RESPONSE_MILLIS < 6_000, thirdRequestMillis + " ms");
     }
 
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -454,10 +454,10 @@
         DiscoveryClient.Listener listener =
                 new DiscoveryClient.Listener() {
                     @Override
-                    public void listed(EndpointList list) {}
+                    public void onEndpointList(EndpointList list) {}
 
                     @Override
-                    public void failed(String reason) {
+                    public void onFailure(String reason) {
                         failures.add(reason);
                     }
                 };
--- a/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -259,7 +259,7 @@
                             () -> {
                                 harness.sidecar
                                         .endpointUpdates()
-                                        .listed(
+                                        .onEndpointList(
                                                 harness.config()
                                                         .endpointListCodec()
                                                         .parse(list.getBytes(UTF_8)));
--- a/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
@@ -40,7 +40,7 @@
                 + ", revision "
                 + snapshot.snapshot().revision()
                 + " of "
-                + Instant.ofEpochMilli(snapshot.snapshot().atMillis())
+                + Instant.ofEpochMilli(snapshot.snapshot().reportedAtMillis())
                 + ", "
                 + snapshot.snapshot().endpoints().size()
                 + " servers";
