--- a/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
@@ -5,7 +5,7 @@
  *
  * @param id id of the endpoint, which a later incarnation may reuse
  * @param zone index of the endpoint's zone; negative if unknown
- * @param kind index of the endpoint's machine type; negative if unknown
+ * @param model index of the endpoint's machine type; negative if unknown
  * @param cell index of the endpoint's cell for {@link DeduplicationScope#CELL}
  * @param phase whether the endpoint accepts requests
  * @param startMicros point in time at which this incarnation started; 0 if that was long ago
@@ -14,7 +14,7 @@
 public record ListedEndpoint(
         long id,
         int zone,
-        int kind,
+        int model,
         int cell,
         EndpointPhase phase,
         long startMicros,
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -72,7 +72,8 @@
      */
     double sampledRatio(long now, Endpoint endpoint) {
         double pooled =
-                kindRatio.ratio(endpoint.entry().kind()) * zoneRatio.ratio(endpoint.entry().zone());
+                kindRatio.ratio(endpoint.entry().model())
+                        * zoneRatio.ratio(endpoint.entry().zone());
         LatencyState latency = endpoint.latency();
         if (!latency.hasSample()) {
             return pooled;
@@ -109,7 +110,7 @@
         recordSample(now, endpoint, ratio);
         LatencyState latency = endpoint.latency();
         latency.meanRatio += MEAN_RATIO_WEIGHT * (Math.min(ratio, MAX_RATIO) - latency.meanRatio);
-        kindRatio.record(endpoint.entry().kind(), ratio);
+        kindRatio.record(endpoint.entry().model(), ratio);
         zoneRatio.record(endpoint.entry().zone(), ratio);
     }
 
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
@@ -65,7 +65,7 @@
                 endpoint.id(),
                 SocketAddresses.format(entry.address()),
                 nameOf(zones, endpoint.zone()),
-                nameOf(models, endpoint.kind()),
+                nameOf(models, endpoint.model()),
                 endpoint.cell(),
                 endpoint.phase(),
                 endpoint.startMicros(),
@@ -93,7 +93,7 @@
         return new ListedEndpoint(
                 persisted.id(),
                 zones.indexOf(persisted.zone()),
-                models.indexOf(persisted.kind()),
+                models.indexOf(persisted.model()),
                 persisted.cell(),
                 persisted.phase(),
                 persisted.startMicros(),
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -82,7 +82,7 @@
         out.writeNumberField(ID, entry.id());
         out.writeStringField(ADDRESS, entry.address());
         out.writeStringField(ZONE, entry.zone());
-        out.writeStringField(KIND, entry.kind());
+        out.writeStringField(KIND, entry.model());
         out.writeNumberField(CELL, entry.cell());
         out.writeNumberField(PHASE, numberOf(entry.phase()));
         out.writeNumberField(START_MICROS, entry.startMicros());
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotEntry.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotEntry.java
@@ -8,7 +8,7 @@
  * @param id id of the endpoint, stable across restarts of the sidecar
  * @param address socket address as text
  * @param zone name of the zone, since its number depends on the settings
- * @param kind name of the model, since its number depends on the settings
+ * @param model name of the model, since its number depends on the settings
  * @param cell number of the endpoint's cell
  * @param phase phase that was last reported
  * @param startMicros start of the endpoint's process in Unix time; 0 if the process started long
@@ -21,7 +21,7 @@
         long id,
         String address,
         String zone,
-        String kind,
+        String model,
         int cell,
         EndpointPhase phase,
         long startMicros,
@@ -61,7 +61,7 @@
                 id,
                 address,
                 zone,
-                kind,
+                model,
                 cell,
                 newPhase,
                 startMicros,
--- a/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
@@ -289,7 +289,7 @@
                 entry.id(),
                 entry.address(),
                 entry.zone(),
-                entry.kind(),
+                entry.model(),
                 entry.cell(),
                 phase,
                 entry.startMicros(),
--- a/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
+++ b/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
@@ -63,7 +63,7 @@
                 .put("id", endpoint.id())
                 .put("endpoint", Addresses.text(link.relay().address()))
                 .put("az", context.scenario().fleet().zones().get(endpoint.zone()))
-                .put("model", context.scenario().machineTypes().get(endpoint.kind()).name())
+                .put("model", context.scenario().machineTypes().get(endpoint.model()).name())
                 .put("pod_group", endpoint.cell())
                 .put("state", state(endpoint.phase()))
                 .put("capacity_hint", endpoint.weight())
--- a/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
+++ b/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
@@ -70,7 +70,7 @@
             return new Row(
                     endpoint.cell(),
                     status(endpoint.phase()),
-                    endpoint.kind(),
+                    endpoint.model(),
                     endpoint.id(),
                     endpoint.weight(),
                     endpoint.zone(),
