--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
@@ -4,9 +4,10 @@
  * The newest grant of the lease, as the store returns it.
  *
  * @param term term of the grant
- * @param owner name of the process that the lease was granted to; empty once the lease was released
+ * @param leader name of the process that the lease was granted to; empty once the lease was
+ *     released
  * @param remainingNanos time until the grant expires; 0 or less if the lease is free
  * @param waitNanos time until the new leader may act; greater than 0 only if the previous leader
  *     renewed its term while the new leader was acquiring the lease
  */
-public record LeaseGrant(long term, String owner, long remainingNanos, long waitNanos) {}
+public record LeaseGrant(long term, String leader, long remainingNanos, long waitNanos) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -9,8 +9,8 @@
  * <p>For the leader, its lease begins when it sends the request; for the store, the lease begins
  * when the store handles the request, which is later. The leader therefore stops acting at least
  * {@link LeaseTimings#marginNanos} before the lease expires in the store. A leader whose process
- * was paused for longer than {@link LeaseTimings#pauseNanos} does not act until it has renewed the
- * lease.
+ * was paused for longer than {@link LeaseTimings#maxPauseNanos} does not act until it has renewed
+ * the lease.
  */
 public final class LeaseStateMachine {
 
@@ -82,7 +82,7 @@
     }
 
     private boolean wasPaused(long now) {
-        return now - lastRunningAt > timings.pauseNanos();
+        return now - lastRunningAt > timings.maxPauseNanos();
     }
 
     /** Returns the latest time of the next {@link #stepDownIfExpired} and {@link #nextRequest}. */
@@ -133,7 +133,7 @@
      */
     public boolean onGrant(
             LeaseRequest request, long sentAt, long now, LeaseGrant grant, double randomFraction) {
-        boolean isOwn = grant.owner().equals(processName) && grant.remainingNanos() > 0;
+        boolean isOwn = grant.leader().equals(processName) && grant.remainingNanos() > 0;
         if (request == LeaseRequest.READ) {
             onStatusRead(now, grant, isOwn, randomFraction);
             return false;
@@ -158,7 +158,7 @@
             state = grant.remainingNanos() <= 0 ? State.CANDIDATE : State.FOLLOWER;
         }
         if (state == State.CANDIDATE) {
-            boolean wasReleased = grant.owner().isEmpty();
+            boolean wasReleased = grant.leader().isEmpty();
             long spread = wasReleased ? timings.pollNanos() : timings.takeoverSpreadNanos();
             nextRequestAt = now + (long) (randomFraction * spread);
         } else {
@@ -173,7 +173,7 @@
                 isNewTerm ? Math.max(0, grantMayActFrom) : Math.max(mayActFrom, grantMayActFrom);
         stepDownAt = sentAt + timings.leaseNanos() - timings.marginNanos();
         nextRequestAt = sentAt + timings.renewalNanos();
-        boolean isLateGrant = now - sentAt > timings.pauseNanos();
+        boolean isLateGrant = now - sentAt > timings.maxPauseNanos();
         state = isLateGrant ? State.LEADER_PAUSED : State.LEADER;
     }
 
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
@@ -7,11 +7,11 @@
  *
  * @param leaseNanos duration of a grant that is not renewed
  * @param marginNanos time by which the leader stops acting before its lease expires
- * @param pauseNanos longest pause of the leader's process after which the leader may act without
+ * @param maxPauseNanos longest pause of the leader's process after which the leader may act without
  *     renewing its lease first
  * @param pollNanos interval between two reads of the newest grant
  */
-public record LeaseTimings(long leaseNanos, long marginNanos, long pauseNanos, long pollNanos) {
+public record LeaseTimings(long leaseNanos, long marginNanos, long maxPauseNanos, long pollNanos) {
 
     private static final int MARGINS_PER_LEASE = 6;
     private static final int PAUSES_PER_LEASE = 6;
--- a/sidecar/src/main/java/sagefall/leaderelection/PastTerm.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/PastTerm.java
@@ -4,7 +4,8 @@
  * An entry in the history of the lease's grants.
  *
  * @param term term of the grant
- * @param owner name of the process that the lease was granted to; empty once the lease was released
- * @param atMillis time of the grant, in Unix time
+ * @param leader name of the process that the lease was granted to; empty once the lease was
+ *     released
+ * @param grantedAtMillis time of the grant, in Unix time
  */
-public record PastTerm(long term, String owner, long atMillis) {}
+public record PastTerm(long term, String leader, long grantedAtMillis) {}
--- a/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
@@ -61,7 +61,7 @@
         long granted = previousTerm;
         try {
             LeaseGrant grant = store.acquire(leader, LEASE_NANOS);
-            assertEquals(leader, grant.owner(), "a grant from before the power loss has expired");
+            assertEquals(leader, grant.leader(), "a grant from before the power loss has expired");
             assertTrue(
                     grant.term() > previousTerm, "term " + grant.term() + " after " + previousTerm);
             granted = grant.term();
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
@@ -156,7 +156,7 @@
 
     /** Injects the fault into the leader's process and waits for the next leader. */
     private LeaseGrant replaceLeader(LeaseGrant leader, Fault fault) throws Exception {
-        String processName = leader.owner();
+        String processName = leader.leader();
         Process process = processes.get(processName);
         awaitLogLine(processName, "INFO lease_acquired task=test term=" + leader.term() + "\n");
         long faultAt = System.nanoTime();
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
@@ -46,7 +46,10 @@
     void modelFindsViolationWithoutMargin() throws IOException {
         LeaseTimings withoutMargin =
                 new LeaseTimings(
-                        LEASE_NANOS, -LEASE_NANOS / 2, TIMINGS.pauseNanos(), TIMINGS.pollNanos());
+                        LEASE_NANOS,
+                        -LEASE_NANOS / 2,
+                        TIMINGS.maxPauseNanos(),
+                        TIMINGS.pollNanos());
         assertNotNull(model(1, withoutMargin).run(STEPS), "no violation found without the margin");
     }
 
--- a/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
@@ -17,12 +17,12 @@
     @Override
     void run(LeaseStore store, PrintWriter out) throws IOException {
         for (PastTerm past : store.status().past()) {
-            String holder = past.owner().isEmpty() ? "given back" : past.owner();
+            String holder = past.leader().isEmpty() ? "given back" : past.leader();
             out.println(
                     "term "
                             + past.term()
                             + " from "
-                            + Instant.ofEpochMilli(past.atMillis())
+                            + Instant.ofEpochMilli(past.grantedAtMillis())
                             + " on, "
                             + holder);
         }
--- a/testbed/src/main/java/sagefall/cli/LeaseReleaseCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseReleaseCommand.java
@@ -16,7 +16,7 @@
     @Override
     void run(LeaseStore store, PrintWriter out) throws IOException {
         LeaseGrant grant = store.status().grant();
-        store.release(grant.owner(), grant.term());
+        store.release(grant.leader(), grant.term());
         out.println("term " + grant.term() + " has ended");
     }
 }
--- a/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
@@ -31,7 +31,7 @@
             return "held by nobody";
         }
         long leftMillis = grant.remainingNanos() / NANOS_PER_MILLI;
-        return "held by " + grant.owner() + " for " + leftMillis + " ms more";
+        return "held by " + grant.leader() + " for " + leftMillis + " ms more";
     }
 
     private static String describe(PublishedSnapshot snapshot) {
--- a/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
@@ -40,7 +40,7 @@
     /** The index of the sidecar that holds the lease; {@link #NOBODY} if none does. */
     int holder() throws IOException {
         LeaseGrant grant = store.status().grant();
-        String holder = grant.owner();
+        String holder = grant.leader();
         if (grant.remainingNanos() <= 0 || holder.isEmpty()) {
             return NOBODY;
         }
@@ -70,7 +70,7 @@
         PublishedSnapshot snapshot = SharedEndpointSnapshot.read(store);
         long snapshotTerm = snapshot == null ? 0 : snapshot.term();
         long revision = snapshot == null ? 0 : snapshot.snapshot().revision();
-        return new Observation(grant.term(), grant.owner(), snapshotTerm, revision);
+        return new Observation(grant.term(), grant.leader(), snapshotTerm, revision);
     }
 
     private static void record(HistoryWriter history, Observation now) {
--- a/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
@@ -64,8 +64,8 @@
 
     @Test
     void history() throws IOException {
-        Instant first = Instant.ofEpochMilli(store.status().past().get(0).atMillis());
-        Instant second = Instant.ofEpochMilli(store.status().past().get(1).atMillis());
+        Instant first = Instant.ofEpochMilli(store.status().past().get(0).grantedAtMillis());
+        Instant second = Instant.ofEpochMilli(store.status().past().get(1).grantedAtMillis());
         assertEquals(
                 List.of(
                         "term 1 from " + first + " on, given back",
@@ -76,6 +76,6 @@
     @Test
     void release() throws IOException {
         assertEquals(List.of("term 2 has ended"), lease("release"));
-        assertEquals("", store.status().grant().owner());
+        assertEquals("", store.status().grant().leader());
     }
 }
