--- a/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
@@ -73,9 +73,9 @@
                             }
                         });
         try (TestClient client = connect(config.listen())) {
-            assertEquals(503, client.healthCheck().answer().status());
-            assertEquals(502, client.search(2_000).answer().status());
-            assertEquals(502, client.search(2_000).answer().status());
+            assertEquals(503, client.healthCheck().readResponse().status());
+            assertEquals(502, client.search(2_000).readResponse().status());
+            assertEquals(502, client.search(2_000).readResponse().status());
         }
         assertTrue(running.join() > 0);
     }
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -32,12 +32,12 @@
     @ParameterizedTest
     @EnumSource
     void deadlineCountsFromTheArrivalOfTheLastByte(Place place) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("first"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("first"));
         SidecarHarness harness = sidecar(server);
         AtomicReference<TestClient> client = new AtomicReference<>();
         if (place == Place.ON_AN_IDLE_CONNECTION) {
             client.set(harness.client().search(2_000));
-            assertEquals(200, client.get().answer().status());
+            assertEquals(200, client.get().readResponse().status());
         }
         server.script(ScriptedPeer.SILENT);
         long[] sentAt = new long[1];
@@ -50,7 +50,7 @@
                     client.get().search(2_000);
                 },
                 () -> spin(sentAt[0], 1_500));
-        client.get().answer();
+        client.get().readResponse();
         long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt[0]);
         assertTrue(elapsedMillis < 2_500, elapsedMillis + " ms");
     }
@@ -58,10 +58,10 @@
     /** A request that wakes the sleeping loop has not waited, so its timeout is not shortened. */
     @Test
     void deadlineOfARequestThatIsReadAtOnceIsNotShortened() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("first"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("first"));
         SidecarHarness harness = sidecar(server);
         TestClient client = harness.client().search(2_000);
-        assertEquals(200, client.answer().status());
+        assertEquals(200, client.readResponse().status());
         server.script(ScriptedPeer.SILENT);
         client.search(2_000);
         server.take();
@@ -111,7 +111,7 @@
         List<TestClient> others = List.of(harness.client(), harness.client());
         for (TestClient other : others) {
             // Ensures that the connection is accepted, so that one iteration reads both requests.
-            other.healthCheck().answer();
+            other.healthCheck().readResponse();
         }
         TestClient client = harness.client().search(500);
         assertTrue(balancer.firstRequest.await(10, TimeUnit.SECONDS));
@@ -122,7 +122,7 @@
                     }
                 },
                 () -> {});
-        assertEquals(504, client.answer().status());
+        assertEquals(504, client.readResponse().status());
         balancer.firstResponseReceived.countDown();
         harness.awaitLoop();
         assertEquals(3, balancer.requestIds.size());
--- a/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
@@ -68,7 +68,8 @@
 
     @Test
     void addressInUseFailsTheStart() throws Exception {
-        ServerSocket boundSocket = opened(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+        ServerSocket boundSocket =
+                closeAfterTest(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
         harness.withConfig("127.0.0.1:0", "127.0.0.1:" + boundSocket.getLocalPort());
         CompletableFuture<InetSocketAddress> started = harness.startAsync(DefaultLoadBalancer::new);
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -74,19 +74,19 @@
         ReceivedRequest received = server.take();
         TestClient second = harness.client().search(5_000);
         // The loop reads in order: once this request is rejected, the second one has been read.
-        assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
-        received.raw(RESPONSE_HEAD + "mine" + surplus);
-        assertEquals("mine", first.answer().body());
-        server.take().reply("200 OK", "", "other");
-        assertEquals("other", second.answer().body());
+        assertEquals(400, harness.client().write("x\r\n\r\n").readResponse().status());
+        received.write(RESPONSE_HEAD + "mine" + surplus);
+        assertEquals("mine", first.readResponse().body());
+        server.take().respond("200 OK", "", "other");
+        assertEquals("other", second.readResponse().body());
     }
 
     @Test
     void byteOnAnIdleConnectionClosesIt() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        assertEquals(200, sidecar(server).client().search(2_000).answer().status());
-        server.take().raw("x");
-        server.awaitEnd();
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
+        assertEquals(200, sidecar(server).client().search(2_000).readResponse().status());
+        server.take().write("x");
+        server.awaitConnectionEnd();
     }
 
     @Test
@@ -94,16 +94,16 @@
         ScriptedPeer server =
                 server(
                         seen -> {
-                            seen.raw(
+                            seen.write(
                                     "HTTP/1.1 103 Early\r\n"
                                             + "Link: x\r\n\r\n"
                                             + "HTTP/1.1 102 On it\r\n\r\n");
-                            seen.reply(
+                            seen.respond(
                                     "200 OK",
                                     "Server-Load: {\r\nServer-Load: TEXT cpu=0.5\r\n",
                                     "ok");
                         });
-        assertEquals("ok", sidecar(server).client().book("x", 2_000).answer().body());
+        assertEquals("ok", sidecar(server).client().book("x", 2_000).readResponse().body());
     }
 
     /** The end of each of these requests is ambiguous, so none may be forwarded to a server. */
@@ -128,11 +128,11 @@
                 "no colon\r\n\r\n",
             })
     void requestWithAnAmbiguousEndIsRejected(String rest) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         TestClient client = sidecar(server).client();
         String head = TestClient.head("POST", "/book/k1", 2_000, "", 0);
-        client.raw(head.substring(0, head.length() - 2) + rest);
-        assertEquals(400, client.answer().status());
+        client.write(head.substring(0, head.length() - 2) + rest);
+        assertEquals(400, client.readResponse().status());
         client.assertClosed();
         assertTrue(server.receivedRequests.isEmpty());
     }
@@ -144,9 +144,9 @@
         TestClient client = sidecar(server).client().search(2_000);
         server.take();
         client.search(2_000);
-        assertEquals(400, client.answer().status());
+        assertEquals(400, client.readResponse().status());
         client.assertClosed();
-        server.awaitEnd();
+        server.awaitConnectionEnd();
     }
 
     @ParameterizedTest
@@ -157,10 +157,10 @@
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void clientThatDoesNotCompleteItsRequestIsDisconnected(String sent) throws Exception {
-        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().raw(sent);
+        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().write(sent);
         long startNanos = System.nanoTime();
         if (!sent.isEmpty()) {
-            assertEquals(408, client.answer().status());
+            assertEquals(408, client.readResponse().status());
         }
         client.assertClosed();
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 3_000);
@@ -173,26 +173,26 @@
     @Test
     void clientThatExceedsTheBodyLimitReceivesTheRejection() throws Exception {
         TestClient client = sidecar(server(ScriptedPeer.SILENT)).client();
-        client.raw(TestClient.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
+        client.write(TestClient.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
         byte[] chunk = new byte[1024 * 1024];
         for (int i = 0; i < 32; i++) {
             client.socket.getOutputStream().write(chunk);
         }
-        assertEquals(413, client.answer().status());
+        assertEquals(413, client.readResponse().status());
         client.assertClosed();
     }
 
     /** Guards against silent clients that occupy all connections until they disconnect. */
     @Test
     void silentClientsBeyondTheLimitDoNotBlockOtherClients() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness harness = harnessOfFewSockets(server);
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
+        SidecarHarness harness = harnessWithFewSockets(server);
         harness.start();
         for (int i = 0; i < harness.config().maxClientConnections() + 20; i++) {
             harness.client();
         }
         long startNanos = System.nanoTime();
-        assertEquals(200, harness.client().search(5_000).answer().status());
+        assertEquals(200, harness.client().search(5_000).readResponse().status());
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 1_500);
     }
 
@@ -204,7 +204,7 @@
      */
     @Test
     void slowLoopAcceptsSeveralConnectionsInOneIteration() throws Exception {
-        SidecarHarness harness = sidecar(server(ScriptedPeer.serves("ok")));
+        SidecarHarness harness = sidecar(server(ScriptedPeer.respondsOk("ok")));
         AtomicInteger iterations = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
         harness.loop.execute(
@@ -229,7 +229,7 @@
         }
         connected.countDown();
         for (TestClient client : clients) {
-            assertEquals(200, client.answer().status());
+            assertEquals(200, client.readResponse().status());
         }
         assertTrue(iterations.get() < 40, iterations + " iterations");
     }
@@ -240,13 +240,13 @@
      */
     @Test
     void idleConnectionsBeyondHalfOfTheLimitAreClosedSoon() throws Exception {
-        SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok")));
+        SidecarHarness harness = harnessWithFewSockets(server(ScriptedPeer.respondsOk("ok")));
         harness.start();
         int half = harness.config().maxClientConnections() / 2;
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < half + 5; i++) {
             clients.add(harness.client().search(5_000));
-            assertEquals(200, clients.get(i).answer().status());
+            assertEquals(200, clients.get(i).readResponse().status());
         }
         long startNanos = System.nanoTime();
         for (TestClient longestIdle : clients.subList(0, 5)) {
@@ -254,7 +254,7 @@
         }
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 3_000);
         for (TestClient remaining : clients.subList(5, clients.size())) {
-            assertEquals(200, remaining.search(5_000).answer().status());
+            assertEquals(200, remaining.search(5_000).readResponse().status());
         }
     }
 
@@ -265,7 +265,8 @@
      */
     @Test
     void connectionsOfClientsThatSendTooMuchAndDisconnectAreReleased() throws Exception {
-        SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok"))).start();
+        SidecarHarness harness =
+                harnessWithFewSockets(server(ScriptedPeer.respondsOk("ok"))).start();
         int limit = harness.config().maxClientConnections();
         TestClient remaining = harness.client();
         String oversized =
@@ -274,17 +275,17 @@
             TestClient flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
             try {
-                flooding.raw(oversized);
+                flooding.write(oversized);
             } catch (IOException e) {
                 // The sidecar may have closed the connection.
             }
             flooding.close();
             if (i % 10 == 0) {
-                assertEquals(200, remaining.search(5_000).answer().status());
+                assertEquals(200, remaining.search(5_000).readResponse().status());
             }
         }
         for (int i = 0; i < limit - 1; i++) {
-            assertEquals(200, harness.client().search(5_000).answer().status());
+            assertEquals(200, harness.client().search(5_000).readResponse().status());
         }
     }
 
@@ -299,13 +300,13 @@
                                 throw new StackOverflowError();
                             }
                         });
-        assertEquals(500, harness.client().search(2_000).answer().status());
-        assertEquals(500, harness.client().search(2_000).answer().status());
+        assertEquals(500, harness.client().search(2_000).readResponse().status());
+        assertEquals(500, harness.client().search(2_000).readResponse().status());
     }
 
     @Test
     void endpointListBeyondTheDefaultBodyLimitIsRead() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness();
         List<ScriptedPeer> many = new ArrayList<>();
         for (int i = 0; i < 900; i++) {
@@ -319,13 +320,13 @@
         harness.discovery.script(
                 seen -> {
                     if (seen.request().startLine().contains("from=1&")) {
-                        seen.reply("200 OK", "", list);
+                        seen.respond("200 OK", "", list);
                     }
                 });
         harness.start();
         // The second call shows that the sidecar has read the response to the first.
         harness.discovery.take();
         harness.discovery.take();
-        assertEquals(200, harness.client().search(2_000).answer().status());
+        assertEquals(200, harness.client().search(2_000).readResponse().status());
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -95,13 +95,13 @@
             harness.loop.execute(discovery::subscribe);
             ReceivedRequest first = harness.discovery.take();
             assertEquals("GET /v1/servers?from=1&hold_ms=1 HTTP/1.1", first.request().startLine());
-            first.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
+            first.respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
             assertEquals("list 1", events.next());
             assertEquals(
                     "GET /v1/servers?from=1&hold_ms=400 HTTP/1.1",
                     harness.discovery.take().request().startLine());
             assertEquals("no answer", events.next());
-            harness.discovery.awaitEnd();
+            harness.discovery.awaitConnectionEnd();
         }
         harness.loop.submit(discovery::close).get();
     }
@@ -128,8 +128,8 @@
      */
     @Test
     void clientsAreAcceptedOnlyAfterFirstEndpointListOfAgent() throws Exception {
-        ScriptedPeer draining = server(ScriptedPeer.serves("draining"));
-        ScriptedPeer ready = server(ScriptedPeer.serves("ready"));
+        ScriptedPeer draining = server(ScriptedPeer.respondsOk("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.respondsOk("ready"));
         SidecarHarness harness = harness(draining, ready).withPushedEndpoints();
         CompletableFuture<InetSocketAddress> started = harness.startAsync(DefaultLoadBalancer::new);
         awaitDiscoveryRequest(harness.discovery);
@@ -137,15 +137,15 @@
         harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", draining));
         harness.awaitStart(started);
         for (int i = 0; i < 20; i++) {
-            assertEquals("ready", harness.client().search(2_000).answer().body());
+            assertEquals("ready", harness.client().search(2_000).readResponse().body());
         }
     }
 
     @Test
     void silentAgentDoesNotPreventStartup() throws Exception {
         SidecarHarness harness =
-                harness(server(ScriptedPeer.serves("known"))).withPushedEndpoints().start();
-        assertEquals("known", harness.client().search(2_000).answer().body());
+                harness(server(ScriptedPeer.respondsOk("known"))).withPushedEndpoints().start();
+        assertEquals("known", harness.client().search(2_000).readResponse().body());
     }
 
     /**
@@ -155,18 +155,18 @@
      */
     @Test
     void olderEndpointListDoesNotMakeDrainingEndpointReady() throws Exception {
-        ScriptedPeer first = server(ScriptedPeer.serves("first"));
-        ScriptedPeer second = server(ScriptedPeer.serves("second"));
+        ScriptedPeer first = server(ScriptedPeer.respondsOk("first"));
+        ScriptedPeer second = server(ScriptedPeer.respondsOk("second"));
         SidecarHarness harness = harness(first, second).start();
         harness.publishEndpoints(5, SidecarHarness.list(5, false, "terminating", first));
         harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", first, second));
         for (int i = 0; i < 20; i++) {
-            assertEquals("second", harness.client().search(2_000).answer().body());
+            assertEquals("second", harness.client().search(2_000).readResponse().body());
         }
         // A newer list makes the first endpoint ready again.
         harness.publishEndpoints(6, SidecarHarness.list(6, false, "terminating", second));
         harness.publishEndpoints(7, SidecarHarness.list(7, false, "in_service", first));
-        assertEquals("first", harness.client().search(2_000).answer().body());
+        assertEquals("first", harness.client().search(2_000).readResponse().body());
     }
 
     /**
@@ -175,8 +175,8 @@
      */
     @Test
     void reloadDuringStartupWaitsForFirstEndpointList() throws Exception {
-        ScriptedPeer draining = server(ScriptedPeer.serves("draining"));
-        ScriptedPeer ready = server(ScriptedPeer.serves("ready"));
+        ScriptedPeer draining = server(ScriptedPeer.respondsOk("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.respondsOk("ready"));
         ScriptedPeer newDiscovery = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(draining, ready).withPushedEndpoints();
         harness.create(DefaultLoadBalancer::new);
@@ -189,7 +189,7 @@
                 new TestClient(
                         new InetSocketAddress(
                                 InetAddress.getLoopbackAddress(), newDiscovery.port()))) {
-            ownClient.raw("GET /own HTTP/1.1\r\n\r\n");
+            ownClient.write("GET /own HTTP/1.1\r\n\r\n");
             assertEquals("GET /own HTTP/1.1", newDiscovery.take().request().startLine());
         }
         assertEquals(1, newDiscovery.accepted.get());
@@ -201,7 +201,7 @@
                 newDiscovery, 2, SidecarHarness.list(2, true, "in_service", ready));
         harness.awaitStart(started);
         for (int i = 0; i < 20; i++) {
-            assertEquals("ready", harness.client().search(2_000).answer().body());
+            assertEquals("ready", harness.client().search(2_000).readResponse().body());
         }
         assertTrue(harness.discovery.receivedRequests.isEmpty());
     }
@@ -239,7 +239,7 @@
         ScriptedBalancer balancer = ScriptedBalancer.start(harness);
         ReceivedRequest watch = harness.discovery.take();
         harness.whileLoopIsStalled(
-                () -> watch.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
+                () -> watch.respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
                 () -> {
                     // Longer than the driver's minimum interval between reads from discovery.
                     stall(25);
@@ -282,9 +282,9 @@
     @ParameterizedTest
     @EnumSource
     void requestOfDisconnectedClientIsNotForwarded(DisconnectMode mode) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
-        assertEquals("ok", harness.client().book("warm", 5_000).answer().body());
+        assertEquals("ok", harness.client().book("warm", 5_000).readResponse().body());
         awaitReusableConnections(harness);
         harness.whileLoopIsStalled(
                 () -> {
@@ -294,7 +294,7 @@
                 },
                 () -> {});
         // The sidecar accepts, and therefore reads, this connection after those closed above.
-        assertEquals("ok", harness.client().book("stays", 5_000).answer().body());
+        assertEquals("ok", harness.client().book("stays", 5_000).readResponse().body());
         assertEquals(
                 List.of("warm", "stays"),
                 server.receivedRequests.stream()
@@ -323,7 +323,7 @@
         ReceivedRequest firstAttempt = pending.server.take();
         pending.harness.whileLoopIsStalled(
                 () -> {
-                    firstAttempt.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
+                    firstAttempt.respond("503 Service Unavailable", "Not-Started: 1\r\n", "");
                     mode.disconnect(pending.client);
                 },
                 pending::sendAttempt);
@@ -373,15 +373,15 @@
                 requests.add(server.take());
             }
             for (int i = 0; i < count; i++) {
-                requests.get(i).reply("200 OK", "", "ok");
+                requests.get(i).respond("200 OK", "", "ok");
                 assertEquals("SERVED", nextEvent());
-                assertEquals("ok", clients.get(i).answer().body());
+                assertEquals("ok", clients.get(i).readResponse().body());
             }
             awaitReusableConnections(harness);
         }
 
         private String nextEvent() throws InterruptedException {
-            return skipsEndpointLists ? balancer.nextEventButLists() : balancer.nextEvent();
+            return skipsEndpointLists ? balancer.nextEventExceptDiscovery() : balancer.nextEvent();
         }
 
         /** Sends an attempt of the request. Called on the event loop. */
@@ -400,12 +400,12 @@
         ScriptedPeer server =
                 server(
                         request -> {
-                            request.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
+                            request.write("HTTP/1.1 200 OK\r\n\r\n" + body);
                             request.socket().close();
                         });
         SidecarHarness harness = harness(server).start();
         for (int i = 0; i < 2; i++) {
-            HttpMessages.Message response = harness.client().book("x", 5_000).answer();
+            HttpMessages.Message response = harness.client().book("x", 5_000).readResponse();
             assertEquals(200, response.status());
             assertEquals(body, response.body());
         }
@@ -419,7 +419,7 @@
         ScriptedPeer server =
                 server(
                         request -> {
-                            request.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
+                            request.write("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
                             respondedTo.add(request);
                         });
         SidecarHarness harness = harness(server).start();
@@ -429,7 +429,7 @@
         harness.awaitLoop();
         request.socket().setSoLinger(true, 0);
         request.socket().close();
-        assertEquals(502, client.answer().status());
+        assertEquals(502, client.readResponse().status());
         assertEquals(1, server.receivedRequests.size());
     }
 
@@ -438,12 +438,13 @@
         ScriptedPeer server =
                 server(
                         request -> {
-                            request.raw(
+                            request.write(
                                     "HTTP/1.1 200 OK\r\n\r\n"
                                             + "x".repeat(HttpClientConnection.MAX_BODY_BYTES + 1));
                             request.socket().close();
                         });
-        assertEquals(502, harness(server).start().client().book("x", 5_000).answer().status());
+        assertEquals(
+                502, harness(server).start().client().book("x", 5_000).readResponse().status());
     }
 
     // ---- Graceful shutdown
@@ -455,10 +456,10 @@
      */
     @Test
     void idleClientConnectionIsHalfClosedAtShutdown() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client();
-        assertEquals("ok", client.search(5_000).answer().body());
+        assertEquals("ok", client.search(5_000).readResponse().body());
         server.take();
         CountDownLatch stopped = harness.stop();
         client.assertClosed();
@@ -503,13 +504,13 @@
      */
     @Test
     void requestThatArrivesBeforeListenerClosesCompletes() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client();
-        assertEquals("ok", client.search(5_000).answer().body());
+        assertEquals("ok", client.search(5_000).readResponse().body());
         CountDownLatch stopped =
                 stopAndActBeforeListenerCloses(harness, () -> client.search(5_000));
-        HttpMessages.Message response = client.answer();
+        HttpMessages.Message response = client.readResponse();
         assertEquals("ok", response.body());
         assertEquals("close", response.headers().get("Connection"));
         client.assertClosed();
@@ -523,17 +524,17 @@
      */
     @Test
     void partiallyReceivedRequestKeepsConnectionOpenDuringShutdown() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient idle = harness.client();
-        assertEquals("ok", idle.search(5_000).answer().body());
+        assertEquals("ok", idle.search(5_000).readResponse().body());
         String request = TestClient.head("GET", "/search/k", 5_000, "", 0);
         TestClient client = harness.client();
-        assertEquals("ok", client.search(5_000).answer().body());
-        client.raw(request.substring(0, 40));
+        assertEquals("ok", client.search(5_000).readResponse().body());
+        client.write(request.substring(0, 40));
         harness.stop();
         idle.assertClosed();
-        assertEquals("ok", client.raw(request.substring(40)).answer().body());
+        assertEquals("ok", client.write(request.substring(40)).readResponse().body());
         client.assertClosed();
     }
 
@@ -543,7 +544,7 @@
      */
     @Test
     void requestsOnConnectionsNotYetAcceptedAtShutdownComplete() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         BlockingQueue<TestClient> lateClients = new LinkedBlockingQueue<>();
         CountDownLatch stopped =
@@ -556,7 +557,7 @@
                         });
         for (int i = 0; i < 5; i++) {
             try (TestClient client = lateClients.poll(10, TimeUnit.SECONDS)) {
-                assertEquals("ok", client.answer().body());
+                assertEquals("ok", client.readResponse().body());
             }
         }
         assertTrue(stopped.await(10, TimeUnit.SECONDS));
--- a/sidecar/src/test/java/sagefall/proxy/RawConnection.java
+++ b/sidecar/src/test/java/sagefall/proxy/RawConnection.java
@@ -50,19 +50,19 @@
     }
 
     /** Writes the text as bytes, one for each character. */
-    RawConnection raw(String text) throws IOException {
-        return raw(text.getBytes(StandardCharsets.ISO_8859_1));
+    RawConnection write(String text) throws IOException {
+        return write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** Writes the bytes. */
-    RawConnection raw(byte[] bytes) throws IOException {
+    RawConnection write(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
     }
 
     /** Writes one chunk of a chunked body. */
     RawConnection chunk(String text) throws IOException {
-        return raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+        return write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
     /** Reads a line and returns it without its line end. */
--- a/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
+++ b/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
@@ -14,8 +14,8 @@
      * @param headers further header lines, each with its line end
      * @param body the body, one byte for each character
      */
-    public void reply(String status, String headers, String body) throws IOException {
-        raw(
+    public void respond(String status, String headers, String body) throws IOException {
+        write(
                 "HTTP/1.1 "
                         + status
                         + "\r\n"
@@ -27,7 +27,7 @@
     }
 
     /** Writes the text as bytes, one for each character. */
-    void raw(String text) throws IOException {
+    void write(String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
@@ -78,7 +78,7 @@
         try {
             harness.discovery
                     .take()
-                    .reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
+                    .respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
         } catch (IOException e) {
             // The call has timed out, which is recorded as an event.
         }
@@ -98,7 +98,7 @@
      * Waits for the next event that does not come from discovery. In the meantime, calls to a
      * silent discovery may time out and be retried.
      */
-    String nextEventButLists() throws InterruptedException {
+    String nextEventExceptDiscovery() throws InterruptedException {
         String next = nextEvent();
         while (next.startsWith("list of") || next.equals(DISCOVERY_FAILED)) {
             next = nextEvent();
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
@@ -33,7 +33,7 @@
     public static final Script SILENT = received -> {};
 
     /** Closes the connection without a response. */
-    public static final Script HANG_UP = received -> received.socket().close();
+    public static final Script CLOSE_CONNECTION = received -> received.socket().close();
 
     /** The requests that have arrived and that the test has not taken. */
     public final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
@@ -54,14 +54,14 @@
         accepting = startDaemon(this::accept);
     }
 
-    /** Sends the given response to each request, as {@link ReceivedRequest#reply} does. */
-    public static Script answers(String status, String headers, String body) {
-        return received -> received.reply(status, headers, body);
+    /** Sends the given response to each request, as {@link ReceivedRequest#respond} does. */
+    public static Script respondsWith(String status, String headers, String body) {
+        return received -> received.respond(status, headers, body);
     }
 
     /** Responds to each request with 200 and the given body. */
-    public static Script serves(String body) {
-        return answers("200 OK", "", body);
+    public static Script respondsOk(String body) {
+        return respondsWith("200 OK", "", body);
     }
 
     /** Sets the script that handles requests from the next one on. */
@@ -82,7 +82,7 @@
     }
 
     /** Waits until a connection is closed that no earlier call has waited for. */
-    public void awaitEnd() throws InterruptedException {
+    public void awaitConnectionEnd() throws InterruptedException {
         Socket closed = closedConnections.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
         Assertions.assertNotNull(closed, "no connection closed");
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -248,7 +248,7 @@
         ReceivedRequest request = discovery.take();
         while (!request.request().startLine().contains("from=" + revision + "&")) {
             try {
-                request.reply("200 OK", "", json(quotedList));
+                request.respond("200 OK", "", json(quotedList));
             } catch (IOException e) {
                 // The sidecar has cancelled this request in the meantime and sends another one.
             }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -29,14 +29,14 @@
     @ValueSource(strings = {"TERM", "HUP TERM", "TERM HUP", "TERM TERM"})
     void terminationCompletesRequestsInFlightAndExitsWithZero(String signals) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
-        SidecarProgram program = opened(new SidecarProgram(harness(server)).start());
-        TestClient client = opened(program.connect());
+        SidecarProgram program = closeAfterTest(new SidecarProgram(harness(server)).start());
+        TestClient client = closeAfterTest(program.connect());
         client.book("x", 20_000);
         ReceivedRequest inFlight = server.take();
         program.signal(signals.split(" "));
         assertTrue(program.keepsRunningFor(600), "exited with a request in flight");
-        inFlight.reply("200 OK", "", "done");
-        assertEquals("done", client.answer().body());
+        inFlight.respond("200 OK", "", "done");
+        assertEquals("done", client.readResponse().body());
         client.assertClosed();
         program.assertExitCode(0);
     }
@@ -45,7 +45,7 @@
     @Test
     void terminationBeforeFirstEndpointListExitsImmediately() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
-        SidecarProgram program = opened(new SidecarProgram(harness).start());
+        SidecarProgram program = closeAfterTest(new SidecarProgram(harness).start());
         harness.discovery.take();
         program.signal("TERM");
         program.assertExitCode(0);
@@ -53,8 +53,10 @@
 
     @Test
     void addressInUseIsReportedInOneLineWithExitCodeOne() throws Exception {
-        SidecarProgram program = opened(new SidecarProgram(harness(server(ScriptedPeer.SILENT))));
-        opened(new ServerSocket(program.address.getPort(), 1, program.address.getAddress()));
+        SidecarProgram program =
+                closeAfterTest(new SidecarProgram(harness(server(ScriptedPeer.SILENT))));
+        closeAfterTest(
+                new ServerSocket(program.address.getPort(), 1, program.address.getAddress()));
         program.start().assertExitCode(1);
         List<String> output = program.output();
         assertEquals(1, output.size(), output.toString());
@@ -82,21 +84,21 @@
     @Test
     void listOf1024EndpointsIsReadWithinMemoryLimitsOfRunCommand() throws Exception {
         String zone = "a".repeat(253);
-        ScriptedPeer old = server(ScriptedPeer.HANG_UP);
-        ScriptedPeer server = server(ScriptedPeer.serves("of the list"));
+        ScriptedPeer old = server(ScriptedPeer.CLOSE_CONNECTION);
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("of the list"));
         SidecarHarness harness =
                 harness(old)
                         .withConfig("'a'", "'" + zone + "'")
                         .withConfig("'tick_us'", "'replicas_of_me':1024,'tick_us'");
         String[] memoryOptions = memoryOptionsOfRunCommand();
         assertTrue(memoryOptions.length >= 3, String.join(" ", memoryOptions));
-        SidecarProgram program = opened(new SidecarProgram(harness, memoryOptions).start());
-        TestClient client = opened(program.connect());
+        SidecarProgram program = closeAfterTest(new SidecarProgram(harness, memoryOptions).start());
+        TestClient client = closeAfterTest(program.connect());
         String list = listOf1024(zone, server.port());
         assertTrue(list.length() > 1024 * 1024, list.length() + " bytes");
         harness.publishEndpoints(2, list);
         for (int i = 0; i < 20; i++) {
-            assertEquals("of the list", client.search(5_000).answer().body());
+            assertEquals("of the list", client.search(5_000).readResponse().body());
         }
     }
 
@@ -129,20 +131,20 @@
      */
     @Test
     void idleClientsDuringDiscoveryOutageBlockNeitherDiscoveryNorRequests() throws Exception {
-        ScriptedPeer draining = server(ScriptedPeer.serves("draining"));
-        ScriptedPeer ready = server(ScriptedPeer.serves("ready"));
+        ScriptedPeer draining = server(ScriptedPeer.respondsOk("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.respondsOk("ready"));
         SidecarHarness harness =
-                opened(new SidecarHarness(folder, 250_000, 256, draining, ready))
+                closeAfterTest(new SidecarHarness(folder, 250_000, 256, draining, ready))
                         .withPushedEndpoints();
         // 64 more than the configured sockets, for the files of the test's class path, which the
         // JVM keeps open.
         SidecarProgram program =
-                opened(new SidecarProgram(harness).withDescriptorLimit(256 + 64).start());
+                closeAfterTest(new SidecarProgram(harness).withDescriptorLimit(256 + 64).start());
         program.connect().close();
         for (int round = 0; round < 3; round++) {
             List<TestClient> idle = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
-                idle.add(opened(new TestClient(program.address)));
+                idle.add(closeAfterTest(new TestClient(program.address)));
             }
             // The sidecar closes an idle connection to make room for a newer one.
             idle.get(0).assertClosed();
@@ -150,7 +152,7 @@
         harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", draining));
         for (int i = 0; i < 20; i++) {
             try (TestClient client = new TestClient(program.address)) {
-                assertEquals("ready", client.search(5_000).answer().body());
+                assertEquals("ready", client.search(5_000).readResponse().body());
             }
         }
         assertTrue(program.keepsRunningFor(0));
@@ -162,32 +164,32 @@
      */
     @Test
     void reloadSwitchesToNewDiscoveryAddress() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         ScriptedPeer newDiscovery = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         String oldDiscovery = "127.0.0.1:" + harness.discovery.port();
-        SidecarProgram program = opened(new SidecarProgram(harness));
+        SidecarProgram program = closeAfterTest(new SidecarProgram(harness));
         program.withEnvironment("LB_DISCOVERY", oldDiscovery).start();
-        TestClient client = opened(program.connect());
+        TestClient client = closeAfterTest(program.connect());
         harness.discovery.take();
         String configuration = Files.readString(harness.configFile);
         Files.writeString(
                 harness.configFile, configuration.substring(0, configuration.length() / 2));
         program.signal("HUP");
-        assertEquals(200, client.search(2_000).answer().status());
+        assertEquals(200, client.search(2_000).readResponse().status());
         Files.writeString(
                 harness.configFile,
                 configuration.replace(oldDiscovery, "127.0.0.1:" + newDiscovery.port()));
         program.signal("HUP");
         ReceivedRequest request = newDiscovery.take();
         assertEquals("GET /v1/servers HTTP/1.1", request.request().startLine());
-        harness.discovery.awaitEnd();
+        harness.discovery.awaitConnectionEnd();
         // The old endpoint list is used until the new discovery responds.
-        assertEquals(200, client.search(2_000).answer().status());
+        assertEquals(200, client.search(2_000).readResponse().status());
         newDiscovery.receivedRequests.add(request);
         SidecarHarness.publishEndpoints(
                 newDiscovery, 7, SidecarHarness.list(7, true, "terminating", server));
-        assertEquals(503, client.search(2_000).answer().status());
+        assertEquals(503, client.search(2_000).readResponse().status());
         // Another reload switches back to the old discovery address.
         Files.writeString(harness.configFile, configuration);
         program.signal("HUP");
@@ -266,15 +268,15 @@
         harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
         harness.reload();
         TestClient accepted = harness.client();
-        accepted.raw(TestClient.head("POST", "/book/k1", 2_000, "", 70_001))
-                .raw("x".repeat(70_001));
+        accepted.write(TestClient.head("POST", "/book/k1", 2_000, "", 70_001))
+                .write("x".repeat(70_001));
         assertEquals(70_001, server.take().request().body().length());
     }
 
     private static int statusOfUpload(SidecarHarness harness, int length) throws Exception {
         return harness.client()
-                .raw(TestClient.head("POST", "/book/k1", 2_000, "", length))
-                .answer()
+                .write(TestClient.head("POST", "/book/k1", 2_000, "", length))
+                .readResponse()
                 .status();
     }
 
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
@@ -83,7 +83,7 @@
         while (true) {
             try {
                 TestClient client = new TestClient(address);
-                if (client.healthCheck().answer().status() == 200) {
+                if (client.healthCheck().readResponse().status() == 200) {
                     return client;
                 }
                 client.close();
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -34,11 +34,12 @@
     void responseIsForwardedWithoutTheLoadReport() throws Exception {
         ScriptedPeer server =
                 server(
-                        ScriptedPeer.answers(
+                        ScriptedPeer.respondsWith(
                                 "200 OK",
                                 "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n",
                                 "\u00ff\0b"));
-        HttpMessages.Message response = sidecar(server).client().book("slot=7", 2_000).answer();
+        HttpMessages.Message response =
+                sidecar(server).client().book("slot=7", 2_000).readResponse();
         assertEquals(200, response.status());
         assertEquals("\u00ff\0b", response.body());
         assertEquals("text/x", response.headers().get("Content-Type"));
@@ -53,9 +54,9 @@
 
     @Test
     void idempotencyKeyIsForwarded() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         String head = TestClient.head("POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
-        assertEquals(200, sidecar(server).client().raw(head + "{}").answer().status());
+        assertEquals(200, sidecar(server).client().write(head + "{}").readResponse().status());
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
@@ -88,14 +89,14 @@
     void requestThatMayHaveRunIsNotRetried(String raw, boolean closesConnection) throws Exception {
         ScriptedPeer.Script script =
                 seen -> {
-                    seen.raw(raw.strip().replace("\\r", "\r").replace("\\n", "\n"));
+                    seen.write(raw.strip().replace("\\r", "\r").replace("\\n", "\n"));
                     if (closesConnection) {
                         seen.socket().close();
                     }
                 };
         ScriptedPeer one = server(script);
         ScriptedPeer two = server(script);
-        HttpMessages.Message response = sidecar(one, two).client().book("x", 1_000).answer();
+        HttpMessages.Message response = sidecar(one, two).client().book("x", 1_000).readResponse();
         assertEquals(502, response.status());
         assertEquals(1, one.receivedRequests.size() + two.receivedRequests.size());
     }
@@ -103,17 +104,18 @@
     @Test
     void requestThatWasNotStartedIsRetriedOnAnotherServer() throws Exception {
         for (String status : List.of("503 Full", "504 Over")) {
-            ScriptedPeer one = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
-            ScriptedPeer two = server(ScriptedPeer.answers(status, "Not-Started: 1\r\n", ""));
+            ScriptedPeer one = server(ScriptedPeer.respondsWith(status, "Not-Started: 1\r\n", ""));
+            ScriptedPeer two = server(ScriptedPeer.respondsWith(status, "Not-Started: 1\r\n", ""));
             ScriptedPeer.Script once =
                     seen -> {
-                        one.script(ScriptedPeer.serves("second"));
-                        two.script(ScriptedPeer.serves("second"));
-                        seen.reply(status, "Not-Started: 1\r\n", "");
+                        one.script(ScriptedPeer.respondsOk("second"));
+                        two.script(ScriptedPeer.respondsOk("second"));
+                        seen.respond(status, "Not-Started: 1\r\n", "");
                     };
             one.script(once);
             two.script(once);
-            assertEquals("second", sidecar(one, two).client().book("x", 2_000).answer().body());
+            assertEquals(
+                    "second", sidecar(one, two).client().book("x", 2_000).readResponse().body());
             String id = one.take().request().headers().get("Request-Id");
             assertEquals(id, two.take().request().headers().get("Request-Id"));
         }
@@ -123,10 +125,10 @@
     void refusedConnectionIsRetriedOnAnotherServer() throws Exception {
         ScriptedPeer unreachable = server(ScriptedPeer.SILENT);
         unreachable.close();
-        ScriptedPeer reachable = server(ScriptedPeer.serves("here"));
+        ScriptedPeer reachable = server(ScriptedPeer.respondsOk("here"));
         SidecarHarness harness = sidecar(unreachable, reachable);
         for (int i = 0; i < 8; i++) {
-            assertEquals("here", harness.client().book("x", 2_000).answer().body());
+            assertEquals("here", harness.client().book("x", 2_000).readResponse().body());
         }
     }
 
@@ -134,7 +136,7 @@
     void requestIsRejectedWithRetryAfterWhenNoServerIsReachable() throws Exception {
         ScriptedPeer unreachable = server(ScriptedPeer.SILENT);
         unreachable.close();
-        HttpMessages.Message response = sidecar(unreachable).client().book("x", 300).answer();
+        HttpMessages.Message response = sidecar(unreachable).client().book("x", 300).readResponse();
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.headers().get("Retry-After")) > 0);
     }
@@ -143,12 +145,12 @@
     void requestToASilentServerTimesOutAndIsNotRetried() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         long start = System.nanoTime();
-        HttpMessages.Message response = sidecar(server).client().book("x", 400).answer();
+        HttpMessages.Message response = sidecar(server).client().book("x", 400).readResponse();
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertEquals(504, response.status());
         assertTrue(millis < 2_000, "response after " + millis + " ms");
         assertEquals(1, server.receivedRequests.size());
-        server.awaitEnd();
+        server.awaitConnectionEnd();
     }
 
     /**
@@ -163,14 +165,14 @@
                             int jitter = seen.request().headers().get("Request-Id").hashCode() % 12;
                             seen.socket().setTcpNoDelay(true);
                             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + jitter));
-                            seen.reply("200 OK", "", seen.request().headers().get("Request-Id"));
+                            seen.respond("200 OK", "", seen.request().headers().get("Request-Id"));
                         });
         SidecarHarness harness = sidecar(server);
         TestClient client = harness.client();
         for (int i = 0; i < 30; i++) {
             String head = TestClient.head("GET", "/search/k", 100, "", 0);
             String id = head.replaceAll("(?s).*Request-Id: (\\w+).*", "$1");
-            HttpMessages.Message response = client.raw(head).answer();
+            HttpMessages.Message response = client.write(head).readResponse();
             if (response.status() == 200) {
                 assertEquals(id, response.body());
             } else {
@@ -178,17 +180,17 @@
                         List.of(502, 503, 504).contains(response.status()), response.startLine());
             }
         }
-        client.raw("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-        assertEquals(200, client.answer().status());
+        client.write("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+        assertEquals(200, client.readResponse().status());
         client.assertClosed();
     }
 
     @Test
     void connectionIsReused() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         TestClient client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, client.search(2_000).answer().status());
+            assertEquals(200, client.search(2_000).readResponse().status());
             // A connection is not reused directly after a response.
             LockSupport.parkNanos(
                     TimeUnit.MICROSECONDS.toNanos(2 * ConnectionPool.REUSE_DELAY_MICROS));
@@ -202,12 +204,12 @@
      */
     @Test
     void closedIdleConnectionIsNotReused() throws Exception {
-        ScriptedPeer server = server(seen -> seen.reply("200 OK", "", "ok"));
+        ScriptedPeer server = server(seen -> seen.respond("200 OK", "", "ok"));
         TestClient client = sidecar(server).client();
-        assertEquals(200, client.book("x", 2_000).answer().status());
+        assertEquals(200, client.book("x", 2_000).readResponse().status());
         server.take().socket().close();
-        server.awaitEnd();
-        assertEquals(200, client.book("x", 2_000).answer().status());
+        server.awaitConnectionEnd();
+        assertEquals(200, client.book("x", 2_000).readResponse().status());
         assertEquals(2, server.accepted.get());
     }
 
@@ -218,7 +220,7 @@
         TestClient client = harness.client().book("x", 30_000);
         Socket attemptSocket = server.take().socket();
         client.close();
-        server.awaitEnd();
+        server.awaitConnectionEnd();
         assertTrue(attemptSocket.isClosed());
     }
 
@@ -243,13 +245,13 @@
                         + " 9;Content-Length: 65537 | 413",
             })
     void badRequestIsNotForwarded(String text, int status) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = sidecar(server);
-        TestClient client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
-        assertEquals(status, client.answer().status());
+        TestClient client = harness.client().write(text.replace(";", "\r\n") + "\r\n\r\n");
+        assertEquals(status, client.readResponse().status());
         client.assertClosed();
         assertEquals(0, server.accepted.get());
-        assertEquals(200, harness.client().search(2_000).answer().status());
+        assertEquals(200, harness.client().search(2_000).readResponse().status());
     }
 
     @Test
@@ -257,19 +259,19 @@
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         String head = TestClient.head("GET", "/search/k", 5_000, "", 0);
-        harness.client().raw(head);
+        harness.client().write(head);
         server.take();
-        assertEquals(400, harness.client().raw(head).answer().status());
+        assertEquals(400, harness.client().write(head).readResponse().status());
     }
 
     @Test
     void healthCheckFailsWithoutAnEndpoint() throws Exception {
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         SidecarHarness harness = sidecar();
-        assertEquals(503, harness.client().raw(health).answer().status());
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        assertEquals(503, harness.client().write(health).readResponse().status());
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         harness.publishEndpoints(2, SidecarHarness.list(2, true, "in_service", server));
-        assertEquals(200, harness.client().raw(health).answer().status());
+        assertEquals(200, harness.client().write(health).readResponse().status());
     }
 
     /**
@@ -278,7 +280,7 @@
      */
     @Test
     void exceptionInTheBalancerIsReportedAs500AndLogged() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server);
         harness.start(
                 (settings, actions) ->
@@ -295,8 +297,8 @@
                             }
                         });
         TestClient client = harness.client();
-        assertEquals(500, client.search(2_000).answer().status());
-        assertEquals(503, client.search(2_000).answer().status());
+        assertEquals(500, client.search(2_000).readResponse().status());
+        assertEquals(503, client.search(2_000).readResponse().status());
         String log = harness.log.toString(UTF_8);
         assertTrue(log.contains("ERROR request_aborted request="), log);
         assertTrue(
@@ -326,22 +328,22 @@
                                 actions.fail(outcome.requestId(), RejectionReason.MAX_ATTEMPTS);
                             }
                         });
-        assertEquals(502, harness.client().search(2_000).answer().status());
+        assertEquals(502, harness.client().search(2_000).readResponse().status());
         assertEquals(List.of("request", "sent to an unlisted endpoint", "NOT_SENT"), order);
     }
 
     /** Beyond the limit, a new connection replaces an idle one, so descriptors never run out. */
     @Test
     void connectionsBeyondTheLimitReplaceIdleOnes() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness harness = harnessOfFewSockets(server);
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
+        SidecarHarness harness = harnessWithFewSockets(server);
         harness.start();
         TestClient first = harness.client();
-        assertEquals(200, first.search(5_000).answer().status());
+        assertEquals(200, first.search(5_000).readResponse().status());
         // Connections that were just accepted are not replaced, so their first request can arrive.
         Thread.sleep(150);
         for (int i = 0; i < harness.config().maxClientConnections(); i++) {
-            assertEquals(200, harness.client().search(5_000).answer().status());
+            assertEquals(200, harness.client().search(5_000).readResponse().status());
         }
         first.assertClosed();
     }
@@ -359,7 +361,7 @@
                                 disconnected.add(requestId);
                             }
                         });
-        assertEquals(504, harness.client().search(200).answer().status());
+        assertEquals(504, harness.client().search(200).readResponse().status());
         assertEquals(16, disconnected.poll(10, TimeUnit.SECONDS).length());
     }
 
@@ -369,7 +371,7 @@
      */
     @Test
     void clientBeyondTheLimitIsAcceptedAfterAResponse() throws Exception {
-        SidecarHarness harness = harnessOfFewSockets();
+        SidecarHarness harness = harnessWithFewSockets();
         var inFlight = new LinkedBlockingQueue<String>();
         var actions = new AtomicReference<BalancerActions>();
         harness.start(
@@ -396,7 +398,7 @@
         assertNull(inFlight.poll(200, TimeUnit.MILLISECONDS));
         String rejected = first;
         harness.loop.execute(() -> actions.get().reject(rejected, 0, RejectionReason.ADMISSION));
-        assertEquals(503, clients.get(0).answer().status());
+        assertEquals(503, clients.get(0).readResponse().status());
         clients.get(0).assertClosed();
         assertEquals(16, inFlight.poll(10, TimeUnit.SECONDS).length());
         assertNull(inFlight.poll(200, TimeUnit.MILLISECONDS));
@@ -406,43 +408,43 @@
 
     @Test
     void drainingServerReceivesNoRequest() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        ScriptedPeer leaving = server(ScriptedPeer.respondsOk("leaving"));
+        ScriptedPeer staying = server(ScriptedPeer.respondsOk("staying"));
         SidecarHarness harness = sidecar(leaving, staying);
         harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("staying", harness.client().search(2_000).readResponse().body());
         }
         assertEquals(0, leaving.receivedRequests.size());
     }
 
     @Test
     void serverMissingFromACompleteListReceivesNoRequest() throws Exception {
-        ScriptedPeer removed = server(ScriptedPeer.serves("removed"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
+        ScriptedPeer removed = server(ScriptedPeer.respondsOk("removed"));
+        ScriptedPeer staying = server(ScriptedPeer.respondsOk("staying"));
         SidecarHarness harness = sidecar(removed, staying);
         harness.publishEndpoints(2, SidecarHarness.list(2, true, "in_service", staying));
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("staying", harness.client().search(2_000).readResponse().body());
         }
     }
 
     /** After a failed watch the old list stays valid; the watch is retried until it succeeds. */
     @Test
     void failedWatchIsRetried() throws Exception {
-        ScriptedPeer old = server(ScriptedPeer.serves("old"));
-        ScriptedPeer fresh = server(ScriptedPeer.serves("fresh"));
+        ScriptedPeer old = server(ScriptedPeer.respondsOk("old"));
+        ScriptedPeer fresh = server(ScriptedPeer.respondsOk("fresh"));
         SidecarHarness harness = sidecar(old);
         harness.discovery.take().socket().close();
-        harness.discovery.take().reply("503 Busy", "", "");
-        harness.discovery.take().reply("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
+        harness.discovery.take().respond("503 Busy", "", "");
+        harness.discovery.take().respond("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
         ReceivedRequest retry = harness.discovery.take();
         assertTrue(retry.request().startLine().contains("from=1&"), retry.request().startLine());
-        assertEquals("old", harness.client().search(2_000).answer().body());
+        assertEquals("old", harness.client().search(2_000).readResponse().body());
         // Puts the call back, because publishEndpoints takes it.
         harness.discovery.receivedRequests.add(retry);
         harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", fresh));
-        assertEquals("fresh", harness.client().search(2_000).answer().body());
+        assertEquals("fresh", harness.client().search(2_000).readResponse().body());
     }
 
     @Test
@@ -474,7 +476,7 @@
                                         new DiscoveryTimeouts(50, 50))
                                 .subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
-        silent.awaitEnd();
+        silent.awaitConnectionEnd();
     }
 
     // ---- Graceful shutdown
@@ -489,13 +491,13 @@
         var stopped = harness.stop();
         TestClient late = harness.client();
         late.healthCheck();
-        assertEquals(503, late.answer().status());
-        server.script(ScriptedPeer.serves("late"));
-        assertEquals("late", harness.client().search(5_000).answer().body());
+        assertEquals(503, late.readResponse().status());
+        server.script(ScriptedPeer.respondsOk("late"));
+        assertEquals("late", harness.client().search(5_000).readResponse().body());
         idle.assertClosed();
         assertNotEquals(0, stopped.getCount());
-        inFlight.reply("200 OK", "", "in flight");
-        HttpMessages.Message response = busy.answer();
+        inFlight.respond("200 OK", "", "in flight");
+        HttpMessages.Message response = busy.readResponse();
         assertEquals("in flight", response.body());
         assertEquals("close", response.headers().get("Connection"));
         busy.assertClosed();
--- a/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
@@ -21,15 +21,15 @@
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
-                    received.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
+                    received.respond("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
                 };
-        ScriptedPeer next = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer next = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = sidecar(server(slow), server(slow));
         for (int i = 0; i < 4; i++) {
-            assertEquals(200, harness.client().search(3_000).answer().status());
+            assertEquals(200, harness.client().search(3_000).readResponse().status());
         }
         harness.publishEndpoints(2, SidecarHarness.list(2, true, "in_service", next));
-        assertEquals(200, harness.client().search(3_000).answer().status());
+        assertEquals(200, harness.client().search(3_000).readResponse().status());
     }
 
     /**
@@ -44,7 +44,7 @@
             harness.client().search(20_000);
         }
         for (int i = 0; i < 12; i++) {
-            server.take().reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
+            server.take().respond("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
         }
         for (int i = 0; i < 12; i++) {
             server.take();
@@ -68,10 +68,10 @@
         TestClient next = harness.client().search(20_000);
         // The event loop reads the connections one after the other: when it has responded to this
         // malformed request, it has also read the previous request.
-        assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
-        second.reply("200 OK", "", "other");
-        assertEquals(200, other.answer().status());
-        server.take().reply("200 OK", "", "next");
-        assertEquals("next", next.answer().body());
+        assertEquals(400, harness.client().write("x\r\n\r\n").readResponse().status());
+        second.respond("200 OK", "", "other");
+        assertEquals(200, other.readResponse().status());
+        server.take().respond("200 OK", "", "next");
+        assertEquals("next", next.readResponse().body());
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/SocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SocketTest.java
@@ -27,24 +27,24 @@
     }
 
     /** Closes the resource after the test; returns the resource. */
-    public final <T extends AutoCloseable> T opened(T resource) {
+    public final <T extends AutoCloseable> T closeAfterTest(T resource) {
         open.add(resource);
         return resource;
     }
 
     /** Starts a server or a discovery agent. */
     public final ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
-        return opened(new ScriptedPeer(script));
+        return closeAfterTest(new ScriptedPeer(script));
     }
 
     /** Creates a sidecar that has these servers as its endpoints, without starting the sidecar. */
     final SidecarHarness harness(ScriptedPeer... servers) throws Exception {
-        return opened(new SidecarHarness(folder, servers));
+        return closeAfterTest(new SidecarHarness(folder, servers));
     }
 
     /** Creates a sidecar with few descriptors, so that a test can reach the connection limits. */
-    final SidecarHarness harnessOfFewSockets(ScriptedPeer... servers) throws Exception {
-        return opened(new SidecarHarness(folder, 250_000, 128, servers));
+    final SidecarHarness harnessWithFewSockets(ScriptedPeer... servers) throws Exception {
+        return closeAfterTest(new SidecarHarness(folder, 250_000, 128, servers));
     }
 
     /** Starts a sidecar with these servers as its endpoints. */
--- a/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -26,7 +26,7 @@
     void responseIsStreamedAsItArrivesAndItsConnectionIsReused() throws Exception {
         start("");
         RawConnection upstream = sendExport(client);
-        upstream.raw(
+        upstream.write(
                         "HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.2\r\nContent-Type: text/x\r\n"
                                 + "Transfer-Encoding: chunked\r\n\r\n")
                 .chunk("first");
@@ -35,14 +35,14 @@
         assertEquals("text/x", head.header("Content-Type"));
         assertNull(head.header("Server-Load"));
         assertEquals("first", new String(client.chunk(), UTF_8));
-        upstream.chunk("second").raw("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
+        upstream.chunk("second").write("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
         assertEquals("second", new String(client.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), client.trailers());
         // A second response on both connections, with a known length.
         TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
-        client.raw(exportRequest(2_000));
+        client.write(exportRequest(2_000));
         upstream.head();
-        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
+        upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird");
         assertEquals("5", client.head().header("Content-Length"));
         assertEquals("third", client.text(5));
         assertTrue(server.hasNoConnection());
@@ -52,19 +52,19 @@
     @Test
     void startedResponseHasNoDeadline() throws Exception {
         start("");
-        client.raw(exportRequest(300));
+        client.write(exportRequest(300));
         RawConnection upstream = acceptRequest();
-        upstream.raw(OK_CHUNKED).chunk("a");
+        upstream.write(OK_CHUNKED).chunk("a");
         client.head();
         assertEquals("a", new String(client.chunk(), UTF_8));
         try (RawConnection other = connect()) {
             // Waits until the timeout of the first request, 300 ms, has passed: the server does not
             // respond to this later request either.
-            other.raw(TestClient.head("GET", "/search/k1", 400, "", 0));
+            other.write(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
         }
-        upstream.chunk("b").raw(LAST_CHUNK);
+        upstream.chunk("b").write(LAST_CHUNK);
         assertEquals("b", new String(client.chunks(), UTF_8));
     }
 
@@ -78,7 +78,7 @@
     void clientCanTellThatAResponseIsIncomplete(String text) throws Exception {
         start("");
         RawConnection upstream = sendExport(client);
-        upstream.raw("HTTP/1.1 200 OK\r\n" + text);
+        upstream.write("HTTP/1.1 200 OK\r\n" + text);
         RawConnection.Head head = client.head();
         if (head.header("Content-Length") != null) {
             assertEquals("abc", client.text(3));
@@ -93,9 +93,9 @@
     @Test
     void http10ClientCanTellThatAResponseIsIncomplete() throws Exception {
         start("");
-        client.raw(exportRequest(2_000).replace("HTTP/1.1", "HTTP/1.0"));
+        client.write(exportRequest(2_000).replace("HTTP/1.1", "HTTP/1.0"));
         RawConnection upstream = acceptRequest();
-        upstream.raw(OK_CHUNKED).chunk("abc");
+        upstream.write(OK_CHUNKED).chunk("abc");
         assertNull(client.head().header("Transfer-Encoding"));
         assertEquals("abc", client.text(3));
         upstream.close();
@@ -114,7 +114,7 @@
         for (int i = 0; i < 3; i++) {
             try (RawConnection disconnecting = connect()) {
                 RawConnection upstream = sendExport(disconnecting);
-                upstream.raw(OK_CHUNKED).chunk("abc");
+                upstream.write(OK_CHUNKED).chunk("abc");
                 disconnecting.head();
                 disconnecting.socket.close();
                 upstream.awaitEnd();
@@ -127,17 +127,17 @@
         start(BUFFERS_FOR_ONE_STREAM);
         RawConnection upstream = startedExport();
         try (RawConnection other = connect()) {
-            other.raw(exportRequest(2_000));
+            other.write(exportRequest(2_000));
             RawConnection.Head rejected = other.head();
             assertEquals("HTTP/1.1 503 Service Unavailable", rejected.startLine());
             assertNotNull(rejected.header("Retry-After"));
             assertTrue(server.hasNoConnection());
-            upstream.raw(LAST_CHUNK);
+            upstream.write(LAST_CHUNK);
             assertEquals("abc", new String(client.chunks(), UTF_8));
             // The buffers of the completed stream are free for the next one.
             client.trailers();
-            client.raw(exportRequest(2_000));
-            acceptRequest().raw(OK_WITHOUT_BODY);
+            client.write(exportRequest(2_000));
+            acceptRequest().write(OK_WITHOUT_BODY);
             assertStatus(200, client);
         }
     }
@@ -146,12 +146,12 @@
     void responseToAStalledClientIsAborted() throws Exception {
         start(",'write_stall_ms':100,'high_watermark_bytes':5000");
         RawConnection upstream = sendExport(client);
-        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
+        upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n");
         assertThrows(
                 IOException.class,
                 () -> {
                     for (int i = 0; i < 90; i++) {
-                        upstream.raw(new byte[1_000_000]);
+                        upstream.write(new byte[1_000_000]);
                     }
                 });
         client.head();
@@ -172,12 +172,12 @@
     void bytesAfterAResponseCloseOnlyTheServerConnection(String following) throws Exception {
         start("");
         RawConnection upstream = sendExport(client);
-        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc" + following);
+        upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc" + following);
         client.head();
         assertEquals("abc", client.text(3));
         upstream.awaitEnd();
-        client.raw(exportRequest(2_000));
-        acceptRequest().raw(OK_WITHOUT_BODY);
+        client.write(exportRequest(2_000));
+        acceptRequest().write(OK_WITHOUT_BODY);
         assertStatus(200, client);
     }
 
@@ -197,7 +197,7 @@
     void responseWithInvalidFramingOrLengthIsNotForwarded(String requestClass, String header)
             throws Exception {
         start("");
-        client.raw(
+        client.write(
                 TestClient.head(
                         requestClass.equals("book") ? "POST" : "GET",
                         "/" + requestClass + "/k1",
@@ -205,7 +205,7 @@
                         "",
                         0));
         RawConnection upstream = acceptRequest();
-        upstream.raw("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
+        upstream.write("HTTP/1.1 200 OK\r\n" + header.replace("\\r\\n", "\r\n") + "\r\n\r\nab");
         upstream.awaitEnd();
         assertTrue(client.head().startLine().startsWith("HTTP/1.1 50"));
     }
@@ -227,10 +227,10 @@
     void informationalResponseIsNotForwarded() throws Exception {
         start("");
         RawConnection upstream = sendExport(client);
-        upstream.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-                .raw(OK_CHUNKED)
+        upstream.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+                .write(OK_CHUNKED)
                 .chunk("abc")
-                .raw(LAST_CHUNK);
+                .write(LAST_CHUNK);
         assertStatus(200, client);
         assertEquals("abc", new String(client.chunks(), UTF_8));
     }
@@ -240,7 +240,7 @@
         start("");
         RawConnection upstream = startedExport();
         client.chunk();
-        client.raw(exportRequest(2_000));
+        client.write(exportRequest(2_000));
         client.assertBroken();
         upstream.awaitEnd();
         assertTrue(server.hasNoConnection());
@@ -268,7 +268,7 @@
                     .get();
             upstream.chunk(state);
         }
-        upstream.raw(LAST_CHUNK);
+        upstream.write(LAST_CHUNK);
         assertEquals("abcterminatingterminated", new String(client.chunks(), UTF_8));
         upstream.awaitEnd();
     }
@@ -280,7 +280,7 @@
         CountDownLatch stopped = harness.stop();
         client.chunk();
         assertFalse(stopped.await(600, TimeUnit.MILLISECONDS), "stopped with a stream in flight");
-        upstream.chunk("d").raw(LAST_CHUNK);
+        upstream.chunk("d").write(LAST_CHUNK);
         assertEquals("d", new String(client.chunks(), UTF_8));
         assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
@@ -301,7 +301,7 @@
         RawConnection upstream = sendExport(client);
         byte[] body = randomBytes(BIG_BODY_BYTES);
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + BIG_BODY_BYTES + "\r\n\r\n";
-        Thread writing = writeInBackground(() -> upstream.raw(head).raw(body));
+        Thread writing = writeInBackground(() -> upstream.write(head).write(body));
         client.head();
         assertBodyArrives(body, client);
         writing.join();
@@ -312,10 +312,10 @@
     void nothingIsStreamedWithoutTheSection() throws Exception {
         start(newHarness());
         RawConnection upstream = sendExport(client);
-        upstream.raw(OK_CHUNKED).chunk("abc").raw(LAST_CHUNK);
+        upstream.write(OK_CHUNKED).chunk("abc").write(LAST_CHUNK);
         assertEquals("3", client.head().header("Content-Length"));
         assertEquals("abc", client.text(3));
-        client.raw(appendRequest("Content-Length: 70000"));
+        client.write(appendRequest("Content-Length: 70000"));
         assertStatus(413, client);
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
@@ -25,37 +25,37 @@
     @Test
     void uploadIsStreamedAsItArrives() throws Exception {
         start("");
-        client.raw(appendRequest("Transfer-Encoding: chunked")).chunk("first");
+        client.write(appendRequest("Transfer-Encoding: chunked")).chunk("first");
         RawConnection upstream = server.take();
         RawConnection.Head head = upstream.head();
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertEquals("first", new String(upstream.chunk(), UTF_8));
-        client.chunk("second").raw("0\r\nCheck: sum\r\nRequest-Id: other\r\n\r\n");
+        client.chunk("second").write("0\r\nCheck: sum\r\nRequest-Id: other\r\n\r\n");
         assertEquals("second", new String(upstream.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), upstream.trailers());
-        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         client.head();
         assertEquals("ok", client.text(2));
         // A small body is collected first and uses the same connections.
         TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
-        client.raw(appendRequest("Content-Length: 3") + "abc");
+        client.write(appendRequest("Content-Length: 3") + "abc");
         assertEquals("3", upstream.head().header("Content-Length"));
         assertEquals("abc", upstream.text(3));
-        upstream.raw(OK_WITHOUT_BODY);
+        upstream.write(OK_WITHOUT_BODY);
         assertStatus(200, client);
     }
 
     @Test
     void continueResponseIsSentOnceAServerIsAttached() throws Exception {
         start("");
-        client.raw(appendRequest("Content-Length: 100000\r\nExpect: 100-continue"));
+        client.write(appendRequest("Content-Length: 100000\r\nExpect: 100-continue"));
         RawConnection upstream = server.take();
         assertNull(upstream.head().header("Expect"));
         assertStatus(100, client);
         byte[] body = randomBytes(100_000);
-        client.raw(body);
+        client.write(body);
         assertArrayEquals(body, upstream.bytes(100_000));
-        upstream.raw(OK_WITHOUT_BODY);
+        upstream.write(OK_WITHOUT_BODY);
         assertStatus(200, client);
     }
 
@@ -63,17 +63,17 @@
     @Test
     void timeoutRunsFromTheLastByteOfAnUpload() throws Exception {
         start("");
-        client.raw(appendRequest("Transfer-Encoding: chunked").replace("2000", "300")).chunk("a");
+        client.write(appendRequest("Transfer-Encoding: chunked").replace("2000", "300")).chunk("a");
         RawConnection upstream = acceptRequest();
         upstream.chunk();
         try (RawConnection other = connect()) {
             // Waits until the timeout of the upload, 300 ms, has passed since its first byte: the
             // server does not respond to this later request either.
-            other.raw(TestClient.head("GET", "/search/k1", 400, "", 0));
+            other.write(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
         }
-        client.raw(LAST_CHUNK);
+        client.write(LAST_CHUNK);
         upstream.chunks();
         upstream.trailers();
         // The timeout runs from here on.
@@ -83,17 +83,19 @@
     @Test
     void uploadWithinTheReplayBufferIsRetriedAtAnotherServer() throws Exception {
         try (RawConnection.Server other = server.another()) {
-            harness = opened(new SidecarHarness(folder, List.of(server.port(), other.port())));
+            harness =
+                    closeAfterTest(
+                            new SidecarHarness(folder, List.of(server.port(), other.port())));
             start(harness.withExtensions(streaming("")));
             RawConnection upstream = startedUpload("first");
-            upstream.raw(NOT_STARTED);
+            upstream.write(NOT_STARTED);
             upstream.awaitEnd();
             RawConnection next = acceptRequest();
             assertEquals("first", new String(next.chunk(), UTF_8));
-            client.chunk("second").raw(LAST_CHUNK);
+            client.chunk("second").write(LAST_CHUNK);
             assertEquals("second", new String(next.chunks(), UTF_8));
             next.trailers();
-            next.raw(OK_WITHOUT_BODY);
+            next.write(OK_WITHOUT_BODY);
             assertStatus(200, client);
         }
     }
@@ -110,7 +112,7 @@
         if (serverCloses) {
             upstream.close();
         } else {
-            upstream.raw(NOT_STARTED);
+            upstream.write(NOT_STARTED);
         }
         RawConnection.Head rejected = client.head();
         assertEquals("HTTP/1.1 503 Service Unavailable", rejected.startLine());
@@ -123,12 +125,12 @@
     void errorBeforeTheEndOfTheBodyIsForwardedAndClosesBothConnections() throws Exception {
         start("");
         RawConnection upstream = startedUpload();
-        upstream.raw("HTTP/1.1 413 Too Much\r\nContent-Length: 2\r\n\r\nno");
+        upstream.write("HTTP/1.1 413 Too Much\r\nContent-Length: 2\r\n\r\nno");
         RawConnection.Head head = client.head();
         assertTrue(head.startLine().startsWith("HTTP/1.1 413 "), head.startLine());
         assertEquals("no", client.text(2));
         upstream.awaitEnd();
-        client.raw(new byte[50_000]).socket.shutdownOutput();
+        client.write(new byte[50_000]).socket.shutdownOutput();
         client.awaitEnd();
         assertTrue(server.hasNoConnection());
     }
@@ -138,7 +140,7 @@
     void successBeforeTheEndOfTheBodyIsNotForwarded() throws Exception {
         start(",'replay_bytes':4");
         RawConnection upstream = startedUpload();
-        upstream.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
+        upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
         upstream.awaitEnd();
         assertStatus(503, client);
     }
@@ -146,7 +148,7 @@
     @Test
     void uploadOfAStalledClientIsRejectedAndCancelled() throws Exception {
         start(",'read_stall_ms':100");
-        client.raw(appendRequest("Content-Length: 100000") + "begin");
+        client.write(appendRequest("Content-Length: 100000") + "begin");
         RawConnection upstream = acceptRequest();
         assertStatus(408, client);
         upstream.awaitEnd();
@@ -155,13 +157,13 @@
     @Test
     void uploadToAStalledServerIsRejectedAndCancelled() throws Exception {
         start(",'write_stall_ms':100,'replay_bytes':4,'high_watermark_bytes':5000");
-        client.raw(appendRequest("Content-Length: 90000000"));
+        client.write(appendRequest("Content-Length: 90000000"));
         RawConnection upstream = acceptRequest();
         Thread writing =
                 writeInBackground(
                         () -> {
                             for (int i = 0; i < 90; i++) {
-                                client.raw(new byte[1_000_000]);
+                                client.write(new byte[1_000_000]);
                             }
                         });
         assertStatus(503, client);
@@ -192,7 +194,7 @@
             throws Exception {
         start("");
         String text = body.equals("0") ? "x".repeat(70_000) : body.replace("\\r\\n", "\r\n");
-        client.raw(
+        client.write(
                 appendRequest(framing.replace("\\r\\n", "\r\n"))
                         + text
                         + following.replace("\\r\\n", "\r\n"));
@@ -215,14 +217,14 @@
     @Test
     void endlessTrailersAreNotForwarded() throws Exception {
         start("");
-        client.raw(appendRequest("Transfer-Encoding: chunked")).chunk("abc").raw("0\r\n");
+        client.write(appendRequest("Transfer-Encoding: chunked")).chunk("abc").write("0\r\n");
         RawConnection upstream = acceptRequest();
         upstream.chunk();
         assertThrows(
                 IOException.class,
                 () -> {
                     for (int i = 0; i < 10_000; i++) {
-                        client.raw("A" + i + ": " + "x".repeat(100) + "\r\n");
+                        client.write("A" + i + ": " + "x".repeat(100) + "\r\n");
                     }
                     // If all writes succeed, the connection must close after them.
                     client.awaitEnd();
@@ -246,7 +248,7 @@
     @Test
     void disconnectDuringAnUploadClosesTheServerConnection() throws Exception {
         start("");
-        client.raw(appendRequest("Content-Length: 100000") + "begin");
+        client.write(appendRequest("Content-Length: 100000") + "begin");
         RawConnection upstream = acceptRequest();
         client.close();
         assertThrows(IOException.class, () -> upstream.bytes(100_000));
@@ -257,12 +259,12 @@
         start(",'drain_ms':1000");
         RawConnection upstream = startedUpload("abc");
         try (RawConnection slow = connect()) {
-            slow.raw(appendRequest("Transfer-Encoding: chunked")).chunk("abc");
+            slow.write(appendRequest("Transfer-Encoding: chunked")).chunk("abc");
             RawConnection second = acceptRequest();
             CountDownLatch stopped = harness.stop();
-            client.raw(LAST_CHUNK);
+            client.write(LAST_CHUNK);
             upstream.chunks();
-            upstream.raw(OK_WITHOUT_BODY);
+            upstream.write(OK_WITHOUT_BODY);
             assertStatus(200, client);
             assertStatus(504, slow);
             second.awaitEnd();
@@ -278,11 +280,11 @@
         Thread writing =
                 writeInBackground(
                         () ->
-                                client.raw(appendRequest("Content-Length: " + BIG_BODY_BYTES))
-                                        .raw(body));
+                                client.write(appendRequest("Content-Length: " + BIG_BODY_BYTES))
+                                        .write(body));
         RawConnection upstream = acceptRequest();
         assertBodyArrives(body, upstream);
-        upstream.raw(OK_WITHOUT_BODY);
+        upstream.write(OK_WITHOUT_BODY);
         assertStatus(200, client);
         writing.join();
     }
--- a/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
@@ -49,12 +49,12 @@
 
     @BeforeEach
     final void startServer() throws IOException {
-        server = opened(new RawConnection.Server());
+        server = closeAfterTest(new RawConnection.Server());
     }
 
     /** Creates a sidecar that has the server as its endpoint, without starting the sidecar. */
     final SidecarHarness newHarness() throws Exception {
-        harness = opened(new SidecarHarness(folder, List.of(server.port())));
+        harness = closeAfterTest(new SidecarHarness(folder, List.of(server.port())));
         return harness;
     }
 
@@ -80,7 +80,7 @@
 
     /** Connects a further client. */
     final RawConnection connect() throws IOException {
-        return opened(RawConnection.to(harness.address));
+        return closeAfterTest(RawConnection.to(harness.address));
     }
 
     /** Returns a request of the class whose responses are streamed. */
@@ -94,7 +94,7 @@
      * @return the server's connection, after reading the head of the request
      */
     final RawConnection sendExport(RawConnection from) throws Exception {
-        from.raw(exportRequest(2_000));
+        from.write(exportRequest(2_000));
         return acceptRequest();
     }
 
@@ -106,7 +106,7 @@
      */
     final RawConnection startedExport() throws Exception {
         RawConnection upstream = sendExport(client);
-        upstream.raw(OK_CHUNKED).chunk("abc");
+        upstream.write(OK_CHUNKED).chunk("abc");
         client.head();
         return upstream;
     }
@@ -129,7 +129,7 @@
      * @return the server's connection, after reading these bytes
      */
     final RawConnection startedUpload() throws Exception {
-        client.raw(appendRequest("Content-Length: 100000") + "begin");
+        client.write(appendRequest("Content-Length: 100000") + "begin");
         RawConnection upstream = acceptRequest();
         upstream.text(5);
         return upstream;
@@ -137,7 +137,7 @@
 
     /** Sends one chunk of an upload; returns the server's connection after reading the chunk. */
     final RawConnection startedUpload(String chunk) throws Exception {
-        client.raw(appendRequest("Transfer-Encoding: chunked")).chunk(chunk);
+        client.write(appendRequest("Transfer-Encoding: chunked")).chunk(chunk);
         RawConnection upstream = acceptRequest();
         assertEquals(chunk, new String(upstream.chunk(), UTF_8));
         return upstream;
--- a/sidecar/src/test/java/sagefall/proxy/TestClient.java
+++ b/sidecar/src/test/java/sagefall/proxy/TestClient.java
@@ -47,7 +47,7 @@
     }
 
     /** Writes the text as bytes, one for each character. */
-    TestClient raw(String text) throws IOException {
+    TestClient write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
         return this;
@@ -55,21 +55,21 @@
 
     /** Sends an idempotent request without a body. */
     TestClient search(long timeoutMillis) throws IOException {
-        return raw(head("GET", "/search/k1", timeoutMillis, "", 0));
+        return write(head("GET", "/search/k1", timeoutMillis, "", 0));
     }
 
     /** Sends a request that is not idempotent. */
     TestClient book(String body, long timeoutMillis) throws IOException {
-        return raw(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
+        return write(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
     }
 
     /** Sends a health check. */
     TestClient healthCheck() throws IOException {
-        return raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+        return write("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
     /** Waits for the next response; fails if the connection closes without one. */
-    HttpMessages.Message answer() throws IOException {
+    HttpMessages.Message readResponse() throws IOException {
         HttpMessages.Message response = HttpMessages.read(socket.getInputStream());
         Assertions.assertNotNull(response, "closed without a response");
         return response;
--- a/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -52,7 +52,9 @@
     private ConnectionPool pool;
 
     private void start(int sockets, ScriptedPeer... servers) throws Exception {
-        harness = opened(new SidecarHarness(folder, CONNECT_TIMEOUT_MICROS, sockets, servers));
+        harness =
+                closeAfterTest(
+                        new SidecarHarness(folder, CONNECT_TIMEOUT_MICROS, sockets, servers));
         SidecarConfig config = harness.config();
         pool =
                 harness.loop
@@ -134,7 +136,7 @@
 
     @Test
     void idleConnectionToAnotherEndpointIsClosedAtTheConnectionLimit() throws Exception {
-        ScriptedPeer first = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer first = server(ScriptedPeer.respondsOk("ok"));
         ScriptedPeer second = server(ScriptedPeer.SILENT);
         start(128, first, second);
         send(first.port());
@@ -143,7 +145,7 @@
             send(second.port());
             second.take();
         }
-        first.awaitEnd();
+        first.awaitConnectionEnd();
         assertTrue(results.isEmpty());
     }
 
@@ -151,7 +153,7 @@
     void resultTellsResponsesAndFailuresApart() throws Exception {
         ScriptedPeer server =
                 server(
-                        ScriptedPeer.answers(
+                        ScriptedPeer.respondsWith(
                                 "200 OK",
                                 "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n",
                                 "ok"));
@@ -160,14 +162,14 @@
         assertEquals(AttemptResult.SERVED, awaitResult());
         assertEquals(0.5, lastReport.utilization());
         assertTrue(Double.isNaN(lastReport.rate()) && Double.isNaN(lastReport.errorRate()));
-        server.script(ScriptedPeer.answers("500 No", "", ""));
+        server.script(ScriptedPeer.respondsWith("500 No", "", ""));
         send(server.port());
         assertEquals(AttemptResult.ERROR, awaitResult());
         assertNull(lastReport);
-        server.script(ScriptedPeer.answers("504 Over", "Not-Started: 1\r\n", ""));
+        server.script(ScriptedPeer.respondsWith("504 Over", "Not-Started: 1\r\n", ""));
         send(server.port());
         assertEquals(AttemptResult.REJECTED, awaitResult());
-        server.script(ScriptedPeer.HANG_UP);
+        server.script(ScriptedPeer.CLOSE_CONNECTION);
         send(server.port());
         assertEquals(AttemptResult.BROKEN, awaitResult());
         server.close();
@@ -183,9 +185,9 @@
         ReceivedRequest first = server.take();
         send(server.port());
         ReceivedRequest second = server.take();
-        second.reply("200 OK", "", "");
+        second.respond("200 OK", "", "");
         assertEquals(AttemptResult.SERVED, awaitResult());
-        first.reply("200 OK", "", "");
+        first.respond("200 OK", "", "");
         assertEquals(AttemptResult.SERVED, awaitResult());
         awaitReuseDelay();
         send(server.port());
@@ -194,11 +196,12 @@
 
     @Test
     void connectionIsNotReusedAfterConnectionClose() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.answers("200 OK", "Connection: close\r\n", "ok"));
+        ScriptedPeer server =
+                server(ScriptedPeer.respondsWith("200 OK", "Connection: close\r\n", "ok"));
         start(1024, server);
         send(server.port());
         assertEquals(AttemptResult.SERVED, awaitResult());
-        server.awaitEnd();
+        server.awaitConnectionEnd();
         send(server.port());
         assertEquals(AttemptResult.SERVED, awaitResult());
         assertEquals(2, server.accepted.get());
@@ -262,7 +265,7 @@
     @ParameterizedTest
     @EnumSource
     void attemptIsNotSentIfOutdatedOnceConnected(Change change) throws Exception {
-        FullBacklog backlog = opened(new FullBacklog());
+        FullBacklog backlog = closeAfterTest(new FullBacklog());
         start(1024);
         update(listOf(1, "in_service", backlog));
         ForwardedAttempt attempt = send(backlog.socket.getLocalPort());
@@ -288,7 +291,7 @@
         update(SidecarHarness.list(2, true, "terminating", server));
         send(server.port());
         assertEquals(AttemptResult.NOT_SENT, awaitResult());
-        inFlight.reply("200 OK", "", "ok");
+        inFlight.respond("200 OK", "", "ok");
         assertEquals(AttemptResult.SERVED, awaitResult());
         assertTrue(server.receivedRequests.isEmpty());
     }
