--- a/sidecar/src/main/java/sagefall/config/ConfigSection.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigSection.java
@@ -47,7 +47,7 @@
         if (values.get(key) instanceof String string) {
             return string;
         }
-        throw invalid(key, "must be a text");
+        throw invalid(key, "must be a string");
     }
 
     /** Returns all keys of the section, in the order of the file. */
@@ -81,7 +81,7 @@
     public void rejectUnknownKeys() throws ConfigException {
         for (String key : keys()) {
             if (!readKeys.contains(key)) {
-                throw invalid(key, "unknown name");
+                throw invalid(key, "unknown key");
             }
         }
     }
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
@@ -42,7 +42,8 @@
         if (!(json.get("rev") instanceof Long revision)
                 || !(json.get("all") instanceof Boolean complete)
                 || !(json.get("targets") instanceof List<?> targets)) {
-            throw new MalformedEndpointListException("a list without 'rev', 'all' or 'targets'");
+            throw new MalformedEndpointListException(
+                    "endpoint list lacks 'rev', 'all' or 'targets'");
         }
         List<EndpointList.Entry> entries = new ArrayList<>(targets.size());
         for (Object target : targets) {
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -22,7 +22,7 @@
  */
 final class EndpointPoll {
 
-    static final String REASON_NO_RESPONSE = "no answer";
+    static final String REASON_NO_RESPONSE = "no response";
     static final String REASON_CONNECTION_LOST = "connection lost";
 
     /**
--- a/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -80,7 +80,7 @@
                 "{'settings':{'tenants':[7]},'name':'n','listen':'::1:8',"
                         + "'discovery':'1.1.1.1:1','seed':'a'}"
                         + " | settings.tenants | settings: 'tenants' must hold objects",
-                "{'settings':{},'known':{}} | - | a list without 'rev', 'all' or 'targets'",
+                "{'settings':{},'known':{}} | - | endpoint list lacks 'rev', 'all' or 'targets'",
             })
     void unusableFileIsReportedWithFileKeyAndReason(String quotedJson, String key, String line)
             throws Exception {
@@ -114,9 +114,9 @@
                 assertThrows(
                         ConfigException.class,
                         () -> Extensions.read(Map.of("LB_EXTENSIONS", file.toString()), List.of()));
-        assertEquals(file + ": extensions.recovery.extra: unknown name", e.getMessage());
+        assertEquals(file + ": extensions.recovery.extra: unknown key", e.getMessage());
         assertEquals("extensions.recovery.extra", e.keyPath());
-        assertEquals("unknown name", e.reason());
+        assertEquals("unknown key", e.reason());
         assertEquals(file.toString(), e.file());
     }
 }
--- a/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -57,7 +57,7 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "{'all':true,'targets':[]} | a list without 'rev', 'all' or 'targets'",
+                "{'all':true,'targets':[]} | endpoint list lacks 'rev', 'all' or 'targets'",
                 "{'rev':1,'all':true,'targets':[{'uid':'a'}]} | a target without 'uid' or"
                         + " 'endpoint'",
                 "{'rev':1,'all':true,'targets':[{'uid':'a','endpoint':'1.1.1.1:1',"
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
@@ -38,14 +38,14 @@
                 "{} | extensions.recovery.directory: must be the absolute path of a directory",
                 "{'directory':'kept'} | extensions.recovery.directory: must be the absolute path of"
                         + " a directory",
-                "{'directory':7} | extensions.recovery.directory: must be a text",
+                "{'directory':7} | extensions.recovery.directory: must be a string",
                 "{'directory':'/a','sync':'never'} | extensions.recovery.sync: must be 'each' or"
                         + " 'snapshot'",
                 "{'directory':'/a','max_bytes':10} | extensions.recovery.max_bytes: must be a whole"
                         + " number from",
                 "{'directory':'/a','max_age_ms':-1} | extensions.recovery.max_age_ms: must be a"
                         + " whole number from 0",
-                "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown name",
+                "{'directory':'/a','peers':[]} | extensions.recovery.peers: unknown key",
             })
     void invalidSectionIsRejectedWithOneLine(String singleQuoted, String line) {
         String message = assertThrows(ConfigException.class, () -> read(singleQuoted)).getMessage();
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -100,7 +100,7 @@
             assertEquals(
                     "GET /v1/servers?from=1&hold_ms=400 HTTP/1.1",
                     harness.discovery.take().request().startLine());
-            assertEquals("no answer", events.next());
+            assertEquals("no response", events.next());
             harness.discovery.awaitConnectionEnd();
         }
         harness.loop.submit(discovery::close).get();
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -216,7 +216,7 @@
                         + " | 'sockets'",
                 "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1',"
                         + "'known':{'rev':1},'settings':{}}"
-                        + " | a list without",
+                        + " | endpoint list lacks",
             })
     void invalidConfigurationIsReportedInOneLine(String text, String message) throws Exception {
         Path file = folder.resolve("bad.json");
@@ -228,12 +228,12 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "{'streamin':{}} | extensions.streamin: unknown name",
+                "{'streamin':{}} | extensions.streamin: unknown key",
                 "{'streaming':7} | extensions.streaming: must be an object",
                 "{'streaming':{'classes':{'export':{}},'x':1}} | extensions.streaming.x: unknown"
-                        + " name",
+                        + " key",
                 "{'streaming':{'classes':{'export':{'x':1}}}} |"
-                        + " extensions.streaming.classes.export.x: unknown name",
+                        + " extensions.streaming.classes.export.x: unknown key",
                 "{'streaming':{'classes':{'nope':{}}}} | classes.nope: the settings have no such",
                 "{'streaming':{'classes':{'book':{'max_answer_bytes':1}}}} | max_answer_bytes: the"
                         + " settings do not",
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -475,7 +475,7 @@
                                         line -> {},
                                         new DiscoveryTimeouts(50, 50))
                                 .subscribe());
-        assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
+        assertEquals("no response", failures.poll(10, TimeUnit.SECONDS));
         silent.awaitConnectionEnd();
     }
 
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -128,7 +128,7 @@
     String word(String key, String defaultValue, List<String> allowed) throws ScenarioException {
         JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
-            throw error(key, "must be a text");
+            throw error(key, "must be a string");
         }
         String word = value == null ? defaultValue : value.textValue();
         if (word == null) {
@@ -193,7 +193,7 @@
         for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
             if (!readKeys.contains(key)) {
-                throw error(key, "unknown name");
+                throw error(key, "unknown key");
             }
         }
     }
--- a/testbed/src/test/java/sagefall/cli/CommandLineTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -102,7 +102,7 @@
             value = {
                 "simulate;nowhere;nowhere:1: no such file, and none of the shipped scenarios",
                 "simulate;calm --set load.use=99;--set: load.use: must lie from 0 to 10",
-                "simulate;calm --set colour=1;--set: colour: unknown name",
+                "simulate;calm --set colour=1;--set: colour: unknown key",
                 "simulate;calm --policy best;best: no such policy",
                 "simulate;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
                 "compare;calm --b module:X=1;module:X=1: X is no tunable"
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -233,7 +233,7 @@
             delimiter = '|',
             value = {
                 "run nope | nope:1: no such file",
-                "run rig-calm --set fleet.sidecar=3 | --set: fleet.sidecar: unknown name",
+                "run rig-calm --set fleet.sidecar=3 | --set: fleet.sidecar: unknown key",
                 "run rig-calm --set load.use=20 | --set: load.use: must lie from 0 to 10",
                 "run rig-calm --build /nowhere | /nowhere: no checkout of sagefall",
                 "run flap --set seconds=many | --set:1: not TOML",
--- a/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
+++ b/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
@@ -15,7 +15,7 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "name='x'|sedonds=3; f.toml:2: sedonds: unknown name",
+                "name='x'|sedonds=3; f.toml:2: sedonds: unknown key",
                 "name='x'|[fleet]|servers='many'; f.toml:3: fleet.servers: must be a number or"
                         + " [low, high]",
                 "name='x'|[fleet]|servers=2.5; f.toml:3: fleet.servers: must be a whole number",
