--- a/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
+++ b/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
@@ -4,13 +4,18 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import sagefall.scenario.LoadSettings;
 
-/** When operations arrive: a Poisson process with a rate that swings periodically. */
+/**
+ * Generates the arrival times of operations: a Poisson process whose rate follows a sine wave.
+ */
 final class ArrivalProcess {
 
+    /** Shortest period of the sine wave; the period is drawn from a range above this value. */
     private static final double MIN_PERIOD_SECONDS = 10;
+
+    /** Width of the range that the period is drawn from. */
     private static final double PERIOD_SPREAD_SECONDS = 20;
 
-    /** While the rate is 0 it is recomputed after this time. */
+    /** Interval at which the rate is recomputed while it is 0. */
     private static final long IDLE_STEP_MICROS = 1000;
 
     private final double swing;
@@ -19,10 +24,10 @@
     private final ZigguratSampler.Exponential interarrival;
 
     /**
-     * Draws the values of a run.
+     * Draws the swing, the period and the base rate of a run.
      *
-     * @param capacity work that all servers get done in a microsecond
-     * @param meanWorkMicros of a request
+     * @param capacity work that all servers together complete per microsecond
+     * @param meanWorkMicros mean work of a request, in microseconds on a core of speed 1
      */
     ArrivalProcess(
             LoadSettings load, RandomStreams streams, double capacity, double meanWorkMicros) {
@@ -33,14 +38,22 @@
         interarrival = ZigguratSampler.Exponential.of(streams.stream("arrivals"));
     }
 
-    /** Arrivals in a microsecond. */
+    /**
+     * Returns the arrivals per microsecond at the given time.
+     *
+     * @param weightFactor factor by which the traffic factors of zones and tenants change the rate
+     * @param rateFactor factor of the rate of all arrivals
+     */
     double rate(long nowMicros, double weightFactor, double rateFactor) {
         double phase = 2 * Math.PI * (nowMicros - EventQueue.START_MICROS) / periodMicros;
         double wave = 1 + swing * Math.sin(phase);
         return baseRate * weightFactor * rateFactor * wave;
     }
 
-    /** Draws the time of the next arrival, or of the next look at a rate that is 0. */
+    /**
+     * Returns the randomly drawn time of the next arrival. If the rate is 0, returns the time at
+     * which the caller must recompute the rate.
+     */
     long nextMicros(long nowMicros, double rate) {
         if (rate <= 0) {
             return nowMicros + IDLE_STEP_MICROS;
--- a/testbed/src/main/java/sagefall/emulator/ClientAnswer.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientAnswer.java
@@ -1,12 +1,12 @@
 package sagefall.emulator;
 
-/** The final answer of a sidecar to a client. */
+/** Kind of the final response that a sidecar sends to a client. */
 public enum ClientAnswer {
-    /** A server's response within the deadline. */
+    /** A server executed the request, and its response arrived within the deadline. */
     SERVED("served"),
-    /** The request was not executed; the client may retry. */
+    /** The sidecar rejected the request; a retry by the client is safe. */
     REJECTED("refused"),
-    /** The request may have been executed, or was not answered. */
+    /** The request may have been executed, or no response was sent in time. */
     FAILED("failed");
 
     private final String label;
@@ -15,7 +15,7 @@
         this.label = label;
     }
 
-    /** The word in results and reports. */
+    /** Returns the name of the kind in results and reports. */
     public String label() {
         return label;
     }
--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -1,23 +1,25 @@
 package sagefall.emulator;
 
 /**
- * What a client wants, from its first request to the answer that it accepts or to its giving up.
- * All of its random values are drawn at its arrival, so no decision of a load balancer changes
- * them.
+ * An operation of a client. It consists of a first request and its retries, and ends when one of
+ * them is served or the client abandons the operation. All random values are drawn when the
+ * operation arrives, so no decision of a load balancer changes them.
  */
 public final class ClientOperation {
 
     /**
-     * The values that are drawn at the arrival.
+     * The values of an operation that are known at its arrival.
      *
-     * @param number of the operation, from 0 on
-     * @param arrivedAtMicros when the client made its first request
-     * @param deadlineMicros when the client gives up
-     * @param key identifies repeated operations
+     * @param number sequence number of the operation, from 0
+     * @param arrivedAtMicros time of the client's first request
+     * @param deadlineMicros time at which the client abandons the operation
+     * @param key key of the operation; a server may have it cached
      * @param tenant index of the tenant
-     * @param overQuota whether the tenant had used up its quota
-     * @param workMicros of the server, on a core of speed 1
-     * @param clientDraw from 0 to 1, what the client's own behaviour is derived from
+     * @param overQuota whether the tenant had used up its quota at the arrival
+     * @param workMicros work that the operation requires of a server, in microseconds on a core of
+     *     speed 1
+     * @param clientDraw random value from 0 to 1 that determines whether the client disconnects
+     *     early and whether it complies with Retry-After
      */
     record Arrival(
             int number,
@@ -29,40 +31,47 @@
             double workMicros,
             double clientDraw) {}
 
-    /** Number of the operation, from 0 on. */
+    /** Sequence number of the operation, from 0. */
     public final int number;
 
-    /** When the client made its first request. */
+    /** Time of the client's first request. */
     public final long arrivedAtMicros;
 
-    /** Identifies repeated operations. */
+    /** Key of the operation; a server may have it cached. */
     public final long key;
 
     /** Index of the tenant. */
     public final int tenant;
 
-    /** Whether the tenant had used up its quota. */
+    /** Whether the tenant had used up its quota at the arrival. */
     public final boolean overQuota;
 
-    /** Work of the server, in microseconds on a core of speed 1. */
+    /** Work that the operation requires of a server, in microseconds on a core of speed 1. */
     public final double workMicros;
 
-    /** When the client gives up. */
+    /** Time at which the client abandons the operation. */
     final long deadlineMicros;
 
-    /** From 0 to 1, what the client's own behaviour is derived from. */
+    /**
+     * Random value from 0 to 1 that determines whether the client disconnects early and whether it
+     * complies with Retry-After.
+     */
     final double clientDraw;
 
-    /** The sidecar that the client is attached to. */
+    /** The sidecar beside the client. */
     public SidecarHandle sidecar;
 
-    /** Requests made so far. */
+    /** Number of requests that the client has made so far, including the first one. */
     int requestCount;
 
-    /** Whether it was answered or given up. */
+    /** Whether the operation was served or abandoned. */
     boolean finished;
 
-    /** When it first ran in each zone, 0 if it did not: servers drop a repeated key for a while. */
+    /**
+     * Time at which the operation was last executed, by zone; 0 if no server of the zone executed
+     * it. The deduplication window of the zone starts at this time. Set only if requests have an
+     * idempotency key.
+     */
     final long[] executedAtByZone;
 
     ClientOperation(Arrival arrival, int zones) {
--- a/testbed/src/main/java/sagefall/emulator/ClientRequest.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientRequest.java
@@ -3,28 +3,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request of a client to one sidecar, with an id of its own; a retry is another one. */
+/** One request of a client to a sidecar. A retry by the client is a new request with a new id. */
 public final class ClientRequest {
 
-    /** Unique in the run; begins with the prefix of the sidecar's incarnation. */
+    /** Id, unique in the run; begins with the prefix of the sidecar's incarnation. */
     public final String id;
 
-    /** What the client wants. */
+    /** The operation that the request belongs to. */
     public final ClientOperation operation;
 
-    /** When the sidecar received it. */
+    /** Time at which the sidecar received the request. */
     public final long receivedAtMicros;
 
-    /** When the client abandons it. */
+    /** Time at which the client stops waiting for the response. */
     public final long deadlineMicros;
 
-    /** Whether it has its final answer, or its client has disconnected. */
+    /** Whether the final response was sent, the client disconnected or the sidecar was killed. */
     public boolean finished;
 
-    /** Attempts in flight. */
+    /** Number of attempts in flight. */
     int inFlight;
 
-    /** All attempts of the sidecar, in their order. */
+    /** All attempts of the request, in the order in which they were made. */
     final List<EmulatedAttempt> attempts = new ArrayList<>(1);
 
     ClientRequest(
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -9,17 +9,17 @@
 import sagefall.scenario.Scenario;
 
 /**
- * The clients: open arrivals at rates that change, and what each client does with the answer it
- * gets. Arrivals wait for nothing, so two policies meet the same ones.
+ * Emulates the clients: generates their operations, sends the requests and handles the responses.
+ * Arrivals do not depend on responses (open loop), so every policy gets the same operations.
  */
 public final class ClientTraffic {
 
     /**
-     * What the clients live in.
+     * The parts of the simulation that the clients use.
      *
-     * @param events the clock, and the events to come
-     * @param sidecars one for each application
-     * @param accounting where the outcome of each operation is recorded
+     * @param events the virtual clock and the scheduled events
+     * @param sidecars the sidecars that the clients send requests to
+     * @param accounting records the outcome of each operation
      * @param network the links between clients and sidecars
      */
     public record Environment(
@@ -28,15 +28,17 @@
             ValueAccounting accounting,
             EmulatedNetwork network) {}
 
-    /** A retry later than this many latency objectives after the arrival is of no use. */
-    private static final int MAX_OBJECTIVES = 2;
+    /**
+     * Time after the arrival of an operation within which its client retries, in latency targets.
+     */
+    private static final int RETRY_WINDOW_LATENCY_TARGETS = 2;
 
     private static final String CAUSE_LATE = "late";
     private static final String CAUSE_SIDECAR_DOWN = "sidecar down";
     private static final String CAUSE_SIDECAR_KILLED = "sidecar killed";
     private static final String CAUSE_DISCONNECTED = "client left";
-    private static final String ANSWER_UNREACHABLE = "unreachable";
-    private static final String ANSWER_NONE = "unanswered";
+    private static final String LABEL_UNREACHABLE = "unreachable";
+    private static final String LABEL_NO_RESPONSE = "unanswered";
 
     private final EventQueue events;
     private final List<? extends SidecarHandle> sidecars;
@@ -57,25 +59,34 @@
     private final OperationGenerator operations;
     private long requestsSent;
 
-    /** Factor of the rate of all arrivals. */
+    /** Factor of the rate of all arrivals; 1 without faults. */
     public double rateFactor = 1;
 
-    /** Factors of the rate by zone; {@link #updateWeights()} puts them into effect. */
+    /**
+     * Factor of the arrival rate of each zone. Changes take effect when {@link #updateWeights()} is
+     * called.
+     */
     public final double[] zoneFactors;
 
-    /** Factors of the rate by tenant; {@link #updateWeights()} puts them into effect. */
+    /**
+     * Factor of the arrival rate of each tenant. Changes take effect when {@link #updateWeights()}
+     * is called.
+     */
     public final double[] tenantFactors;
 
-    /** Share of the requests that their client disconnects from early. */
+    /** Share of the requests whose client disconnects before its attempt timeout. */
     public double disconnectShare;
 
-    /** How many times clients retry immediately, regardless of Retry-After; 0: they do not. */
+    /**
+     * Maximum number of retries of an operation, which clients make without a delay and regardless
+     * of Retry-After. If it is 0, the configured number of retries and the configured delay apply.
+     */
     public int immediateRetries;
 
     /**
-     * Draws the values of a run.
+     * Draws the parameters of the client behaviour for a run.
      *
-     * @param capacity work that all servers get done in a microsecond
+     * @param capacity work that all servers together complete per microsecond
      */
     public ClientTraffic(
             Scenario scenario,
@@ -90,7 +101,7 @@
         this.requestClass = requestClass;
         clients = scenario.clients();
         zones = scenario.fleet().zones().size();
-        retriesFailures = isRetryHarmless(requestClass);
+        retriesFailures = isRetrySafe(requestClass);
         endMicros = EventQueue.START_MICROS + (long) (1e6 * scenario.seconds());
         attemptTimeoutMicros =
                 requestClass.deadlineMicros()
@@ -107,25 +118,25 @@
         tenantFactors = operations.weights().tenantFactors;
     }
 
-    private static boolean isRetryHarmless(RequestClass requestClass) {
+    private static boolean isRetrySafe(RequestClass requestClass) {
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
-    /** Mean work of a request, in microseconds on a core of speed 1. */
+    /** Returns the mean work of a request, in microseconds on a core of speed 1. */
     public double meanWorkMicros() {
         return meanWorkMicros;
     }
 
-    /** Puts changed factors of zones and tenants into effect. */
+    /** Applies changes of {@link #zoneFactors} and {@link #tenantFactors}. */
     public void updateWeights() {
         operations.weights().update();
     }
 
     // Arrivals.
 
-    /** Begins the arrivals. */
+    /** Starts the arrivals. */
     public void start() {
         scheduleNextArrival();
     }
@@ -159,8 +170,8 @@
         SidecarHandle sidecar = sidecarFor(operation.sidecar);
         if (!sidecar.isUp()) {
             sidecar.onUnreachable(operation);
-            accounting.recordAnswer(ANSWER_UNREACHABLE);
-            retryOrGiveUp(operation, 0, CAUSE_SIDECAR_DOWN);
+            accounting.recordUnsuccessfulResponse(LABEL_UNREACHABLE);
+            retryOrAbandon(operation, 0, CAUSE_SIDECAR_DOWN);
             return;
         }
         long now = events.now();
@@ -174,7 +185,11 @@
         sidecar.submit(request, operation.requestCount > 1 && clients.marksRetries());
     }
 
-    /** Derived from the client's draw, so that it does not depend on earlier requests. */
+    /**
+     * Schedules a disconnect if the client does not wait for the response to the request. Whether
+     * and when the client disconnects is derived from the random value of the operation and the
+     * number of the request, so the outcome of earlier requests has no influence.
+     */
     private void scheduleDisconnect(ClientRequest request, SidecarHandle sidecar) {
         ClientOperation operation = request.operation;
         double draw = (operation.clientDraw * 7919 + operation.requestCount * 0.618) % 1;
@@ -186,12 +201,16 @@
                 () -> {
                     if (!request.finished) {
                         sidecar.disconnectClient(request);
-                        giveUp(operation, CAUSE_DISCONNECTED);
+                        abandon(operation, CAUSE_DISCONNECTED);
                     }
                 });
     }
 
-    /** A planned restart takes the application with it: its clients go to the next of its zone. */
+    /**
+     * Returns the preferred sidecar. If that sidecar drains, returns the next one in its zone that
+     * does not drain, because a planned restart also restarts the client process beside the
+     * sidecar.
+     */
     private SidecarHandle sidecarFor(SidecarHandle preferred) {
         SidecarHandle sidecar = preferred;
         for (int i = 0; sidecar.isDraining() && i < sidecars.size(); i++) {
@@ -200,37 +219,48 @@
         return sidecar;
     }
 
-    // Answers.
+    // Responses.
 
-    /** The client of a request gets its final answer. */
+    /**
+     * Delivers the final response of a request to its client.
+     *
+     * @param reason reason of a rejection or failure; null for a served request or if no response
+     *     was sent in time
+     */
     public void deliverAnswer(
             ClientRequest request,
-            ClientAnswer answer,
+            ClientAnswer response,
             RejectionReason reason,
             long retryAfterMicros) {
-        String word = reason == null ? ANSWER_NONE : answer.label() + " " + reason.label();
-        deliverAnswer(request, answer, word, retryAfterMicros);
+        String label =
+                reason == null ? LABEL_NO_RESPONSE : response.label() + " " + reason.label();
+        deliverAnswer(request, response, label, retryAfterMicros);
     }
 
-    /** The same in words, where no more than a status is known. */
+    /**
+     * Delivers the final response of a request to its client.
+     *
+     * @param label label under which the results count the response; not used if the request was
+     *     served
+     */
     public void deliverAnswer(
-            ClientRequest request, ClientAnswer answer, String word, long retryAfterMicros) {
+            ClientRequest request, ClientAnswer response, String label, long retryAfterMicros) {
         events.scheduleAfter(
                 network.clientLatencyMicros(),
-                () -> onAnswer(request.operation, answer, word, retryAfterMicros));
+                () -> onResponse(request.operation, response, label, retryAfterMicros));
     }
 
-    private void onAnswer(
-            ClientOperation operation, ClientAnswer answer, String word, long retryAfterMicros) {
-        if (answer == ClientAnswer.SERVED) {
+    private void onResponse(
+            ClientOperation operation, ClientAnswer response, String label, long retryAfterMicros) {
+        if (response == ClientAnswer.SERVED) {
             onServed(operation);
             return;
         }
-        accounting.recordAnswer(word);
-        if (answer == ClientAnswer.REJECTED || retriesFailures) {
-            retryOrGiveUp(operation, retryAfterMicros, word);
+        accounting.recordUnsuccessfulResponse(label);
+        if (response == ClientAnswer.REJECTED || retriesFailures) {
+            retryOrAbandon(operation, retryAfterMicros, label);
         } else {
-            giveUp(operation, word);
+            abandon(operation, label);
         }
     }
 
@@ -248,16 +278,16 @@
         }
     }
 
-    /** The sidecar was killed with the request open. */
+    /** Retries or abandons the operation of a request that was open when its sidecar was killed. */
     public void onSidecarKilled(ClientRequest request) {
         if (retriesFailures) {
-            retryOrGiveUp(request.operation, 0, CAUSE_SIDECAR_KILLED);
+            retryOrAbandon(request.operation, 0, CAUSE_SIDECAR_KILLED);
         } else {
-            giveUp(request.operation, CAUSE_SIDECAR_KILLED);
+            abandon(request.operation, CAUSE_SIDECAR_KILLED);
         }
     }
 
-    private void retryOrGiveUp(ClientOperation operation, long retryAfterMicros, String cause) {
+    private void retryOrAbandon(ClientOperation operation, long retryAfterMicros, String cause) {
         if (operation.finished) {
             return;
         }
@@ -271,15 +301,16 @@
                 Math.min(
                         operation.deadlineMicros,
                         operation.arrivedAtMicros
-                                + requestClass.latencyTargetMicros() * MAX_OBJECTIVES);
+                                + requestClass.latencyTargetMicros()
+                                        * RETRY_WINDOW_LATENCY_TARGETS);
         if (operation.requestCount > maxRetries || events.now() + delayMicros >= lastRetryMicros) {
-            giveUp(operation, cause);
+            abandon(operation, cause);
             return;
         }
         events.scheduleAfter((long) delayMicros + 1, () -> sendRequest(operation));
     }
 
-    private void giveUp(ClientOperation operation, String cause) {
+    private void abandon(ClientOperation operation, String cause) {
         if (operation.finished) {
             return;
         }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
@@ -2,7 +2,7 @@
 
 import sagefall.balancer.api.AttemptResult;
 
-/** One attempt of a sidecar to have a server answer a request. */
+/** One sending of a request by an emulated sidecar to a server. */
 final class EmulatedAttempt extends Job {
 
     private static final int NOT_CONNECTED = -1;
@@ -10,28 +10,28 @@
     final ClientRequest request;
     final EmulatedSidecar sidecar;
 
-    /** The incarnation of the sidecar that made it; a later one knows nothing of it. */
+    /** Incarnation of the sidecar that made the attempt; later incarnations ignore its outcome. */
     final int incarnation;
 
-    /** Number among the attempts of the request, from 0 on. */
+    /** Number of the attempt among the attempts of the request, from 0. */
     final int number;
 
     final EmulatedServer server;
     final long startedAtMicros;
 
-    /** The epoch of the server process that the connection leads to. */
+    /** Epoch of the server process at the other end of the connection. */
     int serverEpoch = NOT_CONNECTED;
 
-    /** Whether a connection was opened for it. */
+    /** Whether the attempt opened a new connection. */
     boolean openedConnection;
 
-    /** From when on it may no longer be sent. */
+    /** Time from which the attempt must not be sent any more. */
     long sendDeadlineMicros = Long.MAX_VALUE;
 
-    /** Whether the client has its answer from this attempt; otherwise the work was wasted. */
-    boolean answeredClient;
+    /** Whether the client got the response of this attempt; otherwise the work was wasted. */
+    boolean deliveredToClient;
 
-    /** How it ended, as the sidecar sees it; null while it is in flight. */
+    /** Result of the attempt, as the sidecar sees it; null while the attempt is in flight. */
     private AttemptResult result;
 
     EmulatedAttempt(
@@ -52,18 +52,18 @@
         return result == null;
     }
 
-    /** Whether the server may have executed the request, as far as the sidecar can know. */
+    /** Returns whether, as far as the sidecar knows, the server may have executed the request. */
     boolean mayHaveExecuted() {
         return result == null || !result.provesNotExecuted;
     }
 
-    /** Records how it ended. */
+    /** Ends the attempt with the given result. */
     void end(AttemptResult result) {
         this.result = result;
     }
 
-    /** Whether both zones are the same. */
-    boolean staysInZone() {
+    /** Returns whether the sidecar and the server are in one zone. */
+    boolean isWithinZone() {
         return sidecar.zone() == server.zone;
     }
 
--- a/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
@@ -11,18 +11,21 @@
 import sagefall.scenario.DiscoverySettings;
 
 /**
- * What is known of the servers, and when each sidecar gets it: a change is detected after a while,
- * goes into the next list, and reaches one sidecar after another.
+ * Emulates the discovery service: detects changes of servers after a delay, publishes the changes
+ * periodically and delivers each publication to every sidecar after a delay that differs between
+ * sidecars.
  */
 public final class EmulatedDiscovery {
 
-    /** By which share of the mean time a change is detected sooner or later. */
+    /**
+     * Largest deviation of a detection or registration delay from its mean, as a share of the mean.
+     */
     private static final double DETECTION_SPREAD = 0.3;
 
-    /** Time that is left for the delivery of a list, beyond its being published. */
+    /** Time within which a published list is assumed to reach all sidecars. */
     private static final long DELIVERY_MARGIN_MICROS = 1_000_000;
 
-    /** A complete list that is requested takes this part of the time of a pushed one. */
+    /** Factor by which a requested list is delivered faster than a pushed one. */
     private static final int REQUEST_SPEEDUP = 4;
 
     private final EventQueue events;
@@ -35,19 +38,19 @@
     private final double registrationMicros;
     private final long publishIntervalMicros;
 
-    /** By sidecar, from the publication of a list to its delivery. */
+    /** Time from the publication of a list to its delivery, by sidecar. */
     private final long[] deliveryMicros;
 
-    /** By sidecar, how many faults suppress its updates. */
+    /** Number of active faults that suppress updates, by sidecar. */
     private final int[] suppressions;
 
-    /** By how many times everything takes longer; 1 is undisturbed. */
+    /** Factor of the delays of detection, registration and pushed lists; 1 without faults. */
     public double delayFactor = 1;
 
-    /** How many faults stop discovery. */
+    /** Number of active faults that stop discovery. */
     public int outages;
 
-    /** Draws the times of a run. */
+    /** Draws the delays for a run. */
     public EmulatedDiscovery(
             DiscoverySettings settings,
             RandomStreams streams,
@@ -71,13 +74,13 @@
         }
     }
 
-    /** Lists the servers of the start, and begins to publish changes. */
+    /** Adds the initial servers to the endpoint list and starts to publish changes. */
     public void initialize(Iterable<EmulatedServer> servers) {
         servers.forEach(server -> current.put(server.id, listed(server, EndpointPhase.READY)));
         events.scheduleAfter(publishIntervalMicros, this::publish);
     }
 
-    /** The complete list as it is known now. */
+    /** Returns the complete endpoint list, including changes that are not published yet. */
     public List<ListedEndpoint> endpointList() {
         return new ArrayList<>(current.values());
     }
@@ -93,30 +96,36 @@
                 server.spec.cores() * server.spec.speed());
     }
 
-    /** A server has started; it is listed unless it has stopped until then. */
+    /**
+     * Adds a started server to the endpoint list after the registration delay, unless the server
+     * has stopped by then.
+     */
     public void serverStarted(EmulatedServer server) {
         int epoch = server.epoch;
         events.scheduleAfter(
                 drawDelayMicros(registrationMicros),
                 () -> {
                     if (epoch == server.epoch && server.state == EmulatedServer.State.UP) {
-                        change(listed(server, EndpointPhase.READY));
+                        applyChange(listed(server, EndpointPhase.READY));
                     }
                 });
     }
 
-    /** A server is to be replaced. */
+    /** Marks a server in the endpoint list as draining after the detection delay. */
     public void serverDraining(EmulatedServer server) {
         events.scheduleAfter(
                 drawDelayMicros(detectionMicros),
                 () -> {
                     if (current.containsKey(server.id)) {
-                        change(listed(server, EndpointPhase.DRAINING));
+                        applyChange(listed(server, EndpointPhase.DRAINING));
                     }
                 });
     }
 
-    /** A server's process has ended; it is removed unless it has restarted by then. */
+    /**
+     * Removes a stopped server from the endpoint list after the detection delay, unless the server
+     * has restarted by then.
+     */
     public void serverStopped(EmulatedServer server) {
         int epoch = server.epoch;
         boolean silent = server.state == EmulatedServer.State.SILENT;
@@ -126,7 +135,7 @@
                     if (epoch == server.epoch
                             && server.state != EmulatedServer.State.UP
                             && current.containsKey(server.id)) {
-                        change(listed(server, EndpointPhase.REMOVED));
+                        applyChange(listed(server, EndpointPhase.REMOVED));
                     }
                 });
     }
@@ -138,14 +147,17 @@
                         * (1 - DETECTION_SPREAD + 2 * DETECTION_SPREAD * random.nextDouble()));
     }
 
-    /** Microseconds after which all sidecars know at the latest that a server drains. */
+    /**
+     * Returns the time, in microseconds, after which all sidecars should have been notified that a
+     * server drains.
+     */
     public long propagationMicros() {
         return (long) (detectionMicros * delayFactor * (1 + DETECTION_SPREAD))
                 + publishIntervalMicros
                 + DELIVERY_MARGIN_MICROS;
     }
 
-    private void change(ListedEndpoint endpoint) {
+    private void applyChange(ListedEndpoint endpoint) {
         if (endpoint.phase() == EndpointPhase.REMOVED) {
             current.remove(endpoint.id());
         } else {
@@ -181,7 +193,8 @@
     }
 
     /**
-     * From now on, or no longer, a sidecar gets no change; at the end it gets the complete list.
+     * Starts or ends the suppression of updates to a sidecar. The sidecar gets the complete list
+     * when no fault suppresses its updates any more.
      */
     public void setUpdatesSuppressed(EndpointListSubscriber sidecar, boolean suppressed) {
         suppressions[sidecar.index()] += suppressed ? 1 : -1;
@@ -190,7 +203,10 @@
         }
     }
 
-    /** A sidecar that has just started requests the complete list, and retries until it gets it. */
+    /**
+     * Sends the complete list to a sidecar. While a fault stops discovery or suppresses the updates
+     * of the sidecar, the sending is retried.
+     */
     public void requestFullList(EndpointListSubscriber sidecar) {
         int incarnation = sidecar.incarnation();
         events.scheduleAfter(
--- a/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
@@ -11,14 +11,19 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ValueRange;
 
-/** The servers and sidecars of a run, and what operators and failures do with them. */
+/** Holds the servers and sidecars of a run, and starts, stops, replaces and kills them. */
 final class EmulatedFleet {
 
-    /** How long a sidecar drains beyond the deadline of its last request. */
+    /**
+     * Time for which a draining sidecar continues to run after the deadline of its last request.
+     */
     private static final long DRAIN_MARGIN_MICROS = 700_000;
 
-    /** From this share of informed senders on an overload is a fault of the policy. */
-    private static final double INFORMED_SHARE_OF_A_BREACH = 2.0 / 3;
+    /**
+     * Minimum share of informed requests for which the overload of a cold server counts as a defect
+     * of the policy. A request is informed if its sidecar knew that the server was new.
+     */
+    private static final double MIN_INFORMED_SHARE_OF_BREACH = 2.0 / 3;
 
     private final EventQueue events;
     private final ServerFactory factory;
@@ -34,13 +39,13 @@
     private final UniformRandomProvider startDelays;
     private final Map<Long, EmulatedServer> servers = new LinkedHashMap<>();
 
-    /** Servers that were replaced or stopped by overload: they do not come back. */
+    /** Ids of the servers that were replaced or stopped by overload and must not be restarted. */
     private final Set<Long> retired = new HashSet<>();
 
     /**
-     * What the fleet belongs to.
+     * The other parts of the simulation that the fleet uses.
      *
-     * @param factory with the servers of the start
+     * @param factory creates all servers, including the initial ones
      * @param traffic the clients, which are notified of killed sidecars
      */
     record Parts(
@@ -52,9 +57,9 @@
             InvariantChecker invariants) {}
 
     /**
-     * The fleet at the start of a run.
+     * Creates the fleet with its initial servers.
      *
-     * @param chances the stream of that name, which the transport uses as well
+     * @param chances random stream "chances", shared with {@link RequestTransport}
      */
     EmulatedFleet(
             Parts parts,
@@ -74,17 +79,20 @@
         slowStartLimitFactor = scenario.service().slowStartLimitFactor();
         slowStartLimitMicros = (long) (1e6 * scenario.service().slowStartLimitSeconds());
         startDelays = streams.stream("starts");
-        factory.initialServers().forEach(this::add);
+        factory.initialServers().forEach(this::addServer);
     }
 
-    private void add(EmulatedServer server) {
+    private void addServer(EmulatedServer server) {
         servers.put(server.id, server);
         server.setSlowStartBudget(
                 new SlowStartBudget(
                         slowStartLimitFactor, slowStartLimitMicros, traffic.meanWorkMicros()));
     }
 
-    /** Starts discovery, all sidecars and the pauses that servers have without a fault. */
+    /**
+     * Starts discovery and all sidecars, and schedules the pauses that servers make even without
+     * faults.
+     */
     void start() {
         discovery.initialize(initialServers());
         for (EmulatedSidecar sidecar : sidecars) {
@@ -103,24 +111,24 @@
         return sidecars;
     }
 
-    /** All servers that there were, in the order of their start. */
+    /** Returns all servers, including stopped ones, in the order of their creation. */
     List<EmulatedServer> servers() {
         return new ArrayList<>(servers.values());
     }
 
-    /** The servers of the start, whatever has become of them. */
+    /** Returns the initial servers, including stopped and replaced ones. */
     List<EmulatedServer> initialServers() {
         return factory.initialServers();
     }
 
-    /** The server of that id, or null. */
+    /** Returns the server with the id, or null. */
     EmulatedServer server(long id) {
         return servers.get(id);
     }
 
     // Servers.
 
-    /** A server stops; it may come back with {@link #startServer}. */
+    /** Stops a server if it runs. {@link #startServer} can restart it. */
     void stopServer(EmulatedServer server, boolean silently) {
         if (server.isRunning()) {
             server.stop(silently);
@@ -128,7 +136,7 @@
         }
     }
 
-    /** Restarts a server that has stopped, unless it was replaced. */
+    /** Restarts a server that has stopped, unless it was replaced or stopped by overload. */
     void startServer(EmulatedServer server) {
         if (!retired.contains(server.id) && !server.isRunning()) {
             server.start();
@@ -136,7 +144,7 @@
         }
     }
 
-    /** Pauses a server at random intervals until a time. */
+    /** Pauses a server at random intervals until the given time. */
     void schedulePauses(
             EmulatedServer server, long intervalMicros, long pauseMicros, long untilMicros) {
         StopTheWorldPauses.schedule(
@@ -152,20 +160,24 @@
     }
 
     /**
-     * A new server takes the place of one that drains. That one rejects new requests before it
-     * stops: from the start if early, otherwise once all sidecars know that it drains.
+     * Starts a replacement of a server and drains the old server, which then rejects new requests
+     * until it stops.
+     *
+     * @param rejectsImmediately whether the old server rejects requests from now on; otherwise it
+     *     does so once all sidecars should have been notified that it drains
      */
-    void replaceServer(EmulatedServer old, boolean early) {
+    void replaceServer(EmulatedServer old, boolean rejectsImmediately) {
         if (retired.contains(old.id)) {
             return;
         }
         EmulatedServer replacement = factory.createReplacement(old);
-        add(replacement);
+        addServer(replacement);
         replacement.start();
         discovery.serverStarted(replacement);
         discovery.serverDraining(old);
         retired.add(old.id);
-        events.scheduleAfter(early ? 0 : discovery.propagationMicros(), () -> drain(old));
+        events.scheduleAfter(
+                rejectsImmediately ? 0 : discovery.propagationMicros(), () -> drain(old));
     }
 
     private void drain(EmulatedServer server) {
@@ -182,12 +194,12 @@
                 });
     }
 
-    /** A cold server has stopped under too many requests. */
+    /** Handles the stop of a cold server that was sent too many requests. */
     void onSlowStartOverload(EmulatedServer server, double informedShare) {
         retired.add(server.id);
         discovery.serverStopped(server);
-        if (informedShare >= INFORMED_SHARE_OF_A_BREACH) {
-            invariants.breach(
+        if (informedShare >= MIN_INFORMED_SHARE_OF_BREACH) {
+            invariants.recordBreach(
                     InvariantChecker.Rule.COLD,
                     InvariantChecker.NO_REQUEST,
                     server.id,
@@ -202,7 +214,9 @@
         discovery.requestFullList(sidecar);
     }
 
-    /** Kills a sidecar and starts another process after that time. */
+    /**
+     * Kills a sidecar. A new process starts after the given time plus a randomly drawn start time.
+     */
     void killSidecar(EmulatedSidecar sidecar, long downMicros) {
         if (!sidecar.isUp()) {
             return;
@@ -224,8 +238,8 @@
     }
 
     /**
-     * A planned restart: nothing new arrives, open requests are answered, then the process ends and
-     * another starts.
+     * Performs a planned restart of a sidecar: new requests go to other sidecars, open requests
+     * complete, the process exits and a new one starts.
      */
     void restartSidecar(EmulatedSidecar sidecar, long downMicros) {
         if (!sidecar.isUp()) {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
@@ -4,9 +4,9 @@
 import sagefall.scenario.NetworkSettings;
 
 /**
- * The links between zones: latency, jitter, and cuts in one or both directions. What meets a cut is
- * lost and not retransmitted; a real TCP would do so after the cut, mostly too late for the latency
- * objective.
+ * Emulates the links between zones: latency, jitter, and cuts in one or both directions. A message
+ * on a cut link is lost and not retransmitted; TCP would retransmit it after the cut, mostly too
+ * late for the latency target.
  */
 public final class EmulatedNetwork {
 
@@ -16,10 +16,10 @@
     private final double jitter;
     private final UniformRandomProvider random;
 
-    /** How many faults cut the link from one zone to another. */
+    /** Number of active faults that cut the link, by sending and by receiving zone. */
     private final int[][] cuts;
 
-    /** Draws the latencies of a run; all links work. */
+    /** Draws the latencies for a run. Initially no link is cut. */
     public EmulatedNetwork(NetworkSettings network, RandomStreams streams, int zones) {
         sameZoneMicros = 1000 * network.sameZoneMillis().draw(streams, "net.same");
         crossZoneMicros = 1000 * network.crossZoneMillis().draw(streams, "net.cross");
@@ -34,38 +34,41 @@
         return oneWayMicros(fromZone, toZone, random);
     }
 
-    /** The same with the caller's own random numbers. */
+    /**
+     * Draws the latency of one message between two zones from the given random stream, in
+     * microseconds.
+     */
     public long oneWayMicros(int fromZone, int toZone, UniformRandomProvider ownRandom) {
         double base = fromZone == toZone ? sameZoneMicros : crossZoneMicros;
         return 1 + (long) (base * (1 - jitter * Math.log(1 - ownRandom.nextDouble())));
     }
 
-    /** Latency between a client and its sidecar, in microseconds. */
+    /** Returns the latency between a client and its sidecar, in microseconds. */
     long clientLatencyMicros() {
         return 1 + (long) clientMicros;
     }
 
-    /** Whether nothing passes from one zone to the other. */
+    /** Returns whether the link from one zone to the other is cut. */
     public boolean isCut(int fromZone, int toZone) {
         return cuts[fromZone][toZone] > 0;
     }
 
-    /** Whether nothing passes between the zones in at least one direction. */
+    /** Returns whether the link between the zones is cut in at least one direction. */
     boolean isCutBetween(int zone, int otherZone) {
         return isCut(zone, otherZone) || isCut(otherZone, zone);
     }
 
     /**
-     * Begins a cut between a zone and all others.
+     * Cuts the links between a zone and all others.
      *
-     * @param inbound whether it cuts what enters the zone
-     * @param outbound whether it cuts what leaves the zone
+     * @param inbound whether the links into the zone are cut
+     * @param outbound whether the links out of the zone are cut
      */
     public void cut(int zone, boolean inbound, boolean outbound) {
         addCuts(zone, inbound, outbound, 1);
     }
 
-    /** Ends a cut that was begun with the same arguments. */
+    /** Ends a cut; the arguments must be those of the {@link #cut} that began it. */
     public void restore(int zone, boolean inbound, boolean outbound) {
         addCuts(zone, inbound, outbound, -1);
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -5,34 +5,34 @@
 import sagefall.balancer.api.LoadReport;
 
 /**
- * A server: slots that work side by side, a bounded queue, and a capacity that depends on how cold
- * it is, how many requests and connections it holds, and which faults it has. Work that was
- * accepted is done to its end, whatever its client does meanwhile.
+ * Emulates a server: slots that execute requests concurrently, a bounded queue, and a capacity that
+ * depends on warm-up, the number of requests and connections, and active faults. An accepted
+ * request is executed to its end even if its client has disconnected.
  */
 public final class EmulatedServer {
 
-    /** The state of its process. */
+    /** State of the server process. */
     public enum State {
-        /** It accepts requests. */
+        /** The process accepts requests. */
         UP,
-        /** It rejects new requests and finishes those it has. */
+        /** The process rejects new requests and completes those that it has accepted. */
         DRAINING,
-        /** Its machine is gone; peers get no answer. */
+        /** The machine has failed; peers get neither a response nor a connection reset. */
         SILENT,
-        /** Its process has ended; peers are refused. */
+        /** The process has exited; connections to it are refused. */
         DEAD
     }
 
-    /** Its id in the endpoint list. */
+    /** Id in the endpoint list. */
     public final long id;
 
-    /** Index of its zone. */
+    /** Index of the zone. */
     public final int zone;
 
-    /** Number of its cell. */
+    /** Number of the cell, unique across all zones. */
     public final int cell;
 
-    /** Its properties. */
+    /** Properties of the server. */
     public final ServerSpec spec;
 
     private final EventQueue events;
@@ -43,39 +43,44 @@
     private final LoadReportSampler reports;
     private final JobExecutor executor;
 
-    /** Requests that were sent to a machine that is gone; their connections are reset later. */
-    private final List<Job> unanswered = new ArrayList<>();
+    /**
+     * Requests that the machine held when it failed or that have arrived since. Their connections
+     * are reset when the server starts again.
+     */
+    private final List<Job> pendingResets = new ArrayList<>();
 
     private SlowStartBudget slowStartBudget;
 
-    /** The state of its process. */
+    /** State of the server process. */
     public State state = State.UP;
 
-    /** Grows with each start of the process. */
+    /** Number of starts of the process during the run. */
     int epoch;
 
-    /** Start of its process; 0 means long ago. */
+    /** Time at which the process started; 0 means before the run. */
     public long startedAtMicros;
 
-    /** Whether the peers of its last process were not notified of its end. */
+    /** Whether the last process stopped without notifying its peers. */
     boolean stoppedSilently;
 
-    /** Open connections. */
+    /** Number of open connections. */
     public int connections;
 
-    /** By how many times each request takes longer. */
+    /** Factor of the execution time of each request; 1 without faults. */
     public double slowdown = 1;
 
-    /** Share of its capacity that another program takes. */
+    /** Share of the capacity that a noisy neighbour takes. */
     public double stolenShare;
 
-    /** Share of the requests that it answers with an error. */
+    /** Share of the requests whose response is an error. */
     public double errorRate;
 
-    /** How many pauses stop it at the moment. */
+    /** Number of current pauses; the server does no work while it is not 0. */
     public int activePauses;
 
-    /** A server that is up, and warm until {@link #start()} is called. */
+    /**
+     * Creates a server that is up and warm. {@link #start()} replaces its process by a cold one.
+     */
     public EmulatedServer(
             ServerIdentity identity,
             ServerSpec spec,
@@ -105,52 +110,63 @@
         executor.initializeRate();
     }
 
-    /** What it can handle while it is cold; without a budget it handles anything. */
+    /**
+     * Sets the budget of requests beyond which the cold server stops. Without a budget no load
+     * stops it.
+     */
     public void setSlowStartBudget(SlowStartBudget budget) {
         slowStartBudget = budget;
     }
 
     // Capacity.
 
-    /** Work that a core gets done in a microsecond, as it is now. */
+    /** Returns the work that a core completes per microsecond at present. */
     private double currentRate() {
         if (activePauses > 0) {
             return 0;
         }
         double requests = executor.size();
-        double crowd = Math.max(0, requests / spec.cores() - spec.contentionThreshold());
+        double requestsOverThreshold =
+                Math.max(0, requests / spec.cores() - spec.contentionThreshold());
         double connectionShare = Math.min(1, connections / (double) spec.maxConnections());
         double connectionFactor = 1 - spec.connectionTableCost() * connectionShare;
+        // During warm-up the rate is recomputed at least once per step, so the capacity in the
+        // middle of the step is used.
         return spec.speed()
                 * capacityShareAt(events.now() + JobExecutor.WARM_UP_STEP_MICROS / 2)
                 * (1 - stolenShare)
                 * connectionFactor
-                / (slowdown * sharedSlowdown.factor * (1 + spec.contentionPenalty() * crowd));
+                / (slowdown
+                        * sharedSlowdown.factor
+                        * (1 + spec.contentionPenalty() * requestsOverThreshold));
     }
 
-    /** Share of its capacity that it has at that time, by its warming up. */
+    /** Returns the share of the full capacity that the warm-up has reached at the given time. */
     public double capacityShareAt(long atMicros) {
         return warmUp.capacityShare(atMicros);
     }
 
-    /** Work that all cores together get done in a microsecond; 0 while it is not up. */
+    /** Returns the work that all cores complete per microsecond; 0 while the server is not up. */
     double capacity() {
         return state == State.UP ? Math.min(spec.slots(), spec.cores()) * currentRate() : 0;
     }
 
-    /** Work that it has accepted and not done, in microseconds on a core of speed 1. */
+    /** Returns the accepted work that is not done, in microseconds on a core of speed 1. */
     double backlogMicros() {
         return executor.backlogMicros();
     }
 
-    /** Requests that it holds, running and queued. */
+    /** Returns the number of requests that are running or queued. */
     public int heldRequests() {
         return executor.size();
     }
 
     // Work.
 
-    /** A request has arrived; whether it is accepted. A cold server may stop by that. */
+    /**
+     * Accepts or rejects a request that has arrived, and returns whether it is accepted. If the
+     * request overloads a cold server, the server stops.
+     */
     public boolean accept(Job job) {
         if (warmUp.isWarmingUp(events.now()) && stopsByOverload(job)) {
             return false;
@@ -162,7 +178,10 @@
         return true;
     }
 
-    /** Records a request to the cold server; whether the server stops by that. */
+    /**
+     * Records a request to the cold server. If the slow start budget is exceeded, stops the server
+     * and returns true.
+     */
     private boolean stopsByOverload(Job job) {
         double capacity = spec.cores() * spec.speed() * capacityShareAt(events.now());
         if (slowStartBudget == null
@@ -176,17 +195,22 @@
         return true;
     }
 
-    /** The factor of the work of a request with that key, which is recent from now on. */
+    /**
+     * Returns the factor by which caching changes the work of a request with the key, and caches
+     * the key.
+     */
     public double workFactorForKey(long key) {
         return recentKeys.workFactor(key, events.now());
     }
 
-    /** Its capacity has changed: computes when the next request will be done. */
+    /**
+     * Recomputes when the next request will be done. Must be called after a change of the capacity.
+     */
     public void reschedule() {
         executor.reschedule();
     }
 
-    /** Its last load report, or a new one if that is old. */
+    /** Returns the last load report, or a new one if the report interval has passed. */
     public LoadReport loadReport() {
         executor.advance();
         return reports.report(events.now());
@@ -194,15 +218,15 @@
 
     // Process.
 
-    /** Whether its process accepts requests or finishes those it has. */
+    /** Returns whether the process accepts requests or completes accepted ones. */
     boolean isRunning() {
         return state == State.UP || state == State.DRAINING;
     }
 
     /**
-     * The process ends and loses its requests.
+     * Stops the process. Its running and queued requests are lost.
      *
-     * @param silently whether the machine is gone with it, so that its peers are not notified
+     * @param silently whether the machine fails as well, so that peers are not notified
      */
     public void stop(boolean silently) {
         List<Job> lost = executor.removeAll();
@@ -211,18 +235,21 @@
         recentKeys.clear();
         connections = 0;
         if (silently) {
-            unanswered.addAll(lost);
+            pendingResets.addAll(lost);
         } else {
             lost.forEach(listener::onJobAborted);
         }
     }
 
-    /** A request was sent to a machine that is gone. */
-    void addUnanswered(Job job) {
-        unanswered.add(job);
+    /** Records a request that has arrived at a failed machine. */
+    void addPendingReset(Job job) {
+        pendingResets.add(job);
     }
 
-    /** A new process, cold; connections to the old one are reset now at the latest. */
+    /**
+     * Starts a new, cold process. The connections of requests that are pending at a failed machine
+     * are reset.
+     */
     public void start() {
         state = State.UP;
         epoch++;
@@ -232,8 +259,8 @@
             slowStartBudget.clear();
         }
         executor.restart();
-        List<Job> lost = new ArrayList<>(unanswered);
-        unanswered.clear();
+        List<Job> lost = new ArrayList<>(pendingResets);
+        pendingResets.clear();
         lost.forEach(listener::onJobAborted);
         executor.reschedule();
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -14,9 +14,9 @@
 import sagefall.balancer.api.Request;
 
 /**
- * The host of one load balancer, as the real sidecar and the simulator's adapter are: it turns what
- * happens into events and actions into what happens, and decides nothing. It holds the connections
- * to servers.
+ * Emulates a sidecar process, which is the host of one load balancer, as are the real sidecar and
+ * the simulator's adapter. The process passes events to the load balancer, carries out the load
+ * balancer's actions and holds the connections to servers. It makes no routing decisions.
  */
 public final class EmulatedSidecar implements SidecarHandle, EndpointListSubscriber {
 
@@ -71,7 +71,7 @@
         return incarnation;
     }
 
-    /** What its load balancer can do. */
+    /** Returns the object through which the load balancer acts. */
     SidecarActions actions() {
         return actions;
     }
@@ -80,35 +80,42 @@
         return environment.events();
     }
 
-    /** What its present process knows of a server, or null. */
+    /** Returns what the current process knows of a server; null if no list contained the server. */
     EndpointView.Knowledge knowledgeOf(long server) {
         return endpoints.of(server);
     }
 
-    /** Whether its present process knows when the server started. */
+    /** Returns whether the current process knows the time at which the server was last started. */
     boolean knowsStart(EmulatedServer server) {
         EndpointView.Knowledge known = endpoints.of(server.id);
         return known != null && known.startMicros() == server.startedAtMicros;
     }
 
-    /** Starts a new process, which knows the list that the last one had. */
-    void start(List<ListedEndpoint> firstList) {
+    /**
+     * Starts a new process with the endpoint list of the previous one.
+     *
+     * @param initialList used if there is no previous list
+     */
+    void start(List<ListedEndpoint> initialList) {
         incarnation++;
         requestIdPrefix = String.format("%04x%02x", index, incarnation & 0xff);
         up = true;
         draining = false;
-        endpoints.forgetKnowledge();
+        endpoints.clearKnowledge();
         openRequests.clear();
         balancer = environment.createLoadBalancer(this);
-        onEndpointList(EndpointListKind.CACHED, endpoints.isEmpty() ? firstList : endpoints.list());
+        onEndpointList(
+                EndpointListKind.CACHED, endpoints.isEmpty() ? initialList : endpoints.list());
     }
 
-    /** The process drains before a planned restart: its clients go elsewhere. */
+    /**
+     * Marks the process as draining before a planned restart, so that clients use other sidecars.
+     */
     void drain() {
         draining = true;
     }
 
-    /** Ends the process at once with all its connections; returns the requests that were open. */
+    /** Kills the process and closes its connections; returns the requests that were open. */
     List<ClientRequest> kill() {
         List<ClientRequest> aborted = new ArrayList<>(openRequests.values());
         up = false;
@@ -118,7 +125,7 @@
         for (ClientRequest request : aborted) {
             for (EmulatedAttempt attempt : request.attempts) {
                 if (attempt.isInFlight()) {
-                    connections.abort(attempt);
+                    connections.close(attempt);
                 }
             }
         }
@@ -163,20 +170,24 @@
             }
         }
         scheduleAfter(
-                environment.limits().answerGraceMicros(),
+                environment.limits().responseGraceMicros(),
                 () -> {
                     if (!request.finished) {
-                        reportUnanswered(request);
+                        reportMissingResponse(request);
                     }
                 });
     }
 
-    private void reportUnanswered(ClientRequest request) {
+    private void reportMissingResponse(ClientRequest request) {
         environment
                 .invariants()
-                .breach(InvariantChecker.Rule.ONE_ANSWER, request.id, InvariantChecker.NONE, index);
+                .recordBreach(
+                        InvariantChecker.Rule.ONE_ANSWER,
+                        request.id,
+                        InvariantChecker.NONE,
+                        index);
         disconnectClient(request);
-        environment.answer(request, ClientAnswer.FAILED, null, 0);
+        environment.deliverResponse(request, ClientAnswer.FAILED, null, 0);
     }
 
     @Override
@@ -195,7 +206,7 @@
         }
     }
 
-    /** An attempt has ended, as this side sees it. */
+    /** Ends an attempt, unless it has already ended or was made by a previous process. */
     void endAttempt(EmulatedAttempt attempt, AttemptResult result, LoadReport report) {
         if (!attempt.isInFlight() || attempt.incarnation != incarnation) {
             return;
@@ -207,8 +218,8 @@
         connections.release(attempt, result);
         if (result == AttemptResult.SERVED && !request.finished) {
             request.finished = true;
-            attempt.answeredClient = true;
-            environment.answer(request, ClientAnswer.SERVED, null, 0);
+            attempt.deliveredToClient = true;
+            environment.deliverResponse(request, ClientAnswer.SERVED, null, 0);
         }
         balancer.onAttemptOutcome(
                 nowMicros,
@@ -223,9 +234,9 @@
         removeIfDone(request);
     }
 
-    // What the load balancer's actions need.
+    // Used by the load balancer's actions.
 
-    /** The open request of that id, or null. */
+    /** Returns the open request with the id, or null. */
     ClientRequest openRequest(String requestId) {
         return openRequests.get(requestId);
     }
@@ -238,26 +249,26 @@
         balancer.onTimer(events().now(), token);
     }
 
-    /** Gives a request its final answer, unless it has one. */
+    /** Sends the final response of a request, unless the request is null or finished. */
     void finish(
             ClientRequest request,
-            ClientAnswer answer,
+            ClientAnswer response,
             RejectionReason reason,
             long retryAfterMicros) {
         if (request == null || request.finished) {
             return;
         }
         request.finished = true;
-        environment.answer(request, answer, reason, retryAfterMicros);
+        environment.deliverResponse(request, response, reason, retryAfterMicros);
         removeIfDone(request);
     }
 
-    /** Schedules an action that is dropped if this process has ended until then. */
+    /** Schedules an action after a delay; it is dropped if the process has exited by then. */
     void scheduleAfter(long micros, Runnable action) {
         scheduleAt(events().now() + micros, action);
     }
 
-    /** Schedules an action that is dropped if this process has ended until then. */
+    /** Schedules an action at a time; it is dropped if the process has exited by then. */
     void scheduleAt(long atMicros, Runnable action) {
         int scheduledBy = incarnation;
         Runnable guarded =
--- a/testbed/src/main/java/sagefall/emulator/EndpointListSubscriber.java
+++ b/testbed/src/main/java/sagefall/emulator/EndpointListSubscriber.java
@@ -4,15 +4,18 @@
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.ListedEndpoint;
 
-/** What gets endpoint lists: an emulated sidecar, or the discovery service of a real one. */
+/** Receives endpoint lists: an emulated sidecar, or the discovery service of a real one. */
 public interface EndpointListSubscriber {
 
-    /** Its number among all, from 0 on. */
+    /** Returns the number of the sidecar, from 0. */
     int index();
 
-    /** Grows with each start; what was meant for an earlier incarnation is not delivered. */
+    /**
+     * Returns the incarnation of the sidecar, which grows with each start. A list that was sent to
+     * an earlier incarnation is not delivered.
+     */
     int incarnation();
 
-    /** Some endpoints that changed, or the complete list. */
+    /** Handles a complete list or the endpoints that have changed. */
     void onEndpointList(EndpointListKind kind, List<ListedEndpoint> list);
 }
--- a/testbed/src/main/java/sagefall/emulator/EndpointView.java
+++ b/testbed/src/main/java/sagefall/emulator/EndpointView.java
@@ -9,35 +9,37 @@
 import sagefall.balancer.api.ListedEndpoint;
 
 /**
- * What one sidecar knows of the servers: the current list, which outlives its process, and for the
- * invariants what its present process knows of each server.
+ * Records the endpoint lists that one sidecar has received. The current list survives a restart of
+ * the process. What the current process knows of each server is recorded separately for the checks
+ * of invariants.
  */
 final class EndpointView {
 
-    private static final long NOT_GONE = 0;
+    private static final long AVAILABLE = 0;
 
     /**
-     * What the present process of the sidecar knows of a server.
+     * What the current process of the sidecar knows of a server.
      *
-     * @param startMicros when the server started, as listed
-     * @param goneAtMicros when it was first listed as draining or was missing; 0: it is ready
+     * @param startMicros listed start time of the server
+     * @param unavailableSinceMicros time at which the server was first listed as draining or
+     *     removed, or was first missing from a complete list; 0 if it is ready
      */
-    record Knowledge(long startMicros, long goneAtMicros) {
+    record Knowledge(long startMicros, long unavailableSinceMicros) {
 
-        boolean isGone() {
-            return goneAtMicros != NOT_GONE;
+        boolean isUnavailable() {
+            return unavailableSinceMicros != AVAILABLE;
         }
     }
 
     private final Map<Long, Knowledge> knowledge = new HashMap<>();
     private final Map<Long, ListedEndpoint> current = new HashMap<>();
 
-    /** A new process of the sidecar knows nothing. */
-    void forgetKnowledge() {
+    /** Clears what the previous process of the sidecar knew of the servers. */
+    void clearKnowledge() {
         knowledge.clear();
     }
 
-    /** What the present process knows of a server; null where its lists never named it. */
+    /** Returns what the current process knows of a server; null if no list contained the server. */
     Knowledge of(long serverId) {
         return knowledge.get(serverId);
     }
@@ -50,14 +52,14 @@
         return new ArrayList<>(current.values());
     }
 
-    /** Applies a list, or changes to it. */
+    /** Applies a complete list or a list of changes. */
     void apply(long nowMicros, EndpointListKind kind, List<ListedEndpoint> endpoints) {
         if (kind != EndpointListKind.CHANGES) {
             markMissing(nowMicros, endpoints);
             current.clear();
         }
         for (ListedEndpoint endpoint : endpoints) {
-            learn(nowMicros, endpoint);
+            updateKnowledge(nowMicros, endpoint);
             if (endpoint.phase() == EndpointPhase.REMOVED) {
                 current.remove(endpoint.id());
             } else {
@@ -73,18 +75,20 @@
             knowledge.computeIfPresent(
                     id,
                     (key, known) ->
-                            known.isGone() ? known : new Knowledge(known.startMicros, nowMicros));
+                            known.isUnavailable()
+                                    ? known
+                                    : new Knowledge(known.startMicros, nowMicros));
         }
     }
 
-    private void learn(long nowMicros, ListedEndpoint endpoint) {
+    private void updateKnowledge(long nowMicros, ListedEndpoint endpoint) {
         Knowledge before = knowledge.get(endpoint.id());
-        long goneAtMicros = nowMicros;
+        long unavailableSinceMicros = nowMicros;
         if (endpoint.phase() == EndpointPhase.READY) {
-            goneAtMicros = NOT_GONE;
-        } else if (before != null && before.isGone()) {
-            goneAtMicros = before.goneAtMicros;
+            unavailableSinceMicros = AVAILABLE;
+        } else if (before != null && before.isUnavailable()) {
+            unavailableSinceMicros = before.unavailableSinceMicros;
         }
-        knowledge.put(endpoint.id(), new Knowledge(endpoint.startMicros(), goneAtMicros));
+        knowledge.put(endpoint.id(), new Knowledge(endpoint.startMicros(), unavailableSinceMicros));
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/EventQueue.java
+++ b/testbed/src/main/java/sagefall/emulator/EventQueue.java
@@ -3,13 +3,14 @@
 import java.util.PriorityQueue;
 
 /**
- * The virtual clock of a run and the events to come, in order of their time and, at the same time,
- * in the order in which they were scheduled: so a run is deterministic. Times are microseconds; the
- * clock begins at one second, as a start time of 0 means "long ago" to the load balancer.
+ * Holds the virtual clock of a run and the scheduled events. Events are processed in the order of
+ * their times; events with equal times are processed in the order in which they were scheduled. A
+ * run is therefore deterministic. Times are in microseconds. The clock starts at one second,
+ * because a server start time of 0 means "long ago" to the load balancer.
  */
 public final class EventQueue {
 
-    /** The time at which a run begins. */
+    /** Time at which a run begins. */
     public static final long START_MICROS = 1_000_000;
 
     private static final int INITIAL_CAPACITY = 4096;
@@ -29,32 +30,34 @@
     private long scheduled;
     private long processed;
 
-    /** The time, in microseconds. */
+    /** Returns the current time, in microseconds. */
     public long now() {
         return nowMicros;
     }
 
-    /** How many events have been processed. */
+    /** Returns the number of processed events. */
     public long processedEvents() {
         return processed;
     }
 
-    /** Schedules an action; if the time has passed, after the event that is being processed. */
+    /**
+     * Schedules an action at the given time, or at the current time if the given time has passed.
+     */
     public void scheduleAt(long atMicros, Runnable action) {
         events.add(new Event(Math.max(nowMicros, atMicros), scheduled++, action));
     }
 
-    /** Schedules an action that many microseconds from now. */
+    /** Schedules an action after the given delay, in microseconds. */
     public void scheduleAfter(long micros, Runnable action) {
         scheduleAt(nowMicros + micros, action);
     }
 
-    /** When the next event is due; {@link Long#MAX_VALUE} where there is none. */
+    /** Returns the time of the next event; {@link Long#MAX_VALUE} if there is none. */
     public long nextEventAt() {
         return events.isEmpty() ? Long.MAX_VALUE : events.peek().atMicros;
     }
 
-    /** Processes all events that are due until then, and sets the clock to it. */
+    /** Processes all events up to the given time, and advances the clock to it. */
     public void runUntil(long endMicros) {
         while (!events.isEmpty() && events.peek().atMicros <= endMicros) {
             Event event = events.poll();
--- a/testbed/src/main/java/sagefall/emulator/FaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultInjector.java
@@ -5,10 +5,13 @@
 import sagefall.scenario.DrawnFault;
 import sagefall.scenario.Fault;
 
-/** Schedules the faults of a scenario: each begins, acts and ends by events of the run. */
+/** Schedules the faults of a scenario as events of the run. */
 final class FaultInjector {
 
-    /** Sidecars are restarted in so many groups at most. */
+    /**
+     * Maximum number of groups of sidecars in a restart; the groups are restarted one after
+     * another.
+     */
     private static final int MAX_RESTART_STEPS = 10;
 
     private final EventQueue events;
@@ -27,7 +30,7 @@
         serverFaults = new ServerFaultInjector(events, targets);
     }
 
-    /** All faults of the run, as they were drawn. */
+    /** Returns all faults of the run with their drawn times. */
     List<InjectedFault> injectedFaults() {
         return List.copyOf(injected);
     }
@@ -78,7 +81,7 @@
     }
 
     private static IllegalStateException unsupported(Fault fault) {
-        return new IllegalStateException("fault " + fault.kind());
+        return new IllegalStateException("unsupported fault kind " + fault.kind());
     }
 
     // Clients.
@@ -107,7 +110,10 @@
 
     // Sidecars.
 
-    /** Kills a drawn fraction of the sidecars of a zone, or of all zones where it is negative. */
+    /**
+     * Kills a randomly drawn fraction of the sidecars of a zone, or of all sidecars if the zone
+     * index is negative.
+     */
     private void killSidecars(FaultWindow window) {
         int zone = window.fault().zone();
         EmulatedFleet fleet = targets.fleet();
--- a/testbed/src/main/java/sagefall/emulator/FaultTargets.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultTargets.java
@@ -1,14 +1,14 @@
 package sagefall.emulator;
 
 /**
- * What faults act on.
+ * The parts of the simulation that faults change.
  *
- * @param fleet servers and sidecars
- * @param network links between zones
- * @param transport requests on their way
- * @param discovery endpoint lists
- * @param traffic clients
- * @param sharedSlowdown a dependency of all servers
+ * @param fleet the servers and sidecars
+ * @param network the links between zones
+ * @param transport carries attempts and responses
+ * @param discovery delivers endpoint lists
+ * @param traffic the clients
+ * @param sharedSlowdown slowdown of all servers by a shared dependency
  */
 record FaultTargets(
         EmulatedFleet fleet,
--- a/testbed/src/main/java/sagefall/emulator/FaultWindow.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultWindow.java
@@ -5,11 +5,11 @@
 import sagefall.scenario.Fault;
 
 /**
- * A fault with its times as those of the run's clock.
+ * A drawn fault with its start and duration on the virtual clock of the run.
  *
- * @param drawn the fault
- * @param beginMicros when it begins
- * @param durationMicros how long it lasts
+ * @param drawn the fault with its drawn values
+ * @param beginMicros time at which the fault begins
+ * @param durationMicros duration of the fault
  */
 record FaultWindow(DrawnFault drawn, long beginMicros, long durationMicros) {
 
@@ -36,7 +36,7 @@
         return drawn.magnitude();
     }
 
-    /** The magnitude of a kind whose unit is a second, in microseconds. */
+    /** Returns the magnitude in microseconds, for a kind of fault whose magnitude is in seconds. */
     long magnitudeMicros() {
         return micros(drawn.magnitude());
     }
@@ -49,12 +49,18 @@
         return beginMicros + durationMicros;
     }
 
-    /** Calls the change with true at the beginning of the fault and with false at its end. */
+    /**
+     * Schedules two calls of {@code change}: with true at the start of the fault and with false at
+     * its end.
+     */
     void schedule(EventQueue events, Consumer<Boolean> change) {
         schedule(events, beginMicros, durationMicros, change);
     }
 
-    /** The same for a part of the time. */
+    /**
+     * Schedules two calls of {@code change}: with true at the given time and with false after the
+     * duration.
+     */
     static void schedule(
             EventQueue events, long beginMicros, long durationMicros, Consumer<Boolean> change) {
         events.scheduleAt(beginMicros, () -> change.accept(true));
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -12,15 +12,15 @@
 import sagefall.scenario.Scenario;
 
 /**
- * One run: a scenario, a seed and a policy, from the first request to the last answer. Everything
- * happens in one thread and by one clock, so the same three give the same result on any machine.
+ * Simulates one run of a scenario with a seed and a policy. The simulation uses one thread and one
+ * virtual clock, so equal scenarios, seeds and policies give equal results on any machine.
  */
 public final class FleetSimulation {
 
-    /** How long a run goes on after the last arrival: longer than any client waits. */
-    private static final long TAIL_MICROS = 10_000_000;
+    /** Time for which a run continues after the last arrival; no client waits longer than this. */
+    private static final long MICROS_AFTER_LAST_ARRIVAL = 10_000_000;
 
-    /** In the heat map, a server that is not up. */
+    /** Heat map value of a server that is not up. */
     private static final double DOWN = -1;
 
     private final Scenario scenario;
@@ -37,10 +37,12 @@
     private final SidecarEnvironment.Limits limits;
     private final UniformRandomProvider balancerSeeds;
 
-    /** Requests a core of each server of the start, by second. */
+    /**
+     * Requests per core, by second and initial server; {@link #DOWN} while the server is not up.
+     */
     private final List<double[]> heat = new ArrayList<>();
 
-    /** Prepares a run. */
+    /** Creates the parts of a run and draws their random values. */
     public FleetSimulation(Scenario scenario, long seed, Policy policy) {
         this.scenario = scenario;
         this.seed = seed;
@@ -106,7 +108,7 @@
         return sidecars;
     }
 
-    /** Runs it; to be called once. */
+    /** Runs the simulation and returns its result. Must be called only once. */
     public SimulationResult run() {
         fleet.start();
         faults.schedule(scenario.faults());
@@ -114,7 +116,10 @@
         for (int second = 1; second <= accounting.seconds; second++) {
             events.scheduleAt(EventQueue.START_MICROS + second * 1_000_000L, this::sampleHeat);
         }
-        events.runUntil(EventQueue.START_MICROS + (long) (1e6 * scenario.seconds()) + TAIL_MICROS);
+        events.runUntil(
+                EventQueue.START_MICROS
+                        + (long) (1e6 * scenario.seconds())
+                        + MICROS_AFTER_LAST_ARRIVAL);
         return SimulationResultFactory.create(
                 scenario,
                 seed,
@@ -141,8 +146,11 @@
         heat.add(row);
     }
 
-    /** What an oracle may know; see {@link GroundTruth}. */
-    private double expectedAnswerMicros(long serverId, int fromZone) {
+    /**
+     * Returns the expected time, in microseconds, until a server responds to a request that is sent
+     * now; infinity if the server cannot be reached. Implements {@link GroundTruth}.
+     */
+    private double expectedResponseMicros(long serverId, int fromZone) {
         EmulatedServer server = fleet.server(serverId);
         if (server == null
                 || server.state != EmulatedServer.State.UP
@@ -150,7 +158,7 @@
             return Double.POSITIVE_INFINITY;
         }
         double cores = Math.max(1, Math.min(server.spec.slots(), server.spec.cores()));
-        double capacityOfEach = server.capacity() / cores;
+        double capacityPerCore = server.capacity() / cores;
         double waitMicros =
                 server.heldRequests() < server.spec.slots()
                         ? 0
@@ -158,11 +166,11 @@
         double roundTripMicros =
                 fromZone == server.zone ? 0 : 2000 * scenario.network().crossZoneMillis().high();
         return waitMicros
-                + traffic.meanWorkMicros() / Math.max(1e-9, capacityOfEach)
+                + traffic.meanWorkMicros() / Math.max(1e-9, capacityPerCore)
                 + roundTripMicros;
     }
 
-    /** What servers report, passed on to where it matters. */
+    /** Passes the events of servers on to the transport and the fleet. */
     private final class ServerEvents implements ServerListener {
 
         @Override
@@ -181,7 +189,7 @@
         }
     }
 
-    /** The simulation as the sidecars see it. */
+    /** The parts of the simulation that the sidecars use. */
     private final class Environment implements SidecarEnvironment {
 
         @Override
@@ -219,7 +227,7 @@
                     settings,
                     message,
                     sidecar.actions(),
-                    FleetSimulation.this::expectedAnswerMicros);
+                    FleetSimulation.this::expectedResponseMicros);
         }
 
         @Override
@@ -228,12 +236,12 @@
         }
 
         @Override
-        public void answer(
+        public void deliverResponse(
                 ClientRequest request,
-                ClientAnswer answer,
+                ClientAnswer response,
                 RejectionReason reason,
                 long retryAfterMicros) {
-            traffic.deliverAnswer(request, answer, reason, retryAfterMicros);
+            traffic.deliverAnswer(request, response, reason, retryAfterMicros);
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/IdleConnections.java
+++ b/testbed/src/main/java/sagefall/emulator/IdleConnections.java
@@ -5,28 +5,31 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 
-/** The idle connections of one sidecar, by server; the one used last is reused first. */
+/**
+ * Holds the idle connections of one sidecar, by server. The most recently used one is reused first.
+ */
 final class IdleConnections {
 
     /**
-     * One of them.
+     * An idle connection.
      *
-     * @param idleSinceMicros when it was used last
-     * @param serverEpoch of the server process that it leads to
+     * @param idleSinceMicros time of the last use
+     * @param serverEpoch epoch of the server process at the other end
      */
     record Connection(long idleSinceMicros, int serverEpoch) {}
 
     private final Map<Long, ArrayDeque<Connection>> byServer = new HashMap<>();
 
-    /** Keeps a connection for later. */
+    /** Adds a connection that has become idle. */
     void add(EmulatedServer server, Connection connection) {
         byServer.computeIfAbsent(server.id, id -> new ArrayDeque<>()).push(connection);
     }
 
     /**
-     * Takes a connection that may be used, or null where a new one is needed.
+     * Removes the most recently used connection that appears open to the sidecar, and returns it;
+     * returns null if there is none.
      *
-     * @param oldestMicros connections that are idle for longer are closed first
+     * @param oldestMicros connections that became idle before this time are closed first
      */
     Connection take(EmulatedServer server, double oldestMicros) {
         ArrayDeque<Connection> connections = byServer.get(server.id);
@@ -34,11 +37,11 @@
             return null;
         }
         while (!connections.isEmpty() && connections.peekLast().idleSinceMicros < oldestMicros) {
-            release(server, connections.pollLast().serverEpoch);
+            decrementServerConnections(server, connections.pollLast().serverEpoch);
         }
         while (!connections.isEmpty()) {
             Connection connection = connections.pop();
-            if (looksOpen(server, connection)) {
+            if (appearsOpen(server, connection)) {
                 return connection;
             }
         }
@@ -46,33 +49,44 @@
     }
 
     /**
-     * A machine that stopped silently has not notified its peers, which still use the connection.
+     * Returns whether the connection appears open to the sidecar. A machine that failed silently
+     * has not notified its peers, so connections to it appear open.
      */
-    private static boolean looksOpen(EmulatedServer server, Connection connection) {
+    private static boolean appearsOpen(EmulatedServer server, Connection connection) {
         boolean open =
                 connection.serverEpoch == server.epoch && server.state != EmulatedServer.State.DEAD;
         return open || server.stoppedSilently;
     }
 
-    /** Closes those to one server, which may be null where it is not known any more. */
+    /**
+     * Closes the idle connections to a server.
+     *
+     * @param server null if no server has the id
+     */
     void close(long serverId, EmulatedServer server) {
         ArrayDeque<Connection> connections = byServer.remove(serverId);
         if (connections != null) {
-            connections.forEach(connection -> release(server, connection.serverEpoch));
+            connections.forEach(
+                    connection -> decrementServerConnections(server, connection.serverEpoch));
         }
     }
 
-    /** Closes all. */
+    /** Closes all idle connections. */
     void closeAll(LongFunction<EmulatedServer> servers) {
         byServer.forEach(
                 (id, connections) ->
                         connections.forEach(
-                                connection -> release(servers.apply(id), connection.serverEpoch)));
+                                connection ->
+                                        decrementServerConnections(
+                                                servers.apply(id), connection.serverEpoch)));
         byServer.clear();
     }
 
-    /** The server no longer holds a connection to that epoch of it. */
-    static void release(EmulatedServer server, int serverEpoch) {
+    /**
+     * Decrements the number of open connections of a server, unless the server process that held
+     * the connection has been replaced.
+     */
+    static void decrementServerConnections(EmulatedServer server, int serverEpoch) {
         if (server != null && serverEpoch == server.epoch && server.connections > 0) {
             server.connections--;
         }
--- a/testbed/src/main/java/sagefall/emulator/InjectedFault.java
+++ b/testbed/src/main/java/sagefall/emulator/InjectedFault.java
@@ -1,10 +1,10 @@
 package sagefall.emulator;
 
 /**
- * A fault of a run.
+ * A fault that was injected in a run.
  *
- * @param what its kind
- * @param from first second
- * @param to last second
+ * @param what label of the fault kind
+ * @param from second of the run at which the fault began
+ * @param to second of the run at which the fault ended
  */
 public record InjectedFault(String what, double from, double to) {}
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -8,42 +8,50 @@
 import sagefall.balancer.api.ServiceLimits;
 
 /**
- * What must hold whatever happens, checked on each action. A breach is a defect of the policy, or
- * of the emulator; either way the figures of the run are void.
+ * Checks the actions of load balancers against the invariants, and records the breaches that it or
+ * other parts of the simulation detect. A breach is a defect of the policy or of the emulator; in
+ * both cases the figures of the run are void.
  */
 public final class InvariantChecker {
 
-    /** What is checked. The names stand in results. */
+    /** The invariants. Their names are written to the results. */
     public enum Rule {
-        /** One final answer to each request, in time, and nothing sent for it after that. */
+        /** Each request gets one final response in time, and no attempt is sent after it. */
         ONE_ANSWER,
-        /** What may have run is retried, or rejected, only as its class allows. */
+        /** A request that may have run is retried or rejected only as its class allows. */
         EFFECT,
-        /** Nothing new to a server that is known to drain or to be gone, after the grace. */
+        /**
+         * Once the grace time is over, a sidecar sends no attempt to a server that it knows to be
+         * draining or removed.
+         */
         DRAIN,
-        /** No cold server overloaded by the sum of all sidecars that knew it to be new. */
+        /**
+         * A cold server is not overloaded by the requests of the sidecars that know it to be new.
+         */
         COLD,
-        /** Only servers that this sidecar's lists have named. */
+        /**
+         * A sidecar sends attempts only to servers that one of its endpoint lists has contained.
+         */
         LISTED,
-        /** No more attempts for a request than allowed. */
+        /** A request has no more attempts than allowed. */
         ATTEMPTS
     }
 
     /**
-     * One breach, and how to reproduce it.
+     * A breach of an invariant.
      *
-     * @param rule what was broken
+     * @param rule the invariant
      * @param request id of the request, or {@link #NO_REQUEST}
      * @param server id of the server, or {@link #NONE}
      * @param sidecar index of the sidecar, or {@link #NONE}
-     * @param second of the run
+     * @param second time of the breach, in seconds of the run
      */
     public record Breach(Rule rule, String request, long server, int sidecar, double second) {}
 
-    /** In place of a server or a sidecar where there is none. */
+    /** Server id or sidecar index in a breach that concerns no single server or sidecar. */
     static final int NONE = -1;
 
-    /** In place of a request where there is none. */
+    /** Request id in a breach that concerns no single request. */
     static final String NO_REQUEST = "-";
 
     private static final int MAX_RECORDED = 100;
@@ -66,18 +74,18 @@
         this.drainGraceMicros = drainGraceMicros;
     }
 
-    /** The first {@value #MAX_RECORDED} breaches. */
+    /** Returns the first {@value #MAX_RECORDED} breaches. */
     public List<Breach> breaches() {
         return List.copyOf(breaches);
     }
 
-    /** How many breaches there were. */
+    /** Returns the number of all breaches. */
     public long count() {
         return count;
     }
 
     /** Records a breach. */
-    void breach(Rule rule, String request, long server, int sidecar) {
+    void recordBreach(Rule rule, String request, long server, int sidecar) {
         count++;
         if (breaches.size() < MAX_RECORDED) {
             double second = (events.now() - EventQueue.START_MICROS) / 1e6;
@@ -86,10 +94,10 @@
     }
 
     /**
-     * A sidecar is about to make an attempt.
+     * Checks an attempt that a sidecar is about to make.
      *
-     * @param request null where no open request has the id
-     * @param server null where no server has the id
+     * @param request null if no open request has the id
+     * @param server null if no server has the id
      */
     void onSend(
             EmulatedSidecar sidecar,
@@ -98,28 +106,32 @@
             EmulatedServer server,
             long serverId) {
         if (request == null || request.finished) {
-            breach(Rule.ONE_ANSWER, requestId, serverId, sidecar.index());
+            recordBreach(Rule.ONE_ANSWER, requestId, serverId, sidecar.index());
             return;
         }
         EndpointView.Knowledge known = sidecar.knowledgeOf(serverId);
         if (known == null || server == null) {
-            breach(Rule.LISTED, requestId, serverId, sidecar.index());
+            recordBreach(Rule.LISTED, requestId, serverId, sidecar.index());
             return;
         }
-        if (known.isGone() && events.now() > known.goneAtMicros() + drainGraceMicros) {
-            breach(Rule.DRAIN, requestId, serverId, sidecar.index());
+        if (known.isUnavailable()
+                && events.now() > known.unavailableSinceMicros() + drainGraceMicros) {
+            recordBreach(Rule.DRAIN, requestId, serverId, sidecar.index());
         }
         if (request.attempts.size() >= limits.maxAttempts()) {
-            breach(Rule.ATTEMPTS, requestId, serverId, sidecar.index());
+            recordBreach(Rule.ATTEMPTS, requestId, serverId, sidecar.index());
         }
         if (!mayExecute(request, server)) {
-            breach(Rule.EFFECT, requestId, serverId, sidecar.index());
+            recordBreach(Rule.EFFECT, requestId, serverId, sidecar.index());
         }
     }
 
-    /** Whether the request may be executed there, after what its attempts may have executed. */
+    /**
+     * Returns whether the server may execute the request, given that earlier attempts may have
+     * executed it.
+     */
     private boolean mayExecute(ClientRequest request, EmulatedServer server) {
-        EmulatedAttempt first = firstThatMayHaveExecuted(request);
+        EmulatedAttempt first = firstPossiblyExecuted(request);
         if (first == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
@@ -136,7 +148,7 @@
         };
     }
 
-    private static EmulatedAttempt firstThatMayHaveExecuted(ClientRequest request) {
+    private static EmulatedAttempt firstPossiblyExecuted(ClientRequest request) {
         for (EmulatedAttempt attempt : request.attempts) {
             if (attempt.mayHaveExecuted()) {
                 return attempt;
@@ -145,31 +157,31 @@
         return null;
     }
 
-    /** A rejection tells the client that a retry is harmless. */
+    /** Checks a rejection, which tells the client that a retry is safe. */
     void onReject(EmulatedSidecar sidecar, ClientRequest request, String requestId) {
-        onAnswer(sidecar, requestId);
-        if (request == null || request.finished || isRetryHarmless()) {
+        onFinalResponse(sidecar, requestId);
+        if (request == null || request.finished || isRetrySafe()) {
             return;
         }
-        EmulatedAttempt first = firstThatMayHaveExecuted(request);
+        EmulatedAttempt first = firstPossiblyExecuted(request);
         if (first != null) {
-            breach(Rule.EFFECT, requestId, first.server.id, sidecar.index());
+            recordBreach(Rule.EFFECT, requestId, first.server.id, sidecar.index());
         }
     }
 
-    private boolean isRetryHarmless() {
+    private boolean isRetrySafe() {
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /**
-     * A final answer names a request that this sidecar was given; a second answer to one is
-     * ignored.
+     * Checks that a final response belongs to a request of the current process of the sidecar. A
+     * second response to a request is not a breach, because the sidecar drops it.
      */
-    void onAnswer(EmulatedSidecar sidecar, String requestId) {
+    void onFinalResponse(EmulatedSidecar sidecar, String requestId) {
         if (!requestId.startsWith(sidecar.requestIdPrefix())) {
-            breach(Rule.ONE_ANSWER, requestId, NONE, sidecar.index());
+            recordBreach(Rule.ONE_ANSWER, requestId, NONE, sidecar.index());
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/Job.java
+++ b/testbed/src/main/java/sagefall/emulator/Job.java
@@ -1,13 +1,13 @@
 package sagefall.emulator;
 
-/** A request at a server: how much work it is, and how much of that is left. */
+/** A request that is sent to a server, with its total and its remaining work. */
 public abstract class Job {
-    /** Work that is left, in microseconds on a core of speed 1. */
+    /** Remaining work, in microseconds on a core of speed 1. */
     public double remainingMicros;
 
-    /** The total work, in microseconds on a core of speed 1. */
+    /** Total work, in microseconds on a core of speed 1. */
     public double workMicros;
 
-    /** Whether its sender knew when the present process of the server started. */
+    /** Returns whether the sender knows the start time of the current server process. */
     protected abstract boolean senderKnowsStart(EmulatedServer server);
 }
--- a/testbed/src/main/java/sagefall/emulator/JobExecutor.java
+++ b/testbed/src/main/java/sagefall/emulator/JobExecutor.java
@@ -6,23 +6,28 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** The slots and the queue of a server, and the progress of the work in them. */
+/** Executes jobs in the slots of a server and queues further jobs. */
 final class JobExecutor {
 
-    /** While a server warms up its rate is recomputed after this time. */
+    /** Interval at which the rate is recomputed while the server warms up. */
     static final long WARM_UP_STEP_MICROS = 50_000;
 
-    /** Work that is less than this is done: rounding leaves a rest. */
-    private static final double DONE_MICROS = 1e-6;
+    /**
+     * Remaining work up to which a job counts as done, because rounding errors leave a remainder.
+     */
+    private static final double DONE_TOLERANCE_MICROS = 1e-6;
 
-    /** No event is scheduled later: nothing runs at that rate. */
-    private static final double NEVER_MICROS = 1e15;
+    /**
+     * Delay from which a completion is not scheduled, because the job makes practically no
+     * progress.
+     */
+    private static final double MAX_DELAY_MICROS = 1e15;
 
     /**
-     * What the executor needs of its server.
+     * The parts of the server that the executor uses.
      *
-     * @param rate work that a core gets done in a microsecond
-     * @param onDone is given each job that is done
+     * @param rate returns the work that a core completes per microsecond
+     * @param onDone called with each job that is done
      */
     record Host(
             ServerSpec spec,
@@ -38,13 +43,15 @@
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
 
-    /** Work that a core gets done in a microsecond, since the last event. */
+    /** Work that a core completes per microsecond, as of the last call of {@link #reschedule()}. */
     private double rate;
 
     private long advancedAtMicros;
 
-    /** Number of the last plan; a completion that an earlier one scheduled is dropped. */
-    private int planNumber;
+    /**
+     * Number of the last scheduling. Completions that an earlier scheduling created are dropped.
+     */
+    private int scheduleNumber;
 
     JobExecutor(Host host) {
         this.host = host;
@@ -53,12 +60,12 @@
         advancedAtMicros = events.now();
     }
 
-    /** Takes the rate as it is now; to be called once the server is complete. */
+    /** Initializes the rate. Must be called once the server is fully constructed. */
     void initializeRate() {
         rate = host.rate.getAsDouble();
     }
 
-    /** Jobs that run or wait in the queue. */
+    /** Returns the number of running and queued jobs. */
     int size() {
         return running.size() + queue.size();
     }
@@ -78,7 +85,7 @@
         reschedule();
     }
 
-    /** Work that is left, in microseconds on a core of speed 1. */
+    /** Returns the remaining work of all jobs, in microseconds on a core of speed 1. */
     double backlogMicros() {
         advance();
         double sum = 0;
@@ -91,28 +98,31 @@
         return sum;
     }
 
-    /** Does the work since the last event. */
+    /**
+     * Subtracts the work that was done since the last call from the remaining work of the running
+     * jobs.
+     */
     void advance() {
         double micros = events.now() - advancedAtMicros;
         advancedAtMicros = events.now();
         if (micros == 0 || running.isEmpty()) {
             return;
         }
-        // A slot is a core or a part of one.
-        double workOfEach = micros * rate * Math.min(1, spec.cores() / (double) running.size());
+        // Each running job has a core, or a share of one if there are more jobs than cores.
+        double workPerJob = micros * rate * Math.min(1, spec.cores() / (double) running.size());
         for (Job job : running) {
-            job.remainingMicros -= workOfEach;
+            job.remainingMicros -= workPerJob;
         }
         double busyCores = Math.min(spec.cores(), running.size());
-        host.reports.addBusy(micros * busyCores);
+        host.reports.addBusyTime(micros * busyCores);
         host.warmUp.addWork(micros * rate * busyCores);
     }
 
-    /** The rate has changed: computes when the next job will be done. */
+    /** Updates the rate and schedules the completion of the next job. */
     void reschedule() {
         advance();
         rate = host.rate.getAsDouble();
-        int plan = ++planNumber;
+        int scheduledBy = ++scheduleNumber;
         boolean warmingUp = host.warmUp.isWarmingUp(events.now());
         if (running.isEmpty() && !warmingUp) {
             return;
@@ -121,11 +131,11 @@
         if (warmingUp) {
             micros = Math.min(micros, WARM_UP_STEP_MICROS);
         }
-        if (micros < NEVER_MICROS) {
+        if (micros < MAX_DELAY_MICROS) {
             events.scheduleAfter(
                     (long) micros,
                     () -> {
-                        if (plan == planNumber) {
+                        if (scheduledBy == scheduleNumber) {
                             completeJobs();
                         }
                     });
@@ -136,12 +146,12 @@
         if (rate == 0) {
             return Double.POSITIVE_INFINITY;
         }
-        double least = Double.POSITIVE_INFINITY;
+        double leastRemainingMicros = Double.POSITIVE_INFINITY;
         for (Job job : running) {
-            least = Math.min(least, job.remainingMicros);
+            leastRemainingMicros = Math.min(leastRemainingMicros, job.remainingMicros);
         }
         double share = Math.min(1, spec.cores() / (double) Math.max(1, running.size()));
-        return Math.ceil(Math.max(0, least) / (rate * share));
+        return Math.ceil(Math.max(0, leastRemainingMicros) / (rate * share));
     }
 
     private void completeJobs() {
@@ -149,12 +159,12 @@
         int next = 0;
         while (next < running.size()) {
             Job job = running.get(next);
-            if (job.remainingMicros > DONE_MICROS) {
+            if (job.remainingMicros > DONE_TOLERANCE_MICROS) {
                 next++;
                 continue;
             }
             running.remove(next);
-            host.reports.addServed(job.workMicros / Math.max(1e-9, rate));
+            host.reports.addServedRequest(job.workMicros / Math.max(1e-9, rate));
             if (!queue.isEmpty()) {
                 running.add(queue.poll());
             }
@@ -170,11 +180,13 @@
         removed.addAll(queue);
         running.clear();
         queue.clear();
-        planNumber++;
+        scheduleNumber++;
         return removed;
     }
 
-    /** A new process begins: no work was done since the old one ended. */
+    /**
+     * Starts the accounting of work for a new process. The time in which no process ran is skipped.
+     */
     void restart() {
         advancedAtMicros = events.now();
     }
--- a/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
+++ b/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
@@ -2,10 +2,10 @@
 
 import sagefall.balancer.api.LoadReport;
 
-/** The load reports of a server: running sums, and a report that is made of them periodically. */
+/** Sums the load of a server and periodically creates load reports from the sums. */
 final class LoadReportSampler {
 
-    /** Running sums. */
+    /** The sums at the time of a report. */
     private record Totals(double busyCoreMicros, double serviceMicros, long served) {}
 
     private final int cores;
@@ -23,18 +23,18 @@
         reportedAtMicros = nowMicros;
     }
 
-    /** Adds the time that cores were busy, summed over the cores. */
-    void addBusy(double coreMicros) {
+    /** Adds busy time, in microseconds summed over the cores. */
+    void addBusyTime(double coreMicros) {
         busyCoreMicros += coreMicros;
     }
 
-    /** Adds a request that was worked on for so long. */
-    void addServed(double micros) {
+    /** Counts a served request and adds its service time, in microseconds. */
+    void addServedRequest(double requestMicros) {
         served++;
-        serviceMicros += micros;
+        serviceMicros += requestMicros;
     }
 
-    /** The last report, or a new one if that is older than the interval. */
+    /** Returns the last report, or a new one if there is none or the report interval has passed. */
     LoadReport report(long nowMicros) {
         double elapsedMicros = nowMicros - reportedAtMicros;
         if (lastReport == null || elapsedMicros >= intervalMicros) {
--- a/testbed/src/main/java/sagefall/emulator/OperationGenerator.java
+++ b/testbed/src/main/java/sagefall/emulator/OperationGenerator.java
@@ -10,7 +10,7 @@
 import sagefall.scenario.ServiceSettings;
 import sagefall.scenario.TenantSettings;
 
-/** Draws what clients want: key, tenant, work and sidecar of each operation. */
+/** Draws the key, the tenant, the work and the sidecar of each operation. */
 final class OperationGenerator {
 
     private final RequestClass requestClass;
@@ -23,10 +23,10 @@
     private int generated;
 
     /**
-     * Draws the values of a run.
+     * Draws the parameters of the distributions for a run.
      *
-     * @param capacity work that all servers get done in a microsecond
-     * @param meanWorkMicros of a request
+     * @param capacity work that all servers together complete per microsecond
+     * @param meanWorkMicros mean work of a request, in microseconds on a core of speed 1
      */
     OperationGenerator(
             Scenario scenario,
@@ -65,7 +65,10 @@
         return weights;
     }
 
-    /** An operation that arrives now. The values are drawn in this order. */
+    /**
+     * Returns an operation that arrives at the given time. The values are drawn from one random
+     * stream, so another order of the draws would change all runs.
+     */
     ClientOperation next(long nowMicros) {
         int tenant = weights.sampleTenant();
         ClientOperation operation =
--- a/testbed/src/main/java/sagefall/emulator/RandomStreams.java
+++ b/testbed/src/main/java/sagefall/emulator/RandomStreams.java
@@ -4,9 +4,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random numbers of a run, as named streams. What one part of the emulator draws never shifts what
- * another draws, so two policies that run with the same seed meet the same arrivals, work and
- * faults.
+ * Provides named streams of random numbers. A draw from one stream does not change the values of
+ * another, so runs with equal seeds have equal arrivals, work and faults whatever the policy.
  */
 public final class RandomStreams {
 
@@ -14,12 +13,12 @@
 
     private final long seed;
 
-    /** Streams that the seed determines. */
+    /** Creates streams that are determined by the seed. */
     public RandomStreams(long seed) {
         this.seed = seed;
     }
 
-    /** The stream of that name, from its beginning. */
+    /** Returns a new generator at the start of the named stream. */
     public UniformRandomProvider stream(String name) {
         long mixed = seed;
         for (int i = 0; i < name.length(); i++) {
--- a/testbed/src/main/java/sagefall/emulator/RequestTransport.java
+++ b/testbed/src/main/java/sagefall/emulator/RequestTransport.java
@@ -8,7 +8,7 @@
 import sagefall.balancer.api.RequestClass;
 import sagefall.scenario.Scenario;
 
-/** Takes attempts to servers and their results back, and loses some of them. */
+/** Carries attempts to servers and their results back to sidecars. Faults lose some of them. */
 final class RequestTransport {
 
     private final EventQueue events;
@@ -16,7 +16,10 @@
     private final ValueAccounting accounting;
     private final RequestClass requestClass;
 
-    /** Decides whether a response is an error or is lost. */
+    /**
+     * Random stream that decides whether the result of an attempt is a response, an error, a lost
+     * response or a connection reset.
+     */
     private final UniformRandomProvider chances;
 
     private final ZigguratSampler.NormalizedGaussian noise;
@@ -27,13 +30,13 @@
     /** Share of the responses that are lost in transit. */
     double lostResponseShare;
 
-    /** Share of the requests that have their connection reset. */
+    /** Share of the executed requests whose connection is reset before the response. */
     double resetShare;
 
     /**
-     * Draws the values of a run.
+     * Draws the noise and the connection cost for a run.
      *
-     * @param chances the stream of that name, which the pauses of servers use as well
+     * @param chances random stream "chances", shared with the pauses of servers
      */
     RequestTransport(
             Scenario scenario,
@@ -54,7 +57,7 @@
 
     /** Sends an attempt over its connection. */
     void transmit(EmulatedAttempt attempt) {
-        accounting.recordAttempt(!attempt.staysInZone(), attempt.openedConnection);
+        accounting.recordAttempt(!attempt.isWithinZone(), attempt.openedConnection);
         if (network.isCut(attempt.sidecar.zone(), attempt.server.zone)) {
             return;
         }
@@ -66,7 +69,7 @@
     private void arrive(EmulatedAttempt attempt) {
         EmulatedServer server = attempt.server;
         if (server.state == EmulatedServer.State.SILENT) {
-            server.addUnanswered(attempt);
+            server.addPendingReset(attempt);
             return;
         }
         if (server.state == EmulatedServer.State.DEAD || attempt.serverEpoch != server.epoch) {
@@ -95,7 +98,11 @@
         return workMicros + (attempt.openedConnection ? connectCostMicros : 0);
     }
 
-    /** The servers of a zone drop a repeated idempotency key for a while. */
+    /**
+     * Returns whether the operation has an idempotency key and was executed in the zone of the
+     * server within the deduplication window. Its repetition then causes no work. Otherwise records
+     * the execution of an operation with an idempotency key.
+     */
     private boolean isDuplicate(ClientOperation operation, EmulatedServer server) {
         if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return false;
@@ -109,7 +116,7 @@
         return false;
     }
 
-    /** A server has done the work. */
+    /** Handles an attempt whose request the server has executed. */
     void onJobDone(EmulatedAttempt attempt) {
         accounting.addWorkDone(attempt.workMicros);
         double chance = chances.nextDouble();
@@ -123,7 +130,9 @@
         }
     }
 
-    /** A server's process ended under the attempt, and resets the connection. */
+    /**
+     * Handles an attempt that was lost because its server process stopped: the connection is reset.
+     */
     void onJobAborted(EmulatedAttempt attempt) {
         accounting.addWorkWasted(attempt.workMicros);
         if (!network.isCut(attempt.server.zone, attempt.sidecar.zone())) {
@@ -144,7 +153,7 @@
                 network.oneWayMicros(attempt.server.zone, attempt.sidecar.zone()),
                 () -> {
                     attempt.sidecar.endAttempt(attempt, result, report);
-                    accounting.addWorkWasted(attempt.answeredClient ? 0 : attempt.workMicros);
+                    accounting.addWorkWasted(attempt.deliveredToClient ? 0 : attempt.workMicros);
                 });
     }
 
--- a/testbed/src/main/java/sagefall/emulator/ServerFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -11,10 +11,13 @@
 import sagefall.scenario.ServiceSettings;
 import sagefall.scenario.ValueRange;
 
-/** Creates the servers of a run: random ids, different speeds, zones of different size, cells. */
+/**
+ * Creates the servers of a run with randomly drawn ids and properties, and assigns them to zones
+ * and cells.
+ */
 public final class ServerFactory {
 
-    /** Spreads the kinds of machines evenly over the servers. */
+    /** Step of a low-discrepancy sequence that mixes the machine types evenly. */
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887;
 
     private final Scenario scenario;
@@ -26,7 +29,7 @@
     private final Set<Long> usedIds = new HashSet<>();
     private final List<EmulatedServer> initialServers = new ArrayList<>();
 
-    /** Creates the servers of the start. */
+    /** Creates the factory and the initial servers. */
     public ServerFactory(
             Scenario scenario,
             RandomStreams streams,
@@ -71,12 +74,15 @@
                 identity, drawSpec(machineType), events, sharedSlowdown, listener);
     }
 
-    /** The servers of the start. */
+    /** Returns the initial servers. */
     public List<EmulatedServer> initialServers() {
         return initialServers;
     }
 
-    /** Work that all servers together get done in a microsecond, warm and without faults. */
+    /**
+     * Returns the work that all initial servers complete per microsecond when warm and without
+     * faults.
+     */
     public double totalCapacity() {
         return initialServers.stream()
                 .mapToDouble(s -> Math.min(s.spec.slots(), s.spec.cores()) * s.spec.speed())
@@ -91,7 +97,10 @@
         return id;
     }
 
-    /** Kinds of machines in their shares, mixed. */
+    /**
+     * Returns the index of the machine type of a server. The types are mixed in proportion to their
+     * shares.
+     */
     private int machineType(int serverNumber) {
         List<MachineType> types = scenario.machineTypes();
         double shares = types.stream().mapToDouble(MachineType::share).sum();
@@ -108,7 +117,7 @@
         return range.at(random.nextDouble());
     }
 
-    /** The values are drawn in this order; a change of it would change all runs. */
+    /** Draws the properties of a server. Another order of the draws would change all runs. */
     private ServerSpec drawSpec(int typeIndex) {
         MachineType type = scenario.machineTypes().get(typeIndex);
         ServiceSettings service = scenario.service();
@@ -136,7 +145,9 @@
                 (long) (1000 * service.reportIntervalMillis().draw(streams, "service.report")));
     }
 
-    /** A machine of the same kind in the same cell, with another id. */
+    /**
+     * Creates a server with a new id and with the zone, cell and machine type of the old server.
+     */
     public EmulatedServer createReplacement(EmulatedServer old) {
         return create(old.zone, old.cell, old.spec.machineType());
     }
--- a/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
@@ -8,7 +8,7 @@
 /** Schedules the faults of zones and servers. */
 final class ServerFaultInjector {
 
-    /** What a fault changes at one server. */
+    /** Applies the start or the end of a fault to one server. */
     private interface ServerChange {
         void apply(EmulatedServer server, boolean begins);
     }
@@ -34,26 +34,30 @@
             case FLAP_ZONE -> flapZone(window);
             case CUT_ZONE -> window.schedule(events, begins -> cutZone(fault, begins));
             case LOSE_SERVERS ->
-                    atSomeServers(
+                    scheduleAtServers(
                             window, (server, begins) -> loseServer(server, fault.mode(), begins));
             case SLOW_SERVERS ->
-                    atSomeServers(window, (server, begins) -> slow(server, magnitude, begins));
+                    scheduleAtServers(
+                            window,
+                            (server, begins) -> changeSlowdown(server, magnitude, begins));
             case SLOW_SHARED_DEPENDENCY ->
-                    window.schedule(events, begins -> slowAllServers(magnitude, begins));
+                    window.schedule(events, begins -> changeSharedSlowdown(magnitude, begins));
             case SERVER_ERRORS ->
-                    atSomeServers(
+                    scheduleAtServers(
                             window,
                             (server, begins) ->
                                     server.errorRate += begins ? magnitude : -magnitude);
-            case SERVER_PAUSES -> atSomeServers(window, onBegin(server -> pause(server, window)));
+            case SERVER_PAUSES ->
+                    scheduleAtServers(window, onBegin(server -> pause(server, window)));
             case NOISY_NEIGHBOUR ->
-                    atSomeServers(window, onBegin(server -> addNeighbour(server, window)));
+                    scheduleAtServers(
+                            window, onBegin(server -> startNoisyNeighbour(server, window)));
             case REPLACE_SERVERS -> replaceSomeServers(window);
-            default -> throw new IllegalStateException("fault " + fault.kind());
+            default -> throw new IllegalStateException("unsupported fault kind " + fault.kind());
         }
     }
 
-    private void atSomeServers(FaultWindow window, ServerChange change) {
+    private void scheduleAtServers(FaultWindow window, ServerChange change) {
         for (EmulatedServer server : window.drawn().pickFraction(fleet.initialServers())) {
             window.schedule(events, begins -> change.apply(server, begins));
         }
@@ -109,12 +113,12 @@
 
     // Slowness.
 
-    private static void slow(EmulatedServer server, double factor, boolean begins) {
+    private static void changeSlowdown(EmulatedServer server, double factor, boolean begins) {
         server.slowdown *= begins ? factor : 1 / factor;
         server.reschedule();
     }
 
-    private void slowAllServers(double factor, boolean begins) {
+    private void changeSharedSlowdown(double factor, boolean begins) {
         sharedSlowdown.factor *= begins ? factor : 1 / factor;
         fleet.servers().forEach(EmulatedServer::reschedule);
     }
@@ -124,16 +128,18 @@
         fleet.schedulePauses(server, window.periodMicros(), pauseMicros, window.endMicros());
     }
 
-    private void addNeighbour(EmulatedServer server, FaultWindow window) {
-        stealCapacity(server, window, window.drawn().random().nextDouble());
+    private void startNoisyNeighbour(EmulatedServer server, FaultWindow window) {
+        scheduleNoisyPeriods(server, window, window.drawn().random().nextDouble());
     }
 
     /**
-     * Takes capacity from a server in every other period.
+     * Schedules the periods in which a noisy neighbour takes capacity from a server: every other
+     * period until the fault ends.
      *
-     * @param delayPeriods until the next time, in periods
+     * @param delayPeriods delay until the first of these periods, as a multiple of the period
      */
-    private void stealCapacity(EmulatedServer server, FaultWindow window, double delayPeriods) {
+    private void scheduleNoisyPeriods(
+            EmulatedServer server, FaultWindow window, double delayPeriods) {
         long period = window.periodMicros();
         if (events.now() + period * delayPeriods >= window.endMicros()) {
             return;
@@ -141,7 +147,7 @@
         Runnable end =
                 () -> {
                     setStolenShare(server, 0);
-                    stealCapacity(server, window, 1);
+                    scheduleNoisyPeriods(server, window, 1);
                 };
         events.scheduleAfter(
                 (long) (period * delayPeriods),
@@ -159,13 +165,13 @@
     // Replacement.
 
     private void replaceSomeServers(FaultWindow window) {
-        boolean early = window.fault().mode() == FaultMode.EARLY;
+        boolean rejectsImmediately = window.fault().mode() == FaultMode.EARLY;
         List<EmulatedServer> replaced = window.drawn().pickFraction(fleet.initialServers());
         for (int i = 0; i < replaced.size(); i++) {
             EmulatedServer server = replaced.get(i);
             events.scheduleAt(
                     window.beginMicros() + window.durationMicros() * i / replaced.size(),
-                    () -> fleet.replaceServer(server, early));
+                    () -> fleet.replaceServer(server, rejectsImmediately));
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/ServerIdentity.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerIdentity.java
@@ -1,10 +1,10 @@
 package sagefall.emulator;
 
 /**
- * Which server it is and where it runs.
+ * The id and the location of a server.
  *
- * @param id as discovery names it
- * @param zone index of its zone
- * @param cell number of its cell, unique over all zones
+ * @param id id in the endpoint list
+ * @param zone index of the zone
+ * @param cell number of the cell, unique across all zones
  */
 public record ServerIdentity(long id, int zone, int cell) {}
--- a/testbed/src/main/java/sagefall/emulator/ServerListener.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerListener.java
@@ -1,18 +1,18 @@
 package sagefall.emulator;
 
-/** What is notified of the requests at a server. */
+/** Listener for the completion and loss of jobs at a server and for the overload of the server. */
 public interface ServerListener {
 
-    /** A request has been worked on to its end. */
+    /** Handles a job whose work is done. */
     void onJobDone(Job job);
 
-    /** The process ended under a request, and the sender is notified. */
+    /** Handles a job that was lost because the server process stopped; its connection is reset. */
     void onJobAborted(Job job);
 
     /**
-     * A cold server stopped, as it was sent more than it can handle.
+     * Handles the stop of a cold server that was sent too many requests.
      *
-     * @param informedShare share of the requests from sidecars that knew it to be new
+     * @param informedShare share of the requests whose sidecar knew the server to be new
      */
     void onSlowStartOverload(EmulatedServer server, double informedShare);
 }
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -12,21 +12,22 @@
 import sagefall.scenario.ServiceSettings;
 
 /**
- * The settings that a host hands to one sidecar at its start. {@link SettingsMessageCodec} maps
- * them to the names of the wire.
+ * The settings that a host passes to the load balancer of one sidecar at its start. {@link
+ * SettingsMessageCodec} maps them to the names on the wire.
  *
- * @param rank number of the sidecar, from 0 on
- * @param zone index of its zone
- * @param sidecars how many sidecars the fleet has
+ * @param rank number of the sidecar, from 0
+ * @param zone index of the zone of the sidecar
+ * @param sidecars number of sidecars of the fleet
  * @param zones names of the zones
- * @param machineTypes names of the kinds of machines
- * @param requestClass the only class of requests
- * @param tenants with their quotas as shares of the service
- * @param overQuotaWeight weight of a request of a tenant beyond its quota; 1 is that of others
- * @param limits what the service allows a sidecar
- * @param rules of slow start and polling
+ * @param machineTypes names of the machine types
+ * @param requestClass the only request class
+ * @param tenants the tenants and their shares of the sum of all quotas
+ * @param overQuotaWeight weight of a request beyond the quota of its tenant; a request within the
+ *     quota has the weight 1
+ * @param limits limits that the service sets for a sidecar
+ * @param rules rules of slow start and polling
  * @param hostRules limits that the host enforces
- * @param cachesKeys whether a server answers a repeated key with less work
+ * @param cachesKeys whether a request whose key a server has cached causes less work
  * @param tickMicros resolution of the clock
  */
 public record SettingsMessage(
@@ -52,18 +53,21 @@
     /**
      * Limits that the host enforces and a sidecar cannot change.
      *
-     * @param overloadFactor by how many times its present capacity a cold server may be loaded
-     * @param drainGraceMicros how long after a drain is known requests may still be sent
-     * @param answerGraceMicros how long after its deadline a request must be answered
-     * @param connectTimeoutMicros after which an attempt to connect has failed
+     * @param overloadFactor multiple of the current capacity of a cold server up to which sidecars
+     *     may load the server
+     * @param drainGraceMicros time for which a sidecar may still send requests to a server after it
+     *     was notified that the server drains
+     * @param responseGraceMicros time after the deadline of a request within which the request must
+     *     complete
+     * @param connectTimeoutMicros timeout of opening a connection
      */
     public record HostRules(
             double overloadFactor,
             long drainGraceMicros,
-            long answerGraceMicros,
+            long responseGraceMicros,
             long connectTimeoutMicros) {}
 
-    /** The settings of a scenario for the sidecar of that number. */
+    /** Returns the settings of a scenario for the sidecar with the given number. */
     public static SettingsMessage of(Scenario scenario, int rank) {
         ServiceSettings service = scenario.service();
         List<String> zones = scenario.fleet().zones();
@@ -115,21 +119,21 @@
                 MAX_OPEN_REQUESTS);
     }
 
-    private static Idempotency idempotency(String word) {
-        return switch (word) {
+    private static Idempotency idempotency(String wireName) {
+        return switch (wireName) {
             case "pure" -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.IDEMPOTENCY_KEY;
             case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("unknown effect '" + word + "'");
+            default -> throw new IllegalArgumentException("unknown effect '" + wireName + "'");
         };
     }
 
-    private static DeduplicationScope deduplicationScope(String word) {
-        return switch (word) {
+    private static DeduplicationScope deduplicationScope(String wireName) {
+        return switch (wireName) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new IllegalArgumentException("unknown group '" + word + "'");
+            default -> throw new IllegalArgumentException("unknown group '" + wireName + "'");
         };
     }
 
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
@@ -12,17 +12,18 @@
 import sagefall.config.BalancerSettingsReader;
 import sagefall.config.ConfigException;
 
-/** Maps {@link SettingsMessage} to the names of the wire; no other class knows these names. */
+/** Encodes a {@link SettingsMessage} with the names that are used on the wire. */
 public final class SettingsMessageCodec {
 
+    /** Cost of a probe on the wire; the load balancer of this build does not read it. */
     private static final double PROBE_COST = 0.0088;
 
     private SettingsMessageCodec() {}
 
     /**
-     * The settings as this build's load balancer reads them from the wire.
+     * Returns the settings as the load balancer of this build reads them from the wire.
      *
-     * @param seed of the load balancer's random numbers
+     * @param seed seed of the load balancer's random numbers
      * @throws IllegalArgumentException if the values of the scenario are not allowed
      */
     public static BalancerSettings balancerSettings(long seed, SettingsMessage message) {
@@ -33,7 +34,7 @@
         }
     }
 
-    /** The object of the wire, which the caller may change. */
+    /** Returns the message as a mutable map with the names on the wire. */
     public static Map<String, Object> encode(SettingsMessage message) {
         Map<String, Object> wire = new LinkedHashMap<>();
         wire.put("classes", List.of(requestClass(message.requestClass())));
@@ -93,7 +94,7 @@
                 "fall_multiple", hostRules.overloadFactor(),
                 "drain_grace_us", hostRules.drainGraceMicros(),
                 "ask_every_us", rules.pollIntervalMicros(),
-                "grace_to_answer_us", hostRules.answerGraceMicros());
+                "grace_to_answer_us", hostRules.responseGraceMicros());
     }
 
     private static String effect(Idempotency idempotency) {
--- a/testbed/src/main/java/sagefall/emulator/SharedSlowdown.java
+++ b/testbed/src/main/java/sagefall/emulator/SharedSlowdown.java
@@ -1,8 +1,8 @@
 package sagefall.emulator;
 
-/** A slowdown that all servers share, as of a dependency that each of them calls. */
+/** A slowdown of all servers, as by a dependency that all of them call. */
 public final class SharedSlowdown {
 
-    /** By how many times each request takes longer; 1 is undisturbed. */
+    /** Factor of the execution time of each request; 1 without faults. */
     double factor = 1;
 }
--- a/testbed/src/main/java/sagefall/emulator/SidecarActions.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -7,10 +7,13 @@
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.RejectionReason;
 
-/** What the load balancer of an emulated sidecar can do; each action is checked first. */
+/**
+ * Carries out the actions that the load balancer of an emulated sidecar calls. Before an attempt, a
+ * rejection or a failure is carried out, it is checked against the invariants.
+ */
 final class SidecarActions implements BalancerActions {
 
-    /** The load balancer's own log lines, for whoever turns this logger on. */
+    /** Logger that receives the log lines of the load balancer, at level debug. */
     private static final Logger LOG = LoggerFactory.getLogger("module");
 
     private final SidecarEnvironment environment;
@@ -27,7 +30,8 @@
     }
 
     @Override
-    public void send(String requestId, long serverId, long timeoutMicros, long latestStartMicros) {
+    public void send(
+            String requestId, long serverId, long timeoutMicros, long latestStartMicros) {
         EventQueue events = environment.events();
         ClientRequest request = sidecar.openRequest(requestId);
         EmulatedServer server = environment.server(serverId);
@@ -67,7 +71,7 @@
     @Override
     public void fail(String requestId, RejectionReason reason) {
         ClientRequest request = sidecar.openRequest(requestId);
-        environment.invariants().onAnswer(sidecar, requestId);
+        environment.invariants().onFinalResponse(sidecar, requestId);
         sidecar.finish(request, ClientAnswer.FAILED, reason, 0);
     }
 
@@ -80,7 +84,10 @@
         endLater(request.attempts.get(attemptNumber), 1, AttemptResult.CANCELLED);
     }
 
-    /** Never within the event that is being handled. */
+    /**
+     * Schedules a timer, which fires one microsecond from now at the earliest and therefore never
+     * while the current event is handled.
+     */
     @Override
     public void scheduleTimer(long atMicros, long token) {
         long earliestMicros = environment.events().now() + 1;
@@ -92,7 +99,10 @@
         connections.closeIdle(serverId);
     }
 
-    /** Lists are pushed; a request for one brings the list that the sidecar has. */
+    /**
+     * Delivers the current list of the sidecar again. Discovery is not contacted, because emulated
+     * discovery pushes all changes.
+     */
     @Override
     public void requestEndpointUpdates() {
         sidecar.scheduleAfter(
--- a/testbed/src/main/java/sagefall/emulator/SidecarConnections.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarConnections.java
@@ -14,9 +14,9 @@
         this.sidecar = sidecar;
     }
 
-    /** Sends an attempt over an idle connection, or opens one first. */
+    /** Sends an attempt over an idle connection, or over a new one if none is idle. */
     void send(EmulatedAttempt attempt) {
-        // Closed before the server's own timeout, as the real host does.
+        // Like the real sidecar, closes idle connections before the idle timeout of the server.
         double oldestMicros =
                 environment.events().now() - environment.limits().idleTimeoutMicros() * 2 / 3;
         IdleConnections.Connection connection = idle.take(attempt.server, oldestMicros);
@@ -36,12 +36,12 @@
         long latencyMicros = network.oneWayMicros(sidecar.zone(), server.zone);
         if (network.isCutBetween(sidecar.zone(), server.zone)
                 || server.state == EmulatedServer.State.SILENT) {
-            fail(attempt, limits.connectTimeoutMicros());
+            scheduleConnectFailure(attempt, limits.connectTimeoutMicros());
             return;
         }
         if (server.state == EmulatedServer.State.DEAD
                 || server.connections >= server.spec.maxConnections()) {
-            fail(attempt, 2 * latencyMicros);
+            scheduleConnectFailure(attempt, 2 * latencyMicros);
             return;
         }
         attempt.serverEpoch = server.epoch;
@@ -50,7 +50,7 @@
         environment.events().scheduleAfter(setupMicros, () -> onOpened(attempt));
     }
 
-    private void fail(EmulatedAttempt attempt, long afterMicros) {
+    private void scheduleConnectFailure(EmulatedAttempt attempt, long afterMicros) {
         environment
                 .events()
                 .scheduleAfter(
@@ -69,30 +69,33 @@
         }
     }
 
-    /** An attempt has ended; its connection is idle or closed. */
+    /**
+     * Adds the connection of an ended attempt to the idle connections if it can be reused;
+     * otherwise closes it.
+     */
     void release(EmulatedAttempt attempt, AttemptResult result) {
         if (isReusable(attempt, result)) {
             long nowMicros = environment.events().now();
             idle.add(
                     attempt.server, new IdleConnections.Connection(nowMicros, attempt.serverEpoch));
         } else {
-            abort(attempt);
+            close(attempt);
         }
     }
 
     private static boolean isReusable(EmulatedAttempt attempt, AttemptResult result) {
-        boolean answered =
+        boolean responseReceived =
                 result == AttemptResult.SERVED
                         || result == AttemptResult.ERROR
                         || result == AttemptResult.REJECTED;
-        return answered
+        return responseReceived
                 && attempt.serverEpoch == attempt.server.epoch
                 && attempt.server.state != EmulatedServer.State.DEAD;
     }
 
     /** Closes the connection of an attempt. */
-    void abort(EmulatedAttempt attempt) {
-        IdleConnections.release(attempt.server, attempt.serverEpoch);
+    void close(EmulatedAttempt attempt) {
+        IdleConnections.decrementServerConnections(attempt.server, attempt.serverEpoch);
     }
 
     /** Closes the idle connections to a server. */
--- a/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
@@ -3,24 +3,25 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.RejectionReason;
 
-/** What an emulated sidecar needs of the simulation. */
+/** The parts of the simulation that an emulated sidecar uses. */
 interface SidecarEnvironment {
 
     /**
-     * Limits of connections and answers.
+     * Limits of connections and responses.
      *
-     * @param idleTimeoutMicros after which a server closes an idle connection
-     * @param connectTimeoutMicros after which an attempt to connect has failed
-     * @param connectRoundTrips round trips to open a connection
-     * @param answerGraceMicros how long after its deadline a request must be answered
+     * @param idleTimeoutMicros time after which a server closes an idle connection
+     * @param connectTimeoutMicros timeout of opening a connection
+     * @param connectRoundTrips number of round trips needed to open a connection
+     * @param responseGraceMicros time after the deadline of a request within which the request must
+     *     complete
      */
     record Limits(
             double idleTimeoutMicros,
             long connectTimeoutMicros,
             double connectRoundTrips,
-            long answerGraceMicros) {}
+            long responseGraceMicros) {}
 
-    /** The clock, and the events to come. */
+    /** Returns the virtual clock and the scheduled events. */
     EventQueue events();
 
     EmulatedNetwork network();
@@ -29,24 +30,24 @@
 
     Limits limits();
 
-    /** The server of that id, or null. */
+    /** Returns the server with the id, or null. */
     EmulatedServer server(long id);
 
-    /** A new load balancer for a new process of a sidecar. */
+    /** Creates the load balancer for a new process of a sidecar. */
     LoadBalancer createLoadBalancer(EmulatedSidecar sidecar);
 
-    /** Sends an attempt over its connection, which is open. */
+    /** Sends an attempt over its open connection. */
     void transmit(EmulatedAttempt attempt);
 
     /**
-     * Gives a client its final answer.
+     * Sends a client its final response.
      *
-     * @param reason null where the request was served, or not answered at all
-     * @param retryAfterMicros 0 where the answer names no time
+     * @param reason null if the request was served or no response was sent in time
+     * @param retryAfterMicros 0 if the response contains no Retry-After
      */
-    void answer(
+    void deliverResponse(
             ClientRequest request,
-            ClientAnswer answer,
+            ClientAnswer response,
             RejectionReason reason,
             long retryAfterMicros);
 }
--- a/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -1,29 +1,31 @@
 package sagefall.emulator;
 
-/** What clients see of a sidecar: an emulated one, or a real process. */
+/** A sidecar as its clients see it: an emulated one, or a real process. */
 public interface SidecarHandle {
 
-    /** Its number among all, from 0 on. */
+    /** Returns the number of the sidecar, from 0. */
     int index();
 
-    /** Index of the zone that it runs in. */
+    /** Returns the index of the zone that the sidecar runs in. */
     int zone();
 
-    /** Whether its process runs. */
+    /** Returns whether the process runs. */
     boolean isUp();
 
-    /** Whether a planned restart is near, so that its application goes elsewhere. */
+    /** Returns whether the sidecar drains before a planned restart; clients then use others. */
     boolean isDraining();
 
-    /** Six hex digits that the ids of all requests of this incarnation begin with. */
+    /**
+     * Returns the prefix of the ids of all requests to this incarnation, which is six hex digits.
+     */
     String requestIdPrefix();
 
-    /** A client found its process not running. */
+    /** Handles an operation whose client could not connect because the process was not running. */
     default void onUnreachable(ClientOperation operation) {}
 
-    /** Takes a client's request; {@link ClientTraffic#deliverAnswer} takes the answer. */
+    /** Submits a request; the response is passed to {@link ClientTraffic#deliverAnswer}. */
     void submit(ClientRequest request, boolean markedAsRetry);
 
-    /** The client has disconnected. */
+    /** Handles the disconnect of the client of a request. */
     void disconnectClient(ClientRequest request);
 }
--- a/testbed/src/main/java/sagefall/emulator/SimulationResult.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResult.java
@@ -7,33 +7,38 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The outcome of a run, as a line of {@code days.jsonl}. Value is counted per operation of a
- * client, all of its requests together, in the second of its arrival; a share is one of the offered
- * value.
+ * The result of a run, written as a line of {@code days.jsonl}. The value of an operation is
+ * counted once, however many requests its client makes, and in the second in which the operation
+ * arrives. Shares are shares of the offered value unless stated otherwise.
  *
  * @param scenario name of the scenario
- * @param seed of the run
+ * @param seed seed of the run
  * @param policy specification of the policy
- * @param g the goal: 0.55 of the run, 0.35 of the worst ten seconds, 0.1 of the worst tenant within
- *     its quota, less the prices
- * @param served share of the value that was served within the latency objective
- * @param worstTenSeconds the same in the worst ten seconds
- * @param worstTenant the same of the worst tenant, within its quota
- * @param price what is subtracted for zone crossings, connections, wasted work and late losses
+ * @param g score: 0.55 {@code served} + 0.35 {@code worstTenSeconds} + 0.1 {@code worstTenant} -
+ *     {@code price}
+ * @param served share of the value that was served within the latency target
+ * @param worstTenSeconds share of the value that was served within the latency target, in the
+ *     window of ten seconds with the lowest share
+ * @param worstTenant share of a tenant's operations within its quota that were served within the
+ *     latency target, for the tenant with the lowest share
+ * @param price deduction from the score for zone crossings, connections, wasted work and late
+ *     losses
  * @param offeredValue value of all operations
  * @param requests number of operations
- * @param lost lost value by cause: the words of the last answer, or what prevented one
- * @param answers every rejection and failure by its words, those that were retried included
- * @param attemptsPerRequest attempts of sidecars for an operation
- * @param crossingsPerRequest attempts to another zone for an operation
- * @param setupsPerRequest opened connections for an operation
- * @param wastedWork share of the work of servers whose response no client has got
- * @param latency of all served operations
+ * @param lost lost value by cause, which is the label of the last response or the reason why there
+ *     was none
+ * @param answers number of unsuccessful responses by label, including those after which the client
+ *     retried
+ * @param attemptsPerRequest attempts per operation
+ * @param crossingsPerRequest attempts to another zone per operation
+ * @param setupsPerRequest opened connections per operation
+ * @param wastedWork work whose response no client received, as a share of the work of all servers
+ * @param latency latency of all served operations
  * @param zones names of the zones
  * @param series values by second
- * @param heat by second, for each server of the start, its requests for each core; -1: it was down
- * @param serverZones zone of each server of the start
- * @param faults what went wrong
+ * @param heat requests per core by second and initial server; -1 while the server is not up
+ * @param serverZones zone index of each initial server
+ * @param faults the injected faults
  * @param breaches the first breaches of invariants
  * @param breachCount number of all breaches
  * @param events number of processed events
@@ -66,11 +71,11 @@
         long events) {
 
     /**
-     * Operations that were lost for one cause.
+     * Operations that were lost by one cause.
      *
-     * @param value their value
-     * @param count their number
-     * @param overQuotaValue value of those whose tenant was beyond its quota
+     * @param value value of the operations
+     * @param count number of the operations
+     * @param overQuotaValue value of the operations that were beyond the quota of their tenant
      */
     public record Loss(
             @JsonProperty("worth") double value,
@@ -78,7 +83,7 @@
             @JsonProperty("beyondShareWorth") double overQuotaValue) {}
 
     /**
-     * Milliseconds from a client's first request to the response.
+     * Time from a client's first request to the response, in milliseconds.
      *
      * @param p50 median
      * @param p95 95th percentile
@@ -98,18 +103,18 @@
     }
 
     /**
-     * Values by second of the arrival, and some by zone as well.
+     * Time series of a run, by the second in which operations arrived; some also by zone.
      *
      * @param offered value of the operations
-     * @param served value that was served in time
+     * @param served value that was served within the latency target
      * @param lost lost value by cause
      * @param p50 median latency in milliseconds
      * @param p95 95th percentile of the latency in milliseconds
      * @param p99 99th percentile of the latency in milliseconds
      * @param zoneOffered value of the operations by second and zone
-     * @param zoneServed value that was served in time by second and zone
+     * @param zoneServed value that was served within the latency target by second and zone
      * @param zoneP95 95th percentile of the latency in milliseconds by second and zone
-     * @param lostByZone lost value by cause and zone, of the run
+     * @param lostByZone lost value of the whole run by cause and zone
      */
     public record Series(
             @JsonProperty("asked") double[] offered,
@@ -123,7 +128,7 @@
             double[][] zoneP95,
             Map<String, double[]> lostByZone) {}
 
-    /** Lost value by cause, the largest first, as shares of the offered value. */
+    /** Returns the lost value by cause as shares of the offered value, the largest first. */
     public List<Map.Entry<String, Double>> losses() {
         List<Map.Entry<String, Double>> shares = new ArrayList<>();
         double total = Math.max(1e-9, offeredValue);
--- a/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
@@ -8,35 +8,43 @@
 import org.HdrHistogram.Histogram;
 import sagefall.scenario.Scenario;
 
-/** Computes the result of a run from what was recorded. */
+/** Computes the result of a run from the recorded observations. */
 final class SimulationResultFactory {
 
-    /** Weights of the shares in the goal. */
+    /** Weight in the score of the served share of the value. */
     private static final double SERVED_WEIGHT = 0.55;
 
+    /** Weight in the score of the worst window of {@link #WINDOW_SECONDS}. */
     private static final double WORST_WINDOW_WEIGHT = 0.35;
+
+    /** Weight in the score of the worst tenant. */
     private static final double WORST_TENANT_WEIGHT = 0.1;
 
-    /** Prices in shares of the goal, each times its rate. */
+    /** Deduction from the score for one zone crossing per operation. */
     private static final double CROSSING_PRICE = 0.025;
 
+    /** Deduction from the score for one opened connection per operation. */
     private static final double CONNECTION_PRICE = 0.02;
+
+    /** Deduction from the score if all work is wasted. */
     private static final double WASTED_WORK_PRICE = 0.05;
+
+    /** Deduction from the score if the whole value is lost after the latency target. */
     private static final double LATE_LOSS_PRICE = 0.043;
 
     private static final int WINDOW_SECONDS = 10;
 
-    /** Keeps a quotient finite where nothing was offered. */
-    private static final double TINY = 1e-9;
+    /** Smallest divisor; keeps quotients finite if no value was offered. */
+    private static final double EPSILON = 1e-9;
 
     private static final long MAX_LATENCY_MICROS = 60_000_000;
     private static final int LATENCY_DIGITS = 2;
 
     /**
-     * What was recorded.
+     * The recorded observations of a run.
      *
-     * @param heat by second, for each server of the start, requests a core, or -1 while it was down
-     * @param serverZones zone of each server of the start
+     * @param heat requests per core by second and initial server; -1 while the server is not up
+     * @param serverZones zone index of each initial server
      * @param events number of processed events
      */
     record Observations(
@@ -49,13 +57,13 @@
 
     private SimulationResultFactory() {}
 
-    /** The result of a run. */
+    /** Computes the result of a run. */
     static SimulationResult create(
             Scenario scenario, long seed, String policy, Observations observations) {
         ValueAccounting accounting = observations.accounting;
         SimulationResult.Series series = series(accounting);
         double offered = Arrays.stream(series.offered()).sum();
-        double served = Arrays.stream(series.served()).sum() / Math.max(TINY, offered);
+        double served = Arrays.stream(series.served()).sum() / Math.max(EPSILON, offered);
         double worstWindow = worstWindow(series.offered(), series.served());
         double worstTenant = worstTenant(accounting);
         double operations = Math.max(1, accounting.operations());
@@ -65,7 +73,7 @@
                 scenario.name(),
                 seed,
                 policy,
-                goal(served, worstWindow, worstTenant, price),
+                score(served, worstWindow, worstTenant, price),
                 served,
                 worstWindow,
                 worstTenant,
@@ -73,7 +81,7 @@
                 offered,
                 accounting.operations(),
                 losses(accounting),
-                new TreeMap<>(accounting.answers),
+                new TreeMap<>(accounting.unsuccessfulResponses),
                 accounting.attempts() / operations,
                 accounting.zoneCrossings() / operations,
                 accounting.openedConnections() / operations,
@@ -89,7 +97,7 @@
                 observations.events);
     }
 
-    private static double goal(
+    private static double score(
             double served, double worstWindow, double worstTenant, double price) {
         return SERVED_WEIGHT * served
                 + WORST_WINDOW_WEIGHT * worstWindow
@@ -102,7 +110,7 @@
         return CROSSING_PRICE * accounting.zoneCrossings() / operations
                 + CONNECTION_PRICE * accounting.openedConnections() / operations
                 + WASTED_WORK_PRICE * wastedWork
-                + LATE_LOSS_PRICE * accounting.lateValue() / Math.max(TINY, offered);
+                + LATE_LOSS_PRICE * accounting.lateValue() / Math.max(EPSILON, offered);
     }
 
     private static Map<String, SimulationResult.Loss> losses(ValueAccounting accounting) {
--- a/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
+++ b/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
@@ -3,13 +3,14 @@
 import java.util.ArrayDeque;
 
 /**
- * How much a cold server can be sent: within any window of a given length a multiple of its present
- * capacity, which is N requests of the mean work, as no sidecar can know that a request is long.
- * Beyond them, 2 x root of N + 2 are chance.
+ * Limits the number of requests that a cold server can be sent within a sliding window. The limit
+ * is N + 2 sqrt(N) + 2, where N is the number of requests of mean work that a given multiple of the
+ * current capacity completes in the window. Requests are counted instead of work, because no
+ * sidecar can know that a request is long. The terms beyond N allow for random variation.
  */
 public final class SlowStartBudget {
 
-    /** A request of the window; informed: its sidecar knew the server to be new. */
+    /** A request in the window. It is informed if its sidecar knew the server to be new. */
     private record Entry(long atMicros, boolean informed) {}
 
     private final double factor;
@@ -21,9 +22,9 @@
     /**
      * Creates the budget of one server.
      *
-     * @param factor by how many times its present capacity the server may be loaded
-     * @param windowMicros over which the load is counted
-     * @param meanWorkMicros of a request, on a core of speed 1
+     * @param factor multiple of the current capacity up to which the server may be loaded
+     * @param windowMicros length of the window
+     * @param meanWorkMicros mean work of a request, in microseconds on a core of speed 1
      */
     public SlowStartBudget(double factor, long windowMicros, double meanWorkMicros) {
         this.factor = factor;
@@ -31,17 +32,17 @@
         this.meanWorkMicros = meanWorkMicros;
     }
 
-    /** A new process has been sent nothing. */
+    /** Clears the window for a new server process. */
     void clear() {
         window.clear();
         informed = 0;
     }
 
     /**
-     * Records a request; returns whether that is more than the server can handle.
+     * Records a request, and returns whether the window now contains more requests than allowed.
      *
-     * @param senderInformed whether its sidecar knew the server to be new
-     * @param capacity work that the server gets done in a microsecond, as cold as it is now
+     * @param senderInformed whether the sidecar of the request knew the server to be new
+     * @param capacity work that the cold server completes per microsecond at present
      */
     public boolean recordAndCheckExceeded(long nowMicros, boolean senderInformed, double capacity) {
         window.add(new Entry(nowMicros, senderInformed));
@@ -53,7 +54,7 @@
         return window.size() > allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    /** Share of the window's requests from sidecars that knew the server to be new. */
+    /** Returns the share of the requests in the window that informed sidecars sent. */
     public double informedShare() {
         return informed / (double) window.size();
     }
--- a/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
+++ b/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
@@ -3,18 +3,18 @@
 import java.util.function.IntConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Pauses of a process, as of a garbage collector, at random intervals until a given time. */
+/** Schedules pauses of a process at random intervals, like those of a garbage collector. */
 public final class StopTheWorldPauses {
 
     private StopTheWorldPauses() {}
 
     /**
-     * Schedules the pauses; all times in microseconds.
+     * Schedules the pauses.
      *
-     * @param intervalMicros mean time from the end of one pause to the next
-     * @param pauseMicros length of a pause; none where it is 0
-     * @param untilMicros no pause begins later
-     * @param change is given 1 where a pause begins and -1 where it ends
+     * @param intervalMicros mean time from the end of one pause to the start of the next
+     * @param pauseMicros duration of a pause; 0 for no pauses
+     * @param untilMicros time from which no further pause begins
+     * @param change called with 1 when a pause begins and with -1 when it ends
      */
     public static void schedule(
             EventQueue events,
--- a/testbed/src/main/java/sagefall/emulator/TenantQuotas.java
+++ b/testbed/src/main/java/sagefall/emulator/TenantQuotas.java
@@ -1,39 +1,45 @@
 package sagefall.emulator;
 
-/** Which requests are beyond the quota of their tenant: a token bucket of one second for each. */
+/**
+ * Determines which operations are beyond the quota of their tenant. Each tenant has a token bucket,
+ * whose capacity is the quota of one second.
+ */
 final class TenantQuotas {
 
+    /** Time in which an empty bucket fills. */
     private static final double BUCKET_MICROS = 1e6;
 
     private final double[] quotas;
-    private final double[] credits;
-    private long creditedAtMicros = EventQueue.START_MICROS;
+    private final double[] tokens;
+    private long refilledAtMicros = EventQueue.START_MICROS;
 
     /**
-     * Full buckets.
+     * Creates full buckets.
      *
-     * @param quotas by tenant, requests in a microsecond
+     * @param quotas operations per microsecond, by tenant
      */
     TenantQuotas(double[] quotas) {
         this.quotas = quotas;
-        credits = new double[quotas.length];
+        tokens = new double[quotas.length];
         for (int i = 0; i < quotas.length; i++) {
-            credits[i] = quotas[i] * BUCKET_MICROS;
+            tokens[i] = quotas[i] * BUCKET_MICROS;
         }
     }
 
-    /** Records a request; whether it is beyond the quota. */
+    /**
+     * Takes a token from the bucket of the tenant for an operation. Returns true if there was no
+     * token, which means that the operation is beyond the quota.
+     */
     boolean isOverQuota(int tenant, long nowMicros) {
-        double elapsedMicros = nowMicros - creditedAtMicros;
-        creditedAtMicros = nowMicros;
-        for (int i = 0; i < credits.length; i++) {
-            credits[i] =
-                    Math.min(quotas[i] * BUCKET_MICROS, credits[i] + quotas[i] * elapsedMicros);
+        double elapsedMicros = nowMicros - refilledAtMicros;
+        refilledAtMicros = nowMicros;
+        for (int i = 0; i < tokens.length; i++) {
+            tokens[i] = Math.min(quotas[i] * BUCKET_MICROS, tokens[i] + quotas[i] * elapsedMicros);
         }
-        if (credits[tenant] < 1) {
+        if (tokens[tenant] < 1) {
             return true;
         }
-        credits[tenant]--;
+        tokens[tenant]--;
         return false;
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
+++ b/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
@@ -9,7 +9,10 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.TenantSettings;
 
-/** How the traffic is spread over sidecars and tenants. */
+/**
+ * Distributes the traffic over sidecars and tenants by randomly drawn weights, multiplied by
+ * factors that faults change.
+ */
 final class TrafficWeights {
 
     private final List<? extends SidecarHandle> sidecars;
@@ -20,16 +23,18 @@
     private SharedStateDiscreteSampler tenantSampler;
     private double totalFactor = 1;
 
-    /** Factors of the traffic by zone of the sidecar; {@link #update()} puts them into effect. */
+    /** Factor of the traffic of each zone. Changes take effect when {@link #update()} is called. */
     final double[] zoneFactors;
 
-    /** Factors of the traffic by tenant; {@link #update()} puts them into effect. */
+    /**
+     * Factor of the traffic of each tenant. Changes take effect when {@link #update()} is called.
+     */
     final double[] tenantFactors;
 
     /**
-     * Draws the weights of a run.
+     * Draws the weights for a run.
      *
-     * @param random what sidecars and tenants are sampled with
+     * @param random random stream for the sampling of sidecars and tenants
      */
     TrafficWeights(
             Scenario scenario,
@@ -83,7 +88,7 @@
         return weights;
     }
 
-    /** Puts changed factors into effect. */
+    /** Applies changes of {@link #zoneFactors} and {@link #tenantFactors}. */
     void update() {
         double[] sidecarWeights = bySidecar.clone();
         double sidecarSum = 0;
@@ -106,7 +111,7 @@
         tenantSampler = AliasMethodDiscreteSampler.of(random, tenantWeights);
     }
 
-    /** By how much all factors together change the rate of all traffic. */
+    /** Returns the factor by which the zone and tenant factors together change the total rate. */
     double totalFactor() {
         return totalFactor;
     }
--- a/testbed/src/main/java/sagefall/emulator/UnevenShares.java
+++ b/testbed/src/main/java/sagefall/emulator/UnevenShares.java
@@ -2,12 +2,14 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Unequal shares with the sum 1. */
+/** Draws unequal shares whose sum is 1. */
 final class UnevenShares {
 
     private UnevenShares() {}
 
-    /** Draws shares with the sum 1; a skew of 0 makes them equal, one of 1 very different. */
+    /**
+     * Draws shares whose sum is 1. A skew of 0 gives equal shares, a skew of 1 very unequal ones.
+     */
     static double[] draw(int count, double skew, UniformRandomProvider random) {
         double[] shares = new double[count];
         double sum = 0;
--- a/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
+++ b/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
@@ -5,19 +5,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The value of the operations of a run, how much of it was earned, and the causes of the losses. An
- * operation within its tenant's quota has the value 1. Seconds are those of its arrival, zones
- * those of its sidecar.
+ * Records the value of the operations of a run, how much of it was served, and the causes of the
+ * losses. An operation within the quota of its tenant has the value 1. An operation is counted in
+ * the second of its arrival and in the zone of its sidecar.
  */
 public final class ValueAccounting {
 
-    /** Value and number of operations. */
+    /** Sum of the values and number of operations. */
     static final class Sum {
         private double value;
         private long count;
 
-        void add(double more) {
-            value += more;
+        void add(double amount) {
+            value += amount;
             count++;
         }
 
@@ -41,16 +41,16 @@
     /** Value that arrived, by second and zone. */
     final double[][] offered;
 
-    /** Value that was served within the latency objective, by second and zone. */
+    /** Value that was served within the latency target, by second and zone. */
     final double[][] served;
 
-    /** Latencies by second and zone, in microseconds; null where there was none. */
+    /** Latencies by second and zone, in microseconds; null if no response was recorded. */
     final Histogram[][] latency;
 
     /** Lost value, by cause. */
     final Map<String, Sum> lost = new TreeMap<>();
 
-    /** Lost value of tenants beyond their quota, by cause. */
+    /** Lost value of operations beyond the quota of their tenant, by cause. */
     final Map<String, Sum> lostOverQuota = new TreeMap<>();
 
     /** Lost value by cause and second. */
@@ -59,13 +59,17 @@
     /** Lost value by cause and zone. */
     final Map<String, double[]> lostByZone = new TreeMap<>();
 
-    /** Every rejection and failure by its words, those that were retried included. */
-    final Map<String, Long> answers = new TreeMap<>();
+    /**
+     * Number of unsuccessful responses by label, including those after which the client retried.
+     */
+    final Map<String, Long> unsuccessfulResponses = new TreeMap<>();
 
-    /** Operations within the quota, by tenant. */
+    /** Number of operations within the quota, by tenant. */
     final double[] tenantOffered;
 
-    /** Operations within the quota that were served, by tenant. */
+    /**
+     * Number of operations within the quota that were served within the latency target, by tenant.
+     */
     final double[] tenantServed;
 
     /** All latencies, in microseconds. */
@@ -80,7 +84,7 @@
     private double lateValue;
 
     /**
-     * Nothing has been recorded.
+     * Creates the accounting of a run in which no operation has arrived yet.
      *
      * @param overQuotaWeight value of an operation beyond its tenant's quota
      */
@@ -118,7 +122,7 @@
         }
     }
 
-    /** Served within the latency objective. */
+    /** Records an operation that was served within the latency target. */
     void recordServed(ClientOperation operation) {
         served[second(operation)][zone(operation)] += value(operation);
         if (!operation.overQuota) {
@@ -126,22 +130,25 @@
         }
     }
 
-    /** A response of a server, in time or not, in microseconds after the client's first request. */
+    /**
+     * Records the time from the client's first request to the response of a served operation, even
+     * if the response is late.
+     */
     void recordLatency(ClientOperation operation, long micros) {
         long bounded = Math.min(micros, MAX_LATENCY_MICROS);
         allLatencies.recordValue(bounded);
-        Histogram[] bySecond = latency[second(operation)];
+        Histogram[] byZone = latency[second(operation)];
         int zone = zone(operation);
-        if (bySecond[zone] == null) {
-            bySecond[zone] = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS_BY_SECOND);
+        if (byZone[zone] == null) {
+            byZone[zone] = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS_BY_SECOND);
         }
-        bySecond[zone].recordValue(bounded);
+        byZone[zone].recordValue(bounded);
     }
 
     /**
-     * Not served, or too late.
+     * Records an operation that was not served within the latency target.
      *
-     * @param late whether the client knows it only after the latency objective
+     * @param late whether the operation ended after the latency target
      */
     void recordLoss(ClientOperation operation, String cause, boolean late) {
         double value = value(operation);
@@ -154,17 +161,17 @@
         lateValue += late ? value : 0;
     }
 
-    /** A rejection or failure of one request. */
-    void recordAnswer(String word) {
-        answers.merge(word, 1L, Long::sum);
+    /** Records an unsuccessful response to one request. */
+    void recordUnsuccessfulResponse(String label) {
+        unsuccessfulResponses.merge(label, 1L, Long::sum);
     }
 
-    /** Operations that arrived. */
+    /** Returns the number of operations that arrived. */
     long operations() {
         return operations;
     }
 
-    /** Value that was lost after the latency objective. */
+    /** Returns the value of operations that were lost after the latency target. */
     double lateValue() {
         return lateValue;
     }
@@ -181,7 +188,7 @@
         workDone += micros;
     }
 
-    /** Work whose response no client has got. */
+    /** Adds work whose response no client received. */
     void addWorkWasted(double micros) {
         workWasted += micros;
     }
--- a/testbed/src/main/java/sagefall/emulator/WarmUp.java
+++ b/testbed/src/main/java/sagefall/emulator/WarmUp.java
@@ -1,22 +1,25 @@
 package sagefall.emulator;
 
-/** How much of its capacity a server has after a cold start. */
+/** Computes the share of its full capacity that a server has after a cold start. */
 final class WarmUp {
 
-    /** Where work warms as well: share of a warm server's work in the time of the slow start. */
+    /**
+     * Work after which a server is warm, as a share of the work that a warm server could complete
+     * during the slow start.
+     */
     private static final double WARM_WORK_SHARE = 0.3;
 
-    private static final long LONG_AGO = 0;
+    private static final long NOT_RESTARTED = 0;
 
     private final ServerSpec spec;
-    private long startedAtMicros = LONG_AGO;
+    private long startedAtMicros = NOT_RESTARTED;
     private double workDoneMicros;
 
     WarmUp(ServerSpec spec) {
         this.spec = spec;
     }
 
-    /** A new process is cold and has done no work. */
+    /** Restarts the warm-up for a new process, which is cold. */
     void restart(long nowMicros) {
         startedAtMicros = nowMicros;
         workDoneMicros = 0;
@@ -28,12 +31,15 @@
     }
 
     boolean isWarmingUp(long nowMicros) {
-        return startedAtMicros != LONG_AGO && capacityShare(nowMicros) < 1;
+        return startedAtMicros != NOT_RESTARTED && capacityShare(nowMicros) < 1;
     }
 
-    /** From the initial share to 1, linearly in time or, if that is sooner, in the work done. */
+    /**
+     * Returns the share of the full capacity at the given time. The share grows from its initial
+     * value to 1, linearly with time or with the work done, whichever gives the larger share.
+     */
     double capacityShare(long atMicros) {
-        if (startedAtMicros == LONG_AGO) {
+        if (startedAtMicros == NOT_RESTARTED) {
             return 1;
         }
         double byTime = (atMicros - startedAtMicros) / (double) Math.max(1, spec.slowStartMicros());
--- a/testbed/src/main/java/sagefall/emulator/WorkDistribution.java
+++ b/testbed/src/main/java/sagefall/emulator/WorkDistribution.java
@@ -3,7 +3,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** The work of requests. */
+/** Draws the work of requests. */
 final class WorkDistribution {
 
     private final String shape;
@@ -13,11 +13,11 @@
     private final ZigguratSampler.NormalizedGaussian gaussian;
 
     /**
-     * A distribution.
+     * Creates a distribution.
      *
      * @param shape constant, exponential or lognormal
      * @param meanMicros mean, in microseconds on a core of speed 1
-     * @param variation coefficient of variation, which only lognormal uses
+     * @param variation coefficient of variation, used by lognormal only
      */
     WorkDistribution(
             String shape, double meanMicros, double variation, UniformRandomProvider random) {
--- a/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
+++ b/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
@@ -17,15 +17,15 @@
 import sagefall.scenario.ScenarioRunner;
 
 /**
- * The emulator's figures of the shipped scenarios, to the last digit, as the build of commit
- * 732727c gave them. By default one seed of three scenarios is played; all days are played by
+ * Compares the emulator's figures of the shipped scenarios, to the last digit, with those of the
+ * build of commit 732727c. By default one seed of three scenarios is run. To make all runs, use
  *
  * <pre>
- * mvn -B -ntp verify -pl lab -am -Dtest=GoldenFiguresTest -Dsurefire.failIfNoSpecifiedTests=false \
- *     -Dgolden.figures=all
+ * mvn -B -ntp verify -pl testbed -am -Dtest=GoldenFiguresTest \
+ *     -Dsurefire.failIfNoSpecifiedTests=false -Dgolden.figures=all
  * </pre>
  *
- * <p>{@code -Dgolden.threads=N} sets how many days are played at a time.
+ * <p>{@code -Dgolden.threads=N} sets the number of concurrent runs.
  */
 class GoldenFiguresTest {
 
@@ -36,7 +36,10 @@
     private static final int THREADS =
             Integer.getInteger(
                     "golden.threads", Math.max(1, Runtime.getRuntime().availableProcessors() / 2));
-    private static final int DAYS = 40;
+
+    /** Number of runs in the resource, over all scenarios. */
+    private static final int RUNS = 40;
+
     private static final List<String> DEFAULT_SCENARIOS = List.of("calm", "roll", "herd");
     private static final long DEFAULT_SEED = 1;
 
@@ -102,35 +105,38 @@
     }
 
     @Test
-    void resourceNamesEachShippedDayOnce() throws IOException {
+    void resourceContainsEachRunOfTheShippedScenariosOnce() throws IOException {
         List<String> expected = new ArrayList<>();
         for (String scenario : Scenario.EMULATOR_NAMES) {
-            for (int seed = 1; seed <= DAYS / Scenario.EMULATOR_NAMES.size(); seed++) {
+            for (int seed = 1; seed <= RUNS / Scenario.EMULATOR_NAMES.size(); seed++) {
                 expected.add(scenario + " " + seed);
             }
         }
-        assertEquals(expected, read().stream().map(day -> day.scenario + " " + day.seed).toList());
+        assertEquals(
+                expected,
+                read().stream().map(golden -> golden.scenario + " " + golden.seed).toList());
     }
 
     @Test
-    void figuresAreTheSameToTheLastDigit() throws Exception {
-        List<Golden> days = read().stream().filter(day -> ALL || day.isDefault()).toList();
-        assertFalse(days.isEmpty());
+    void figuresMatchResourceToTheLastDigit() throws Exception {
+        List<Golden> expected =
+                read().stream().filter(golden -> ALL || golden.isDefault()).toList();
+        assertFalse(expected.isEmpty());
         List<SimulationRequest> requests = new ArrayList<>();
-        for (Golden day : days) {
+        for (Golden golden : expected) {
             Scenario scenario =
-                    Scenario.load(day.scenario, List.of())
+                    Scenario.load(golden.scenario, List.of())
                             .requireSupportedBy(ScenarioRunner.EMULATOR);
-            requests.add(new SimulationRequest(scenario, day.seed, POLICY));
+            requests.add(new SimulationRequest(scenario, golden.seed, POLICY));
         }
         List<SimulationResult> results =
                 new ParallelSimulations(THREADS, Path.of("."), null).runAll(requests, result -> {});
         List<String> mismatches = new ArrayList<>();
-        for (int i = 0; i < days.size(); i++) {
-            mismatches.addAll(days.get(i).mismatches(Golden.of(results.get(i))));
+        for (int i = 0; i < expected.size(); i++) {
+            mismatches.addAll(expected.get(i).mismatches(Golden.of(results.get(i))));
         }
-        assertEquals(days.size(), results.size());
+        assertEquals(expected.size(), results.size());
         assertEquals(List.of(), mismatches, () -> String.join("\n", mismatches));
-        System.out.println("golden figures: " + days.size() + " days are the same");
+        System.out.println("golden figures: " + expected.size() + " runs match");
     }
 }
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -29,9 +29,13 @@
 import sagefall.policy.Policy;
 import sagefall.scenario.Scenario;
 
-/** Each invariant has a mutant that breaks it and is detected; the load balancer breaks none. */
+/**
+ * Checks that the invariant checker detects the breach of each invariant, using policies that are
+ * mutated to break one invariant, and that the load balancer breaks no invariant.
+ */
 class InvariantCheckerTest {
 
+    /** Returns a scenario with the draining, cold and failing servers that the mutants need. */
     private static Scenario scenario() throws Exception {
         return Scenario.read(
                 "rules.toml",
@@ -57,60 +61,82 @@
                 List.of());
     }
 
-    /** An instance of random choice that a mutation comes before. */
+    /** Wraps the random policy and replaces some of its decisions to break an invariant. */
     private static final class Mutant implements InvocationHandler {
+        /**
+         * Each request whose number is a multiple of this is mutated, unless the mutation concerns
+         * all requests.
+         */
+        private static final int MUTATION_INTERVAL = 20;
+
+        private static final long UNLISTED_SERVER = 7;
+
+        /**
+         * The mutant for {@link Rule#ATTEMPTS} retries until an attempt with this number has ended.
+         */
+        private static final int ATTEMPT_NUMBER_LIMIT = 7;
+
         private final Rule rule;
         private final LoadBalancer inner;
         private final BalancerActions actions;
-        private final Map<String, Long> mutated = new HashMap<>();
+        private final Map<String, Long> mutatedRequests = new HashMap<>();
         private int requests;
-        private long newest;
-        private long oldest;
+        private long newestReadyServer;
+        private long drainingServer;
 
-        /** Whether the mutation took the event's place; what it began it also ends. */
-        private boolean mutated(String event, Object[] arguments) {
+        /**
+         * Handles an event in place of the wrapped policy if the mutation concerns the event, and
+         * returns whether it did. For a request that the mutant has sent, the mutant also handles
+         * the outcomes and sends the final response.
+         */
+        private boolean replaceEvent(String event, Object[] arguments) {
             if (event.equals("onEndpointList")) {
-                for (Object line : (List<?>) arguments[2]) {
-                    ListedEndpoint s = (ListedEndpoint) line;
-                    newest =
-                            s.startMicros() > 0 && s.phase() == EndpointPhase.READY
-                                    ? s.id()
-                                    : newest;
-                    oldest = s.phase() == EndpointPhase.DRAINING ? s.id() : oldest;
+                for (Object element : (List<?>) arguments[2]) {
+                    ListedEndpoint endpoint = (ListedEndpoint) element;
+                    newestReadyServer =
+                            endpoint.startMicros() > 0 && endpoint.phase() == EndpointPhase.READY
+                                    ? endpoint.id()
+                                    : newestReadyServer;
+                    drainingServer =
+                            endpoint.phase() == EndpointPhase.DRAINING
+                                    ? endpoint.id()
+                                    : drainingServer;
                 }
                 return false;
             }
             if (event.equals("onRequest")) {
                 String id = ((Request) arguments[1]).id();
-                boolean some = ++requests % 20 == 0;
+                boolean selected = ++requests % MUTATION_INTERVAL == 0;
                 return switch (rule) {
-                    case ONE_ANSWER -> some;
-                    case DRAIN, ATTEMPTS -> some && sent(id, oldest);
-                    case COLD -> sent(id, newest);
-                    case LISTED -> some && sent(id, 7);
+                    case ONE_ANSWER -> selected;
+                    case DRAIN, ATTEMPTS -> selected && sendMutated(id, drainingServer);
+                    case COLD -> sendMutated(id, newestReadyServer);
+                    case LISTED -> selected && sendMutated(id, UNLISTED_SERVER);
                     case EFFECT -> false;
                 };
             }
             if (!event.equals("onAttemptOutcome")) {
                 return false;
             }
-            AttemptOutcome o = (AttemptOutcome) arguments[1];
-            if (rule == Rule.EFFECT && o.result() == AttemptResult.ERROR && !o.closed()) {
-                actions.reject(o.requestId(), 0, RejectionReason.NOT_RETRYABLE);
+            AttemptOutcome outcome = (AttemptOutcome) arguments[1];
+            if (rule == Rule.EFFECT
+                    && outcome.result() == AttemptResult.ERROR
+                    && !outcome.closed()) {
+                actions.reject(outcome.requestId(), 0, RejectionReason.NOT_RETRYABLE);
                 return true;
             }
-            if (mutated.containsKey(o.requestId()) && !o.closed()) {
-                if (rule == Rule.ATTEMPTS && o.attempt() < 7) {
-                    return sent(o.requestId(), o.endpoint());
+            if (mutatedRequests.containsKey(outcome.requestId()) && !outcome.closed()) {
+                if (rule == Rule.ATTEMPTS && outcome.attempt() < ATTEMPT_NUMBER_LIMIT) {
+                    return sendMutated(outcome.requestId(), outcome.endpoint());
                 }
-                actions.fail(o.requestId(), RejectionReason.NOT_RETRYABLE);
+                actions.fail(outcome.requestId(), RejectionReason.NOT_RETRYABLE);
             }
-            return mutated.containsKey(o.requestId());
+            return mutatedRequests.containsKey(outcome.requestId());
         }
 
-        private boolean sent(String id, long server) {
+        private boolean sendMutated(String id, long server) {
             if (server != 0) {
-                mutated.put(id, server);
+                mutatedRequests.put(id, server);
                 actions.send(id, server, 0, Long.MAX_VALUE);
             }
             return server != 0;
@@ -124,7 +150,7 @@
 
         @Override
         public Object invoke(Object proxy, Method method, Object[] arguments) throws Throwable {
-            if (!mutated(method.getName(), arguments)
+            if (!replaceEvent(method.getName(), arguments)
                     || method.getName().equals("onEndpointList")) {
                 try {
                     method.invoke(inner, arguments);
@@ -164,11 +190,11 @@
 
     @ParameterizedTest
     @EnumSource(Rule.class)
-    void mutantIsDetected(Rule rule) throws Exception {
-        SimulationResult r = new FleetSimulation(scenario(), 3, mutant(rule)).run();
+    void breachOfEachInvariantIsDetected(Rule rule) throws Exception {
+        SimulationResult result = new FleetSimulation(scenario(), 3, mutant(rule)).run();
         assertTrue(
-                r.breaches().stream().anyMatch(b -> b.rule() == rule),
-                rule + " not among " + r.breachCount());
+                result.breaches().stream().anyMatch(breach -> breach.rule() == rule),
+                rule + " is not among the recorded breaches; total: " + result.breachCount());
     }
 
     @Test
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -12,7 +12,7 @@
 import sagefall.policy.BaselinePolicies;
 import sagefall.scenario.Scenario;
 
-/** Parts of the emulator against results that are known from theory. */
+/** Compares parts of the emulator with results that can be computed from theory. */
 class KnownResultsTest {
 
     private final EventQueue events = new EventQueue();
@@ -67,60 +67,61 @@
         assertTrue(server.accept(attempt));
     }
 
-    /** M/M/c: the mean wait is Erlang's C formula's. */
+    /** The mean wait in an M/M/c queue is given by the Erlang C formula. */
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.8", "2, 0.7", "4, 0.8"})
-    void queueingTimesMatchErlangC(int c, double use) {
+    void meanWaitMatchesErlangC(int cores, double utilization) {
         UniformRandomProvider random = new RandomStreams(5).stream("test");
-        EmulatedServer server = server(c, 1, 0);
-        double service = 10_000;
-        double between = service / (c * use);
+        EmulatedServer server = server(cores, 1, 0);
+        double serviceMicros = 10_000;
+        double interarrivalMicros = serviceMicros / (cores * utilization);
         int count = 200_000;
-        double at = events.now();
+        double atMicros = events.now();
         for (int i = 0; i < count; i++) {
-            at -= between * Math.log(1 - random.nextDouble());
-            double work = -service * Math.log(1 - random.nextDouble());
-            events.scheduleAt((long) at, () -> send(server, work));
+            atMicros -= interarrivalMicros * Math.log(1 - random.nextDouble());
+            double workMicros = -serviceMicros * Math.log(1 - random.nextDouble());
+            events.scheduleAt((long) atMicros, () -> send(server, workMicros));
         }
-        events.runUntil((long) at + 100_000_000);
-        double sum = 0;
+        events.runUntil((long) atMicros + 100_000_000);
+        double waitSumMicros = 0;
         for (int i = 0; i < count; i++) {
-            sum += doneAt.get(i) - done.get(i).startedAtMicros - done.get(i).workMicros;
+            waitSumMicros += doneAt.get(i) - done.get(i).startedAtMicros - done.get(i).workMicros;
         }
-        double load = c * use;
-        double inverse = 0;
+        double offeredLoad = cores * utilization;
+        double sumOfTerms = 0;
         double term = 1;
-        for (int k = 0; k < c; k++) {
-            inverse += term;
-            term *= load / (k + 1);
+        for (int k = 0; k < cores; k++) {
+            sumOfTerms += term;
+            term *= offeredLoad / (k + 1);
         }
-        double queued = term / (1 - use) / (inverse + term / (1 - use));
-        double expected = queued * service / (c * (1 - use));
-        assertEquals(expected, sum / count, 0.05 * expected);
+        double waitProbability =
+                term / (1 - utilization) / (sumOfTerms + term / (1 - utilization));
+        double expectedMicros = waitProbability * serviceMicros / (cores * (1 - utilization));
+        assertEquals(expectedMicros, waitSumMicros / count, 0.05 * expectedMicros);
     }
 
     /**
-     * A cold server's work is the integral of its ramp: (from + 1) / 2 of the time it is cold, then
-     * all.
+     * The work that a server completes after a cold start is the integral of its capacity. During
+     * the slow start this is (initial share + 1) / 2 of the work that a warm server would complete.
      */
     @Test
-    void slowStartDoesTheWorkOfItsRamp() {
+    void workAfterColdStartMatchesIntegralOfCapacity() {
         EmulatedServer server = server(1, 0.4, 8_000_000);
         server.start();
-        long started = events.now();
+        long startedAtMicros = events.now();
         send(server, 0.7 * 8_000_000);
         send(server, 1_000_000);
-        events.runUntil(started + 20_000_000);
-        assertEquals(8_000_000.0, (double) (doneAt.get(0) - started), 2);
-        assertEquals(9_000_000.0, (double) (doneAt.get(1) - started), 4);
+        events.runUntil(startedAtMicros + 20_000_000);
+        assertEquals(8_000_000.0, (double) (doneAt.get(0) - startedAtMicros), 2);
+        assertEquals(9_000_000.0, (double) (doneAt.get(1) - startedAtMicros), 4);
     }
 
     /**
-     * While a zone is cut off nothing is answered across the cut, and requests within the zones are
-     * not affected.
+     * While a zone is cut off, no request to the other zone is served, and requests within a zone
+     * are not affected.
      */
     @Test
-    void cutLossesMatchItsDuration() throws Exception {
+    void requestsToOtherZoneAreLostOnlyDuringCut() throws Exception {
         Scenario scenario =
                 Scenario.read(
                         "cut.toml",
@@ -153,12 +154,14 @@
                         for_s = 3
                         """,
                         List.of());
-        SimulationResult r = new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).run();
+        SimulationResult result =
+                new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).run();
         for (int second = 0; second < 12; second++) {
-            double lost = 1 - r.series().served()[second] / r.series().offered()[second];
+            double lost =
+                    1 - result.series().served()[second] / result.series().offered()[second];
             boolean cut = second >= 4 && second < 7;
-            // Random choice sends half across; a request just before the cut may still be on its
-            // way.
+            // Random choice sends half of the requests to the other zone; a request that was sent
+            // just before the cut may be lost as well.
             assertEquals(cut ? 0.5 : 0, lost, cut ? 0.15 : 0.02, "second " + second);
         }
     }
--- a/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -12,8 +12,8 @@
 import sagefall.scenario.Scenario;
 
 /**
- * The shipped scenarios with fixed seeds: no invariant is broken, and results are the same to the
- * bit on any number of threads.
+ * Runs the shipped scenarios with fixed seeds. No invariant may be broken, and the results must be
+ * identical, to the last digit, for any number of threads.
  */
 class ShippedScenariosTest {
 
@@ -28,40 +28,50 @@
     }
 
     @Test
-    void noInvariantIsBrokenAndMostIsServed() throws Exception {
-        for (SimulationResult r : run(4, List.of("module"))) {
-            assertEquals(List.of(), r.breaches(), r.scenario());
-            assertTrue(r.served() > 0.4, r.scenario() + ": " + r.served());
+    void shippedScenariosBreakNoInvariantAndLossesSumToUnservedValue() throws Exception {
+        for (SimulationResult result : run(4, List.of("module"))) {
+            assertEquals(List.of(), result.breaches(), result.scenario());
+            assertTrue(
+                    result.served() > 0.4,
+                    result.scenario() + ": served share " + result.served());
             double lost =
-                    r.lost().values().stream().mapToDouble(SimulationResult.Loss::value).sum();
+                    result.lost().values().stream().mapToDouble(SimulationResult.Loss::value).sum();
             assertEquals(
-                    r.offeredValue() * (1 - r.served()),
+                    result.offeredValue() * (1 - result.served()),
                     lost,
-                    1e-6 * r.offeredValue(),
-                    "each loss has a cause");
+                    1e-6 * result.offeredValue(),
+                    result.scenario() + ": sum of the lost values by cause");
         }
     }
 
     @Test
-    void resultsAreTheSameOnAnyNumberOfThreads() throws Exception {
+    void resultsAreIdenticalForAnyNumberOfThreads() throws Exception {
         List<SimulationRequest> requests = new ArrayList<>();
         for (long seed = 1; seed <= 8; seed++) {
             requests.add(new SimulationRequest(Scenario.load("flap", List.of()), seed, "module"));
         }
-        List<String> one =
+        List<String> figuresOnOneThread =
                 new ParallelSimulations(1, Path.of(".."), null)
-                        .runAll(requests, r -> {}).stream()
+                        .runAll(requests, result -> {}).stream()
                                 .map(ShippedScenariosTest::figures)
                                 .toList();
         assertEquals(
-                one,
+                figuresOnOneThread,
                 new ParallelSimulations(8, Path.of(".."), null)
-                        .runAll(requests, r -> {}).stream()
+                        .runAll(requests, result -> {}).stream()
                                 .map(ShippedScenariosTest::figures)
                                 .toList());
     }
 
-    private static String figures(SimulationResult r) {
-        return r.g() + " " + r.events() + " " + r.lost() + " " + r.latency() + " " + r.answers();
+    private static String figures(SimulationResult result) {
+        return result.g()
+                + " "
+                + result.events()
+                + " "
+                + result.lost()
+                + " "
+                + result.latency()
+                + " "
+                + result.answers();
     }
 }
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
@@ -21,7 +21,7 @@
 import sagefall.policy.PolicyRegistry;
 import sagefall.scenario.Scenario;
 
-/** The words of {@code days.jsonl} and of the tables that come from names of enums. */
+/** Checks the keys and labels in {@code days.jsonl} and in tables, which must not change. */
 class SimulationResultWordsTest {
 
     private static final long SECOND = 1_000_000;
@@ -65,17 +65,20 @@
 
         @Override
         public void submit(ClientRequest request, boolean markedAsRetry) {
-            throw new AssertionError("retried");
+            throw new AssertionError("unexpected retry");
         }
 
         @Override
         public void disconnectClient(ClientRequest request) {
-            throw new AssertionError("disconnected");
+            throw new AssertionError("unexpected disconnect");
         }
     }
 
-    /** The accounting once a request, too late for a retry, has got that answer. */
-    private static ValueAccounting accountingAfter(ClientAnswer answer, RejectionReason reason)
+    /**
+     * Returns the accounting after the given final response to a request whose client does not
+     * retry, because the deadline of the operation has passed.
+     */
+    private static ValueAccounting accountingAfter(ClientAnswer response, RejectionReason reason)
             throws Exception {
         Scenario scenario = Scenario.load("calm", List.of());
         EventQueue events = new EventQueue();
@@ -116,7 +119,7 @@
                         operation,
                         EventQueue.START_MICROS,
                         EventQueue.START_MICROS + SECOND);
-        traffic.deliverAnswer(request, answer, reason, 0);
+        traffic.deliverAnswer(request, response, reason, 0);
         events.runUntil(EventQueue.START_MICROS + SECOND);
         return accounting;
     }
@@ -144,15 +147,15 @@
         "FAILED, RETRY_BUDGET, failed retry_budget",
         "FAILED, , unanswered"
     })
-    void wordsOfAnswersAndCausesOfLoss(ClientAnswer answer, RejectionReason reason, String word)
-            throws Exception {
-        ValueAccounting accounting = accountingAfter(answer, reason);
-        assertEquals(Map.of(word, 1L), accounting.answers);
-        assertEquals(List.of(word), List.copyOf(accounting.lost.keySet()));
+    void lossIsRecordedUnderLabelOfResponseAndReason(
+            ClientAnswer response, RejectionReason reason, String label) throws Exception {
+        ValueAccounting accounting = accountingAfter(response, reason);
+        assertEquals(Map.of(label, 1L), accounting.unsuccessfulResponses);
+        assertEquals(List.of(label), List.copyOf(accounting.lost.keySet()));
     }
 
     @Test
-    void allAnswersAndReasonsAreCovered() {
+    void labelsOfResponsesAndReasonsDoNotChange() {
         assertEquals(
                 List.of("served", "refused", "failed"),
                 Arrays.stream(ClientAnswer.values()).map(ClientAnswer::label).toList());
@@ -171,7 +174,7 @@
     }
 
     @Test
-    void wordsOfFaults() throws Exception {
+    void labelsOfFaultsDoNotChange() throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
@@ -183,14 +186,14 @@
         }
     }
 
-    /** The keys of {@code days.jsonl}, which scripts read. */
+    /** Checks the keys of the lines of {@code days.jsonl}, which scripts read. */
     @Test
-    void keysOfResultLines() throws Exception {
+    void keysOfResultLinesDoNotChange() throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "calm", List.of("fleet.servers=12", "fleet.sidecars=4", "seconds=31"));
         try (Policy policy = PolicyRegistry.of("module", Path.of("."))) {
-            JsonNode day =
+            JsonNode line =
                     new ObjectMapper().valueToTree(new FleetSimulation(scenario, 1, policy).run());
             assertEquals(
                     List.of(
@@ -219,12 +222,12 @@
                             "breaches",
                             "breachCount",
                             "events"),
-                    keys(day));
-            assertEquals(List.of("what", "from", "to"), keys(day.path("troubles").path(0)));
-            assertEquals(List.of("p50", "p95", "p99"), keys(day.path("latency")));
+                    keys(line));
+            assertEquals(List.of("what", "from", "to"), keys(line.path("troubles").path(0)));
+            assertEquals(List.of("p50", "p95", "p99"), keys(line.path("latency")));
             assertEquals(
                     List.of("worth", "count", "beyondShareWorth"),
-                    keys(day.path("lost").elements().next()));
+                    keys(line.path("lost").elements().next()));
             assertEquals(
                     List.of(
                             "asked",
@@ -237,7 +240,7 @@
                             "zoneServed",
                             "zoneP95",
                             "lostByZone"),
-                    keys(day.path("series")));
+                    keys(line.path("series")));
         }
     }
 
@@ -247,9 +250,12 @@
         return keys;
     }
 
-    /** Written as they are, to {@code days.jsonl} and after {@code BROKEN}. */
+    /**
+     * Checks the names of invariants, which are written to {@code days.jsonl} and, in the output of
+     * commands, after {@code BROKEN}.
+     */
     @Test
-    void namesOfInvariants() {
+    void namesOfInvariantsDoNotChange() {
         assertEquals(
                 List.of("ONE_ANSWER", "EFFECT", "DRAIN", "COLD", "LISTED", "ATTEMPTS"),
                 Arrays.stream(InvariantChecker.Rule.values()).map(String::valueOf).toList());
