--- a/testbed/src/main/java/sagefall/faultinjection/Addresses.java
+++ b/testbed/src/main/java/sagefall/faultinjection/Addresses.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** The loopback addresses of a run: each sidecar has a block, with an address for each link. */
+/** Assigns the loopback addresses of a run: a /16 block per sidecar with one address per link. */
 final class Addresses {
 
     private static final int LOOPBACK = 127;
@@ -15,28 +15,29 @@
 
     private Addresses() {}
 
-    /** Where a sidecar listens. */
+    /** Returns the address that a sidecar listens on. */
     static InetAddress listener(int sidecar) throws UnknownHostException {
         return address(sidecar, LISTENER_BLOCK, 1);
     }
 
-    /** The link from a sidecar to its discovery agent. */
+    /** Returns the address of the link from a sidecar to its discovery agent. */
     static InetAddress discoveryLink(int sidecar) throws UnknownHostException {
         return address(sidecar, DISCOVERY_BLOCK, 1);
     }
 
-    /** The link from a sidecar to the server at a slot. */
+    /** Returns the address of the link from a sidecar to the server in a slot. */
     static InetAddress serverLink(int sidecar, int slot) throws UnknownHostException {
         return address(sidecar, slot / SERVERS_PER_BLOCK, 1 + slot % SERVERS_PER_BLOCK);
     }
 
-    private static InetAddress address(int sidecar, int high, int low) throws UnknownHostException {
+    private static InetAddress address(int sidecar, int block, int host)
+            throws UnknownHostException {
         return InetAddress.getByAddress(
-                new byte[] {LOOPBACK, (byte) (FIRST_BLOCK + sidecar), (byte) high, (byte) low});
+                new byte[] {LOOPBACK, (byte) (FIRST_BLOCK + sidecar), (byte) block, (byte) host});
     }
 
-    /** Host and port, as configurations have it. */
-    static String text(InetSocketAddress at) {
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+    /** Formats an address as {@code host:port}, the format in configurations. */
+    static String hostAndPort(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
+++ b/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
@@ -10,8 +10,8 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * The endpoint list that discovery's agent on the machine of one sidecar has. It is read as a
- * sidecar starts, in another thread than the one that updates it.
+ * The endpoint list of the discovery agent beside one sidecar. It is synchronized, because the
+ * thread that starts the sidecar reads it while the event loop of the run updates it.
  */
 final class AgentEndpointList {
 
@@ -29,12 +29,15 @@
         this.sidecar = sidecar;
     }
 
-    /** The complete list, as a sidecar's configuration has it. */
-    synchronized ObjectNode complete() {
+    /** Returns the complete list in the format of a sidecar's configuration. */
+    synchronized ObjectNode completeList() {
         return StandInCommands.endpointList(revision, true, listed.values());
     }
 
-    /** Takes in a list, and returns it with the next revision, as the agent gets it. */
+    /**
+     * Applies a complete list or changes, and returns them with the next revision in the format of
+     * the agent.
+     */
     synchronized ObjectNode update(EndpointListKind kind, List<ListedEndpoint> endpoints) {
         revision++;
         if (kind != EndpointListKind.CHANGES) {
@@ -42,7 +45,7 @@
         }
         Map<Long, ObjectNode> changed = new LinkedHashMap<>();
         for (ListedEndpoint endpoint : endpoints) {
-            ObjectNode target = target(endpoint);
+            ObjectNode target = toTarget(endpoint);
             changed.put(endpoint.id(), target);
             if (endpoint.phase() == EndpointPhase.REMOVED) {
                 listed.remove(endpoint.id());
@@ -54,14 +57,17 @@
                 revision, kind != EndpointListKind.CHANGES, changed.values());
     }
 
-    /** An endpoint as this sidecar sees it, whose link to the server is its own. */
-    private ObjectNode target(ListedEndpoint endpoint) {
+    /**
+     * Converts an endpoint to the format of the list, with the address of this sidecar's own link
+     * to the server.
+     */
+    private ObjectNode toTarget(ListedEndpoint endpoint) {
         ServerLink link = members.server(endpoint.id()).links().get(sidecar);
         return JsonLines.MAPPER
                 .createObjectNode()
                 .put("uid", String.format("s-%08x", endpoint.id()))
                 .put("id", endpoint.id())
-                .put("endpoint", Addresses.text(link.relay().address()))
+                .put("endpoint", Addresses.hostAndPort(link.relay().address()))
                 .put("az", context.scenario().fleet().zones().get(endpoint.zone()))
                 .put("model", context.scenario().machineTypes().get(endpoint.model()).name())
                 .put("pod_group", endpoint.cell())
@@ -78,7 +84,7 @@
         };
     }
 
-    /** The start of the server by the wall clock; 0 if it is not known. */
+    /** Returns the start time of the server in wall clock milliseconds; 0 if unknown. */
     private long bootMillis(ListedEndpoint endpoint) {
         if (endpoint.startMicros() == 0) {
             return 0;
--- a/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Future;
 
 /**
- * Threads for what blocks, beside the event loop of the run, and the failure of any step. A run in
- * which a step failed proves nothing: it ends with that failure.
+ * Runs blocking steps in threads beside the event loop of the run, and records the failure of any
+ * step. The result of a run in which a step failed is meaningless, so such a run fails as well.
  */
 final class BackgroundTasks implements AutoCloseable {
 
@@ -30,36 +30,38 @@
         return thread;
     }
 
-    /** The latest failure of a step; null if none failed. */
+    /** Returns the latest failure of a step; null if none failed. */
     Throwable failure() {
         return failure;
     }
 
-    /** Runs a task whose failure is that of the future alone. */
+    /** Runs a task; its failure completes only the future and does not fail the run. */
     <T> Future<T> submit(Callable<T> task) {
         return workers.submit(task);
     }
 
-    /** Runs a loop until the run is closed. */
-    void watch(Runnable loop) {
+    /** Runs a loop, which is interrupted when the run is closed. */
+    void runLoop(Runnable loop) {
         workers.submit(loop);
     }
 
-    /** Runs a step that blocks; its failure is the run's. */
-    void runAside(Step step) {
-        workers.submit(() -> runHere(step));
+    /** Runs a blocking step in a worker thread; its failure fails the run. */
+    void runInBackground(Step step) {
+        workers.submit(() -> runStep(step));
     }
 
     /**
-     * Runs a change of links, and what must come after it, one after another, as closing and
-     * opening listeners takes a while; its failure is the run's.
+     * Runs changes of links, and steps that must follow them, one after another in a separate
+     * thread, because closing and opening listeners blocks. A failure fails the run.
      */
     void changeLinks(Runnable change) {
-        linkChanges.execute(() -> runHere(change::run));
+        linkChanges.execute(() -> runStep(change::run));
     }
 
-    /** Runs a step in this thread, which must not fail; its failure is the run's. */
-    void runHere(Step step) {
+    /**
+     * Runs a step in the calling thread. An exception of the step is not thrown, but fails the run.
+     */
+    void runStep(Step step) {
         try {
             step.run();
         } catch (IOException | InterruptedException | RuntimeException e) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /** Interrupts all of them. */
+    /** Interrupts all threads and discards the tasks that have not started. */
     @Override
     public void close() {
         workers.shutdownNow();
--- a/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
@@ -2,7 +2,7 @@
 
 import sagefall.emulator.ClientTraffic;
 
-/** Faults of the load that clients bring. */
+/** Injects faults that change the load from clients. */
 final class ClientFaults implements FaultInjector.FaultGroup {
 
     private final RunMembers members;
@@ -18,16 +18,19 @@
     }
 
     @Override
-    public boolean begin(ScheduledFault fault) {
+    public boolean schedule(ScheduledFault fault) {
         double size = fault.size();
-        double part = fault.drawn().fraction();
+        double fraction = fault.drawn().fraction();
         switch (fault.fault().kind()) {
             case TRAFFIC_BURST ->
                     timeline.during(fault, on -> traffic().rateFactor *= factor(on, size));
-            case ZONE_TRAFFIC_SHIFT -> timeline.during(fault, on -> shift(fault, factor(on, size)));
-            case TENANT_SURGE -> timeline.during(fault, on -> surge(fault, factor(on, size)));
+            case ZONE_TRAFFIC_SHIFT ->
+                    timeline.during(fault, on -> shiftZoneTraffic(fault, factor(on, size)));
+            case TENANT_SURGE ->
+                    timeline.during(fault, on -> surgeTenant(fault, factor(on, size)));
             case CLIENT_DISCONNECTS ->
-                    timeline.during(fault, on -> traffic().disconnectShare += on ? part : -part);
+                    timeline.during(
+                            fault, on -> traffic().disconnectShare += on ? fraction : -fraction);
             case IMMEDIATE_RETRIES ->
                     timeline.during(fault, on -> traffic().immediateRetries = on ? (int) size : 0);
             default -> {
@@ -37,16 +40,17 @@
         return true;
     }
 
+    /** Returns the factor that applies a fault when it begins, or reverts it when it ends. */
     private static double factor(boolean begins, double size) {
         return begins ? size : 1 / size;
     }
 
-    private void shift(ScheduledFault fault, double factor) {
+    private void shiftZoneTraffic(ScheduledFault fault, double factor) {
         traffic().zoneFactors[fault.fault().zone()] *= factor;
         traffic().updateWeights();
     }
 
-    private void surge(ScheduledFault fault, double factor) {
+    private void surgeTenant(ScheduledFault fault, double factor) {
         traffic().tenantFactors[fault.fault().tenant()] *= factor;
         traffic().updateWeights();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -26,48 +26,51 @@
 import sagefall.faultinjection.history.AnswerStatus;
 
 /**
- * The application beside one sidecar, as the protocol has it: one request at a time on a
- * connection, more connections when all are busy, and, where a connection that was in use before
- * closes under a request with no byte answered, the same request once more on a new one.
+ * The client application beside one sidecar. It sends one request at a time per connection and
+ * opens a new connection when all are busy. If a connection that has carried an earlier request
+ * closes before the first byte of a response, the request is resent once on a new connection.
  */
 final class ClientLoad {
 
     /**
-     * What came of a request.
+     * The result of a request.
      *
-     * @param status of HTTP, or one of {@link AnswerStatus}
-     * @param retryMicros what Retry-After says; 0 if it is missing
-     * @param body the text of the answer
+     * @param status HTTP status code, or a constant of {@link AnswerStatus}
+     * @param retryMicros delay from the Retry-After header; 0 without the header
+     * @param body body of the response
      */
-    record Reply(int status, long retryMicros, String body) {}
+    record RequestResult(int status, long retryMicros, String body) {}
 
-    /** A request in flight. */
+    /** A request of the client, with the connection that it was sent on. */
     static final class Exchange {
         private final String path;
         private final Map<String, String> headers;
         private final byte[] body;
-        private final Consumer<Reply> listener;
+        private final Consumer<RequestResult> listener;
         private Channel channel;
         private boolean resent;
         private boolean ended;
 
         private Exchange(
-                String path, Map<String, String> headers, byte[] body, Consumer<Reply> listener) {
+                String path,
+                Map<String, String> headers,
+                byte[] body,
+                Consumer<RequestResult> listener) {
             this.path = path;
             this.headers = headers;
             this.body = body;
             this.listener = listener;
         }
 
-        private void end(Reply reply) {
+        private void end(RequestResult result) {
             if (!ended) {
                 ended = true;
-                listener.accept(reply);
+                listener.accept(result);
             }
         }
     }
 
-    private static final int MAX_ANSWER_BYTES = 64 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
 
     private final EventLoop loop;
     private final InetSocketAddress sidecar;
@@ -78,8 +81,15 @@
         this.sidecar = sidecar;
     }
 
-    /** Sends a POST; the reply is given on the event loop, once. */
-    Exchange post(String path, Map<String, String> headers, byte[] body, Consumer<Reply> listener) {
+    /**
+     * Sends a POST request. The listener is called once with the result on the event loop, unless
+     * the client disconnects first.
+     */
+    Exchange post(
+            String path,
+            Map<String, String> headers,
+            byte[] body,
+            Consumer<RequestResult> listener) {
         Exchange exchange = new Exchange(path, headers, body, listener);
         loop.execute(
                 () -> {
@@ -96,8 +106,8 @@
         return exchange;
     }
 
-    /** Closes the connection of a request; it gets no reply. */
-    void abandon(Exchange exchange) {
+    /** Closes the connection of a request. The listener of the request is not called afterwards. */
+    void disconnect(Exchange exchange) {
         loop.execute(
                 () -> {
                     exchange.ended = true;
@@ -124,9 +134,9 @@
                                 Connection connection = new Connection();
                                 c.pipeline()
                                         .addLast(
-                                                connection.bytes,
+                                                connection.responseStartDetector,
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(MAX_ANSWER_BYTES),
+                                                new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                                 connection);
                             }
                         })
@@ -135,7 +145,8 @@
                         (ChannelFutureListener)
                                 f -> {
                                     if (!f.isSuccess()) {
-                                        exchange.end(new Reply(AnswerStatus.UNREACHABLE, 0, ""));
+                                        exchange.end(
+                                                new RequestResult(AnswerStatus.UNREACHABLE, 0, ""));
                                     } else if (exchange.ended) {
                                         f.channel().close();
                                     } else {
@@ -147,7 +158,7 @@
     private void send(Channel channel, Exchange exchange) {
         Connection connection = channel.pipeline().get(Connection.class);
         connection.current = exchange;
-        connection.answering = false;
+        connection.responseStarted = false;
         exchange.channel = channel;
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(
@@ -160,23 +171,26 @@
         channel.writeAndFlush(request);
     }
 
+    /** A connection to the sidecar, with at most one request in flight. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Exchange current;
+
+        /** Whether an earlier request has completed on this connection. */
         private boolean used;
-        private boolean answering;
+        private boolean responseStarted;
 
-        /** Notices that an answer has begun, before it is complete. */
-        private final ChannelInboundHandlerAdapter bytes =
+        /** Detects the first bytes of a response, before the response is complete. */
+        private final ChannelInboundHandlerAdapter responseStartDetector =
                 new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object message) {
-                        answering = true;
+                        responseStarted = true;
                         context.fireChannelRead(message);
                     }
                 };
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             Exchange exchange = current;
             current = null;
             used = true;
@@ -184,17 +198,17 @@
                 context.close();
                 return;
             }
-            if (HttpUtil.isKeepAlive(answer)) {
+            if (HttpUtil.isKeepAlive(response)) {
                 idle.addFirst(context.channel());
             } else {
                 context.close();
             }
-            String retry = answer.headers().get("Retry-After", "0");
+            String retryAfter = response.headers().get("Retry-After", "0");
             exchange.end(
-                    new Reply(
-                            answer.status().code(),
-                            (long) (1e6 * Double.parseDouble(retry)),
-                            answer.content().toString(StandardCharsets.US_ASCII)));
+                    new RequestResult(
+                            response.status().code(),
+                            (long) (1e6 * Double.parseDouble(retryAfter)),
+                            response.content().toString(StandardCharsets.US_ASCII)));
         }
 
         @Override
@@ -205,11 +219,11 @@
             if (exchange == null || exchange.ended) {
                 return;
             }
-            if (used && !answering && !exchange.resent) {
+            if (used && !responseStarted && !exchange.resent) {
                 exchange.resent = true;
                 connect(exchange);
             } else {
-                exchange.end(new Reply(AnswerStatus.BROKEN, 0, ""));
+                exchange.end(new RequestResult(AnswerStatus.BROKEN, 0, ""));
             }
         }
 
--- a/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
@@ -1,6 +1,6 @@
 package sagefall.faultinjection;
 
-/** Faults of discovery and of what its agents hear. */
+/** Injects faults of discovery and of the updates that discovery agents receive. */
 final class DiscoveryFaults implements FaultInjector.FaultGroup {
 
     private final RunMembers members;
@@ -12,14 +12,14 @@
     }
 
     @Override
-    public boolean begin(ScheduledFault fault) {
+    public boolean schedule(ScheduledFault fault) {
         double size = fault.size();
         switch (fault.fault().kind()) {
             case SLOW_DISCOVERY ->
                     timeline.during(
                             fault, on -> members.discovery().delayFactor *= on ? size : 1 / size);
-            case DISCOVERY_OUTAGE -> timeline.during(fault, this::mute);
-            case SUPPRESSED_UPDATES -> timeline.during(fault, on -> deafen(fault, on));
+            case DISCOVERY_OUTAGE -> timeline.during(fault, this::setOutage);
+            case SUPPRESSED_UPDATES -> timeline.during(fault, on -> suppressUpdates(fault, on));
             default -> {
                 return false;
             }
@@ -27,12 +27,14 @@
         return true;
     }
 
-    private void mute(boolean on) {
-        members.discovery().outages += on ? 1 : -1;
-        members.discoveryReplicas().forEach(replica -> replica.ask(StandInCommands.mute(on)));
+    private void setOutage(boolean begins) {
+        members.discovery().outages += begins ? 1 : -1;
+        members.discoveryReplicas().forEach(replica -> replica.send(StandInCommands.mute(begins)));
     }
 
-    private void deafen(ScheduledFault fault, boolean on) {
-        fault.sidecars().forEach(sidecar -> members.discovery().setUpdatesSuppressed(sidecar, on));
+    private void suppressUpdates(ScheduledFault fault, boolean begins) {
+        fault.sidecars()
+                .forEach(
+                        sidecar -> members.discovery().setUpdatesSuppressed(sidecar, begins));
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -33,15 +33,16 @@
 import sagefall.scenario.ScenarioException;
 
 /**
- * One run of a plan with real processes: sidecars by the deploy file's {@code run}, save servers
- * and replicas of discovery in processes of their own, a relay between any two of them, and the
- * emulator's clients, servers, discovery and random streams in real time. What happens is recorded;
- * {@link InvariantChecks} judge it from that alone.
+ * Runs a plan with real processes: sidecars are started by the {@code run} command of the deploy
+ * file, save servers and discovery replicas run in stand-in processes, and each sidecar reaches
+ * each of them through a relay. The emulator's clients, server models, discovery and random streams
+ * drive the run in real time. All events are recorded in a history, which is the only input of
+ * {@link InvariantChecks}.
  */
 public final class FaultInjectionRun implements AutoCloseable {
 
     private static final int RELAY_THREADS = 3;
-    private static final long END_TIMEOUT_SECONDS = 30;
+    private static final long EXIT_TIMEOUT_SECONDS = 30;
     private static final long SETTLE_POLL_MICROS = 50_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -56,10 +57,14 @@
     private final LeaseObserver leaseObserver;
     private final Thread shutdownHook = new Thread(this::killAll, "fault-injection-end");
 
-    /** Makes all that listens, and starts no process yet. */
+    /**
+     * Creates all members, opens their links, and writes the plan and the schedule of faults.
+     * Starts neither sidecars nor stand-in processes.
+     */
     FaultInjectionRun(RunPlan plan, Path output)
             throws IOException, ScenarioException, InterruptedException {
         Scenario scenario = plan.scenario();
+        // Fails before anything is created if a sidecar can't be started from a checkout.
         for (Path build : plan.builds()) {
             SidecarProcess.run(build);
         }
@@ -82,7 +87,7 @@
                         scenario.tenants().size(),
                         scenario.service().overQuotaWeight());
         factory = new MemberFactory(context, members, group, network, leaseObserver);
-        factory.makeInitialMembers();
+        factory.createInitialMembers();
         schedule = new FaultSchedule(context, members, plan.faults());
         Files.write(directory.schedule(), schedule.lines());
         factory.placeServers(schedule.serversWithOwnProcess());
@@ -111,11 +116,11 @@
     }
 
     /**
-     * Executes a plan and judges what was recorded.
+     * Executes a plan and checks the invariants on its history.
      *
-     * @param output the directory that everything is written to
-     * @throws IOException if the plan could not be executed, or a step of it failed
-     * @throws ScenarioException if the scenario of the plan is wrong
+     * @param output directory for all files of the run
+     * @throws IOException if the plan could not be executed or a step of the run failed
+     * @throws ScenarioException if the scenario of the plan is invalid
      */
     public static RunResult execute(RunPlan plan, Path output)
             throws IOException, ScenarioException, InterruptedException {
@@ -133,42 +138,45 @@
         return members.sidecars();
     }
 
-    /** Starts all processes and waits until all are ready; how long that took, in seconds. */
+    /** Starts all processes, waits until all are ready and returns the time taken in seconds. */
     double start() throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         new RunHeader(context, members).record();
         new RunStartup(context, members).startAll();
-        double seconds = (System.nanoTime() - begin) / NANOS_PER_SECOND;
+        double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
         for (SidecarMember sidecar : members.sidecars()) {
-            sidecar.control().recordBase();
+            sidecar.control().recordBaseline();
         }
         return seconds;
     }
 
-    /** Runs clients and faults, to the end of all processes. */
+    /**
+     * Runs clients and faults until load and faults have ended and no request is open, then
+     * terminates the sidecars.
+     */
     void run() throws IOException, InterruptedException, ExecutionException {
         context.eventLoop().begin();
         context.history().write(EntryKind.BEGIN);
-        RestMeasurement rest = new RestMeasurement(context, members);
-        context.tasks().watch(rest::watchCpuStarvation);
+        RestMeasurement measurement = new RestMeasurement(context, members);
+        context.tasks().runLoop(measurement::watchCpuStarvation);
         if (leaseObserver != null) {
-            context.tasks().watch(() -> leaseObserver.watch(context.history()));
+            context.tasks().runLoop(() -> leaseObserver.watch(context.history()));
         }
         context.eventLoop().call(this::beginLoad);
         awaitSettled();
         context.history().write(EntryKind.END);
-        rest.recordAll();
-        endSidecars();
+        measurement.recordAll();
+        terminateSidecars();
         Throwable failure = context.tasks().failure();
         if (failure != null) {
             throw new IOException("the fault injection itself failed: " + failure, failure);
         }
     }
 
-    /** On the event loop. */
+    /** Starts clients and faults; called on the event loop. */
     private Void beginLoad() {
         Scenario scenario = context.scenario();
-        members.sidecars().forEach(sidecar -> sidecar.control().ready());
+        members.sidecars().forEach(sidecar -> sidecar.control().markReady());
         members.traffic(
                 new ClientTraffic(
                         scenario,
@@ -179,14 +187,14 @@
                                 accounting,
                                 network),
                         context.requestClass(),
-                        factory.capacity()));
+                        factory.totalCapacity()));
         members.initialServers().forEach(this::beginPauses);
-        new FaultInjector(context, members, factory, leaseObserver).begin(schedule);
+        new FaultInjector(context, members, factory, leaseObserver).scheduleAll(schedule);
         members.traffic().start();
         return null;
     }
 
-    /** The pauses that a server has by its make. */
+    /** Schedules the pauses that are part of the specification of a server. */
     private void beginPauses(ServerMember server) {
         StopTheWorldPauses.schedule(
                 context.eventLoop().queue(),
@@ -194,14 +202,17 @@
                 server.model().spec.pauseIntervalMicros(),
                 server.model().spec.pauseMicros(),
                 loadEndMicros(),
-                pausesBy -> server.addFault(1, 0, pausesBy));
+                pausesChange -> server.changeFaults(1, 0, pausesChange));
     }
 
     private long loadEndMicros() {
         return EventQueue.START_MICROS + (long) (1e6 * context.scenario().seconds());
     }
 
-    /** Waits until load and faults have ended, no request is open and each sidecar is back. */
+    /**
+     * Waits until load and faults have ended, all sidecars are up and no request is open, or until
+     * a step has failed.
+     */
     private void awaitSettled() throws InterruptedException, ExecutionException {
         CompletableFuture<Void> settled = new CompletableFuture<>();
         long end = Math.max(loadEndMicros(), schedule.endMicros());
@@ -211,10 +222,10 @@
     }
 
     private void completeOnceSettled(CompletableFuture<Void> settled) {
-        boolean allBack =
+        boolean allSettled =
                 members.sidecars().stream()
                         .allMatch(sidecar -> sidecar.isUp() && !sidecar.isBusy());
-        if (allBack || context.tasks().failure() != null) {
+        if (allSettled || context.tasks().failure() != null) {
             settled.complete(null);
         } else {
             context.eventLoop()
@@ -223,11 +234,11 @@
         }
     }
 
-    private void endSidecars() throws InterruptedException {
+    private void terminateSidecars() throws InterruptedException {
         members.sidecars().forEach(sidecar -> sidecar.control().terminate());
         for (SidecarMember sidecar : members.sidecars()) {
             Process process = sidecar.control().process();
-            if (!process.waitFor(END_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 sidecar.control().recordStuck();
             }
             process.destroyForcibly().waitFor();
@@ -236,13 +247,16 @@
 
     private void killAll() {
         members.sidecars().forEach(sidecar -> sidecar.control().destroy());
-        members.processes().forEach(ServerProcess::stop);
+        members.processes().forEach(ServerProcess::destroy);
         for (StandInProcess replica : members.discoveryReplicas()) {
             replica.process().destroyForcibly();
         }
     }
 
-    /** Kills all processes, and waits until the sidecars have ended. */
+    /**
+     * Kills all processes, waits until the sidecars have exited, and closes links, threads and
+     * history.
+     */
     @Override
     public void close() throws IOException {
         killAll();
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjector.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** Brings the faults of a schedule about on real processes and links. */
+/** Injects the faults of a schedule into real processes and links. */
 final class FaultInjector {
 
-    /** The faults of one concern. */
+    /** Injects the faults of one kind of target, such as servers or links. */
     interface FaultGroup {
 
         /**
-         * Puts a fault on the timeline.
+         * Puts a fault on the timeline if this group handles its kind.
          *
-         * @return whether its kind belongs to this group
+         * @return whether this group handles the kind of the fault
          */
-        boolean begin(ScheduledFault fault);
+        boolean schedule(ScheduledFault fault);
     }
 
     private final List<FaultGroup> groups;
@@ -34,14 +34,14 @@
                         new DiscoveryFaults(members, timeline));
     }
 
-    /** Puts all faults on the timeline; on the event loop of the run. */
-    void begin(FaultSchedule schedule) {
-        schedule.faults().forEach(this::begin);
+    /** Puts all faults on the timeline; called on the event loop of the run. */
+    void scheduleAll(FaultSchedule schedule) {
+        schedule.faults().forEach(this::schedule);
     }
 
-    private void begin(ScheduledFault fault) {
-        if (groups.stream().noneMatch(group -> group.begin(fault))) {
-            throw new IllegalStateException("fault " + fault.fault().kind());
+    private void schedule(ScheduledFault fault) {
+        if (groups.stream().noneMatch(group -> group.schedule(fault))) {
+            throw new IllegalStateException("no fault group for " + fault.fault().kind());
         }
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -11,31 +11,34 @@
 import sagefall.scenario.FaultKind;
 
 /**
- * The faults of a run, with all figures and members drawn: the same seed gives the same lines to
- * the byte, and leaving one fault out changes no other.
+ * The faults of a run, with all parameters and members drawn. The lines of a schedule depend only
+ * on the plan and its seed, byte for byte, and leaving out one fault does not change the others.
  */
 final class FaultSchedule {
 
-    private static final double LINE_PRECISION = 1000;
+    /** Numbers in a line are rounded to multiples of 1 / 1000. */
+    private static final double ROUNDING_STEPS_PER_UNIT = 1000;
 
     private final List<ScheduledFault> faults = new ArrayList<>();
 
     /**
-     * Draws the faults at these places of the scenario.
+     * Draws the parameters and the members of some faults of the scenario.
      *
-     * @param members the sidecars and the initial servers to draw from
+     * @param indices indices of the faults in the scenario
+     * @param members members of the run; affected ones are drawn from its sidecars and initial
+     *     servers
      */
-    FaultSchedule(RunContext context, RunMembers members, List<Integer> places) {
-        for (int place : places) {
-            faults.add(draw(context, members, place));
+    FaultSchedule(RunContext context, RunMembers members, List<Integer> indices) {
+        for (int index : indices) {
+            faults.add(draw(context, members, index));
         }
     }
 
-    private static ScheduledFault draw(RunContext context, RunMembers members, int place) {
-        Fault fault = context.scenario().faults().get(place);
+    private static ScheduledFault draw(RunContext context, RunMembers members, int index) {
+        Fault fault = context.scenario().faults().get(index);
         DrawnFault drawn =
                 fault.draw(
-                        context.randomStreams().stream("fault." + place),
+                        context.randomStreams().stream("fault." + index),
                         context.scenario().seconds());
         return switch (fault.kind()) {
             case LOSE_SERVERS,
@@ -46,7 +49,7 @@
                     RESTART_WITH_NEW_IDS,
                     DRAIN_SERVERS ->
                     new ScheduledFault(
-                            place,
+                            index,
                             drawn,
                             List.copyOf(drawn.pickFraction(members.initialServers())),
                             List.of());
@@ -62,19 +65,22 @@
                     POWER_LOSS,
                     WRONG_CLOCK ->
                     new ScheduledFault(
-                            place,
+                            index,
                             drawn,
                             List.of(),
-                            List.copyOf(drawn.pickFraction(candidates(members, fault))));
-            default -> new ScheduledFault(place, drawn, List.of(), List.of());
+                            List.copyOf(drawn.pickFraction(eligibleSidecars(members, fault))));
+            default -> new ScheduledFault(index, drawn, List.of(), List.of());
         };
     }
 
-    /** The sidecars that a fault is drawn from: those of its zone, if it takes out machines. */
-    private static List<SidecarMember> candidates(RunMembers members, Fault fault) {
-        boolean zonal =
+    /**
+     * Returns the sidecars from which a fault draws the affected ones. For kills and power loss in
+     * a zone these are the sidecars of the zone, otherwise all sidecars.
+     */
+    private static List<SidecarMember> eligibleSidecars(RunMembers members, Fault fault) {
+        boolean limitableToZone =
                 fault.kind() == FaultKind.KILL_SIDECARS || fault.kind() == FaultKind.POWER_LOSS;
-        if (!zonal || fault.zone() < 0) {
+        if (!limitableToZone || fault.zone() < 0) {
             return members.sidecars();
         }
         return members.sidecars().stream()
@@ -86,7 +92,9 @@
         return faults;
     }
 
-    /** Servers that end on their own, and so need a process of their own. */
+    /**
+     * Returns the servers that a fault kills individually, for which each needs its own process.
+     */
     Set<ServerMember> serversWithOwnProcess() {
         Set<ServerMember> servers = new HashSet<>();
         for (ScheduledFault fault : faults) {
@@ -98,7 +106,7 @@
         return servers;
     }
 
-    /** One JSON object for each fault. */
+    /** Returns the schedule as lines of JSON, one object per fault. */
     List<String> lines() {
         return faults.stream().map(FaultSchedule::line).toList();
     }
@@ -109,7 +117,7 @@
         ObjectNode line =
                 JsonLines.MAPPER
                         .createObjectNode()
-                        .put("fault", scheduled.place())
+                        .put("fault", scheduled.index())
                         .put("kind", scheduled.kindName())
                         .put("at_s", round(drawn.startSeconds()))
                         .put("for_s", round(drawn.durationSeconds()))
@@ -125,10 +133,10 @@
     }
 
     private static double round(double value) {
-        return Math.rint(value * LINE_PRECISION) / LINE_PRECISION;
+        return Math.rint(value * ROUNDING_STEPS_PER_UNIT) / ROUNDING_STEPS_PER_UNIT;
     }
 
-    /** When the last of them has ended, on the clock of the run. */
+    /** Returns the time on the clock of the run at which the last fault ends; 0 without faults. */
     long endMicros() {
         return faults.stream()
                 .mapToLong(fault -> ScheduledFault.clockMicros(fault.drawn().endSeconds()))
--- a/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
@@ -5,8 +5,8 @@
 import sagefall.faultinjection.history.EntryKind;
 
 /**
- * Puts faults on the event queue of a run, and records when each begins and ends. Used on the event
- * loop alone.
+ * Schedules the begin and the end of faults on the event queue of a run, and records both. Used
+ * only on the event loop of the run.
  */
 final class FaultTimeline {
 
@@ -26,36 +26,37 @@
         return context.eventLoop().queue();
     }
 
-    /** For the time that the fault was drawn with. */
+    /** Applies a fault from its drawn start for its drawn duration. */
     void during(ScheduledFault fault, Action action) {
         during(fault, fault.drawn().startSeconds(), fault.drawn().durationSeconds(), action);
     }
 
-    /** At the begin of the fault; it is recorded to last for a time. */
-    void onceAt(ScheduledFault fault, double recordedSeconds, Action action) {
-        during(fault, fault.drawn().startSeconds(), recordedSeconds, action);
+    /** Applies a fault from its drawn start for a given duration. */
+    void during(ScheduledFault fault, double durationSeconds, Action action) {
+        during(fault, fault.drawn().startSeconds(), durationSeconds, action);
     }
 
-    /** In each of its rounds for a part of the round. */
-    void inRounds(ScheduledFault fault, double part, Action action) {
-        double round = fault.drawn().periodSeconds();
-        for (double at = 0; at < fault.drawn().durationSeconds(); at += round) {
-            double length = Math.min(round, fault.drawn().durationSeconds() - at) * part;
-            during(fault, fault.drawn().startSeconds() + at, length, action);
+    /** Applies a fault from the start of each of its periods for a fraction of the period. */
+    void periodically(ScheduledFault fault, double fraction, Action action) {
+        double period = fault.drawn().periodSeconds();
+        for (double offset = 0; offset < fault.drawn().durationSeconds(); offset += period) {
+            double length = Math.min(period, fault.drawn().durationSeconds() - offset) * fraction;
+            during(fault, fault.drawn().startSeconds() + offset, length, action);
         }
     }
 
-    private void during(ScheduledFault fault, double from, double seconds, Action action) {
-        change(fault, from, true, action);
-        change(fault, from + seconds, false, action);
+    private void during(ScheduledFault fault, double startSecond, double seconds, Action action) {
+        scheduleChange(fault, startSecond, true, action);
+        scheduleChange(fault, startSecond + seconds, false, action);
     }
 
-    private void change(ScheduledFault fault, double second, boolean begins, Action action) {
+    private void scheduleChange(
+            ScheduledFault fault, double second, boolean begins, Action action) {
         queue().scheduleAt(
                         ScheduledFault.clockMicros(second),
                         () -> {
                             record(fault, begins);
-                            context.tasks().runHere(() -> action.apply(begins));
+                            context.tasks().runStep(() -> action.apply(begins));
                         });
     }
 
@@ -64,7 +65,7 @@
                 .write(
                         EntryKind.FAULT,
                         "place",
-                        fault.place(),
+                        fault.index(),
                         "what",
                         fault.kindName(),
                         "on",
--- a/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
@@ -12,18 +12,18 @@
 import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /**
- * Observes the lease of the sidecars of a run and the snapshot that they share, as any other
- * process could.
+ * Observes the leader election and the shared snapshot of the sidecars of a run by reading their
+ * lease store, which any process may do.
  */
 final class LeaseObserver {
 
     private static final long POLL_NANOS = 5_000_000;
 
-    /** No sidecar holds the lease. */
-    static final int NOBODY = -1;
+    /** Index returned when no sidecar is the leader. */
+    static final int NO_LEADER = -1;
 
-    /** What is recorded when it changes. */
-    private record Observation(long term, String holder, long snapshotTerm, long revision) {}
+    /** State of the lease and of the shared snapshot, recorded when it changes. */
+    private record Observation(long term, String owner, long snapshotTerm, long revision) {}
 
     private final Path directory;
     private final LeaseStore store;
@@ -37,27 +37,27 @@
         return directory;
     }
 
-    /** The index of the sidecar that holds the lease; {@link #NOBODY} if none does. */
-    int holder() throws IOException {
+    /** Returns the index of the leader among the sidecars; {@link #NO_LEADER} if there is none. */
+    int leader() throws IOException {
         LeaseGrant grant = store.status().grant();
-        String holder = grant.leader();
-        if (grant.remainingNanos() <= 0 || holder.isEmpty()) {
-            return NOBODY;
+        String owner = grant.leader();
+        if (grant.remainingNanos() <= 0 || owner.isEmpty()) {
+            return NO_LEADER;
         }
-        // Instances are called n0, n1, ...; the lease adds # and a number for each start.
-        return Integer.parseInt(holder.substring(1, holder.indexOf('#')));
+        // The lease names its owner as NAME#PID#TIME; the sidecars' names are n0, n1, ...
+        return Integer.parseInt(owner.substring(1, owner.indexOf('#')));
     }
 
-    /** Records each change until the thread is interrupted. */
+    /** Records each change of the observed state until the thread is interrupted. */
     void watch(HistoryWriter history) {
         Observation previous = null;
         while (!Thread.currentThread().isInterrupted()) {
             try {
-                Observation now = observe();
-                if (!now.equals(previous)) {
-                    record(history, now);
+                Observation current = observe();
+                if (!current.equals(previous)) {
+                    record(history, current);
                 }
-                previous = now;
+                previous = current;
             } catch (IOException e) {
                 history.write(EntryKind.LEASE, "unread", String.valueOf(e.getMessage()));
             }
@@ -73,16 +73,16 @@
         return new Observation(grant.term(), grant.leader(), snapshotTerm, revision);
     }
 
-    private static void record(HistoryWriter history, Observation now) {
+    private static void record(HistoryWriter history, Observation current) {
         history.write(
                 EntryKind.LEASE,
                 "term",
-                now.term,
+                current.term,
                 "owner",
-                now.holder,
+                current.owner,
                 "written",
-                now.snapshotTerm,
+                current.snapshotTerm,
                 "rev",
-                now.revision);
+                current.revision);
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 import sagefall.scenario.FaultMode;
 
-/** Faults of the links between sidecars and servers. */
+/** Injects faults of the links between sidecars and servers. */
 final class LinkFaults implements FaultInjector.FaultGroup {
 
-    /** Links that flap are cut for this part of each round. */
-    private static final double FLAP_PART = 0.5;
+    /** Fraction of each period for which a flapping link is cut. */
+    private static final double FLAP_CUT_FRACTION = 0.5;
 
     private final RunMembers members;
     private final FaultTimeline timeline;
@@ -18,12 +18,13 @@
     }
 
     @Override
-    public boolean begin(ScheduledFault fault) {
+    public boolean schedule(ScheduledFault fault) {
         switch (fault.fault().kind()) {
             case CUT_ZONE -> timeline.during(fault, on -> cutZone(fault, on ? 1 : -1));
             case CUT_SIDECARS -> timeline.during(fault, on -> cutSidecars(fault, on ? 1 : -1));
             case FLAP_LINKS ->
-                    timeline.inRounds(fault, FLAP_PART, on -> cutSidecars(fault, on ? 1 : -1));
+                    timeline.periodically(
+                            fault, FLAP_CUT_FRACTION, on -> cutSidecars(fault, on ? 1 : -1));
             case DELAY_LINKS -> timeline.during(fault, on -> delay(fault, on));
             case CUT_BYTES -> timeline.during(fault, on -> resetAfterBytes(fault, on));
             default -> {
@@ -33,23 +34,29 @@
         return true;
     }
 
-    private void delay(ScheduledFault fault, boolean on) {
-        double millis = on ? fault.size() : -fault.size();
+    private void delay(ScheduledFault fault, boolean begins) {
+        double millis = begins ? fault.size() : -fault.size();
         changeLinks(fault, link -> link.addDelay(millis));
     }
 
-    private void resetAfterBytes(ScheduledFault fault, boolean on) {
-        long bytes = on ? (long) fault.size() : 0;
+    private void resetAfterBytes(ScheduledFault fault, boolean begins) {
+        long bytes = begins ? (long) fault.size() : 0;
         changeLinks(fault, link -> link.resetAfter(bytes));
     }
 
-    /** Between the sidecars of a fault and the servers of its zone. */
-    private void cutSidecars(ScheduledFault fault, int by) {
-        int toServer = fault.isMode(FaultMode.OUT) ? 0 : by;
-        int toClient = fault.isMode(FaultMode.IN) ? 0 : by;
+    /**
+     * Cuts or restores the links between the sidecars of a fault and the servers of its zone. The
+     * mode of the fault selects one or both directions.
+     *
+     * @param cutChange 1 to cut, -1 to restore
+     */
+    private void cutSidecars(ScheduledFault fault, int cutChange) {
+        int toServer = fault.isMode(FaultMode.OUT) ? 0 : cutChange;
+        int toClient = fault.isMode(FaultMode.IN) ? 0 : cutChange;
         changeLinks(fault, link -> link.addCuts(toServer, toClient));
     }
 
+    /** Changes the links between the sidecars of a fault and the servers of its zone. */
     private void changeLinks(ScheduledFault fault, Consumer<ServerLink> change) {
         for (ServerMember server : members.servers()) {
             if (server.zone() != fault.fault().zone()) {
@@ -63,11 +70,16 @@
         }
     }
 
-    /** Between a zone and all others, for what goes in, out or both. */
-    private void cutZone(ScheduledFault fault, int by) {
+    /**
+     * Cuts or restores the links between a zone and all other zones. The mode of the fault selects
+     * the direction into the zone, out of it, or both.
+     *
+     * @param cutChange 1 to cut, -1 to restore
+     */
+    private void cutZone(ScheduledFault fault, int cutChange) {
         int zone = fault.fault().zone();
-        int intoZone = fault.isMode(FaultMode.OUT) ? 0 : by;
-        int outOfZone = fault.isMode(FaultMode.IN) ? 0 : by;
+        int intoZone = fault.isMode(FaultMode.OUT) ? 0 : cutChange;
+        int outOfZone = fault.isMode(FaultMode.IN) ? 0 : cutChange;
         for (ServerMember server : members.servers()) {
             for (SidecarMember sidecar : members.sidecars()) {
                 boolean serverInside = server.zone() == zone;
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -26,21 +26,23 @@
 import sagefall.load.SidecarProcess;
 
 /**
- * Makes the members of a run, with the links between them. Starts no process. Used before the run,
- * and on its event loop for replacements.
+ * Creates the members of a run and the links between them, but starts no process. Used before the
+ * run, and, for replacements, on its event loop.
  */
 final class MemberFactory {
 
-    /** Where a replacement is placed. */
+    /** Selects the slot, and thereby the addresses, of a replacement server. */
     enum Placement {
-        /** At the addresses of the server that it replaces. */
+        /** The replacement gets the addresses of the replaced server. */
         SAME_SLOT,
-        /** At addresses of its own. */
+        /** The replacement gets new addresses. */
         NEW_SLOT
     }
 
-    /** The models of servers do no work here: the stand-in processes do. */
-    private static final class IdleFloor implements ServerListener {
+    /**
+     * Ignores all events of the server models, because the stand-in processes execute the requests.
+     */
+    private static final class NoOpServerListener implements ServerListener {
         @Override
         public void onJobDone(Job job) {}
 
@@ -48,7 +50,7 @@
         public void onJobAborted(Job job) {}
 
         @Override
-        public void onSlowStartOverload(EmulatedServer server, double told) {}
+        public void onSlowStartOverload(EmulatedServer server, double informedShare) {}
     }
 
     private final RunContext context;
@@ -56,20 +58,20 @@
     private final EventLoopGroup group;
     private final EmulatedNetwork network;
     private final StandInCommands commands;
-    private final ServerFactory servers;
+    private final ServerFactory serverFactory;
     private final LeaseObserver leaseObserver;
 
-    /** The jitter of links; it is not part of what a seed draws. */
+    /** Random numbers for the jitter of link delays. They do not depend on the seed of the run. */
     private final UniformRandomProvider jitter =
             ThreadLocalRandomSource.current(RandomSource.XO_SHI_RO_256_PP);
 
     private int nextSlot;
 
     /**
-     * A factory that makes nothing yet.
+     * Creates a factory without any members.
      *
-     * @param group event loops of relays and applications
-     * @param leaseObserver null if the sidecars of the run have no lease
+     * @param group event loops of relays and client applications
+     * @param leaseObserver null if the run has no leader election
      */
     MemberFactory(
             RunContext context,
@@ -88,32 +90,33 @@
                         .connectCostMicros()
                         .draw(context.randomStreams(), "net.setup");
         commands = new StandInCommands(context, setupMicros);
-        servers =
+        serverFactory =
                 new ServerFactory(
                         context.scenario(),
                         context.randomStreams(),
                         context.eventLoop().queue(),
                         new SharedSlowdown(),
-                        new IdleFloor());
+                        new NoOpServerListener());
     }
 
-    /** Capacity of all initial servers together. */
-    double capacity() {
-        return servers.totalCapacity();
+    /** Returns the total capacity of the initial servers. */
+    double totalCapacity() {
+        return serverFactory.totalCapacity();
     }
 
-    /** Makes all sidecars and the servers that the run begins with. */
-    void makeInitialMembers() throws IOException, InterruptedException {
+    /** Creates all sidecars and the servers that exist at the start of the run. */
+    void createInitialMembers() throws IOException, InterruptedException {
         int zones = context.scenario().fleet().zones().size();
         for (int i = 0; i < context.scenario().fleet().sidecars(); i++) {
-            members.sidecars().add(sidecar(i, i % zones));
+            members.sidecars().add(createSidecar(i, i % zones));
         }
-        for (EmulatedServer model : servers.initialServers()) {
-            members.initialServers().add(server(model));
+        for (EmulatedServer model : serverFactory.initialServers()) {
+            members.initialServers().add(createServer(model));
         }
     }
 
-    private SidecarMember sidecar(int index, int zone) throws IOException, InterruptedException {
+    private SidecarMember createSidecar(int index, int zone)
+            throws IOException, InterruptedException {
         Path directory = Files.createDirectories(context.directory().sidecar(index));
         InetSocketAddress listen = SidecarProcess.free(Addresses.listener(index));
         LinkRelay discoveryLink =
@@ -138,11 +141,12 @@
         return new SidecarMember(context, members, spec, application, discoveryLink, leaseObserver);
     }
 
-    private ServerMember server(EmulatedServer model) throws IOException, InterruptedException {
+    private ServerMember createServer(EmulatedServer model)
+            throws IOException, InterruptedException {
         int slot = nextSlot++;
         List<ServerLink> links = new ArrayList<>();
         for (SidecarMember sidecar : members.sidecars()) {
-            LinkRelay relay = serverRelay(sidecar, model, slot);
+            LinkRelay relay = createServerRelay(sidecar, model, slot);
             links.add(new ServerLink(relay, context.tasks()::changeLinks));
         }
         ServerMember member = new ServerMember(model, slot, links);
@@ -150,9 +154,10 @@
         return member;
     }
 
-    private LinkRelay serverRelay(SidecarMember sidecar, EmulatedServer server, int slot)
+    private LinkRelay createServerRelay(SidecarMember sidecar, EmulatedServer server, int slot)
             throws IOException, InterruptedException {
-        // The address is known once the relay listens, and so before a request can pass.
+        // The listener needs the address of the relay, which is set after the relay was created.
+        // No request passes through the relay before that.
         String[] address = new String[1];
         LinkRelay relay =
                 new LinkRelay(
@@ -161,7 +166,7 @@
                         conditions(sidecar.zone(), server.zone),
                         conditions(server.zone, sidecar.zone()),
                         requestId -> recordSend(requestId, sidecar.index(), address[0]));
-        address[0] = Addresses.text(relay.address());
+        address[0] = Addresses.hostAndPort(relay.address());
         return relay;
     }
 
@@ -173,12 +178,12 @@
         return LinkConditions.withDelay(() -> network.oneWayMicros(fromZone, toZone, jitter));
     }
 
-    /** A server of the same kind, with another id. */
-    ServerMember replacement(ServerMember old, Placement placement)
+    /** Creates a server of the same kind as another one, with a new id. */
+    ServerMember createReplacement(ServerMember old, Placement placement)
             throws IOException, InterruptedException {
-        EmulatedServer model = servers.createReplacement(old.model());
+        EmulatedServer model = serverFactory.createReplacement(old.model());
         if (placement == Placement.NEW_SLOT) {
-            return server(model);
+            return createServer(model);
         }
         ServerMember member = new ServerMember(model, old.slot(), old.links());
         members.addServer(member);
@@ -186,18 +191,20 @@
     }
 
     /**
-     * Places the initial servers in processes: one for each zone, and one of its own for each
-     * server that a fault ends alone.
+     * Assigns the initial servers to processes: one process per zone, and one for each server that
+     * a fault kills individually.
+     *
+     * @param withOwnProcess the servers that get a process of their own
      */
     void placeServers(Set<ServerMember> withOwnProcess) {
         List<String> zones = context.scenario().fleet().zones();
         for (int zone = 0; zone < zones.size(); zone++) {
-            members.processes().add(process("zone-" + zones.get(zone), zone));
+            members.processes().add(createProcess("zone-" + zones.get(zone), zone));
         }
         for (ServerMember server : members.initialServers()) {
             ServerProcess process = members.processes().get(server.zone());
             if (withOwnProcess.contains(server)) {
-                process = process("server-" + server.slot(), server.zone());
+                process = createProcess("server-" + server.slot(), server.zone());
                 members.processes().add(process);
             }
             process.add(server);
@@ -205,7 +212,7 @@
         }
     }
 
-    private ServerProcess process(String name, int zone) {
+    private ServerProcess createProcess(String name, int zone) {
         return new ServerProcess(context, members, commands, name, zone);
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
@@ -6,17 +6,20 @@
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.process.CpuStarvation;
 
-/** Measures the processes of sidecars: their wait for a core, and their resources at rest. */
+/**
+ * Measures how long sidecar processes wait for a CPU core, and the resources that they use when
+ * idle.
+ */
 final class RestMeasurement {
 
-    /** Rest is awaited at most so many times the idle timeout of connections. */
+    /** Longest wait for sidecars to become idle, in multiples of the connection idle timeout. */
     private static final double MAX_IDLE_TIMEOUTS = 4;
 
-    private static final long REST_POLL_MILLIS = 50;
+    private static final long IDLE_POLL_MILLIS = 50;
     private static final long STARVATION_POLL_NANOS = 250_000_000;
 
-    /** From this wait for a core on it is recorded. */
-    private static final long STARVED_NANOS = 20_000_000;
+    /** A wait for a CPU core longer than this is recorded. */
+    private static final long MIN_RECORDED_WAIT_NANOS = 20_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -29,14 +32,14 @@
         this.members = members;
     }
 
-    /** Records which sidecar waited for a core, and how long, until the thread is interrupted. */
+    /** Records waits of sidecars for a CPU core until the thread is interrupted. */
     void watchCpuStarvation() {
         CpuStarvation starvation = new CpuStarvation();
         while (!Thread.currentThread().isInterrupted()) {
             for (SidecarMember sidecar : members.sidecars()) {
                 long pid = sidecar.control().process().pid();
                 long nanos = starvation.nanosSinceLastCall(pid);
-                if (nanos > STARVED_NANOS) {
+                if (nanos > MIN_RECORDED_WAIT_NANOS) {
                     recordStarvation(sidecar, nanos);
                 }
             }
@@ -54,18 +57,21 @@
                         nanos / NANOS_PER_MILLI);
     }
 
-    /** Measures each sidecar once its idle connections are closed, or should long be. */
+    /**
+     * Records the resources of each sidecar once it is idle, or once the time limit for becoming
+     * idle has passed.
+     */
     void recordAll() throws IOException, InterruptedException {
         double idleSeconds = context.scenario().network().idleTimeoutSeconds();
-        long until =
+        long deadlineNanos =
                 System.nanoTime() + (long) (NANOS_PER_SECOND * MAX_IDLE_TIMEOUTS * idleSeconds);
         for (SidecarMember sidecar : members.sidecars()) {
             SidecarControl control = sidecar.control();
-            while (!control.isAtRest() && System.nanoTime() < until) {
-                control.process().waitFor(REST_POLL_MILLIS, TimeUnit.MILLISECONDS);
+            while (!control.isIdle() && System.nanoTime() < deadlineNanos) {
+                control.process().waitFor(IDLE_POLL_MILLIS, TimeUnit.MILLISECONDS);
             }
             if (control.process().isAlive()) {
-                control.recordRest();
+                control.recordFinalResources();
             }
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/RunContext.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunContext.java
@@ -13,17 +13,17 @@
 import sagefall.scenario.Scenario;
 
 /**
- * What all members and faults of a run share.
+ * The objects shared by all members and faults of a run.
  *
- * @param plan what is executed
- * @param scenario of the plan
- * @param directory where everything is written
- * @param history the test bed's own history
+ * @param plan the plan that is executed
+ * @param scenario the scenario of the plan
+ * @param directory directory for all files of the run
+ * @param history history of the test bed's own process
  * @param eventLoop clock and thread of the emulator's model
- * @param guard kills the processes that are left when this one has ended
- * @param tasks threads for what blocks
- * @param randomStreams all that is drawn, by name
- * @param requestClass the one class of requests of the run
+ * @param guard kills the remaining child processes when this process exits
+ * @param tasks threads for blocking steps
+ * @param randomStreams named random streams of the run
+ * @param requestClass the only request class of the run
  */
 record RunContext(
         RunPlan plan,
@@ -36,12 +36,12 @@
         RandomStreams randomStreams,
         RequestClass requestClass) {
 
-    /** Mean processing time of a request. */
+    /** Returns the mean processing time of a request in microseconds. */
     double meanWorkMicros() {
         return 1000 * scenario.service().workMillis().draw(randomStreams, "service.work");
     }
 
-    /** Starts a stand-in process with a history of its own. */
+    /** Starts a stand-in process that writes its own history. */
     StandInProcess startStandIn(String name) throws IOException {
         return new StandInProcess(
                 guard,
--- a/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
@@ -5,7 +5,9 @@
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.scenario.Scenario;
 
-/** The first line of a history: the parameters that the invariants and the statistics need. */
+/**
+ * Writes the first line of a history, with the parameters that the invariants and statistics need.
+ */
 final class RunHeader {
 
     private final RunContext context;
@@ -16,7 +18,10 @@
         this.members = members;
     }
 
-    /** Writes it, with the field names of the first version of the format. */
+    /**
+     * Writes the line. The field names are those of the first version of the format, so that newer
+     * builds read older histories.
+     */
     void record() {
         Scenario scenario = context.scenario();
         RequestClass requestClass = context.requestClass();
--- a/testbed/src/main/java/sagefall/faultinjection/RunMembers.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunMembers.java
@@ -8,7 +8,10 @@
 import sagefall.emulator.EmulatedDiscovery;
 import sagefall.faultinjection.process.StandInProcess;
 
-/** All members of a run. They are added before the run and, by replacements, on its event loop. */
+/**
+ * The members of a run. They are added before the run; replacements of servers are added during the
+ * run on its event loop.
+ */
 final class RunMembers {
 
     private final List<SidecarMember> sidecars = new ArrayList<>();
@@ -23,17 +26,17 @@
         return sidecars;
     }
 
-    /** Those that the run begins with. */
+    /** Returns the servers that exist at the start of the run. */
     List<ServerMember> initialServers() {
         return initialServers;
     }
 
-    /** All that there ever were, in the order in which they were made. */
+    /** Returns all servers, including retired ones, in the order of their creation. */
     List<ServerMember> servers() {
         return new ArrayList<>(servers.values());
     }
 
-    /** The server with an id. */
+    /** Returns the server with an id. */
     ServerMember server(long id) {
         return servers.get(id);
     }
@@ -46,7 +49,7 @@
         return processes;
     }
 
-    /** The server processes of a zone. */
+    /** Returns the server processes of a zone. */
     List<ServerProcess> processesOf(int zone) {
         return processes.stream().filter(process -> process.zone() == zone).toList();
     }
@@ -55,12 +58,12 @@
         return discoveryReplicas;
     }
 
-    /** The replica that hosts the discovery agent of a sidecar. */
+    /** Returns the discovery replica that hosts the agent of a sidecar. */
     StandInProcess discoveryReplicaOf(int sidecar) {
         return discoveryReplicas.get(sidecar % discoveryReplicas.size());
     }
 
-    /** The emulator's discovery; null until the run starts its processes. */
+    /** Returns the emulator's discovery; null until the run starts its processes. */
     EmulatedDiscovery discovery() {
         return discovery;
     }
@@ -69,7 +72,7 @@
         discovery = emulated;
     }
 
-    /** The emulator's clients; null until the run begins. */
+    /** Returns the emulator's clients; null until the load begins. */
     ClientTraffic traffic() {
         return traffic;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/RunStartup.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunStartup.java
@@ -15,7 +15,7 @@
 import sagefall.emulator.EmulatedDiscovery;
 import sagefall.faultinjection.process.StandInProcess;
 
-/** Starts the processes of a run: discovery and servers first, then the sidecars. */
+/** Starts the processes of a run: discovery replicas and servers first, then sidecars. */
 final class RunStartup {
 
     private static final int DISCOVERY_REPLICAS = 2;
@@ -29,7 +29,7 @@
         this.members = members;
     }
 
-    /** Starts all, and waits until all are ready. */
+    /** Starts all processes, and waits until all are ready. */
     void startAll() throws IOException, InterruptedException, ExecutionException, TimeoutException {
         members.discovery(
                 new EmulatedDiscovery(
@@ -51,7 +51,7 @@
         startSidecars();
     }
 
-    /** Starts a replica with the agents of its part of the sidecars. */
+    /** Starts a discovery replica with the agents of its share of the sidecars. */
     private Future<?> startDiscovery(int replica) throws IOException {
         StandInProcess process = context.startStandIn("discovery-" + replica);
         members.discoveryReplicas().add(process);
@@ -59,8 +59,8 @@
                 members.sidecars().stream()
                         .filter(sidecar -> sidecar.index() % DISCOVERY_REPLICAS == replica)
                         .toList();
-        return process.ask(StandInCommands.agents(sidecars))
-                .thenAccept(answer -> linkAgents(sidecars, answer.path("ports")));
+        return process.send(StandInCommands.agents(sidecars))
+                .thenAccept(reply -> linkAgents(sidecars, reply.path("ports")));
     }
 
     private static void linkAgents(List<SidecarMember> sidecars, JsonNode ports) {
--- a/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
@@ -8,15 +8,15 @@
 import sagefall.scenario.FaultMode;
 
 /**
- * A fault with its figures and its members drawn.
+ * A fault with its parameters and members drawn.
  *
- * @param place its place in the scenario
- * @param drawn its figures
- * @param servers the servers that it concerns; empty if the kind does not draw servers
- * @param sidecars the sidecars that it concerns; empty if the kind does not draw sidecars
+ * @param index index of the fault in the scenario
+ * @param drawn the fault of the scenario and its drawn parameters
+ * @param servers the affected servers; empty if the fault kind draws no servers
+ * @param sidecars the affected sidecars; empty if the fault kind draws no sidecars
  */
 record ScheduledFault(
-        int place, DrawnFault drawn, List<ServerMember> servers, List<SidecarMember> sidecars) {
+        int index, DrawnFault drawn, List<ServerMember> servers, List<SidecarMember> sidecars) {
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -24,7 +24,7 @@
         return drawn.fault();
     }
 
-    /** The kind, as scenarios spell it. */
+    /** Returns the name of the fault kind in scenario files. */
     String kindName() {
         return fault().kind().label();
     }
@@ -33,7 +33,7 @@
         return fault().kind() == kind;
     }
 
-    /** Whether the fault is of this variant of its kind. */
+    /** Returns whether the fault has this mode. */
     boolean isMode(FaultMode mode) {
         return fault().mode() == mode;
     }
@@ -42,12 +42,12 @@
         return drawn.magnitude();
     }
 
-    /** Its size, if that is a time in seconds. */
+    /** Returns the size in microseconds, for fault kinds whose size is in seconds. */
     long sizeMicros() {
         return (long) (MICROS_PER_SECOND * drawn.magnitude());
     }
 
-    /** When it ends, on the clock of the run. */
+    /** Returns the time on the clock of the run at which the fault ends. */
     long endMicros() {
         return clockMicros(drawn.startSeconds() + drawn.durationSeconds());
     }
@@ -60,7 +60,7 @@
         return sidecars.stream().map(SidecarMember::index).toList();
     }
 
-    /** A second of the run on the clock of its event loop. */
+    /** Converts seconds since the start of the run to the clock of its event loop. */
     static long clockMicros(double second) {
         return EventQueue.START_MICROS + (long) (MICROS_PER_SECOND * second);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -9,7 +9,7 @@
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.scenario.FaultMode;
 
-/** Faults of save servers and of the processes that run them. */
+/** Injects faults of save servers and of their processes. */
 final class ServerFaults implements FaultInjector.FaultGroup {
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -29,21 +29,25 @@
     }
 
     @Override
-    public boolean begin(ScheduledFault fault) {
+    public boolean schedule(ScheduledFault fault) {
         int zone = fault.fault().zone();
         boolean silent = fault.isMode(FaultMode.SILENT);
-        double part = fault.drawn().fraction();
+        double fraction = fault.drawn().fraction();
         double size = fault.size();
         switch (fault.fault().kind()) {
             case LOSE_ZONE ->
-                    timeline.during(fault, on -> lose(members.processesOf(zone), silent, on));
+                    timeline.during(
+                            fault, on -> killOrRestart(members.processesOf(zone), silent, on));
             case FLAP_ZONE ->
-                    timeline.inRounds(
-                            fault, part, on -> lose(members.processesOf(zone), silent, on));
+                    timeline.periodically(
+                            fault,
+                            fraction,
+                            on -> killOrRestart(members.processesOf(zone), silent, on));
             case LOSE_SERVERS ->
-                    timeline.during(fault, on -> lose(processes(fault.servers()), silent, on));
+                    timeline.during(
+                            fault, on -> killOrRestart(processes(fault.servers()), silent, on));
             case RESTART_WITH_NEW_IDS ->
-                    timeline.during(fault, on -> reborn(fault.servers(), silent, on));
+                    timeline.during(fault, on -> restartWithNewIds(fault.servers(), silent, on));
             case SLOW_SERVERS -> timeline.during(fault, on -> slowDown(fault.servers(), on, size));
             case SLOW_SHARED_DEPENDENCY ->
                     timeline.during(fault, on -> slowDown(members.servers(), on, size));
@@ -52,12 +56,14 @@
                             fault,
                             on ->
                                     fault.servers()
-                                            .forEach(s -> s.addFault(1, on ? size : -size, 0)));
-            case SERVER_PAUSES -> pauses(fault);
-            case REPLACE_SERVERS -> replace(fault);
+                                            .forEach(s -> s.changeFaults(1, on ? size : -size, 0)));
+            case SERVER_PAUSES -> schedulePauses(fault);
+            case REPLACE_SERVERS -> scheduleReplacements(fault);
             case DRAIN_SERVERS -> timeline.during(fault, on -> drain(fault.servers(), on));
-            case LOST_RESPONSES -> timeline.during(fault, on -> setAll("lost", on ? part : 0));
-            case CONNECTION_RESETS -> timeline.during(fault, on -> setAll("resets", on ? part : 0));
+            case LOST_RESPONSES ->
+                    timeline.during(fault, on -> setOnAllServers("lost", on ? fraction : 0));
+            case CONNECTION_RESETS ->
+                    timeline.during(fault, on -> setOnAllServers("resets", on ? fraction : 0));
             default -> {
                 return false;
             }
@@ -69,8 +75,8 @@
         return servers.stream().map(ServerMember::process).distinct().toList();
     }
 
-    /** Kills processes, or lets them start. */
-    void lose(List<ServerProcess> processes, boolean silent, boolean begins) {
+    /** Kills processes when a fault begins, and restarts them when the fault ends. */
+    void killOrRestart(List<ServerProcess> processes, boolean silent, boolean begins) {
         for (ServerProcess process : processes) {
             if (begins) {
                 process.kill(silent);
@@ -80,33 +86,42 @@
         }
     }
 
-    /** Servers end, and come back with other ids at the same addresses. */
-    private void reborn(List<ServerMember> servers, boolean silent, boolean begins)
+    /**
+     * Kills servers when a fault begins. When it ends, starts servers with new ids at the addresses
+     * of the killed ones.
+     */
+    private void restartWithNewIds(List<ServerMember> servers, boolean silent, boolean begins)
             throws IOException, InterruptedException {
         if (begins) {
-            lose(processes(servers), silent, true);
+            killOrRestart(processes(servers), silent, true);
             return;
         }
         for (ServerMember server : servers) {
             server.retire();
-            server.process().add(factory.replacement(server, MemberFactory.Placement.SAME_SLOT));
+            server.process()
+                    .add(factory.createReplacement(server, MemberFactory.Placement.SAME_SLOT));
             server.process().restart();
         }
     }
 
     private static void slowDown(List<ServerMember> servers, boolean begins, double size) {
-        servers.forEach(server -> server.addFault(begins ? size : 1 / size, 0, 0));
+        servers.forEach(server -> server.changeFaults(begins ? size : 1 / size, 0, 0));
     }
 
-    private void setAll(String figure, double value) {
+    /**
+     * Sets a fault on all servers.
+     *
+     * @param faultName field of the command that sets the fault
+     */
+    private void setOnAllServers(String faultName, double value) {
         for (ServerMember server : members.servers()) {
             if (server.process() != null) {
-                server.process().ask(server.setCommand().put(figure, value));
+                server.process().send(server.faultCommand().put(faultName, value));
             }
         }
     }
 
-    private void pauses(ScheduledFault fault) {
+    private void schedulePauses(ScheduledFault fault) {
         timeline.during(
                 fault,
                 on -> {
@@ -124,10 +139,13 @@
                 (long) (MICROS_PER_SECOND * fault.drawn().periodSeconds()),
                 (long) (MICROS_PER_MILLI * fault.size()),
                 fault.endMicros(),
-                pausesBy -> server.addFault(1, 0, pausesBy));
+                pausesChange -> server.changeFaults(1, 0, pausesChange));
     }
 
-    /** Servers are listed as draining and go on serving; they end when the fault does. */
+    /**
+     * Lists servers as draining while they continue to serve, and drains and stops them when the
+     * fault ends.
+     */
     private void drain(List<ServerMember> servers, boolean begins) {
         for (ServerMember server : servers) {
             if (server.isRetired()) {
@@ -136,35 +154,36 @@
             if (begins) {
                 members.discovery().serverDraining(server.model());
             } else {
-                drainAndEnd(server);
+                drainAndStop(server);
             }
         }
     }
 
     /**
-     * One server after another drains, with a new one in its place, and ends once all sidecars have
-     * been notified and it is empty.
+     * Schedules the replacement of servers one after another over the duration of the fault. Each
+     * server is listed as draining, and its replacement is started. The server drains and stops
+     * once all sidecars have been notified, or immediately in mode {@link FaultMode#EARLY}.
      */
-    private void replace(ScheduledFault fault) {
+    private void scheduleReplacements(ScheduledFault fault) {
         int count = fault.servers().size();
         Map<Integer, ServerMember> successors = new HashMap<>();
         for (int i = 0; i < count; i++) {
             ServerMember old = fault.servers().get(i);
-            int number = i;
+            int index = i;
             double second =
                     fault.drawn().startSeconds() + fault.drawn().durationSeconds() * i / count;
-            // Its links are made before, as that takes the thread of the model a while.
+            // Creating links blocks the event loop, so they are created before the load begins.
             context.tasks()
-                    .runHere(
+                    .runStep(
                             () ->
                                     successors.put(
-                                            number,
-                                            factory.replacement(
+                                            index,
+                                            factory.createReplacement(
                                                     old, MemberFactory.Placement.NEW_SLOT)));
             timeline.queue()
                     .scheduleAt(
                             ScheduledFault.clockMicros(second),
-                            () -> replace(fault, old, successors.get(number)));
+                            () -> replace(fault, old, successors.get(index)));
         }
     }
 
@@ -176,7 +195,7 @@
                 .write(
                         EntryKind.FAULT,
                         "place",
-                        fault.place(),
+                        fault.index(),
                         "what",
                         "replace",
                         "on",
@@ -185,31 +204,34 @@
                         List.of(old.slot()),
                         "sidecars",
                         List.of());
-        ServerProcess host = members.processesOf(old.zone()).get(0);
-        host.add(successor);
-        host.serve(successor, true)
-                .thenRun(() -> context.eventLoop().run(() -> started(successor)));
+        ServerProcess process = members.processesOf(old.zone()).get(0);
+        process.add(successor);
+        process.serve(successor, true)
+                .thenRun(() -> context.eventLoop().run(() -> onStarted(successor)));
         members.discovery().serverDraining(old.model());
-        long settledMicros =
+        long drainDelayMicros =
                 fault.isMode(FaultMode.EARLY) ? 0 : members.discovery().propagationMicros();
-        timeline.queue().scheduleAfter(settledMicros, () -> drainAndEnd(old));
+        timeline.queue().scheduleAfter(drainDelayMicros, () -> drainAndStop(old));
     }
 
-    private void started(ServerMember server) {
+    private void onStarted(ServerMember server) {
         server.model().start();
         members.discovery().serverStarted(server.model());
     }
 
-    /** Rejects new requests from now on, and ends once those in flight must be over. */
-    private void drainAndEnd(ServerMember server) {
-        server.process().ask(server.setCommand().put("drain", true));
+    /**
+     * Makes a server reject new requests, and stops it one request deadline later, when all
+     * requests that it had accepted must have ended.
+     */
+    private void drainAndStop(ServerMember server) {
+        server.process().send(server.faultCommand().put("drain", true));
         timeline.queue()
                 .scheduleAfter(
                         context.requestClass().deadlineMicros(),
                         () -> {
                             server.retire();
-                            server.process().end(server);
-                            server.down(false);
+                            server.process().shutDown(server);
+                            server.markDown(false);
                             members.discovery().serverStopped(server.model());
                         });
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerLink.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerLink.java
@@ -9,7 +9,7 @@
 final class ServerLink {
 
     private final LinkRelay relay;
-    private final Executor changes;
+    private final Executor changeExecutor;
     private final LinkConditions toServer;
     private final LinkConditions toClient;
     private int cutsToServer;
@@ -20,14 +20,14 @@
     private boolean silent;
 
     /**
-     * Takes the conditions that the relay has now as those without a fault.
+     * Creates a link. The conditions that the relay has at this time apply whenever no fault is
+     * active.
      *
-     * @param changes runs changes one after another, as closing and opening a listener takes a
-     *     while
+     * @param changeExecutor runs changes of the relay in order, in a thread that may block
      */
-    ServerLink(LinkRelay relay, Executor changes) {
+    ServerLink(LinkRelay relay, Executor changeExecutor) {
         this.relay = relay;
-        this.changes = changes;
+        this.changeExecutor = changeExecutor;
         toServer = relay.toServer();
         toClient = relay.toClient();
     }
@@ -36,39 +36,48 @@
         return relay;
     }
 
-    /** A cut in either direction begins (1), ends (-1) or is not concerned (0). */
+    /**
+     * Changes the number of active cuts in each direction; a direction with an active cut is
+     * blocked.
+     */
     void addCuts(int toServerBy, int toClientBy) {
         cutsToServer += toServerBy;
         cutsToClient += toClientBy;
     }
 
+    /** Adds to the delay in each direction; a negative value ends a fault. */
     void addDelay(double millis) {
         extraDelayMillis += millis;
     }
 
-    /** Connections are reset once so many bytes have gone to the server; 0: never. */
+    /** Resets connections after this number of bytes to the server; 0: never. */
     void resetAfter(long bytes) {
         resetAfterBytes = bytes;
     }
 
-    /** The process of the server has ended, or its machine has vanished; neither: it is back. */
-    void serverDown(boolean refusesNow, boolean silentNow) {
-        refusing = refusesNow;
-        silent = silentNow;
+    /**
+     * Sets the state of the server at the end of the link.
+     *
+     * @param newRefusing whether new connections are refused, because the server process has exited
+     * @param newSilent whether nothing passes, because the machine of the server has vanished
+     */
+    void setServerState(boolean newRefusing, boolean newSilent) {
+        refusing = newRefusing;
+        silent = newSilent;
     }
 
-    /** Brings the relay to the faults that are active. */
+    /** Applies the active faults to the relay. */
     void apply() {
         ConnectMode mode = mode();
         long extraMicros = (long) (1000 * extraDelayMillis);
-        LinkConditions there =
+        LinkConditions conditionsToServer =
                 toServer.delayed(() -> toServer.delayMicros().getAsLong() + extraMicros)
                         .resetAfter(resetAfterBytes)
                         .blocked(silent || cutsToServer > 0);
-        LinkConditions back =
+        LinkConditions conditionsToClient =
                 toClient.delayed(() -> toClient.delayMicros().getAsLong() + extraMicros)
                         .blocked(silent || cutsToClient > 0);
-        changes.execute(() -> relay.change(mode, there, back));
+        changeExecutor.execute(() -> relay.change(mode, conditionsToServer, conditionsToClient));
     }
 
     private ConnectMode mode() {
--- a/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import sagefall.emulator.EmulatedServer;
 
-/** A save server of the run: its model, the process that runs it and the links that lead to it. */
+/** A save server of the run with its model, its process and the links to it. */
 final class ServerMember {
 
     private final EmulatedServer model;
@@ -13,21 +13,21 @@
     private ServerProcess process;
     private boolean retired;
     private double slowFactor = 1;
-    private double errorPart;
+    private double errorRate;
     private int pauses;
 
     /**
-     * A server that no process runs yet.
+     * Creates a server that is not yet assigned to a process.
      *
-     * @param model what the emulator's discovery sees; the work is done by the process
-     * @param slot its place among the addresses; a server that is reborn takes over another's
-     * @param links by the index of the sidecar
+     * @param model model for the emulator's discovery; the process executes the requests
+     * @param slot index of its addresses; a server restarted with a new id keeps the slot
+     * @param links links by the index of the sidecar
      */
     ServerMember(EmulatedServer model, int slot, List<ServerLink> links) {
         this.model = model;
         this.slot = slot;
         this.links = links;
-        errorPart = model.spec.errorRate();
+        errorRate = model.spec.errorRate();
     }
 
     long id() {
@@ -50,21 +50,24 @@
         return links;
     }
 
-    /** The link from one sidecar. */
+    /** Returns the link from one sidecar. */
     ServerLink linkFrom(SidecarMember sidecar) {
         return links.get(sidecar.index());
     }
 
-    /** The process that runs it; null before it was started. */
+    /** Returns the process that runs the server; null until one is assigned. */
     ServerProcess process() {
         return process;
     }
 
-    void process(ServerProcess runsIt) {
-        process = runsIt;
+    void process(ServerProcess newProcess) {
+        process = newProcess;
     }
 
-    /** Whether it was replaced, reborn or drained: it does not come back. */
+    /**
+     * Returns whether the server was drained, replaced, or restarted with a new id, and never runs
+     * again.
+     */
     boolean isRetired() {
         return retired;
     }
@@ -73,29 +76,40 @@
         retired = true;
     }
 
-    /** Its process has ended: refused from now on, or, like a vanished machine, silent. */
-    void down(boolean silently) {
-        links.forEach(link -> link.serverDown(!silently, silently));
+    /**
+     * Marks the server as down.
+     *
+     * @param silently whether connections get no response, as from a vanished machine, instead of
+     *     being refused
+     */
+    void markDown(boolean silently) {
+        links.forEach(link -> link.setServerState(!silently, silently));
         links.forEach(ServerLink::apply);
         model.stop(silently);
     }
 
-    /** Its process runs. */
-    void up() {
-        links.forEach(link -> link.serverDown(false, false));
+    /** Restores the links after the process has started again. */
+    void markUp() {
+        links.forEach(link -> link.setServerState(false, false));
         links.forEach(ServerLink::apply);
     }
 
-    /** A fault of its own begins or ends: factors and differences to what there is. */
-    void addFault(double slowBy, double errorsBy, int pausesBy) {
-        slowFactor *= slowBy;
-        errorPart += errorsBy;
-        pauses += pausesBy;
-        process.ask(setCommand());
+    /**
+     * Begins or ends a fault of this server.
+     *
+     * @param slowdownFactor factor by which the slowdown changes
+     * @param errorRateChange change of the error rate
+     * @param pausesChange change of the number of active pauses
+     */
+    void changeFaults(double slowdownFactor, double errorRateChange, int pausesChange) {
+        slowFactor *= slowdownFactor;
+        errorRate += errorRateChange;
+        pauses += pausesChange;
+        process.send(faultCommand());
     }
 
-    /** The command that sets the faults which are active on it. */
-    ObjectNode setCommand() {
-        return StandInCommands.set(id(), slowFactor, Math.max(0, errorPart), pauses);
+    /** Returns the command that sets the active faults of this server. */
+    ObjectNode faultCommand() {
+        return StandInCommands.set(id(), slowFactor, Math.max(0, errorRate), pauses);
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -12,7 +12,10 @@
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.process.StandInProcess;
 
-/** A process with one save server in it, or with those of a zone that only ever end together. */
+/**
+ * A process that runs either one save server, or all servers of a zone that no fault kills
+ * individually.
+ */
 final class ServerProcess {
 
     private final RunContext context;
@@ -24,7 +27,7 @@
     private StandInProcess child;
     private int starts;
 
-    /** Faults that keep it down. Written on the event loop of the run alone. */
+    /** Number of faults that keep the process down. Written only on the event loop of the run. */
     private final AtomicInteger activeKills = new AtomicInteger();
 
     ServerProcess(
@@ -44,12 +47,18 @@
         return zone;
     }
 
-    /** Places a server in it, to be run from its next start on, or by {@link #serve}. */
+    /**
+     * Adds a server. It runs from the next start of the process on, or once {@link #serve} is
+     * called.
+     */
     void add(ServerMember server) {
         servers.add(server);
     }
 
-    /** Starts it; done once all its servers listen and the links lead to them. */
+    /**
+     * Starts the process. The future completes once all servers of the process listen and the links
+     * relay to them.
+     */
     CompletableFuture<Void> start(boolean cold) throws IOException {
         child = context.startStandIn(name + "-" + ++starts);
         context.history()
@@ -74,53 +83,60 @@
         return servers.stream().filter(server -> !server.isRetired()).toList();
     }
 
-    /** Runs one server in the process that there is; done once the links lead to it. */
+    /**
+     * Starts one server in the running process. The future completes once the links relay to it.
+     */
     CompletableFuture<Void> serve(ServerMember server, boolean cold) {
         server.process(this);
-        return child.ask(commands.serve(server, cold))
+        return child.send(commands.serve(server, cold))
                 .thenAccept(
-                        answer -> {
-                            InetSocketAddress at =
+                        reply -> {
+                            InetSocketAddress address =
                                     new InetSocketAddress(
                                             InetAddress.getLoopbackAddress(),
-                                            answer.path("port").asInt());
-                            server.links().forEach(link -> link.relay().target(at));
-                            ask(server.setCommand());
+                                            reply.path("port").asInt());
+                            server.links().forEach(link -> link.relay().target(address));
+                            send(server.faultCommand());
                         });
     }
 
-    /** Sends a command, if it was ever started. */
-    void ask(ObjectNode command) {
+    /** Sends a command, unless the process was never started. */
+    void send(ObjectNode command) {
         if (child != null) {
-            child.ask(command);
+            child.send(command);
         }
     }
 
-    /** Ends one of its servers as planned. */
-    void end(ServerMember server) {
-        ask(StandInCommands.end(server.id()));
+    /** Shuts down one of the servers. */
+    void shutDown(ServerMember server) {
+        send(StandInCommands.end(server.id()));
     }
 
-    /** SIGKILL; its addresses refuse connections from now on, or are silent. */
+    /**
+     * Kills the process by SIGKILL; the addresses of its servers then refuse connections or are
+     * silent.
+     */
     void kill(boolean silently) {
         if (activeKills.getAndIncrement() > 0) {
             return;
         }
         context.history().write(EntryKind.PROCESS, "name", name, "what", "kill");
         for (ServerMember server : running()) {
-            server.down(silently);
+            server.markDown(silently);
             members.discovery().serverStopped(server.model());
         }
+        // The process is killed after its links have changed, so that in silent mode no sidecar
+        // sees its connections close.
         StandInProcess killed = child;
         context.tasks().changeLinks(() -> killed.process().destroyForcibly());
     }
 
-    /** A new process, cold, once no fault keeps it down. */
+    /** Starts a new process with cold servers, unless another fault still keeps it down. */
     void restart() {
         if (activeKills.decrementAndGet() > 0) {
             return;
         }
-        context.tasks().runAside(this::startCold);
+        context.tasks().runInBackground(this::startCold);
     }
 
     private void startCold() throws IOException {
@@ -130,17 +146,18 @@
             if (!isDown()) {
                 throw e;
             }
+            // Another fault has killed the process before it was ready.
             return;
         }
-        context.eventLoop().run(this::restarted);
+        context.eventLoop().run(this::onRestarted);
     }
 
-    private void restarted() {
+    private void onRestarted() {
         if (isDown()) {
             return;
         }
         for (ServerMember server : running()) {
-            server.up();
+            server.markUp();
             server.model().start();
             members.discovery().serverStarted(server.model());
         }
@@ -150,8 +167,8 @@
         return activeKills.get() > 0;
     }
 
-    /** Kills it, whatever state it is in. */
-    void stop() {
+    /** Kills the process in any state. */
+    void destroy() {
         if (child != null) {
             child.process().destroyForcibly();
         }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -6,16 +6,19 @@
 import sagefall.load.SidecarProcess;
 
 /**
- * The process of one sidecar: its starts, its planned restarts and the faults that end or stop it.
- * Used on the event loop of the run, except {@link #start} and what measures it.
+ * Controls the process of one sidecar: starts, planned restarts, and faults that kill or stop it.
+ * Used on the event loop of the run, except for {@link #start} and the measurements.
  */
 final class SidecarControl {
 
-    /** Descriptors beyond the base that a sidecar at rest may have, such as its watch. */
-    private static final int REST_TOLERANCE_DESCRIPTORS = 4;
+    /**
+     * Number of open file descriptors above the baseline that an idle sidecar may have, such as
+     * that of its discovery watch.
+     */
+    private static final int IDLE_TOLERANCE_DESCRIPTORS = 4;
 
-    /** For so long after SIGTERM clients still make new connections. */
-    private static final long LEAVING_DELAY_MICROS = 300_000;
+    /** Time after SIGTERM for which clients still open new connections. */
+    private static final long DRAINING_DELAY_MICROS = 300_000;
 
     private final RunContext context;
     private final SidecarSpec spec;
@@ -24,21 +27,23 @@
     private final ClientLoad application;
     private volatile SidecarProcess process;
 
-    /** Whether the latest process was killed or terminated. */
-    private volatile boolean ending;
+    /** Whether the run itself has killed or terminated the latest process. */
+    private volatile boolean exitRequested;
 
     private int incarnation;
-    private int baseDescriptors;
+    private int baselineDescriptors;
     private boolean up;
-    private boolean leaving;
+    private boolean draining;
     private ObjectNode firstList;
     private NextStart nextStart = new NextStart(false, 0);
 
     /**
-     * What a sidecar finds from its next start on.
+     * Conditions for the following starts of a sidecar.
      *
-     * @param staleList whether its configuration has the endpoint list of its first start
-     * @param clockOffsetMillis how far ahead it takes the wall clock to be
+     * @param staleList whether the configuration has the endpoint list of the first start instead
+     *     of the current one
+     * @param clockOffsetMillis offset of the wall clock that the sidecar uses; positive if that
+     *     clock is ahead
      */
     record NextStart(boolean staleList, long clockOffsetMillis) {}
 
@@ -55,22 +60,22 @@
         this.application = application;
     }
 
-    /** Whether clients may send requests. */
+    /** Returns whether clients may send requests. */
     boolean isUp() {
         return up;
     }
 
-    /** Whether a planned restart is so far that clients make no new connections. */
-    boolean isLeaving() {
-        return leaving;
+    /** Returns whether clients open no new connections because of a planned restart. */
+    boolean isDraining() {
+        return draining;
     }
 
-    /** Its starts so far. */
+    /** Returns the number of starts so far. */
     int incarnation() {
         return incarnation;
     }
 
-    /** The latest process; null before the first start. */
+    /** Returns the latest process; null before the first start. */
     Process process() {
         return process == null ? null : process.process();
     }
@@ -83,12 +88,12 @@
         nextStart = next;
     }
 
-    /** Starts it and waits until it is ready; not on the event loop. */
+    /** Starts the process and waits until it is ready; not called on the event loop. */
     void start() throws IOException, InterruptedException {
-        ObjectNode current = endpoints.complete();
+        ObjectNode current = endpoints.completeList();
         firstList = firstList == null ? current : firstList;
         ObjectNode list = nextStart.staleList ? firstList : current;
-        ending = false;
+        exitRequested = false;
         SidecarProcess started = launcher.start(++incarnation, list, nextStart.clockOffsetMillis);
         context.guard().watch(started.process());
         process = started;
@@ -102,7 +107,7 @@
         context.history().write(EntryKind.PROCESS, "who", spec.index(), "what", what);
     }
 
-    private void recordExit(Process ended) {
+    private void recordExit(Process exited) {
         context.history()
                 .write(
                         EntryKind.PROCESS,
@@ -111,9 +116,9 @@
                         "what",
                         "exit",
                         "status",
-                        ended.exitValue(),
+                        exited.exitValue(),
                         "asked",
-                        ending);
+                        exitRequested);
     }
 
     private void recordStart(SidecarProcess started, ObjectNode list) {
@@ -145,31 +150,31 @@
                         list.path("targets"));
     }
 
-    /** Clients may come. */
-    void ready() {
+    /** Lets clients send requests. */
+    void markReady() {
         up = true;
-        leaving = false;
+        draining = false;
     }
 
-    /** Whether its descriptors are about what they were before the first request, or it ended. */
-    boolean isAtRest() throws IOException {
+    /** Returns whether the process has exited, or its open descriptors are near the baseline. */
+    boolean isIdle() throws IOException {
         return !process.process().isAlive()
                 || process.statistics().descriptors()
-                        <= baseDescriptors + REST_TOLERANCE_DESCRIPTORS;
+                        <= baselineDescriptors + IDLE_TOLERANCE_DESCRIPTORS;
     }
 
-    /** Records its resources before the first request, to compare with. */
-    void recordBase() throws IOException {
-        baseDescriptors = process.statistics().descriptors();
-        recordRest("before");
+    /** Records the resources of the process before the first request, as the baseline. */
+    void recordBaseline() throws IOException {
+        baselineDescriptors = process.statistics().descriptors();
+        recordResources("before");
     }
 
-    /** Records its resources after the last request. */
-    void recordRest() throws IOException {
-        recordRest("after");
+    /** Records the resources of the process after the last request. */
+    void recordFinalResources() throws IOException {
+        recordResources("after");
     }
 
-    private void recordRest(String when) throws IOException {
+    private void recordResources(String when) throws IOException {
         context.history()
                 .write(
                         EntryKind.REST,
@@ -183,41 +188,47 @@
                         process.statistics().status("VmRSS"));
     }
 
-    /** SIGKILL; restarted after so long. */
+    /**
+     * Kills the process by SIGKILL, and starts a new one {@code downMicros} later. Does nothing
+     * while the sidecar is down.
+     */
     void kill(long downMicros) {
         if (!up) {
             return;
         }
         up = false;
-        ending = true;
+        exitRequested = true;
         recordProcess("kill");
         process.process().destroyForcibly();
-        startAfter(downMicros);
+        scheduleStart(downMicros);
     }
 
-    private void startAfter(long downMicros) {
+    private void scheduleStart(long downMicros) {
         context.eventLoop()
                 .queue()
-                .scheduleAfter(downMicros, () -> context.tasks().runAside(this::startOnceEnded));
+                .scheduleAfter(
+                        downMicros, () -> context.tasks().runInBackground(this::startAfterExit));
     }
 
-    private void startOnceEnded() throws IOException, InterruptedException {
+    private void startAfterExit() throws IOException, InterruptedException {
         process.process().onExit().join();
         start();
-        context.eventLoop().run(this::ready);
+        context.eventLoop().run(this::markReady);
     }
 
     /**
-     * A planned restart: SIGTERM, then new connections for a while, then none until the next start.
+     * Performs a planned restart: sends SIGTERM, stops clients from opening new connections after a
+     * delay, and starts a new process {@code downMicros} after the old one has exited. Does nothing
+     * while the sidecar is down.
      */
     void restart(long downMicros) {
         if (!up) {
             return;
         }
-        ending = true;
+        exitRequested = true;
         recordProcess("term");
         process.process().destroy();
-        context.eventLoop().queue().scheduleAfter(LEAVING_DELAY_MICROS, () -> leaving = true);
+        context.eventLoop().queue().scheduleAfter(DRAINING_DELAY_MICROS, () -> draining = true);
         process.process()
                 .onExit()
                 .thenRun(
@@ -226,23 +237,23 @@
                                         .run(
                                                 () -> {
                                                     up = false;
-                                                    startAfter(downMicros);
+                                                    scheduleStart(downMicros);
                                                 }));
     }
 
-    /** Stops it: SIGSTOP. */
+    /** Suspends the process by SIGSTOP. */
     void stop() throws IOException {
         recordProcess("stop");
         context.guard().signal("STOP", process.process());
     }
 
-    /** Lets it go on: SIGCONT. */
+    /** Resumes the process by SIGCONT. */
     void resume() throws IOException {
         recordProcess("cont");
         context.guard().signal("CONT", process.process());
     }
 
-    /** Stops it, or lets it go on. */
+    /** Suspends or resumes the process. */
     void setStopped(boolean stopped) throws IOException {
         if (stopped) {
             stop();
@@ -251,21 +262,21 @@
         }
     }
 
-    /** Terminates it at the end of the run. */
+    /** Terminates the process by SIGTERM at the end of the run. */
     void terminate() {
         up = false;
-        ending = true;
+        exitRequested = true;
         recordProcess("term");
         application.close();
         process.process().destroy();
     }
 
-    /** It did not end after SIGTERM. */
+    /** Records that the process did not exit in time after SIGTERM. */
     void recordStuck() {
         recordProcess("stuck");
     }
 
-    /** Kills it, whatever state it is in. */
+    /** Kills the process if it is alive. */
     void destroy() {
         if (process != null && process.process().isAlive()) {
             recordProcess("kill");
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import sagefall.scenario.FaultMode;
 
-/** Faults of sidecars and of their processes. */
+/** Injects faults of sidecar processes. */
 final class SidecarFaults implements FaultInjector.FaultGroup {
 
-    /** A slowed sidecar is stopped for a part of each of these. */
+    /** Length of the cycle in which a slowed sidecar is stopped and resumed once. */
     private static final long DUTY_CYCLE_MICROS = 100_000;
 
-    /** Planned restarts happen in at most so many steps. */
+    /** Maximum number of points in time over which planned restarts are spread. */
     private static final int MAX_RESTART_STEPS = 10;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -23,14 +23,14 @@
     private final ServerFaults servers;
     private final FaultTimeline timeline;
 
-    /** The lease holders that faults have stopped, by the place of the fault. */
-    private final Map<Integer, SidecarControl> stoppedHolders = new HashMap<>();
+    /** Leaders that were suspended, by the index of the fault; null if there was no leader. */
+    private final Map<Integer, SidecarControl> stoppedLeaders = new HashMap<>();
 
     /**
-     * The faults of a run.
+     * Creates the fault group of a run.
      *
-     * @param leaseObserver null if the sidecars have no lease
-     * @param servers for the servers of a zone that loses power
+     * @param leaseObserver null if the run has no leader election
+     * @param servers fault group that kills the servers of a zone that loses power
      */
     SidecarFaults(
             RunContext context,
@@ -46,17 +46,17 @@
     }
 
     @Override
-    public boolean begin(ScheduledFault fault) {
+    public boolean schedule(ScheduledFault fault) {
         switch (fault.fault().kind()) {
-            case KILL_SIDECARS -> timeline.onceAt(fault, fault.size(), on -> kill(fault, on));
-            case RESTART_SIDECARS -> restart(fault);
+            case KILL_SIDECARS -> timeline.during(fault, fault.size(), on -> kill(fault, on));
+            case RESTART_SIDECARS -> scheduleRestarts(fault);
             case STOP_SIDECARS -> timeline.during(fault, on -> setStopped(fault, on));
             case SLOW_SIDECARS -> timeline.during(fault, on -> slowDown(fault, on));
-            case WRONG_CLOCK -> timeline.onceAt(fault, 0, on -> setClock(fault));
-            case POWER_LOSS -> timeline.onceAt(fault, fault.size(), on -> losePower(fault, on));
-            case STOP_LEASE_HOLDER -> timeline.during(fault, on -> setHolderStopped(fault, on));
+            case WRONG_CLOCK -> timeline.during(fault, 0, on -> setClock(fault));
+            case POWER_LOSS -> timeline.during(fault, fault.size(), on -> losePower(fault, on));
+            case STOP_LEASE_HOLDER -> timeline.during(fault, on -> setLeaderStopped(fault, on));
             case KILL_LEASE_HOLDER ->
-                    timeline.onceAt(fault, fault.size(), on -> killHolder(fault, on));
+                    timeline.during(fault, fault.size(), on -> killLeader(fault, on));
             default -> {
                 return false;
             }
@@ -68,7 +68,7 @@
         return fault.sidecars().stream().map(SidecarMember::control).toList();
     }
 
-    /** A killed sidecar is restarted by its control. */
+    /** Kills sidecars, each of which is restarted by its {@link SidecarControl}. */
     private static void kill(ScheduledFault fault, boolean begins) {
         if (begins) {
             controls(fault).forEach(sidecar -> sidecar.kill(fault.sizeMicros()));
@@ -81,6 +81,7 @@
         }
     }
 
+    /** Sets the offset of the clock that sidecars use from their next start on. */
     private static void setClock(ScheduledFault fault) {
         long offsetMillis = (long) (MILLIS_PER_SECOND * fault.size());
         for (SidecarControl sidecar : controls(fault)) {
@@ -89,8 +90,9 @@
         }
     }
 
-    /** Planned restarts in steps over the time of the fault. */
-    private void restart(ScheduledFault fault) {
+    /** Schedules planned restarts in equal steps over the duration of the fault. */
+    private void scheduleRestarts(ScheduledFault fault) {
+        // Records when the fault begins and ends; the restarts are scheduled individually.
         timeline.during(fault, on -> {});
         List<SidecarControl> sidecars = controls(fault);
         int steps = Math.min(MAX_RESTART_STEPS, Math.max(1, sidecars.size()));
@@ -116,25 +118,33 @@
         }
     }
 
-    /** Stops a sidecar, and lets it run for a part of each cycle, until a time. */
-    private void runDutyCycle(SidecarControl sidecar, double runningPart, long untilMicros) {
+    /**
+     * Suspends a sidecar for a fraction of each cycle until a point in time.
+     *
+     * @param runningFraction fraction of each cycle for which the sidecar runs
+     */
+    private void runDutyCycle(SidecarControl sidecar, double runningFraction, long untilMicros) {
         if (timeline.queue().now() >= untilMicros) {
             return;
         }
-        context.tasks().runHere(sidecar::stop);
-        long stoppedMicros = (long) (DUTY_CYCLE_MICROS * (1 - runningPart));
+        context.tasks().runStep(sidecar::stop);
+        long stoppedMicros = (long) (DUTY_CYCLE_MICROS * (1 - runningFraction));
         timeline.queue()
-                .scheduleAfter(stoppedMicros, () -> context.tasks().runHere(sidecar::resume));
+                .scheduleAfter(stoppedMicros, () -> context.tasks().runStep(sidecar::resume));
         timeline.queue()
                 .scheduleAfter(
-                        DUTY_CYCLE_MICROS, () -> runDutyCycle(sidecar, runningPart, untilMicros));
+                        DUTY_CYCLE_MICROS,
+                        () -> runDutyCycle(sidecar, runningFraction, untilMicros));
     }
 
-    /** The servers of a zone, or all, and the sidecars that were drawn, at once. */
+    /**
+     * Kills the servers of a zone, or all servers, and the drawn sidecars at once. Restarts the
+     * servers when the fault ends; each sidecar is restarted by its {@link SidecarControl}.
+     */
     private void losePower(ScheduledFault fault, boolean begins) {
         int zone = fault.fault().zone();
         List<ServerProcess> processes = zone < 0 ? members.processes() : members.processesOf(zone);
-        servers.lose(processes, true, begins);
+        servers.killOrRestart(processes, true, begins);
         if (!begins) {
             return;
         }
@@ -146,27 +156,27 @@
         }
     }
 
-    /** The sidecar that holds the lease; null if none does. */
-    private SidecarControl leaseHolder() throws IOException {
-        int index = leaseObserver == null ? LeaseObserver.NOBODY : leaseObserver.holder();
-        return index == LeaseObserver.NOBODY ? null : members.sidecars().get(index).control();
+    /** Returns the sidecar that is the leader; null if there is none. */
+    private SidecarControl leader() throws IOException {
+        int index = leaseObserver == null ? LeaseObserver.NO_LEADER : leaseObserver.leader();
+        return index == LeaseObserver.NO_LEADER ? null : members.sidecars().get(index).control();
     }
 
-    /** Stops the lease holder of the moment, or lets the one that was stopped go on. */
-    private void setHolderStopped(ScheduledFault fault, boolean begins) throws IOException {
+    /** Suspends the current leader, or resumes the one that the fault has suspended. */
+    private void setLeaderStopped(ScheduledFault fault, boolean begins) throws IOException {
         if (begins) {
-            stoppedHolders.put(fault.place(), leaseHolder());
+            stoppedLeaders.put(fault.index(), leader());
         }
-        SidecarControl holder = stoppedHolders.get(fault.place());
-        if (holder != null) {
-            holder.setStopped(begins);
+        SidecarControl leader = stoppedLeaders.get(fault.index());
+        if (leader != null) {
+            leader.setStopped(begins);
         }
     }
 
-    private void killHolder(ScheduledFault fault, boolean begins) throws IOException {
-        SidecarControl holder = begins ? leaseHolder() : null;
-        if (holder != null) {
-            holder.kill(fault.sizeMicros());
+    private void killLeader(ScheduledFault fault, boolean begins) throws IOException {
+        SidecarControl leader = begins ? leader() : null;
+        if (leader != null) {
+            leader.kill(fault.sizeMicros());
         }
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -9,10 +9,10 @@
 import sagefall.load.SidecarConfig;
 import sagefall.load.SidecarProcess;
 
-/** Starts the process of one sidecar, with its configuration and its extensions. */
+/** Starts the process of one sidecar with its configuration and extensions. */
 final class SidecarLauncher {
 
-    /** Recovery data older than this is not used. */
+    /** Age limit of recovery data; older data is not used. */
     private static final long MAX_RECOVERY_AGE_MILLIS = 60_000;
 
     private static final String NO_RECOVERY = "off";
@@ -23,10 +23,10 @@
     private final LeaseObserver leaseObserver;
 
     /**
-     * The launcher of one sidecar.
+     * Creates the launcher of one sidecar.
      *
-     * @param discovery where it finds its discovery agent
-     * @param leaseObserver null if the sidecars of the run have no lease
+     * @param discovery address of the link to the sidecar's discovery agent
+     * @param leaseObserver null if the run has no leader election
      */
     SidecarLauncher(
             RunContext context,
@@ -40,11 +40,12 @@
     }
 
     /**
-     * Starts it, and waits for nothing.
+     * Starts the process without waiting until it is ready.
      *
-     * @param incarnation its start by number, from 1 on
-     * @param endpoints the complete endpoint list for its configuration
-     * @param clockOffsetMillis how far ahead it takes the wall clock to be
+     * @param incarnation number of the start, from 1 on
+     * @param endpoints the complete endpoint list for the configuration
+     * @param clockOffsetMillis offset of the wall clock that the sidecar uses; positive if that
+     *     clock is ahead
      */
     SidecarProcess start(int incarnation, ObjectNode endpoints, long clockOffsetMillis)
             throws IOException {
@@ -55,20 +56,20 @@
                 spec.listen(),
                 SidecarConfig.config(
                         "n" + spec.index(),
-                        Addresses.text(discovery),
+                        Addresses.hostAndPort(discovery),
                         salt(incarnation),
                         JsonLines.MAPPER.convertValue(endpoints, JsonLines.MAP),
                         spec.settings()),
                 extensions(clockOffsetMillis));
     }
 
-    /** A seed for the sidecar, new with each start. */
+    /** Returns a seed for the sidecar that differs for each start. */
     private String salt(int incarnation) {
         String stream = "salt." + spec.index() + "." + incarnation;
         return String.format("%016x", context.randomStreams().stream(stream).nextLong());
     }
 
-    /** The file of extensions; null for none. */
+    /** Returns the content of the extensions file; null without extensions. */
     private Map<String, Object> extensions(long clockOffsetMillis) {
         Map<String, Object> sections = new HashMap<>();
         String sync = context.scenario().fleet().persistence();
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
@@ -12,8 +12,8 @@
 import sagefall.faultinjection.link.LinkRelay;
 
 /**
- * A real sidecar, as the emulator's clients and discovery see it: its process, the application
- * beside it, and the agent of discovery on its machine.
+ * A real sidecar behind the interfaces of the emulator's clients and discovery: its process, the
+ * client application beside it, and its discovery agent.
  */
 final class SidecarMember implements SidecarHandle, EndpointListSubscriber {
 
@@ -60,7 +60,7 @@
 
     @Override
     public boolean isDraining() {
-        return control.isLeaving();
+        return control.isDraining();
     }
 
     @Override
@@ -68,53 +68,56 @@
         return String.format("%04x%02x", spec.index(), control.incarnation() & 0xff);
     }
 
-    /** Of the agent, which outlives the sidecar. */
+    /**
+     * Returns a constant: endpoint lists go to the discovery agent, which is not restarted with the
+     * sidecar.
+     */
     @Override
     public int incarnation() {
         return 0;
     }
 
-    /** The link to its discovery agent. */
+    /** Returns the link to the discovery agent. */
     LinkRelay discoveryLink() {
         return discoveryLink;
     }
 
-    /** Its process and the faults of that. */
+    /** Returns the control of the sidecar's process. */
     SidecarControl control() {
         return control;
     }
 
-    /** Whether requests of its clients are open. */
+    /** Returns whether the sidecar's clients have open requests. */
     boolean isBusy() {
-        return requests.hasOpen();
+        return requests.hasOpenRequests();
     }
 
     @Override
-    public void submit(ClientRequest call, boolean repeat) {
-        requests.send(call, repeat);
+    public void submit(ClientRequest request, boolean retry) {
+        requests.send(request, retry);
     }
 
     @Override
-    public void onUnreachable(ClientOperation wish) {
+    public void onUnreachable(ClientOperation operation) {
         context.history()
                 .write(
                         EntryKind.MISSED,
                         "who",
                         spec.index(),
                         "wish",
-                        wish.number,
+                        operation.number,
                         "beyond",
-                        wish.overQuota);
+                        operation.overQuota);
     }
 
     @Override
-    public void disconnectClient(ClientRequest call) {
-        requests.abandon(call);
+    public void disconnectClient(ClientRequest request) {
+        requests.disconnect(request);
     }
 
     @Override
-    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> lines) {
-        ObjectNode list = endpoints.update(kind, lines);
-        members.discoveryReplicaOf(spec.index()).ask(StandInCommands.list(spec.index(), list));
+    public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> listed) {
+        ObjectNode list = endpoints.update(kind, listed);
+        members.discoveryReplicaOf(spec.index()).send(StandInCommands.list(spec.index(), list));
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -11,25 +11,28 @@
 import sagefall.faultinjection.history.EntryKind;
 
 /**
- * The requests that the emulator's clients send to one sidecar, through the application beside it.
- * Used on the event loop of the run alone.
+ * Sends the requests of the emulator's clients to one sidecar, through the client application
+ * beside it. Used only on the event loop of the run.
  */
 final class SidecarRequests {
 
-    /** So long after its time a request counts as unanswered, so that a late answer is seen. */
-    private static final long UNANSWERED_AFTER_MICROS = 5_000_000;
+    /**
+     * Time after the deadline for which a late response is awaited before the request counts as
+     * unanswered.
+     */
+    private static final long LATE_RESPONSE_WAIT_MICROS = 5_000_000;
 
     private static final int BODY_BYTES = 300;
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** An open request, and the incarnation of the sidecar that it was sent to. */
+    /** An open request, with the incarnation of the sidecar that the request was sent to. */
     private record OpenRequest(ClientLoad.Exchange exchange, int incarnation) {}
 
     private final RunContext context;
     private final RunMembers members;
     private final SidecarControl control;
     private final ClientLoad application;
-    private final Map<String, OpenRequest> open = new HashMap<>();
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
     private final int sidecar;
 
     SidecarRequests(
@@ -45,11 +48,11 @@
         this.application = application;
     }
 
-    boolean hasOpen() {
-        return !open.isEmpty();
+    boolean hasOpenRequests() {
+        return !openRequests.isEmpty();
     }
 
-    /** Sends a request; its answer goes to the emulator's clients. */
+    /** Sends a request and passes its response to the emulator's clients. */
     void send(ClientRequest request, boolean retry) {
         long timeoutMicros = request.deadlineMicros - request.receivedAtMicros;
         String key = idempotencyKey(request);
@@ -59,12 +62,13 @@
                         "/save/" + Long.toHexString(request.operation.key),
                         headers(request, key, timeoutMicros, retry),
                         body(request),
-                        reply -> context.eventLoop().run(() -> replied(request, reply)));
-        open.put(request.id, new OpenRequest(exchange, control.incarnation()));
+                        result -> context.eventLoop().run(() -> onResult(request, result)));
+        openRequests.put(request.id, new OpenRequest(exchange, control.incarnation()));
         context.eventLoop()
                 .queue()
                 .scheduleAt(
-                        request.deadlineMicros + UNANSWERED_AFTER_MICROS, () -> giveUp(request));
+                        request.deadlineMicros + LATE_RESPONSE_WAIT_MICROS,
+                        () -> endUnanswered(request));
     }
 
     private void recordIntent(ClientRequest request, String key, long timeoutMicros) {
@@ -85,7 +89,9 @@
                         request.operation.overQuota);
     }
 
-    /** All requests of a client's operation carry one key. */
+    /**
+     * Returns the idempotency key of a request; all requests of a client's operation have one key.
+     */
     private String idempotencyKey(ClientRequest request) {
         return String.format("%016x%016x", context.plan().seed(), request.operation.number);
     }
@@ -104,30 +110,30 @@
         return headers;
     }
 
-    /** The cost of the request, and padding. */
+    /** Returns a body with the cost of the request in its first line, padded to a fixed size. */
     private static byte[] body(ClientRequest request) {
         byte[] body = new byte[BODY_BYTES];
         Arrays.fill(body, (byte) '.');
-        byte[] work =
+        byte[] costLine =
                 ("work=" + request.operation.workMicros + "\n").getBytes(StandardCharsets.US_ASCII);
-        System.arraycopy(work, 0, body, 0, work.length);
+        System.arraycopy(costLine, 0, body, 0, costLine.length);
         return body;
     }
 
-    private void giveUp(ClientRequest request) {
-        OpenRequest unanswered = open.get(request.id);
-        if (unanswered != null) {
-            application.abandon(unanswered.exchange);
-            replied(request, new ClientLoad.Reply(AnswerStatus.BROKEN, 0, "unanswered"));
+    private void endUnanswered(ClientRequest request) {
+        OpenRequest openRequest = openRequests.get(request.id);
+        if (openRequest != null) {
+            application.disconnect(openRequest.exchange);
+            onResult(request, new ClientLoad.RequestResult(AnswerStatus.BROKEN, 0, "unanswered"));
         }
     }
 
-    private void replied(ClientRequest request, ClientLoad.Reply reply) {
-        OpenRequest answered = open.remove(request.id);
-        if (answered == null) {
+    private void onResult(ClientRequest request, ClientLoad.RequestResult result) {
+        OpenRequest openRequest = openRequests.remove(request.id);
+        if (openRequest == null) {
             return;
         }
-        boolean sidecarEnded = answered.incarnation != control.incarnation() || !control.isUp();
+        boolean sidecarExited = openRequest.incarnation != control.incarnation() || !control.isUp();
         context.history()
                 .write(
                         EntryKind.ANSWER,
@@ -136,27 +142,28 @@
                         "who",
                         sidecar,
                         "status",
-                        reply.status(),
+                        result.status(),
                         "retry_us",
-                        reply.retryMicros(),
+                        result.retryMicros(),
                         "body",
-                        reply.body());
+                        result.body());
         if (!request.finished) {
             request.finished = true;
-            tellClient(request, reply, sidecarEnded);
+            notifyClient(request, result, sidecarExited);
         }
     }
 
-    private void tellClient(ClientRequest request, ClientLoad.Reply reply, boolean sidecarEnded) {
-        int status = reply.status();
+    private void notifyClient(
+            ClientRequest request, ClientLoad.RequestResult result, boolean sidecarExited) {
+        int status = result.status();
         if (status == AnswerStatus.OK) {
             members.traffic().deliverAnswer(request, ClientAnswer.SERVED, "", 0);
         } else if (AnswerStatus.isRejected(status)) {
             members.traffic()
-                    .deliverAnswer(request, ClientAnswer.REJECTED, "refused", reply.retryMicros());
+                    .deliverAnswer(request, ClientAnswer.REJECTED, "refused", result.retryMicros());
         } else if (status == AnswerStatus.UNREACHABLE) {
             members.traffic().deliverAnswer(request, ClientAnswer.REJECTED, "sidecar down", 0);
-        } else if (status == AnswerStatus.BROKEN && sidecarEnded) {
+        } else if (status == AnswerStatus.BROKEN && sidecarExited) {
             members.traffic().onSidecarKilled(request);
         } else {
             String reason = status == AnswerStatus.BROKEN ? "unanswered" : "failed";
@@ -164,13 +171,13 @@
         }
     }
 
-    /** The client closes its connection. */
-    void abandon(ClientRequest request) {
+    /** Closes the connection of a request on behalf of its client. */
+    void disconnect(ClientRequest request) {
         request.finished = true;
-        OpenRequest abandoned = open.remove(request.id);
+        OpenRequest openRequest = openRequests.remove(request.id);
         context.history().write(EntryKind.ABANDONED, "id", request.id, "who", sidecar);
-        if (abandoned != null) {
-            application.abandon(abandoned.exchange);
+        if (openRequest != null) {
+            application.disconnect(openRequest.exchange);
         }
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarSpec.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarSpec.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * What a sidecar of a run is made of.
+ * Parameters of one sidecar.
  *
- * @param index its place among all
- * @param zone the place of its zone
- * @param checkout whose deploy file starts it
- * @param directory its own, for configuration, log and recovery data
- * @param listen where it listens
- * @param settings the balancer's settings in its configuration
+ * @param index index among all sidecars
+ * @param zone index of the zone
+ * @param checkout checkout whose deploy file starts the sidecar
+ * @param directory directory for configuration, log and recovery data
+ * @param listen address that the sidecar listens on
+ * @param settings balancer settings for the configuration
  */
 record SidecarSpec(
         int index,
--- a/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import sagefall.faultinjection.history.JsonLines;
 
-/** The commands that stand-in processes take, one JSON object a line. */
+/** Builds the commands for stand-in processes; each is sent as one line of JSON. */
 final class StandInCommands {
 
     private final RunContext context;
     private final double setupMicros;
 
     /**
-     * Commands of a run.
+     * Creates the commands of a run.
      *
-     * @param setupMicros cost of a new connection at a server
+     * @param setupMicros cost in microseconds of a new connection at a server
      */
     StandInCommands(RunContext context, double setupMicros) {
         this.context = context;
@@ -26,7 +26,7 @@
         return JsonLines.MAPPER.createObjectNode().put("do", name);
     }
 
-    /** Run a server; its answer has the port. */
+    /** Returns the command to run a server; the reply has its port. */
     ObjectNode serve(ServerMember server, boolean cold) {
         ObjectNode command =
                 command("serve")
@@ -45,21 +45,21 @@
         return command.put("cold", cold);
     }
 
-    /** Set the faults of a server. */
-    static ObjectNode set(long server, double slowFactor, double errorPart, int pauses) {
+    /** Returns the command to set the faults of a server. */
+    static ObjectNode set(long server, double slowFactor, double errorRate, int pauses) {
         return command("set")
                 .put("id", server)
                 .put("slow", slowFactor)
-                .put("errors", errorPart)
+                .put("errors", errorRate)
                 .put("pauses", pauses);
     }
 
-    /** End a server as planned. */
+    /** Returns the command to shut down a server. */
     static ObjectNode end(long server) {
         return command("end").put("id", server);
     }
 
-    /** Run the discovery agents of these sidecars; its answer has their ports, in order. */
+    /** Returns the command to run the agents of sidecars; the reply has their ports, in order. */
     static ObjectNode agents(List<SidecarMember> sidecars) {
         ObjectNode command = command("views");
         ArrayNode indices = command.putArray("who");
@@ -67,17 +67,17 @@
         return command;
     }
 
-    /** Discovery says nothing, or speaks. */
+    /** Returns the command that makes discovery silent, or ends the silence. */
     static ObjectNode mute(boolean on) {
         return command("mute").put("on", on);
     }
 
-    /** Hand an endpoint list to the agent of a sidecar. */
+    /** Returns the command to pass an endpoint list to the agent of a sidecar. */
     static ObjectNode list(int sidecar, ObjectNode list) {
         return list.put("do", "list").put("who", sidecar);
     }
 
-    /** An endpoint list: all endpoints, or those that changed. */
+    /** Returns an endpoint list of all endpoints, or of those that have changed. */
     static ObjectNode endpointList(long revision, boolean all, Collection<ObjectNode> endpoints) {
         ObjectNode list = JsonLines.MAPPER.createObjectNode().put("rev", revision).put("all", all);
         list.putArray("targets").addAll(endpoints);
--- a/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
@@ -9,22 +9,25 @@
 import java.util.List;
 
 /**
- * An address at which connections are never established: it listens with the shortest backlog,
- * fills that itself and accepts nobody, so that the operating system drops further SYN packets, as
- * a vanished machine would.
+ * An address at which connections are never established. It listens with the shortest backlog,
+ * fills the backlog with its own connections and accepts none, so that the operating system drops
+ * further SYN packets. To a client this looks like a machine that has vanished.
  */
 final class BlackholeAddress implements AutoCloseable {
 
-    /** The backlog holds one more than it is given; one above that to be sure. */
-    private static final int FILLERS = 3;
+    /**
+     * Number of connections that fill the backlog. A backlog of 1 holds two connections; the third
+     * ensures that it is full.
+     */
+    private static final int FILLER_CONNECTIONS = 3;
 
-    private final ServerSocketChannel listening = ServerSocketChannel.open();
+    private final ServerSocketChannel serverChannel = ServerSocketChannel.open();
     private final List<SocketChannel> fillers = new ArrayList<>();
 
     BlackholeAddress(InetSocketAddress address) throws IOException {
-        listening.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        listening.bind(address, 1);
-        for (int i = 0; i < FILLERS; i++) {
+        serverChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+        serverChannel.bind(address, 1);
+        for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.connect(address);
@@ -37,6 +40,6 @@
         for (SocketChannel filler : fillers) {
             filler.close();
         }
-        listening.close();
+        serverChannel.close();
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/link/ConnectMode.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/ConnectMode.java
@@ -1,14 +1,14 @@
 package sagefall.faultinjection.link;
 
-/** What a link does with a new connection. */
+/** How a link handles a new connection. */
 public enum ConnectMode {
-    /** It is relayed. */
+    /** The connection is relayed. */
     FORWARD,
-    /** It is refused, as by a machine whose process has ended. */
+    /** The connection is refused, as by a machine whose process has exited. */
     REFUSE,
-    /** It is accepted, and nothing ever answers. */
+    /** The connection is accepted, but never gets a response. */
     SILENT,
-    /** It is never accepted, as with a machine that has vanished or is cut off. */
+    /** The connection is never established, as with a vanished or partitioned machine. */
     BLACKHOLE;
 
     boolean isListening() {
--- a/testbed/src/main/java/sagefall/faultinjection/link/DatagramConditions.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/DatagramConditions.java
@@ -3,12 +3,12 @@
 /**
  * The conditions for datagrams on a link.
  *
- * @param lostPart part that never arrives
- * @param duplicatedPart part that arrives twice
- * @param maxDelayMicros delay drawn evenly from 0 up to this for each, so that a larger one
- *     reorders
+ * @param lossRate fraction of datagrams that is lost
+ * @param duplicationRate fraction of datagrams that arrives twice
+ * @param maxDelayMicros upper bound of the delay, which is drawn uniformly from 0 for each
+ *     datagram, so that datagrams may be reordered
  */
-record DatagramConditions(double lostPart, double duplicatedPart, long maxDelayMicros) {
+record DatagramConditions(double lossRate, double duplicationRate, long maxDelayMicros) {
 
     /** No delay and no fault. */
     static final DatagramConditions PERFECT = new DatagramConditions(0, 0, 0);
--- a/testbed/src/main/java/sagefall/faultinjection/link/DatagramRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/DatagramRelay.java
@@ -13,8 +13,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A link for datagrams from one member to another, which may lose, duplicate, delay and so reorder
- * them. The other side sees the address of the relay as the sender's.
+ * A link for datagrams from one member to another, which may lose, duplicate, delay and thereby
+ * reorder them. The receiver sees the relay's address as the sender.
  */
 final class DatagramRelay implements AutoCloseable {
 
@@ -23,7 +23,7 @@
     private volatile InetSocketAddress target;
     private volatile DatagramConditions conditions = DatagramConditions.PERFECT;
 
-    DatagramRelay(EventLoopGroup group, InetAddress at, DoubleSupplier random)
+    DatagramRelay(EventLoopGroup group, InetAddress bindAddress, DoubleSupplier random)
             throws InterruptedException {
         this.random = random;
         channel =
@@ -38,7 +38,7 @@
                                         relay(packet);
                                     }
                                 })
-                        .bind(at, 0)
+                        .bind(bindAddress, 0)
                         .sync()
                         .channel();
     }
@@ -47,28 +47,28 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Where datagrams are relayed to; none are before it is set. */
+    /** Sets the address that datagrams are relayed to; until it is set, they are dropped. */
     void target(InetSocketAddress to) {
         target = to;
     }
 
-    void conditions(DatagramConditions now) {
-        conditions = now;
+    void conditions(DatagramConditions newConditions) {
+        conditions = newConditions;
     }
 
     private void relay(DatagramPacket packet) {
-        DatagramConditions now = conditions;
-        InetSocketAddress to = target;
-        if (to == null || random.getAsDouble() < now.lostPart()) {
+        DatagramConditions current = conditions;
+        InetSocketAddress destination = target;
+        if (destination == null || random.getAsDouble() < current.lossRate()) {
             return;
         }
-        int copies = random.getAsDouble() < now.duplicatedPart() ? 2 : 1;
+        int copies = random.getAsDouble() < current.duplicationRate() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            DatagramPacket copy = new DatagramPacket(packet.content().copy(), to);
+            DatagramPacket copy = new DatagramPacket(packet.content().copy(), destination);
             channel.eventLoop()
                     .schedule(
                             () -> channel.writeAndFlush(copy),
-                            (long) (now.maxDelayMicros() * random.getAsDouble()),
+                            (long) (current.maxDelayMicros() * random.getAsDouble()),
                             TimeUnit.MICROSECONDS);
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkConditions.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkConditions.java
@@ -5,11 +5,12 @@
 /**
  * The conditions in one direction of a link.
  *
- * @param delayMicros delay of each piece of data, drawn for each
- * @param bytesPerSecond the rate; 0: any
- * @param blocked whether nothing passes
- * @param resetAfterBytes the connection is reset once so many bytes have passed; 0: never
- * @param halfCloseAfterBytes the sender's side is closed once so many bytes have passed; 0: never
+ * @param delayMicros supplies the delay of each chunk of data
+ * @param bytesPerSecond rate limit; 0: unlimited
+ * @param blocked whether no data passes
+ * @param resetAfterBytes number of bytes after which the connection is reset; 0: never
+ * @param halfCloseAfterBytes number of bytes after which the receiver gets an end of stream, as if
+ *     the sender had half-closed the connection; 0: never
  */
 public record LinkConditions(
         LongSupplier delayMicros,
@@ -21,34 +22,34 @@
     /** No delay and no fault. */
     public static final LinkConditions PERFECT = withDelay(() -> 0);
 
-    /** A delay and no fault. */
+    /** Returns conditions with a delay and no fault. */
     public static LinkConditions withDelay(LongSupplier delayMicros) {
         return new LinkConditions(delayMicros, 0, false, 0, 0);
     }
 
-    /** The same with another state of blocking. */
-    public LinkConditions blocked(boolean now) {
+    /** Returns a copy in which data is blocked or passes. */
+    public LinkConditions blocked(boolean newBlocked) {
         return new LinkConditions(
-                delayMicros, bytesPerSecond, now, resetAfterBytes, halfCloseAfterBytes);
+                delayMicros, bytesPerSecond, newBlocked, resetAfterBytes, halfCloseAfterBytes);
     }
 
-    /** The same with another delay. */
+    /** Returns a copy with another delay. */
     public LinkConditions delayed(LongSupplier micros) {
         return new LinkConditions(
                 micros, bytesPerSecond, blocked, resetAfterBytes, halfCloseAfterBytes);
     }
 
-    /** The same with a reset after so many bytes. */
+    /** Returns a copy with a reset after this number of bytes. */
     public LinkConditions resetAfter(long bytes) {
         return new LinkConditions(delayMicros, bytesPerSecond, blocked, bytes, halfCloseAfterBytes);
     }
 
-    /** The number of bytes at which the connection is cut, either way; 0: never. */
+    /** Returns the number of bytes until the reset or half-close; 0: never. */
     long limitBytes() {
         return resetAfterBytes > 0 ? resetAfterBytes : halfCloseAfterBytes;
     }
 
-    /** How long the rate takes for so many bytes. */
+    /** Returns the transmission time of a number of bytes at the rate limit. */
     long transmissionNanos(int bytes) {
         return bytesPerSecond > 0 ? (long) (1e9 * bytes / bytesPerSecond) : 0;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
@@ -17,25 +17,25 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The link from one member to another: a relay on an address that only this pair uses, with the
- * faults that a link can have. Bytes that meet a blocked direction are buffered; when it ends,
- * connections that had something buffered are reset, as TCP's own retransmission would mostly come
- * too late, and those that had nothing go on.
+ * The link from one member to another: a relay on an address that only this pair uses, which can
+ * inject network faults. Bytes that arrive in a blocked direction are buffered. When blocking ends,
+ * connections with buffered bytes or a held-back end of stream are reset, because with real TCP the
+ * retransmission would mostly come too late; other connections stay open.
  *
- * <p>Faults may be set from any thread; those that close or open the listener block until it is
- * done.
+ * <p>Faults may be set from any thread. Calls that close or open the listener block until the
+ * listener is closed or open.
  */
 public final class LinkRelay implements AutoCloseable {
 
-    private static final long REBIND_PATIENCE_NANOS = 5_000_000_000L;
-    private static final long REBIND_PAUSE_NANOS = 100_000;
+    private static final long REBIND_TIMEOUT_NANOS = 5_000_000_000L;
+    private static final long REBIND_RETRY_NANOS = 100_000;
     private static final int BACKLOG = 1024;
 
     private final EventLoopGroup group;
     private final RequestListener listener;
     private final Set<RelayedConnection> connections = ConcurrentHashMap.newKeySet();
     private final InetSocketAddress address;
-    private Channel listening;
+    private Channel serverChannel;
     private BlackholeAddress blackhole;
     private volatile InetSocketAddress target;
     private volatile ConnectMode mode = ConnectMode.FORWARD;
@@ -43,13 +43,13 @@
     private volatile LinkConditions toClient;
 
     /**
-     * Listens on a free port at that address.
+     * Listens on a free port of an address.
      *
-     * @param listener is called for each request; null for none
+     * @param listener called for each request; may be null
      */
     public LinkRelay(
             EventLoopGroup group,
-            InetAddress at,
+            InetAddress bindAddress,
             LinkConditions toServer,
             LinkConditions toClient,
             RequestListener listener)
@@ -58,11 +58,11 @@
         this.listener = listener;
         this.toServer = toServer;
         this.toClient = toClient;
-        listening = bind(new InetSocketAddress(at, 0));
-        address = (InetSocketAddress) listening.localAddress();
+        serverChannel = bind(new InetSocketAddress(bindAddress, 0));
+        address = (InetSocketAddress) serverChannel.localAddress();
     }
 
-    private Channel bind(InetSocketAddress at) throws InterruptedException {
+    private Channel bind(InetSocketAddress bindAddress) throws InterruptedException {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -78,7 +78,7 @@
                                 accept(client);
                             }
                         })
-                .bind(at)
+                .bind(bindAddress)
                 .sync()
                 .channel();
     }
@@ -89,7 +89,7 @@
         connection.open();
     }
 
-    /** Where clients connect to; it never changes. */
+    /** Returns the address that clients connect to, which never changes. */
     public InetSocketAddress address() {
         return address;
     }
@@ -98,28 +98,28 @@
         return target;
     }
 
-    /** Where new connections are relayed to. */
+    /** Sets the address that new connections are relayed to. */
     public void target(InetSocketAddress to) {
         target = to;
     }
 
-    /** What a new connection meets. */
+    /** Returns how new connections are handled. */
     ConnectMode mode() {
         return mode;
     }
 
-    /** Conditions from the client to the server. */
+    /** Returns the conditions from the client to the server. */
     public LinkConditions toServer() {
         return toServer;
     }
 
-    /** Conditions from the server to the client. */
+    /** Returns the conditions from the server to the client. */
     public LinkConditions toClient() {
         return toClient;
     }
 
     /**
-     * Changes both what new connections meet and the conditions of open ones.
+     * Changes the handling of new connections and the conditions of open ones.
      *
      * @throws IllegalStateException if the address can't be bound
      */
@@ -129,19 +129,22 @@
             mode(newMode);
             conditions(newToServer, newToClient);
         } catch (IOException | InterruptedException e) {
-            throw new IllegalStateException("the link at " + address + " can't be changed", e);
+            throw new IllegalStateException("the link at " + address + " could not be changed", e);
         }
     }
 
-    /** What new connections meet from now on; those that met silence are reset when it ends. */
+    /**
+     * Sets how new connections are handled. Connections accepted in mode {@link ConnectMode#SILENT}
+     * are reset when that mode ends.
+     */
     synchronized void mode(ConnectMode next) throws IOException, InterruptedException {
         ConnectMode previous = mode;
         mode = next;
-        if (!next.isListening() && listening != null) {
-            listening.close().sync();
-            listening = null;
-            // Closed, it listens until its selector turns once more: a connection made then would
-            // get through.
+        if (!next.isListening() && serverChannel != null) {
+            serverChannel.close().sync();
+            serverChannel = null;
+            // A closed listener accepts connections until the next select call of its event loop.
+            // Such connections would be relayed, so this call waits until the address is free.
             retryWhileBound(this::probeUnbound);
         }
         if (next != ConnectMode.BLACKHOLE && blackhole != null) {
@@ -150,15 +153,15 @@
         } else if (next == ConnectMode.BLACKHOLE && blackhole == null) {
             blackhole = retryWhileBound(() -> new BlackholeAddress(address));
         }
-        if (next.isListening() && listening == null) {
-            listening = retryWhileBound(() -> bind(address));
+        if (next.isListening() && serverChannel == null) {
+            serverChannel = retryWhileBound(() -> bind(address));
         }
         if (previous == ConnectMode.SILENT && next != ConnectMode.SILENT) {
-            connections.forEach(RelayedConnection::conditionsChanged);
+            connections.forEach(RelayedConnection::onConditionsChanged);
         }
     }
 
-    /** Fails while anybody still listens at the address; does not listen itself. */
+    /** Fails while another socket listens at the address; does not listen itself. */
     private Void probeUnbound() throws IOException {
         try (SocketChannel probe = SocketChannel.open()) {
             probe.setOption(StandardSocketOptions.SO_REUSEADDR, true).bind(address);
@@ -166,26 +169,29 @@
         return null;
     }
 
-    /** The system releases an address a moment after its listener was closed. */
-    private static <T> T retryWhileBound(Callable<T> attempt) throws IOException {
-        long until = System.nanoTime() + REBIND_PATIENCE_NANOS;
+    /**
+     * Retries an action that fails because an address stays bound for a moment after its listener
+     * was closed.
+     */
+    private static <T> T retryWhileBound(Callable<T> action) throws IOException {
+        long deadlineNanos = System.nanoTime() + REBIND_TIMEOUT_NANOS;
         while (true) {
             try {
-                return attempt.call();
+                return action.call();
             } catch (Exception e) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new IOException(e);
                 }
-                LockSupport.parkNanos(REBIND_PAUSE_NANOS);
+                LockSupport.parkNanos(REBIND_RETRY_NANOS);
             }
         }
     }
 
-    /** Both directions from now on, for connections that are open too. */
+    /** Sets the conditions of both directions, including those of open connections. */
     void conditions(LinkConditions newToServer, LinkConditions newToClient) {
         toServer = newToServer;
         toClient = newToClient;
-        connections.forEach(RelayedConnection::conditionsChanged);
+        connections.forEach(RelayedConnection::onConditionsChanged);
     }
 
     /** Resets all connections. */
@@ -193,15 +199,15 @@
         connections.forEach(RelayedConnection::reset);
     }
 
-    /** A connection was reset. */
-    void closed(RelayedConnection connection) {
+    /** Removes a connection that was reset from the open connections. */
+    void onConnectionClosed(RelayedConnection connection) {
         connections.remove(connection);
     }
 
     @Override
     public synchronized void close() throws IOException {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         if (blackhole != null) {
             blackhole.close();
--- a/testbed/src/main/java/sagefall/faultinjection/link/RelayDirection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RelayDirection.java
@@ -9,25 +9,32 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** What one side of a relayed connection sends, on its path to the other, on its event loop. */
+/** One direction of a relayed connection. Used only on the event loop of the connection. */
 final class RelayDirection extends ChannelInboundHandlerAdapter {
 
-    /** No more is read from the sender while so much is in flight. */
+    /** While at least this number of bytes is in flight, nothing is read from the sender. */
     private static final long MAX_IN_FLIGHT_BYTES = 256 * 1024;
 
     private static final long NANOS_PER_MICRO = 1000;
 
     private final RelayedConnection connection;
     private final boolean fromClient;
-    private final ArrayDeque<ByteBuf> blocked = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuf> blockedData = new ArrayDeque<>();
     private Channel destination;
+
+    /** Bytes that were read from the sender and not yet written to the destination. */
     private long inFlightBytes;
+
+    /** Bytes that were not blocked, for the limit in the conditions. */
     private long passedBytes;
+
+    /** Scheduled time of the latest write to the destination, as {@link System#nanoTime}. */
     private long lastDueNanos;
 
-    /** Whether the sender's end arrived while the direction was blocked. */
-    private boolean blockedEnd;
+    /** Whether the sender's end of stream arrived while the direction was blocked. */
+    private boolean blockedEndOfStream;
 
+    /** Whether the sender has closed its output. */
     private boolean ended;
 
     RelayDirection(RelayedConnection connection, boolean fromClient) {
@@ -52,20 +59,25 @@
         return connection.source(this);
     }
 
-    /** Whether blocking has ended and there is something that it held back. */
+    /**
+     * Returns whether the direction is no longer blocked, but still holds data or an end of stream
+     * from the time when it was.
+     */
     boolean mustReset() {
-        return !conditions().blocked() && (!blocked.isEmpty() || blockedEnd);
+        return !conditions().blocked() && (!blockedData.isEmpty() || blockedEndOfStream);
     }
 
     void releaseBlocked() {
-        blocked.forEach(ByteBuf::release);
-        blocked.clear();
+        blockedData.forEach(ByteBuf::release);
+        blockedData.clear();
     }
 
-    /** The sender's channel is closed; whether the connection is to be reset now. */
-    boolean sourceClosed() {
+    /**
+     * Handles the close of the sender's channel, and returns whether to reset the connection now.
+     */
+    boolean onSourceClosed() {
         if (conditions().blocked()) {
-            blockedEnd = true;
+            blockedEndOfStream = true;
             return false;
         }
         return inFlightBytes == 0;
@@ -82,7 +94,7 @@
         LinkConditions conditions = conditions();
         inFlightBytes += bytes.readableBytes();
         if (conditions.blocked()) {
-            blocked.add(bytes);
+            blockedData.add(bytes);
         } else {
             relay(conditions, bytes);
         }
@@ -94,18 +106,18 @@
     private void relay(LinkConditions conditions, ByteBuf bytes) {
         int count = bytes.readableBytes();
         long limit = conditions.limitBytes();
-        boolean last = limit > 0 && passedBytes + count >= limit;
-        ByteBuf part = bytes;
-        if (last) {
-            part = bytes.readSlice((int) Math.max(0, limit - passedBytes)).retain();
+        boolean reachesLimit = limit > 0 && passedBytes + count >= limit;
+        ByteBuf chunk = bytes;
+        if (reachesLimit) {
+            chunk = bytes.readSlice((int) Math.max(0, limit - passedBytes)).retain();
             bytes.release();
         }
         passedBytes += count;
         long now = System.nanoTime();
         long arrival = now + NANOS_PER_MICRO * conditions.delayMicros().getAsLong();
         lastDueNanos = Math.max(lastDueNanos, arrival) + conditions.transmissionNanos(count);
-        ByteBuf passing = part;
-        Runnable write = () -> write(conditions, passing, count, last);
+        ByteBuf passing = chunk;
+        Runnable write = () -> write(conditions, passing, count, reachesLimit);
         if (lastDueNanos <= now && inFlightBytes == count) {
             write.run();
         } else {
@@ -113,20 +125,20 @@
         }
     }
 
-    private void write(LinkConditions conditions, ByteBuf part, int count, boolean last) {
+    private void write(LinkConditions conditions, ByteBuf chunk, int count, boolean reachesLimit) {
         if (destination == null || !destination.isActive()) {
-            part.release();
+            chunk.release();
             return;
         }
         destination
-                .writeAndFlush(part)
+                .writeAndFlush(chunk)
                 .addListener(
                         f -> {
                             boolean full = inFlightBytes >= MAX_IN_FLIGHT_BYTES;
                             inFlightBytes -= count;
-                            if (last && conditions.resetAfterBytes() > 0) {
+                            if (reachesLimit && conditions.resetAfterBytes() > 0) {
                                 connection.reset();
-                            } else if (last) {
+                            } else if (reachesLimit) {
                                 ((DuplexChannel) destination).shutdownOutput();
                             } else if (full && inFlightBytes < MAX_IN_FLIGHT_BYTES) {
                                 source().read();
@@ -144,18 +156,18 @@
         }
         ended = true;
         if (conditions().blocked()) {
-            blockedEnd = true;
+            blockedEndOfStream = true;
             return;
         }
         long wait = lastDueNanos - System.nanoTime();
         if (wait <= 0) {
-            relayEnd();
+            relayEndOfStream();
         } else {
-            source().eventLoop().schedule(this::relayEnd, wait, TimeUnit.NANOSECONDS);
+            source().eventLoop().schedule(this::relayEndOfStream, wait, TimeUnit.NANOSECONDS);
         }
     }
 
-    private void relayEnd() {
+    private void relayEndOfStream() {
         if (destination != null && destination.isActive()) {
             ((DuplexChannel) destination).shutdownOutput();
         }
@@ -165,7 +177,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (conditions().blocked()) {
-            blockedEnd = true;
+            blockedEndOfStream = true;
         } else {
             connection.reset();
         }
--- a/testbed/src/main/java/sagefall/faultinjection/link/RelayedConnection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RelayedConnection.java
@@ -9,7 +9,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 
-/** A client's connection to a link and the one to the target that it is relayed to. */
+/** A client's connection to a link, and the connection to the target that it is relayed to. */
 final class RelayedConnection {
 
     private final LinkRelay link;
@@ -19,7 +19,7 @@
     private final RelayDirection toClient;
     private Channel server;
 
-    /** Whether the client met {@link ConnectMode#SILENT}. */
+    /** Whether the connection was accepted in mode {@link ConnectMode#SILENT}. */
     private boolean silenced;
 
     RelayedConnection(LinkRelay link, Channel client, RequestListener listener) {
@@ -38,14 +38,14 @@
         return scanner;
     }
 
-    /** The channel that a direction reads from. */
+    /** Returns the channel that a direction reads from. */
     Channel source(RelayDirection direction) {
         return direction == toServer ? client : server;
     }
 
-    /** Relays the connection, on the event loop of the client's channel. */
+    /** Begins to relay the connection; called on the event loop of the client's channel. */
     void open() {
-        client.closeFuture().addListener(f -> sourceClosed(toServer));
+        client.closeFuture().addListener(f -> onSourceClosed(toServer));
         client.pipeline().addLast(toServer);
         if (link.mode() == ConnectMode.SILENT) {
             silenced = true;
@@ -64,16 +64,16 @@
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .handler(toClient)
                 .connect(target)
-                .addListener((ChannelFutureListener) this::connected);
+                .addListener((ChannelFutureListener) this::onConnected);
     }
 
-    private void connected(ChannelFuture connect) {
+    private void onConnected(ChannelFuture connect) {
         if (!connect.isSuccess()) {
             reset();
             return;
         }
         server = connect.channel();
-        server.closeFuture().addListener(f -> sourceClosed(toClient));
+        server.closeFuture().addListener(f -> onSourceClosed(toClient));
         if (!client.isOpen()) {
             reset();
             return;
@@ -84,14 +84,17 @@
         server.read();
     }
 
-    /** One side is gone: the other is reset as soon as what was in flight has passed. */
-    private void sourceClosed(RelayDirection direction) {
-        if (direction.sourceClosed()) {
+    /**
+     * Handles the close of the source of one direction: the other side is reset once the bytes in
+     * flight have passed.
+     */
+    private void onSourceClosed(RelayDirection direction) {
+        if (direction.onSourceClosed()) {
             reset();
         }
     }
 
-    /** Both sides have closed their output. */
+    /** Closes both channels once both sides have closed their output. */
     void closeIfEnded() {
         if (toServer.isEnded() && toClient.isEnded()) {
             client.close();
@@ -99,8 +102,11 @@
         }
     }
 
-    /** A fault of the link has begun or ended; from any thread. */
-    void conditionsChanged() {
+    /**
+     * Handles a change of the link's faults: resets the connection if data was held back or the
+     * connection was silenced by a fault that has ended. May be called from any thread.
+     */
+    void onConditionsChanged() {
         client.eventLoop()
                 .execute(
                         () -> {
@@ -111,9 +117,9 @@
                         });
     }
 
-    /** Resets both sides and releases what is blocked; from any thread. */
+    /** Resets both sides and releases blocked data; may be called from any thread. */
     void reset() {
-        link.closed(this);
+        link.onConnectionClosed(this);
         resetChannel(client);
         resetChannel(server);
         toServer.releaseBlocked();
@@ -127,7 +133,7 @@
         try {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (ChannelException e) {
-            // Its event loop has closed it meanwhile.
+            // The channel was closed by its event loop in the meantime.
             return;
         }
         channel.close();
--- a/testbed/src/main/java/sagefall/faultinjection/link/RequestIdScanner.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RequestIdScanner.java
@@ -5,8 +5,9 @@
 import java.util.Locale;
 
 /**
- * Finds the id in the head of each request of a connection, on which one request at a time passes.
- * Used on the event loop of the connection alone.
+ * Finds the request id in the head of each request of a connection. Expects that the client sends a
+ * request only after the response to the previous one has begun. Used only on the event loop of the
+ * connection.
  */
 final class RequestIdScanner {
 
@@ -18,12 +19,12 @@
     private final StringBuilder head = new StringBuilder();
     private boolean awaitingHead = true;
 
-    /** Reports each id to the listener; null for none. */
+    /** Creates a scanner that reports each id to the listener, which may be null. */
     RequestIdScanner(RequestListener listener) {
         this.listener = listener;
     }
 
-    /** Bytes from the client. */
+    /** Scans bytes from the client. */
     void onRequestBytes(ByteBuf bytes) {
         if (listener == null || !awaitingHead) {
             return;
@@ -41,7 +42,7 @@
         }
     }
 
-    /** Bytes from the server: what the client sends next begins a request. */
+    /** Handles bytes from the server; the next bytes from the client then begin a new request. */
     void onResponseBytes() {
         awaitingHead = true;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/RequestListener.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RequestListener.java
@@ -1,9 +1,9 @@
 package sagefall.faultinjection.link;
 
-/** Is called for each request that begins to pass a link, on the link's event loop. */
+/** Called for each request that begins to pass a link, on the link's event loop. */
 @FunctionalInterface
 public interface RequestListener {
 
-    /** The first bytes of a request with this id have reached the link. */
+    /** Called when the id of a request has reached the link. */
     void requestStarted(String requestId);
 }
--- a/testbed/src/main/java/sagefall/faultinjection/link/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Links between the members of a run: relays on loopback addresses of their own, with the faults
- * that a network can have.
+ * Links between the members of a run: relays on separate loopback addresses that can inject network
+ * faults.
  */
 package sagefall.faultinjection.link;
--- a/testbed/src/main/java/sagefall/faultinjection/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Fault injection: real sidecars between stand-in servers, discovery and clients, with faults of
- * processes and links by a schedule that a seed draws. What happens is written to a history that
- * the invariants judge.
+ * Fault injection: runs real sidecar processes between stand-in save servers, discovery and
+ * clients, and injects process and link faults by a schedule that is drawn from a seed. All events
+ * are written to a history, from which the invariants are checked.
  */
 package sagefall.faultinjection;
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
@@ -9,56 +9,56 @@
 /**
  * The directory of one run.
  *
- * @param path where it is
+ * @param path path of the directory
  */
 public record RunDirectory(Path path) {
 
-    /** The plan, which can be replayed. */
+    /** Returns the file of the plan, which can be replayed. */
     public Path plan() {
         return path.resolve("plan.json");
     }
 
-    /** The faults with their figures and members drawn, a line each. */
+    /** Returns the file of the faults with their drawn parameters and members, one per line. */
     public Path schedule() {
         return path.resolve("schedule.jsonl");
     }
 
-    /** The directory of the history's files, one of each process. */
+    /** Returns the directory of the history, which has one file per process. */
     public Path history() {
         return path.resolve("history");
     }
 
-    /** The history of the test bed itself. */
+    /** Returns the history file of the test bed itself. */
     public Path testBedHistory() {
         return history().resolve("rig.jsonl");
     }
 
-    /** The history of a stand-in process. */
+    /** Returns the history file of a stand-in process. */
     public Path processHistory(String process) {
         return history().resolve(process + ".jsonl");
     }
 
-    /** What all stand-in processes write to standard error. */
+    /** Returns the file for the standard error of all stand-in processes. */
     public Path standInLog() {
         return path.resolve("stand-ins.log");
     }
 
-    /** Configuration, log and recovery data of one sidecar. */
+    /** Returns the directory of configuration, log and recovery data of one sidecar. */
     public Path sidecar(int index) {
         return path.resolve("sidecar-" + index);
     }
 
-    /** What all sidecars share: the lease and the shared snapshot. */
+    /** Returns the directory that all sidecars share, with the lease and the shared snapshot. */
     public Path shared() {
         return path.resolve("shared");
     }
 
-    /** The page about the run. */
+    /** Returns the HTML report of the run. */
     public Path report() {
         return path.resolve("report.html");
     }
 
-    /** Removes all of it. */
+    /** Deletes the directory with all its files. */
     public void delete() throws IOException {
         try (Stream<Path> all = Files.walk(path)) {
             for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
@@ -13,14 +13,14 @@
 import sagefall.scenario.ScenarioRunner;
 
 /**
- * Everything that is needed to execute a run, and to execute it a second time.
+ * Everything that is needed to execute a run and to replay it.
  *
- * @param file what messages call the scenario
- * @param text the scenario
- * @param overrides figures in the place of the file's, such as {@code load.use=0.5}
- * @param seed of all that is drawn
- * @param selectedFaults places of the faults that are injected; null for all
- * @param builds checkouts that the sidecars are started from, in turn
+ * @param file name of the scenario file in error messages
+ * @param text text of the scenario
+ * @param overrides values that replace those of the scenario, such as {@code load.use=0.5}
+ * @param seed seed of all random draws
+ * @param selectedFaults indices of the faults that are injected; null for all
+ * @param builds checkouts that the sidecars are started from, assigned round-robin
  */
 public record RunPlan(
         String file,
@@ -30,7 +30,7 @@
         List<Integer> selectedFaults,
         List<Path> builds) {
 
-    /** Overrides that make a fleet fit on one machine. */
+    /** Overrides for a fleet that fits on one machine. */
     public static final List<String> ONE_MACHINE_FLEET =
             List.of(
                     "fleet.sidecars=12",
@@ -39,7 +39,7 @@
                     "fleet.cell_servers=4",
                     "fleet.server_skew=0");
 
-    // The names in the file are those of the first version of the format.
+    // Field names of the first version of the file format, so that older plans can be read.
     private static final String FILE = "file";
     private static final String TEXT = "text";
     private static final String SEED = "seed";
@@ -48,32 +48,33 @@
     private static final String BUILDS = "builds";
 
     /**
-     * The scenario.
+     * Returns the scenario with the overrides applied.
      *
-     * @throws ScenarioException if it is wrong, or has a fault that real processes can't have
+     * @throws ScenarioException if it is invalid, or has a fault that can't be injected into real
+     *     processes
      */
     public Scenario scenario() throws ScenarioException {
         return Scenario.read(file, text, overrides)
                 .requireSupportedBy(ScenarioRunner.FAULT_INJECTION);
     }
 
-    /** The same with fewer faults. */
-    public RunPlan withFaults(List<Integer> places) {
-        return new RunPlan(file, text, overrides, seed, List.copyOf(places), builds);
+    /** Returns a copy that injects only the faults with these indices. */
+    public RunPlan withFaults(List<Integer> indices) {
+        return new RunPlan(file, text, overrides, seed, List.copyOf(indices), builds);
     }
 
-    /** Places of the faults that are injected. */
+    /** Returns the indices of the faults that are injected. */
     public List<Integer> faults() throws ScenarioException {
-        List<Integer> places = new ArrayList<>();
-        for (int place = 0; place < scenario().faults().size(); place++) {
-            if (selectedFaults == null || selectedFaults.contains(place)) {
-                places.add(place);
+        List<Integer> indices = new ArrayList<>();
+        for (int index = 0; index < scenario().faults().size(); index++) {
+            if (selectedFaults == null || selectedFaults.contains(index)) {
+                indices.add(index);
             }
         }
-        return places;
+        return indices;
     }
 
-    /** Writes it so that {@link #read} restores it. */
+    /** Writes the plan to a file that {@link #read} can read. */
     public void write(Path to) throws IOException {
         ObjectNode node =
                 JsonLines.MAPPER.createObjectNode().put(FILE, file).put(TEXT, text).put(SEED, seed);
@@ -85,9 +86,9 @@
     }
 
     /**
-     * Reads the plan of a run, also of an older build.
+     * Reads the plan of a run, including one written by an older build.
      *
-     * @throws ScenarioException if there is none, or it is no plan
+     * @throws ScenarioException if the file is not readable or is not a plan
      */
     public static RunPlan read(Path from) throws IOException, ScenarioException {
         JsonNode node = readJson(from);
--- a/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
@@ -6,19 +6,23 @@
 import sagefall.emulator.RandomStreams;
 
 /**
- * Scenarios drawn from a seed, as the text of a file, so that one can be stored, read and shrunk.
+ * Generates random scenarios. They are text, so that they can be stored, read and shrunk like
+ * scenario files.
  */
 public final class ScenarioGenerator {
 
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final double SECONDS = 22;
 
-    /** Faults have ended by then, so that the recovery of the fleet is seen. */
-    private static final double QUIET_SECONDS = 16;
+    /**
+     * Time in seconds by which all faults have ended. The recovery of the fleet is observed in the
+     * remaining time of the run.
+     */
+    private static final double FAULTS_END_SECONDS = 16;
 
     private ScenarioGenerator() {}
 
-    /** A fleet of 12 sidecars and 24 servers, and two to four faults. */
+    /** Returns a scenario with 12 sidecars, 24 servers and two to four faults. */
     public static String text(long seed) {
         UniformRandomProvider random = new RandomStreams(seed).stream("campaign");
         StringBuilder text =
@@ -43,7 +47,7 @@
         int count = 2 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
             double at = 3 + 8 * random.nextDouble();
-            double longest = QUIET_SECONDS - at;
+            double longest = FAULTS_END_SECONDS - at;
             text.append(String.format(Locale.ROOT, "%n[[fault]]%nat_s = %.2f%n", at));
             text.append(fault(random, Math.min(longest, 1 + 5 * random.nextDouble())));
         }
@@ -52,36 +56,41 @@
 
     private static String fault(UniformRandomProvider random, double length) {
         String zone = "zone = \"" + ZONES.get(random.nextInt(ZONES.size())) + "\"\n";
-        String span = String.format(Locale.ROOT, "for_s = %.2f%n", length);
-        String part = String.format(Locale.ROOT, "part = %.2f%n", 0.1 + 0.5 * random.nextDouble());
-        String ends = random.nextBoolean() ? "how = \"silent\"\n" : "how = \"refuse\"\n";
+        String duration = String.format(Locale.ROOT, "for_s = %.2f%n", length);
+        String fraction =
+                String.format(Locale.ROOT, "part = %.2f%n", 0.1 + 0.5 * random.nextDouble());
+        String exitMode = random.nextBoolean() ? "how = \"silent\"\n" : "how = \"refuse\"\n";
         String directions =
                 "how = \"" + List.of("both", "in", "out").get(random.nextInt(3)) + "\"\n";
         return switch (random.nextInt(18)) {
-            case 0 -> "kind = \"lose_zone\"\n" + span + zone + ends;
-            case 1 -> "kind = \"lose_servers\"\n" + span + part + ends;
-            case 2 -> "kind = \"cut_zone\"\n" + span + zone + directions;
-            case 3 -> "kind = \"slow\"\n" + span + part + "size = [3, 10]\n";
-            case 4 -> "kind = \"errors\"\n" + span + part + "size = [0.1, 0.5]\n";
-            case 5 -> "kind = \"pauses\"\n" + span + part + "size = [100, 500]\nevery_s = 1\n";
-            case 6 -> "kind = \"burst\"\n" + span + "size = [1.2, 1.8]\n";
-            case 7 -> "kind = \"replace\"\n" + span + "part = 0.25\nhow = \"late\"\n";
-            case 8 -> "kind = \"kill_sidecars\"\n" + part + "size = [0.5, 2]\n";
-            case 9 -> "kind = \"restart_sidecars\"\n" + span + part + "size = [0.2, 1]\n";
-            case 10 -> "kind = \"discovery_down\"\n" + span;
-            case 11 -> "kind = \"deaf\"\n" + span + part;
-            case 12 -> "kind = \"reborn\"\n" + span + "part = 0.15\n" + ends;
-            case 13 -> "kind = \"stop_sidecars\"\n" + span + part;
-            case 14 -> "kind = \"cut_sidecars\"\n" + span + part + zone + directions;
+            case 0 -> "kind = \"lose_zone\"\n" + duration + zone + exitMode;
+            case 1 -> "kind = \"lose_servers\"\n" + duration + fraction + exitMode;
+            case 2 -> "kind = \"cut_zone\"\n" + duration + zone + directions;
+            case 3 -> "kind = \"slow\"\n" + duration + fraction + "size = [3, 10]\n";
+            case 4 -> "kind = \"errors\"\n" + duration + fraction + "size = [0.1, 0.5]\n";
+            case 5 ->
+                    "kind = \"pauses\"\n"
+                            + duration
+                            + fraction
+                            + "size = [100, 500]\nevery_s = 1\n";
+            case 6 -> "kind = \"burst\"\n" + duration + "size = [1.2, 1.8]\n";
+            case 7 -> "kind = \"replace\"\n" + duration + "part = 0.25\nhow = \"late\"\n";
+            case 8 -> "kind = \"kill_sidecars\"\n" + fraction + "size = [0.5, 2]\n";
+            case 9 -> "kind = \"restart_sidecars\"\n" + duration + fraction + "size = [0.2, 1]\n";
+            case 10 -> "kind = \"discovery_down\"\n" + duration;
+            case 11 -> "kind = \"deaf\"\n" + duration + fraction;
+            case 12 -> "kind = \"reborn\"\n" + duration + "part = 0.15\n" + exitMode;
+            case 13 -> "kind = \"stop_sidecars\"\n" + duration + fraction;
+            case 14 -> "kind = \"cut_sidecars\"\n" + duration + fraction + zone + directions;
             case 15 ->
                     "kind = \"flap_links\"\n"
-                            + span
-                            + part
+                            + duration
+                            + fraction
                             + zone
                             + "every_s = [0.6, 2]\n"
                             + directions;
-            case 16 -> "kind = \"lost_answers\"\n" + span + "part = [0.01, 0.05]\n";
-            default -> "kind = \"resets\"\n" + span + "part = [0.01, 0.05]\n";
+            case 16 -> "kind = \"lost_answers\"\n" + duration + "part = [0.01, 0.05]\n";
+            default -> "kind = \"resets\"\n" + duration + "part = [0.01, 0.05]\n";
         };
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/plan/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/package-info.java
@@ -1,2 +1,2 @@
-/** What a fault injection run executes, and the files that it leaves. */
+/** The plan of a fault injection run, generated scenarios, and the files that a run writes. */
 package sagefall.faultinjection.plan;
--- a/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
@@ -5,14 +5,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Ensures that no child process outlives this one, even if this one is killed: a shell that reads
- * the id of each process at its start and its end, and that kills those still running once its
- * standard input is closed. Signals go through it too, as starting a program for each would cost
- * more than the signal.
+ * Ensures that no child process outlives this process, even if this process is killed. A shell
+ * process is notified of the start and exit of each child, and kills the remaining children once
+ * its standard input is closed. It also sends signals, which is cheaper than starting a program for
+ * each signal.
  */
 public final class ProcessGuard implements AutoCloseable {
 
-    private static final String WATCH =
+    /**
+     * Shell script that reads lines of the form "add PID", "del PID" or "SIGNAL PID". It ignores
+     * INT, TERM and HUP, so that it outlives this process.
+     */
+    private static final String SCRIPT =
             "trap '' INT TERM HUP; all=' '; while read -r what pid; do case "
                     + "$what in "
                     + "add) all=\"$all$pid \";; del) all=\"${all%% $pid *} ${all#* $pid }\";; "
@@ -20,19 +24,22 @@
                     + "for pid in $all; do kill -9 \"$pid\" 2>/dev/null; done";
 
     private final Process shell;
-    private final OutputStream to;
+    private final OutputStream shellInput;
 
     /** Starts the shell. */
     public ProcessGuard() throws IOException {
         shell =
-                new ProcessBuilder("/bin/sh", "-c", WATCH)
+                new ProcessBuilder("/bin/sh", "-c", SCRIPT)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
                         .start();
-        to = shell.getOutputStream();
+        shellInput = shell.getOutputStream();
     }
 
-    /** Has a process killed with the others, until it has ended. */
+    /**
+     * Adds a process to those that are killed when this process exits. It is removed once it has
+     * exited.
+     */
     public void watch(Process process) throws IOException {
         send("add " + process.pid());
         process.onExit()
@@ -41,12 +48,12 @@
                             try {
                                 send("del " + process.pid());
                             } catch (IOException e) {
-                                // The shell has ended already.
+                                // The shell has already exited.
                             }
                         });
     }
 
-    /** Sends a signal, such as STOP, to a process that it watches. */
+    /** Sends a signal, such as STOP, to a watched process. */
     public void signal(String name, Process process) throws IOException {
         if (process.isAlive()) {
             send(name + " " + process.pid());
@@ -54,14 +61,14 @@
     }
 
     private synchronized void send(String line) throws IOException {
-        to.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-        to.flush();
+        shellInput.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+        shellInput.flush();
     }
 
-    /** Kills whatever it still watches. */
+    /** Kills all processes that are still watched. */
     @Override
     public void close() throws IOException {
-        to.close();
+        shellInput.close();
         shell.onExit().join();
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
@@ -16,8 +16,8 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * A stand-in process, as the run sees it: commands are written to its standard input, and it
- * answers them in order on its standard output. Safe for use by several threads.
+ * Starts and controls a stand-in process. Commands are written to its standard input, and replies
+ * are read in the same order from its standard output. Thread-safe.
  */
 public final class StandInProcess {
 
@@ -32,17 +32,17 @@
                     "-Dio.netty.allocator.type=unpooled");
 
     private final Process process;
-    private final OutputStream in;
+    private final OutputStream standardInput;
     private final Queue<CompletableFuture<JsonNode>> pending = new ArrayDeque<>();
     private volatile boolean ended;
 
     /**
      * Starts a process.
      *
-     * @param guard kills it if this process has ended
-     * @param mainClass its main class; its only argument is its history
-     * @param history the file that it writes its history to
-     * @param log where its standard error is appended
+     * @param guard kills the process when this process exits
+     * @param mainClass main class; its only argument is the history file
+     * @param history file that the process writes its history to
+     * @param log file that its standard error is appended to
      */
     public StandInProcess(ProcessGuard guard, String mainClass, Path history, Path log)
             throws IOException {
@@ -59,59 +59,63 @@
                         .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                         .start();
         guard.watch(process);
-        in = process.getOutputStream();
+        standardInput = process.getOutputStream();
         Thread reader = new Thread(this::read, "host " + process.pid());
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** The process itself. */
+    /** Returns the process. */
     public Process process() {
         return process;
     }
 
     private void read() {
-        try (BufferedReader out =
+        try (BufferedReader standardOutput =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            String line = out.readLine();
+            String line = standardOutput.readLine();
             while (line != null) {
                 complete(JsonLines.MAPPER.readTree(line));
-                line = out.readLine();
+                line = standardOutput.readLine();
             }
         } catch (IOException e) {
-            // It was killed.
+            // The process was killed.
         }
         synchronized (pending) {
             ended = true;
-            pending.forEach(f -> f.completeExceptionally(new IOException("the process has ended")));
+            pending.forEach(f -> f.completeExceptionally(exited()));
             pending.clear();
         }
     }
 
-    private void complete(JsonNode answer) {
+    private static IOException exited() {
+        return new IOException("the stand-in process has exited");
+    }
+
+    private void complete(JsonNode reply) {
         CompletableFuture<JsonNode> future;
         synchronized (pending) {
             future = pending.remove();
         }
-        if (answer.has("error")) {
-            future.completeExceptionally(new IOException(answer.path("error").asText()));
+        if (reply.has("error")) {
+            future.completeExceptionally(new IOException(reply.path("error").asText()));
         } else {
-            future.complete(answer);
+            future.complete(reply);
         }
     }
 
-    /** Sends a command; what it answers, or a failure if it has ended. */
-    public CompletableFuture<JsonNode> ask(ObjectNode command) {
+    /** Sends a command. The future completes with the reply, or fails if the process has exited. */
+    public CompletableFuture<JsonNode> send(ObjectNode command) {
         CompletableFuture<JsonNode> future = new CompletableFuture<>();
         synchronized (pending) {
             if (ended) {
-                return CompletableFuture.failedFuture(new IOException("the process has ended"));
+                return CompletableFuture.failedFuture(exited());
             }
             pending.add(future);
             try {
-                in.write((command + "\n").getBytes(StandardCharsets.UTF_8));
-                in.flush();
+                standardInput.write((command + "\n").getBytes(StandardCharsets.UTF_8));
+                standardInput.flush();
             } catch (IOException e) {
                 future.completeExceptionally(e);
             }
--- a/testbed/src/main/java/sagefall/faultinjection/process/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/package-info.java
@@ -1,2 +1,2 @@
-/** Child processes of a fault injection run: start, commands, signals, and their certain end. */
+/** Child processes of a fault injection run: start, commands, signals and guaranteed exit. */
 package sagefall.faultinjection.process;
--- a/testbed/src/main/java/sagefall/faultinjection/standin/DiscoveryAgent.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/DiscoveryAgent.java
@@ -26,16 +26,17 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * The agent of discovery beside one sidecar: it answers with the complete endpoint list, or, to a
- * watch, with what changed. It outlives its sidecar, as agents do, and is silent while discovery is
- * down. Its state belongs to the event loop of the process.
+ * The discovery agent beside one sidecar. It responds to a poll with the complete endpoint list,
+ * and to a watch with the changed endpoints. It outlives its sidecar, as a real agent does, and
+ * sends no response while discovery is down. Its state is confined to the event loop of the
+ * process.
  */
 final class DiscoveryAgent {
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final long NO_REVISION = -1;
 
-    /** An endpoint as the list has it, with the revision at which it changed last. */
+    /** An endpoint in the format of the list, with the revision of its latest change. */
     private record ListedTarget(JsonNode target, long revision) {
         boolean isTerminated() {
             return target.path("state").asText().equals("terminated");
@@ -46,13 +47,15 @@
     private final RealTimeEventLoop eventLoop;
     private final HistoryWriter history;
     private final Map<String, ListedTarget> targets = new LinkedHashMap<>();
-    private final Set<Watch> pendingWatches = new HashSet<>();
+    private final Set<SidecarConnection> waitingConnections = new HashSet<>();
     private long revision;
 
-    /** A watch from before this revision gets the complete list. */
+    /**
+     * Revision of the latest complete list; watches from an earlier revision get a complete list.
+     */
     private long completeListRevision;
 
-    private boolean mute;
+    private boolean silent;
 
     DiscoveryAgent(int sidecar, RealTimeEventLoop eventLoop, HistoryWriter history) {
         this.sidecar = sidecar;
@@ -60,7 +63,7 @@
         this.history = history;
     }
 
-    /** Endpoints that have changed, or all. */
+    /** Applies changed endpoints or a complete list. */
     void update(JsonNode command) {
         revision = command.path("rev").asLong();
         if (command.path("all").asBoolean()) {
@@ -70,30 +73,36 @@
         for (JsonNode target : command.path("targets")) {
             targets.put(target.path("uid").asText(), new ListedTarget(target, revision));
         }
-        answerPendingWatches();
+        respondToWaitingConnections();
     }
 
-    /** Discovery is down, or up. */
-    void mute(boolean on) {
-        mute = on;
-        answerPendingWatches();
+    /** Sets whether discovery is down. While it is down, polls and watches get no response. */
+    void setSilent(boolean newSilent) {
+        silent = newSilent;
+        respondToWaitingConnections();
     }
 
-    private void answerPendingWatches() {
-        Set.copyOf(pendingWatches).forEach(Watch::answerIfDue);
+    private void respondToWaitingConnections() {
+        Set.copyOf(waitingConnections).forEach(SidecarConnection::respondIfDue);
     }
 
-    /** The handler of a new connection from the sidecar. */
-    ChannelHandler connection() {
-        return new Watch();
+    /** Creates the handler of a new connection from the sidecar. */
+    ChannelHandler newConnectionHandler() {
+        return new SidecarConnection();
     }
 
-    /** A connection, on which one call at a time is pending. */
-    private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** A connection from the sidecar, with at most one pending poll or watch. */
+    private final class SidecarConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private Channel channel;
         private boolean pending;
+
+        /** Whether the response has the complete list instead of changes. */
         private boolean complete;
+
+        /** Revision that the sidecar already has; {@link #NO_REVISION} for a poll. */
         private long fromRevision;
+
+        /** Time at which a response is sent even if nothing has changed. */
         private long deadlineMicros;
 
         @Override
@@ -109,23 +118,23 @@
             long holdMillis = query.containsKey("hold_ms") ? number(query, "hold_ms") : 0;
             deadlineMicros = eventLoop.queue().now() + MICROS_PER_MILLI * holdMillis;
             pending = true;
-            pendingWatches.add(this);
-            eventLoop.queue().scheduleAt(deadlineMicros, this::answerIfDue);
-            answerIfDue();
+            waitingConnections.add(this);
+            eventLoop.queue().scheduleAt(deadlineMicros, this::respondIfDue);
+            respondIfDue();
         }
 
         private static long number(Map<String, List<String>> query, String name) {
             return Long.parseLong(query.get(name).get(0));
         }
 
-        private void answerIfDue() {
+        private void respondIfDue() {
             boolean expired = eventLoop.queue().now() >= deadlineMicros;
-            if (!pending || mute || (revision <= fromRevision && !expired)) {
+            if (!pending || silent || (revision <= fromRevision && !expired)) {
                 return;
             }
             pending = false;
             complete |= revision > fromRevision && fromRevision < completeListRevision;
-            pendingWatches.remove(this);
+            waitingConnections.remove(this);
             ObjectNode list = JsonLines.MAPPER.createObjectNode();
             list.put("rev", Math.max(revision, fromRevision)).put("all", complete);
             ArrayNode listed = list.putArray("targets");
@@ -139,11 +148,11 @@
 
         private void write(ObjectNode list, ArrayNode listed) {
             ByteBuf content = Unpooled.copiedBuffer(list.toString(), StandardCharsets.UTF_8);
-            FullHttpResponse answer =
+            FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1, HttpResponseStatus.OK, content);
-            answer.headers().set("Content-Length", content.readableBytes());
-            channel.writeAndFlush(answer)
+            response.headers().set("Content-Length", content.readableBytes());
+            channel.writeAndFlush(response)
                     .addListener(
                             f -> {
                                 if (f.isSuccess() && (complete || !listed.isEmpty())) {
@@ -167,7 +176,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            eventLoop.run(() -> pendingWatches.remove(this));
+            eventLoop.run(() -> waitingConnections.remove(this));
         }
 
         @Override
