--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -8,74 +8,83 @@
 import sagefall.emulator.EventQueue;
 
 /**
- * Runs the event queue of the emulator's model by the machine's monotonic clock, in one thread, so
- * that the emulator's clients, servers and discovery serve real processes as they are. Events from
- * sockets enter by {@link #run}.
+ * Runs the event queue of the emulator's model in one thread by the machine's monotonic clock, so
+ * that the emulator's clients, servers and discovery work unchanged with real processes. Events
+ * from sockets are submitted by {@link #run}.
  */
 public final class RealTimeEventLoop implements AutoCloseable {
 
-    /** Lateness of this thread from which on it is reported: time limits must allow for it. */
+    /**
+     * Longest delay of this thread that is not reported. Longer delays are reported, because checks
+     * of time limits must allow for them.
+     */
     private static final long STALL_NANOS = 20_000_000;
 
     private static final long NANOS_PER_MICRO = 1000;
     private static final long NOT_ARMED = Long.MAX_VALUE;
 
-    /** Is called when the thread was late. */
+    /** Receives notifications of delays of the thread. */
     @FunctionalInterface
     public interface StallListener {
 
-        /** The thread ran so much later than it was due. */
+        /**
+         * Called when a scheduled event ran late.
+         *
+         * @param nanos time between the scheduled and the actual start
+         */
         void stalled(long nanos);
     }
 
     private final EventQueue queue = new EventQueue();
     private final DefaultEventLoop thread = new DefaultEventLoop();
-    private final StallListener stalls;
+    private final StallListener stallListener;
 
-    /** When the clock of the model began to run; 0 before. */
+    /** Time at which the model's clock was started, as {@link System#nanoTime}; 0 before. */
     private volatile long beginNanos;
 
     private Future<?> timer;
+
+    /** Time of the timer on the model's clock; {@link #NOT_ARMED} without a timer. */
     private long timerMicros = NOT_ARMED;
 
-    /** A loop whose clock does not run yet. */
-    public RealTimeEventLoop(StallListener stalls) {
-        this.stalls = stalls;
+    /** Creates a loop whose clock is not started. */
+    public RealTimeEventLoop(StallListener stallListener) {
+        this.stallListener = stallListener;
     }
 
-    /** The model's clock and queue; to be used within {@link #run} alone. */
+    /** Returns the model's clock and queue, to be used only on this event loop. */
     public EventQueue queue() {
         return queue;
     }
 
-    /** Starts the clock of the model. */
+    /** Starts the clock of the model and returns this loop. */
     public RealTimeEventLoop begin() {
         beginNanos = System.nanoTime();
         return this;
     }
 
-    /** Runs a task in the thread of the model, at the time that it is then. */
+    /** Runs a task on this event loop, with the model's clock advanced to the present. */
     public void run(Runnable task) {
         thread.execute(
                 () -> {
                     advance();
                     task.run();
                     advance();
-                    arm();
+                    armTimer();
                 });
     }
 
     /**
-     * The same, and waits for its result.
+     * Runs a task on this event loop like {@link #run}, and waits for its result.
      *
-     * @throws ExecutionException the failure of the task, as the cause
+     * @throws ExecutionException if the task failed, with the failure as the cause
      */
     public <T> T call(Callable<T> task) throws InterruptedException, ExecutionException {
         return thread.submit(
                         () -> {
                             advance();
                             T result = task.call();
-                            arm();
+                            armTimer();
                             return result;
                         })
                 .get();
@@ -92,27 +101,31 @@
         }
     }
 
-    private void arm() {
-        long next = queue.nextEventAt();
-        if (next >= timerMicros || !isRunning()) {
+    private void armTimer() {
+        long nextMicros = queue.nextEventAt();
+        if (nextMicros >= timerMicros || !isRunning()) {
             return;
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerMicros = next;
-        long due = beginNanos + (next - EventQueue.START_MICROS) * NANOS_PER_MICRO;
-        timer = thread.schedule(() -> fire(due), due - System.nanoTime(), TimeUnit.NANOSECONDS);
+        timerMicros = nextMicros;
+        long dueNanos = beginNanos + (nextMicros - EventQueue.START_MICROS) * NANOS_PER_MICRO;
+        timer =
+                thread.schedule(
+                        () -> onTimer(dueNanos),
+                        dueNanos - System.nanoTime(),
+                        TimeUnit.NANOSECONDS);
     }
 
-    private void fire(long due) {
+    private void onTimer(long dueNanos) {
         timerMicros = NOT_ARMED;
-        long late = System.nanoTime() - due;
-        if (late > STALL_NANOS) {
-            stalls.stalled(late);
+        long lateNanos = System.nanoTime() - dueNanos;
+        if (lateNanos > STALL_NANOS) {
+            stallListener.stalled(lateNanos);
         }
         advance();
-        arm();
+        armTimer();
     }
 
     @Override
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
@@ -3,7 +3,7 @@
 import sagefall.emulator.EmulatedServer;
 import sagefall.emulator.Job;
 
-/** A request that a server works on, and the connection to answer on. */
+/** A request that a server executes, with the connection for its response. */
 final class ReceivedRequest extends Job {
 
     private final String id;
@@ -21,7 +21,7 @@
         return id;
     }
 
-    /** The idempotency key. */
+    /** Returns the idempotency key. */
     String key() {
         return key;
     }
@@ -30,7 +30,7 @@
         return connection;
     }
 
-    /** Whether its connection was closed before it was answered. */
+    /** Returns whether the connection was closed before a response was sent. */
     boolean isCancelled() {
         return cancelled;
     }
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Whether the senders had been notified is judged from the history; here all count, as a server
-     * can't know.
+     * Returns true, because a server can't know whether the sender was notified of the start of
+     * this server. The invariants check that on the history.
      */
     @Override
     protected boolean senderKnowsStart(EmulatedServer server) {
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ServerConnection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ServerConnection.java
@@ -14,13 +14,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A connection of a sidecar to a {@link SocketServer}, with one request at a time. What it reads is
- * handed to the event loop of the process, on which it also answers.
+ * A connection of a sidecar to a {@link SocketServer}, with one request at a time. Requests are
+ * passed to the event loop of the process, on which the responses are also sent.
  */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    /** The body begins with the cost of the request. */
-    private static final String WORK = "work=";
+    /** Prefix of the request body, followed by the cost of the request in microseconds. */
+    private static final String COST_PREFIX = "work=";
 
     private static final String LOAD_HEADER = "Server-Load";
 
@@ -28,10 +28,13 @@
     private final RealTimeEventLoop eventLoop;
     private volatile Channel channel;
 
-    /** Whether the next request is the first, which pays for the connection. */
+    /**
+     * Whether no request has arrived yet. The cost of the first request includes the connection
+     * setup.
+     */
     private boolean firstRequest = true;
 
-    /** The request that is worked on; null if there is none. On the event loop of the process. */
+    /** The request in flight; null if none. Used only on the event loop of the process. */
     private ReceivedRequest inFlight;
 
     ServerConnection(SocketServer server, RealTimeEventLoop eventLoop) {
@@ -49,57 +52,57 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         String uri = request.uri();
         if (uri.equals("/healthz") || uri.equals("/load")) {
-            eventLoop.run(() -> answer(200, LOAD_HEADER, server.loadReport(), ""));
+            eventLoop.run(() -> respond(200, LOAD_HEADER, server.loadReport(), ""));
             return;
         }
         String id = request.headers().get("Request-Id", "");
         String key = request.headers().get("Idempotency-Key", "");
         String body = request.content().toString(StandardCharsets.US_ASCII);
-        if (id.isEmpty() || !body.startsWith(WORK)) {
-            eventLoop.run(() -> answer(400, "", "", ""));
+        if (id.isEmpty() || !body.startsWith(COST_PREFIX)) {
+            eventLoop.run(() -> respond(400, "", "", ""));
             return;
         }
-        double work = Double.parseDouble(body.substring(WORK.length(), body.indexOf('\n')));
-        String subject = uri.substring(uri.lastIndexOf('/') + 1);
+        double work = Double.parseDouble(body.substring(COST_PREFIX.length(), body.indexOf('\n')));
+        String objectKey = uri.substring(uri.lastIndexOf('/') + 1);
         boolean first = firstRequest;
         firstRequest = false;
         eventLoop.run(
-                () -> server.receive(new ReceivedRequest(id, key, this), subject, work, first));
+                () -> server.receive(new ReceivedRequest(id, key, this), objectKey, work, first));
     }
 
-    /** The server works on a request. */
-    void begin(ReceivedRequest request) {
+    /** Sets the request in flight, after the server has accepted it. */
+    void setInFlight(ReceivedRequest request) {
         inFlight = request;
     }
 
-    /** The request was executed. */
-    void answerExecuted(ReceivedRequest request, int status, String text) {
-        end(request);
-        answer(status, LOAD_HEADER, server.loadReport(), text);
+    /** Sends the response to a request that was executed. */
+    void respondExecuted(ReceivedRequest request, int status, String text) {
+        clearInFlight(request);
+        respond(status, LOAD_HEADER, server.loadReport(), text);
     }
 
-    /** The request was never begun. */
-    void answerNotStarted(ReceivedRequest request) {
-        end(request);
-        answer(503, "Not-Started", "1", "");
+    /** Sends the response to a request that was rejected before its execution. */
+    void respondNotStarted(ReceivedRequest request) {
+        clearInFlight(request);
+        respond(503, "Not-Started", "1", "");
     }
 
-    private void end(ReceivedRequest request) {
+    private void clearInFlight(ReceivedRequest request) {
         if (inFlight == request) {
             inFlight = null;
         }
     }
 
-    private void answer(int status, String header, String value, String text) {
+    private void respond(int status, String header, String value, String text) {
         ByteBuf content = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
-        FullHttpResponse answer =
+        FullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
-        answer.headers().set("Content-Length", content.readableBytes());
+        response.headers().set("Content-Length", content.readableBytes());
         if (!header.isEmpty()) {
-            answer.headers().set(header, value);
+            response.headers().set(header, value);
         }
-        channel.writeAndFlush(answer);
+        channel.writeAndFlush(response);
     }
 
     /** Resets the connection. */
@@ -110,10 +113,10 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        eventLoop.run(this::closed);
+        eventLoop.run(this::onClosed);
     }
 
-    private void closed() {
+    private void onClosed() {
         server.connectionClosed(this);
         if (inFlight != null) {
             inFlight.cancel();
--- a/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -24,14 +24,14 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * The emulator's save server on a real socket: the cost of a request comes in its body, as the
- * emulator's requests carry it, and slots, queue, cold start, thrashing and load reports are the
- * emulator's. Its state belongs to the event loop of the process.
+ * The emulator's save server on a real socket. The cost of a request is read from its body. Slots,
+ * queue, cold start, thrashing and load reports come from the emulator's model. The state is
+ * confined to the event loop of the process.
  */
 final class SocketServer implements ServerListener {
 
     private static final int OK = 200;
-    private static final int ERROR = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
     private static final int NOT_STARTED = 503;
 
     private final EmulatedServer model;
@@ -39,12 +39,12 @@
     private final HistoryWriter history;
     private final Map<String, Long> executedAt;
     private final double setupMicros;
-    private final long deduplicationMicros;
+    private final long deduplicationWindowMicros;
     private final UniformRandomProvider random;
     private final Set<ServerConnection> connections = new HashSet<>();
-    private double lostPart;
-    private double resetPart;
-    private Channel listening;
+    private double lostResponseRate;
+    private double resetRate;
+    private Channel listener;
 
     SocketServer(
             JsonNode command,
@@ -70,29 +70,29 @@
                         command.path("fall_us").asLong(),
                         command.path("mean_work_us").asDouble()));
         setupMicros = command.path("setup_us").asDouble();
-        deduplicationMicros = command.path("window_us").asLong();
+        deduplicationWindowMicros = command.path("window_us").asLong();
         random = new RandomStreams(command.path("seed").asLong()).stream("server." + id);
     }
 
-    /** Where it listens; set before it begins. */
-    void listening(Channel channel) {
-        listening = channel;
+    /** Sets the listening channel; called before {@link #begin}. */
+    void listener(Channel channel) {
+        listener = channel;
     }
 
     int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     long id() {
         return model.id;
     }
 
-    /** Begins to serve, cold or warm. */
+    /** Begins to serve requests, cold or warm. */
     void begin(boolean cold) {
         if (cold) {
             model.start();
         }
-        ServerSpec m = model.spec;
+        ServerSpec spec = model.spec;
         history.write(
                 EntryKind.SERVER,
                 "server",
@@ -102,41 +102,44 @@
                 "what",
                 cold ? "cold" : "warm",
                 "capacity",
-                Math.min(m.cores(), m.slots()) * m.speed(),
+                Math.min(spec.cores(), spec.slots()) * spec.speed(),
                 "cold_from",
-                m.initialCapacityShare(),
+                spec.initialCapacityShare(),
                 "cold_us",
-                m.slowStartMicros());
+                spec.slowStartMicros());
     }
 
-    /** The faults that it has from now on; a figure that the command lacks stays. */
-    void set(JsonNode command) {
+    /** Sets the active faults; values that are missing from the command stay unchanged. */
+    void setFaults(JsonNode command) {
         model.slowdown = command.path("slow").asDouble(model.slowdown);
         model.stolenShare = command.path("stolen").asDouble(model.stolenShare);
         model.errorRate = command.path("errors").asDouble(model.errorRate);
         model.activePauses = command.path("pauses").asInt(model.activePauses);
-        lostPart = command.path("lost").asDouble(lostPart);
-        resetPart = command.path("resets").asDouble(resetPart);
+        lostResponseRate = command.path("lost").asDouble(lostResponseRate);
+        resetRate = command.path("resets").asDouble(resetRate);
         if (command.path("drain").asBoolean()) {
             model.state = EmulatedServer.State.DRAINING;
         }
         model.reschedule();
     }
 
-    /** Ends as planned. */
-    void end() {
-        listening.close();
+    /** Shuts down the server. */
+    void shutDown() {
+        listener.close();
         model.stop(false);
         resetConnections();
         history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "end");
     }
 
-    /** The handler of a new connection. */
-    ChannelHandler connection() {
+    /** Creates the handler of a new connection. */
+    ChannelHandler newConnectionHandler() {
         return new ServerConnection(this, eventLoop);
     }
 
-    /** A connection was accepted; one too many is reset. */
+    /**
+     * Registers an accepted connection, and resets it if there are too many connections or the
+     * server is down.
+     */
     void connectionOpened(ServerConnection connection) {
         connections.add(connection);
         model.connections++;
@@ -151,24 +154,25 @@
         model.connections = Math.max(0, model.connections - 1);
     }
 
-    /** The connection of a request was closed before it was answered. */
+    /** Records that the connection of a request closed before a response was sent. */
     void recordCancel(ReceivedRequest request) {
         history.write(EntryKind.CANCEL, "id", request.id(), "server", model.id);
     }
 
     /**
-     * Takes a request in, or rejects it.
+     * Accepts or rejects a request.
      *
-     * @param subject what the request is about; some cost more than others
-     * @param work its cost in microseconds
-     * @param newConnection whether it pays for the connection as well
+     * @param objectKey key of the object that the request saves; the cost depends on it
+     * @param work cost of the request in microseconds
+     * @param newConnection whether the cost of the connection setup is added
      */
-    void receive(ReceivedRequest request, String subject, double work, boolean newConnection) {
+    void receive(ReceivedRequest request, String objectKey, double work, boolean newConnection) {
         long now = eventLoop.queue().now();
-        Long before = executedAt.get(deduplicationKey(request));
-        boolean duplicate = before != null && now - before <= deduplicationMicros;
+        Long executedMicros = executedAt.get(deduplicationKey(request));
+        boolean duplicate =
+                executedMicros != null && now - executedMicros <= deduplicationWindowMicros;
         request.workMicros =
-                (duplicate ? 0 : work * model.workFactorForKey(subject.hashCode()))
+                (duplicate ? 0 : work * model.workFactorForKey(objectKey.hashCode()))
                         + (newConnection ? setupMicros : 0);
         request.remainingMicros = request.workMicros;
         boolean accepted = model.state == EmulatedServer.State.UP && model.accept(request);
@@ -177,15 +181,16 @@
             request.connection().reset();
         } else if (!accepted) {
             recordReply(request, NOT_STARTED);
-            request.connection().answerNotStarted(request);
+            request.connection().respondNotStarted(request);
         } else {
             if (!duplicate) {
                 executedAt.put(deduplicationKey(request), now);
             }
-            request.connection().begin(request);
+            request.connection().setInFlight(request);
         }
     }
 
+    /** Returns the key for deduplication, which applies within a zone. */
     private String deduplicationKey(ReceivedRequest request) {
         return model.zone + " " + request.key();
     }
@@ -223,19 +228,19 @@
         if (request.isCancelled()) {
             return;
         }
-        double chance = random.nextDouble();
-        if (chance < resetPart) {
+        double draw = random.nextDouble();
+        if (draw < resetRate) {
             request.connection().reset();
-        } else if (chance >= resetPart + lostPart) {
-            boolean failed = chance > 1 - model.errorRate;
-            int status = failed ? ERROR : OK;
+        } else if (draw >= resetRate + lostResponseRate) {
+            boolean failed = draw > 1 - model.errorRate;
+            int status = failed ? INTERNAL_SERVER_ERROR : OK;
             recordReply(request, status);
             String text = failed ? "" : "done " + request.id();
-            request.connection().answerExecuted(request, status, text);
+            request.connection().respondExecuted(request, status, text);
         }
     }
 
-    /** The load report of the moment, as answers carry it. */
+    /** Returns the current load report in the format of the response header. */
     String loadReport() {
         LoadReport report = model.loadReport();
         return String.format(
@@ -252,9 +257,9 @@
     }
 
     @Override
-    public void onSlowStartOverload(EmulatedServer server, double told) {
+    public void onSlowStartOverload(EmulatedServer server, double informedShare) {
         history.write(EntryKind.SERVER, "server", model.id, "zone", model.zone, "what", "fell");
-        listening.close();
+        listener.close();
         resetConnections();
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
@@ -28,10 +28,10 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * A stand-in process that a run starts and kills: save servers by the emulator's own model, or a
- * replica of discovery. It takes commands, one JSON object a line, on standard input, answers each
- * by a line on standard output, and ends when standard input does, so that it never outlives the
- * run.
+ * Main class of a stand-in process, which runs save servers with the emulator's model, or a replica
+ * of discovery. It reads commands from standard input, one JSON object per line, and writes a reply
+ * line for each to standard output. It exits at the end of standard input, so that it never
+ * outlives the run.
  */
 public final class StandInHost {
 
@@ -44,7 +44,10 @@
     private final Map<Long, SocketServer> servers = new HashMap<>();
     private final Map<Integer, DiscoveryAgent> agents = new HashMap<>();
 
-    /** When a key was executed in a zone, for the deduplication of requests. */
+    /**
+     * Time in microseconds at which a request was last accepted for execution, by zone and
+     * idempotency key. Shared by all servers of the process, for deduplication.
+     */
     private final Map<String, Long> executedAt = new HashMap<>();
 
     private StandInHost(Path file) throws IOException {
@@ -55,68 +58,70 @@
                         .begin();
     }
 
-    /** The file of its history is its only argument. */
+    /** Runs a stand-in process; the only argument is its history file. */
     public static void main(String[] arguments) throws IOException {
-        new StandInHost(Path.of(arguments[0])).serve();
+        new StandInHost(Path.of(arguments[0])).processCommands();
     }
 
-    private void serve() throws IOException {
+    private void processCommands() throws IOException {
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         String line = in.readLine();
         while (line != null) {
-            answer(line);
+            handle(line);
             line = in.readLine();
         }
         Runtime.getRuntime().halt(0);
     }
 
-    private void answer(String line) throws IOException {
+    private void handle(String line) throws IOException {
         JsonNode command = JsonLines.MAPPER.readTree(line);
-        ObjectNode answer = JsonLines.MAPPER.createObjectNode();
+        ObjectNode reply = JsonLines.MAPPER.createObjectNode();
         try {
             eventLoop.call(
                     () -> {
-                        execute(command, answer);
+                        execute(command, reply);
                         return null;
                     });
         } catch (Exception e) {
-            answer.put("error", String.valueOf(e.getCause() == null ? e : e.getCause()));
+            reply.put("error", String.valueOf(e.getCause() == null ? e : e.getCause()));
         }
-        System.out.println(answer);
+        System.out.println(reply);
     }
 
-    private void execute(JsonNode command, ObjectNode answer)
+    private void execute(JsonNode command, ObjectNode reply)
             throws IOException, InterruptedException {
         switch (command.path("do").asText()) {
             case "serve" -> {
                 SocketServer server = new SocketServer(command, eventLoop, history, executedAt);
-                server.listening(listen(server::connection));
+                server.listener(listen(server::newConnectionHandler));
                 servers.put(server.id(), server);
-                answer.put("port", server.port());
+                reply.put("port", server.port());
                 server.begin(command.path("cold").asBoolean());
             }
-            case "set" -> servers.get(command.path("id").asLong()).set(command);
-            case "end" -> servers.remove(command.path("id").asLong()).end();
+            case "set" -> servers.get(command.path("id").asLong()).setFaults(command);
+            case "end" -> servers.remove(command.path("id").asLong()).shutDown();
             case "views" -> {
                 for (JsonNode who : command.path("who")) {
                     DiscoveryAgent agent = new DiscoveryAgent(who.asInt(), eventLoop, history);
                     agents.put(who.asInt(), agent);
-                    answer.withArray("ports")
-                            .add(
-                                    ((InetSocketAddress) listen(agent::connection).localAddress())
-                                            .getPort());
+                    reply.withArray("ports").add(portOf(listen(agent::newConnectionHandler)));
                 }
             }
             case "list" -> agents.get(command.path("who").asInt()).update(command);
             case "mute" ->
-                    agents.values().forEach(agent -> agent.mute(command.path("on").asBoolean()));
+                    agents.values()
+                            .forEach(agent -> agent.setSilent(command.path("on").asBoolean()));
             default -> throw new IllegalArgumentException("unknown command " + command);
         }
     }
 
-    /** Listens on a free port. */
-    private Channel listen(Supplier<ChannelHandler> connection) throws InterruptedException {
+    private static int portOf(Channel listener) {
+        return ((InetSocketAddress) listener.localAddress()).getPort();
+    }
+
+    /** Listens on a free port of the loopback address. */
+    private Channel listen(Supplier<ChannelHandler> handlerFactory) throws InterruptedException {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -130,7 +135,7 @@
                                         .addLast(
                                                 new HttpServerCodec(),
                                                 new HttpObjectAggregator(MAX_BODY_BYTES),
-                                                connection.get());
+                                                handlerFactory.get());
                             }
                         })
                 .bind(InetAddress.getLoopbackAddress(), 0)
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -38,10 +38,7 @@
 import sagefall.scenario.ScenarioRunner;
 import sagefall.scenario.ScenarioSource;
 
-/**
- * Real sidecars, servers and discovery with faults between them; what is judged is written down
- * first.
- */
+/** Runs real sidecars, servers and discovery with faults, and checks the recorded histories. */
 @Timeout(300)
 class FaultInjectionRunTest {
 
@@ -52,15 +49,15 @@
 
     @TempDir Path folder;
 
-    private static RunPlan plan(String name, long seed, String... more) throws Exception {
+    private static RunPlan plan(String name, long seed, String... overrides) throws Exception {
         ScenarioSource source = Scenario.source(name);
-        List<String> sets =
+        List<String> allOverrides =
                 new ArrayList<>(List.of("fleet.sidecars=6", "fleet.servers=12", "load.use=0.45"));
-        sets.addAll(List.of(more));
-        return new RunPlan(source.file(), source.text(), sets, seed, null, List.of(ROOT));
+        allOverrides.addAll(List.of(overrides));
+        return new RunPlan(source.file(), source.text(), allOverrides, seed, null, List.of(ROOT));
     }
 
-    /** A small set; a campaign runs more kinds, longer, larger and with more seeds. */
+    /** A small set of short runs; a campaign covers more faults, larger fleets and more seeds. */
     @ParameterizedTest
     @CsvSource({
         "rig-kill, 11",
@@ -70,7 +67,7 @@
         "rig-stop, 16",
         "rig-reborn, 17"
     })
-    void noInvariantIsViolated(String scenario, long seed) throws Exception {
+    void runViolatesNoInvariant(String scenario, long seed) throws Exception {
         RunResult result =
                 FaultInjectionRun.execute(
                         plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
@@ -82,11 +79,12 @@
     }
 
     /**
-     * All lose power, find old lists, and discovery is silent until later: what each persisted
-     * keeps it from the servers that it had been notified to leave, and gives it the others.
+     * All sidecars lose power and restart with an old endpoint list while discovery is silent. Each
+     * sidecar recovers its persisted snapshot. The snapshot keeps the sidecar from endpoints whose
+     * draining or removal it was notified of before, and has endpoints that the old list lacks.
      */
     @Test
-    void persistedEndpointsSurviveABlackout() throws Exception {
+    void persistedEndpointsAreRecoveredAfterPowerLoss() throws Exception {
         RunResult result = FaultInjectionRun.execute(plan("rig-blackout", 21), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
@@ -94,18 +92,19 @@
         for (int i = 0; i < 6; i++) {
             String log = Files.readString(folder.resolve("sidecar-" + i).resolve("log"));
             assertTrue(log.contains("INFO snapshot_absent epoch=1 "), log);
-            assertTrue(log.lines().anyMatch(FaultInjectionRunTest::usesSnapshotOfEpoch1), log);
+            assertTrue(
+                    log.lines().anyMatch(FaultInjectionRunTest::recoversSnapshotOfEpochOne), log);
         }
     }
 
-    private static boolean usesSnapshotOfEpoch1(String line) {
+    private static boolean recoversSnapshotOfEpochOne(String line) {
         return line.contains("INFO snapshot_recovered epoch=2 revision=")
                 && line.contains(" used=true ");
     }
 
-    /** The lease holder is stopped past its lease and resumed, and the next one killed. */
+    /** The leader is suspended beyond its lease and resumed, and the next leader is killed. */
     @Test
-    void aLeaseHolderThatResumesLateDoesNoHarm() throws Exception {
+    void leaderResumedAfterLeaseExpiryViolatesNoInvariant() throws Exception {
         RunResult result = FaultInjectionRun.execute(plan("rig-owner", 23), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
@@ -124,9 +123,9 @@
         assertTrue(logs.toString().contains("WARN lease_lost task=digest term=1 "), logs::toString);
     }
 
-    /** That a sidecar dies which nobody ended is seen. */
+    /** A sidecar that exits although the run has not terminated it is reported as a crash. */
     @Test
-    void aCrashIsSeen() throws Exception {
+    void crashOfSidecarIsReported() throws Exception {
         RunPlan plan = plan("rig-calm", 3, "seconds=6", "fleet.sidecars=2", "fleet.servers=3");
         try (FaultInjectionRun run = new FaultInjectionRun(plan, folder)) {
             run.start();
@@ -141,16 +140,16 @@
     }
 
     @Test
-    void aSeedHasOneSchedule() throws Exception {
+    void scheduleIsReproducibleFromSeedAndUnaffectedByOmittedFaults() throws Exception {
         byte[][] lines = new byte[3][];
         for (int i = 0; i < 3; i++) {
-            Path mine = folder.resolve("p" + i);
-            new FaultInjectionRun(plan("rig-disagree", i == 2 ? 8 : 7), mine).close();
-            lines[i] = Files.readAllBytes(mine.resolve(SCHEDULE));
+            Path output = folder.resolve("p" + i);
+            new FaultInjectionRun(plan("rig-disagree", i == 2 ? 8 : 7), output).close();
+            lines[i] = Files.readAllBytes(output.resolve(SCHEDULE));
         }
         assertArrayEquals(lines[0], lines[1]);
         assertFalse(new String(lines[0], UTF_8).equals(new String(lines[2], UTF_8)));
-        // Leaving out one fault changes no other.
+        // Leaving out faults does not change the others.
         new FaultInjectionRun(
                         plan("rig-disagree", 7).withFaults(List.of(0, 2)), folder.resolve("fewer"))
                 .close();
@@ -161,18 +160,18 @@
     }
 
     @Test
-    void aPlanIsReadAsItWasWritten() throws Exception {
+    void writtenPlanIsReadBackUnchanged() throws Exception {
         RunPlan plan = plan("rig-discovery", 99).withFaults(List.of(1));
         plan.write(folder.resolve("plan.json"));
         assertEquals(plan, RunPlan.read(folder.resolve("plan.json")));
         assertEquals(List.of(1), plan.faults());
     }
 
-    /** Drawn scenarios are ones that real processes can have. */
+    /** Generated scenarios contain only faults that can be injected into real processes. */
     @Test
-    void campaignsDrawWhatCanBeRun() throws Exception {
+    void generatedScenariosAreSupportedByFaultInjection() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
-            Scenario s =
+            Scenario scenario =
                     new RunPlan(
                                     "drawn",
                                     ScenarioGenerator.text(seed),
@@ -181,14 +180,17 @@
                                     null,
                                     List.of(ROOT))
                             .scenario();
-            assertTrue(s.faults().size() >= 2);
+            assertTrue(scenario.faults().size() >= 2);
         }
         assertEquals(ScenarioGenerator.text(5), ScenarioGenerator.text(5));
     }
 
-    /** The run is killed with all processes running: none of them is left. */
+    /**
+     * The process of the test bed is killed while all its child processes run; none of them is
+     * left.
+     */
     @Test
-    void nothingIsLeftBehind() throws Exception {
+    void noChildProcessOutlivesKilledRun() throws Exception {
         Process run =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -223,8 +225,8 @@
         } finally {
             run.destroyForcibly();
         }
-        for (ProcessHandle p : started) {
-            p.onExit().get(60, TimeUnit.SECONDS);
+        for (ProcessHandle process : started) {
+            process.onExit().get(60, TimeUnit.SECONDS);
         }
     }
 
@@ -246,7 +248,7 @@
                 "dance | Unmatched argument",
                 "run | Missing required parameter",
             })
-    void badInputIsOneLineAndStatusTwo(String arguments, String message) throws Exception {
+    void badInputGivesOneLineAndExitStatusTwo(String arguments, String message) throws Exception {
         Path toml = folder.resolve("own.toml");
         Files.writeString(toml, "name = \"own\"\n[[fault]]\nkind = \"neighbour\"\n");
         Path bad = folder.resolve("bad.toml");
@@ -262,16 +264,19 @@
                 2,
                 CommandLineMain.command().setErr(new PrintWriter(errors, true)).execute(words),
                 errors::toString);
-        String first = errors.toString().lines().findFirst().orElse("");
+        String firstLine = errors.toString().lines().findFirst().orElse("");
         assertTrue(
-                first.contains(
+                firstLine.contains(
                         message.replace("OWN", toml.toString()).replace("BAD", bad.toString())),
                 errors::toString);
     }
 
-    /** Each side says which faults it can't result. */
+    /**
+     * A scenario with a fault that the emulator does not support is rejected; the message has the
+     * line.
+     */
     @Test
-    void theEmulatorRejectsStoppedProcesses() throws Exception {
+    void emulatorRejectsFaultThatStopsProcesses() throws Exception {
         assertEquals(
                 "rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
                 assertThrows(
--- a/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
@@ -18,8 +18,8 @@
 import sagefall.scenario.ScenarioSource;
 
 /**
- * The schedules of all shipped fault injection scenarios, seeds 1 to 3, equal to the byte the ones
- * that were written before the classes of this package got their present names.
+ * Compares the schedules of all shipped fault injection scenarios for seeds 1 to 3, byte by byte,
+ * with schedules recorded before the classes of this package were renamed.
  */
 class FaultScheduleGoldenTest {
 
@@ -46,15 +46,17 @@
                 "rig-stop",
                 "rig-zone"
             })
-    void theSameSeedGivesTheSameSchedule(String scenario) throws Exception {
+    void scheduleOfShippedScenarioEqualsRecordedSchedule(String scenario) throws Exception {
         StringBuilder schedules = new StringBuilder();
         for (long seed : SEEDS) {
             schedules.append(schedule(scenario, seed));
         }
-        assertEquals(golden(scenario), schedules.toString());
+        assertEquals(recordedSchedule(scenario), schedules.toString());
     }
 
-    /** The lines that a run with the default fleet of the command line writes to its directory. */
+    /**
+     * Returns the content of the schedule file of a run with the default fleet of the command line.
+     */
     private String schedule(String scenario, long seed) throws Exception {
         ScenarioSource source = Scenario.source(scenario);
         Path output = folder.resolve(scenario + "-" + seed);
@@ -70,7 +72,7 @@
         return Files.readString(new RunDirectory(output).schedule());
     }
 
-    private static String golden(String scenario) throws IOException {
+    private static String recordedSchedule(String scenario) throws IOException {
         try (InputStream in =
                 FaultScheduleGoldenTest.class.getResourceAsStream(
                         "/fault-schedules/" + scenario + ".jsonl")) {
--- a/testbed/src/test/java/sagefall/faultinjection/HistoryText.java
+++ b/testbed/src/test/java/sagefall/faultinjection/HistoryText.java
@@ -5,13 +5,15 @@
 import sagefall.faultinjection.history.HistoryReader;
 import sagefall.faultinjection.history.JsonLines;
 
-/** Histories written by hand, in a form that is shorter than JSON. */
+/** Parses histories in a format for tests that is shorter than the JSON of history files. */
 public final class HistoryText {
 
     private HistoryText() {}
 
     /**
-     * A line is: milliseconds, kind, then names and values; targets are endpoint:id:state[:boot].
+     * Parses entries, which are separated by line breaks or {@code "; "}. An entry consists of the
+     * time in milliseconds, the entry kind, and pairs of field name and value. Targets are written
+     * as endpoint:id:state[:boot]; an underscore in a body stands for a blank.
      */
     public static List<HistoryEntry> parse(String text) throws Exception {
         StringBuilder lines = new StringBuilder();
--- a/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
@@ -23,8 +23,9 @@
 import sagefall.faultinjection.report.RunResult;
 
 /**
- * The directory of a run that the build 732727c left, which had other names for almost everything:
- * it is read as that build read it, or refused with one line.
+ * Reads the directory of a run that was written by an older build (732727c), whose classes had
+ * other names. Valid files must give the results of that build, and invalid ones must be rejected
+ * with a one-line error.
  */
 class OlderRunTest {
 
@@ -35,7 +36,7 @@
     @TempDir Path folder;
 
     @BeforeEach
-    void copy() throws IOException {
+    void copyRecordedRun() throws IOException {
         try (Stream<Path> files = Files.walk(RECORDED)) {
             for (Path file : files.toList()) {
                 Path to = folder.resolve(RECORDED.relativize(file).toString());
@@ -48,9 +49,9 @@
         }
     }
 
-    /** The figures are those that the older build printed. */
+    /** The expected statistics are those that the older build printed. */
     @Test
-    void itsHistoryIsJudged() throws Exception {
+    void historyOfOlderBuildGivesRecordedStatistics() throws Exception {
         RunResult result = RunResult.judge(new RunDirectory(folder), 0);
         assertFalse(result.isViolated(), result.violations().toString());
         assertFalse(result.isVoid());
@@ -66,16 +67,16 @@
     }
 
     @Test
-    void itsPlanIsRead() throws Exception {
+    void planOfOlderBuildIsRead() throws Exception {
         RunPlan plan = RunPlan.read(new RunDirectory(folder).plan());
         assertEquals(3, plan.seed());
         assertEquals(List.of(0), plan.faults());
         assertTrue(plan.overrides().contains("fleet.sidecars=2"), plan.overrides().toString());
     }
 
-    /** The schedule of the same plan is the one that the older build wrote. */
+    /** The plan gives the schedule that the older build wrote for it. */
     @Test
-    void itsScheduleIsTheSame(@TempDir Path output) throws Exception {
+    void planOfOlderBuildGivesRecordedSchedule(@TempDir Path output) throws Exception {
         RunPlan recorded = RunPlan.read(new RunDirectory(folder).plan());
         RunPlan plan =
                 new RunPlan(
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void whatIsNoHistoryIsRefusedWithOneLine() throws Exception {
+    void invalidHistoryIsRejectedWithOneLine() throws Exception {
         Path history = folder.resolve("history").resolve("rig.jsonl");
         String text = Files.readString(history);
         Files.writeString(history, text.substring(text.indexOf('\n') + 1));
--- a/testbed/src/test/java/sagefall/faultinjection/link/LinkRelayTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/link/LinkRelayTest.java
@@ -30,13 +30,13 @@
 import org.junit.jupiter.api.Timeout;
 import sagefall.emulator.RandomStreams;
 
-/** The faults of links, on real sockets. */
+/** Tests link faults on real sockets. */
 @Timeout(120)
 class LinkRelayTest {
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final List<String> sent = new CopyOnWriteArrayList<>();
+    private final List<String> reportedIds = new CopyOnWriteArrayList<>();
     private final ServerSocket echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final LinkRelay link =
             new LinkRelay(
@@ -44,7 +44,7 @@
                     InetAddress.getByName("127.9.9.9"),
                     LinkConditions.PERFECT,
                     LinkConditions.PERFECT,
-                    sent::add);
+                    reportedIds::add);
 
     LinkRelayTest() throws Exception {
         link.target((InetSocketAddress) echo.getLocalSocketAddress());
@@ -55,7 +55,7 @@
                                 while (true) {
                                     Socket s = echo.accept();
                                     s.setTcpNoDelay(true);
-                                    Thread each =
+                                    Thread handler =
                                             new Thread(
                                                     () -> {
                                                         try (s;
@@ -68,14 +68,14 @@
                                                                         .write(buffer, 0, n);
                                                             }
                                                         } catch (IOException e) {
-                                                            // Reset, as some tests want it.
+                                                            // Some tests reset the connection.
                                                         }
                                                     });
-                                    each.setDaemon(true);
-                                    each.start();
+                                    handler.setDaemon(true);
+                                    handler.start();
                                 }
                             } catch (IOException e) {
-                                // The test is over.
+                                // The socket was closed at the end of the test.
                             }
                         });
         thread.setDaemon(true);
@@ -83,7 +83,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void close() throws Exception {
         link.close();
         echo.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void bytesPassAndRequestsAreSeenOnceEach() throws Exception {
+    void bytesAreRelayedAndEachRequestIsReportedOnce() throws Exception {
         byte[] request = "POST /save/1 HTTP/1.1\r\nRequest-ID: 17ab\r\n\r\nx".getBytes(UTF_8);
         byte[] big = new byte[1_000_000];
         new Random(3).nextBytes(big);
@@ -123,11 +123,11 @@
             writer.start();
             assertArrayEquals(big, s.getInputStream().readAllBytes());
         }
-        assertEquals(List.of("17ab", "17ab"), sent);
+        assertEquals(List.of("17ab", "17ab"), reportedIds);
     }
 
     @Test
-    void newConnectionsAreRefusedSilencedOrDropped() throws Exception {
+    void newConnectionsAreRefusedSilencedOrDroppedByMode() throws Exception {
         link.mode(ConnectMode.REFUSE);
         assertThrows(SocketException.class, this::connect);
         link.mode(ConnectMode.BLACKHOLE);
@@ -148,9 +148,12 @@
         }
     }
 
-    /** The selector lets a closed listener go late: who is refused must not depend on when. */
+    /**
+     * A selector deregisters a closed listener only in its next select call. Connections must be
+     * refused before that too.
+     */
     @Test
-    void refusingTakesEffectAtOnce() throws Exception {
+    void refuseModeTakesEffectImmediately() throws Exception {
         for (int i = 0; i < 300; i++) {
             link.mode(ConnectMode.REFUSE);
             assertThrows(SocketException.class, this::connect);
@@ -160,11 +163,11 @@
     }
 
     /**
-     * One direction is blocked: data is buffered; once it ends, connections with buffered data are
-     * reset.
+     * Data in a blocked direction is buffered. When blocking ends, only connections with buffered
+     * data are reset.
      */
     @Test
-    void aBlockedDirectionBuffersAndThenResets() throws Exception {
+    void unblockingResetsOnlyConnectionsWithBufferedData() throws Exception {
         try (Socket busy = connect();
                 Socket idle = connect()) {
             exchange(busy, new byte[] {1});
@@ -181,20 +184,20 @@
     }
 
     @Test
-    void linksDelayLimitResetAndHalfClose() throws Exception {
+    void linkDelaysLimitsRateResetsAndHalfClosesByConditions() throws Exception {
         link.conditions(
                 LinkConditions.PERFECT.delayed(() -> 30_000),
                 LinkConditions.PERFECT.delayed(() -> 20_000));
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (Socket s = connect()) {
             exchange(s, new byte[] {1});
-            assertTrue(System.nanoTime() - began >= 50_000_000);
+            assertTrue(System.nanoTime() - startNanos >= 50_000_000);
         }
         link.conditions(new LinkConditions(() -> 0, 10_000, false, 0, 0), LinkConditions.PERFECT);
-        began = System.nanoTime();
+        startNanos = System.nanoTime();
         try (Socket s = connect()) {
             exchange(s, new byte[2000]);
-            assertTrue(System.nanoTime() - began >= 200_000_000);
+            assertTrue(System.nanoTime() - startNanos >= 200_000_000);
         }
         link.conditions(LinkConditions.PERFECT, LinkConditions.PERFECT.resetAfter(10));
         try (Socket s = connect()) {
@@ -209,10 +212,11 @@
     }
 
     /**
-     * The relay's own cost: the difference of round trips, halved, as a direction is half of one.
+     * Measures the delay that the relay adds per direction: half of the difference between the
+     * round trip times with and without the relay.
      */
     @Test
-    void aRelayCostsLittle() throws Exception {
+    void relayDelayIsSmall() throws Exception {
         Histogram[] micros = {new Histogram(3), new Histogram(3)};
         try (Socket relayed = connect();
                 Socket direct = new Socket(echo.getInetAddress(), echo.getLocalPort())) {
@@ -220,16 +224,16 @@
             byte[] request = new byte[400];
             for (int i = 0; i < 6000; i++) {
                 for (int k = 0; k < 2; k++) {
-                    long at = System.nanoTime();
+                    long startNanos = System.nanoTime();
                     exchange(k == 0 ? direct : relayed, request);
                     if (i >= 2000) {
-                        micros[k].recordValue((System.nanoTime() - at) / 1000);
+                        micros[k].recordValue((System.nanoTime() - startNanos) / 1000);
                     }
                 }
             }
         }
         System.out.printf(
-                "a relay costs %.0f us at the median, %.0f us at p99%n",
+                "relay delay per direction: %.0f us at the median, %.0f us at p99%n",
                 Arrays.stream(new double[] {50})
                         .map(
                                 p ->
@@ -238,8 +242,8 @@
                                                 / 2.0)
                         .sum(),
                 (micros[1].getValueAtPercentile(99) - micros[0].getValueAtPercentile(99)) / 2.0);
-        // A machine whose cores are all busy lends them late: the figure is MEASURING's, the bound
-        // is ample.
+        // The bound is far above the usual delay, because on a busy machine threads wait for a
+        // core.
         assertTrue(
                 micros[1].getValueAtPercentile(50) - micros[0].getValueAtPercentile(50) < 20_000);
     }
@@ -260,22 +264,22 @@
                             new DatagramConditions(0, 1, 0),
                             new DatagramConditions(0, 0, 20_000))) {
                 relay.conditions(conditions);
-                int expected = conditions.duplicatedPart() == 1 ? 40 : 20;
+                int expected = conditions.duplicationRate() == 1 ? 40 : 20;
                 for (byte i = 0; i < 20; i++) {
                     from.send(new DatagramPacket(new byte[] {i}, 1, relay.address()));
                 }
-                byte[] got = new byte[expected];
+                byte[] received = new byte[expected];
                 for (int i = 0; i < expected; i++) {
                     DatagramPacket packet = new DatagramPacket(new byte[10], 10);
                     to.receive(packet);
-                    got[i] = packet.getData()[0];
+                    received[i] = packet.getData()[0];
                 }
-                byte[] sorted = got.clone();
+                byte[] sorted = received.clone();
                 Arrays.sort(sorted);
                 for (int i = 0; i < expected; i++) {
                     assertEquals(expected == 40 ? i / 2 : i, sorted[i]);
                 }
-                assertEquals(conditions.maxDelayMicros() > 0, !Arrays.equals(sorted, got));
+                assertEquals(conditions.maxDelayMicros() > 0, !Arrays.equals(sorted, received));
             }
             relay.conditions(new DatagramConditions(1, 0, 0));
             from.send(new DatagramPacket(new byte[1], 1, relay.address()));
