--- a/testbed/src/main/java/sagefall/experiment/PairedDifference.java
+++ b/testbed/src/main/java/sagefall/experiment/PairedDifference.java
@@ -10,17 +10,19 @@
 import sagefall.emulator.SimulationResult;
 
 /**
- * The difference of two policies on the same seeds, with a bootstrap interval: seeds are resampled
- * with replacement, and the interval holds the middle share of the means of the samples. Few seeds
- * give an interval that is too narrow, so under {@value #MIN_SEEDS} there is no verdict.
+ * Difference of one figure between two policies, A and B, on the same seeds, with a bootstrap
+ * confidence interval. A larger figure is better. The differences, one for each seed, are resampled
+ * with replacement; the interval contains the middle share {@link #CONFIDENCE} of the means of the
+ * resamples. Few seeds give an interval that is too narrow, so there is no verdict for fewer than
+ * {@value #MIN_SEEDS} seeds.
  *
- * @param figure what is compared
+ * @param figure name of the compared figure
  * @param seeds number of seeds
- * @param meanA mean of A
- * @param meanB mean of B
- * @param mean of B less A
- * @param low lower end of the interval
- * @param high upper end of the interval
+ * @param meanA mean of the figure over the runs of A
+ * @param meanB mean of the figure over the runs of B
+ * @param mean mean of the differences, B minus A
+ * @param low lower end of the confidence interval of {@code mean}
+ * @param high upper end of the confidence interval of {@code mean}
  */
 public record PairedDifference(
         String figure,
@@ -31,15 +33,15 @@
         double low,
         double high) {
 
-    /** The smallest number of seeds for a verdict. */
+    /** Smallest number of seeds for which there is a verdict. */
     public static final int MIN_SEEDS = 5;
 
-    /** The share of the means that the interval holds. */
+    /** Share of the resampled means that lie within the interval. */
     public static final double CONFIDENCE = 0.95;
 
-    private static final int SAMPLES = 10_000;
+    private static final int BOOTSTRAP_SAMPLES = 10_000;
 
-    /** Compares a figure of the results of A and B, which stand in the order of the seeds. */
+    /** Compares a figure of the results of A and B; both lists are in the order of the seeds. */
     static PairedDifference of(
             String figure,
             List<SimulationResult> resultsA,
@@ -50,22 +52,23 @@
         double[] differences = new double[valuesA.length];
         Arrays.setAll(differences, i -> valuesB[i] - valuesA[i]);
         double[] means = resampledMeans(differences, "bootstrap." + figure);
-        double tail = (1 - CONFIDENCE) / 2;
-        double[] ends = Quantile.withDefaults().evaluate(means, tail, (1 + CONFIDENCE) / 2);
+        double lowerQuantile = (1 - CONFIDENCE) / 2;
+        double upperQuantile = (1 + CONFIDENCE) / 2;
+        double[] interval = Quantile.withDefaults().evaluate(means, lowerQuantile, upperQuantile);
         return new PairedDifference(
                 figure,
                 differences.length,
                 Mean.of(valuesA).getAsDouble(),
                 Mean.of(valuesB).getAsDouble(),
                 Mean.of(differences).getAsDouble(),
-                ends[0],
-                ends[1]);
+                interval[0],
+                interval[1]);
     }
 
     private static double[] resampledMeans(double[] values, String streamName) {
         UniformRandomProvider random = new RandomStreams(1).stream(streamName);
-        double[] means = new double[SAMPLES];
-        for (int i = 0; i < SAMPLES; i++) {
+        double[] means = new double[BOOTSTRAP_SAMPLES];
+        for (int i = 0; i < BOOTSTRAP_SAMPLES; i++) {
             double sum = 0;
             for (int k = 0; k < values.length; k++) {
                 sum += values[random.nextInt(values.length)];
@@ -75,7 +78,7 @@
         return means;
     }
 
-    /** The verdict; a difference whose interval holds 0 is none. */
+    /** Returns the verdict; an interval that contains 0 shows no difference. */
     public String verdict() {
         if (seeds < MIN_SEEDS) {
             return "no verdict under " + MIN_SEEDS + " seeds";
--- a/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
+++ b/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
@@ -14,37 +14,42 @@
 import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
 
-/** Makes runs side by side. Each has a thread to itself, so their number changes no result. */
+/**
+ * Simulates several runs in parallel. Each run is executed by a single thread, so the number of
+ * threads does not change any result.
+ */
 public final class ParallelSimulations {
 
     private final int threads;
     private final Path root;
-    private final PrintStream progress;
+    private final PrintStream progressOutput;
 
     /**
-     * A pool that is created for each call.
+     * Creates a runner of simulations. Each call of {@link #runAll} has its own thread pool.
      *
-     * @param threads runs at a time
-     * @param root of the checkout whose policy files are compiled where tunables are changed
-     * @param progress where a bar is drawn, or null
+     * @param threads number of runs that are simulated at a time
+     * @param root root of the checkout whose policy files are compiled if a policy changes tunables
+     * @param progressOutput stream that a progress bar is written to; null for none
      */
-    public ParallelSimulations(int threads, Path root, PrintStream progress) {
+    public ParallelSimulations(int threads, Path root, PrintStream progressOutput) {
         this.threads = threads;
         this.root = root;
-        this.progress = progress;
+        this.progressOutput = progressOutput;
     }
 
-    /** Gets each result when its run is done; one at a time, on the thread of the run. */
+    /** Receives the result of each run, one at a time, on the thread of the run. */
     public interface Listener {
 
-        /** A run is done. */
+        /** Handles the result of a run that has finished. */
         void onResult(SimulationResult result);
     }
 
     /**
-     * Makes all runs; the results stand in the order of the requests. A run that fails ends all.
+     * Simulates all runs. If one fails, the remaining runs are cancelled.
      *
-     * @throws PolicyException if a policy cannot be created; all are tried before the first run
+     * @return the results in the order of the requests
+     * @throws PolicyException if a policy cannot be created; to detect this early, each policy is
+     *     created and closed once before the first run
      */
     public List<SimulationResult> runAll(List<SimulationRequest> requests, Listener listener)
             throws PolicyException {
@@ -52,11 +57,11 @@
             PolicyRegistry.of(policy, root).close();
         }
         ExecutorService pool = Executors.newFixedThreadPool(threads);
-        Progress done = new Progress(requests.size(), listener);
+        Progress progress = new Progress(requests.size(), listener);
         try {
             List<Future<SimulationResult>> futures = new ArrayList<>();
             for (SimulationRequest request : requests) {
-                futures.add(pool.submit(() -> run(request, done)));
+                futures.add(pool.submit(() -> run(request, progress)));
             }
             List<SimulationResult> results = new ArrayList<>();
             for (Future<SimulationResult> future : futures) {
@@ -65,7 +70,7 @@
             return results;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted", e);
+            throw new IllegalStateException("interrupted while waiting for the simulations", e);
         } catch (ExecutionException e) {
             if (e.getCause() instanceof PolicyException policyException) {
                 throw policyException;
@@ -76,23 +81,25 @@
         }
     }
 
-    private SimulationResult run(SimulationRequest request, Progress done) throws PolicyException {
+    private SimulationResult run(SimulationRequest request, Progress progress)
+            throws PolicyException {
         try (Policy policy = PolicyRegistry.of(request.policy(), root)) {
             SimulationResult result =
                     new FleetSimulation(request.scenario(), request.seed(), policy).run();
-            done.add(result);
+            progress.add(result);
             return result;
         }
     }
 
-    /** Counts the results and passes them on. */
+    /** Counts the results, passes them to the listener and draws the progress bar. */
     private final class Progress {
 
+        /** Length of a full progress bar, in characters. */
         private static final int BAR_LENGTH = 30;
 
         private final int total;
         private final Listener listener;
-        private int count;
+        private int finished;
 
         Progress(int total, Listener listener) {
             this.total = total;
@@ -101,18 +108,18 @@
 
         synchronized void add(SimulationResult result) {
             listener.onResult(result);
-            count++;
-            if (progress != null) {
+            finished++;
+            if (progressOutput != null) {
                 drawBar();
             }
         }
 
         private void drawBar() {
-            int full = BAR_LENGTH * count / total;
-            String bar = "#".repeat(full) + " ".repeat(BAR_LENGTH - full);
-            String end = count == total ? "\n" : "";
-            progress.print("\r[" + bar + "] " + count + "/" + total + end);
-            progress.flush();
+            int filled = BAR_LENGTH * finished / total;
+            String bar = "#".repeat(filled) + " ".repeat(BAR_LENGTH - filled);
+            String lineEnd = finished == total ? "\n" : "";
+            progressOutput.print("\r[" + bar + "] " + finished + "/" + total + lineEnd);
+            progressOutput.flush();
         }
     }
 }
--- a/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
+++ b/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
@@ -10,13 +10,15 @@
 import sagefall.scenario.Scenario;
 
 /**
- * Two policies on the same seeds of one scenario.
+ * Comparison of two policies, A and B, on the same seeds of one scenario.
  *
- * @param scenario its name
- * @param policyA specification of A
- * @param policyB specification of B
- * @param differences of the goal and its parts
- * @param lost by cause, the difference of the share of the value that was not lost by it
+ * @param scenario name of the scenario
+ * @param policyA specification of policy A
+ * @param policyB specification of policy B
+ * @param differences differences of the goal and of three of its components; the price is negated,
+ *     so that a larger figure is better for each of them
+ * @param lost for each cause of loss, the difference of the lost share of the offered value; the
+ *     share is negated, so that a positive difference means that B loses less
  * @param a results of A, in the order of the seeds
  * @param b results of B, in the order of the seeds
  */
@@ -29,7 +31,10 @@
         List<SimulationResult> a,
         List<SimulationResult> b) {
 
-    /** Runs both; results with breaches of invariants are included, for the caller to report. */
+    /**
+     * Simulates both policies on each seed. Results of runs that violated invariants are included;
+     * the caller must report them.
+     */
     public static PolicyComparison of(
             ParallelSimulations simulations,
             Scenario scenario,
@@ -44,13 +49,13 @@
             requests.add(new SimulationRequest(scenario, seed, policyB));
         }
         List<SimulationResult> results = simulations.runAll(requests, listener);
-        List<SimulationResult> a = new ArrayList<>();
-        List<SimulationResult> b = new ArrayList<>();
+        List<SimulationResult> resultsA = new ArrayList<>();
+        List<SimulationResult> resultsB = new ArrayList<>();
         for (int i = 0; i < results.size(); i += 2) {
-            a.add(results.get(i));
-            b.add(results.get(i + 1));
+            resultsA.add(results.get(i));
+            resultsB.add(results.get(i + 1));
         }
-        return of(scenario.name(), a, b);
+        return of(scenario.name(), resultsA, resultsB);
     }
 
     static PolicyComparison of(
@@ -67,7 +72,8 @@
         b.forEach(result -> causes.addAll(result.lost().keySet()));
         Map<String, PairedDifference> lost = new TreeMap<>();
         for (String cause : causes) {
-            // The text also names the random stream of the interval, so it stays as it is.
+            // The name of the figure is also part of the name of the bootstrap's random stream, so
+            // another name would give another interval.
             String figure = "kept from " + cause;
             lost.put(cause, PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
         }
--- a/testbed/src/main/java/sagefall/experiment/package-info.java
+++ b/testbed/src/main/java/sagefall/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Runs of several scenarios, seeds and policies, and the comparison of their results. */
+/** Simulates several scenarios, seeds and policies, and compares the results. */
 package sagefall.experiment;
--- a/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
@@ -19,17 +19,20 @@
 import sagefall.balancer.api.Request;
 
 /**
- * What the baselines share: the endpoint list, one attempt at a time, another one only where
- * nothing has been executed, and an answer at once to what cannot be sent. They differ in the pick
- * alone.
+ * Base class of the baseline policies, which differ only in how they pick a server. Keeps the
+ * endpoint list, sends one attempt of a request at a time, retries only if an attempt's outcome
+ * proves that the request was not executed, and immediately rejects a request that cannot be sent.
  */
 abstract class BaselineBalancer implements LoadBalancer {
 
-    /** Of a request so near to its deadline, in ticks, no attempt is made. */
-    private static final int MIN_TICKS_LEFT = 2;
+    /** An attempt is sent only if more than this many ticks remain until the deadline. */
+    private static final int MIN_TICKS_TO_DEADLINE = 2;
 
+    /** A request that has not completed, or that has an attempt in flight. */
     private static final class Pending {
         final Request request;
+
+        /** Servers that the request has been sent to, indexed by attempt number. */
         final List<BaselineEndpoint> attempted = new ArrayList<>(1);
 
         Pending(Request request) {
@@ -41,8 +44,8 @@
     final SplittableRandom random;
     private final BalancerActions actions;
     private final Map<Long, BaselineEndpoint> endpoints = new HashMap<>();
-    private final Map<String, Pending> requests = new HashMap<>();
-    private List<BaselineEndpoint> ready = List.of();
+    private final Map<String, Pending> pendingRequests = new HashMap<>();
+    private List<BaselineEndpoint> readyEndpoints = List.of();
 
     BaselineBalancer(BalancerSettings settings, BalancerActions actions) {
         this.settings = settings;
@@ -51,15 +54,16 @@
     }
 
     /**
-     * Picks a server.
+     * Picks the server for the next attempt of a request.
      *
-     * @param candidates ready servers without an attempt of this request, at least one
-     * @return null to reject the request
+     * @param candidates ready servers to which the request has not been sent yet; not empty
+     * @return the server; null to reject the request
      */
     abstract BaselineEndpoint pick(Request request, List<BaselineEndpoint> candidates);
 
-    /** An attempt has ended. */
-    void learn(long nowMicros, BaselineEndpoint endpoint, long elapsedMicros, boolean served) {}
+    /** Handles the end of an attempt; a subclass overrides this to update its estimates. */
+    void onAttemptEnded(
+            long nowMicros, BaselineEndpoint endpoint, long elapsedMicros, boolean served) {}
 
     @Override
     public void onEndpointList(
@@ -67,6 +71,7 @@
         if (kind == EndpointListKind.FAILED) {
             return;
         }
+        // A complete or cached list removes all endpoints that it does not contain.
         Deque<BaselineEndpoint> removed = new ArrayDeque<>();
         if (kind != EndpointListKind.CHANGES) {
             removed.addAll(endpoints.values());
@@ -81,7 +86,7 @@
             }
         }
         removed.forEach(endpoint -> endpoints.remove(endpoint.id));
-        ready =
+        readyEndpoints =
                 endpoints.values().stream()
                         .filter(endpoint -> endpoint.listed.phase() == EndpointPhase.READY)
                         .sorted((a, b) -> Long.compare(a.id, b.id))
@@ -91,25 +96,26 @@
     @Override
     public void onRequest(long nowMicros, Request request) {
         Pending pending = new Pending(request);
-        requests.put(request.id(), pending);
+        pendingRequests.put(request.id(), pending);
         sendOrReject(nowMicros, pending, RejectionReason.TOO_LATE);
     }
 
     private void sendOrReject(long nowMicros, Pending pending, RejectionReason reason) {
         Request request = pending.request;
-        List<BaselineEndpoint> candidates = ready;
+        List<BaselineEndpoint> candidates = readyEndpoints;
         if (!pending.attempted.isEmpty()) {
             candidates =
-                    ready.stream()
+                    readyEndpoints.stream()
                             .filter(endpoint -> !pending.attempted.contains(endpoint))
                             .toList();
         }
-        boolean inTime =
-                request.deadlineMicros() - nowMicros > MIN_TICKS_LEFT * settings.tickMicros();
+        boolean beforeDeadline =
+                request.deadlineMicros() - nowMicros
+                        > MIN_TICKS_TO_DEADLINE * settings.tickMicros();
         BaselineEndpoint endpoint =
-                candidates.isEmpty() || !inTime ? null : pick(request, candidates);
+                candidates.isEmpty() || !beforeDeadline ? null : pick(request, candidates);
         if (endpoint == null || pending.attempted.size() >= settings.limits().maxAttempts()) {
-            requests.remove(request.id());
+            pendingRequests.remove(request.id());
             actions.reject(request.id(), 0, reason);
             return;
         }
@@ -120,30 +126,33 @@
 
     @Override
     public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
-        Pending pending = requests.get(outcome.requestId());
+        Pending pending = pendingRequests.get(outcome.requestId());
         if (pending == null) {
             return;
         }
         BaselineEndpoint endpoint = pending.attempted.get(outcome.attempt());
         endpoint.inFlight--;
         boolean served = outcome.result() == AttemptResult.SERVED;
-        learn(nowMicros, endpoint, outcome.elapsedMicros(), served);
+        onAttemptEnded(nowMicros, endpoint, outcome.elapsedMicros(), served);
         if (outcome.closed()) {
-            requests.remove(outcome.requestId());
+            pendingRequests.remove(outcome.requestId());
         } else if (outcome.result().provesNotExecuted) {
             sendOrReject(nowMicros, pending, RejectionReason.MAX_ATTEMPTS);
         } else {
-            requests.remove(outcome.requestId());
+            pendingRequests.remove(outcome.requestId());
             actions.fail(outcome.requestId(), RejectionReason.NOT_RETRYABLE);
         }
     }
 
-    /** Stays until its attempt has ended, so that the count of attempts in flight is right. */
+    /**
+     * Removes the request of a disconnected client. A request that has been sent is kept until its
+     * attempt ends, so that the number of attempts in flight stays correct.
+     */
     @Override
     public void onClientDisconnected(long nowMicros, String requestId) {
-        Pending pending = requests.get(requestId);
+        Pending pending = pendingRequests.get(requestId);
         if (pending != null && pending.attempted.isEmpty()) {
-            requests.remove(requestId);
+            pendingRequests.remove(requestId);
         }
     }
 
--- a/testbed/src/main/java/sagefall/policy/BaselineEndpoint.java
+++ b/testbed/src/main/java/sagefall/policy/BaselineEndpoint.java
@@ -2,19 +2,21 @@
 
 import sagefall.balancer.api.ListedEndpoint;
 
-/** A server as a baseline policy knows it. */
+/** A server, with the state that a baseline policy keeps for it. */
 final class BaselineEndpoint {
 
     final long id;
+
+    /** Latest entry of the server in the endpoint list. */
     ListedEndpoint listed;
 
-    /** Attempts of this sidecar in flight. */
+    /** Number of this sidecar's attempts in flight at the server. */
     int inFlight;
 
-    /** Estimated latency in microseconds; NaN before the first sample. */
+    /** Latency estimate in microseconds; NaN before the first sample. */
     double latencyMicros = Double.NaN;
 
-    /** When the latency was sampled last. */
+    /** Time of the last latency sample, in microseconds. */
     long sampledAtMicros;
 
     BaselineEndpoint(ListedEndpoint listed) {
--- a/testbed/src/main/java/sagefall/policy/BaselinePolicies.java
+++ b/testbed/src/main/java/sagefall/policy/BaselinePolicies.java
@@ -9,8 +9,10 @@
 import sagefall.emulator.SettingsMessage;
 
 /**
- * The textbook policies, and an oracle that sees the true state. Random gives a scenario its floor
- * and the oracle its ceiling, which no policy that has to learn can be expected to reach.
+ * Well-known balancing policies for comparison, and an oracle that knows the true state of the
+ * fleet. In each scenario the result of {@code random} is a lower reference and that of {@code
+ * oracle} an upper one. A policy that has to estimate the state cannot be expected to reach the
+ * oracle's result.
  */
 public final class BaselinePolicies {
 
@@ -23,25 +25,28 @@
             new TreeMap<>(
                     Map.of(
                             "random",
-                            (settings, actions, truth) -> new RandomBalancer(settings, actions),
+                            (settings, actions, groundTruth) ->
+                                    new RandomBalancer(settings, actions),
                             "round-robin",
-                            (settings, actions, truth) -> new RoundRobinBalancer(settings, actions),
+                            (settings, actions, groundTruth) ->
+                                    new RoundRobinBalancer(settings, actions),
                             "least-in-flight",
-                            (settings, actions, truth) ->
+                            (settings, actions, groundTruth) ->
                                     new LeastInFlightBalancer(settings, actions),
                             "two-choices",
-                            (settings, actions, truth) -> new TwoChoicesBalancer(settings, actions),
+                            (settings, actions, groundTruth) ->
+                                    new TwoChoicesBalancer(settings, actions),
                             "oracle",
                             OracleBalancer::new));
 
     private BaselinePolicies() {}
 
-    /** The names of all, sorted. */
+    /** Returns the names of all baseline policies, sorted. */
     public static List<String> names() {
         return List.copyOf(BY_NAME.keySet());
     }
 
-    /** The policy of that name, which must be one of {@link #names()}. */
+    /** Returns the policy with the given name, which must be one of {@link #names()}. */
     public static Policy of(String name) {
         Factory factory = BY_NAME.get(name);
         return new Policy() {
--- a/testbed/src/main/java/sagefall/policy/ExternalBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalBalancer.java
@@ -10,16 +10,21 @@
 import sagefall.balancer.api.RejectionReason;
 import sagefall.balancer.api.Request;
 
-/** One instance within an external process: each event is a batch, each answer its actions. */
+/**
+ * A load balancer instance in an external process. Each event is sent as a batch of messages; the
+ * reply contains the actions to perform.
+ */
 final class ExternalBalancer implements LoadBalancer {
 
     private final String policyName;
     private final ExternalProcess process;
     private final String instance;
     private final BalancerActions actions;
-    private long clockMicros;
 
-    /** Starts an instance of that name. */
+    /** Time of the last batch in microseconds; the time of a batch must not decrease. */
+    private long lastBatchMicros;
+
+    /** Starts the instance in the process. */
     ExternalBalancer(
             String policyName,
             ExternalProcess process,
@@ -34,15 +39,16 @@
     }
 
     private void send(long nowMicros, List<SimulatorMessage> messages) {
-        clockMicros = Math.max(clockMicros, nowMicros);
-        JsonNode answer = process.exchange(clockMicros, instance, messages);
-        for (JsonNode group : answer.path("groups")) {
-            group.path("output").forEach(this::act);
+        lastBatchMicros = Math.max(lastBatchMicros, nowMicros);
+        JsonNode reply = process.exchange(lastBatchMicros, instance, messages);
+        for (JsonNode group : reply.path("groups")) {
+            group.path("output").forEach(this::perform);
         }
     }
 
-    private void act(JsonNode action) {
+    private void perform(JsonNode action) {
         String requestId = action.path("ticket").asText();
+        // The protocol carries no rejection reason, so each rejection has the reason TOO_LATE.
         switch (action.path("op").asText()) {
             case "Place" ->
                     actions.send(
@@ -62,7 +68,7 @@
                             action.path("time_us").asLong(), action.path("handle").asLong());
             case "LetGo" -> actions.closeIdleConnections(action.path("server").asLong());
             case "Subscribe" -> actions.requestEndpointUpdates();
-            // Older builds send health checks; the emulator has none, and these bring nothing.
+            // Older builds send health checks. The emulator has none, so they are ignored.
             case "Inspect" -> {}
             case "Print" -> actions.log(action.path("what").asText());
             default -> throw new IllegalStateException(policyName + ": unknown action " + action);
@@ -103,7 +109,8 @@
     @Override
     public void onStreamStarted(
             long nowMicros, String requestId, int attempt, long server, long elapsedMicros) {
-        throw new UnsupportedOperationException("the emulator has no class that streams");
+        throw new UnsupportedOperationException(
+                "the emulator has no request class with streamed bodies");
     }
 
     @Override
--- a/testbed/src/main/java/sagefall/policy/ExternalProcess.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcess.java
@@ -13,22 +13,25 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A process that speaks the simulator's wire on standard input and output, a batch a line. */
+/**
+ * An external process that speaks the simulator protocol on standard input and output, with one
+ * batch of messages per line.
+ */
 final class ExternalProcess implements AutoCloseable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long EXIT_SECONDS = 5;
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
 
     private final String name;
     private final Process process;
-    private final BufferedWriter out;
-    private final BufferedReader in;
+    private final BufferedWriter processInput;
+    private final BufferedReader processOutput;
 
     /**
      * Starts the process.
      *
-     * @param name of the policy, for messages
-     * @param command for the shell
+     * @param name name of the policy, for error messages
+     * @param command shell command that starts the process
      * @throws PolicyException if the shell cannot be started
      */
     ExternalProcess(String name, String command) throws PolicyException {
@@ -39,46 +42,48 @@
                             .redirectError(ProcessBuilder.Redirect.INHERIT)
                             .start();
         } catch (IOException e) {
-            throw new PolicyException(name + ": can't be started: " + e.getMessage());
+            throw new PolicyException(name + ": the process cannot be started: " + e.getMessage());
         }
-        out =
+        processInput =
                 new BufferedWriter(
                         new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
-        in =
+        processOutput =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
     /**
-     * Sends messages to one instance and returns its answer.
+     * Sends a batch of messages to one instance and returns the reply of the process.
      *
-     * @throws UncheckedIOException if the process has ended or its answer is no JSON
+     * @throws UncheckedIOException if the process has exited or its reply is not valid JSON
      */
     JsonNode exchange(long atMicros, String instance, List<SimulatorMessage> messages) {
         SimulatorMessage.Group group = new SimulatorMessage.Group(instance, messages);
         SimulatorMessage.Batch batch = new SimulatorMessage.Batch(atMicros, List.of(group));
         try {
-            out.write(JSON.writeValueAsString(batch));
-            out.write('\n');
-            out.flush();
-            String line = in.readLine();
-            if (line == null) {
-                throw new IOException("it has ended");
+            processInput.write(JSON.writeValueAsString(batch));
+            processInput.write('\n');
+            processInput.flush();
+            String replyLine = processOutput.readLine();
+            if (replyLine == null) {
+                throw new IOException("the process has exited");
             }
-            return JSON.readTree(line);
+            return JSON.readTree(replyLine);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException(name + ": no reply: " + e.getOriginalMessage(), e);
+            throw new UncheckedIOException(name + ": invalid JSON: " + e.getOriginalMessage(), e);
         } catch (IOException e) {
             throw new UncheckedIOException(name + ": " + e.getMessage(), e);
         }
     }
 
-    /** Closes its input, and ends the process if it does not end by that. */
+    /**
+     * Closes the standard input of the process. Terminates the process if it does not exit in time.
+     */
     @Override
     public void close() {
         try {
-            out.close();
-            if (!process.waitFor(EXIT_SECONDS, TimeUnit.SECONDS)) {
+            processInput.close();
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroy();
             }
         } catch (IOException e) {
--- a/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
@@ -7,9 +7,9 @@
 import sagefall.emulator.SettingsMessageCodec;
 
 /**
- * Another build, by its {@code sim} command: one process for a run, with an instance for each
- * process of a sidecar. Older builds give no reasons, so what they reject counts as {@code
- * too_late}.
+ * Policy that uses the load balancer of another build through that build's simulator command. A run
+ * has one external process; each start of a sidecar creates an instance in that process. The
+ * protocol of older builds has no rejection reasons, so all rejections count as {@code too_late}.
  */
 final class ExternalProcessPolicy implements Policy {
 
--- a/testbed/src/main/java/sagefall/policy/GroundTruth.java
+++ b/testbed/src/main/java/sagefall/policy/GroundTruth.java
@@ -1,14 +1,14 @@
 package sagefall.policy;
 
-/** The true state of the fleet, which only an oracle may look at. */
+/** True state of the fleet, which only the oracle policy may use. */
 public interface GroundTruth {
 
     /**
-     * Microseconds until a request that is sent now would be answered, without the variation of its
-     * own work; infinity where it would not.
+     * Returns the expected time until the response to a request of mean work that is sent now.
      *
      * @param server id of the server
      * @param fromZone index of the sidecar's zone
+     * @return the time in microseconds; infinity if the server would not respond
      */
-    double expectedAnswerMicros(long server, int fromZone);
+    double expectedResponseMicros(long server, int fromZone);
 }
--- a/testbed/src/main/java/sagefall/policy/InMemoryCompiler.java
+++ b/testbed/src/main/java/sagefall/policy/InMemoryCompiler.java
@@ -20,7 +20,7 @@
 import javax.tools.ToolProvider;
 import sagefall.balancer.api.LoadBalancer;
 
-/** Compiles source texts against the classes of this build, and loads what comes of it. */
+/** Compiles source texts against the classes of this build, and loads the compiled classes. */
 final class InMemoryCompiler {
 
     private InMemoryCompiler() {}
@@ -28,10 +28,10 @@
     /**
      * Compiles classes.
      *
-     * @param policyName for messages
-     * @param sources texts by the qualified names of their classes
-     * @return a loader that prefers the compiled classes to those of this build
-     * @throws PolicyException if there is no compiler, or the sources have an error
+     * @param policyName name of the policy, for error messages
+     * @param sources source texts by the qualified names of their classes
+     * @return a class loader that prefers the compiled classes to those of this build
+     * @throws PolicyException if there is no compiler or the sources have an error
      */
     static ClassLoader compile(String policyName, Map<String, String> sources)
             throws PolicyException {
@@ -40,13 +40,14 @@
             throw new PolicyException(
                     policyName + ": changed tunables need a JDK, not only a runtime");
         }
-        List<Source> units =
+        List<Source> sourceFiles =
                 sources.entrySet().stream().map(e -> new Source(e.getKey(), e.getValue())).toList();
         List<String> options = List.of("-proc:none", "-classpath", classPath());
         StringWriter errors = new StringWriter();
         try (StandardJavaFileManager standard = compiler.getStandardFileManager(null, null, null);
                 Outputs outputs = new Outputs(standard)) {
-            boolean compiled = compiler.getTask(errors, outputs, null, options, null, units).call();
+            boolean compiled =
+                    compiler.getTask(errors, outputs, null, options, null, sourceFiles).call();
             if (!compiled) {
                 throw new PolicyException(
                         policyName
@@ -56,11 +57,11 @@
             return new CompiledFirstLoader(outputs.classes());
         } catch (IOException e) {
             throw new PolicyException(
-                    policyName + ": the policy files can't be read: " + e.getMessage());
+                    policyName + ": the policy files cannot be read: " + e.getMessage());
         }
     }
 
-    /** Where this build's interface was loaded from: an archive, or a directory of classes. */
+    /** Returns the archive or directory that the sidecar's classes were loaded from. */
     private static String classPath() throws PolicyException {
         try {
             return Path.of(
@@ -71,10 +72,12 @@
                                     .toURI())
                     .toString();
         } catch (URISyntaxException e) {
-            throw new PolicyException("the sidecar's classes have no place: " + e.getMessage());
+            throw new PolicyException(
+                    "the location of the sidecar's classes is not a path: " + e.getMessage());
         }
     }
 
+    /** Source text of a class, in memory. */
     private static final class Source extends SimpleJavaFileObject {
         private final String text;
 
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Keeps class files in memory. */
+    /** Keeps the compiled class files in memory. */
     private static final class Outputs extends ForwardingJavaFileManager<JavaFileManager> {
         private final Map<String, ByteArrayOutputStream> byClassName = new HashMap<>();
 
@@ -118,7 +121,7 @@
         }
     }
 
-    /** Takes the compiled classes before those of this build. */
+    /** Defines the compiled classes itself, and delegates the loading of all others. */
     private static final class CompiledFirstLoader extends ClassLoader {
         private final Map<String, byte[]> classes;
 
--- a/testbed/src/main/java/sagefall/policy/LeastInFlightBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/LeastInFlightBalancer.java
@@ -5,7 +5,10 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.Request;
 
-/** Sends to the server with the fewest own attempts in flight; a random one of equal servers. */
+/**
+ * Sends each request to the server with the fewest attempts of this sidecar in flight; ties are
+ * broken at random.
+ */
 final class LeastInFlightBalancer extends BaselineBalancer {
 
     LeastInFlightBalancer(BalancerSettings settings, BalancerActions actions) {
@@ -15,14 +18,15 @@
     @Override
     BaselineEndpoint pick(Request request, List<BaselineEndpoint> candidates) {
         int least = Integer.MAX_VALUE;
-        int equal = 0;
+        int tiedCount = 0;
         BaselineEndpoint best = null;
         for (BaselineEndpoint candidate : candidates) {
             if (candidate.inFlight < least) {
                 least = candidate.inFlight;
-                equal = 0;
+                tiedCount = 0;
             }
-            if (candidate.inFlight == least && random.nextInt(++equal) == 0) {
+            // Reservoir sampling: picks each of the tied servers with equal probability.
+            if (candidate.inFlight == least && random.nextInt(++tiedCount) == 0) {
                 best = candidate;
             }
         }
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -6,76 +6,89 @@
 import java.util.Map;
 
 /**
- * Mechanisms of the balancer that can be switched off, each by values of its tunables that leave it
- * without effect. What one costs or contributes is the difference that this makes.
+ * Mechanisms of the load balancer that can be switched off. A mechanism is switched off by setting
+ * its tunables to values that leave the mechanism without effect. The contribution of a mechanism
+ * is the difference between the results with and without the mechanism.
  */
 public enum Mechanism {
-    /** Admission control: load is shed at random where responses are late. */
-    ADMISSION("admission", "shedding load at random where responses are late", "ADMISSION_CUT=1"),
-    /** The concurrency limit of a zone. */
+    /** Admission control, which rejects requests at random when responses are late. */
+    ADMISSION(
+            "admission",
+            "rejecting requests at random when responses are late",
+            "ADMISSION_CUT=1"),
+    /** Concurrency limit of a zone. */
     ZONE_LIMIT("zone-limit", "the concurrency limit of a zone", "MIN_ZONE_LIMIT=1e9"),
-    /** The concurrency limit of a single endpoint. */
+    /** Concurrency limit of an endpoint. */
     SERVER_LIMIT(
             "server-limit",
             "the concurrency limit of an endpoint",
             "INITIAL_LIMIT=1e9",
             "LIMIT_CUT=1"),
-    /** The ejection of outliers. */
-    EJECTION("ejection", "ejecting outliers for a while", "MAX_EJECTED=-1"),
-    /** Slow start of endpoints that warm up. */
-    SLOW_START("slow-start", "sending less to endpoints that warm up", "SLOW_START=1e9"),
-    /** Spill-over to a much cheaper endpoint outside the preferred subset. */
-    SPILL("spill", "leaving the subset for an endpoint that is much cheaper", "SPILL_RATIO=1e9"),
-    /** Subsetting: each sidecar keeps to few endpoints. */
-    SUBSETS("subsets", "keeping to few endpoints", "SUBSET_SIZE=1000000"),
-    /** Retries. */
+    /** Temporary ejection of outliers, which are endpoints that fail repeatedly. */
+    EJECTION("ejection", "ejecting outliers temporarily", "MAX_EJECTED=-1"),
+    /** Slow start of endpoints that have just started. */
+    SLOW_START(
+            "slow-start",
+            "sending fewer requests to endpoints that have just started",
+            "SLOW_START=1e9"),
+    /** Spill-over to an endpoint outside the preferred subset if its cost is much lower. */
+    SPILL("spill", "leaving the subset for an endpoint of much lower cost", "SPILL_RATIO=1e9"),
+    /** Subsetting, which limits each sidecar to few endpoints. */
+    SUBSETS("subsets", "using few endpoints", "SUBSET_SIZE=1000000"),
+    /** Retries of failed attempts. */
     RETRIES("retries", "retries", "MAX_SAVED_RETRIES=0"),
-    /** The cost of a connection set-up in an endpoint's cost. */
+    /** Cost of opening a connection, which raises an endpoint's cost. */
     CONNECTION_COST(
             "connection-cost",
             "preferring endpoints with an open connection",
             "NEW_CONNECTION=1",
             "SETUP_COST=0"),
-    /** Fair sharing: requests beyond a tenant's quota are shed first. */
-    FAIR_SHARE("fair-share", "shedding first what is beyond a tenant's quota", "QUOTA_SLACK=1e9"),
-    /** The short time for which requests are queued. */
+    /** Fair sharing, by which requests beyond a tenant's quota are rejected first. */
+    FAIR_SHARE("fair-share", "rejecting requests beyond a tenant's quota first", "QUOTA_SLACK=1e9"),
+    /** Bound on the time in the queue, which applies while many requests are open. */
     SHORT_HOLD(
             "short-hold",
-            "answering queued requests before half of their time",
+            "rejecting queued requests before half of the time to their deadline",
             "MAX_QUEUED_PART=1"),
-    /** The cells of tenants within a zone. */
-    CELLS("cells", "cells of tenants", "ENDPOINTS_PER_CELL_AND_ZONE=1e9");
+    /** Assignment of tenants to cells of endpoints within a zone. */
+    CELLS("cells", "assigning tenants to cells of endpoints", "ENDPOINTS_PER_CELL_AND_ZONE=1e9");
 
     private final String word;
     private final String about;
-    private final List<String> changes;
+    private final List<String> assignments;
 
-    Mechanism(String word, String about, String... changes) {
+    Mechanism(String word, String about, String... assignments) {
         this.word = word;
         this.about = about;
-        this.changes = List.of(changes);
+        this.assignments = List.of(assignments);
     }
 
-    /** What it does, in a few words. */
+    /** Returns a short description of the mechanism. */
     public String about() {
         return about;
     }
 
-    /** Its name on the command line, as in {@code module-without:ejection}. */
+    /** Returns the name on the command line, as in {@code module-without:ejection}. */
     public String word() {
         return word;
     }
 
-    Map<String, String> changes() {
-        Map<String, String> map = new LinkedHashMap<>();
-        changes.forEach(
-                c -> map.put(c.substring(0, c.indexOf('=')), c.substring(c.indexOf('=') + 1)));
-        return map;
+    /** Returns the values that switch the mechanism off, by the names of the tunables. */
+    Map<String, String> tunables() {
+        Map<String, String> valuesByTunable = new LinkedHashMap<>();
+        assignments.forEach(
+                assignment -> {
+                    int equals = assignment.indexOf('=');
+                    valuesByTunable.put(
+                            assignment.substring(0, equals), assignment.substring(equals + 1));
+                });
+        return valuesByTunable;
     }
 
+    /** Returns the mechanism with the given name on the command line. */
     static Mechanism of(String word) throws PolicyException {
         return Arrays.stream(values())
-                .filter(m -> m.word().equals(word))
+                .filter(mechanism -> mechanism.word().equals(word))
                 .findFirst()
                 .orElseThrow(
                         () ->
--- a/testbed/src/main/java/sagefall/policy/ModulePolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ModulePolicy.java
@@ -6,7 +6,7 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.emulator.SettingsMessage;
 
-/** The load balancer of this build. */
+/** Policy that uses the load balancer of this build. */
 public final class ModulePolicy implements Policy {
 
     @Override
--- a/testbed/src/main/java/sagefall/policy/OracleBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/OracleBalancer.java
@@ -6,14 +6,15 @@
 import sagefall.balancer.api.Request;
 
 /**
- * Sends to where the answer would come first by the true state, and rejects what would come too
- * near to its latency objective: the rest is for the spread of the work, which even an oracle is
- * not given.
+ * Sends each request to the server that is expected to respond first according to the true state of
+ * the fleet. Rejects the request if no server is expected to respond within a fraction of the
+ * latency target. The remainder of the latency target is a margin: even the oracle does not know
+ * the work of an individual request.
  */
 final class OracleBalancer extends BaselineBalancer {
 
-    /** Share of the latency objective that an expected answer may take. */
-    private static final double MAX_OBJECTIVE_SHARE = 0.5;
+    /** Largest expected response time, as a fraction of the latency target. */
+    private static final double MAX_LATENCY_TARGET_FRACTION = 0.5;
 
     private final GroundTruth groundTruth;
 
@@ -25,11 +26,13 @@
     @Override
     BaselineEndpoint pick(Request request, List<BaselineEndpoint> candidates) {
         BaselineEndpoint best = null;
-        double least = MAX_OBJECTIVE_SHARE * settings.classes().get(0).latencyTargetMicros();
+        double leastMicros =
+                MAX_LATENCY_TARGET_FRACTION * settings.classes().get(0).latencyTargetMicros();
         for (BaselineEndpoint candidate : candidates) {
-            double micros = groundTruth.expectedAnswerMicros(candidate.id, settings.zone());
-            if (micros < least) {
-                least = micros;
+            double expectedMicros =
+                    groundTruth.expectedResponseMicros(candidate.id, settings.zone());
+            if (expectedMicros < leastMicros) {
+                leastMicros = expectedMicros;
                 best = candidate;
             }
         }
--- a/testbed/src/main/java/sagefall/policy/Policy.java
+++ b/testbed/src/main/java/sagefall/policy/Policy.java
@@ -5,19 +5,19 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.emulator.SettingsMessage;
 
-/** Something that decides for a fleet: the load balancer of a build, or a baseline. */
+/** Creates the load balancers of an emulated fleet, one for each sidecar process. */
 public interface Policy extends AutoCloseable {
 
-    /** Its specification, as on the command line and in results. */
+    /** Returns the specification of this policy, as on the command line and in results. */
     String name();
 
     /**
-     * Creates a load balancer for one process of a sidecar.
+     * Creates the load balancer of one sidecar process.
      *
-     * @param settings as this build's load balancer reads them
-     * @param message the same settings, as a host sends them to another build
-     * @param actions what the load balancer can do
-     * @param groundTruth for an oracle only
+     * @param settings settings in the form that this build's load balancer uses
+     * @param message {@code settings} in the form that a host sends to another build
+     * @param actions actions that the load balancer can perform
+     * @param groundTruth true state of the fleet, for the oracle only
      */
     LoadBalancer create(
             BalancerSettings settings,
--- a/testbed/src/main/java/sagefall/policy/PolicyRegistry.java
+++ b/testbed/src/main/java/sagefall/policy/PolicyRegistry.java
@@ -5,13 +5,20 @@
 import java.util.Map;
 
 /**
- * Policies by their specifications on the command line: a baseline; {@code module}, the load
- * balancer of this build; {@code module:NAME=VALUE,...} with changed tunables; {@code
- * module-without:MECHANISM}; {@code sim:COMMAND}, another build's simulator adapter.
+ * Creates policies from their specifications on the command line:
+ *
+ * <ul>
+ *   <li>the name of a baseline policy
+ *   <li>{@code module}: the load balancer of this build
+ *   <li>{@code module:TUNABLE=VALUE,...}: the load balancer of this build with changed tunables
+ *   <li>{@code module-without:MECHANISM}: the load balancer of this build with a {@link Mechanism}
+ *       switched off
+ *   <li>{@code sim:COMMAND}: the simulator adapter of another build, started by a shell command
+ * </ul>
  */
 public final class PolicyRegistry {
 
-    /** The specifications in one line, for help. */
+    /** All forms of specifications in one line, for help texts. */
     public static final String HELP =
             "module, module:TUNABLE=VALUE[,...], module-without:MECHANISM, "
                     + "sim:COMMAND, random, round-robin, least-in-flight, two-choices, oracle";
@@ -21,10 +28,11 @@
     private PolicyRegistry() {}
 
     /**
-     * The policy of a specification.
+     * Creates the policy that a specification describes.
      *
-     * @param root of the checkout whose policy files are compiled where tunables are changed
-     * @throws PolicyException if there is no such policy, or it cannot be created
+     * @param root root of the checkout whose policy files are compiled if the policy changes
+     *     tunables
+     * @throws PolicyException if the specification is invalid or the policy cannot be created
      */
     public static Policy of(String specification, Path root) throws PolicyException {
         if (specification.equals("module")) {
@@ -35,30 +43,31 @@
         }
         int colon = specification.indexOf(':');
         String kind = colon < 0 ? specification : specification.substring(0, colon);
-        String rest = specification.substring(colon + 1);
+        String argument = specification.substring(colon + 1);
         return switch (kind) {
             case "module" ->
-                    new RecompiledPolicy(specification, root, changes(specification, rest));
+                    new RecompiledPolicy(
+                            specification, root, parseTunables(specification, argument));
             case "module-without" ->
-                    new RecompiledPolicy(specification, root, Mechanism.of(rest).changes());
-            case "sim" -> new ExternalProcessPolicy(specification, rest);
+                    new RecompiledPolicy(specification, root, Mechanism.of(argument).tunables());
+            case "sim" -> new ExternalProcessPolicy(specification, argument);
             default ->
                     throw new PolicyException(
                             specification + ": no such policy; there are " + HELP);
         };
     }
 
-    private static Map<String, String> changes(String specification, String list)
+    private static Map<String, String> parseTunables(String specification, String list)
             throws PolicyException {
-        Map<String, String> changes = new LinkedHashMap<>();
-        for (String change : list.split(",", 0)) {
-            int equals = change.indexOf('=');
-            if (equals < 1 || !change.substring(equals + 1).matches(NUMBER)) {
+        Map<String, String> tunables = new LinkedHashMap<>();
+        for (String assignment : list.split(",", 0)) {
+            int equals = assignment.indexOf('=');
+            if (equals < 1 || !assignment.substring(equals + 1).matches(NUMBER)) {
                 throw new PolicyException(
-                        specification + ": '" + change + "' is not TUNABLE=NUMBER");
+                        specification + ": '" + assignment + "' is not TUNABLE=NUMBER");
             }
-            changes.put(change.substring(0, equals), change.substring(equals + 1));
+            tunables.put(assignment.substring(0, equals), assignment.substring(equals + 1));
         }
-        return changes;
+        return tunables;
     }
 }
--- a/testbed/src/main/java/sagefall/policy/PolicySources.java
+++ b/testbed/src/main/java/sagefall/policy/PolicySources.java
@@ -12,33 +12,37 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The source files that the deploy file of a checkout names as its policy. */
+/** Source files of the load balancer, as the deploy file of a checkout lists them. */
 final class PolicySources {
 
     private static final String DEPLOY_FILE = "deploy/balancer.toml";
 
-    /** The class among the policy files that implements the interface to the host. */
+    /**
+     * Matches the declaration of a class that implements {@code LoadBalancer}; group 1 is the name.
+     */
     private static final Pattern ENTRY_POINT =
             Pattern.compile("\\bclass\\s+(\\w+)[^{]*\\bimplements\\s[^{]*\\bLoadBalancer\\b");
 
     private static final Pattern PACKAGE = Pattern.compile("(?m)^package\\s+([\\w.]+)\\s*;");
 
-    /** What a constant's declaration begins with, and ends with before its value. */
+    /** Start of a constant's declaration, before the name. Opens group 1. */
     private static final String DECLARATION_START =
             "((?:private )?static final (?:double|int|long) [^;]*?\\b";
 
+    /** Rest of the declaration. Closes group 1 before the value; group 2 is the value. */
     private static final String DECLARATION_END = "\\s*=\\s*)([^,;]+)";
 
     private final String policyName;
 
-    /** Texts by the simple names of their classes, in the order of the deploy file. */
+    /** Source texts by the simple names of their classes, in the order of the deploy file. */
     private final Map<String, String> texts = new LinkedHashMap<>();
 
     /**
-     * Reads the files.
+     * Reads the policy files.
      *
-     * @param policyName for messages
-     * @param root of the checkout
+     * @param policyName name of the policy, for error messages
+     * @param root root of the checkout
+     * @throws PolicyException if the deploy file or a policy file cannot be read
      */
     PolicySources(String policyName, Path root) throws PolicyException {
         this.policyName = policyName;
@@ -48,7 +52,7 @@
                     root.toAbsolutePath().normalize()
                             + ": no "
                             + DEPLOY_FILE
-                            + "; run in the repository, or name it with --root");
+                            + "; run in the repository, or pass its path with --root");
         }
         try {
             JsonNode files = new TomlMapper().readTree(Files.readString(deploy)).path("policy");
@@ -59,11 +63,11 @@
             }
         } catch (IOException e) {
             throw new PolicyException(
-                    policyName + ": the policy files can't be read: " + e.getMessage());
+                    policyName + ": the policy files cannot be read: " + e.getMessage());
         }
     }
 
-    /** Texts by the qualified names of their classes. */
+    /** Returns the source texts by the qualified names of their classes. */
     Map<String, String> byQualifiedName() {
         Map<String, String> qualified = new LinkedHashMap<>();
         texts.forEach((simple, text) -> qualified.put(qualifiedName(simple, text), text));
@@ -71,15 +75,19 @@
     }
 
     private static String qualifiedName(String simpleName, String text) {
-        Matcher declared = PACKAGE.matcher(text);
-        return declared.find() ? declared.group(1) + "." + simpleName : simpleName;
+        Matcher packageClause = PACKAGE.matcher(text);
+        return packageClause.find() ? packageClause.group(1) + "." + simpleName : simpleName;
     }
 
-    /** The qualified name of the class that a host creates for each sidecar. */
+    /**
+     * Returns the qualified name of the class that a host instantiates for each sidecar.
+     *
+     * @throws PolicyException if no policy file implements {@code LoadBalancer}
+     */
     String entryPoint() throws PolicyException {
         for (Map.Entry<String, String> text : texts.entrySet()) {
-            Matcher declared = ENTRY_POINT.matcher(text.getValue());
-            if (declared.find() && declared.group(1).equals(text.getKey())) {
+            Matcher classHeader = ENTRY_POINT.matcher(text.getValue());
+            if (classHeader.find() && classHeader.group(1).equals(text.getKey())) {
                 return qualifiedName(text.getKey(), text.getValue());
             }
         }
@@ -88,10 +96,11 @@
     }
 
     /**
-     * Changes the value of a constant.
+     * Replaces the value of a constant.
      *
-     * @param tunable name of the constant, or CLASS.NAME where several classes have one
-     * @throws PolicyException unless exactly one constant has the name
+     * @param tunable name of the constant, or CLASS.NAME if several classes have a constant of this
+     *     name
+     * @throws PolicyException unless exactly one class has a constant of this name
      */
     void setTunable(String tunable, String value) throws PolicyException {
         int dot = tunable.indexOf('.');
@@ -101,11 +110,11 @@
                 Pattern.compile(DECLARATION_START + Pattern.quote(constant) + DECLARATION_END);
         List<String> changedClasses = new ArrayList<>();
         for (Map.Entry<String, String> text : texts.entrySet()) {
-            boolean named = className.isEmpty() || className.equals(text.getKey());
-            Matcher found = declaration.matcher(text.getValue());
-            if (named && found.find()) {
+            boolean classMatches = className.isEmpty() || className.equals(text.getKey());
+            Matcher match = declaration.matcher(text.getValue());
+            if (classMatches && match.find()) {
                 changedClasses.add(text.getKey());
-                text.setValue(replaceValue(text.getValue(), found, value));
+                text.setValue(replaceValue(text.getValue(), match, value));
             }
         }
         if (changedClasses.isEmpty()) {
@@ -117,7 +126,7 @@
                     policyName
                             + ": "
                             + tunable
-                            + " stands in "
+                            + " is defined in "
                             + String.join(" and ", changedClasses)
                             + "; write CLASS."
                             + constant);
--- a/testbed/src/main/java/sagefall/policy/RandomBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/RandomBalancer.java
@@ -5,7 +5,7 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.Request;
 
-/** Sends each request to a random server. */
+/** Sends each request to a random ready server. */
 final class RandomBalancer extends BaselineBalancer {
 
     RandomBalancer(BalancerSettings settings, BalancerActions actions) {
--- a/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -8,35 +8,36 @@
 import sagefall.emulator.SettingsMessage;
 
 /**
- * The load balancer compiled from the policy files with some of its tunables changed. The tunables
- * are constants of the source, which the compiler folds, and so they stay: {@code run} pays nothing
- * for being tried with others, and what is tried is the source itself.
+ * Policy that compiles the load balancer from the policy files with some of the tunables changed.
+ * Tunables are constants in the source code. The compiler folds constants, so tunables cost a
+ * sidecar nothing at run time, and an experiment uses the source code of the sidecar itself.
  */
 final class RecompiledPolicy implements Policy {
 
     private final String name;
-    private final Class<? extends LoadBalancer> balancer;
+    private final Class<? extends LoadBalancer> balancerClass;
 
     /**
      * Compiles the load balancer.
      *
-     * @param name its specification
-     * @param root a checkout of sagefall, whose deploy file names the policy files
-     * @param changes tunable, or class and tunable, to its value
-     * @throws PolicyException if the files do not exist, do not compile against this build, or have
-     *     no such tunable
+     * @param name specification of the policy
+     * @param root root of a checkout of sagefall, whose deploy file lists the policy files
+     * @param tunables new values by the names of the tunables, NAME or CLASS.NAME
+     * @throws PolicyException if the files do not exist, do not compile against this build, or do
+     *     not have one of the tunables
      */
-    RecompiledPolicy(String name, Path root, Map<String, String> changes) throws PolicyException {
+    RecompiledPolicy(String name, Path root, Map<String, String> tunables) throws PolicyException {
         this.name = name;
         PolicySources sources = new PolicySources(name, root);
-        for (Map.Entry<String, String> change : changes.entrySet()) {
-            sources.setTunable(change.getKey(), change.getValue());
+        for (Map.Entry<String, String> tunable : tunables.entrySet()) {
+            sources.setTunable(tunable.getKey(), tunable.getValue());
         }
         ClassLoader compiled = InMemoryCompiler.compile(name, sources.byQualifiedName());
         try {
-            balancer = compiled.loadClass(sources.entryPoint()).asSubclass(LoadBalancer.class);
+            balancerClass = compiled.loadClass(sources.entryPoint()).asSubclass(LoadBalancer.class);
         } catch (ClassNotFoundException e) {
-            throw new PolicyException(name + ": the policy files can't be read: " + e.getMessage());
+            throw new PolicyException(
+                    name + ": the policy files cannot be read: " + e.getMessage());
         }
     }
 
@@ -52,7 +53,7 @@
             BalancerActions actions,
             GroundTruth groundTruth) {
         try {
-            return balancer.getConstructor(BalancerSettings.class, BalancerActions.class)
+            return balancerClass.getConstructor(BalancerSettings.class, BalancerActions.class)
                     .newInstance(settings, actions);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(name + ": " + e, e);
--- a/testbed/src/main/java/sagefall/policy/RoundRobinBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/RoundRobinBalancer.java
@@ -5,20 +5,21 @@
 import sagefall.balancer.api.BalancerSettings;
 import sagefall.balancer.api.Request;
 
-/** Sends requests to the servers in turn, from a random one on. */
+/** Sends requests to the servers in turn, starting with a random one. */
 final class RoundRobinBalancer extends BaselineBalancer {
 
-    private static final int FIRST_BOUND = 1 << 20;
+    /** Exclusive upper bound of the initial, random value of {@code nextPosition}. */
+    private static final int FIRST_POSITION_BOUND = 1 << 20;
 
-    private int next;
+    private int nextPosition;
 
     RoundRobinBalancer(BalancerSettings settings, BalancerActions actions) {
         super(settings, actions);
-        next = random.nextInt(FIRST_BOUND);
+        nextPosition = random.nextInt(FIRST_POSITION_BOUND);
     }
 
     @Override
     BaselineEndpoint pick(Request request, List<BaselineEndpoint> candidates) {
-        return candidates.get(Math.floorMod(next++, candidates.size()));
+        return candidates.get(Math.floorMod(nextPosition++, candidates.size()));
     }
 }
--- a/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
+++ b/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
@@ -14,33 +14,33 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.Request;
 
-/** The events of a load balancer as messages of the simulator's wire; JSON names them by "op". */
+/** Events for a load balancer as messages of the simulator protocol; "op" is the type. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "op")
 sealed interface SimulatorMessage {
 
     /**
-     * All messages of one moment.
+     * A batch of messages that are processed at one point in time.
      *
-     * @param atMicros when they happen; never decreases
-     * @param groups one for each instance
+     * @param atMicros time of the messages in microseconds; not before that of the previous batch
+     * @param groups one group of messages for each instance
      */
     record Batch(@JsonProperty("at_time_us") long atMicros, List<Group> groups) {}
 
     /**
-     * The messages to one instance.
+     * The messages of a batch to one instance.
      *
-     * @param instance its name
-     * @param messages in their order
+     * @param instance name of the instance
+     * @param messages messages in the order in which they are processed
      */
     record Group(
             @JsonProperty("who") String instance,
             @JsonProperty("msgs") List<SimulatorMessage> messages) {}
 
     /**
-     * An instance starts.
+     * Starts an instance.
      *
-     * @param seed of its random numbers
-     * @param settings in the names of the wire
+     * @param seed seed of the instance's random numbers
+     * @param settings settings by their names in the protocol
      */
     @JsonTypeName("Start")
     record Start(
@@ -48,15 +48,15 @@
             implements SimulatorMessage {}
 
     /**
-     * The rows of a table of endpoints; an {@link Endpoints} says what they mean.
+     * Defines a table of endpoints; a following {@link Endpoints} message says how to apply it.
      *
      * @param table number of the table
-     * @param rows the endpoints
+     * @param rows endpoints of the table
      */
     @JsonTypeName("Pool")
     record Pool(long table, List<Row> rows) implements SimulatorMessage {}
 
-    /** One endpoint. */
+    /** An endpoint in a table. */
     record Row(
             @JsonProperty("group") int cell,
             String status,
@@ -87,11 +87,11 @@
     }
 
     /**
-     * A list of endpoints has arrived.
+     * Reports that an endpoint list has arrived.
      *
-     * @param how whether the table holds changes or the complete list
-     * @param epoch number of the list
-     * @param table number of the table
+     * @param how kind of the list, such as changes or the complete list
+     * @param epoch number of the list, for which the time of arrival in microseconds is used
+     * @param table number of the table that holds the list
      */
     @JsonTypeName("Endpoints")
     record Endpoints(String how, long epoch, long table) implements SimulatorMessage {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** A request has arrived. */
+    /** Reports that a request has arrived. */
     @JsonTypeName("Call")
     record Call(
             @JsonProperty("ticket") String requestId,
@@ -132,7 +132,7 @@
         }
     }
 
-    /** An attempt has ended. */
+    /** Reports that an attempt has ended. */
     @JsonTypeName("Response")
     @JsonInclude(JsonInclude.Include.NON_NULL)
     record Response(
@@ -171,7 +171,7 @@
         }
     }
 
-    /** The load report of a response. */
+    /** Load report of a server, which a response carries. */
     record ServerStats(
             @JsonProperty("cpu") double utilization,
             @JsonProperty("rps") double rate,
@@ -182,11 +182,11 @@
         }
     }
 
-    /** A client has disconnected. */
+    /** Reports that a client has disconnected. */
     @JsonTypeName("ClientLeft")
     record ClientLeft(@JsonProperty("ticket") String requestId) implements SimulatorMessage {}
 
-    /** A timer is due. */
+    /** Reports that a timer is due. */
     @JsonTypeName("DeadlineHit")
     record DeadlineHit(@JsonProperty("handle") long token) implements SimulatorMessage {}
 }
--- a/testbed/src/main/java/sagefall/policy/TwoChoicesBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/TwoChoicesBalancer.java
@@ -6,14 +6,17 @@
 import sagefall.balancer.api.Request;
 
 /**
- * Power of two choices: of two random servers the one with the lower peak EWMA of the latency x (1
- * + own attempts in flight); no subsets, no limits.
+ * Power of two choices: draws two random servers and picks the one with the lower cost. The cost is
+ * the peak EWMA of the latency, multiplied by 1 + the number of this sidecar's attempts in flight.
+ * The peak EWMA rises to a higher sample immediately and decays exponentially towards lower ones; a
+ * server without a sample has cost 0. There are no subsets and no concurrency limits.
  */
 final class TwoChoicesBalancer extends BaselineBalancer {
 
+    /** Time constant of the decay of the latency estimate. */
     private static final double DECAY_MICROS = 5e6;
 
-    /** The least sample of an attempt that was not served. */
+    /** Smallest latency sample for an attempt that was not served. */
     private static final double MIN_FAILURE_MICROS = 1e6;
 
     TwoChoicesBalancer(BalancerSettings settings, BalancerActions actions) {
@@ -33,11 +36,12 @@
     }
 
     @Override
-    void learn(long nowMicros, BaselineEndpoint endpoint, long elapsedMicros, boolean served) {
+    void onAttemptEnded(
+            long nowMicros, BaselineEndpoint endpoint, long elapsedMicros, boolean served) {
         double sample =
                 served ? elapsedMicros : Math.max((double) elapsedMicros, MIN_FAILURE_MICROS);
-        boolean peak = Double.isNaN(endpoint.latencyMicros) || sample > endpoint.latencyMicros;
-        if (peak) {
+        boolean isPeak = Double.isNaN(endpoint.latencyMicros) || sample > endpoint.latencyMicros;
+        if (isPeak) {
             endpoint.latencyMicros = sample;
         } else {
             double weight = Math.exp(-(nowMicros - endpoint.sampledAtMicros) / DECAY_MICROS);
--- a/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
@@ -7,20 +7,24 @@
 import java.util.List;
 
 /**
- * Goal values that builds reached on the operators' bench, to see whether the emulator ranks the
- * builds alike.
+ * Goal values that builds reached in the operators' benchmark. They serve to check whether the
+ * emulator ranks the builds in the same order as the benchmark.
  *
- * @param builds the builds, and the policies that represent them
- * @param measurements one goal value each
+ * @param builds builds and the policies that represent them
+ * @param measurements measured goal values
  */
 public record BenchmarkFigures(
         List<BenchmarkBuild> builds, List<BenchmarkMeasurement> measurements) {
 
     private static final double MIN_GOAL = -10;
     private static final double MAX_GOAL = 1;
-    private static final List<String> ANY_TEXT = List.of();
+    private static final List<String> ANY_STRING = List.of();
 
-    /** Reads a file of builds and measurements, as strictly as a scenario. */
+    /**
+     * Reads a file of builds and measurements.
+     *
+     * @throws ScenarioException if the file does not exist, a value is invalid or a key is unknown
+     */
     public static BenchmarkFigures load(Path file) throws IOException, ScenarioException {
         if (!Files.isReadable(file)) {
             throw new ScenarioException(file + ":1: no such file");
@@ -28,8 +32,8 @@
         TomlTable root = TomlDocument.parse(file.toString(), Files.readString(file), List.of());
         List<BenchmarkBuild> builds = new ArrayList<>();
         for (TomlTable table : root.tables("build")) {
-            String name = table.word("name", null, ANY_TEXT);
-            builds.add(new BenchmarkBuild(name, table.word("policy", null, ANY_TEXT)));
+            String name = table.string("name", null, ANY_STRING);
+            builds.add(new BenchmarkBuild(name, table.string("policy", null, ANY_STRING)));
             table.requireNoUnknownKeys();
         }
         List<String> names = builds.stream().map(BenchmarkBuild::name).toList();
@@ -37,9 +41,9 @@
         for (TomlTable table : root.tables("play")) {
             measurements.add(
                     new BenchmarkMeasurement(
-                            table.word("build", null, names),
-                            table.word("scenario", null, Scenario.EMULATOR_NAMES),
-                            table.word("day", null, ANY_TEXT),
+                            table.string("build", null, names),
+                            table.string("scenario", null, Scenario.EMULATOR_NAMES),
+                            table.string("day", null, ANY_STRING),
                             table.number("g", 0, MIN_GOAL, MAX_GOAL)));
             table.requireNoUnknownKeys();
         }
--- a/testbed/src/main/java/sagefall/scenario/BenchmarkMeasurement.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkMeasurement.java
@@ -1,11 +1,11 @@
 package sagefall.scenario;
 
 /**
- * A measured goal value of a build.
+ * A goal value of a build, measured in a benchmark run.
  *
  * @param build name of the build
- * @param scenario the scenario that resembles the measured run
- * @param day name of the measured run
- * @param g goal value
+ * @param scenario name of the scenario that resembles the benchmark run
+ * @param day name of the benchmark run
+ * @param g measured goal value
  */
 public record BenchmarkMeasurement(String build, String scenario, String day, double g) {}
--- a/testbed/src/main/java/sagefall/scenario/ClientSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ClientSettings.java
@@ -1,14 +1,15 @@
 package sagefall.scenario;
 
 /**
- * How clients retry and give up.
+ * Retries, timeouts and early disconnects of clients.
  *
- * @param maxRetries largest number of retries of a client
- * @param attemptTimeoutShare share of the deadline after which a client abandons an attempt
- * @param backoffMillis time before a retry
- * @param retryAfterCompliance share of the clients that heed Retry-After
- * @param disconnectShare share of the attempts that the client disconnects from early
- * @param marksRetries whether a retry is marked as one
+ * @param maxRetries largest number of times that a client retries a request
+ * @param attemptTimeoutShare timeout of each request or retry of a client, as a share of the
+ *     deadline
+ * @param backoffMillis delay before a retry
+ * @param retryAfterCompliance share of the clients that wait as long as Retry-After says
+ * @param disconnectShare share of the requests during which the client disconnects early
+ * @param marksRetries whether a client marks its retries as retries
  */
 public record ClientSettings(
         int maxRetries,
--- a/testbed/src/main/java/sagefall/scenario/DiscoverySettings.java
+++ b/testbed/src/main/java/sagefall/scenario/DiscoverySettings.java
@@ -1,13 +1,16 @@
 package sagefall.scenario;
 
 /**
- * How long discovery takes.
+ * Delays of discovery.
  *
- * @param detectionSeconds until a planned change, or the end of a process, is known
- * @param silentDetectionSeconds the same where a machine stops responding
- * @param registrationSeconds the same for a server that has started
- * @param publishIntervalMillis between two lists of changes
- * @param propagationSpreadMillis between the first and the last sidecar that gets a list
+ * @param detectionSeconds mean time until discovery detects that a server drains or its process has
+ *     exited
+ * @param silentDetectionSeconds mean time until discovery detects that a machine has stopped
+ *     responding
+ * @param registrationSeconds mean time until discovery lists a server that has started
+ * @param publishIntervalMillis time between two publications of changes to the endpoint list
+ * @param propagationSpreadMillis time between the receipt of a list by the first and by the last
+ *     sidecar
  */
 public record DiscoverySettings(
         ValueRange detectionSeconds,
--- a/testbed/src/main/java/sagefall/scenario/DrawnFault.java
+++ b/testbed/src/main/java/sagefall/scenario/DrawnFault.java
@@ -6,15 +6,15 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * A fault with its values drawn; times in seconds of the run.
+ * A fault with the values that were drawn for one run.
  *
- * @param fault what the scenario states
- * @param startSeconds seconds after the first request
- * @param durationSeconds how long it lasts
- * @param fraction of the servers, sidecars or responses that it meets
- * @param magnitude how severe it is, in the unit of the kind
- * @param periodSeconds seconds between two repetitions
- * @param random for what is still to be drawn
+ * @param fault fault as the scenario defines it
+ * @param startSeconds start of the fault, in seconds after requests begin to arrive
+ * @param durationSeconds duration of the fault in seconds
+ * @param fraction fraction of the servers, sidecars, requests or responses that the fault affects
+ * @param magnitude magnitude of the fault, in the unit of its kind
+ * @param periodSeconds time between two repetitions, in seconds
+ * @param random source of the values that are drawn later, such as the affected servers
  */
 public record DrawnFault(
         Fault fault,
@@ -25,14 +25,18 @@
         double periodSeconds,
         UniformRandomProvider random) {
 
-    /** A part of all, by chance. */
+    /** Returns randomly selected elements, whose share of all elements is {@code fraction}. */
     public <T> List<T> pickFraction(List<T> all) {
         List<T> shuffled = new ArrayList<>(all);
         ListSampler.shuffle(random, shuffled);
         return shuffled.subList(0, (int) Math.round(fraction * shuffled.size()));
     }
 
-    /** When the last of it is over. */
+    /**
+     * Returns the time at which the fault ends, in seconds after requests begin to arrive. A fault
+     * that kills sidecars or cuts their power ends with the restart, whose delay in seconds is the
+     * magnitude; all other faults end after their duration.
+     */
     public double endSeconds() {
         return startSeconds
                 + (fault.kind() == FaultKind.KILL_SIDECARS
--- a/testbed/src/main/java/sagefall/scenario/Fault.java
+++ b/testbed/src/main/java/sagefall/scenario/Fault.java
@@ -3,19 +3,20 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What goes wrong, and when. A key that the kind has no use for is rejected, so a scenario cannot
- * ask for something that the runner does not do.
+ * A fault that a scenario injects. A key that the kind of the fault does not take is rejected, so a
+ * scenario cannot request something that the runner does not do.
  *
- * @param kind what goes wrong
- * @param startSeconds seconds after the first request
- * @param durationSeconds how long it lasts; of kinds that act in steps, over how long these spread
- * @param zone index of the zone, or -1
- * @param tenant index of the tenant, or -1
- * @param fraction of the servers, sidecars or responses that it meets
- * @param magnitude how severe it is, in the unit of the kind
- * @param periodSeconds seconds between two repetitions
- * @param mode a word that selects a variant of the kind
- * @param location where the scenario states it: file, line and key
+ * @param kind kind of the fault
+ * @param startSeconds start of the fault, in seconds after requests begin to arrive
+ * @param durationSeconds duration of the fault in seconds; for kinds that act in steps, the time
+ *     over which the steps are distributed
+ * @param zone index of the affected zone; -1 for none
+ * @param tenant index of the affected tenant; -1 for none
+ * @param fraction fraction of the servers, sidecars, requests or responses that the fault affects
+ * @param magnitude magnitude of the fault, in the unit of its kind
+ * @param periodSeconds time between two repetitions, in seconds
+ * @param mode variant of the kind
+ * @param location file, line and key of the fault's definition, for error messages
  */
 public record Fault(
         FaultKind kind,
@@ -29,7 +30,12 @@
         FaultMode mode,
         String location) {
 
-    /** Draws the values that the scenario leaves open, from a stream of its own. */
+    /**
+     * Draws the values that the scenario leaves open.
+     *
+     * @param random random stream of this fault
+     * @param runSeconds duration of the run, which limits the duration of the fault
+     */
     public DrawnFault draw(UniformRandomProvider random, double runSeconds) {
         return new DrawnFault(
                 this,
--- a/testbed/src/main/java/sagefall/scenario/FaultKind.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultKind.java
@@ -13,26 +13,42 @@
 import java.util.List;
 import java.util.Set;
 
-/** The kinds of faults, the keys that each takes, and which runners can inject it. */
+/**
+ * Kinds of faults, with the keys that each kind takes and the runners that can inject it. The words
+ * fraction, magnitude, period and mode in a description denote the components of {@link Fault}.
+ */
 public enum FaultKind {
-    /** All servers of a zone stop at once and restart cold. Mode: silent or refuse. */
+    /** All servers of a zone stop at once, and later restart cold. Mode: silent or refuse. */
     LOSE_ZONE("lose_zone", DURATION, ZONE, MODE),
-    /** A zone is lost and restored repeatedly; it is down for a fraction of each period. */
+    /**
+     * A zone is lost and restored in each period; the fraction is the share of the period for which
+     * the zone is lost.
+     */
     FLAP_ZONE("flap_zone", DURATION, ZONE, PERIOD, FRACTION, MODE),
-    /** Nothing passes between a zone and the others. Mode: both ways, only in or only out. */
+    /**
+     * No traffic passes between a zone and the others. Mode: both directions, only inbound or only
+     * outbound.
+     */
     CUT_ZONE("cut_zone", DURATION, ZONE, MODE),
-    /** A fraction of the servers stops and restarts cold. Mode: silent or refuse. */
+    /** A fraction of the servers stops, and later restarts cold. Mode: silent or refuse. */
     LOSE_SERVERS("lose_servers", DURATION, FRACTION, MODE),
-    /** A fraction of the servers is slower by a factor. */
+    /** A fraction of the servers is slower; the magnitude is the factor. */
     SLOW_SERVERS("slow", DURATION, FRACTION, MAGNITUDE),
-    /** All servers are slower by a factor. */
+    /** All servers are slower; the magnitude is the factor. */
     SLOW_SHARED_DEPENDENCY("shared_slow", DURATION, MAGNITUDE),
-    /** A fraction of the servers answers that share of requests with errors. */
+    /**
+     * A fraction of the servers fails requests with error responses; the magnitude is the share of
+     * their requests that fail.
+     */
     SERVER_ERRORS("errors", DURATION, FRACTION, MAGNITUDE),
-    /** A fraction of the servers pauses for so many milliseconds in each period. */
+    /**
+     * A fraction of the servers pauses in each period; the magnitude is the duration of a pause in
+     * milliseconds.
+     */
     SERVER_PAUSES("pauses", DURATION, FRACTION, MAGNITUDE, PERIOD),
     /**
-     * Another program takes that share of the capacity of a fraction of the servers, on and off.
+     * Another program takes capacity from a fraction of the servers in every other period; the
+     * magnitude is the share of the capacity.
      */
     NOISY_NEIGHBOUR(
             "neighbour",
@@ -41,47 +57,57 @@
             FRACTION,
             MAGNITUDE,
             PERIOD),
-    /** The arrival rate is multiplied by a factor. */
+    /** The arrival rate is multiplied by the magnitude. */
     TRAFFIC_BURST("burst", DURATION, MAGNITUDE),
-    /** The traffic of one zone's sidecars is multiplied by a factor. */
+    /** The traffic of the sidecars of one zone is multiplied by the magnitude. */
     ZONE_TRAFFIC_SHIFT("shift", DURATION, ZONE, MAGNITUDE),
-    /** The traffic of one tenant is multiplied by a factor. */
+    /** The traffic of one tenant is multiplied by the magnitude. */
     TENANT_SURGE("surge", DURATION, TENANT, MAGNITUDE),
     /**
      * A fraction of the servers is drained and replaced by new ones, one after another. Mode: late,
-     * if they accept work until every sidecar knows, or early, if they reject it from the start.
+     * if a draining server accepts requests until every sidecar has been notified, or early, if it
+     * rejects requests from the start.
      */
     REPLACE_SERVERS("replace", DURATION, FRACTION, MODE),
     /**
-     * A fraction of the sidecars, or of those of a zone, is killed at once and restarted after so
-     * many seconds.
+     * A fraction of the sidecars, or of those of a zone, is killed at once and later restarted; the
+     * magnitude is the delay of the restart in seconds.
      */
     KILL_SIDECARS("kill_sidecars", FRACTION, MAGNITUDE, ZONE),
-    /** A fraction of the sidecars is restarted in turn, as planned, each in so many seconds. */
+    /**
+     * A fraction of the sidecars is restarted as planned, in steps over the duration; the magnitude
+     * is the time in seconds that a sidecar is down.
+     */
     RESTART_SIDECARS("restart_sidecars", DURATION, FRACTION, MAGNITUDE),
-    /** Discovery is slower by a factor. */
+    /** The delays of discovery are multiplied by the magnitude. */
     SLOW_DISCOVERY("late_lists", DURATION, MAGNITUDE),
-    /** Discovery does not answer. */
+    /** Discovery does not respond. */
     DISCOVERY_OUTAGE("discovery_down", DURATION),
-    /** That fraction of the responses is lost in transit. */
+    /** A fraction of the responses is lost in transit. */
     LOST_RESPONSES("lost_answers", DURATION, FRACTION),
-    /** That fraction of the requests has its connection reset. */
+    /** A fraction of the requests fails because the connection is reset. */
     CONNECTION_RESETS("resets", DURATION, FRACTION),
-    /** The client disconnects early from that fraction of its attempts. */
+    /** Clients disconnect early during a fraction of their requests. */
     CLIENT_DISCONNECTS("leavers", DURATION, FRACTION),
-    /** Clients retry immediately, so many times, whatever Retry-After says. */
+    /** Clients ignore Retry-After and retry without delay; the magnitude is the retry limit. */
     IMMEDIATE_RETRIES("stubborn", DURATION, MAGNITUDE),
-    /** A fraction of the sidecars gets no list update, and the complete list at the end. */
+    /**
+     * A fraction of the sidecars receives no updates of the endpoint list until the end of the
+     * fault, and then the complete list.
+     */
     SUPPRESSED_UPDATES("deaf", DURATION, FRACTION),
     /**
-     * A fraction of the servers stops and returns at the old addresses with new ids. Mode: silent
-     * or refuse.
+     * A fraction of the servers stops, and later restarts at the old addresses with new server ids.
+     * Mode: silent or refuse.
      */
     RESTART_WITH_NEW_IDS(
             "reborn", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION, MODE),
-    /** A fraction of the sidecars is stopped (SIGSTOP) and continued. */
+    /** A fraction of the sidecars is suspended (SIGSTOP) and later continued. */
     STOP_SIDECARS("stop_sidecars", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION),
-    /** A fraction of the sidecars runs only for that part of each tenth of a second. */
+    /**
+     * A fraction of the sidecars is suspended for a part of each tenth of a second; the magnitude
+     * is the share of the time for which they run.
+     */
     SLOW_SIDECARS(
             "slow_sidecars",
             EnumSet.of(ScenarioRunner.FAULT_INJECTION),
@@ -89,8 +115,8 @@
             FRACTION,
             MAGNITUDE),
     /**
-     * Nothing passes between a fraction of the sidecars and a zone's servers. Mode: both ways, in
-     * or out.
+     * No traffic passes between a fraction of the sidecars and a zone's servers. Mode: both
+     * directions, only to the servers or only from them.
      */
     CUT_SIDECARS(
             "cut_sidecars",
@@ -99,7 +125,7 @@
             FRACTION,
             ZONE,
             MODE),
-    /** The same, on for half of each period, repeatedly. */
+    /** Traffic is cut as in {@link #CUT_SIDECARS}, but only for half of each period. */
     FLAP_LINKS(
             "flap_links",
             EnumSet.of(ScenarioRunner.FAULT_INJECTION),
@@ -108,7 +134,10 @@
             ZONE,
             PERIOD,
             MODE),
-    /** Links between a fraction of the sidecars and a zone's servers are slower by milliseconds. */
+    /**
+     * The latency between a fraction of the sidecars and a zone's servers is higher; the magnitude
+     * is the addition in milliseconds.
+     */
     DELAY_LINKS(
             "delay_links",
             EnumSet.of(ScenarioRunner.FAULT_INJECTION),
@@ -117,8 +146,8 @@
             ZONE,
             MAGNITUDE),
     /**
-     * Connections between a fraction of the sidecars and a zone's servers break after so many
-     * bytes.
+     * Connections between a fraction of the sidecars and a zone's servers are reset after a number
+     * of bytes, which is the magnitude.
      */
     CUT_BYTES(
             "cut_bytes",
@@ -128,9 +157,10 @@
             ZONE,
             MAGNITUDE),
     /**
-     * The machines of a fraction of the sidecars, and of a zone's servers, lose power and restart
-     * after so many seconds. Mode: fresh, if a sidecar's configuration has the current list, or
-     * stale, if it has that of its first start.
+     * The machines of a fraction of the sidecars, and of the servers of a zone or of all zones,
+     * lose power and later restart; the magnitude is the delay of the restart in seconds. Mode:
+     * fresh, if the configuration of a restarted sidecar has the current endpoint list, or stale,
+     * if the configuration has the endpoint list of the first start.
      */
     POWER_LOSS(
             "power_loss",
@@ -139,13 +169,22 @@
             MAGNITUDE,
             FRACTION,
             MODE),
-    /** A fraction of the servers is listed as draining, goes on accepting requests, then stops. */
+    /**
+     * A fraction of the servers is listed as draining, continues to accept requests, and stops at
+     * the end of the fault.
+     */
     DRAIN_SERVERS("drain", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION),
-    /** From its next start the wall clock of a fraction of the sidecars is ahead by seconds. */
+    /**
+     * The wall clock of a fraction of the sidecars is wrong from their next start on; the magnitude
+     * is the number of seconds by which the clock is ahead.
+     */
     WRONG_CLOCK("wrong_clock", EnumSet.of(ScenarioRunner.FAULT_INJECTION), MAGNITUDE, FRACTION),
-    /** The lease holder of that moment is stopped (SIGSTOP) and continued. */
+    /** The leader at the start of the fault is suspended (SIGSTOP) and later continued. */
     STOP_LEASE_HOLDER("stop_owner", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION),
-    /** The lease holder of that moment is killed and restarted after so many seconds. */
+    /**
+     * The leader at the start of the fault is killed and later restarted; the magnitude is the
+     * delay of the restart in seconds.
+     */
     KILL_LEASE_HOLDER("kill_owner", EnumSet.of(ScenarioRunner.FAULT_INJECTION), MAGNITUDE);
 
     private final String label;
@@ -162,31 +201,31 @@
         this.parameters = EnumSet.copyOf(Arrays.asList(parameters));
     }
 
-    /** The word in scenario files, schedules and reports. */
+    /** Returns the name of this kind in scenario files, schedules and reports. */
     public String label() {
         return label;
     }
 
-    /** Whether the runner can inject it. */
+    /** Returns whether the runner can inject faults of this kind. */
     public boolean isSupportedBy(ScenarioRunner runner) {
         return runners.contains(runner);
     }
 
-    /** Whether the kind has a use for the parameter. */
+    /** Returns whether this kind takes the parameter. */
     boolean takes(FaultParameter parameter) {
         return parameters.contains(parameter);
     }
 
-    /** All labels, in the order of the constants. */
+    /** Returns the labels of all kinds, in the order of the constants. */
     static List<String> labels() {
         return Arrays.stream(values()).map(FaultKind::label).toList();
     }
 
-    /** The kind of that label, which must be one of {@link #labels()}. */
+    /** Returns the kind with the given label, which must be one of {@link #labels()}. */
     static FaultKind ofLabel(String label) {
         return Arrays.stream(values())
                 .filter(kind -> kind.label.equals(label))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no fault " + label));
+                .orElseThrow(() -> new IllegalArgumentException("no fault kind " + label));
     }
 }
--- a/testbed/src/main/java/sagefall/scenario/FaultMode.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultMode.java
@@ -2,25 +2,25 @@
 
 import java.util.Arrays;
 
-/** Variants of a kind of fault. */
+/** Variants of faults; {@link FaultKind} states which kind has which modes. */
 public enum FaultMode {
-    /** In both directions. */
+    /** Traffic is cut in both directions. */
     BOTH("both"),
-    /** Only what enters the zone. */
+    /** Only traffic towards the servers or into the zone is cut. */
     IN("in"),
-    /** Only what leaves the zone. */
+    /** Only traffic from the servers or out of the zone is cut. */
     OUT("out"),
-    /** A draining server accepts requests until every sidecar knows that it drains. */
+    /** A draining server accepts requests until every sidecar has been notified of the drain. */
     LATE("late"),
-    /** A draining server rejects requests from the start. */
+    /** A draining server rejects requests from the start of the drain. */
     EARLY("early"),
-    /** A configuration with the endpoint list of the moment. */
+    /** The configuration of a restarted sidecar has the current endpoint list. */
     FRESH("fresh"),
-    /** A configuration with the endpoint list of the first start. */
+    /** The configuration of a restarted sidecar has the endpoint list of its first start. */
     STALE("stale"),
-    /** The peers of a stopped server get no answer. */
+    /** Connections to a stopped server get no response. */
     SILENT("silent"),
-    /** The peers of a stopped server are refused. */
+    /** Connections to a stopped server are refused. */
     REFUSE("refuse");
 
     private final String label;
@@ -29,16 +29,16 @@
         this.label = label;
     }
 
-    /** The word in scenario files, schedules and reports. */
+    /** Returns the name of this mode in scenario files, schedules and reports. */
     public String label() {
         return label;
     }
 
-    /** The mode of that label, which must exist. */
+    /** Returns the mode with the given label; there must be one. */
     static FaultMode ofLabel(String label) {
         return Arrays.stream(values())
                 .filter(mode -> mode.label.equals(label))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no mode " + label));
+                .orElseThrow(() -> new IllegalArgumentException("no fault mode " + label));
     }
 }
--- a/testbed/src/main/java/sagefall/scenario/FaultParameter.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultParameter.java
@@ -1,23 +1,23 @@
 package sagefall.scenario;
 
-/** The keys of a fault that only some kinds take. */
+/** Parameters of a fault that only some kinds take. */
 enum FaultParameter {
-    /** How long the fault lasts, in seconds. */
+    /** Duration of the fault, in seconds. */
     DURATION("for_s"),
-    /** The zone that it meets. */
+    /** Zone that the fault affects. */
     ZONE("zone"),
-    /** The tenant that it meets. */
+    /** Tenant that the fault affects. */
     TENANT("tenant"),
-    /** The fraction of the servers, sidecars or requests that it meets. */
+    /** Fraction of the servers, sidecars, requests or responses that the fault affects. */
     FRACTION("part"),
-    /** How severe it is, in the unit of the kind. */
+    /** Magnitude of the fault, in the unit of its kind. */
     MAGNITUDE("size"),
-    /** Seconds between two repetitions. */
+    /** Time between two repetitions, in seconds. */
     PERIOD("every_s"),
-    /** A word that selects a variant. */
+    /** Mode of the fault, a variant of its kind. */
     MODE("how");
 
-    /** The key in scenario files. */
+    /** Key of this parameter in scenario files. */
     final String key;
 
     FaultParameter(String key) {
--- a/testbed/src/main/java/sagefall/scenario/FaultReader.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultReader.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Reads the faults of a scenario; a key that the kind of a fault does not take is an error. */
+/** Reads the faults of a scenario. A key that the kind of a fault does not take is an error. */
 final class FaultReader {
 
     private static final double DEFAULT_FRACTION = 0.1;
@@ -17,7 +17,8 @@
     /**
      * Creates a reader for the faults of one scenario.
      *
-     * @param runSeconds how long requests arrive, the longest time that a fault can name
+     * @param runSeconds time in seconds for which requests arrive, which limits the times of a
+     *     fault
      */
     FaultReader(FleetSettings fleet, List<TenantSettings> tenants, double runSeconds) {
         this.fleet = fleet;
@@ -25,9 +26,9 @@
         this.runSeconds = runSeconds;
     }
 
-    /** Reads one table. */
+    /** Reads one fault from its table. */
     Fault read(TomlTable table) throws ScenarioException {
-        FaultKind kind = FaultKind.ofLabel(table.word("kind", null, FaultKind.labels()));
+        FaultKind kind = FaultKind.ofLabel(table.string("kind", null, FaultKind.labels()));
         rejectUnusedParameters(table, kind);
         List<String> modes = modes(kind).stream().map(FaultMode::label).toList();
         ValueRange bounds = magnitudeBounds(kind);
@@ -49,7 +50,7 @@
                                 ValueRange.of(DEFAULT_PERIOD_SECONDS),
                                 MIN_PERIOD_SECONDS,
                                 runSeconds),
-                        FaultMode.ofLabel(table.word("how", modes.get(0), modes)),
+                        FaultMode.ofLabel(table.string("how", modes.get(0), modes)),
                         table.location("kind"));
         table.requireNoUnknownKeys();
         return fault;
@@ -59,11 +60,12 @@
             throws ScenarioException {
         for (FaultParameter parameter : FaultParameter.values()) {
             if (table.has(parameter.key) && !kind.takes(parameter)) {
-                throw table.error(parameter.key, "means nothing to " + kind.label());
+                throw table.error(parameter.key, "does not apply to " + kind.label());
             }
         }
     }
 
+    /** Returns the modes that a kind permits; the first one is the default. */
     private static List<FaultMode> modes(FaultKind kind) {
         return switch (kind) {
             case CUT_ZONE, CUT_SIDECARS, FLAP_LINKS ->
@@ -86,12 +88,13 @@
         };
     }
 
+    /** Returns the index of the affected zone; -1 if there is none. */
     private int zone(TomlTable table, FaultKind kind) throws ScenarioException {
         boolean optional = kind == FaultKind.KILL_SIDECARS || kind == FaultKind.POWER_LOSS;
         if (!kind.takes(FaultParameter.ZONE) || (optional && !table.has("zone"))) {
             return -1;
         }
-        int zone = fleet.zones().indexOf(table.word("zone", fleet.zones().get(0), List.of()));
+        int zone = fleet.zones().indexOf(table.string("zone", fleet.zones().get(0), List.of()));
         if (zone < 0) {
             throw table.error(
                     "zone", "the fleet has no such zone, only " + String.join(", ", fleet.zones()));
@@ -99,12 +102,13 @@
         return zone;
     }
 
+    /** Returns the index of the affected tenant; -1 if there is none. */
     private int tenant(TomlTable table, FaultKind kind) throws ScenarioException {
         if (!kind.takes(FaultParameter.TENANT)) {
             return -1;
         }
         List<String> names = tenants.stream().map(TenantSettings::name).toList();
-        int tenant = names.indexOf(table.word("tenant", names.get(0), List.of()));
+        int tenant = names.indexOf(table.string("tenant", names.get(0), List.of()));
         if (tenant < 0) {
             throw table.error(
                     "tenant", "there is no such tenant, only " + String.join(", ", names));
--- a/testbed/src/main/java/sagefall/scenario/FleetSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/FleetSettings.java
@@ -3,16 +3,19 @@
 import java.util.List;
 
 /**
- * The sidecars and servers, and how they are spread over the zones.
+ * Sidecars and servers, and their distribution over the zones.
  *
  * @param sidecars number of sidecars
  * @param servers number of servers at the start
  * @param zones names of the zones
- * @param serverSkew how unevenly the zones share the servers, 0 to 1
- * @param cellServers servers in a cell
- * @param startSeconds from a sidecar's start until it is ready; real processes take what they take
- * @param persistence whether real sidecars persist the endpoint list: off, or the name of the mode
- * @param leaseMillis length of the lease that real sidecars compete for; 0: none
+ * @param serverSkew unevenness of the distribution of the servers over the zones, 0 to 1
+ * @param cellServers number of servers in a cell
+ * @param startSeconds time from the start of a sidecar until the sidecar is ready, in the emulator;
+ *     fault injection ignores it, because it starts real processes
+ * @param persistence mode in which sidecars persist the endpoint list in fault injection: off, each
+ *     or snapshot
+ * @param leaseMillis duration of the lease that sidecars compete for in fault injection; 0 for no
+ *     lease
  */
 public record FleetSettings(
         int sidecars,
--- a/testbed/src/main/java/sagefall/scenario/LoadSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/LoadSettings.java
@@ -1,14 +1,14 @@
 package sagefall.scenario;
 
 /**
- * The offered traffic.
+ * Traffic that clients offer.
  *
  * @param utilization offered work as a share of the capacity of all servers
- * @param rateSwing amplitude of a periodic change of the rate, as a share of the mean
- * @param zoneSkew how unevenly the zones share the traffic, 0 to 1
- * @param sidecarVariation coefficient of variation of the sidecars' traffic
- * @param keys number of different keys
- * @param zipfExponent exponent of the distribution of the keys
+ * @param rateSwing amplitude of the periodic change of the arrival rate, as a share of the mean
+ * @param zoneSkew unevenness of the distribution of the traffic over the zones, 0 to 1
+ * @param sidecarVariation coefficient of variation of the traffic of the sidecars
+ * @param keys number of distinct keys
+ * @param zipfExponent exponent of the Zipf distribution of the keys
  */
 public record LoadSettings(
         ValueRange utilization,
--- a/testbed/src/main/java/sagefall/scenario/MachineType.java
+++ b/testbed/src/main/java/sagefall/scenario/MachineType.java
@@ -1,22 +1,24 @@
 package sagefall.scenario;
 
 /**
- * A kind of machine.
+ * Type of the machines that servers run on.
  *
- * @param name as the settings of a sidecar list it
- * @param share of the servers, relative to the other kinds
+ * @param name name of the type in the settings of a sidecar
+ * @param share share of the servers, relative to the other types
  * @param cores number of cores
- * @param speed relative to a core of speed 1
- * @param slotsPerCore requests executed at a time for each core
- * @param queuePerCore length of the queue for each core; a request beyond it is rejected
- * @param contentionPenalty by which each request a core beyond the threshold slows the machine down
- * @param contentionThreshold requests a core from which on contention begins
- * @param initialCapacityShare share of its capacity at a cold start
- * @param slowStartSeconds until it is warm
- * @param warmUpBy whether it warms up by time alone or by work done as well
- * @param pauseIntervalSeconds between two pauses
- * @param pauseMillis length of a pause
- * @param errorRate share of the requests answered with an error
+ * @param speed speed of a core, relative to a core of speed 1
+ * @param slotsPerCore number of requests executed at a time, per core
+ * @param queuePerCore length of the queue, per core; a request beyond it is rejected
+ * @param contentionPenalty relative slowdown by each request per core beyond the {@code
+ *     contentionThreshold}
+ * @param contentionThreshold number of requests per core above which contention begins
+ * @param initialCapacityShare share of its capacity that a server has right after a cold start
+ * @param slowStartSeconds time from a cold start until a server is warm
+ * @param warmUpBy {@code time} if a server warms up with time alone, {@code work} if executed work
+ *     contributes
+ * @param pauseIntervalSeconds time between two pauses
+ * @param pauseMillis duration of a pause
+ * @param errorRate share of the requests that fail with an error response
  */
 public record MachineType(
         String name,
--- a/testbed/src/main/java/sagefall/scenario/NetworkSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/NetworkSettings.java
@@ -1,18 +1,19 @@
 package sagefall.scenario;
 
 /**
- * Latencies, which are one way, and the connections to servers.
+ * Network latencies, and connections to servers.
  *
- * @param sameZoneMillis latency within a zone
- * @param crossZoneMillis latency between two zones
- * @param clientMillis latency between a client and its sidecar
- * @param jitter mean of the exponential addition to a latency, as a share of it
- * @param connectRoundTrips round trips to open a connection
+ * @param sameZoneMillis one-way latency within a zone
+ * @param crossZoneMillis one-way latency between two zones
+ * @param clientMillis one-way latency between a client and its sidecar
+ * @param jitter mean of a random, exponentially distributed addition to a latency, as a share of
+ *     the latency
+ * @param connectRoundTrips number of round trips that opening a connection takes
  * @param connectCostMicros work of the server for a new connection, on a core of speed 1
- * @param idleTimeoutSeconds after which a server closes an idle connection
- * @param connectTimeoutMillis after which an attempt to connect has failed
- * @param connectionsPerCore connections that a server accepts for each core
- * @param connectionTableCost share of its speed that a server loses with all connections in use
+ * @param idleTimeoutSeconds time after which a server closes an idle connection
+ * @param connectTimeoutMillis time after which opening a connection has failed
+ * @param connectionsPerCore number of connections that a server accepts, per core
+ * @param connectionTableCost share of its speed that a server loses if all connections are in use
  */
 public record NetworkSettings(
         ValueRange sameZoneMillis,
--- a/testbed/src/main/java/sagefall/scenario/Scenario.java
+++ b/testbed/src/main/java/sagefall/scenario/Scenario.java
@@ -8,21 +8,22 @@
 import java.util.List;
 
 /**
- * A fleet, its load and what goes wrong, with values left open as ranges that a seed draws. A
- * scenario and a seed give one run, and in the emulator one run has one result.
+ * Description of a fleet, its load and the faults that are injected. A value may be given as a
+ * range, from which each run draws its value by the run's seed. A scenario and a seed define one
+ * run; in the emulator the scenario and the seed also determine the result of the run.
  *
- * @param name as results call it
- * @param description one sentence
- * @param seconds how long requests arrive
+ * @param name name of the scenario in results
+ * @param description description of the scenario in one sentence
+ * @param seconds time in seconds for which requests arrive
  * @param fleet sidecars and servers
  * @param load offered traffic
- * @param clients how clients behave
- * @param network links and connections
- * @param discovery how long it takes
- * @param service the class of requests and the limits
- * @param machineTypes the kinds of machines that servers run on
- * @param tenants who shares the service
- * @param faults what goes wrong
+ * @param clients behaviour of the clients
+ * @param network latencies and connections
+ * @param discovery delays of discovery
+ * @param service request class, limits and model of the work
+ * @param machineTypes types of the machines that servers run on
+ * @param tenants tenants of the service
+ * @param faults faults that are injected
  */
 public record Scenario(
         String name,
@@ -38,7 +39,7 @@
         List<TenantSettings> tenants,
         List<Fault> faults) {
 
-    /** The shipped scenarios for fault injection with real processes. */
+    /** Names of the shipped scenarios for fault injection with real processes. */
     public static final List<String> FAULT_INJECTION_NAMES =
             List.of(
                     "rig-calm",
@@ -57,7 +58,7 @@
                     "rig-second-loss",
                     "rig-owner");
 
-    /** The shipped scenarios for the emulator. */
+    /** Names of the shipped scenarios for the emulator. */
     public static final List<String> EMULATOR_NAMES =
             List.of(
                     "calm",
@@ -77,8 +78,9 @@
     /**
      * Reads a shipped scenario by its name, or a file by its path.
      *
-     * @param overrides values in the place of the file's, as {@code fleet.servers=60}
-     * @throws ScenarioException with the line of the file that is wrong
+     * @param overrides assignments that replace values of the file, such as {@code
+     *     fleet.servers=60}
+     * @throws ScenarioException if the scenario is invalid; the message states the line
      */
     public static Scenario load(String nameOrFile, List<String> overrides)
             throws IOException, ScenarioException {
@@ -86,7 +88,7 @@
         return read(source.file(), source.text(), overrides);
     }
 
-    /** The text of a shipped scenario, or of a file. */
+    /** Returns the text of a shipped scenario, or of a file. */
     public static ScenarioSource source(String nameOrFile) throws IOException, ScenarioException {
         if (EMULATOR_NAMES.contains(nameOrFile) || FAULT_INJECTION_NAMES.contains(nameOrFile)) {
             String file = nameOrFile + EXTENSION;
@@ -107,13 +109,21 @@
         return new ScenarioSource(nameOrFile, Files.readString(path));
     }
 
-    /** Reads a scenario from its text; the file's name goes into messages. */
+    /**
+     * Reads a scenario from its text.
+     *
+     * @param file name of the file, for error messages
+     */
     public static Scenario read(String file, String text, List<String> overrides)
             throws ScenarioException {
         return new ScenarioReader(TomlDocument.parse(file, text, overrides)).read();
     }
 
-    /** This scenario, unless it has a fault that the runner cannot inject. */
+    /**
+     * Returns this scenario.
+     *
+     * @throws ScenarioException if the scenario has a fault that the runner cannot inject
+     */
     public Scenario requireSupportedBy(ScenarioRunner runner) throws ScenarioException {
         for (Fault fault : faults) {
             if (!fault.kind().isSupportedBy(runner)) {
--- a/testbed/src/main/java/sagefall/scenario/ScenarioException.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioException.java
@@ -1,12 +1,12 @@
 package sagefall.scenario;
 
-/** A scenario is wrong; the message is one plain line with the file, the line and the key. */
+/** Reports an invalid scenario; the message is a single line with file, line and key. */
 public final class ScenarioException extends Exception {
 
     private static final long serialVersionUID = 1;
 
-    /** An exception with that line. */
-    public ScenarioException(String line) {
-        super(line);
+    /** Creates an exception with a message of one line. */
+    public ScenarioException(String message) {
+        super(message);
     }
 }
--- a/testbed/src/main/java/sagefall/scenario/ScenarioReader.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioReader.java
@@ -3,12 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads a scenario; what a file leaves out has the defaults that stand here. */
+/** Reads a scenario, and defines the default values of the keys that are absent in the file. */
 final class ScenarioReader {
 
+    /** Upper bound of the duration of a run, and of most other times, in seconds. */
     private static final double MAX_SECONDS = 3600;
     private static final double DEFAULT_SECONDS = 50;
-    private static final List<String> ANY_TEXT = List.of();
+    private static final List<String> ANY_STRING = List.of();
 
     private final TomlTable root;
 
@@ -16,7 +17,7 @@
         this.root = root;
     }
 
-    /** Reads all tables; a key that nothing reads is an error. */
+    /** Reads all tables; an unknown key is an error. */
     Scenario read() throws ScenarioException {
         double seconds = root.number("seconds", DEFAULT_SECONDS, 1, MAX_SECONDS);
         FleetSettings fleet = readFleet(root.table("fleet"));
@@ -25,8 +26,8 @@
         List<Fault> faults = readFaults(new FaultReader(fleet, tenants, seconds));
         Scenario scenario =
                 new Scenario(
-                        root.word("name", null, ANY_TEXT),
-                        root.word("about", "", ANY_TEXT),
+                        root.string("name", null, ANY_STRING),
+                        root.string("about", "", ANY_STRING),
                         seconds,
                         fleet,
                         readLoad(root.table("load")),
@@ -50,11 +51,11 @@
                         table.number("server_skew", 0.3, 0, 1),
                         table.integer("cell_servers", 8, 1, 1000),
                         table.range("start_s", ValueRange.of(0), 0, 60),
-                        table.word("keeps", "off", List.of("off", "each", "snapshot")),
+                        table.string("keeps", "off", List.of("off", "each", "snapshot")),
                         table.integer("lease_ms", 0, 0, 600_000));
         table.requireNoUnknownKeys();
         if (fleet.zones().size() > fleet.servers()) {
-            throw table.error("servers", "must be one for each zone at the least");
+            throw table.error("servers", "must be at least one for each zone");
         }
         return fleet;
     }
@@ -118,8 +119,8 @@
         List<String> distributions = List.of("lognormal", "exponential", "constant");
         ServiceSettings service =
                 new ServiceSettings(
-                        table.word("effect", "token", List.of("pure", "token", "side_effect")),
-                        table.word("group", "zone", List.of("all", "zone", "cell")),
+                        table.string("effect", "token", List.of("pure", "token", "side_effect")),
+                        table.string("group", "zone", List.of("all", "zone", "cell")),
                         table.number("aim_ms", 1200, 1, 1e6),
                         table.number("deadline_ms", 2500, 1, 1e6),
                         table.number("window_ms", 2500, 0, 1e6),
@@ -127,7 +128,7 @@
                         table.flag("cancelling", true),
                         table.flag("retry_advice", true),
                         table.range("work_ms", new ValueRange(97, 180), 0.001, 1e5),
-                        table.word("distribution", "lognormal", distributions),
+                        table.string("distribution", "lognormal", distributions),
                         table.range("spread", new ValueRange(0.8, 1.2), 0, 10),
                         table.range("attempt_noise", new ValueRange(0.1, 0.3), 0, 5),
                         table.range("key_gain", new ValueRange(0.27, 0.69), 0, 1),
@@ -167,7 +168,7 @@
     private static MachineType readMachineType(TomlTable table) throws ScenarioException {
         MachineType type =
                 new MachineType(
-                        table.word("name", null, ANY_TEXT),
+                        table.string("name", null, ANY_STRING),
                         table.number("share", 1, 0, 1e6),
                         table.integer("cores", 1, 1, 1024),
                         table.range("speed", ValueRange.of(1), 0.001, 1000),
@@ -177,7 +178,7 @@
                         table.range("thrash_at", new ValueRange(8.6, 13), 0, 1e6),
                         table.range("cold_from", new ValueRange(0.32, 0.5), 0.01, 1),
                         table.range("cold_s", new ValueRange(4, 8.8), 0, MAX_SECONDS),
-                        table.word("warm_by", "work", List.of("time", "work")),
+                        table.string("warm_by", "work", List.of("time", "work")),
                         table.range("pause_every_s", new ValueRange(5, 11), 0.01, MAX_SECONDS),
                         table.range("pause_ms", new ValueRange(0, 250), 0, 60_000),
                         table.range("errors", new ValueRange(0, 0.002), 0, 1));
@@ -225,7 +226,7 @@
         for (TomlTable table : root.tables("tenant")) {
             tenants.add(
                     new TenantSettings(
-                            table.word("name", null, ANY_TEXT),
+                            table.string("name", null, ANY_STRING),
                             table.number("share", 1, 0, 1),
                             table.range("usage", ValueRange.of(1), 0, 100)));
             table.requireNoUnknownKeys();
--- a/testbed/src/main/java/sagefall/scenario/ScenarioRunner.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioRunner.java
@@ -1,10 +1,10 @@
 package sagefall.scenario;
 
-/** What runs a scenario. */
+/** Programs that run scenarios. */
 public enum ScenarioRunner {
-    /** {@code sagefall.emulator}: one process with a virtual clock. */
+    /** {@code sagefall.emulator}: simulates a fleet in one process with a virtual clock. */
     EMULATOR("emulator"),
-    /** {@code sagefall.faultinjection}: real processes on real sockets. */
+    /** {@code sagefall.faultinjection}: runs real processes that use real sockets. */
     FAULT_INJECTION("rig");
 
     private final String label;
@@ -13,7 +13,7 @@
         this.label = label;
     }
 
-    /** The word in messages. */
+    /** Returns the name of the runner in messages. */
     public String label() {
         return label;
     }
--- a/testbed/src/main/java/sagefall/scenario/ScenarioSource.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioSource.java
@@ -1,9 +1,9 @@
 package sagefall.scenario;
 
 /**
- * The text of a scenario.
+ * Source text of a scenario.
  *
- * @param file its name in messages
- * @param text in TOML
+ * @param file name of the file, for error messages
+ * @param text text of the scenario in TOML
  */
 public record ScenarioSource(String file, String text) {}
--- a/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
@@ -1,34 +1,39 @@
 package sagefall.scenario;
 
 /**
- * The class of requests, the limits of the service and the model of the work.
+ * Request class and limits of the service, and model of the work that requests cause.
  *
  * @param idempotency whether a request may be executed twice: pure, token or side_effect
- * @param deduplicationScope which servers recognize a repeated key: all, zone or cell
- * @param latencyObjectiveMillis latency within which a response counts
- * @param deadlineMillis after which a client has given up
- * @param deduplicationWindowMillis how long a key is recognized
- * @param maxAttempts largest number of attempts of a sidecar for a request
+ * @param deduplicationScope servers that recognize a repeated idempotency key: all, zone or cell
+ * @param latencyObjectiveMillis latency target; a slower response is late
+ * @param deadlineMillis time from the arrival of a request until the client stops waiting for the
+ *     response
+ * @param deduplicationWindowMillis time for which an idempotency key is recognized
+ * @param maxAttempts largest number of attempts that a sidecar makes for a request
  * @param cancellationAllowed whether a sidecar may cancel an attempt
  * @param retryAfterAllowed whether a rejection may carry Retry-After
- * @param workMillis mean work on a core of speed 1
- * @param distribution of the work: lognormal, exponential or constant
- * @param workVariation coefficient of variation of the work; 1 with {@code exponential}
+ * @param workMillis mean work of a request, as execution time on a core of speed 1
+ * @param distribution distribution of the work: lognormal, exponential or constant
+ * @param workVariation coefficient of variation of the work; only lognormal uses it
  * @param attemptNoise coefficient of variation of the work between two attempts of one request
- * @param cachedKeySaving share of the work that a key saves if the server served it recently
- * @param keyLifetimeSeconds how long a server keeps a key
- * @param cachedKeysPerCore keys that a server keeps for each core
- * @param reportIntervalMillis between two load reports of a server
+ * @param cachedKeySaving share of the work that is saved for a key that the server has cached
+ * @param keyLifetimeSeconds time for which a server caches a key
+ * @param cachedKeysPerCore number of keys that a server caches, per core
+ * @param reportIntervalMillis time between two load reports of a server
  * @param reportNoise relative standard deviation of the values of a load report
- * @param overQuotaWeight weight of a request of a tenant beyond its quota
- * @param quotaOfCapacity sum of the quotas as a share of the capacity
- * @param slowStartInitialShare share of its capacity that a cold server has by the rules
- * @param slowStartSeconds time until a cold server is warm by the rules
- * @param slowStartLimitFactor by how many times its present capacity a cold server may be loaded
- * @param slowStartLimitSeconds the window over which that load is counted
- * @param drainGraceMillis how long after a drain is known requests may still be sent
- * @param answerGraceMillis how long after its deadline a request must be answered
- * @param tickMillis resolution of the clock that sidecars are given
+ * @param overQuotaWeight weight of a request beyond its tenant's quota
+ * @param quotaOfCapacity sum of the quotas, as a share of the capacity
+ * @param slowStartInitialShare share of its capacity that a cold server has, according to the
+ *     settings of sidecars
+ * @param slowStartSeconds time until a cold server is warm, according to the settings of sidecars
+ * @param slowStartLimitFactor largest load that a cold server withstands, as a multiple of its
+ *     present capacity
+ * @param slowStartLimitSeconds length of the window over which the load of a cold server is counted
+ * @param drainGraceMillis time for which requests may still be sent to a server after a sidecar has
+ *     been notified that the server is draining
+ * @param answerGraceMillis time after the deadline of a request by which the request must have
+ *     completed
+ * @param tickMillis resolution of the clock of the sidecars
  */
 public record ServiceSettings(
         String idempotency,
--- a/testbed/src/main/java/sagefall/scenario/TenantSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/TenantSettings.java
@@ -1,10 +1,10 @@
 package sagefall.scenario;
 
 /**
- * A tenant.
+ * A tenant of the service.
  *
- * @param name as the settings of a sidecar list it
- * @param share its quota, as a share of the service
- * @param usage offered traffic as a share of the quota
+ * @param name name of the tenant in the settings of a sidecar
+ * @param share quota of the tenant, as a share of the sum of the quotas
+ * @param usage traffic that the tenant offers, as a share of its quota
  */
 public record TenantSettings(String name, double share, ValueRange usage) {}
--- a/testbed/src/main/java/sagefall/scenario/TomlDocument.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlDocument.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.util.List;
 
-/** Parses TOML with values that the command line puts in the place of the file's. */
+/** Parses a TOML file, and replaces values that are overridden on the command line. */
 final class TomlDocument {
 
     private static final String COMMAND_LINE = "--set";
@@ -15,17 +15,18 @@
     private TomlDocument() {}
 
     /**
-     * The root table.
+     * Parses a text and returns the root table.
      *
-     * @param file its name in messages
-     * @param overrides as {@code fleet.servers=60}
+     * @param file name of the file, for error messages
+     * @param overrides assignments such as {@code fleet.servers=60}
+     * @throws ScenarioException if the text or an override is not valid TOML
      */
     static TomlTable parse(String file, String text, List<String> overrides)
             throws ScenarioException {
         TomlLineIndex lines = new TomlLineIndex(text);
         JsonNode root = parse(file, text);
         for (String override : overrides) {
-            apply(override, root, lines);
+            applyOverride(override, root, lines);
         }
         return new TomlTable(file, lines, "", root);
     }
@@ -40,7 +41,7 @@
         }
     }
 
-    private static void apply(String override, JsonNode root, TomlLineIndex lines)
+    private static void applyOverride(String override, JsonNode root, TomlLineIndex lines)
             throws ScenarioException {
         int equals = override.indexOf('=');
         if (equals < 1) {
@@ -52,15 +53,17 @@
         for (int i = 0; i + 1 < path.length; i++) {
             table = childTable(table, path[i]);
         }
-        if (!(table instanceof ObjectNode owner)) {
+        if (!(table instanceof ObjectNode parent)) {
             throw new ScenarioException(COMMAND_LINE + ": " + name + " is not within a table");
         }
         String assignment = VALUE_KEY + " = " + override.substring(equals + 1);
-        owner.set(path[path.length - 1], parse(COMMAND_LINE, assignment).get(VALUE_KEY));
-        lines.override(name.trim());
+        parent.set(path[path.length - 1], parse(COMMAND_LINE, assignment).get(VALUE_KEY));
+        lines.markOverridden(name.trim());
     }
 
-    /** A table within a table, created where it is missing. */
+    /**
+     * Returns the table at a key of another table. Creates the table at the key if it is missing.
+     */
     private static JsonNode childTable(JsonNode table, String key) {
         if (table instanceof ObjectNode object && !object.has(key)) {
             return object.putObject(key);
--- a/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
@@ -8,14 +8,17 @@
 import java.util.regex.Pattern;
 
 /**
- * On which line of a TOML text each key stands. The parser keeps no locations, and a message
- * without one is of little use in a file of a hundred lines. A key within an inline table has the
- * line of its table.
+ * Index of the lines of the keys in a TOML text. The parser does not keep the locations of keys,
+ * but error messages need a line: a message without one is of little use in a file of a hundred
+ * lines. A key within an inline table has the line of the table.
  */
 final class TomlLineIndex {
 
+    /** Matches the header of a table, or of a table in an array; group 2 is the name. */
     private static final Pattern HEADER =
             Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
+
+    /** Matches a line with a key and a value; group 1 is the key. */
     private static final Pattern ENTRY = Pattern.compile("\\s*([A-Za-z0-9_.-]+)\\s*=.*");
 
     private final Map<String, Integer> lineNumbers = new HashMap<>();
@@ -32,7 +35,7 @@
             if (header.matches()) {
                 boolean inArray = header.group(1).equals("[[");
                 String name = header.group(2);
-                table = inArray ? nextInArray(name, tableCounts) : name;
+                table = inArray ? nextArrayElement(name, tableCounts) : name;
                 lineNumbers.put(table, number);
             } else if (entry.matches()) {
                 String key = entry.group(1);
@@ -41,25 +44,26 @@
         }
     }
 
-    private static String nextInArray(String name, Map<String, Integer> tableCounts) {
+    /** Counts a further table of an array of tables and returns the table's path. */
+    private static String nextArrayElement(String name, Map<String, Integer> tableCounts) {
         int index = tableCounts.merge(name, 1, Integer::sum) - 1;
         return name + "[" + index + "]";
     }
 
-    /** The command line has put a value in the place of the file's. */
-    void override(String path) {
+    /** Records that the command line has replaced the value at a path. */
+    void markOverridden(String path) {
         overridden.add(path);
     }
 
     /**
-     * Where a path such as {@code fault[2].zone} stands: the file and a line of it, or the command
-     * line.
+     * Returns the location of a path such as {@code fault[2].zone}: file and line, or {@code --set}
+     * if the command line has replaced the value.
      */
     String location(String file, String path) {
         return overridden.contains(path) ? "--set" : file + ":" + lineOf(path);
     }
 
-    /** The line of a path, or of the nearest table that holds it. */
+    /** Returns the line of a path or of its innermost enclosing table with a known line, or 1. */
     private int lineOf(String path) {
         String prefix = path;
         while (!prefix.isEmpty()) {
@@ -67,8 +71,8 @@
             if (number != null) {
                 return number;
             }
-            int cut = Math.max(prefix.lastIndexOf('.'), prefix.lastIndexOf('['));
-            prefix = cut < 0 ? "" : prefix.substring(0, cut);
+            int parentEnd = Math.max(prefix.lastIndexOf('.'), prefix.lastIndexOf('['));
+            prefix = parentEnd < 0 ? "" : prefix.substring(0, parentEnd);
         }
         return 1;
     }
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * One table of a scenario, read strictly: scenarios are written by hand, so a key that nothing
- * reads is a mistake. Each {@link ScenarioException} states file, line and key.
+ * Reads the values of one TOML table and checks them. Scenarios are written by hand, so an unknown
+ * key is an error. Each {@link ScenarioException} states file, line and key.
  */
 final class TomlTable {
 
-    /** Whole numbers below this are printed without an exponent. */
+    /** Integers whose absolute value is below this bound are printed without an exponent. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
 
     private final String file;
@@ -24,9 +24,12 @@
     private final Set<String> readKeys = new LinkedHashSet<>();
 
     /**
-     * A table.
+     * Creates the reader of a table.
      *
-     * @param path of the table within the file; empty for the root
+     * @param file name of the file, for error messages
+     * @param lines index of the lines of the file's keys
+     * @param path path of the table within the file; empty for the root
+     * @param node content of the table
      */
     TomlTable(String file, TomlLineIndex lines, String path, JsonNode node) {
         this.file = file;
@@ -39,12 +42,12 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Where a key stands: file, line and full path. */
+    /** Returns the location of a key: file, line and full path. */
     String location(String key) {
         return lines.location(file, pathOf(key)) + ": " + pathOf(key);
     }
 
-    /** An exception for the value of a key. */
+    /** Creates an exception whose message states the location of a key and a reason. */
     ScenarioException error(String key, String reason) {
         return new ScenarioException(location(key) + ": " + reason);
     }
@@ -54,12 +57,17 @@
         return node.get(key);
     }
 
-    /** Whether the key is given. */
+    /** Returns whether the table contains the key. */
     boolean has(String key) {
         return node.has(key);
     }
 
-    /** A number, or {@code [low, high]} for one that the seed draws, within two bounds. */
+    /**
+     * Reads a number, or a range {@code [low, high]} from which each run draws a number.
+     *
+     * @param min smallest permitted value
+     * @param max largest permitted value
+     */
     ValueRange range(String key, ValueRange defaultRange, double min, double max)
             throws ScenarioException {
         JsonNode value = get(key);
@@ -69,7 +77,7 @@
         ValueRange range = toRange(key, value);
         boolean ordered = range.low() <= range.high();
         if (!(range.low() >= min && range.high() <= max && ordered)) {
-            String reason = "must lie from " + plain(min) + " to " + plain(max);
+            String reason = "must lie from " + formatNumber(min) + " to " + formatNumber(max);
             boolean reversed = range.low() > range.high();
             throw error(key, reversed ? reason + ", the lower bound first" : reason);
         }
@@ -91,7 +99,7 @@
         return new ValueRange(value.get(0).doubleValue(), value.get(1).doubleValue());
     }
 
-    /** A number that no seed changes. */
+    /** Reads a single number; a range of different bounds is an error. */
     double number(String key, double defaultValue, double min, double max)
             throws ScenarioException {
         ValueRange range = range(key, ValueRange.of(defaultValue), min, max);
@@ -101,7 +109,7 @@
         return range.low();
     }
 
-    /** An integer. */
+    /** Reads an integer. */
     int integer(String key, int defaultValue, int min, int max) throws ScenarioException {
         double value = number(key, defaultValue, min, max);
         if (value != Math.rint(value)) {
@@ -110,7 +118,7 @@
         return (int) value;
     }
 
-    /** True or false. */
+    /** Reads a boolean. */
     boolean flag(String key, boolean defaultValue) throws ScenarioException {
         JsonNode value = get(key);
         if (value != null && !value.isBoolean()) {
@@ -120,44 +128,44 @@
     }
 
     /**
-     * A text.
+     * Reads a string.
      *
-     * @param defaultValue null where the key must be given
-     * @param allowed any text where it is empty
+     * @param defaultValue value if the key is absent; null if the key is required
+     * @param allowed permitted values; empty if any string is permitted
      */
-    String word(String key, String defaultValue, List<String> allowed) throws ScenarioException {
+    String string(String key, String defaultValue, List<String> allowed) throws ScenarioException {
         JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
             throw error(key, "must be a string");
         }
-        String word = value == null ? defaultValue : value.textValue();
-        if (word == null) {
+        String text = value == null ? defaultValue : value.textValue();
+        if (text == null) {
             throw error(key, "is missing");
         }
-        if (!allowed.isEmpty() && !allowed.contains(word)) {
-            throw error(key, "'" + word + "' is none of " + String.join(", ", allowed));
+        if (!allowed.isEmpty() && !allowed.contains(text)) {
+            throw error(key, "'" + text + "' is none of " + String.join(", ", allowed));
         }
-        return word;
+        return text;
     }
 
-    /** A list of different texts. */
+    /** Reads a list of distinct strings, which must not be empty. */
     List<String> strings(String key, List<String> defaultValue) throws ScenarioException {
         JsonNode value = get(key);
         if (value == null) {
             return defaultValue;
         }
-        List<String> texts = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         for (JsonNode element : value) {
-            texts.add(element.textValue());
+            strings.add(element.textValue());
         }
-        boolean different = new LinkedHashSet<>(texts).size() == texts.size();
-        if (!value.isArray() || texts.isEmpty() || texts.contains(null) || !different) {
-            throw error(key, "must be a list of texts that differ");
+        boolean distinct = new LinkedHashSet<>(strings).size() == strings.size();
+        if (!value.isArray() || strings.isEmpty() || strings.contains(null) || !distinct) {
+            throw error(key, "must be a list of distinct strings");
         }
-        return texts;
+        return strings;
     }
 
-    /** A table within this one; an empty one where it is not given. */
+    /** Returns the table at a key; an empty table if the key is absent. */
     TomlTable table(String key) throws ScenarioException {
         JsonNode value = get(key);
         if (value != null && !value.isObject()) {
@@ -167,7 +175,7 @@
         return new TomlTable(file, lines, pathOf(key), child);
     }
 
-    /** A list of tables; empty where it is not given. */
+    /** Returns the array of tables at a key; an empty list if the key is absent. */
     List<TomlTable> tables(String key) throws ScenarioException {
         JsonNode value = get(key);
         List<TomlTable> tables = new ArrayList<>();
@@ -188,7 +196,12 @@
         return tables;
     }
 
-    /** To be called when all keys that mean something have been read. */
+    /**
+     * Checks that the table has no unknown keys. Must be called after all known keys have been
+     * read.
+     *
+     * @throws ScenarioException if the table has a key that has not been read
+     */
     void requireNoUnknownKeys() throws ScenarioException {
         for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
@@ -198,7 +211,7 @@
         }
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         boolean integer = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
         return integer ? String.valueOf((long) value) : String.valueOf(value);
     }
--- a/testbed/src/main/java/sagefall/scenario/ValueRange.java
+++ b/testbed/src/main/java/sagefall/scenario/ValueRange.java
@@ -3,28 +3,30 @@
 import sagefall.emulator.RandomStreams;
 
 /**
- * A value that a scenario leaves open between two bounds; a seed draws it.
+ * Range from which each run of a scenario draws a value by the run's seed.
  *
- * @param low the lower bound
- * @param high the upper bound, the same as the lower one where nothing is drawn
+ * @param low lower bound
+ * @param high upper bound; equal to the lower bound if the value is fixed
  */
 public record ValueRange(double low, double high) {
 
-    /** One value for each seed. */
+    /** Returns a range that contains a single value. */
     public static ValueRange of(double value) {
         return new ValueRange(value, value);
     }
 
     /**
-     * The value for a seed.
+     * Draws the value of a run.
      *
-     * @param name separates it from other values that are drawn from the same seed
+     * @param streams random streams of the run's seed
+     * @param name name of the random stream of this value; values of other names are drawn
+     *     independently
      */
     public double draw(RandomStreams streams, String name) {
         return low == high ? low : low + (high - low) * streams.stream(name).nextDouble();
     }
 
-    /** The value at a position from 0 to 1 between the bounds. */
+    /** Returns the value at a position between the bounds, from 0 to 1. */
     public double at(double position) {
         return low + (high - low) * position;
     }
--- a/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
+++ b/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
@@ -14,17 +14,24 @@
 
 class PairedDifferenceTest {
 
-    private static PairedDifference paired(List<Double> differences) {
+    /**
+     * Compares two policies whose figures differ by the given values. The figures of A are read
+     * first and are 0, so the figures of B are the differences.
+     */
+    private static PairedDifference compare(List<Double> differences) {
         List<SimulationResult> results = Collections.nCopies(differences.size(), null);
-        List<Double> figures = new ArrayList<>(Collections.nCopies(differences.size(), 0.0));
-        figures.addAll(differences);
-        Iterator<Double> next = figures.iterator();
-        return PairedDifference.of("x", results, results, day -> next.next());
+        List<Double> values = new ArrayList<>(Collections.nCopies(differences.size(), 0.0));
+        values.addAll(differences);
+        Iterator<Double> next = values.iterator();
+        return PairedDifference.of("x", results, results, result -> next.next());
     }
 
-    /** Of samples with a known mean nearly as many intervals cover it as promised. */
+    /**
+     * Draws samples from a distribution of known mean: the interval must contain the mean in about
+     * as many cases as its confidence level of 95 percent says.
+     */
     @Test
-    void intervalCoversTheMeanAsOftenAsPromised() {
+    void intervalContainsTheMeanAsOftenAsItsConfidenceLevelSays() {
         ZigguratSampler.NormalizedGaussian normal =
                 ZigguratSampler.NormalizedGaussian.of(new RandomStreams(3).stream("t"));
         int covered = 0;
@@ -33,17 +40,17 @@
             for (int k = 0; k < 20; k++) {
                 sample.add(0.5 + normal.sample());
             }
-            PairedDifference p = paired(sample);
-            covered += p.low() <= 0.5 && p.high() >= 0.5 ? 1 : 0;
+            PairedDifference comparison = compare(sample);
+            covered += comparison.low() <= 0.5 && comparison.high() >= 0.5 ? 1 : 0;
         }
         assertTrue(covered >= 0.88 * 300 && covered <= 0.98 * 300, covered + " of 300");
     }
 
     @Test
-    void verdictNeedsSeedsAndAnIntervalWithoutZero() {
-        assertEquals("no verdict under 5 seeds", paired(List.of(1.0, 1.0, 1.0, 1.0)).verdict());
-        assertEquals("B is better", paired(List.of(1.0, 1.2, 0.9, 1.1, 1.0)).verdict());
-        assertEquals("B is worse", paired(List.of(-1.0, -1.2, -0.9, -1.1, -1.0)).verdict());
-        assertEquals("no difference seen", paired(List.of(1.0, -1.2, 0.9, -1.1, 0.0)).verdict());
+    void verdictRequiresEnoughSeedsAndAnIntervalWithoutZero() {
+        assertEquals("no verdict under 5 seeds", compare(List.of(1.0, 1.0, 1.0, 1.0)).verdict());
+        assertEquals("B is better", compare(List.of(1.0, 1.2, 0.9, 1.1, 1.0)).verdict());
+        assertEquals("B is worse", compare(List.of(-1.0, -1.2, -0.9, -1.1, -1.0)).verdict());
+        assertEquals("no difference seen", compare(List.of(1.0, -1.2, 0.9, -1.1, 0.0)).verdict());
     }
 }
--- a/testbed/src/test/java/sagefall/policy/MechanismWordsTest.java
+++ b/testbed/src/test/java/sagefall/policy/MechanismWordsTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The words by which mechanisms are named on the command line and in tables. */
+/** Tests the names of mechanisms on the command line and in tables. */
 class MechanismWordsTest {
 
-    private static final List<String> WORDS =
+    private static final List<String> NAMES =
             List.of(
                     "admission",
                     "zone-limit",
@@ -26,17 +26,17 @@
                     "cells");
 
     @Test
-    void wordOfEachMechanism() throws PolicyException {
-        assertEquals(WORDS, Arrays.stream(Mechanism.values()).map(Mechanism::word).toList());
-        for (String word : WORDS) {
-            assertEquals(word, Mechanism.of(word).word());
+    void eachMechanismHasItsCommandLineName() throws PolicyException {
+        assertEquals(NAMES, Arrays.stream(Mechanism.values()).map(Mechanism::word).toList());
+        for (String name : NAMES) {
+            assertEquals(name, Mechanism.of(name).word());
         }
     }
 
     @Test
-    void unknownWordIsToldAllWords() {
+    void errorForAnUnknownNameListsAllNames() {
         assertEquals(
-                "no mechanism 'zone_limit', only " + String.join(", ", WORDS),
+                "no mechanism 'zone_limit', only " + String.join(", ", NAMES),
                 assertThrows(PolicyException.class, () -> Mechanism.of("zone_limit")).getMessage());
     }
 }
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -21,45 +21,58 @@
 
     private static final Path ROOT = Path.of("..");
 
-    private static SimulationResult play(String policy) throws Exception {
+    private static SimulationResult simulate(String specification) throws Exception {
         Scenario scenario =
                 Scenario.load(
                         "overload", List.of("fleet.sidecars=40", "fleet.servers=20", "seconds=32"));
-        try (Policy p = PolicyRegistry.of(policy, ROOT)) {
-            return new FleetSimulation(scenario, 5, p).run();
+        try (Policy policy = PolicyRegistry.of(specification, ROOT)) {
+            return new FleetSimulation(scenario, 5, policy).run();
         }
     }
 
-    private static String figures(SimulationResult r) {
-        return r.g() + " " + r.events() + " " + r.attemptsPerRequest() + " " + r.latency();
+    private static String figures(SimulationResult result) {
+        return result.g()
+                + " "
+                + result.events()
+                + " "
+                + result.attemptsPerRequest()
+                + " "
+                + result.latency();
     }
 
-    /** The load balancer recompiled, or over the wire, gives the same result to the bit. */
+    /**
+     * The load balancer of this build must give exactly equal results if it is recompiled with the
+     * default value of a tunable, and if it runs in an external process. A changed tunable must
+     * change the results.
+     */
     @Test
-    void decisionsAreTheSameCompiledAndOverTheWire() throws Exception {
-        String java =
+    void resultsDoNotChangeIfModuleIsRecompiledOrRunsInExternalProcess() throws Exception {
+        String simulatorCommand =
                 Path.of(System.getProperty("java.home"), "bin", "java")
                         + " -cp '"
                         + System.getProperty("java.class.path")
                         + "' sagefall.Main simhost";
-        String module = figures(play("module"));
-        assertEquals(module, figures(play("module:SPILL_RATIO=1.5")));
-        assertEquals(module, figures(play("sim:" + java)));
-        assertNotEquals(module, figures(play("module:SPILL_RATIO=3")));
+        String module = figures(simulate("module"));
+        assertEquals(module, figures(simulate("module:SPILL_RATIO=1.5")));
+        assertEquals(module, figures(simulate("sim:" + simulatorCommand)));
+        assertNotEquals(module, figures(simulate("module:SPILL_RATIO=3")));
     }
 
-    /** A mechanism whose tunables were renamed must not look like one without effect. */
+    /**
+     * Guards against tunables that were renamed without changing {@link Mechanism}: a mechanism
+     * that cannot be switched off would look like one without effect.
+     */
     @ParameterizedTest
     @EnumSource(Mechanism.class)
-    void eachMechanismCanBeSwitchedOff(Mechanism m) throws Exception {
-        PolicyRegistry.of("module-without:" + m.word(), ROOT).close();
+    void eachMechanismCanBeSwitchedOff(Mechanism mechanism) throws Exception {
+        PolicyRegistry.of("module-without:" + mechanism.word(), ROOT).close();
     }
 
     @Test
-    void switchingAMechanismOffShowsInTheAnswers() throws Exception {
-        SimulationResult without = play("module-without:admission");
+    void admissionControlRejectsNothingIfItIsSwitchedOff() throws Exception {
+        SimulationResult without = simulate("module-without:admission");
         assertEquals(0, without.answers().getOrDefault("refused admission", 0L));
-        assertNotEquals(0, play("module").answers().getOrDefault("refused admission", 0L));
+        assertNotEquals(0, simulate("module").answers().getOrDefault("refused admission", 0L));
     }
 
     @ParameterizedTest
@@ -71,16 +84,21 @@
                 "module-without:luck; no mechanism 'luck'",
                 "best; best: no such policy"
             })
-    void unknownPolicyIsOneLine(String policy, String line) {
+    void errorForInvalidSpecificationStatesTheReason(String policy, String messageStart) {
         String message =
                 assertThrows(PolicyException.class, () -> PolicyRegistry.of(policy, ROOT))
                         .getMessage();
-        assertEquals(line, message.substring(0, Math.min(line.length(), message.length())));
+        assertEquals(
+                messageStart,
+                message.substring(0, Math.min(messageStart.length(), message.length())));
     }
 
-    /** The policy files of an older checkout, which were written against another interface. */
+    /**
+     * Policy files of an older checkout, which implement another version of {@code LoadBalancer},
+     * must cause an error message of one line, not the whole output of the compiler.
+     */
     @Test
-    void policyFilesOfAnotherBuildAreOneLine(@TempDir Path checkout) throws Exception {
+    void errorForPolicyFilesOfAnotherBuildIsOneLine(@TempDir Path checkout) throws Exception {
         Files.createDirectories(checkout.resolve("deploy"));
         Files.writeString(
                 checkout.resolve("deploy/balancer.toml"), "policy = [\"OldChoice.java\"]\n");
--- a/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The words of scenario files and of messages about them that come from names of enums. */
+/** Tests the names of fault kinds and modes in scenario files and in error messages. */
 class FaultWordsTest {
 
     private static final String ALL_KINDS =
@@ -24,28 +24,28 @@
                     + "cut_bytes, power_loss, "
                     + "drain, wrong_clock, stop_owner, kill_owner";
 
-    private static Scenario read(String kind, String more) throws ScenarioException {
+    private static Scenario read(String kind, String furtherLines) throws ScenarioException {
         return Scenario.read(
                 "f.toml",
-                "name='x'\nabout='x'\n[[fault]]\nkind='" + kind + "'\n" + more,
+                "name='x'\nabout='x'\n[[fault]]\nkind='" + kind + "'\n" + furtherLines,
                 List.of());
     }
 
-    private static String messageOf(String kind, String more) {
-        return assertThrows(ScenarioException.class, () -> read(kind, more)).getMessage();
+    private static String errorMessage(String kind, String furtherLines) {
+        return assertThrows(ScenarioException.class, () -> read(kind, furtherLines)).getMessage();
     }
 
     @Test
-    void unknownKindListsAllWords() {
-        assertEquals("f.toml:4: fault[0].kind: 'x' is none of " + ALL_KINDS, messageOf("x", ""));
+    void errorForAnUnknownKindListsAllKinds() {
+        assertEquals("f.toml:4: fault[0].kind: 'x' is none of " + ALL_KINDS, errorMessage("x", ""));
     }
 
     @Test
-    void kindsOfEachWord() throws ScenarioException {
-        List<String> words = List.of(ALL_KINDS.split(", ", -1));
+    void eachNameSelectsItsKind() throws ScenarioException {
+        List<String> names = List.of(ALL_KINDS.split(", ", -1));
         List<FaultKind> kinds = new ArrayList<>();
-        for (String word : words) {
-            kinds.add(read(word, "").faults().get(0).kind());
+        for (String name : names) {
+            kinds.add(read(name, "").faults().get(0).kind());
         }
         assertEquals(List.of(FaultKind.values()), kinds);
     }
@@ -87,17 +87,17 @@
                 "stop_owner",
                 "kill_owner"
             })
-    void keyThatTheKindDoesNotTake(String kind) {
+    void tenantIsRejectedForKindThatDoesNotTakeIt(String kind) {
         assertEquals(
-                "f.toml:5: fault[0].tenant: means nothing to " + kind,
-                messageOf(kind, "tenant='x'\n"));
+                "f.toml:5: fault[0].tenant: does not apply to " + kind,
+                errorMessage(kind, "tenant='x'\n"));
     }
 
     @Test
-    void surgeTakesNoZone() {
+    void zoneIsRejectedForSurge() {
         assertEquals(
-                "f.toml:5: fault[0].zone: means nothing to surge",
-                messageOf("surge", "zone='a'\n"));
+                "f.toml:5: fault[0].zone: does not apply to surge",
+                errorMessage("surge", "zone='a'\n"));
     }
 
     @ParameterizedTest
@@ -116,7 +116,7 @@
                 "stop_owner",
                 "kill_owner"
             })
-    void kindsThatTheEmulatorCannotRun(String kind) throws ScenarioException {
+    void emulatorRejectsKindsThatOnlyFaultInjectionSupports(String kind) throws ScenarioException {
         Scenario scenario = read(kind, "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION));
         assertEquals(
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void kindThatFaultInjectionCannotRun() throws ScenarioException {
+    void faultInjectionRejectsNoisyNeighbour() throws ScenarioException {
         Scenario scenario = read("neighbour", "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.EMULATOR));
         assertEquals(
@@ -153,12 +153,13 @@
                 "lose_servers | silent, refuse",
                 "reborn | silent, refuse"
             })
-    void wordsOfHow(String kind, String words) throws ScenarioException {
+    void kindAcceptsOnlyItsModesAndTheFirstIsTheDefault(String kind, String modes)
+            throws ScenarioException {
         assertEquals(
-                "f.toml:5: fault[0].how: 'x' is none of " + words, messageOf(kind, "how='x'\n"));
-        for (String word : words.split(", ", -1)) {
-            assertEquals(word, read(kind, "how='" + word + "'\n").faults().get(0).mode().label());
+                "f.toml:5: fault[0].how: 'x' is none of " + modes, errorMessage(kind, "how='x'\n"));
+        for (String mode : modes.split(", ", -1)) {
+            assertEquals(mode, read(kind, "how='" + mode + "'\n").faults().get(0).mode().label());
         }
-        assertEquals(words.split(", ", -1)[0], read(kind, "").faults().get(0).mode().label());
+        assertEquals(modes.split(", ", -1)[0], read(kind, "").faults().get(0).mode().label());
     }
 }
--- a/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
+++ b/testbed/src/test/java/sagefall/scenario/ScenarioTest.java
@@ -10,7 +10,10 @@
 
 class ScenarioTest {
 
-    /** An error is one line that states file, line and key. A bar stands for a new line. */
+    /**
+     * The error message for an invalid scenario is one line that states file, line and key. A bar
+     * in a scenario text stands for a line break.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -27,17 +30,17 @@
                         + "f.toml:4: fault[0].zone: the fleet has no such zone, only a, b, c, d",
                 "name='x'|[[fault]]|kind='slow'|[[fault]]|kind='surge'|tenant='me'; f.toml:6:"
                         + " fault[1].tenant: there is no such tenant, only one, two, three",
-                "name='x'|[[fault]]|kind='burst'|zone='a'; f.toml:4: fault[0].zone: means nothing"
+                "name='x'|[[fault]]|kind='burst'|zone='a'; f.toml:4: fault[0].zone: does not apply"
                         + " to burst",
                 "name='x'|seconds=20|[[fault]]|kind='burst'|at_s=21; f.toml:5: fault[0].at_s: must"
                         + " lie from 0 to 20",
-                "name='x'|[fleet]|zones=['a','a']; f.toml:3: fleet.zones: must be a list of texts"
-                        + " that differ",
+                "name='x'|[fleet]|zones=['a','a']; f.toml:3: fleet.zones: must be a list of"
+                        + " distinct strings",
                 "about='x'; f.toml:1: name: is missing"
             })
-    void errorIsOneLineWithFileLineAndKey(String text, String line) {
+    void invalidScenarioIsRejectedWithOneLineThatStatesFileLineAndKey(String text, String message) {
         assertEquals(
-                line,
+                message,
                 assertThrows(
                                 ScenarioException.class,
                                 () -> Scenario.read("f.toml", text.replace('|', '\n'), List.of()))
@@ -45,11 +48,11 @@
     }
 
     @Test
-    void syntaxErrorNamesItsLine() {
-        ScenarioException e =
+    void syntaxErrorMessageStatesTheLine() {
+        ScenarioException exception =
                 assertThrows(
                         ScenarioException.class,
                         () -> Scenario.read("f.toml", "name='x'\n= 3\n", List.of()));
-        assertEquals("f.toml:2: not TOML:", e.getMessage().substring(0, 19));
+        assertEquals("f.toml:2: not TOML:", exception.getMessage().substring(0, 19));
     }
 }
