--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -15,17 +15,20 @@
 import sagefall.policy.PolicyException;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall ablate}: each mechanism of the module off in turn. */
+/**
+ * {@code sagefall ablate}: compares the complete balancer with the balancer without one mechanism,
+ * for each mechanism in turn.
+ */
 @Command(
         name = "ablate",
         mixinStandardHelpOptions = true,
         description =
-                "Switches each mechanism of the module off in turn, and prints what it"
-                        + " contributes.")
+                "Switches off each mechanism of the balancer in turn, and prints how the goal"
+                        + " value changes.")
 final class AblateCommand implements Callable<Integer> {
 
-    private static final String MODULE = "module";
-    private static final String WITHOUT = "module-without:";
+    private static final String MODULE_POLICY = "module";
+    private static final String WITHOUT_PREFIX = "module-without:";
 
     @Parameters(
             paramLabel = "SCENARIO",
@@ -41,7 +44,7 @@
         for (String scenario : scenarios) {
             System.out.println(
                     scenario
-                            + ": G of the module as it is (A), without the mechanism (B), "
+                            + ": goal value G with all mechanisms (A), without the mechanism (B), "
                             + experiment.seeds().size()
                             + " seeds");
             CompareCommand.printHeader();
@@ -59,26 +62,29 @@
                         experiment.simulations(),
                         experiment.scenario(scenario),
                         experiment.seeds(),
-                        MODULE,
-                        WITHOUT + mechanism.word(),
+                        MODULE_POLICY,
+                        WITHOUT_PREFIX + mechanism.word(),
                         experiment.listener());
-        PairedDifference g = comparison.differences().get(0);
+        PairedDifference goal = comparison.differences().get(0);
         System.out.printf(
                 Locale.ROOT,
                 "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
                 mechanism.word(),
-                g.meanA(),
-                g.meanB(),
-                g.mean(),
-                g.low(),
-                g.high(),
-                verdict(g));
+                goal.meanA(),
+                goal.meanB(),
+                goal.mean(),
+                goal.low(),
+                goal.high(),
+                verdict(goal));
         List<SimulationResult> results = new ArrayList<>(comparison.b());
         results.addAll(comparison.a());
         return experiment.printViolations(results, scenario);
     }
 
-    private static String verdict(PairedDifference g) {
-        return g.verdict().replace("B is better", "it costs").replace("B is worse", "it earns");
+    /** Returns the verdict as a statement about the mechanism, which only A has. */
+    private static String verdict(PairedDifference goal) {
+        return goal.verdict()
+                .replace("B is better", "the mechanism lowers G")
+                .replace("B is worse", "the mechanism raises G");
     }
 }
--- a/testbed/src/main/java/sagefall/cli/AgreeCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -21,14 +21,16 @@
 import sagefall.scenario.ScenarioException;
 import sagefall.scenario.ScenarioRunner;
 
-/** {@code sagefall inject-faults agree}. */
+/**
+ * {@code sagefall inject-faults agree}: runs scenarios both in the emulator and with real
+ * processes, and prints the figures of both side by side.
+ */
 @Command(
         name = "agree",
         mixinStandardHelpOptions = true,
         description =
-                "Runs scenarios in the emulator and with real processes, and prints both"
-                        + " figures side"
-                        + " by side.")
+                "Runs scenarios in the emulator and with real processes, and prints the"
+                        + " figures of both side by side.")
 final class AgreeCommand implements Callable<Integer> {
 
     private static final String REFUSED = "refused";
@@ -37,7 +39,7 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "SCENARIO",
-            description = "scenarios whose faults both can have")
+            description = "scenarios whose faults both the emulator and real processes support")
     private List<String> scenarios;
 
     @Mixin private SeedOptions seeds;
@@ -84,6 +86,7 @@
         }
     }
 
+    /** Prints a row with each figure twice: first of the emulator, then of real processes. */
     private static void print(
             String scenario, long seed, SimulationResult emulated, RunResult result) {
         RunStatistics real = result.statistics();
@@ -100,10 +103,10 @@
                 real.attempts(),
                 emulated.crossingsPerRequest(),
                 real.crossings(),
-                part(emulated, REFUSED),
-                part(real, REFUSED),
-                part(emulated, FAILED),
-                part(real, FAILED),
+                perRequest(emulated, REFUSED),
+                perRequest(real, REFUSED),
+                perRequest(emulated, FAILED),
+                perRequest(real, FAILED),
                 emulated.latency().p50(),
                 real.p50Millis(),
                 emulated.latency().p95(),
@@ -111,17 +114,21 @@
                 verdict.isEmpty() ? "" : "  " + verdict);
     }
 
-    /** The part of the answers whose word begins so. */
-    private static double part(SimulationResult result, String word) {
+    /**
+     * Returns the number of rejections and failures whose description begins with {@code prefix},
+     * including those that were retried, divided by the number of requests.
+     */
+    private static double perRequest(SimulationResult result, String prefix) {
         long count =
                 result.answers().entrySet().stream()
-                        .filter(answer -> answer.getKey().startsWith(word))
+                        .filter(entry -> entry.getKey().startsWith(prefix))
                         .mapToLong(Map.Entry::getValue)
                         .sum();
         return count / (double) result.requests();
     }
 
-    private static double part(RunStatistics statistics, String word) {
-        return statistics.answers().getOrDefault(word, 0L) / (double) statistics.requests();
+    /** Returns the number of requests with the given outcome, as a share of all requests. */
+    private static double perRequest(RunStatistics statistics, String outcome) {
+        return statistics.answers().getOrDefault(outcome, 0L) / (double) statistics.requests();
     }
 }
--- a/testbed/src/main/java/sagefall/cli/BenchWindows.java
+++ b/testbed/src/main/java/sagefall/cli/BenchWindows.java
@@ -9,16 +9,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The windows of 5 s that the operators' bench prints of a day. */
+/**
+ * The windows of 5 s in a report of the operators' bench, each with its figures. A report covers
+ * one run, which the bench calls a day.
+ */
 final class BenchWindows {
 
-    /** Begin, requests and 17 further columns. */
+    /** A row of the report: start second, number of requests, and 17 further columns. */
     private static final Pattern ROW =
             Pattern.compile("\\s+(\\d+)\\s+(\\d+)((?:\\s+[\\d.]+){17})\\s*");
 
     private static final double PERCENT = 100;
 
-    /** The columns that are compared, by their place among the further ones. */
+    /** The columns that are compared, with their index in {@link Window#columns}, from 0. */
     enum Column {
         LATE(1),
         REFUSED(2),
@@ -26,18 +29,29 @@
         P99(6),
         WORTH(16);
 
-        private final int place;
+        private final int index;
 
-        Column(int place) {
-            this.place = place;
+        Column(int index) {
+            this.index = index;
         }
     }
 
-    /** A window: its begin, its requests, and the further columns. */
-    private record Window(double fromSecond, double requests, double[] columns) {}
-
-    /** The two windows with the least value, as a part of what was offered, and their begin. */
-    record WorstSpan(double value, double fromSecond) {}
+    /**
+     * A window of the report.
+     *
+     * @param startSecond second of the run at which the window starts
+     * @param requests number of requests in the window
+     * @param columns the 17 further columns
+     */
+    private record Window(double startSecond, double requests, double[] columns) {}
+
+    /**
+     * The two consecutive windows, 10 s together, with the lowest served value.
+     *
+     * @param value served value of both windows, as a share of the offered value
+     * @param startSecond second of the run at which the first of them starts
+     */
+    record WorstSpan(double value, double startSecond) {}
 
     private final List<Window> windows;
 
@@ -45,7 +59,11 @@
         this.windows = windows;
     }
 
-    /** Reads a report; lines that are no window are ignored. */
+    /**
+     * Reads a report. Lines that do not describe a window are ignored.
+     *
+     * @throws NoSuchFileException if the file cannot be read
+     */
     static BenchWindows read(Path file) throws IOException {
         if (!Files.isReadable(file)) {
             throw new NoSuchFileException(file + ": no such file");
@@ -61,31 +79,32 @@
     }
 
     private static Window window(Matcher row) {
-        String[] words = row.group(3).trim().split("\\s+", 0);
-        double[] columns = new double[words.length];
+        String[] fields = row.group(3).trim().split("\\s+", 0);
+        double[] columns = new double[fields.length];
         for (int i = 0; i < columns.length; i++) {
-            columns[i] = Double.parseDouble(words[i]);
+            columns[i] = Double.parseDouble(fields[i]);
         }
         return new Window(
                 Double.parseDouble(row.group(1)), Double.parseDouble(row.group(2)), columns);
     }
 
-    /** Those that begin before a second. */
-    BenchWindows until(double second) {
+    /** Returns the windows that start before the given second. */
+    BenchWindows startingBefore(double second) {
         return new BenchWindows(
-                windows.stream().filter(window -> window.fromSecond < second).toList());
+                windows.stream().filter(window -> window.startSecond < second).toList());
     }
 
+    /** Returns the number of windows. */
     int count() {
         return windows.size();
     }
 
-    /** Whether no window has a request. */
-    boolean isEmpty() {
+    /** Returns whether none of the windows has a request. */
+    boolean hasNoRequests() {
         return windows.stream().mapToDouble(Window::requests).sum() == 0;
     }
 
-    /** The mean of a column, each window weighted by its requests. */
+    /** Returns the mean of a column, each window weighted by its number of requests. */
     double mean(Column column) {
         return mean(windows, column);
     }
@@ -93,19 +112,22 @@
     private static double mean(List<Window> windows, Column column) {
         double sum =
                 windows.stream()
-                        .mapToDouble(window -> window.requests * window.columns[column.place])
+                        .mapToDouble(window -> window.requests * window.columns[column.index])
                         .sum();
         double requests = windows.stream().mapToDouble(Window::requests).sum();
         return sum / Math.max(1, requests);
     }
 
-    /** The worst two windows in a row. */
+    /**
+     * Returns the two consecutive windows with the lowest served value. If there are fewer than two
+     * windows, or no value is below 1, returns a value of 1 at second 0.
+     */
     WorstSpan worstTenSeconds() {
         WorstSpan worst = new WorstSpan(1, 0);
         for (int i = 0; i + 1 < windows.size(); i++) {
             double value = mean(windows.subList(i, i + 2), Column.WORTH) / PERCENT;
             if (value < worst.value) {
-                worst = new WorstSpan(value, windows.get(i).fromSecond);
+                worst = new WorstSpan(value, windows.get(i).startSecond);
             }
         }
         return worst;
--- a/testbed/src/main/java/sagefall/cli/CampaignCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CampaignCommand.java
@@ -13,11 +13,14 @@
 import sagefall.faultinjection.report.RunResult;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall inject-faults campaign}. */
+/**
+ * {@code sagefall inject-faults campaign}: runs randomly generated scenarios for a given time, and
+ * counts those that violate an invariant.
+ */
 @Command(
         name = "campaign",
         mixinStandardHelpOptions = true,
-        description = "Draws scenarios from a seed, and runs them until the time is over.")
+        description = "Generates scenarios from seeds, and runs them for a given time.")
 final class CampaignCommand implements Callable<Integer> {
 
     private static final double NANOS_PER_MINUTE = 60e9;
@@ -25,36 +28,40 @@
     @Option(
             names = "--minutes",
             defaultValue = "30",
-            description = "after this no run is begun (${DEFAULT-VALUE})")
+            description = "minutes after which no further run is started (${DEFAULT-VALUE})")
     private double minutes;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
             paramLabel = "N",
-            description = "seed of the first run; each has the next (${DEFAULT-VALUE})")
+            description = "seed of the first run; each run has the next seed (${DEFAULT-VALUE})")
     private long firstSeed;
 
     @Mixin private FaultInjectionOptions options;
 
     @Override
     public Integer call() throws IOException, ScenarioException, InterruptedException {
-        long until = System.nanoTime() + (long) (NANOS_PER_MINUTE * minutes);
-        TreeMap<String, Integer> injected = new TreeMap<>();
-        int runs = 0;
-        int failed = 0;
-        for (long seed = firstSeed; System.nanoTime() < until; seed++) {
+        long endNanos = System.nanoTime() + (long) (NANOS_PER_MINUTE * minutes);
+        TreeMap<String, Integer> runsByFaultKind = new TreeMap<>();
+        int runCount = 0;
+        int violatedRuns = 0;
+        for (long seed = firstSeed; System.nanoTime() < endNanos; seed++) {
             RunPlan plan = plan(seed);
             RunResult result = options.execute(plan, "campaign-" + seed);
             List<String> kinds = faultKinds(plan);
-            kinds.forEach(kind -> injected.merge(kind, 1, Integer::sum));
-            runs++;
-            failed += result.isViolated() ? 1 : 0;
+            kinds.forEach(kind -> runsByFaultKind.merge(kind, 1, Integer::sum));
+            runCount++;
+            violatedRuns += result.isViolated() ? 1 : 0;
             print(seed, kinds, result);
         }
         System.out.println(
-                runs + " runs, " + failed + " violated an invariant; faults injected: " + injected);
-        return ExitStatus.of(failed > 0);
+                runCount
+                        + " runs, "
+                        + violatedRuns
+                        + " violated an invariant; faults injected: "
+                        + runsByFaultKind);
+        return ExitStatus.of(violatedRuns > 0);
     }
 
     private RunPlan plan(long seed) {
@@ -63,7 +70,7 @@
                 ScenarioGenerator.text(seed),
                 options.overrides(),
                 seed,
-                null,
+                null, // All faults of the scenario.
                 options.builds());
     }
 
--- a/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
@@ -10,21 +10,29 @@
 import sagefall.faultinjection.report.RunResult;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall inject-faults check}. */
+/**
+ * {@code sagefall inject-faults check}: checks the invariants again on the recorded history of an
+ * earlier run.
+ */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks the recorded history of an earlier run, and rewrites its report.")
+        description =
+                "Checks the recorded history of an earlier run for violated invariants, and"
+                        + " rewrites its report.")
 final class CheckHistoryCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "DIR", description = "the directory of an earlier run")
+    /** A check starts no processes, so the time until they are ready is not measured. */
+    private static final double READY_SECONDS_NOT_MEASURED = 0;
+
+    @Parameters(paramLabel = "DIR", description = "directory of an earlier run")
     private Path path;
 
     @Override
     public Integer call() throws IOException, ScenarioException {
         RunDirectory directory = new RunDirectory(path);
-        RunPlan.read(directory.plan());
-        RunResult result = RunResult.judge(directory, 0);
+        RunPlan.read(directory.plan()); // Throws if the plan is missing or malformed.
+        RunResult result = RunResult.judge(directory, READY_SECONDS_NOT_MEASURED);
         result.print(System.out);
         return ExitStatus.of(result.isViolated());
     }
--- a/testbed/src/main/java/sagefall/cli/CommandLineMain.java
+++ b/testbed/src/main/java/sagefall/cli/CommandLineMain.java
@@ -15,13 +15,14 @@
 import sagefall.policy.PolicyException;
 import sagefall.scenario.ScenarioException;
 
-/** The command line of the test bed, as the script {@code ./sagefall} starts it. */
+/** The command line of the test bed, which the script {@code ./sagefall} starts. */
 @Command(
         name = "./sagefall",
         mixinStandardHelpOptions = true,
         version = "sagefall test bed 0.1.0",
         description = {
-            "Simulates fleets of sidecars, injects faults into real ones, and puts load on one.",
+            "Simulates fleets of sidecars, injects faults into real sidecars, and puts load on a"
+                    + " sidecar.",
             ""
         },
         synopsisSubcommandLabel = "COMMAND",
@@ -51,17 +52,20 @@
         })
 public final class CommandLineMain {
 
-    /** What the line about an error begins with. */
+    /** Prefix of every error message. */
     static final String ERROR_PREFIX = "sagefall: ";
 
     private CommandLineMain() {}
 
-    /** Runs the command of the arguments, and exits with its status. */
+    /** Runs the command that the arguments name, and exits with its status. */
     public static void main(String[] arguments) {
         System.exit(command().execute(arguments));
     }
 
-    /** All commands; wrong input costs one line and exit status 2. */
+    /**
+     * Creates the command line with all commands. Wrong input is reported as an error message of
+     * one line, with exit status {@link ExitStatus#USAGE}.
+     */
     public static CommandLine command() {
         CommandLine command = new CommandLine(new CommandLineMain());
         IParameterExceptionHandler defaultHandler = command.getParameterExceptionHandler();
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -17,16 +17,17 @@
 import sagefall.report.HtmlReport;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall compare}: two policies on the same seeds. */
+/** {@code sagefall compare}: simulates two policies on the same seeds and compares them. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         description =
-                "Simulates two policies on the same seeds, and prints the difference with a"
-                        + " confidence interval.")
+                "Simulates two policies on the same seeds, and prints their differences with"
+                        + " confidence intervals.")
 final class CompareCommand implements Callable<Integer> {
 
-    private static final double NEGLIGIBLE = 0.001;
+    /** A cause of loss is printed if its share is above this for at least one policy. */
+    private static final double MIN_PRINTED_SHARE = 0.001;
 
     @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
     private String scenario;
@@ -42,7 +43,7 @@
             names = "--b",
             required = true,
             paramLabel = "POLICY",
-            description = "compared with it; the same forms")
+            description = "the policy that A is compared with, in the forms of --a")
     private String policyB;
 
     @Mixin private ExperimentOptions experiment;
@@ -68,9 +69,10 @@
                         + scenario);
         printHeader();
         comparison.differences().forEach(CompareCommand::printRow);
-        for (PairedDifference p : comparison.lost().values()) {
-            if (Math.abs(p.meanA()) > NEGLIGIBLE || Math.abs(p.meanB()) > NEGLIGIBLE) {
-                printRow(p);
+        for (PairedDifference difference : comparison.lost().values()) {
+            if (Math.abs(difference.meanA()) > MIN_PRINTED_SHARE
+                    || Math.abs(difference.meanB()) > MIN_PRINTED_SHARE) {
+                printRow(difference);
             }
         }
         experiment.report(HtmlReport.of(comparison));
@@ -79,20 +81,22 @@
         return experiment.printViolations(all, scenario);
     }
 
+    /** Prints the header of the rows of {@link #printRow}. */
     static void printHeader() {
         System.out.printf("%-34s %7s %7s %7s  %-17s%n", "", "A", "B", "B - A", "95 % interval");
     }
 
-    static void printRow(PairedDifference p) {
+    /** Prints a figure: its means for A and B, their difference, its interval and the verdict. */
+    static void printRow(PairedDifference difference) {
         System.out.printf(
                 Locale.ROOT,
                 "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
-                p.figure(),
-                p.meanA(),
-                p.meanB(),
-                p.mean(),
-                p.low(),
-                p.high(),
-                p.verdict());
+                difference.figure(),
+                difference.meanA(),
+                difference.meanB(),
+                difference.mean(),
+                difference.low(),
+                difference.high(),
+                difference.verdict());
     }
 }
--- a/testbed/src/main/java/sagefall/cli/DemoCommand.java
+++ b/testbed/src/main/java/sagefall/cli/DemoCommand.java
@@ -6,19 +6,19 @@
 import picocli.CommandLine.Option;
 import sagefall.load.OutageDemo;
 
-/** {@code sagefall demo}. */
+/** {@code sagefall demo}: runs {@link OutageDemo}. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Starts stand-in servers, a real sidecar and load, loses a zone of servers, and"
-                        + " prints a line a second.")
+                "Starts stand-in servers, a real sidecar and load, makes all servers of a zone"
+                        + " fail for a while, and prints a line a second.")
 final class DemoCommand implements Callable<Integer> {
 
     @Option(
             names = "--seconds",
             defaultValue = "30",
-            description = "length of the load (${DEFAULT-VALUE})")
+            description = "duration of the load (${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
@@ -29,7 +29,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        boolean served = new OutageDemo(seconds, rate, System.out).run();
-        return served ? ExitStatus.OK : ExitStatus.FAILED;
+        boolean succeeded = new OutageDemo(seconds, rate, System.out).run();
+        return succeeded ? ExitStatus.OK : ExitStatus.FAILED;
     }
 }
--- a/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
+++ b/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
@@ -20,13 +20,13 @@
 import sagefall.scenario.ScenarioException;
 import sagefall.scenario.ScenarioRunner;
 
-/** The options of all commands that simulate: a picocli mixin. */
+/** A picocli mixin with the options of the commands that simulate. */
 final class ExperimentOptions {
 
     /** Help text of a scenario parameter. */
     static final String SCENARIO_HELP = "a shipped scenario, or a TOML file";
 
-    private static final int MAX_VIOLATIONS = 3;
+    private static final int MAX_PRINTED_VIOLATIONS = 3;
 
     @Option(
             names = "--seeds",
@@ -39,45 +39,56 @@
             names = "--threads",
             defaultValue = "0",
             paramLabel = "N",
-            description = "simulations at a time; 0: one for each core")
+            description = "number of simulations at a time; 0: one for each core")
     private int threads;
 
     @Option(
             names = "--root",
             defaultValue = "${sys:sagefall.root:-.}",
             paramLabel = "DIR",
-            description = "checkout of the module's sources, for tunables (${DEFAULT-VALUE})")
+            description =
+                    "checkout whose sources are compiled if a policy changes a tunable"
+                            + " (${DEFAULT-VALUE})")
     private Path root;
 
     @Option(
             names = "--set",
             paramLabel = "NAME=VALUE",
-            description = "overrides a figure of the scenario, such as fleet.servers=60")
+            description = "overrides a value of the scenario, such as fleet.servers=60")
     private List<String> overrides = new ArrayList<>();
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             description =
-                    "writes days.jsonl, a line for each simulation once it is done, and"
-                            + " report.html")
+                    "writes days.jsonl, with a line for each simulation as soon as it is done, and"
+                            + " report.html, to this directory")
     private Path out;
 
-    @Option(names = "--policy-log", description = "prints what the module logs, to standard error")
+    @Option(
+            names = "--policy-log",
+            description = "prints the log of the balancer at debug level to standard error")
     void policyLog(boolean on) {
         ((Logger) LoggerFactory.getLogger("module")).setLevel(on ? Level.DEBUG : Level.INFO);
     }
 
+    /** Loads a scenario with the overrides of {@code --set}. */
     Scenario scenario(String name) throws IOException, ScenarioException {
         return Scenario.load(name, overrides).requireSupportedBy(ScenarioRunner.EMULATOR);
     }
 
+    /** Loads a scenario with the overrides of {@code --set} and one further override. */
     Scenario scenario(String name, String override) throws IOException, ScenarioException {
         List<String> all = new ArrayList<>(overrides);
         all.add(override);
         return Scenario.load(name, all).requireSupportedBy(ScenarioRunner.EMULATOR);
     }
 
+    /**
+     * Returns the seeds that {@code --seeds} lists.
+     *
+     * @throws PolicyException if the list is malformed or empty
+     */
     List<Long> seeds() throws PolicyException {
         List<Long> all = new ArrayList<>();
         for (String part : seeds.split(",", 0)) {
@@ -86,25 +97,32 @@
                         "--seeds: '" + part + "' is neither a number nor FROM-TO");
             }
             String[] ends = part.split("-", 0);
-            for (long s = Long.parseLong(ends[0]);
-                    s <= Long.parseLong(ends[ends.length - 1]);
-                    s++) {
-                all.add(s);
+            for (long seed = Long.parseLong(ends[0]);
+                    seed <= Long.parseLong(ends[ends.length - 1]);
+                    seed++) {
+                all.add(seed);
             }
         }
         if (all.isEmpty()) {
-            throw new PolicyException("--seeds: '" + seeds + "' holds none");
+            throw new PolicyException("--seeds: '" + seeds + "' contains no seed");
         }
         return all;
     }
 
-    // On Java 17 the console is null where the output is no terminal.
+    /**
+     * Creates the pool of simulations, which shows its progress if the output is a terminal. If it
+     * is not, {@link System#console()} is null on Java 17.
+     */
     @SuppressWarnings("SystemConsoleNull")
     ParallelSimulations simulations() {
         int cores = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
         return new ParallelSimulations(cores, root, System.console() == null ? null : System.err);
     }
 
+    /**
+     * Creates a listener that writes each result to the directory of {@code --out}, or does nothing
+     * without that option.
+     */
     ParallelSimulations.Listener listener() throws IOException {
         return out == null ? result -> {} : new SimulationResultWriter(out);
     }
@@ -117,33 +135,39 @@
         }
     }
 
-    /** Prints violations, each with the command that reproduces it; the exit status. */
+    /**
+     * Prints the first violations of invariants in each result, each with the command that
+     * reproduces it.
+     *
+     * @return the exit status: {@link ExitStatus#FAILED} if an invariant was violated
+     */
     int printViolations(List<SimulationResult> results, String scenario) {
         long count = 0;
         StringBuilder options = new StringBuilder();
         overrides.forEach(override -> options.append(" --set '").append(override).append('\''));
-        for (SimulationResult r : results) {
-            count += r.breachCount();
-            for (InvariantChecker.Breach b :
-                    r.breaches().subList(0, Math.min(MAX_VIOLATIONS, r.breaches().size()))) {
+        for (SimulationResult result : results) {
+            count += result.breachCount();
+            List<InvariantChecker.Breach> breaches = result.breaches();
+            for (InvariantChecker.Breach breach :
+                    breaches.subList(0, Math.min(MAX_PRINTED_VIOLATIONS, breaches.size()))) {
                 System.out.printf(
                         Locale.ROOT,
                         "BROKEN %s: request %s, server %d, sidecar %d, at %.3f s; reproduce with: "
                                 + "./sagefall simulate %s --seeds %d --policy '%s'%s%n",
-                        b.rule(),
-                        b.request(),
-                        b.server(),
-                        b.sidecar(),
-                        b.second(),
+                        breach.rule(),
+                        breach.request(),
+                        breach.server(),
+                        breach.sidecar(),
+                        breach.second(),
                         scenario,
-                        r.seed(),
-                        r.policy(),
+                        result.seed(),
+                        result.policy(),
                         options);
             }
         }
         if (count > 0) {
             System.out.println(
-                    count + " violations of invariants: these simulations prove nothing");
+                    count + " violations of invariants: the results of these runs are not valid");
         }
         return ExitStatus.of(count > 0);
     }
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -14,22 +14,27 @@
 import sagefall.scenario.ScenarioException;
 import sagefall.scenario.ScenarioSource;
 
-/** The options of all commands that inject faults: a picocli mixin. */
+/** A picocli mixin with the options of the commands that inject faults. */
 final class FaultInjectionOptions {
 
-    /** A scenario with this is made for one machine. */
-    private static final String ONE_MACHINE_MARK = "sidecars = 12";
+    /**
+     * Line of a scenario whose fleet is already small enough for one machine. The fleet of any
+     * other scenario is replaced by {@link RunPlan#ONE_MACHINE_FLEET}.
+     */
+    private static final String ONE_MACHINE_MARKER = "sidecars = 12";
 
     @Option(
             names = "--build",
             paramLabel = "DIR",
-            description = "a built checkout that sidecars are started from; several in turn")
+            description =
+                    "a built checkout that sidecars are started from; several checkouts are used in"
+                            + " turn")
     private List<Path> builds = new ArrayList<>();
 
     @Option(
             names = "--set",
             paramLabel = "NAME=VALUE",
-            description = "overrides a figure of the scenario, such as load.use=0.5")
+            description = "overrides a value of the scenario, such as load.use=0.5")
     private List<String> overrides = new ArrayList<>();
 
     @Option(
@@ -48,28 +53,33 @@
             names = "--out",
             paramLabel = "DIR",
             description =
-                    "where the directories of all runs go; without it only failed and void runs"
-                            + " stay,"
-                            + " in a temporary directory")
+                    "directory that receives the directories of all runs; without it only failed"
+                            + " and void runs are kept, in a temporary directory")
     private Path output;
 
+    /** Returns the overrides of {@code --set}. */
     List<String> overrides() {
         return overrides;
     }
 
-    /** The checkouts of {@code --build}, or this one. */
+    /** Returns the checkouts of {@code --build}, or this checkout if none is given. */
     List<Path> builds() {
         return builds.isEmpty() ? List.of(SidecarProcess.ROOT) : builds;
     }
 
-    /** The plan of a scenario, shipped or a file. */
+    /**
+     * Creates the plan of a run.
+     *
+     * @param nameOrFile name of a shipped scenario, or a TOML file
+     * @throws java.nio.file.NoSuchFileException if a checkout of {@code --build} is not built
+     */
     RunPlan plan(String nameOrFile, long seed) throws IOException, ScenarioException {
         for (Path build : builds()) {
-            SidecarProcess.run(build);
+            SidecarProcess.run(build); // Throws if the checkout is not built.
         }
         ScenarioSource source = Scenario.source(nameOrFile);
         List<String> all = new ArrayList<>();
-        if (!source.text().contains(ONE_MACHINE_MARK)) {
+        if (!source.text().contains(ONE_MACHINE_MARKER)) {
             all.addAll(RunPlan.ONE_MACHINE_FLEET);
         }
         all.addAll(overrides);
@@ -79,17 +89,21 @@
         if (servers != null) {
             all.add("fleet.servers=" + servers);
         }
-        return new RunPlan(source.file(), source.text(), all, seed, null, builds());
+        List<Integer> selectedFaults = null; // All faults of the scenario.
+        return new RunPlan(source.file(), source.text(), all, seed, selectedFaults, builds());
     }
 
-    /** A directory for a run. */
+    /** Creates the directory of a run. */
     Path directory(String name) throws IOException {
         return output == null
                 ? Files.createTempDirectory("faults-" + name + "-")
                 : Files.createDirectories(output.resolve(name));
     }
 
-    /** Executes a plan; its directory stays if {@code --out} was given, or it failed or is void. */
+    /**
+     * Executes a plan. The directory of the run is kept if {@code --out} was given, if the run
+     * violated an invariant, or if it is void because the machine stalled for too long.
+     */
     RunResult execute(RunPlan plan, String name)
             throws IOException, ScenarioException, InterruptedException {
         RunResult result = FaultInjectionRun.execute(plan, directory(name));
--- a/testbed/src/main/java/sagefall/cli/InjectFaultsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/InjectFaultsCommand.java
@@ -2,14 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** {@code sagefall inject-faults}: docs/FAULT_INJECTION.md. */
+/** {@code sagefall inject-faults}, described in docs/FAULT_INJECTION.md. */
 @Command(
         name = "inject-faults",
         mixinStandardHelpOptions = true,
         description =
-                "Runs many real processes with faults of processes and links, and checks the"
-                        + " recorded"
-                        + " history for violated invariants.",
+                "Runs many real processes, injects faults into processes and links, and checks the"
+                        + " recorded history for violated invariants.",
         subcommands = {
             RunFaultsCommand.class,
             ReplayCommand.class,
--- a/testbed/src/main/java/sagefall/cli/LeaseCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseCommand.java
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** {@code sagefall lease}: the lease of the sidecars of a machine, from outside. */
+/** {@code sagefall lease}: shows and releases the lease that the sidecars of a machine share. */
 @Command(
         name = "lease",
         mixinStandardHelpOptions = true,
         description =
-                "Shows who holds the lease that the sidecars of a machine share, and takes it"
-                        + " away.",
+                "Shows which sidecar holds the lease that the sidecars of a machine share, and"
+                        + " releases it.",
         subcommands = {
             LeaseStatusCommand.class,
             LeaseHistoryCommand.class,
--- a/testbed/src/main/java/sagefall/cli/LeaseDirectoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseDirectoryCommand.java
@@ -11,20 +11,20 @@
 import sagefall.leaderelection.DirectoryLeaseStore;
 import sagefall.leaderelection.LeaseStore;
 
-/** A command on the directory of a lease. */
+/** A command on the directory in which the sidecars of a machine store their lease. */
 abstract class LeaseDirectoryCommand implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
 
     @Parameters(
             paramLabel = "DIR",
-            description = "the directory that the section 'duties' of the extensions file names")
+            description = "directory that the section 'duties' of the extensions file names")
     private Path directory;
 
     @Override
     public Integer call() {
         if (!Files.isDirectory(directory)) {
-            printError(directory + ": no such folder");
+            printError(directory + ": no such directory");
             return ExitStatus.USAGE;
         }
         try {
@@ -40,5 +40,6 @@
         spec.commandLine().getErr().println(CommandLineMain.ERROR_PREFIX + message);
     }
 
+    /** Executes the command on the store, and prints the result. */
     abstract void run(LeaseStore store, PrintWriter out) throws IOException;
 }
--- a/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
@@ -7,24 +7,24 @@
 import sagefall.leaderelection.LeaseStore;
 import sagefall.leaderelection.PastTerm;
 
-/** {@code sagefall lease history}. */
+/** {@code sagefall lease history}: prints the latest terms. */
 @Command(
         name = "history",
         mixinStandardHelpOptions = true,
-        description = "Prints the latest terms and their holders.")
+        description = "Prints the latest terms, each with the sidecar that held the lease.")
 final class LeaseHistoryCommand extends LeaseDirectoryCommand {
 
     @Override
     void run(LeaseStore store, PrintWriter out) throws IOException {
         for (PastTerm past : store.status().past()) {
-            String holder = past.leader().isEmpty() ? "given back" : past.leader();
+            String leader = past.leader().isEmpty() ? "released" : past.leader();
             out.println(
                     "term "
                             + past.term()
                             + " from "
                             + Instant.ofEpochMilli(past.grantedAtMillis())
                             + " on, "
-                            + holder);
+                            + leader);
         }
     }
 }
--- a/testbed/src/main/java/sagefall/cli/LeaseReleaseCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseReleaseCommand.java
@@ -6,11 +6,13 @@
 import sagefall.leaderelection.LeaseGrant;
 import sagefall.leaderelection.LeaseStore;
 
-/** {@code sagefall lease release}. */
+/** {@code sagefall lease release}: ends the current term. */
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
-        description = "Takes the lease from its holder, so that another sidecar can acquire it.")
+        description =
+                "Releases the lease on behalf of the sidecar that holds it, so that another sidecar"
+                        + " can acquire it.")
 final class LeaseReleaseCommand extends LeaseDirectoryCommand {
 
     @Override
--- a/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseStatusCommand.java
@@ -9,11 +9,13 @@
 import sagefall.leaderelection.PublishedSnapshot;
 import sagefall.leaderelection.SharedEndpointSnapshot;
 
-/** {@code sagefall lease status}. */
+/** {@code sagefall lease status}: prints the leader and the shared endpoint snapshot. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "Prints the holder, and the endpoint snapshot that the sidecars share.")
+        description =
+                "Prints the sidecar that holds the lease, and the endpoint snapshot that the"
+                        + " sidecars share.")
 final class LeaseStatusCommand extends LeaseDirectoryCommand {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -21,21 +23,21 @@
     @Override
     void run(LeaseStore store, PrintWriter out) throws IOException {
         LeaseGrant grant = store.status().grant();
-        out.println("term " + grant.term() + ", " + holder(grant));
+        out.println("term " + grant.term() + ", " + describeLeader(grant));
         PublishedSnapshot snapshot = SharedEndpointSnapshot.read(store);
-        out.println(snapshot == null ? "no digest" : describe(snapshot));
+        out.println(snapshot == null ? "no snapshot" : describeSnapshot(snapshot));
     }
 
-    private static String holder(LeaseGrant grant) {
+    private static String describeLeader(LeaseGrant grant) {
         if (grant.remainingNanos() <= 0) {
-            return "held by nobody";
+            return "held by no sidecar";
         }
-        long leftMillis = grant.remainingNanos() / NANOS_PER_MILLI;
-        return "held by " + grant.leader() + " for " + leftMillis + " ms more";
+        long remainingMillis = grant.remainingNanos() / NANOS_PER_MILLI;
+        return "held by " + grant.leader() + " for " + remainingMillis + " ms more";
     }
 
-    private static String describe(PublishedSnapshot snapshot) {
-        return "digest of term "
+    private static String describeSnapshot(PublishedSnapshot snapshot) {
+        return "snapshot of term "
                 + snapshot.term()
                 + ", revision "
                 + snapshot.snapshot().revision()
@@ -43,6 +45,6 @@
                 + Instant.ofEpochMilli(snapshot.snapshot().reportedAtMillis())
                 + ", "
                 + snapshot.snapshot().endpoints().size()
-                + " servers";
+                + " endpoints";
     }
 }
--- a/testbed/src/main/java/sagefall/cli/ListFaultScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListFaultScenariosCommand.java
@@ -7,7 +7,7 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall inject-faults scenarios}. */
+/** {@code sagefall inject-faults scenarios}: lists the scenarios for real processes. */
 @Command(
         name = "scenarios",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -10,13 +10,13 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall scenarios}. */
+/** {@code sagefall scenarios}: lists scenarios, policies and mechanisms of the emulator. */
 @Command(
         name = "scenarios",
         mixinStandardHelpOptions = true,
         description =
-                "Lists the shipped scenarios of the emulator, the policies, and the mechanisms that"
-                        + " can be switched off.")
+                "Lists the shipped scenarios of the emulator, the policies, and the mechanisms of"
+                        + " the balancer that can be switched off.")
 final class ListScenariosCommand implements Callable<Integer> {
 
     @Override
--- a/testbed/src/main/java/sagefall/cli/LoadCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LoadCommand.java
@@ -6,16 +6,16 @@
 import picocli.CommandLine.Option;
 import sagefall.load.OpenLoopLoadGenerator;
 
-/** {@code sagefall load}. */
+/** {@code sagefall load}: runs {@link OpenLoopLoadGenerator} against a sidecar. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Sends open-loop load to a sidecar on loopback; latencies count from the time at"
-                        + " which a request was due.")
+                "Sends open-loop load to a sidecar on loopback; latencies are measured from the"
+                        + " time at which a request was due.")
 final class LoadCommand implements Callable<Integer> {
 
-    private static final int MAX_OPEN = 10_000;
+    private static final int MAX_OPEN_REQUESTS = 10_000;
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
     private static final double MICROS_PER_MILLI = 1000.0;
 
@@ -35,7 +35,7 @@
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "length of the load (${DEFAULT-VALUE})")
+            description = "duration of the load (${DEFAULT-VALUE})")
     private double seconds;
 
     @Option(
@@ -52,11 +52,11 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        OpenLoopLoadGenerator load =
-                new OpenLoopLoadGenerator(port, rate, timeoutMillis, MAX_OPEN, seed);
-        load.run(seconds);
-        int open = load.settle(2L * timeoutMillis);
-        print(load.statistics(), open);
+        OpenLoopLoadGenerator generator =
+                new OpenLoopLoadGenerator(port, rate, timeoutMillis, MAX_OPEN_REQUESTS, seed);
+        generator.run(seconds);
+        int open = generator.awaitResponses(2L * timeoutMillis);
+        print(generator.statistics(), open);
         return ExitStatus.of(open > 0);
     }
 
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -21,25 +21,30 @@
 import sagefall.scenario.BenchmarkMeasurement;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall rank}: whether builds rank in the emulator as on the operators' bench. */
+/**
+ * {@code sagefall rank}: compares the order of builds by goal value in the emulator with their
+ * order on the operators' bench.
+ */
 @Command(
         name = "rank",
         mixinStandardHelpOptions = true,
         description =
-                "Simulates builds on scenarios, and compares their order with the bench's figures.")
+                "Simulates builds on scenarios, and compares their order by goal value with their"
+                        + " order on the bench.")
 final class RankCommand implements Callable<Integer> {
 
     @Option(
             names = "--figures",
             defaultValue = "docs/bench-ranks.toml",
             paramLabel = "FILE",
-            description = "builds and what they reached on the bench (${DEFAULT-VALUE})")
+            description =
+                    "file that lists builds and their goal values on the bench (${DEFAULT-VALUE})")
     private Path figures;
 
     @Option(
             names = "--build",
             paramLabel = "NAME=DIR",
-            description = "a checkout that $NAME in the policies of the file stands for")
+            description = "checkout that replaces $NAME in the policies of the file")
     private Map<String, String> builds = new LinkedHashMap<>();
 
     @Option(
@@ -47,73 +52,76 @@
             defaultValue = "0.02",
             paramLabel = "G",
             description =
-                    "differences on the bench up to this count as none: what two runs of one build"
-                            + " differ by (${DEFAULT-VALUE})")
+                    "difference of goal values between two runs of one build on the bench; builds"
+                            + " that differ by no more are not compared (${DEFAULT-VALUE})")
     private double spread;
 
     @Mixin private ExperimentOptions experiment;
 
-    /** A build on a scenario. */
-    private record Cell(String scenario, String build) {
-        static Cell of(BenchmarkMeasurement play) {
-            return new Cell(play.scenario(), play.build());
+    /** A build that is simulated on a scenario. */
+    private record BuildOnScenario(String scenario, String build) {
+        static BuildOnScenario of(BenchmarkMeasurement measurement) {
+            return new BuildOnScenario(measurement.scenario(), measurement.build());
         }
     }
 
     @Override
     public Integer call() throws IOException, ScenarioException, PolicyException {
         BenchmarkFigures bench = BenchmarkFigures.load(figures);
-        Map<Cell, Double> simulated = simulate(bench);
-        double[] onBench = new double[bench.measurements().size()];
-        double[] inEmulator = new double[onBench.length];
+        Map<BuildOnScenario, Double> simulated = simulate(bench);
+        double[] benchGoals = new double[bench.measurements().size()];
+        double[] emulatorGoals = new double[benchGoals.length];
         System.out.printf(
                 "%-10s %-22s %-24s %8s %8s%n",
                 "scenario", "build", "day of the bench", "bench G", "emul. G");
-        for (int i = 0; i < onBench.length; i++) {
-            BenchmarkMeasurement play = bench.measurements().get(i);
-            onBench[i] = play.g();
-            inEmulator[i] = simulated.get(Cell.of(play));
+        for (int i = 0; i < benchGoals.length; i++) {
+            BenchmarkMeasurement measurement = bench.measurements().get(i);
+            benchGoals[i] = measurement.g();
+            emulatorGoals[i] = simulated.get(BuildOnScenario.of(measurement));
             System.out.printf(
                     Locale.ROOT,
                     "%-10s %-22s %-24s %8.3f %8.3f%n",
-                    play.scenario(),
-                    play.build(),
-                    play.day(),
-                    onBench[i],
-                    inEmulator[i]);
+                    measurement.scenario(),
+                    measurement.build(),
+                    measurement.day(),
+                    benchGoals[i],
+                    emulatorGoals[i]);
         }
         System.out.printf(
                 Locale.ROOT,
                 "Spearman's rank correlation over all %d: %.2f%n",
-                onBench.length,
-                new SpearmansCorrelation().correlation(onBench, inEmulator));
+                benchGoals.length,
+                new SpearmansCorrelation().correlation(benchGoals, emulatorGoals));
         printPairs(bench, simulated);
         return ExitStatus.OK;
     }
 
-    /** Mean G of each build on each scenario. */
-    private Map<Cell, Double> simulate(BenchmarkFigures bench)
+    /** Returns the mean goal value of each build on each scenario. */
+    private Map<BuildOnScenario, Double> simulate(BenchmarkFigures bench)
             throws IOException, ScenarioException, PolicyException {
-        TreeSet<Cell> cells =
-                new TreeSet<>(Comparator.comparing(Cell::scenario).thenComparing(Cell::build));
-        bench.measurements().forEach(play -> cells.add(Cell.of(play)));
+        TreeSet<BuildOnScenario> combinations =
+                new TreeSet<>(
+                        Comparator.comparing(BuildOnScenario::scenario)
+                                .thenComparing(BuildOnScenario::build));
+        bench.measurements()
+                .forEach(measurement -> combinations.add(BuildOnScenario.of(measurement)));
         List<SimulationRequest> requests = new ArrayList<>();
-        for (Cell cell : cells) {
+        for (BuildOnScenario combination : combinations) {
             for (long seed : experiment.seeds()) {
                 requests.add(
                         new SimulationRequest(
-                                experiment.scenario(cell.scenario),
+                                experiment.scenario(combination.scenario),
                                 seed,
-                                policy(bench, cell.build)));
+                                policy(bench, combination.build)));
             }
         }
         List<SimulationResult> results =
                 experiment.simulations().runAll(requests, experiment.listener());
-        Map<Cell, Double> means = new LinkedHashMap<>();
+        Map<BuildOnScenario, Double> means = new LinkedHashMap<>();
         int seeds = experiment.seeds().size();
         int from = 0;
-        for (Cell cell : cells) {
-            means.put(cell, meanG(results.subList(from, from + seeds)));
+        for (BuildOnScenario combination : combinations) {
+            means.put(combination, meanG(results.subList(from, from + seeds)));
             from += seeds;
         }
         return means;
@@ -123,7 +131,10 @@
         return results.stream().mapToDouble(SimulationResult::g).average().orElse(0);
     }
 
-    /** The policy of a build, with the checkouts of {@code --build} put in. */
+    /**
+     * Returns the policy of a build, with each {@code $NAME} replaced by the checkout that {@code
+     * --build} gives.
+     */
     private String policy(BenchmarkFigures bench, String build) {
         String policy =
                 bench.builds().stream()
@@ -137,21 +148,26 @@
         return policy;
     }
 
-    /** Of all pairs of builds on the same day, how many rank in the same order here. */
-    private void printPairs(BenchmarkFigures bench, Map<Cell, Double> simulated) {
-        int same = 0;
-        int all = 0;
-        for (BenchmarkMeasurement a : bench.measurements()) {
-            for (BenchmarkMeasurement b : bench.measurements()) {
-                if (!a.day().equals(b.day()) || a.g() + spread >= b.g()) {
+    /**
+     * Prints how many pairs of builds have the order of the bench in the emulator too. Only pairs
+     * of the same run of the bench count whose goal values differ by more than {@code --spread}.
+     */
+    private void printPairs(BenchmarkFigures bench, Map<BuildOnScenario, Double> simulated) {
+        int sameOrder = 0;
+        int pairs = 0;
+        for (BenchmarkMeasurement lower : bench.measurements()) {
+            for (BenchmarkMeasurement higher : bench.measurements()) {
+                if (!lower.day().equals(higher.day()) || lower.g() + spread >= higher.g()) {
                     continue;
                 }
-                all++;
-                if (simulated.get(Cell.of(a)) < simulated.get(Cell.of(b))) {
-                    same++;
+                pairs++;
+                if (simulated.get(BuildOnScenario.of(lower))
+                        < simulated.get(BuildOnScenario.of(higher))) {
+                    sameOrder++;
                 }
             }
         }
-        System.out.printf("builds on the same day in the same order: %d of %d%n", same, all);
+        System.out.printf(
+                "pairs of builds in the order of the bench: %d of %d%n", sameOrder, pairs);
     }
 }
--- a/testbed/src/main/java/sagefall/cli/RenamedWords.java
+++ b/testbed/src/main/java/sagefall/cli/RenamedWords.java
@@ -6,15 +6,18 @@
 import java.util.Optional;
 
 /**
- * Commands and options that had other names in earlier versions. An old name is answered with one
- * line that tells the new one.
+ * Commands and options that had other names in earlier versions. For an old name, the command line
+ * prints an error message of one line with the new name.
  */
 final class RenamedWords {
 
-    /** Old commands, as words behind {@code ./sagefall}, and the new ones. */
+    /**
+     * Maps each old command to the new one, both as the words that follow {@code ./sagefall}. The
+     * new command is empty if the subcommands of the old one have become commands.
+     */
     static final Map<String, String> COMMANDS = new LinkedHashMap<>();
 
-    /** Old options and the new ones. */
+    /** Maps each old option to the new one. */
     static final Map<String, String> OPTIONS = new LinkedHashMap<>();
 
     private static final int MAX_COMMAND_WORDS = 3;
@@ -66,7 +69,7 @@
         COMMANDS.put(old + " release", "lease release");
     }
 
-    /** One line if the arguments begin with an old command. */
+    /** Returns the error message if the arguments begin with an old command. */
     static Optional<String> commandMessage(List<String> arguments) {
         for (int words = Math.min(MAX_COMMAND_WORDS, arguments.size()); words > 0; words--) {
             String old = String.join(" ", arguments.subList(0, words));
@@ -81,13 +84,13 @@
         if (current.isEmpty()) {
             return "'"
                     + old
-                    + "' is gone: its commands follow ./sagefall directly;"
+                    + "' is no longer a command: its subcommands are now commands of ./sagefall;"
                     + " see ./sagefall --help";
         }
         return "'" + old + "' is now './sagefall " + current + "'";
     }
 
-    /** One line if one of the arguments, which no command knows, is an old option. */
+    /** Returns the error message for the first old option among the unknown arguments. */
     static Optional<String> optionMessage(List<String> unknown) {
         return unknown.stream()
                 .map(argument -> argument.split("=", 0)[0])
--- a/testbed/src/main/java/sagefall/cli/ReplayCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ReplayCommand.java
@@ -11,11 +11,12 @@
 import sagefall.faultinjection.report.RunResult;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall inject-faults replay}. */
+/** {@code sagefall inject-faults replay}: executes the plan of an earlier run again. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
-        description = "Runs the plan of an earlier run: the same faults at the same times.")
+        description =
+                "Executes the plan of an earlier run, with the same faults at the same times.")
 final class ReplayCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "PLAN", description = "plan.json of an earlier run")
--- a/testbed/src/main/java/sagefall/cli/RunFaultsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RunFaultsCommand.java
@@ -11,7 +11,7 @@
 import sagefall.faultinjection.report.RunResult;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall inject-faults run}. */
+/** {@code sagefall inject-faults run}: runs scenarios with real processes. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -34,7 +34,7 @@
         for (String scenario : scenarios) {
             for (long seed : seeds.all()) {
                 RunPlan plan = options.plan(scenario, seed);
-                plan.scenario();
+                plan.scenario(); // Throws if the scenario is malformed.
                 System.out.println(scenario + ", seed " + seed);
                 RunResult result =
                         options.execute(plan, Path.of(scenario).getFileName() + "-" + seed);
--- a/testbed/src/main/java/sagefall/cli/ScalingCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ScalingCommand.java
@@ -19,12 +19,13 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall scaling}: the time that simulations of growing fleets take on one thread. */
+/** {@code sagefall scaling}: measures how the time of a simulation grows with the fleet. */
 @Command(
         name = "scaling",
         mixinStandardHelpOptions = true,
         description =
-                "Times the simulation of fleets of growing size on one thread, after a warm-up.")
+                "Measures the time to simulate fleets of growing size on one thread, after a"
+                        + " warm-up.")
 final class ScalingCommand implements Callable<Integer> {
 
     private static final long SEED = 1;
@@ -37,7 +38,7 @@
             split = ",",
             defaultValue = "100,200,500,1000",
             paramLabel = "N",
-            description = "sizes, each with twice as many servers (${DEFAULT-VALUE})")
+            description = "numbers of sidecars, each with twice as many servers (${DEFAULT-VALUE})")
     private List<Integer> sizes;
 
     @Option(
@@ -54,26 +55,26 @@
             description = PolicyRegistry.HELP)
     private String policyName;
 
-    @Option(names = "--plot", paramLabel = "FILE", description = "writes a plot as SVG")
+    @Option(names = "--plot", paramLabel = "FILE", description = "writes a plot to this SVG file")
     private Path plot;
 
     @Override
     public Integer call() throws IOException, ScenarioException, PolicyException {
         List<ScalingPlot.Point> points = new ArrayList<>();
-        simulate(sizes.get(0));
+        simulate(sizes.get(0)); // Warms up the JVM.
         System.out.println(
                 "sidecars  servers  seconds  events    us/event  seconds / (n log n), first = "
                         + "1  heap MiB");
-        double first = 0;
+        double firstNormalized = 0;
         for (int size : sizes) {
-            System.gc();
-            long begin = System.nanoTime();
+            System.gc(); // Keeps garbage of the previous simulation out of the measurements.
+            long startNanos = System.nanoTime();
             SimulationResult result = simulate(size);
-            double seconds = (System.nanoTime() - begin) / NANOS_PER_SECOND;
+            double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
             points.add(new ScalingPlot.Point(size, seconds));
             double normalized = seconds / (size * Math.log(size));
-            first = first == 0 ? normalized : first;
-            printRow(size, seconds, result.events(), normalized / first);
+            firstNormalized = firstNormalized == 0 ? normalized : firstNormalized;
+            printRow(size, seconds, result.events(), normalized / firstNormalized);
         }
         if (plot != null) {
             Files.writeString(plot, ScalingPlot.of(points));
--- a/testbed/src/main/java/sagefall/cli/SeedOptions.java
+++ b/testbed/src/main/java/sagefall/cli/SeedOptions.java
@@ -4,7 +4,7 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Option;
 
-/** Runs with seeds that follow each other: a picocli mixin. */
+/** A picocli mixin with the options of commands whose runs have consecutive seeds. */
 final class SeedOptions {
 
     @Option(
@@ -21,6 +21,7 @@
             description = "number of runs, each with the next seed (${DEFAULT-VALUE})")
     private int runs;
 
+    /** Returns the seed of each run. */
     List<Long> all() {
         return LongStream.range(seed, seed + runs).boxed().toList();
     }
--- a/testbed/src/main/java/sagefall/cli/ShrinkCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ShrinkCommand.java
@@ -13,17 +13,18 @@
 import sagefall.faultinjection.report.RunResult;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall inject-faults shrink}. */
+/** {@code sagefall inject-faults shrink}: reduces a failing plan to fewer faults. */
 @Command(
         name = "shrink",
         mixinStandardHelpOptions = true,
         description =
-                "Reduces the plan of a failed run to the fewest faults that still fail; writes"
-                        + " shrunk.json beside it.")
+                "Tries to remove each fault from the plan of a failed run. A fault stays out if"
+                        + " runs without it violate an invariant as often. Writes shrunk.json"
+                        + " beside the plan.")
 final class ShrinkCommand implements Callable<Integer> {
 
-    /** Runs of each candidate, as a failure may depend on timing. */
-    private static final int RUNS = 3;
+    /** Number of runs of each candidate plan, as a violation may depend on timing. */
+    private static final int RUNS_PER_CANDIDATE = 3;
 
     @Parameters(paramLabel = "PLAN", description = "plan.json of a failed run")
     private Path file;
@@ -34,38 +35,43 @@
     public Integer call() throws IOException, ScenarioException, InterruptedException {
         RunPlan plan = RunPlan.read(file);
         List<Integer> faults = plan.faults();
-        int failures = failures(plan);
+        int violatedRuns = countViolatedRuns(plan);
         System.out.printf(
-                "all %d faults: violated in %d of %d runs%n", faults.size(), failures, RUNS);
-        if (failures == 0) {
+                "all %d faults: %d of %d runs violate an invariant%n",
+                faults.size(), violatedRuns, RUNS_PER_CANDIDATE);
+        if (violatedRuns == 0) {
             return ExitStatus.OK;
         }
         for (int i = faults.size() - 1; i >= 0; i--) {
-            List<Integer> fewer = new ArrayList<>(faults);
-            fewer.remove(i);
-            int now = failures(plan.withFaults(fewer));
+            List<Integer> candidate = new ArrayList<>(faults);
+            candidate.remove(i);
+            int candidateViolatedRuns = countViolatedRuns(plan.withFaults(candidate));
             System.out.printf(
-                    "without fault %d: violated in %d of %d runs%n", faults.get(i), now, RUNS);
-            if (now >= failures) {
-                faults = fewer;
-                failures = now;
+                    "without fault %d: %d of %d runs violate an invariant%n",
+                    faults.get(i), candidateViolatedRuns, RUNS_PER_CANDIDATE);
+            if (candidateViolatedRuns >= violatedRuns) {
+                faults = candidate;
+                violatedRuns = candidateViolatedRuns;
             }
         }
         Path shrunk = file.resolveSibling("shrunk.json");
         plan.withFaults(faults).write(shrunk);
         System.out.printf(
-                "faults %s violate it in %d of %d runs: ./sagefall inject-faults replay %s%n",
-                faults, failures, RUNS, shrunk);
+                "with faults %s: %d of %d runs violate an invariant; replay with:"
+                        + " ./sagefall inject-faults replay %s%n",
+                faults, violatedRuns, RUNS_PER_CANDIDATE, shrunk);
         return ExitStatus.FAILED;
     }
 
-    private int failures(RunPlan plan) throws IOException, ScenarioException, InterruptedException {
-        int failures = 0;
-        for (int i = 0; i < RUNS; i++) {
+    /** Returns how many runs of the plan violate an invariant. */
+    private int countViolatedRuns(RunPlan plan)
+            throws IOException, ScenarioException, InterruptedException {
+        int violatedRuns = 0;
+        for (int i = 0; i < RUNS_PER_CANDIDATE; i++) {
             RunResult result = FaultInjectionRun.execute(plan, options.directory("shrink"));
-            failures += result.isViolated() ? 1 : 0;
+            violatedRuns += result.isViolated() ? 1 : 0;
             result.directory().delete();
         }
-        return failures;
+        return violatedRuns;
     }
 }
--- a/testbed/src/main/java/sagefall/cli/SimulateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SimulateCommand.java
@@ -17,14 +17,16 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall simulate}: one policy on one scenario. */
+/** {@code sagefall simulate}: simulates one policy on one scenario. */
 @Command(
         name = "simulate",
         mixinStandardHelpOptions = true,
-        description = "Simulates a scenario, and prints what was served and why the rest was lost.")
+        description =
+                "Simulates a scenario, and prints the share of the value that was served and the"
+                        + " causes of the loss.")
 final class SimulateCommand implements Callable<Integer> {
 
-    private static final int MAX_CAUSES = 4;
+    private static final int MAX_PRINTED_CAUSES = 4;
 
     @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
     private String scenario;
@@ -50,32 +52,38 @@
         System.out.println(
                 " seed      G  served  worst10s  attempts  cross  setups    p50    p95  lost "
                         + "most by");
-        for (SimulationResult r : results) {
+        for (SimulationResult result : results) {
             System.out.printf(
                     Locale.ROOT,
                     "%5d  %.3f   %.3f     %.3f     %.3f  %.3f   %.3f  %5.0f  %5.0f  %s%n",
-                    r.seed(),
-                    r.g(),
-                    r.served(),
-                    r.worstTenSeconds(),
-                    r.attemptsPerRequest(),
-                    r.crossingsPerRequest(),
-                    r.setupsPerRequest(),
-                    r.latency().p50(),
-                    r.latency().p95(),
-                    losses(r));
+                    result.seed(),
+                    result.g(),
+                    result.served(),
+                    result.worstTenSeconds(),
+                    result.attemptsPerRequest(),
+                    result.crossingsPerRequest(),
+                    result.setupsPerRequest(),
+                    result.latency().p50(),
+                    result.latency().p95(),
+                    losses(result));
         }
         experiment.report(HtmlReport.of(results));
         return experiment.printViolations(results, scenario);
     }
 
-    /** The largest causes of loss, as parts of the offered value. */
-    private static String losses(SimulationResult r) {
+    /** Returns the largest causes of loss, each with its share of the offered value. */
+    private static String losses(SimulationResult result) {
         return String.join(
                 ", ",
-                r.losses().stream()
-                        .limit(MAX_CAUSES)
-                        .map(e -> String.format(Locale.ROOT, "%s %.3f", e.getKey(), e.getValue()))
+                result.losses().stream()
+                        .limit(MAX_PRINTED_CAUSES)
+                        .map(
+                                loss ->
+                                        String.format(
+                                                Locale.ROOT,
+                                                "%s %.3f",
+                                                loss.getKey(),
+                                                loss.getValue()))
                         .toList());
     }
 }
--- a/testbed/src/main/java/sagefall/cli/StandInCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StandInCommand.java
@@ -9,17 +9,16 @@
 import sagefall.load.StandInServer;
 import sagefall.load.StandInService;
 
-/** {@code sagefall stand-in}. */
+/** {@code sagefall stand-in}: runs stand-in servers and discovery until it is terminated. */
 @Command(
         name = "stand-in",
         mixinStandardHelpOptions = true,
         description =
                 "Runs stand-in save servers and discovery on loopback, for a sidecar that is"
-                        + " started"
-                        + " by hand, until it is ended.")
+                        + " started by hand, until the command is terminated.")
 final class StandInCommand implements Callable<Integer> {
 
-    private static final int QUEUE_PER_SLOT = 10;
+    private static final int QUEUED_REQUESTS_PER_SLOT = 10;
     private static final String ZONE = "a";
 
     @Option(
@@ -33,12 +32,12 @@
             names = "--servers",
             defaultValue = "4",
             description = "number of save servers (${DEFAULT-VALUE})")
-    private int count;
+    private int serverCount;
 
     @Option(
             names = "--slots",
             defaultValue = "4",
-            description = "requests that a server works on at a time (${DEFAULT-VALUE})")
+            description = "number of requests that a server processes at a time (${DEFAULT-VALUE})")
     private int slots;
 
     @Option(
@@ -51,46 +50,47 @@
             names = "--errors",
             defaultValue = "0",
             paramLabel = "PART",
-            description = "part of the POSTs answered with an error, 0 to 1")
+            description = "fraction of the POSTs whose response is an error, 0 to 1")
     private double errors;
 
     @Option(
             names = "--unanswered",
             defaultValue = "0",
             paramLabel = "PART",
-            description = "part of the POSTs never answered")
+            description = "fraction of the POSTs without a response")
     private double unanswered;
 
     @Option(
             names = "--resets",
             defaultValue = "0",
             paramLabel = "PART",
-            description = "part of the POSTs whose connection is reset")
+            description = "fraction of the POSTs whose connection is reset")
     private double resets;
 
     @Option(
             names = "--malformed",
             defaultValue = "0",
             paramLabel = "PART",
-            description = "part of the POSTs answered with what is not HTTP")
+            description = "fraction of the POSTs whose response is not HTTP")
     private double malformed;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         StandInDiscovery discovery = new StandInDiscovery();
-        StandInService service = new StandInService(slots, QUEUE_PER_SLOT * slots, meanMillis);
+        StandInService service =
+                new StandInService(slots, QUEUED_REQUESTS_PER_SLOT * slots, meanMillis);
         StandInFaults faults = new StandInFaults(errors, unanswered, resets, malformed);
-        for (int i = 0; i < count; i++) {
-            new StandInServer(0, ZONE, service, discovery).faults(faults);
+        for (int i = 0; i < serverCount; i++) {
+            new StandInServer(0, ZONE, service, discovery).setFaults(faults);
         }
         StandInServer discoveryServer =
                 new StandInServer(port, ZONE, StandInService.NONE, discovery);
-        discoveryServer.deregister();
+        discoveryServer.deregister(); // This server is not an endpoint.
         System.out.println(
                 "discovery on 127.0.0.1:"
                         + discoveryServer.port()
                         + ", "
-                        + count
+                        + serverCount
                         + " save servers");
         Thread.currentThread().join();
         return ExitStatus.OK;
--- a/testbed/src/main/java/sagefall/cli/StreamsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StreamsCommand.java
@@ -8,37 +8,37 @@
 import sagefall.load.SidecarProcess;
 import sagefall.load.StreamBenchmark;
 
-/** {@code sagefall streams}. */
+/** {@code sagefall streams}: runs {@link StreamBenchmark}. */
 @Command(
         name = "streams",
         mixinStandardHelpOptions = true,
         description =
-                "Measures the streaming of a real sidecar: correct bodies, memory, time to the"
-                        + " first byte, cost of small requests.")
+                "Measures the streaming of a real sidecar: correctness of bodies, memory, time to"
+                        + " the first byte, cost of small requests.")
 final class StreamsCommand implements Callable<Integer> {
 
     @Parameters(
             paramLabel = "MODE",
             description =
-                    "streams: 200 of 64 MiB at once, in both directions; first_byte: time to the"
-                            + " first byte, streamed and buffered; small: uploads of 300 bytes,"
-                            + " beside another build")
+                    "streams: 200 bodies of 64 MiB at once, downloads and then uploads; first_byte:"
+                            + " time to the first byte, streamed and buffered; small: uploads of"
+                            + " 300 bytes, compared with another build")
     private Mode mode;
 
     @Option(
             names = "--jar",
             defaultValue = SidecarProcess.JAR,
             paramLabel = "FILE",
-            description = "archive of this build (${DEFAULT-VALUE})")
+            description = "archive of the build that is measured (${DEFAULT-VALUE})")
     private String jar;
 
     @Option(
             names = "--baseline",
             paramLabel = "FILE",
-            description = "archive of the other build of 'small'; this build if it is missing")
+            description = "archive of the other build of mode 'small'; by default that of --jar")
     private String baselineJar;
 
-    /** What is measured. */
+    /** The measurements of the benchmark. */
     enum Mode {
         STREAMS,
         FIRST_BYTE,
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -15,13 +15,16 @@
 import sagefall.policy.PolicyRegistry;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall sweep}: a range of values of one tunable, or of one figure of the scenario. */
+/**
+ * {@code sagefall sweep}: simulates several values of one tunable of the balancer, or of one value
+ * of the scenario.
+ */
 @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
         description =
-                "Simulates a range of values of a tunable of the module or of a figure of the"
-                        + " scenario.")
+                "Simulates a scenario with several values of a tunable of the balancer or of a"
+                        + " value of the scenario.")
 final class SweepCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
@@ -33,7 +36,7 @@
             paramLabel = "NAME=V1,V2,...",
             description =
                     "a tunable such as SPILL_RATIO or ConcurrencyLimiter.MIN_LIMIT,"
-                            + " or a figure such as load.use")
+                            + " or a value of the scenario such as load.use")
     private String vary;
 
     @Option(
@@ -77,7 +80,10 @@
         return new SimulationRequest(experiment.scenario(scenario, setting), seed, policy);
     }
 
-    /** Tunables are constants of classes; the figures of scenarios are lower case. */
+    /**
+     * Returns whether the name is that of a tunable: tunables are Java constants, optionally with
+     * their class, while names of values of scenarios are in lower case.
+     */
     private static boolean isTunable(String name) {
         return name.substring(name.indexOf('.') + 1).matches("[A-Z0-9_]+");
     }
--- a/testbed/src/main/java/sagefall/cli/WindowsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/WindowsCommand.java
@@ -11,14 +11,14 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code sagefall windows}: compares runs of a long day on the operators' bench window by window,
- * also where one was cut off before its end.
+ * {@code sagefall windows}: compares reports of the operators' bench over the windows before a
+ * given second, so that a run that was cut off before its end can be compared as well.
  */
 @Command(
         name = "windows",
         mixinStandardHelpOptions = true,
         description =
-                "Compares reports of one day of the bench over a span that all of them reached.")
+                "Compares reports of the operators' bench over the windows before a given second.")
 final class WindowsCommand implements Callable<Integer> {
 
     private static final double PERCENT = 100;
@@ -26,14 +26,14 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "REPORT",
-            description = "what the bench printed of a day")
+            description = "output of the bench for a run")
     private List<Path> files;
 
     @Option(
             names = "--until",
             defaultValue = "1e9",
             paramLabel = "SECOND",
-            description = "windows that begin at this second or later are left out")
+            description = "windows that start at this second or later are left out")
     private double untilSecond;
 
     @Override
@@ -55,10 +55,10 @@
     }
 
     private void printRow(Path file) throws IOException {
-        BenchWindows windows = BenchWindows.read(file).until(untilSecond);
-        if (windows.isEmpty()) {
+        BenchWindows windows = BenchWindows.read(file).startingBefore(untilSecond);
+        if (windows.hasNoRequests()) {
             throw new NoSuchFileException(
-                    file + ": holds no windows of a day before " + untilSecond + " s");
+                    file + ": contains no windows with requests before " + untilSecond + " s");
         }
         BenchWindows.WorstSpan worst = windows.worstTenSeconds();
         System.out.printf(
@@ -68,7 +68,7 @@
                 windows.count(),
                 windows.mean(BenchWindows.Column.WORTH) / PERCENT,
                 worst.value(),
-                worst.fromSecond(),
+                worst.startSecond(),
                 windows.mean(BenchWindows.Column.LATE),
                 windows.mean(BenchWindows.Column.REFUSED),
                 windows.mean(BenchWindows.Column.FAILED),
--- a/testbed/src/main/java/sagefall/load/BytePattern.java
+++ b/testbed/src/main/java/sagefall/load/BytePattern.java
@@ -7,8 +7,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Bodies of any length whose bytes depend on a seed, and their CRC-32: a body that was mixed with
- * another, cut or shifted has another sum.
+ * Writes bodies of any length whose bytes depend on a seed, and computes their CRC-32. The checksum
+ * of a received body differs if bytes are missing, shifted, or from a body with another seed.
  */
 final class BytePattern {
 
@@ -23,50 +23,56 @@
 
     private BytePattern() {}
 
-    /** Writes the bytes of a body from one position up to its end. */
+    /** Writes the bytes of a body of {@code length} bytes from position {@code from} on. */
     static void write(OutputStream out, long from, long length, int seed) throws IOException {
-        long at = from;
-        while (at < length) {
-            int start = (int) ((at + seed) % PERIOD_BYTES);
-            int part = (int) Math.min(Math.min(BUFFER_BYTES, PERIOD_BYTES - start), length - at);
-            out.write(BYTES, start, part);
-            at += part;
+        long position = from;
+        while (position < length) {
+            int start = (int) ((position + seed) % PERIOD_BYTES);
+            int count =
+                    (int) Math.min(Math.min(BUFFER_BYTES, PERIOD_BYTES - start), length - position);
+            out.write(BYTES, start, count);
+            position += count;
         }
     }
 
-    /** Writes so many bytes of the begin of a body. */
-    static void writeBegin(OutputStream out, int count, int seed) throws IOException {
+    /** Writes the first {@code count} bytes of a body. */
+    static void writePrefix(OutputStream out, int count, int seed) throws IOException {
         out.write(BYTES, seed % PERIOD_BYTES, count);
     }
 
-    /** The sum of a body. */
+    /** Returns the CRC-32 of a body. */
     static long crc(long length, int seed) {
         CRC32 crc = new CRC32();
-        long at = 0;
-        while (at < length) {
-            int start = (int) ((at + seed) % PERIOD_BYTES);
-            int part = (int) Math.min(PERIOD_BYTES - start, length - at);
-            crc.update(BYTES, start, part);
-            at += part;
+        long position = 0;
+        while (position < length) {
+            int start = (int) ((position + seed) % PERIOD_BYTES);
+            int count = (int) Math.min(PERIOD_BYTES - start, length - position);
+            crc.update(BYTES, start, count);
+            position += count;
         }
         return crc.getValue();
     }
 
-    /** Reads so many bytes, with a pause after each 256 KiB if that is not 0; their sum. */
+    /**
+     * Reads a body and returns its CRC-32.
+     *
+     * @param length length of the body
+     * @param pauseMillis pause after each 256 KiB, for a slow reader; 0 for none
+     */
     static long readCrc(InputStream in, long length, long pauseMillis) throws IOException {
         byte[] buffer = new byte[BUFFER_BYTES];
         CRC32 crc = new CRC32();
-        long pausedAt = 0;
-        long at = 0;
-        while (at < length) {
-            int count = in.read(buffer, 0, (int) Math.min(buffer.length, length - at));
+        long lastPausePosition = 0;
+        long position = 0;
+        while (position < length) {
+            int count = in.read(buffer, 0, (int) Math.min(buffer.length, length - position));
             if (count < 0) {
-                throw endedEarly(at, length);
+                throw prematureEnd(position, length);
             }
             crc.update(buffer, 0, count);
-            at += count;
-            if (pauseMillis > 0 && at - pausedAt > PAUSE_EVERY_BYTES) {
-                pausedAt = at;
+            position += count;
+            if (pauseMillis > 0 && position - lastPausePosition > PAUSE_EVERY_BYTES) {
+                lastPausePosition = position;
                 DaemonThreads.sleep(pauseMillis);
             }
         }
@@ -74,32 +80,33 @@
     }
 
     /**
-     * Reads a body and describes it as {@link #describe(long, long)} does.
+     * Reads a body and returns its length and CRC-32 in the form of {@link #describe(long, long)},
+     * followed by a line feed.
      *
-     * @param limit its length; {@link Long#MAX_VALUE} to read to the end of the stream
+     * @param limit length of the body; {@link Long#MAX_VALUE} to read to the end of the stream
      */
     static String readDescription(InputStream in, long limit) throws IOException {
         byte[] buffer = new byte[BUFFER_BYTES];
         CRC32 crc = new CRC32();
-        long at = 0;
+        long position = 0;
         int count = 0;
-        while (at < limit && count >= 0) {
-            count = in.read(buffer, 0, (int) Math.min(buffer.length, limit - at));
+        while (position < limit && count >= 0) {
+            count = in.read(buffer, 0, (int) Math.min(buffer.length, limit - position));
             crc.update(buffer, 0, Math.max(0, count));
-            at += Math.max(0, count);
+            position += Math.max(0, count);
         }
-        if (limit != Long.MAX_VALUE && at < limit) {
-            throw endedEarly(at, limit);
+        if (limit != Long.MAX_VALUE && position < limit) {
+            throw prematureEnd(position, limit);
         }
-        return describe(at, crc.getValue()) + "\n";
+        return describe(position, crc.getValue()) + "\n";
     }
 
-    /** Length and sum, as servers answer to an upload. */
+    /** Formats length and CRC-32 as a stand-in server sends them in the response to an upload. */
     static String describe(long length, long crc) {
         return length + " " + Long.toHexString(crc);
     }
 
-    private static IOException endedEarly(long at, long length) {
-        return new IOException("ended after " + at + " of " + length);
+    private static IOException prematureEnd(long position, long length) {
+        return new IOException("stream ended after " + position + " of " + length + " bytes");
     }
 }
--- a/testbed/src/main/java/sagefall/load/ChunkedInputStream.java
+++ b/testbed/src/main/java/sagefall/load/ChunkedInputStream.java
@@ -4,14 +4,14 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** A body in chunks, up to and with its trailers. */
+/** Decodes a body with chunked transfer coding, and skips its trailers. */
 final class ChunkedInputStream extends FilterInputStream {
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
-    private long leftInChunk;
-    private boolean begun;
-    private boolean ended;
+    private long remainingInChunk;
+    private boolean hasPreviousChunk;
+    private boolean isLastChunkRead;
 
     ChunkedInputStream(InputStream in) {
         super(in);
@@ -19,31 +19,35 @@
 
     @Override
     public int read() throws IOException {
-        byte[] one = new byte[1];
-        return read(one, 0, 1) < 0 ? -1 : one[0] & 0xff;
+        byte[] buffer = new byte[1];
+        return read(buffer, 0, 1) < 0 ? -1 : buffer[0] & 0xff;
     }
 
     @Override
-    public int read(byte[] into, int from, int length) throws IOException {
-        if (leftInChunk == 0 && !ended) {
+    public int read(byte[] target, int offset, int length) throws IOException {
+        if (remainingInChunk == 0 && !isLastChunkRead) {
             readChunkHead();
         }
-        int count = ended ? -1 : in.read(into, from, (int) Math.min(length, leftInChunk));
-        if (count < 0 && !ended) {
-            throw new IOException("ended within a chunk");
+        int count =
+                isLastChunkRead
+                        ? -1
+                        : in.read(target, offset, (int) Math.min(length, remainingInChunk));
+        if (count < 0 && !isLastChunkRead) {
+            throw new IOException("stream ended within a chunk");
         }
-        leftInChunk -= Math.max(0, count);
+        remainingInChunk -= Math.max(0, count);
         return count;
     }
 
     private void readChunkHead() throws IOException {
-        if (begun) {
-            HttpHead.readLine(in);
+        if (hasPreviousChunk) {
+            HttpHead.readLine(in); // The line break that ends the data of a chunk.
         }
-        begun = true;
-        leftInChunk = Long.parseLong(String.valueOf(HttpHead.readLine(in)), HEX);
-        ended = leftInChunk == 0;
-        if (ended) {
+        hasPreviousChunk = true;
+        // At the end of the stream the line is null, and parsing "null" as a number fails.
+        remainingInChunk = Long.parseLong(String.valueOf(HttpHead.readLine(in)), HEX_RADIX);
+        isLastChunkRead = remainingInChunk == 0;
+        if (isLastChunkRead) {
             skipTrailers();
         }
     }
--- a/testbed/src/main/java/sagefall/load/DaemonThreads.java
+++ b/testbed/src/main/java/sagefall/load/DaemonThreads.java
@@ -1,20 +1,21 @@
 package sagefall.load;
 
-/** Threads that end with the program. */
+/** Starts threads that do not keep the process from exiting. */
 final class DaemonThreads {
 
-    /** Hundreds of them block at a time. */
+    /** Smaller than the default stack, as hundreds of threads block at a time. */
     private static final int STACK_BYTES = 256 * 1024;
 
     private DaemonThreads() {}
 
+    /** Starts a daemon thread that runs the task. */
     static void start(Runnable task) {
         Thread thread = new Thread(null, task, "load", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Sleeps; an interrupt ends that and stays set. */
+    /** Sleeps. An interrupt ends the sleep and leaves the interrupt status of the thread set. */
     static void sleep(long millis) {
         try {
             Thread.sleep(millis);
--- a/testbed/src/main/java/sagefall/load/HttpHead.java
+++ b/testbed/src/main/java/sagefall/load/HttpHead.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The head of an HTTP/1.1 message: its first line, and its headers by name in any case. */
+/** The head of an HTTP/1.1 message: its first line, and its headers by case-insensitive name. */
 final class HttpHead {
 
-    private static final String OK = " 200 ";
+    private static final String STATUS_OK = " 200 ";
 
     private final String firstLine;
     private final Map<String, String> headers;
@@ -20,7 +20,7 @@
         this.headers = headers;
     }
 
-    /** Reads a head; null if the stream ends before it is complete. */
+    /** Reads a head. Returns null if the stream ends before the head is complete. */
     static HttpHead read(InputStream in) throws IOException {
         String firstLine = readLine(in);
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
@@ -33,7 +33,7 @@
         return line == null ? null : new HttpHead(firstLine, headers);
     }
 
-    /** A line without its end; null if the stream ends before. */
+    /** Reads a line without its line break. Returns null if the stream ends before the break. */
     static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         int next = in.read();
@@ -57,15 +57,16 @@
         return firstLine.split(" ", 0)[1];
     }
 
+    /** Returns whether this is the head of a response with status 200. */
     boolean isOk() {
-        return firstLine.contains(OK);
+        return firstLine.contains(STATUS_OK);
     }
 
     boolean has(String header) {
         return headers.containsKey(header);
     }
 
-    /** The length of the body; 0 if the head has none. */
+    /** Returns the value of Content-Length; 0 if that header is missing. */
     long contentLength() {
         return Long.parseLong(headers.getOrDefault("Content-Length", "0"));
     }
--- a/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
+++ b/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
@@ -15,21 +15,22 @@
 import sagefall.emulator.RandomStreams;
 
 /**
- * Open-loop load: requests at random times (Poisson arrivals) that do not wait for answers. A
- * latency runs from the time at which its request was due, so that a time in which nothing is
- * answered counts for all requests that it delays (no coordinated omission).
+ * Sends open-loop load: Poisson arrivals that do not depend on responses. The latency of a request
+ * is measured from the time at which it was due, so that a stall counts for all requests that it
+ * delays. This avoids coordinated omission.
  */
 public final class OpenLoopLoadGenerator {
 
     /**
-     * What came of the requests.
+     * Numbers of requests by outcome, and latencies.
      *
-     * @param sent requests that were due so far
-     * @param served answered with status 200
-     * @param rejected answered with status 429 or 503
-     * @param failed answered with another status, or not in time
-     * @param unsent not sent, as too many were open
-     * @param latencyMicros of what was served since the previous call
+     * @param sent requests that were due so far, including those that were not sent
+     * @param served requests with a response of status 200
+     * @param rejected requests with a response of status 429 or 503
+     * @param failed requests with a response of another status, or without one in time
+     * @param unsent requests that were not sent, as too many were open
+     * @param latencyMicros latencies of the requests that were served since the previous call of
+     *     {@link OpenLoopLoadGenerator#statistics}
      */
     public record Statistics(
             long sent,
@@ -39,6 +40,15 @@
             long unsent,
             Histogram latencyMicros) {}
 
+    /** Time beyond the stated timeout after which a request without a response has failed. */
+    private static final long RESPONSE_MARGIN_MILLIS = 500;
+
+    private static final int KEYS = 1000;
+    private static final int BODY_BYTES = 300;
+
+    /** Stands for the status of a request without a response. */
+    private static final int NO_RESPONSE = 0;
+
     private static final int OK = 200;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -50,7 +60,7 @@
                     .connectTimeout(Duration.ofSeconds(2))
                     .build();
     private final URI base;
-    private final double perSecond;
+    private final double requestsPerSecond;
     private final int timeoutMillis;
     private final int maxOpen;
     private final UniformRandomProvider random;
@@ -61,62 +71,62 @@
     private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong unsent = new AtomicLong();
-    private volatile boolean ended;
+    private volatile boolean stopped;
 
     /**
-     * Load that has not begun.
+     * Creates a generator that sends nothing before {@link #run}.
      *
-     * @param port of the sidecar, on loopback
-     * @param perSecond mean rate
-     * @param timeoutMillis the timeout that clients state
-     * @param maxOpen requests open at a time; one beyond is counted as unsent
-     * @param seed of times and keys
+     * @param port port of the sidecar on loopback
+     * @param requestsPerSecond mean rate of the arrivals
+     * @param timeoutMillis timeout that each request states in a header
+     * @param maxOpen maximum number of open requests; a request beyond it is counted as unsent
+     * @param seed seed of arrival times, keys and ids
      */
     public OpenLoopLoadGenerator(
-            int port, double perSecond, int timeoutMillis, int maxOpen, long seed) {
+            int port, double requestsPerSecond, int timeoutMillis, int maxOpen, long seed) {
         base = URI.create("http://127.0.0.1:" + port);
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         this.timeoutMillis = timeoutMillis;
         this.maxOpen = maxOpen;
         random = new RandomStreams(seed).stream("open-loop");
     }
 
-    /** Sends for so long, on the calling thread. */
+    /** Sends requests on the calling thread for the given time or until {@link #stop} is called. */
     public void run(double seconds) {
-        long begin = System.nanoTime();
-        double at = 0;
-        while (!ended) {
-            at += -Math.log(1 - random.nextDouble()) / perSecond;
-            if (at > seconds) {
+        long startNanos = System.nanoTime();
+        double dueSecond = 0;
+        while (!stopped) {
+            dueSecond += -Math.log(1 - random.nextDouble()) / requestsPerSecond;
+            if (dueSecond > seconds) {
                 return;
             }
-            long due = begin + (long) (1e9 * at);
-            parkUntil(due);
-            send(due);
+            long dueNanos = startNanos + (long) (1e9 * dueSecond);
+            parkUntil(dueNanos);
+            send(dueNanos);
         }
     }
 
-    private void parkUntil(long due) {
-        long left = due - System.nanoTime();
-        while (left > 0 && !ended) {
-            LockSupport.parkNanos(left);
-            left = due - System.nanoTime();
+    private void parkUntil(long dueNanos) {
+        long remainingNanos = dueNanos - System.nanoTime();
+        while (remainingNanos > 0 && !stopped) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = dueNanos - System.nanoTime();
         }
     }
 
-    /** Sends nothing more; from any thread. */
-    public void end() {
-        ended = true;
+    /** Stops sending. May be called from any thread. */
+    public void stop() {
+        stopped = true;
     }
 
-    private void send(long due) {
+    private void send(long dueNanos) {
         sent.incrementAndGet();
         if (open.incrementAndGet() > maxOpen) {
             open.decrementAndGet();
             unsent.incrementAndGet();
             return;
         }
-        String key = Integer.toHexString(random.nextInt(1000));
+        String key = Integer.toHexString(random.nextInt(KEYS));
         HttpRequest request =
                 HttpRequest.newBuilder(base.resolve("/save/" + key))
                         .header("Request-Id", String.format("%016x", random.nextLong()))
@@ -125,20 +135,23 @@
                         .header(
                                 "Idempotency-Key",
                                 String.format("%016x%016x", random.nextLong(), random.nextLong()))
-                        .timeout(Duration.ofMillis(timeoutMillis + 500L))
-                        .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[300]))
+                        .timeout(Duration.ofMillis(timeoutMillis + RESPONSE_MARGIN_MILLIS))
+                        .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[BODY_BYTES]))
                         .build();
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
                 .whenComplete(
-                        (answer, error) -> count(due, error == null ? answer.statusCode() : 0));
+                        (response, error) ->
+                                recordOutcome(
+                                        dueNanos,
+                                        error == null ? response.statusCode() : NO_RESPONSE));
     }
 
-    private void count(long due, int status) {
+    private void recordOutcome(long dueNanos, int status) {
         open.decrementAndGet();
         switch (status) {
             case OK -> {
                 served.incrementAndGet();
-                long micros = (System.nanoTime() - due) / NANOS_PER_MICRO;
+                long micros = (System.nanoTime() - dueNanos) / NANOS_PER_MICRO;
                 latencies.recordValue(Math.max(1, micros));
             }
             case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> rejected.incrementAndGet();
@@ -146,16 +159,20 @@
         }
     }
 
-    /** Waits until all are answered, at most so long; how many requests are still open then. */
-    public int settle(long millis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (open.get() > 0 && System.nanoTime() < until) {
+    /**
+     * Waits until no request is open, at most for the given time.
+     *
+     * @return the number of requests that are still open
+     */
+    public int awaitResponses(long millis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (open.get() > 0 && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
         return open.get();
     }
 
-    /** Counts since the begin; latencies since the previous call. */
+    /** Returns the counts since the start, and the latencies since the previous call. */
     public Statistics statistics() {
         return new Statistics(
                 sent.get(),
--- a/testbed/src/main/java/sagefall/load/OutageDemo.java
+++ b/testbed/src/main/java/sagefall/load/OutageDemo.java
@@ -9,52 +9,62 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A real sidecar between real sockets, and a zone of servers that is lost meanwhile, live. */
+/**
+ * Demonstrates a zone outage: a real sidecar serves load over sockets while all servers of a zone
+ * fail and later restart. Prints the results of each second.
+ */
 public final class OutageDemo {
 
     private static final int SERVERS_IN_ZONE = 4;
-    private static final String SAFE_ZONE = "a";
-    private static final String LOST_ZONE = "b";
+    private static final String HEALTHY_ZONE = "a";
+    private static final String FAILED_ZONE = "b";
     private static final StandInService SERVICE = new StandInService(4, 40, 40);
     private static final int TIMEOUT_MILLIS = 1250;
-    private static final int MAX_OPEN = 2000;
+    private static final int MAX_OPEN_REQUESTS = 2000;
     private static final int SEED = 1;
     private static final double MICROS_PER_MILLI = 1000.0;
 
-    /** Parts of the time after which the zone is lost, discovery notices, and it is back. */
-    private static final double LOST_AT = 0.3;
+    /** Fraction of the duration after which the servers of the zone fail. */
+    private static final double OUTAGE_FRACTION = 0.3;
 
-    private static final double NOTICED_AT = 0.4;
-    private static final double BACK_AT = 0.55;
+    /** Fraction of the duration after which discovery removes the failed servers. */
+    private static final double REMOVAL_FRACTION = 0.4;
+
+    /** Fraction of the duration after which the servers restart. */
+    private static final double RESTART_FRACTION = 0.55;
 
     private final int seconds;
-    private final double perSecond;
+    private final double requestsPerSecond;
     private final PrintStream out;
     private final StandInDiscovery discovery = new StandInDiscovery();
     private final List<StandInServer> servers = new ArrayList<>();
 
     /**
-     * A demonstration that has not begun.
+     * Creates a demonstration that starts with {@link #run}.
      *
-     * @param seconds how long the load lasts
-     * @param perSecond requests a second
-     * @param out where a line for each second is printed
+     * @param seconds duration of the load
+     * @param requestsPerSecond mean rate of the load
+     * @param out receives a line for each second
      */
-    public OutageDemo(int seconds, double perSecond, PrintStream out) {
+    public OutageDemo(int seconds, double requestsPerSecond, PrintStream out) {
         this.seconds = seconds;
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         this.out = out;
     }
 
-    /** Runs it; whether each request was answered and the sidecar ended as planned. */
+    /**
+     * Runs the demonstration.
+     *
+     * @return whether every request was sent and completed, and the sidecar exited with status 0
+     */
     public boolean run() throws IOException, InterruptedException {
         for (int i = 0; i < 2 * SERVERS_IN_ZONE; i++) {
-            String zone = i % 2 == 0 ? SAFE_ZONE : LOST_ZONE;
+            String zone = i % 2 == 0 ? HEALTHY_ZONE : FAILED_ZONE;
             servers.add(new StandInServer(0, zone, SERVICE, discovery));
         }
         StandInServer discoveryServer =
-                new StandInServer(0, SAFE_ZONE, StandInService.NONE, discovery);
-        discoveryServer.deregister();
+                new StandInServer(0, HEALTHY_ZONE, StandInService.NONE, discovery);
+        discoveryServer.deregister(); // This server is not an endpoint.
         try (SidecarProcess sidecar =
                 new SidecarProcess(
                         SidecarProcess.JAR, settings(), null, discovery, discoveryServer.port())) {
@@ -63,7 +73,7 @@
                     "a sidecar on 127.0.0.1:%d, %d servers in 2 zones, %.0f requests/s for %d s%n",
                     sidecar.port(),
                     servers.size(),
-                    perSecond,
+                    requestsPerSecond,
                     seconds);
             return runLoad(sidecar);
         }
@@ -91,80 +101,80 @@
                                 0.0));
         return SidecarConfig.settings(
                 List.of(save),
-                List.of(SAFE_ZONE, LOST_ZONE),
+                List.of(HEALTHY_ZONE, FAILED_ZONE),
                 Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms")));
     }
 
     private boolean runLoad(SidecarProcess sidecar) throws IOException, InterruptedException {
         OpenLoopLoadGenerator load =
                 new OpenLoopLoadGenerator(
-                        sidecar.port(), perSecond, TIMEOUT_MILLIS, MAX_OPEN, SEED);
-        Runtime.getRuntime().addShutdownHook(new Thread(load::end));
+                        sidecar.port(), requestsPerSecond, TIMEOUT_MILLIS, MAX_OPEN_REQUESTS, SEED);
+        Runtime.getRuntime().addShutdownHook(new Thread(load::stop));
         DaemonThreads.start(() -> load.run(seconds));
         out.println(" second  served/s  refused/s  failed/s   p50 ms   p99 ms");
-        OpenLoopLoadGenerator.Statistics before = load.statistics();
+        OpenLoopLoadGenerator.Statistics previous = load.statistics();
         for (int second = 1; second <= seconds; second++) {
             TimeUnit.SECONDS.sleep(1);
-            OpenLoopLoadGenerator.Statistics now = load.statistics();
-            printSecond(second, before, now, changeZone(second));
-            before = now;
+            OpenLoopLoadGenerator.Statistics current = load.statistics();
+            printSecond(second, previous, current, applyZoneEvent(second));
+            previous = current;
         }
-        int open = load.settle(2 * TIMEOUT_MILLIS);
-        OpenLoopLoadGenerator.Statistics all = load.statistics();
-        int status = sidecar.end();
+        int open = load.awaitResponses(2 * TIMEOUT_MILLIS);
+        OpenLoopLoadGenerator.Statistics total = load.statistics();
+        int status = sidecar.terminate();
         out.printf(
                 Locale.ROOT,
                 "%d requests: %d served, %d refused, %d failed, %d unsent, %d unanswered; the "
-                        + "sidecar ended with status %d%n",
-                all.sent(),
-                all.served(),
-                all.rejected(),
-                all.failed(),
-                all.unsent(),
+                        + "sidecar exited with status %d%n",
+                total.sent(),
+                total.served(),
+                total.rejected(),
+                total.failed(),
+                total.unsent(),
                 open,
                 status);
-        return open == 0 && all.unsent() == 0 && status == 0;
+        return open == 0 && total.unsent() == 0 && status == 0;
     }
 
     private void printSecond(
             int second,
-            OpenLoopLoadGenerator.Statistics before,
-            OpenLoopLoadGenerator.Statistics now,
+            OpenLoopLoadGenerator.Statistics previous,
+            OpenLoopLoadGenerator.Statistics current,
             String event) {
         out.printf(
                 Locale.ROOT,
                 "%7d %9d %10d %9d %8.1f %8.1f  %s%n",
                 second,
-                now.served() - before.served(),
-                now.rejected() - before.rejected(),
-                now.failed() - before.failed(),
-                now.latencyMicros().getValueAtPercentile(50) / MICROS_PER_MILLI,
-                now.latencyMicros().getValueAtPercentile(99) / MICROS_PER_MILLI,
+                current.served() - previous.served(),
+                current.rejected() - previous.rejected(),
+                current.failed() - previous.failed(),
+                current.latencyMicros().getValueAtPercentile(50) / MICROS_PER_MILLI,
+                current.latencyMicros().getValueAtPercentile(99) / MICROS_PER_MILLI,
                 event);
     }
 
-    /** Brings about what happens in this second, and says it. */
-    private String changeZone(int second) throws IOException {
-        if (second == (int) (LOST_AT * seconds)) {
-            for (StandInServer server : lostZone()) {
+    /** Applies the event of this second. Returns its description, or "" if there is none. */
+    private String applyZoneEvent(int second) throws IOException {
+        if (second == (int) (OUTAGE_FRACTION * seconds)) {
+            for (StandInServer server : failedZoneServers()) {
                 server.kill();
             }
-            return "zone b is lost";
+            return "the servers of zone b fail";
         }
-        if (second == (int) (NOTICED_AT * seconds)) {
-            lostZone().forEach(StandInServer::deregister);
-            return "discovery notices";
+        if (second == (int) (REMOVAL_FRACTION * seconds)) {
+            failedZoneServers().forEach(StandInServer::deregister);
+            return "discovery removes the servers of zone b";
         }
-        if (second == (int) (BACK_AT * seconds)) {
-            for (StandInServer server : lostZone()) {
+        if (second == (int) (RESTART_FRACTION * seconds)) {
+            for (StandInServer server : failedZoneServers()) {
                 server.restart();
             }
-            return "zone b is back";
+            return "the servers of zone b restart";
         }
         return "";
     }
 
-    private List<StandInServer> lostZone() {
-        return servers.stream().filter(server -> server.zone().equals(LOST_ZONE)).toList();
+    private List<StandInServer> failedZoneServers() {
+        return servers.stream().filter(server -> server.zone().equals(FAILED_ZONE)).toList();
     }
 }
--- a/testbed/src/main/java/sagefall/load/ProcessStatistics.java
+++ b/testbed/src/main/java/sagefall/load/ProcessStatistics.java
@@ -9,7 +9,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Memory, descriptors and processor time of a process, by Linux and its JVM. */
+/**
+ * Reads memory, file descriptors and processor time of a Java process from {@code /proc} and from
+ * its JVM.
+ */
 public final class ProcessStatistics {
 
     private static final long KIB_PER_MIB = 1024;
@@ -22,7 +25,12 @@
         this.process = process;
     }
 
-    /** A line of its status in KiB, such as VmRSS; -1 if it has none. */
+    /**
+     * Returns a number from the {@code status} file of the process in {@code /proc}, such as VmRSS
+     * in KiB.
+     *
+     * @return the number; -1 if the file has no line of that name
+     */
     public long status(String name) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith(name + ":")) {
@@ -32,7 +40,7 @@
         return -1;
     }
 
-    /** Open file descriptors. */
+    /** Returns the number of open file descriptors. */
     public int descriptors() throws IOException {
         int count = 0;
         try (DirectoryStream<Path> all =
@@ -44,13 +52,13 @@
         return count;
     }
 
-    /** Processor time so far. */
+    /** Returns the processor time that the process has used so far. */
     long cpuMillis() {
         return process.toHandle().info().totalCpuDuration().orElseThrow().toMillis();
     }
 
-    /** The heap in use by its generations, as its JVM reports. */
-    private String heap() throws IOException, InterruptedException {
+    /** Returns the used heap of all generations, as {@code jcmd} reports it, in MiB with unit. */
+    private String usedHeap() throws IOException, InterruptedException {
         Process jcmd =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
@@ -71,10 +79,14 @@
         return used / KIB_PER_MIB + " MiB";
     }
 
-    /** Prints memory and descriptors. */
+    /**
+     * Prints memory and descriptors.
+     *
+     * @param when text that describes the time of the measurement, such as "before"
+     */
     void print(String when) throws IOException, InterruptedException {
         System.out.printf(
                 "  %-22s RSS %d MiB, heap %s, descriptors %d%n",
-                when, status("VmRSS") / KIB_PER_MIB, heap(), descriptors());
+                when, status("VmRSS") / KIB_PER_MIB, usedHeap(), descriptors());
     }
 }
--- a/testbed/src/main/java/sagefall/load/SidecarConfig.java
+++ b/testbed/src/main/java/sagefall/load/SidecarConfig.java
@@ -4,19 +4,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Configurations of the sidecars that the test bed starts, with the keys of the file. */
+/**
+ * Creates the configurations of the sidecars that the test bed starts. Each configuration is a map
+ * with the keys of the configuration file.
+ */
 public final class SidecarConfig {
 
     private SidecarConfig() {}
 
     /**
-     * A configuration.
+     * Creates a configuration.
      *
-     * @param name of the instance
-     * @param discovery host and port
-     * @param seed of its random numbers, 16 hex digits
-     * @param endpoints the endpoint list that it knows from the beginning
-     * @param settings of the balancer
+     * @param name name of the instance
+     * @param discovery host and port of discovery
+     * @param seed seed of the sidecar's random numbers, 16 hex digits
+     * @param endpoints endpoint list that the sidecar starts with
+     * @param settings settings of the balancer
      */
     public static Map<String, Object> config(
             String name,
@@ -34,7 +37,14 @@
         return config;
     }
 
-    /** Settings for these classes and zones; the rest is what all sidecars here have in common. */
+    /**
+     * Creates settings of the balancer. The settings that are not parameters have one value for all
+     * sidecars that this package starts.
+     *
+     * @param classes request classes
+     * @param zones names of the zones; the sidecar is in the first
+     * @param report how endpoints send load reports
+     */
     public static Map<String, Object> settings(
             List<Map<String, Object>> classes, List<String> zones, Map<String, Object> report) {
         Map<String, Object> settings = new LinkedHashMap<>();
--- a/testbed/src/main/java/sagefall/load/SidecarProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarProcess.java
@@ -16,22 +16,25 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A real sidecar, started as the deploy file's {@code run} says, with a configuration file. */
+/**
+ * A sidecar that runs as a process of its own, started with the command {@code run} of the deploy
+ * file and with a generated configuration file.
+ */
 public final class SidecarProcess implements AutoCloseable {
 
-    /** The archive that {@code build} leaves. */
+    /** The archive that the build creates, relative to the checkout. */
     public static final String JAR = "sidecar/target/sagefall.jar";
 
     /**
-     * The checkout whose deploy file is used; the launcher names it, whatever directory it is
-     * called from.
+     * The checkout whose deploy file is used. The script {@code ./sagefall} passes its path as a
+     * system property, so that the script can be called from any directory.
      */
     public static final Path ROOT = Path.of(System.getProperty("sagefall.root", "."));
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String INSTANCE_NAME = "sidecar";
-    private static final long READY_SECONDS = 60;
-    private static final long END_SECONDS = 20;
+    private static final long READY_TIMEOUT_SECONDS = 60;
+    private static final long TERMINATION_TIMEOUT_SECONDS = 20;
 
     private static final Pattern ARCHIVE = Pattern.compile("-jar (\\S+)");
 
@@ -40,12 +43,13 @@
     private final Path log;
 
     /**
-     * Starts it on a free port and waits until it is ready.
+     * Starts a sidecar on a free port and waits until it is ready.
      *
-     * @param jar the archive in the place of the one that {@code run} names
-     * @param extensions the file of extensions; null for none
-     * @param discovery for the endpoint list in its configuration
-     * @param discoveryPort where it finds discovery
+     * @param jar archive that replaces {@link #JAR} in the command {@code run}
+     * @param settings settings of the balancer
+     * @param extensions content of the extensions file; null for no file
+     * @param discovery source of the endpoint list in the sidecar's configuration
+     * @param discoveryPort port of discovery on loopback
      */
     public SidecarProcess(
             String jar,
@@ -70,11 +74,15 @@
     }
 
     /**
-     * Starts it, and does not wait until it is ready.
+     * Starts a sidecar, and does not wait until it is ready.
      *
      * @param run the command, from {@link #run}
-     * @param root the checkout that it is run in
-     * @param directory its own, for its configuration and its log, which a later start appends to
+     * @param root the checkout in which the command runs
+     * @param directory directory of this sidecar, for its configuration and its log; if the log
+     *     exists, the sidecar appends to it
+     * @param listen address on which the sidecar accepts clients
+     * @param config the configuration, to which {@code listen} is added
+     * @param extensions content of the extensions file; null for no file
      */
     public SidecarProcess(
             String run,
@@ -88,10 +96,13 @@
         log = directory.resolve("log");
         config.put("listen", listen.getAddress().getHostAddress() + ":" + listen.getPort());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).directory(root.toFile());
-        builder.environment().put("LB_CONFIG", write(directory.resolve("config.json"), config));
+        builder.environment()
+                .put("LB_CONFIG", writeJson(directory.resolve("config.json"), config));
         if (extensions != null) {
             builder.environment()
-                    .put("LB_EXTENSIONS", write(directory.resolve("extensions.json"), extensions));
+                    .put(
+                            "LB_EXTENSIONS",
+                            writeJson(directory.resolve("extensions.json"), extensions));
         }
         process =
                 builder.redirectErrorStream(true)
@@ -100,9 +111,10 @@
     }
 
     /**
-     * The command of a checkout's deploy file.
+     * Returns the command {@code run} of a checkout's deploy file.
      *
-     * @throws NoSuchFileException with a message of one line if the checkout is none, or not built
+     * @throws NoSuchFileException with a message of one line if the directory is not a checkout, or
+     *     the checkout is not built
      */
     public static String run(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
@@ -122,18 +134,22 @@
         return run;
     }
 
-    /** A free port at that address. */
-    public static InetSocketAddress free(InetAddress at) throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, at)) {
-            return new InetSocketAddress(at, free.getLocalPort());
+    /** Returns the IP address with a port that is free at the moment of the call. */
+    public static InetSocketAddress free(InetAddress ip) throws IOException {
+        try (ServerSocket free = new ServerSocket(0, 1, ip)) {
+            return new InetSocketAddress(ip, free.getLocalPort());
         }
     }
 
-    /** Waits until it answers that it is ready. */
+    /**
+     * Waits until the sidecar reports that it is ready.
+     *
+     * @throws IOException with the sidecar's log, if the process exits or is not ready within 60 s
+     */
     public void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
-        while (!healthy()) {
-            if (!process.isAlive() || System.nanoTime() > until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
+        while (!isReady()) {
+            if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
                 process.destroyForcibly();
                 throw new IOException("the sidecar did not become ready: " + Files.readString(log));
             }
@@ -141,17 +157,17 @@
         }
     }
 
-    /** The process itself. */
+    /** Returns the operating system process. */
     public Process process() {
         return process;
     }
 
-    private static String write(Path file, Map<String, Object> object) throws IOException {
+    private static String writeJson(Path file, Map<String, Object> object) throws IOException {
         Files.write(file, JSON.writeValueAsBytes(object));
         return file.toString();
     }
 
-    private boolean healthy() {
+    private boolean isReady() {
         try (Socket socket = connect()) {
             socket.getOutputStream()
                     .write(
@@ -164,10 +180,12 @@
         }
     }
 
+    /** Returns the port on which the sidecar accepts clients. */
     int port() {
         return address.getPort();
     }
 
+    /** Opens a connection to the sidecar. */
     Socket connect() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setTcpNoDelay(true);
@@ -175,25 +193,29 @@
         return socket;
     }
 
-    /** Its use of memory, descriptors and processor time. */
+    /** Returns statistics of the memory, descriptors and processor time of the process. */
     public ProcessStatistics statistics() {
         return new ProcessStatistics(process);
     }
 
-    /** Ends it by SIGTERM, and by SIGKILL if that takes too long; its exit status. */
-    int end() {
+    /**
+     * Terminates the process by SIGTERM, or by SIGKILL if it has not exited after 20 s.
+     *
+     * @return its exit status
+     */
+    int terminate() {
         process.destroy();
         process.onExit()
-                .orTimeout(END_SECONDS, TimeUnit.SECONDS)
-                .exceptionally(late -> process.destroyForcibly())
+                .orTimeout(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                .exceptionally(timeout -> process.destroyForcibly())
                 .join();
         return process.onExit().join().exitValue();
     }
 
-    /** Ends it and prints what it logged. */
+    /** Terminates the process and prints its log. */
     @Override
     public void close() throws IOException {
-        end();
+        terminate();
         for (String line : Files.readAllLines(log)) {
             System.out.println("  log: " + line);
         }
--- a/testbed/src/main/java/sagefall/load/StandInDiscovery.java
+++ b/testbed/src/main/java/sagefall/load/StandInDiscovery.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 
 /**
- * The endpoint list of a stand-in discovery: servers by id, and a revision that grows with each
- * change. Safe for use by several threads.
+ * The endpoint list of a stand-in discovery: endpoints by server id, and a revision that grows with
+ * each change. Safe for use by several threads.
  */
 public final class StandInDiscovery {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Map<String, Map<String, Object>> servers = new LinkedHashMap<>();
+    private final Map<String, Map<String, Object>> endpointsById = new LinkedHashMap<>();
     private long revision = 1;
 
-    /** Registers a server, or changes what is listed of it. */
+    /** Adds a server to the list, or replaces its entry. */
     synchronized void put(String id, int port, String zone, String state, long bootMillis) {
         Map<String, Object> endpoint = new LinkedHashMap<>();
         endpoint.put("uid", id);
@@ -30,48 +30,52 @@
         endpoint.put("state", state);
         endpoint.put("capacity_hint", 1.0);
         endpoint.put("boot_ms", bootMillis);
-        servers.put(id, endpoint);
+        endpointsById.put(id, endpoint);
         revision++;
         notifyAll();
     }
 
-    /** Removes a server. */
+    /** Removes a server from the list. */
     synchronized void remove(String id) {
-        servers.remove(id);
+        endpointsById.remove(id);
         revision++;
         notifyAll();
     }
 
-    /** The complete list, as discovery writes it. */
+    /** Returns the complete list as a map with the keys of the discovery protocol. */
     synchronized Map<String, Object> list() {
-        return listOf(true, new ArrayList<>(servers.values()));
+        return listOf(true, new ArrayList<>(endpointsById.values()));
     }
 
-    private Map<String, Object> listOf(boolean all, List<Map<String, Object>> endpoints) {
+    private Map<String, Object> listOf(boolean complete, List<Map<String, Object>> endpoints) {
         Map<String, Object> list = new LinkedHashMap<>();
         list.put("rev", revision);
-        list.put("all", all);
+        list.put("all", complete);
         list.put("targets", endpoints);
         return list;
     }
 
     /**
-     * Waits for a newer revision, at most so long; the complete list, or one without endpoints if
-     * there is none.
+     * Waits until the list is newer than a revision.
+     *
+     * @param knownRevision revision that the sidecar already has
+     * @param holdMillis longest time to wait
+     * @return the complete list as JSON; if no newer revision exists in time, an empty list of
+     *     changes
      */
-    synchronized String watch(long from, long holdMillis) throws InterruptedException {
-        long until = System.nanoTime() + holdMillis * 1_000_000;
-        while (from >= revision) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
-                return text(listOf(false, List.of()));
+    synchronized String watch(long knownRevision, long holdMillis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + holdMillis * 1_000_000;
+        while (knownRevision >= revision) {
+            long remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
+            if (remainingMillis <= 0) {
+                return toJson(listOf(false, List.of()));
             }
-            wait(left);
+            wait(remainingMillis);
         }
-        return text(list());
+        return toJson(list());
     }
 
-    private static String text(Map<String, Object> list) {
+    private static String toJson(Map<String, Object> list) {
         try {
             return JSON.writeValueAsString(list);
         } catch (JsonProcessingException e) {
--- a/testbed/src/main/java/sagefall/load/StandInFaults.java
+++ b/testbed/src/main/java/sagefall/load/StandInFaults.java
@@ -3,19 +3,19 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Parts of the {@code POST}s to a stand-in server that do not end with an answer that counts.
+ * Fractions of the {@code POST}s to a stand-in server that fail, by kind of fault.
  *
- * @param errors part answered with status 500
- * @param unanswered part never answered
- * @param resets part whose connection is reset
- * @param malformed part answered with what is not HTTP
+ * @param errors fraction whose response has status 500
+ * @param unanswered fraction without a response
+ * @param resets fraction whose connection is reset
+ * @param malformed fraction whose response is not HTTP
  */
 public record StandInFaults(double errors, double unanswered, double resets, double malformed) {
 
-    /** None. */
+    /** No faults. */
     public static final StandInFaults NONE = new StandInFaults(0, 0, 0, 0);
 
-    /** How a request ends. */
+    /** Outcome of a request. */
     enum Outcome {
         ANSWERED,
         ERROR,
@@ -24,7 +24,7 @@
         MALFORMED
     }
 
-    /** Draws the end of one request. */
+    /** Draws the outcome of a request at random. */
     Outcome drawOutcome() {
         double draw = ThreadLocalRandom.current().nextDouble();
         draw -= errors;
--- a/testbed/src/main/java/sagefall/load/StandInServer.java
+++ b/testbed/src/main/java/sagefall/load/StandInServer.java
@@ -21,22 +21,29 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for a save server and for discovery, on loopback, to try and to measure a sidecar
- * with. {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is answered with so many bytes of a {@link
- * BytePattern}, any {@code POST} with the length and the CRC-32 of its body, and {@code
- * /v1/servers} with the endpoint list. A {@link StandInService} gives it slots that work takes time
- * in, and a report of its load; {@link StandInFaults} what a server can do wrong. It has a thread
- * for each connection.
+ * A stand-in for a save server and for discovery, which listens on loopback and serves tests and
+ * measurements of a sidecar. Each connection has a thread.
+ *
+ * <ul>
+ *   <li>The response to {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is a {@link BytePattern} of that
+ *       length and seed, with a pause after the first 100 bytes.
+ *   <li>The response to any {@code POST} is the length and the CRC-32 of its body. {@link
+ *       StandInService} sets the number of slots, the processing time and whether the server sends
+ *       load reports; {@link StandInFaults} sets how many requests fail.
+ *   <li>The response to {@code /v1/servers} is the endpoint list.
+ * </ul>
  */
 public final class StandInServer {
 
     private static final int BACKLOG = 1000;
     private static final int BUFFER_BYTES = 64 * 1024;
-    private static final int FIRST_BYTES = 100;
+    private static final int PREFIX_BYTES = 100;
     private static final double MICROS_PER_MILLI = 1000;
     private static final double NANOS_PER_MICRO = 1000;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final long ANY_REVISION = -1;
+
+    /** Known revision of a sidecar without a list. As every list is newer, it is sent at once. */
+    private static final long NO_REVISION = -1;
 
     private final StandInDiscovery discovery;
     private final String id;
@@ -49,12 +56,15 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final long startNanos = System.nanoTime();
     private volatile StandInFaults faults = StandInFaults.NONE;
-    private ServerSocket listening;
+    private ServerSocket listeningSocket;
 
     /**
-     * Listens on a loopback port, and registers with discovery.
+     * Starts a server on a loopback port, and registers it with discovery.
      *
-     * @param port 0 for one that is free
+     * @param port the port; 0 for any free port
+     * @param zone zone that discovery reports for the server
+     * @param service how the server processes a {@code POST}
+     * @param discovery endpoint list that the server registers with and serves
      */
     public StandInServer(int port, String zone, StandInService service, StandInDiscovery discovery)
             throws IOException {
@@ -62,15 +72,15 @@
         this.zone = zone;
         this.service = service;
         slots = new Semaphore(service.slots(), true);
-        listening = new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
-        this.port = listening.getLocalPort();
+        listeningSocket = new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
+        this.port = listeningSocket.getLocalPort();
         id = "s-" + this.port;
         register(0);
-        ServerSocket first = listening;
-        DaemonThreads.start(() -> accept(first));
+        ServerSocket initialSocket = listeningSocket;
+        DaemonThreads.start(() -> accept(initialSocket));
     }
 
-    /** The port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return port;
     }
@@ -79,9 +89,9 @@
         return zone;
     }
 
-    /** The faults that it has from now on. */
-    public void faults(StandInFaults now) {
-        faults = now;
+    /** Sets the fractions of requests that fail from now on. */
+    public void setFaults(StandInFaults newFaults) {
+        faults = newFaults;
     }
 
     private void register(long bootMillis) {
@@ -89,42 +99,42 @@
     }
 
     /**
-     * Its process dies: it refuses connections, and open ones are reset. Discovery lists it until
-     * {@link #deregister}.
+     * Simulates a crash of the server: it refuses connections, and open connections are reset.
+     * Discovery lists the server until {@link #deregister}.
      */
     synchronized void kill() throws IOException {
-        listening.close();
+        listeningSocket.close();
         for (Socket socket : sockets) {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    /** Listens at the same address, as a new process, and registers with discovery. */
+    /** Listens at the address again, as a new process would, and registers with discovery. */
     synchronized void restart() throws IOException {
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
-        listening = socket;
+        listeningSocket = socket;
         DaemonThreads.start(() -> accept(socket));
         register(System.currentTimeMillis());
     }
 
-    /** Discovery lists it no more. */
+    /** Removes the server from discovery. */
     public void deregister() {
         discovery.remove(id);
     }
 
-    private void accept(ServerSocket from) {
+    private void accept(ServerSocket serverSocket) {
         try {
             while (true) {
-                Socket socket = from.accept();
+                Socket socket = serverSocket.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
                 DaemonThreads.start(() -> serve(socket));
             }
         } catch (IOException e) {
-            // It was killed, or the program ends.
+            // The server was killed, or the program exits.
         }
     }
 
@@ -133,16 +143,16 @@
             InputStream in = new BufferedInputStream(socket.getInputStream(), BUFFER_BYTES);
             OutputStream out = socket.getOutputStream();
             HttpHead request = HttpHead.read(in);
-            boolean open = true;
-            while (request != null && open) {
-                open = answer(request, socket, in, out);
-                if (open) {
+            boolean staysOpen = true;
+            while (request != null && staysOpen) {
+                staysOpen = respond(request, socket, in, out);
+                if (staysOpen) {
                     out.flush();
                     request = HttpHead.read(in);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            // The sidecar closed the connection, or requested what this server does not know.
+            // The sidecar closed the connection, or sent a request that this server cannot parse.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -150,14 +160,18 @@
         }
     }
 
-    /** Answers a request; whether its connection goes on. */
-    private boolean answer(HttpHead request, Socket socket, InputStream in, OutputStream out)
+    /**
+     * Sends the response to a request.
+     *
+     * @return whether the connection stays open
+     */
+    private boolean respond(HttpHead request, Socket socket, InputStream in, OutputStream out)
             throws IOException, InterruptedException {
         String uri = request.uri();
         if (uri.startsWith("/v1/servers")) {
-            long hold = query(uri, "hold_ms");
-            long from = hold == 0 ? ANY_REVISION : query(uri, "from");
-            writeText(out, discovery.watch(from, hold), "");
+            long holdMillis = queryParameter(uri, "hold_ms");
+            long knownRevision = holdMillis == 0 ? NO_REVISION : queryParameter(uri, "from");
+            writeText(out, discovery.watch(knownRevision, holdMillis), "");
             return true;
         }
         if (request.method().equals("GET")) {
@@ -168,16 +182,21 @@
                 request.has("Transfer-Encoding")
                         ? BytePattern.readDescription(new ChunkedInputStream(in), Long.MAX_VALUE)
                         : BytePattern.readDescription(in, request.contentLength());
-        return work(socket, out, description);
+        return processPost(socket, out, description);
     }
 
-    private static long query(String uri, String name) {
+    /** Returns the value of a numeric parameter in the query of a URI; 0 if it is missing. */
+    private static long queryParameter(String uri, String name) {
         Matcher matcher = Pattern.compile("[?&]" + name + "=(\\d{1,18})").matcher(uri);
         return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
     }
 
-    /** One request in a slot; whether its connection goes on. */
-    private boolean work(Socket socket, OutputStream out, String description)
+    /**
+     * Processes a {@code POST} in a slot, or rejects it if the queue is full.
+     *
+     * @return whether the connection stays open
+     */
+    private boolean processPost(Socket socket, OutputStream out, String description)
             throws IOException, InterruptedException {
         if (inFlight.incrementAndGet() > (long) service.slots() + service.queue()) {
             inFlight.decrementAndGet();
@@ -186,34 +205,40 @@
         }
         slots.acquire();
         try {
-            parkForWork();
+            simulateProcessing();
         } finally {
             slots.release();
             inFlight.decrementAndGet();
         }
-        return end(faults.drawOutcome(), socket, out, description);
+        return respondWith(faults.drawOutcome(), socket, out, description);
     }
 
-    private void parkForWork() {
+    /** Waits for an exponentially distributed processing time. */
+    private void simulateProcessing() {
         if (service.millis() > 0) {
-            double draw = -Math.log(1 - ThreadLocalRandom.current().nextDouble());
-            double micros = MICROS_PER_MILLI * service.millis() * draw;
+            double exponential = -Math.log(1 - ThreadLocalRandom.current().nextDouble());
+            double micros = MICROS_PER_MILLI * service.millis() * exponential;
             LockSupport.parkNanos((long) (NANOS_PER_MICRO * micros));
         }
     }
 
-    private boolean end(
+    /**
+     * Sends the response to a {@code POST} with the given outcome.
+     *
+     * @return whether the connection stays open
+     */
+    private boolean respondWith(
             StandInFaults.Outcome outcome, Socket socket, OutputStream out, String description)
             throws IOException {
         switch (outcome) {
             case ERROR -> write(out, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
             case MALFORMED -> write(out, "\u0007noise\r\n\r\n");
             case UNANSWERED -> {
-                socket.getInputStream().read();
+                socket.getInputStream().read(); // Blocks until the sidecar closes the connection.
                 return false;
             }
             case RESET -> {
-                socket.setSoLinger(true, 0);
+                socket.setSoLinger(true, 0); // Makes the close of the connection a reset.
                 return false;
             }
             default -> {
@@ -224,6 +249,7 @@
         return true;
     }
 
+    /** Returns the header of a load report: used slots, throughput and mean processing time. */
     private String loadReport() {
         double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
         return String.format(
@@ -249,22 +275,23 @@
                         + text);
     }
 
-    /** The bytes that a path names; with a pause behind the first of them. */
+    /** Writes the response that a path describes, with the pause after the first bytes. */
     private static void writePattern(OutputStream out, String[] path) throws IOException {
         long length = Long.parseLong(path[2]);
-        int seed = number(path, 3);
-        long pauseMillis = number(path, 4);
+        int seed = numericSegment(path, 3);
+        long pauseMillis = numericSegment(path, 4);
         write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n");
-        long at = 0;
+        long position = 0;
         if (pauseMillis > 0) {
-            BytePattern.writeBegin(out, FIRST_BYTES, seed);
-            at = FIRST_BYTES;
+            BytePattern.writePrefix(out, PREFIX_BYTES, seed);
+            position = PREFIX_BYTES;
             DaemonThreads.sleep(pauseMillis);
         }
-        BytePattern.write(out, at, length, seed);
+        BytePattern.write(out, position, length, seed);
     }
 
-    private static int number(String[] path, int place) {
-        return path.length > place ? Integer.parseInt(path[place]) : 0;
+    /** Returns the number in a segment of a path; 0 if it is missing. */
+    private static int numericSegment(String[] path, int index) {
+        return path.length > index ? Integer.parseInt(path[index]) : 0;
     }
 }
--- a/testbed/src/main/java/sagefall/load/StandInService.java
+++ b/testbed/src/main/java/sagefall/load/StandInService.java
@@ -1,20 +1,20 @@
 package sagefall.load;
 
 /**
- * How a stand-in server works on a {@code POST}.
+ * Settings for the processing of a {@code POST} by a stand-in server.
  *
- * @param slots requests in work at a time
- * @param queue how many may wait; what comes beyond is rejected before it begins
- * @param millis mean time of one, exponentially distributed; 0: at once
- * @param reportsLoad whether answers carry a load report
+ * @param slots maximum number of requests that are processed at a time
+ * @param queue maximum number of queued requests; a request beyond it is rejected unprocessed
+ * @param millis mean of the exponentially distributed processing time; 0 for none
+ * @param reportsLoad whether responses have a load report
  */
 public record StandInService(int slots, int queue, double millis, boolean reportsLoad) {
 
-    /** At once, without a report. */
+    /** No limits, no processing time and no load reports. */
     public static final StandInService NONE =
             new StandInService(Integer.MAX_VALUE, Integer.MAX_VALUE, 0, false);
 
-    /** With a report. */
+    /** Creates a service whose responses have load reports. */
     public StandInService(int slots, int queue, double millis) {
         this(slots, queue, millis, true);
     }
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Measures the streaming of a real sidecar, started as the deploy file's {@code run} says, between
- * blocking clients and stand-in servers of this process. What it prints is what it counted;
- * docs/MEASURING.md says how to call it.
+ * Measures the streaming of a real sidecar between blocking clients and stand-in servers, which run
+ * in this process, and prints the results. {@link SidecarProcess} starts the sidecar.
+ * docs/MEASURING.md describes how to run the benchmark.
  */
 public final class StreamBenchmark {
 
@@ -34,9 +34,9 @@
     private static final long SLOW_READER_PAUSE_MILLIS = 200;
     private static final long IDLE_MILLIS = 12_000;
 
-    private static final int ANSWER_BYTES = 60_000;
-    private static final int FIRST_BYTE_EXCHANGES = 100;
-    private static final int ANSWER_EXCHANGES = 20_000;
+    private static final int RESPONSE_BYTES = 60_000;
+    private static final int PAUSED_EXCHANGES = 100;
+    private static final int RESPONSE_EXCHANGES = 20_000;
 
     private static final int SMALL_BYTES = 300;
     private static final int SMALL_WARM_UP = 20_000;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Whether each sum was right and no exchange failed. */
+    /** Returns whether every checksum was correct and no exchange failed. */
     public boolean isCorrect() {
         return client.failures() == 0;
     }
@@ -102,7 +102,10 @@
                 Map.of("classes", classes, "replay_bytes", 0, "max_buffered_bytes", 14_000_000));
     }
 
-    /** 200 streams of 64 MiB at once, both directions, one in ten of the readers slow. */
+    /**
+     * Measures 200 streams of 64 MiB at once, downloads and then uploads. One in ten of the readers
+     * of downloads is slow.
+     */
     public void measureStreams(String jar) throws IOException, InterruptedException {
         for (boolean upload : new boolean[] {false, true}) {
             System.out.println(
@@ -120,7 +123,7 @@
         ProcessStatistics statistics = sidecar.statistics();
         statistics.print("before");
         long cpuMillis = statistics.cpuMillis();
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         CountDownLatch done = new CountDownLatch(STREAMS);
         for (int i = 0; i < STREAMS; i++) {
             int number = i;
@@ -128,16 +131,16 @@
         }
         long peakRssKib = 0;
         int peakDescriptors = 0;
-        int polls = 0;
+        int samples = 0;
         while (!done.await(100, TimeUnit.MILLISECONDS)) {
             peakRssKib = Math.max(peakRssKib, statistics.status("VmRSS"));
             peakDescriptors = Math.max(peakDescriptors, statistics.descriptors());
-            polls++;
-            if (polls % 50 == 0) {
-                statistics.print("after " + polls / 10 + " s");
+            samples++;
+            if (samples % 50 == 0) {
+                statistics.print("after " + samples / 10 + " s");
             }
         }
-        double seconds = (System.nanoTime() - begin) / NANOS_PER_SECOND;
+        double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
         double gib = STREAMS * STREAM_BYTES / GIB;
         System.out.printf(
                 "  %.1f GiB in %.1f s, %.2f s of processor time a GiB; peak RSS %d MiB, peak"
@@ -149,31 +152,32 @@
                 peakDescriptors,
                 client.failures());
         DaemonThreads.sleep(IDLE_MILLIS);
-        statistics.print("12 s after the last");
+        statistics.print("12 s after the end");
     }
 
     private void stream(SidecarProcess sidecar, boolean upload, int number, CountDownLatch done) {
         int seed = 1 + number * 37;
-        long pause = number % SLOW_READER_EVERY == 0 ? SLOW_READER_PAUSE_MILLIS : 0;
+        long pauseMillis = number % SLOW_READER_EVERY == 0 ? SLOW_READER_PAUSE_MILLIS : 0;
         try (Socket socket = sidecar.connect()) {
             if (upload) {
                 client.upload(socket, STREAM_BYTES, seed);
             } else {
-                client.download(socket, new StreamClient.Download(STREAM_BYTES, seed, 0, pause));
+                client.download(
+                        socket, new StreamClient.Download(STREAM_BYTES, seed, 0, pauseMillis));
             }
         } catch (IOException e) {
-            client.fail(e.toString());
+            client.recordFailure(e.toString());
         }
         done.countDown();
     }
 
     /**
-     * Time to the first byte, and processor time, of answers that can be streamed or buffered, in
-     * pairs.
+     * Measures the time to the first byte and the processor time of responses, in pairs of
+     * buffered and streamed responses.
      */
     public void measureFirstByte(String jar) throws IOException, InterruptedException {
         System.out.println(
-                "answers of 60,000 bytes whose rest comes 20 ms behind the first 100 bytes; and "
+                "responses of 60,000 bytes with a pause of 20 ms after the first 100 bytes; and "
                         + "20,000 without that pause, on 8 connections");
         for (int pair = 0; pair < PAIRS; pair++) {
             for (boolean streaming : new boolean[] {false, true}) {
@@ -186,29 +190,29 @@
 
     private void measureFirstByte(SidecarProcess sidecar, int pair, boolean streaming)
             throws IOException, InterruptedException {
-        long[] firstByte = new long[FIRST_BYTE_EXCHANGES];
+        long[] firstByte = new long[PAUSED_EXCHANGES];
         try (Socket socket = sidecar.connect()) {
             for (int i = 0; i < firstByte.length; i++) {
                 StreamClient.Download download =
-                        new StreamClient.Download(ANSWER_BYTES, i + 1, 20, 0);
+                        new StreamClient.Download(RESPONSE_BYTES, i + 1, 20, 0);
                 firstByte[i] = client.download(socket, download);
             }
         }
         Arrays.sort(firstByte);
         long cpuMillis = sidecar.statistics().cpuMillis();
         ExchangeStatistics exchanges =
-                repeat(
+                runExchanges(
                         sidecar,
-                        ANSWER_EXCHANGES,
+                        RESPONSE_EXCHANGES,
                         (socket, number) ->
                                 client.download(
                                         socket,
                                         new StreamClient.Download(
-                                                ANSWER_BYTES, 1 + number % 100, 0, 0)));
-        double gib = (double) ANSWER_EXCHANGES * ANSWER_BYTES / GIB;
+                                                RESPONSE_BYTES, 1 + number % 100, 0, 0)));
+        double gib = (double) RESPONSE_EXCHANGES * RESPONSE_BYTES / GIB;
         System.out.printf(
                 "pair %d, %s: first byte median %.1f ms, 99%% %.1f ms; %.2f s of processor time a"
-                        + " GiB; median of a complete one %d us%n",
+                        + " GiB; median of a response without pause %d us%n",
                 pair,
                 streaming ? "streamed" : "buffered",
                 firstByte[50] / MICROS_PER_MILLI,
@@ -217,7 +221,10 @@
                 exchanges.medianMicros());
     }
 
-    /** Small requests: this build without and with streaming, and another build. */
+    /**
+     * Measures small uploads in rounds: with a baseline build, then with the measured build, first
+     * without and then with streaming.
+     */
     public void measureSmall(String jar, String baselineJar)
             throws IOException, InterruptedException {
         System.out.println("uploads of 300 bytes, 60,000 on 8 connections after 20,000 to warm up");
@@ -233,9 +240,9 @@
         try (SidecarProcess sidecar = start(jar, streaming)) {
             Exchange upload =
                     (socket, number) -> client.upload(socket, SMALL_BYTES, 1 + number % 1000);
-            repeat(sidecar, SMALL_WARM_UP, upload);
+            runExchanges(sidecar, SMALL_WARM_UP, upload);
             long cpuMillis = sidecar.statistics().cpuMillis();
-            ExchangeStatistics exchanges = repeat(sidecar, SMALL_EXCHANGES, upload);
+            ExchangeStatistics exchanges = runExchanges(sidecar, SMALL_EXCHANGES, upload);
             System.out.printf(
                     "pair %d, %-5s (%s): %.1f us of processor time each; %d requests/s; "
                             + "median %d us, 99%% %d us%n",
@@ -249,45 +256,48 @@
         }
     }
 
+    /** A request with its response on an open connection. */
     @FunctionalInterface
     private interface Exchange {
         void run(Socket socket, int number) throws IOException;
     }
 
+    /** Throughput of exchanges, and percentiles of their latency. */
     private record ExchangeStatistics(long perSecond, long medianMicros, long p99Micros) {}
 
-    /** So many exchanges on eight connections. */
-    private ExchangeStatistics repeat(SidecarProcess sidecar, int count, Exchange exchange)
+    /** Runs the given number of exchanges on {@link #CONNECTIONS} connections at a time. */
+    private ExchangeStatistics runExchanges(SidecarProcess sidecar, int count, Exchange exchange)
             throws InterruptedException {
         long[] micros = new long[count];
         AtomicInteger next = new AtomicInteger();
         CountDownLatch done = new CountDownLatch(CONNECTIONS);
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < CONNECTIONS; i++) {
             DaemonThreads.start(
                     () -> {
-                        repeat(sidecar, exchange, next, micros);
+                        runExchanges(sidecar, exchange, next, micros);
                         done.countDown();
                     });
         }
         done.await();
-        long perSecond = count * 1_000_000_000L / (System.nanoTime() - begin);
+        long perSecond = count * 1_000_000_000L / (System.nanoTime() - startNanos);
         Arrays.sort(micros);
         return new ExchangeStatistics(perSecond, micros[count / 2], micros[count / 100 * 99]);
     }
 
-    private void repeat(
+    /** Runs exchanges on one connection until all have been started. */
+    private void runExchanges(
             SidecarProcess sidecar, Exchange exchange, AtomicInteger next, long[] micros) {
         try (Socket socket = sidecar.connect()) {
             int number = next.getAndIncrement();
             while (number < micros.length) {
-                long at = System.nanoTime();
+                long exchangeStartNanos = System.nanoTime();
                 exchange.run(socket, number);
-                micros[number] = (System.nanoTime() - at) / 1000;
+                micros[number] = (System.nanoTime() - exchangeStartNanos) / 1000;
                 number = next.getAndIncrement();
             }
         } catch (IOException e) {
-            client.fail(e.toString());
+            client.recordFailure(e.toString());
         }
     }
 }
--- a/testbed/src/main/java/sagefall/load/StreamClient.java
+++ b/testbed/src/main/java/sagefall/load/StreamClient.java
@@ -11,7 +11,7 @@
 
 /**
  * A blocking client that downloads and uploads bodies of a {@link BytePattern} through a sidecar
- * and checks their sums. Safe for use by several threads, each on a connection of its own.
+ * and checks their CRC-32. Safe for use by several threads, each on a connection of its own.
  */
 final class StreamClient {
 
@@ -22,29 +22,33 @@
     private final AtomicInteger failures = new AtomicInteger();
 
     /**
-     * A download.
+     * Parameters of a download.
      *
-     * @param length of the answer
-     * @param seed of its bytes
-     * @param serverPauseMillis pause of the server behind the first bytes
+     * @param length length of the body
+     * @param seed seed of its bytes
+     * @param serverPauseMillis pause of the server after the first bytes
      * @param readPauseMillis pause of the client after each 256 KiB
      */
     record Download(long length, int seed, long serverPauseMillis, long readPauseMillis) {}
 
-    /** Sums that differed, and exchanges that failed. */
+    /** Returns the number of exchanges that failed or whose body had a wrong checksum. */
     int failures() {
         return failures.get();
     }
 
     /** Counts and prints a failure. */
-    void fail(String reason) {
+    void recordFailure(String reason) {
         failures.incrementAndGet();
         System.out.println("  FAILED: " + reason);
     }
 
-    /** Downloads; the time to the first byte of the body in microseconds. */
+    /**
+     * Downloads a body and checks it.
+     *
+     * @return the time to the first byte of the body in microseconds
+     */
     long download(Socket socket, Download download) throws IOException {
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         String path =
                 "/export/"
                         + download.length
@@ -52,31 +56,31 @@
                         + download.seed
                         + "/"
                         + download.serverPauseMillis;
-        write(socket.getOutputStream(), request("GET", path, 0));
+        write(socket.getOutputStream(), requestHead("GET", path, 0));
         InputStream in = new BufferedInputStream(socket.getInputStream(), BUFFER_BYTES);
         readOkHead(in);
         in.mark(1);
         in.read();
         in.reset();
-        long firstByteMicros = (System.nanoTime() - begin) / NANOS_PER_MICRO;
+        long firstByteMicros = (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
         long crc = BytePattern.readCrc(in, download.length, download.readPauseMillis);
         if (crc != BytePattern.crc(download.length, download.seed)) {
-            fail("the sum of a download differs");
+            recordFailure("wrong checksum of a download");
         }
         return firstByteMicros;
     }
 
-    /** Uploads, and reads what the server counted. */
+    /** Uploads a body, and checks the length and the checksum that the server received. */
     void upload(Socket socket, long length, int seed) throws IOException {
         OutputStream out = socket.getOutputStream();
-        write(out, request("POST", "/append/" + seed, length));
+        write(out, requestHead("POST", "/append/" + seed, length));
         BytePattern.write(out, 0, length, seed);
         InputStream in = socket.getInputStream();
         HttpHead head = readOkHead(in);
         byte[] body = in.readNBytes((int) head.contentLength());
-        String counted = new String(body, StandardCharsets.US_ASCII).trim();
-        if (!counted.equals(BytePattern.describe(length, BytePattern.crc(length, seed)))) {
-            fail("the sum of an upload differs");
+        String received = new String(body, StandardCharsets.US_ASCII).trim();
+        if (!received.equals(BytePattern.describe(length, BytePattern.crc(length, seed)))) {
+            recordFailure("wrong length or checksum of an upload");
         }
     }
 
@@ -87,12 +91,12 @@
     private static HttpHead readOkHead(InputStream in) throws IOException {
         HttpHead head = HttpHead.read(in);
         if (head == null || !head.isOk()) {
-            throw new IOException("answered " + head);
+            throw new IOException("unexpected response: " + head);
         }
         return head;
     }
 
-    private String request(String method, String path, long length) {
+    private String requestHead(String method, String path, long length) {
         return method
                 + " "
                 + path
--- a/testbed/src/main/java/sagefall/report/HeatMap.java
+++ b/testbed/src/main/java/sagefall/report/HeatMap.java
@@ -8,31 +8,34 @@
 import java.util.List;
 import javax.imageio.ImageIO;
 
-/** Rows of values over the seconds of a run, as a picture within the page. */
+/** Draws rows of values over the seconds of a run as an image that is embedded in the page. */
 final class HeatMap {
 
-    private static final int DOWN_COLOUR = 0x111111;
+    private static final int NO_VALUE_COLOUR = 0x111111;
     private static final int MIN_HEIGHT = 80;
     private static final int MAX_HEIGHT = 420;
     private static final int ROW_HEIGHT = 20;
 
     /**
-     * Names of groups of rows.
+     * Groups of adjacent rows, from the top.
      *
-     * @param names from the top
-     * @param sizes how many rows each name is for
+     * @param names names of the groups
+     * @param sizes number of rows of each group
      */
     record RowGroups(List<String> names, int[] sizes) {}
 
     private HeatMap() {}
 
     /**
-     * A picture with a cell for each second.
+     * Returns a figure as HTML, with a row for each row of values and a column for each second.
      *
-     * @param rows by row and second; below 0 is drawn black: nothing is there
-     * @param max the value of the darkest red
+     * @param title title of the figure, as HTML
+     * @param rows values by row and second; a value below 0 means none and is drawn black
+     * @param max lowest value that is drawn in the darkest red
+     * @param groups names that are written beside groups of rows
+     * @param legend explanation of the colours, as HTML
      */
-    static String picture(
+    static String figure(
             String title, double[][] rows, double max, RowGroups groups, String legend) {
         int height = Math.min(MAX_HEIGHT, Math.max(MIN_HEIGHT, ROW_HEIGHT * rows.length));
         return "<figure><div class='title'>"
@@ -57,7 +60,7 @@
         for (int y = 0; y < height; y++) {
             for (int x = 0; x < width; x++) {
                 double value = rows[y][x];
-                image.setRGB(x, y, value < 0 ? DOWN_COLOUR : colour(Math.min(1, value / max)));
+                image.setRGB(x, y, value < 0 ? NO_VALUE_COLOUR : colour(Math.min(1, value / max)));
             }
         }
         ByteArrayOutputStream png = new ByteArrayOutputStream();
@@ -81,11 +84,11 @@
         return names.toString();
     }
 
-    /** From white at 0 over yellow to red at 1. */
+    /** Returns the RGB colour of a share: white at 0, then yellow, then red at 1. */
     private static int colour(double share) {
         int green = (int) (share < 0.5 ? 250 - 100 * share : 200 * 2 * (1 - share));
         int blue = (int) (235 * Math.max(0, 1 - 2 * share));
-        int lessRed = (int) (0x38 * Math.max(0, share - 0.5) * 2);
-        return (0xff0000 - lessRed * 0x10000) | green << 8 | blue;
+        int redReduction = (int) (0x38 * Math.max(0, share - 0.5) * 2);
+        return (0xff0000 - redReduction * 0x10000) | green << 8 | blue;
     }
 }
--- a/testbed/src/main/java/sagefall/report/HtmlPage.java
+++ b/testbed/src/main/java/sagefall/report/HtmlPage.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Text of a page that needs nothing else: no script, no style and no picture from outside. */
+/** Builds a self-contained HTML page: it loads no script, style or image from elsewhere. */
 final class HtmlPage {
 
     private static final String STYLE =
@@ -30,7 +30,7 @@
 
     private final StringBuilder out = new StringBuilder();
 
-    /** A page with a title, which is escaped. */
+    /** Starts a page. The title is plain text and is escaped. */
     HtmlPage(String title) {
         add(
                 "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>"
@@ -42,22 +42,22 @@
                         + "</h1>");
     }
 
-    /** Adds a line of HTML as it is. */
+    /** Adds a line of HTML, which is not escaped. */
     void add(String html) {
         out.append(html).append('\n');
     }
 
-    /** Adds a row of headings. */
-    void headings(String... cells) {
-        row("th", cells);
+    /** Adds a table row of header cells, whose content is HTML. */
+    void addHeadings(String... cells) {
+        addRow("th", cells);
     }
 
-    /** Adds a row of cells, which are HTML. */
-    void cells(String... cells) {
-        row("td", cells);
+    /** Adds a table row of cells, whose content is HTML. */
+    void addCells(String... cells) {
+        addRow("td", cells);
     }
 
-    private void row(String tag, String... cells) {
+    private void addRow(String tag, String... cells) {
         StringBuilder row = new StringBuilder("<tr>");
         for (String cell : cells) {
             row.append('<').append(tag).append('>').append(cell);
@@ -66,16 +66,17 @@
         add(row.append("</tr>").toString());
     }
 
-    /** The complete text; nothing may be added after that. */
-    String end() {
+    /** Returns the complete page. Nothing may be added afterwards. */
+    String finish() {
         return out + "</body></html>\n";
     }
 
+    /** Escapes plain text for use in HTML. */
     static String escape(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace("'", "&#39;");
     }
 
-    /** A number with three decimals. */
+    /** Formats a number with three decimals. */
     static String decimals(double value) {
         return String.format(Locale.ROOT, "%.3f", value);
     }
--- a/testbed/src/main/java/sagefall/report/HtmlReport.java
+++ b/testbed/src/main/java/sagefall/report/HtmlReport.java
@@ -7,7 +7,7 @@
 import sagefall.experiment.PairedDifference;
 import sagefall.experiment.PolicyComparison;
 
-/** One page about some runs. */
+/** Builds the HTML report of an experiment: its results, and charts of some of its runs. */
 public final class HtmlReport {
 
     private final HtmlPage page;
@@ -16,16 +16,16 @@
         page = new HtmlPage(title);
     }
 
-    /** Runs of one scenario by one policy; the first is shown second by second. */
+    /** Returns the report of runs of one scenario with one policy, with charts of the first run. */
     public static String of(List<SimulationResult> results) {
         SimulationResult first = results.get(0);
         HtmlReport report = new HtmlReport(first.scenario() + ": " + first.policy());
         report.addResults(results);
         report.addCharts(first);
-        return report.page.end();
+        return report.page.finish();
     }
 
-    /** Two policies on the same seeds. */
+    /** Returns the report of two policies on the same seeds, with charts of one run of each. */
     public static String of(PolicyComparison comparison) {
         HtmlReport report =
                 new HtmlReport(
@@ -35,11 +35,11 @@
                                 + ", B "
                                 + comparison.policyB());
         report.page.add(
-                "<p>B less A on "
+                "<p>B minus A on "
                         + comparison.a().size()
-                        + " seeds, with the bootstrap interval that holds 95 % of the means. Below:"
-                        + " the value that B saved from being lost by each cause, as a share of the"
-                        + " offered value.</p>");
+                        + " seeds, with the 95 % bootstrap confidence interval of the mean. Below:"
+                        + " by cause, how much less of the offered value B lost than A; columns A"
+                        + " and B have the lost shares as negative numbers.</p>");
         report.addDifferences(comparison.differences());
         report.addDifferences(new ArrayList<>(comparison.lost().values()));
         report.page.add("<h2>Runs</h2>");
@@ -48,14 +48,14 @@
         report.addResults(all);
         report.addCharts(comparison.a().get(0));
         report.addCharts(comparison.b().get(0));
-        return report.page.end();
+        return report.page.finish();
     }
 
     private void addDifferences(List<PairedDifference> differences) {
         page.add("<table>");
-        page.headings("figure", "A", "B", "B - A", "interval", "");
+        page.addHeadings("figure", "A", "B", "B - A", "interval", "");
         for (PairedDifference difference : differences) {
-            page.cells(
+            page.addCells(
                     HtmlPage.escape(difference.figure()),
                     HtmlPage.decimals(difference.meanA()),
                     HtmlPage.decimals(difference.meanB()),
@@ -70,7 +70,7 @@
 
     private void addResults(List<SimulationResult> results) {
         page.add("<table>");
-        page.headings(
+        page.addHeadings(
                 "policy",
                 "seed",
                 "G",
@@ -89,7 +89,7 @@
     }
 
     private void addResult(SimulationResult result) {
-        page.cells(
+        page.addCells(
                 HtmlPage.escape(result.policy()),
                 String.valueOf(result.seed()),
                 HtmlPage.decimals(result.g()),
@@ -126,10 +126,11 @@
 
     private void addLosses(SimulationResult result) {
         page.add("<table>");
-        page.headings("lost by", "share of the value", "requests", "of it beyond a quota");
+        page.addHeadings(
+                "lost by", "share of the value", "requests", "share of the value beyond a quota");
         for (Map.Entry<String, Double> share : result.losses()) {
             SimulationResult.Loss loss = result.lost().get(share.getKey());
-            page.cells(
+            page.addCells(
                     HtmlPage.escape(share.getKey()),
                     HtmlPage.decimals(share.getValue()),
                     String.valueOf(loss.count()),
--- a/testbed/src/main/java/sagefall/report/RunCharts.java
+++ b/testbed/src/main/java/sagefall/report/RunCharts.java
@@ -8,15 +8,20 @@
 import java.util.stream.IntStream;
 import sagefall.emulator.SimulationResult;
 
-/** The charts of one run, second by second. */
+/** Creates the charts of one run over its seconds, as HTML. */
 final class RunCharts {
 
-    private static final double LATENCY_SHOWN_MILLIS = 1200;
-    private static final int CAUSES_SHOWN = 7;
-    private static final double REQUESTS_PER_CORE_SHOWN = 12;
+    /** Latency of the dashed line in the chart and of the darkest red in the heat map. */
+    private static final double MAX_LATENCY_MILLIS = 1200;
 
-    /** Room above the highest value of a chart. */
-    private static final double HEADROOM = 1.1;
+    /** Number of causes of loss with a layer of their own. */
+    private static final int MAX_CAUSES = 7;
+
+    /** Value of the darkest red in the heat map of servers. */
+    private static final double MAX_REQUESTS_PER_CORE = 12;
+
+    /** Upper end of the vertical axis, as a multiple of the highest value. */
+    private static final double AXIS_HEADROOM = 1.1;
 
     private final SimulationResult result;
     private final SimulationResult.Series series;
@@ -28,7 +33,7 @@
         seconds = series.offered().length;
     }
 
-    /** Value that was offered and served. */
+    /** Returns the chart of the offered and the served value. */
     String value() {
         return chart(
                         "Value offered and served in time, by the second of the first request",
@@ -36,29 +41,29 @@
                         "value/s")
                 .line(series.offered(), SvgChart.COLOURS.get(0))
                 .line(series.served(), SvgChart.COLOURS.get(1))
-                .end(List.of("offered", "served"));
+                .finish(List.of("offered", "served"));
     }
 
-    /** Lost value by cause. */
+    /** Returns the chart of the lost value by cause. */
     String losses() {
         Map<String, double[]> layers = lossesByCause();
         double max = IntStream.range(0, seconds).mapToDouble(i -> sumAt(layers, i)).max().orElse(1);
         return chart("Value lost, by cause", max, "value/s")
                 .stack(layers)
-                .end(new ArrayList<>(layers.keySet()));
+                .finish(new ArrayList<>(layers.keySet()));
     }
 
     private static double sumAt(Map<String, double[]> layers, int second) {
         return layers.values().stream().mapToDouble(values -> values[second]).sum();
     }
 
-    /** The largest causes by name, all others as one. */
+    /** Returns the lost value by second, for each of the largest causes and the others together. */
     private Map<String, double[]> lossesByCause() {
         Map<String, double[]> layers = new LinkedHashMap<>();
         List<Map.Entry<String, Double>> largestFirst = result.losses();
         for (int i = 0; i < largestFirst.size(); i++) {
             String cause = largestFirst.get(i).getKey();
-            String layer = i < CAUSES_SHOWN ? cause : "others";
+            String layer = i < MAX_CAUSES ? cause : "others";
             layers.merge(layer, series.lost().get(cause).clone(), RunCharts::addTo);
         }
         return layers;
@@ -69,25 +74,25 @@
         return sums;
     }
 
-    /** Latency of the responses. */
+    /** Returns the chart of the latency of responses. */
     String latency() {
         return chart("Responses: time from a client's first request", max(series.p99()), "ms")
-                .level(LATENCY_SHOWN_MILLIS, "1,200 ms")
+                .level(MAX_LATENCY_MILLIS, "1,200 ms")
                 .line(series.p50(), SvgChart.COLOURS.get(0))
                 .line(series.p95(), SvgChart.COLOURS.get(1))
                 .line(series.p99(), SvgChart.COLOURS.get(2))
-                .end(List.of("p50", "p95", "p99"));
+                .finish(List.of("p50", "p95", "p99"));
     }
 
     private SvgChart chart(String title, double max, String unit) {
-        return new SvgChart(title, seconds, HEADROOM * max, unit).faults(result.faults());
+        return new SvgChart(title, seconds, AXIS_HEADROOM * max, unit).faults(result.faults());
     }
 
     private static double max(double[] values) {
         return Arrays.stream(values).max().orElse(1);
     }
 
-    /** Lost share of the value by zone. */
+    /** Returns the heat map of the lost share of the value by zone. */
     String lossesByZone() {
         double[][] lost = transpose(series.zoneOffered());
         for (int zone = 0; zone < lost.length; zone++) {
@@ -97,22 +102,22 @@
                 lost[zone][second] = offered > 0 ? 1 - served / offered : 0;
             }
         }
-        return HeatMap.picture(
+        return HeatMap.figure(
                 "Value lost by the zone of the sidecar",
                 lost,
                 1,
                 oneRowForEachZone(),
-                "a cell is a second; white: all served, red: all lost");
+                "each column is a second; white: all served, red: all lost");
     }
 
-    /** Latency by zone. */
+    /** Returns the heat map of the latency by zone. */
     String latencyByZone() {
-        return HeatMap.picture(
-                "95th percentile by the zone of the sidecar",
+        return HeatMap.figure(
+                "95th percentile of the latency by the zone of the sidecar",
                 transpose(series.zoneP95()),
-                LATENCY_SHOWN_MILLIS,
+                MAX_LATENCY_MILLIS,
                 oneRowForEachZone(),
-                "white: at once, red: 1,200 ms and more");
+                "white: 0 ms, red: 1,200 ms and more");
     }
 
     private HeatMap.RowGroups oneRowForEachZone() {
@@ -131,7 +136,7 @@
         return transposed;
     }
 
-    /** Requests of the servers of the start, zone by zone. */
+    /** Returns the heat map of requests by server, for the initial servers, sorted by zone. */
     String servers() {
         List<Integer> zoneOfServer = result.serverZones();
         int[] sizes = new int[result.zones().size()];
@@ -145,13 +150,13 @@
                 rows[i][second] = result.heat().get(second)[order.get(i)];
             }
         }
-        return HeatMap.picture(
+        return HeatMap.figure(
                 "Requests for each core, by server",
                 rows,
-                REQUESTS_PER_CORE_SHOWN,
+                MAX_REQUESTS_PER_CORE,
                 new HeatMap.RowGroups(result.zones(), sizes),
-                "a row is a server of the start, zone by zone; white: idle, red: "
-                        + (int) REQUESTS_PER_CORE_SHOWN
+                "each row is an initial server, grouped by zone; white: idle, red: "
+                        + (int) MAX_REQUESTS_PER_CORE
                         + " for each core and more, black: down, draining or replaced");
     }
 }
--- a/testbed/src/main/java/sagefall/report/ScalingPlot.java
+++ b/testbed/src/main/java/sagefall/report/ScalingPlot.java
@@ -3,20 +3,23 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Seconds against the size of the fleet, both as powers of ten, beside what n log n would be. */
+/**
+ * Plots the time of a simulation against the size of the fleet, both on a logarithmic scale, beside
+ * the curve of n log n through the first point.
+ */
 public final class ScalingPlot {
 
     /**
      * A measurement.
      *
      * @param size number of sidecars
-     * @param seconds of one core for a run
+     * @param seconds duration of a simulation on one core
      */
     public record Point(int size, double seconds) {}
 
     private static final int WIDTH = 620;
     private static final int HEIGHT = 380;
-    private static final int EDGE = 50;
+    private static final int MARGIN = 50;
 
     private final List<Point> points;
     private final double logMin;
@@ -28,21 +31,24 @@
         logMax = Math.log10(points.stream().mapToDouble(Point::seconds).max().orElse(1)) + 0.2;
     }
 
-    /** The plot as an SVG file's text; the points by growing size. */
+    /** Returns the plot as the text of an SVG file. The points must be sorted by size. */
     public static String of(List<Point> points) {
         return new ScalingPlot(points).svg();
     }
 
     private double x(double size) {
-        double from = Math.log10(points.get(0).size);
-        double to = Math.log10(points.get(points.size() - 1).size);
-        return EDGE + (WIDTH - 2 * EDGE) * (Math.log10(size) - from) / Math.max(1e-9, to - from);
+        double logSmallest = Math.log10(points.get(0).size);
+        double logLargest = Math.log10(points.get(points.size() - 1).size);
+        return MARGIN
+                + (WIDTH - 2 * MARGIN)
+                        * (Math.log10(size) - logSmallest)
+                        / Math.max(1e-9, logLargest - logSmallest);
     }
 
     private double y(double seconds) {
         return HEIGHT
-                - EDGE
-                - (HEIGHT - 2 * EDGE) * (Math.log10(seconds) - logMin) / (logMax - logMin);
+                - MARGIN
+                - (HEIGHT - 2 * MARGIN) * (Math.log10(seconds) - logMin) / (logMax - logMin);
     }
 
     private String svg() {
@@ -53,16 +59,16 @@
                 + "' font-family='sans-serif' font-size='12'><rect width='100%' height='100%' "
                 + "fill='white'/>\n"
                 + "<text x='"
-                + EDGE
+                + MARGIN
                 + "' y='24'>seconds of one core for a run of 50 s, by sidecars (twice as many "
                 + "servers)</text>\n<polyline points='"
                 + idealLine()
                 + "' fill='none' stroke='#888' stroke-dasharray='5 4'/>\n<polyline points='"
                 + measuredLine()
                 + "' fill='none' stroke='#0072B2' stroke-width='2'/>\n"
-                + marks()
+                + markers()
                 + "<text x='"
-                + EDGE
+                + MARGIN
                 + "' y='"
                 + (HEIGHT - 8)
                 + "'>solid: measured; dashed: n log n from the first"
@@ -77,6 +83,7 @@
         return line.toString().trim();
     }
 
+    /** Returns the coordinates of the n log n curve through the first point. */
     private String idealLine() {
         Point first = points.get(0);
         double scale = first.seconds / (first.size * Math.log(first.size));
@@ -91,11 +98,11 @@
         return String.format(Locale.ROOT, "%.1f,%.1f ", x(size), y(seconds));
     }
 
-    /** A dot at each measurement, with its seconds above and its size on the axis. */
-    private String marks() {
-        StringBuilder marks = new StringBuilder();
+    /** Returns a dot for each measurement, with its seconds above and its size on the axis. */
+    private String markers() {
+        StringBuilder markers = new StringBuilder();
         for (Point point : points) {
-            marks.append(
+            markers.append(
                     String.format(
                             Locale.ROOT,
                             "<circle cx='%.1f' cy='%.1f' r='3'/><text x='%.1f' y='%.1f'>%.1f"
@@ -106,9 +113,9 @@
                             y(point.seconds) - 9,
                             point.seconds,
                             x(point.size) - 10,
-                            HEIGHT - EDGE + 20,
+                            HEIGHT - MARGIN + 20,
                             point.size));
         }
-        return marks.toString();
+        return markers.toString();
     }
 }
--- a/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
+++ b/testbed/src/main/java/sagefall/report/SimulationResultWriter.java
@@ -11,8 +11,8 @@
 import sagefall.experiment.ParallelSimulations;
 
 /**
- * Writes each result as a line of JSON when the run is done, so that an experiment that is
- * interrupted leaves them.
+ * Appends the result of each run to a file as a line of JSON as soon as the run has finished, so
+ * that an interrupted experiment leaves the results of all finished runs.
  */
 public final class SimulationResultWriter implements ParallelSimulations.Listener {
 
@@ -22,7 +22,7 @@
 
     private final Path file;
 
-    /** Creates the directory where it is missing; results of an earlier experiment are replaced. */
+    /** Creates the directory if it is missing, and deletes results of an earlier experiment. */
     public SimulationResultWriter(Path directory) throws IOException {
         Files.createDirectories(directory);
         file = directory.resolve(FILE_NAME);
--- a/testbed/src/main/java/sagefall/report/SvgChart.java
+++ b/testbed/src/main/java/sagefall/report/SvgChart.java
@@ -6,9 +6,9 @@
 import sagefall.emulator.InjectedFault;
 
 /**
- * Charts over the seconds of a run, as SVG text. Drawn here and not by a plotting library: the
- * charts are static, a reader can search their text and copy their values, and no library for the
- * JDK writes them without a window system or external scripts.
+ * Draws a chart over the seconds of a run as SVG text, which a reader can search and copy values
+ * from. No plotting library is used, as no library for the JDK writes such static charts without a
+ * window system or external scripts.
  */
 final class SvgChart {
 
@@ -18,8 +18,9 @@
     private static final int RIGHT = 12;
     private static final int TOP = 28;
     private static final int BOTTOM = 26;
+    private static final int MAX_FAULT_NAME_ROWS = 6;
 
-    /** Colours that the colour-blind can distinguish. */
+    /** Colours of lines and layers, which readers with colour blindness can distinguish. */
     static final List<String> COLOURS =
             List.of(
                     "#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#8C6D1F",
@@ -29,6 +30,14 @@
     private final int seconds;
     private final double max;
 
+    /**
+     * Starts a chart with its title, grid and axes.
+     *
+     * @param title title, as HTML
+     * @param seconds length of the horizontal axis
+     * @param max upper end of the vertical axis
+     * @param unit unit of the values
+     */
     SvgChart(String title, int seconds, double max, String unit) {
         this.seconds = seconds;
         this.max = max <= 0 ? 1 : max;
@@ -43,6 +52,7 @@
                     "<text x='%d' y='%.1f' class='tick' text-anchor='end'>%s</text>",
                     LEFT - 5, y(value) + 4, number(value));
         }
+        // The labels of the time axis are a multiple of 5 s apart, with at most ten intervals.
         int step = Math.max(1, (int) Math.ceil(seconds / 10.0 / 5) * 5);
         for (int s = 0; s <= seconds; s += step) {
             add(
@@ -51,6 +61,7 @@
         }
     }
 
+    /** Formats a number for a label: integers and numbers from 10 on without decimals, else two. */
     static String number(double value) {
         return value >= 10 || value == Math.rint(value)
                 ? String.format(Locale.ROOT, "%.0f", value)
@@ -69,9 +80,9 @@
         return HEIGHT - BOTTOM - (HEIGHT - TOP - BOTTOM) * Math.min(1, value / max);
     }
 
-    /** The faults of the run, shaded, with their names on lines of their own. */
+    /** Shades the time of each fault, and writes its name, using up to six rows for the names. */
     SvgChart faults(List<InjectedFault> faults) {
-        int line = 0;
+        int row = 0;
         for (InjectedFault fault : faults) {
             add(
                     "<rect x='%.1f' y='%d' width='%.1f' height='%d' class='fault'/>",
@@ -82,13 +93,13 @@
             add(
                     "<text x='%.1f' y='%d' class='name'>%s</text>",
                     x(fault.from()) + 3,
-                    TOP + 10 + 10 * (line++ % 6),
+                    TOP + 10 + 10 * (row++ % MAX_FAULT_NAME_ROWS),
                     fault.what().replace('_', ' '));
         }
         return this;
     }
 
-    /** A value for each second. */
+    /** Draws a line through a value for each second. */
     SvgChart line(double[] values, String colour) {
         StringBuilder points = new StringBuilder();
         for (int s = 0; s < values.length; s++) {
@@ -100,7 +111,7 @@
         return this;
     }
 
-    /** A level that does not change. */
+    /** Draws a dashed horizontal line with a name. */
     SvgChart level(double value, String name) {
         add(
                 "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='level'/>",
@@ -111,9 +122,9 @@
         return this;
     }
 
-    /** Values on top of one another, the first at the bottom. */
+    /** Draws stacked bars for each second, with the first layer at the bottom. */
     SvgChart stack(Map<String, double[]> layers) {
-        double[] below = new double[seconds];
+        double[] baseline = new double[seconds];
         int colour = 0;
         for (Map.Entry<String, double[]> layer : layers.entrySet()) {
             for (int s = 0; s < seconds; s++) {
@@ -123,23 +134,23 @@
                             "<rect x='%.1f' y='%.1f' width='%.1f' height='%.2f'"
                                     + " fill='%s'><title>%s, second %d: %s</title></rect>",
                             x(s) + 0.5,
-                            y(below[s] + value),
+                            y(baseline[s] + value),
                             x(1) - x(0) - 1,
-                            y(below[s]) - y(below[s] + value),
+                            y(baseline[s]) - y(baseline[s] + value),
                             COLOURS.get(colour % COLOURS.size()),
                             layer.getKey(),
                             s,
                             number(value));
                 }
-                below[s] += value;
+                baseline[s] += value;
             }
             colour++;
         }
         return this;
     }
 
-    /** The chart, with names for its colours. */
-    String end(List<String> names) {
+    /** Returns the figure as HTML, with a legend that names the colours in order. */
+    String finish(List<String> names) {
         StringBuilder legend = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
             legend.append("<span><i style='background:")
--- a/testbed/src/main/java/sagefall/report/package-info.java
+++ b/testbed/src/main/java/sagefall/report/package-info.java
@@ -1,2 +1,2 @@
-/** Results of runs as JSON lines, and as pages and charts that need nothing else. */
+/** Writes results of simulations as JSON lines, self-contained HTML pages and charts. */
 package sagefall.report;
--- a/testbed/src/test/java/sagefall/cli/CommandLineTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -22,7 +22,7 @@
 
 class CommandLineTest {
 
-    @TempDir Path folder;
+    @TempDir Path directory;
 
     private final StringWriter errors = new StringWriter();
 
@@ -32,9 +32,12 @@
         return command.execute(arguments);
     }
 
-    /** A comparison leaves a line for each day and a page that asks for nothing from elsewhere. */
+    /**
+     * A comparison writes a line for each simulation, and a report that loads nothing from
+     * elsewhere.
+     */
     @Test
-    void aComparisonWritesResultsAndAReport() throws Exception {
+    void compareWritesResultsAndSelfContainedReport() throws Exception {
         assertEquals(
                 0,
                 sagefall(
@@ -53,21 +56,25 @@
                         "--set",
                         "seconds=31",
                         "--out",
-                        folder.toString()),
+                        directory.toString()),
                 errors.toString());
-        assertEquals(4, Files.readAllLines(folder.resolve("days.jsonl")).size());
-        String page = Files.readString(folder.resolve("report.html"));
+        assertEquals(4, Files.readAllLines(directory.resolve("days.jsonl")).size());
+        String page = Files.readString(directory.resolve("report.html"));
         assertTrue(
                 page.contains("no verdict under 5 seeds") && page.contains("<svg"),
-                "the page lacks parts");
+                "the report has no verdict or no chart");
         assertFalse(
-                page.matches("(?s).*(src|href)=['\"](?!data:).*"), "the page asks for something");
+                page.matches("(?s).*(src|href)=['\"](?!data:).*"),
+                "the report loads an external resource");
     }
 
-    /** A day that was cut off is compared over what both reached: here the first ten seconds. */
+    /**
+     * With {@code --until 10}, the command counts only windows that start before second 10, so that
+     * a run that was cut off can be compared with a complete one.
+     */
     @Test
-    void windowsOfTheBenchAreCompared() throws Exception {
-        Path report = folder.resolve("report.log");
+    void windowsSummarizesWindowsBeforeGivenSecond() throws Exception {
+        Path report = directory.resolve("report.log");
         String row =
                 "%6d     %d     99.0    0.5      0.25   0.0   0.8   57.7   %d.0    1.00   1.00    0"
                         + "    0    5    0     0   1.34    8   %d.0%n";
@@ -77,14 +84,14 @@
                         + String.format(row, 0, 300, 300, 100)
                         + String.format(row, 5, 100, 700, 90)
                         + String.format(row, 10, 100, 0, 0));
-        PrintStream before = System.out;
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         System.setOut(new PrintStream(printed, true));
         try {
             assertEquals(
                     0, sagefall("windows", "--until", "10", report.toString()), errors.toString());
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         String last =
                 printed.toString(UTF_8)
@@ -93,7 +100,7 @@
                         .orElse("")
                         .replaceAll(" +", " ");
         assertEquals("report.log 2 0.9750 0.975 at 0 s 0.500 0.250 0.000 400", last);
-        assertEquals(2, sagefall("windows", folder.resolve("none").toString()));
+        assertEquals(2, sagefall("windows", directory.resolve("none").toString()));
     }
 
     @ParameterizedTest
@@ -107,7 +114,7 @@
                 "simulate;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
                 "compare;calm --b module:X=1;module:X=1: X is no tunable"
             })
-    void wrongInputCostsOneLineAndStatusTwo(String command, String options, String line) {
+    void wrongInputIsReportedOnOneLineWithStatusTwo(String command, String options, String line) {
         assertEquals(
                 2,
                 sagefall(
@@ -117,10 +124,10 @@
         assertEquals(1, errors.toString().lines().count());
     }
 
-    /** An experiment that is broken off leaves the days that are done, each readable. */
+    /** A terminated experiment leaves the results of its finished runs, each a line of JSON. */
     @Test
     @Timeout(60)
-    void whatIsDoneStaysReadableWhenItIsBrokenOff() throws Exception {
+    void resultsStayReadableAfterExperimentIsTerminated() throws Exception {
         Process process =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -136,18 +143,20 @@
                                 "--set",
                                 "fleet.sidecars=4",
                                 "--out",
-                                folder.toString())
+                                directory.toString())
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .start();
-        Path days = folder.resolve("days.jsonl");
-        while (!Files.exists(days) || Files.readAllLines(days).size() < 3) {
-            assertFalse(process.waitFor(20, TimeUnit.MILLISECONDS), "it has ended by itself");
+        Path results = directory.resolve("days.jsonl");
+        while (!Files.exists(results) || Files.readAllLines(results).size() < 3) {
+            assertFalse(
+                    process.waitFor(20, TimeUnit.MILLISECONDS),
+                    "the process exited before it was terminated");
         }
         process.destroy();
         process.waitFor();
-        for (String day : Files.readAllLines(days)) {
-            assertEquals("flap", new ObjectMapper().readTree(day).path("scenario").asText());
+        for (String line : Files.readAllLines(results)) {
+            assertEquals("flap", new ObjectMapper().readTree(line).path("scenario").asText());
         }
     }
 }
