--- a/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
+++ b/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
@@ -20,16 +20,16 @@
 import picocli.CommandLine.MissingParameterException;
 import picocli.CommandLine.ParameterException;
 
-/** The commands and options of {@code ./sagefall} that the pages name are those that there are. */
+/** Checks that the commands and options of {@code ./sagefall} in the documentation exist. */
 class DocumentedCommandsTest {
 
     private static final Path ROOT = Path.of(System.getProperty("sagefall.root"));
 
     /**
-     * Pages that are history: they name the commands of the builds that they describe, and the
-     * program answers those with the new name.
+     * Historical pages, which are not checked, as they name the commands of older builds. The
+     * program rejects such a command with a message that has the new name.
      */
-    private static final Set<String> HISTORY = Set.of("MEASURING.md", "QUESTIONS.md");
+    private static final Set<String> HISTORICAL_PAGES = Set.of("MEASURING.md", "QUESTIONS.md");
 
     private static final String PROGRAM = "./sagefall";
     private static final Pattern CONTINUATION = Pattern.compile("\\\\\\n\\s*");
@@ -37,31 +37,31 @@
     private static final Pattern INLINE = Pattern.compile("`(\\./sagefall [^`\\n]+)`");
     private static final Pattern WORD = Pattern.compile("(?:\"[^\"]*\"|'[^']*'|[^\\s\"'])+");
 
-    /** What ends a command in a line of shell. */
-    private static final Set<String> END = Set.of("&", "|", "||", "&&", ";", ">", "#");
+    /** Shell operators that end a command, and the sign that starts a comment. */
+    private static final Set<String> COMMAND_END = Set.of("&", "|", "||", "&&", ";", ">", "#");
 
     @Test
-    void commandsOfThePagesCanBeParsed() throws IOException {
-        Set<String> wrong = new TreeSet<>();
+    void documentedCommandsCanBeParsed() throws IOException {
+        Set<String> problems = new TreeSet<>();
         int commands = 0;
         for (Path page : pages()) {
             String text = CONTINUATION.matcher(Files.readString(page)).replaceAll(" ");
             Matcher line = BLOCK_LINE.matcher(text);
             while (line.find()) {
                 commands++;
-                report(wrong, page, line.group(1), problemWith(line.group(1), false));
+                addProblem(problems, page, line.group(1), problemWith(line.group(1), false));
             }
             Matcher inline = INLINE.matcher(text);
             while (inline.find()) {
                 commands++;
-                report(wrong, page, inline.group(1), problemWith(inline.group(1), true));
+                addProblem(problems, page, inline.group(1), problemWith(inline.group(1), true));
             }
         }
-        assertTrue(commands > 0, "no command was found: the pattern is wrong");
-        assertEquals(Set.of(), wrong);
+        assertTrue(commands > 0, "no command was found: a pattern is wrong");
+        assertEquals(Set.of(), problems);
     }
 
-    /** The check itself: what it takes for a command, and what it finds wrong. */
+    /** Tests the check itself: which commands it accepts, and which it rejects. */
     @ParameterizedTest
     @CsvSource({
         "./sagefall simulate zone --seeds 1-8   # comment, true",
@@ -73,20 +73,21 @@
         "./sagefall simulate, false",
         "./sagefall lab run zone, false"
     })
-    void checkKnowsTheCommands(String command, boolean right) {
-        assertEquals(right, problemWith(command, false) == null, command);
+    void checkAcceptsExactlyExistingCommands(String command, boolean valid) {
+        assertEquals(valid, problemWith(command, false) == null, command);
     }
 
-    private static void report(Set<String> wrong, Path page, String command, String problem) {
+    private static void addProblem(
+            Set<String> problems, Path page, String command, String problem) {
         if (problem != null) {
-            wrong.add(page.getFileName() + ": " + command + ": " + problem);
+            problems.add(page.getFileName() + ": " + command + ": " + problem);
         }
     }
 
     /**
-     * What is wrong with a command; null if nothing is.
+     * Returns what is wrong with a command, or null if it is valid.
      *
-     * @param partial whether parameters may be left out, as where a sentence names a command
+     * @param partial whether parameters may be missing, as where a sentence mentions a command
      */
     private static String problemWith(String command, boolean partial) {
         List<String> arguments = arguments(command);
@@ -106,7 +107,7 @@
     private static List<String> arguments(String command) {
         List<String> arguments = new ArrayList<>();
         Matcher word = WORD.matcher(command.substring(PROGRAM.length()));
-        while (word.find() && !END.contains(word.group())) {
+        while (word.find() && !COMMAND_END.contains(word.group())) {
             arguments.add(word.group().replaceAll("[\"']", ""));
         }
         return arguments;
@@ -118,7 +119,7 @@
                         Arrays.asList(ROOT.resolve("README.md"), ROOT.resolve("CONTRIBUTING.md")));
         try (Stream<Path> files = Files.list(ROOT.resolve("docs"))) {
             files.filter(file -> file.toString().endsWith(".md"))
-                    .filter(file -> !HISTORY.contains(file.getFileName().toString()))
+                    .filter(file -> !HISTORICAL_PAGES.contains(file.getFileName().toString()))
                     .sorted()
                     .forEach(pages::add);
         }
--- a/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
@@ -17,64 +17,68 @@
 import sagefall.leaderelection.SharedEndpointSnapshot;
 import sagefall.persistence.SnapshotChange;
 
-/** What {@code sagefall lease} prints of a folder whose first term was given back. */
+/**
+ * Tests the output of {@code sagefall lease} on a directory in which sidecar n1 released the lease
+ * of term 1, and sidecar n2 holds the lease of term 2.
+ */
 class LeaseCommandWordsTest {
 
-    private static final long LONG_LEASE = 3_600_000_000_000L;
-    private static final Instant TOLD_AT = Instant.parse("2026-01-02T03:04:05Z");
+    private static final long LEASE_NANOS = 3_600_000_000_000L;
+    private static final Instant SNAPSHOT_AT = Instant.parse("2026-01-02T03:04:05Z");
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final StringWriter out = new StringWriter();
     private DirectoryLeaseStore store;
 
     @BeforeEach
-    void write() throws IOException {
-        store = new DirectoryLeaseStore(folder);
-        store.acquire("n1", LONG_LEASE);
-        SharedEndpointSnapshot digest = new SharedEndpointSnapshot();
-        digest.record(new SnapshotChange(true, 7, TOLD_AT.toEpochMilli(), Map.of()));
-        digest.run(store, 1);
+    void setUp() throws IOException {
+        store = new DirectoryLeaseStore(directory);
+        store.acquire("n1", LEASE_NANOS);
+        SharedEndpointSnapshot snapshot = new SharedEndpointSnapshot();
+        snapshot.record(new SnapshotChange(true, 7, SNAPSHOT_AT.toEpochMilli(), Map.of()));
+        snapshot.run(store, 1);
         store.release("n1", 1);
-        store.acquire("n2", LONG_LEASE);
+        store.acquire("n2", LEASE_NANOS);
     }
 
     private List<String> lease(String command) {
         CommandLine lease = new CommandLine(new LeaseCommand());
         lease.setOut(new PrintWriter(out));
-        assertEquals(0, lease.execute(command, folder.toString()));
+        assertEquals(0, lease.execute(command, directory.toString()));
         return out.toString().lines().toList();
     }
 
     @Test
-    void status() {
+    void statusShowsLeaderAndSharedSnapshot() {
         List<String> lines = lease("status");
         assertEquals(
                 "term 2, held by n2 for MILLIS ms more",
                 lines.get(0).replaceFirst("for [0-9]+ ms", "for MILLIS ms"));
         assertEquals(
-                "digest of term 1, revision 7 of 2026-01-02T03:04:05Z, 0 servers", lines.get(1));
+                "snapshot of term 1, revision 7 of 2026-01-02T03:04:05Z, 0 endpoints",
+                lines.get(1));
         assertEquals(2, lines.size());
     }
 
     @Test
-    void statusOfNobody() throws IOException {
+    void statusShowsNoLeaderAfterRelease() throws IOException {
         store.release("n2", 2);
-        assertEquals("term 2, held by nobody", lease("status").get(0));
+        assertEquals("term 2, held by no sidecar", lease("status").get(0));
     }
 
     @Test
-    void history() throws IOException {
+    void historyListsTermsWithLeadersAndReleases() throws IOException {
         Instant first = Instant.ofEpochMilli(store.status().past().get(0).grantedAtMillis());
         Instant second = Instant.ofEpochMilli(store.status().past().get(1).grantedAtMillis());
         assertEquals(
                 List.of(
-                        "term 1 from " + first + " on, given back",
+                        "term 1 from " + first + " on, released",
                         "term 2 from " + second + " on, n2"),
                 lease("history"));
     }
 
     @Test
-    void release() throws IOException {
+    void releaseEndsTermAndClearsLeader() throws IOException {
         assertEquals(List.of("term 2 has ended"), lease("release"));
         assertEquals("", store.status().grant().leader());
     }
--- a/testbed/src/test/java/sagefall/cli/RenamedWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/RenamedWordsTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import picocli.CommandLine;
 
-/** An old command or option is answered with one line that names the new one, and status 2. */
+/**
+ * Tests that an old command or option is rejected with status 2 and one line that has the new name,
+ * and that the new name exists.
+ */
 class RenamedWordsTest {
 
     private final StringWriter errors = new StringWriter();
@@ -37,26 +40,26 @@
 
     @ParameterizedTest
     @MethodSource("commands")
-    void anOldCommandNamesTheNewOne(Map.Entry<String, String> renamed) {
-        for (List<String> more : List.of(List.<String>of(), List.of("calm", "--seeds", "1"))) {
+    void oldCommandIsRejectedWithNewName(Map.Entry<String, String> renamed) {
+        for (List<String> furtherArguments :
+                List.of(List.<String>of(), List.of("calm", "--seeds", "1"))) {
             errors.getBuffer().setLength(0);
             List<String> arguments = new ArrayList<>(List.of(renamed.getKey().split(" ", 0)));
-            arguments.addAll(more);
+            arguments.addAll(furtherArguments);
             assertEquals(2, sagefall(arguments));
             String[] lines = errors.toString().split("\n", 0);
             assertEquals(1, lines.length, errors.toString());
-            String named = ("./sagefall " + renamed.getValue()).trim();
+            String newCommand = ("./sagefall " + renamed.getValue()).trim();
             assertTrue(
                     lines[0].startsWith("sagefall: '" + renamed.getKey() + "' is ")
-                            && lines[0].contains(named),
+                            && lines[0].contains(newCommand),
                     lines[0]);
         }
     }
 
-    /** Each new name is a command, or the table would lead nowhere. */
     @ParameterizedTest
     @MethodSource("commands")
-    void theNewCommandIsThere(Map.Entry<String, String> renamed) {
+    void newCommandExists(Map.Entry<String, String> renamed) {
         CommandLine command = CommandLineMain.command();
         for (String word : renamed.getValue().split(" ", 0)) {
             if (!word.isEmpty()) {
@@ -68,7 +71,7 @@
 
     @ParameterizedTest
     @MethodSource("options")
-    void anOldOptionNamesTheNewOne(Map.Entry<String, String> renamed) {
+    void oldOptionIsRejectedWithNewName(Map.Entry<String, String> renamed) {
         for (String given : List.of(renamed.getKey(), renamed.getKey() + "=1")) {
             errors.getBuffer().setLength(0);
             assertEquals(2, sagefall(List.of("simulate", "calm", given)));
@@ -78,10 +81,9 @@
         }
     }
 
-    /** Each new option belongs to a command. */
     @ParameterizedTest
     @MethodSource("options")
-    void theNewOptionIsThere(Map.Entry<String, String> renamed) {
+    void newOptionBelongsToACommand(Map.Entry<String, String> renamed) {
         assertTrue(hasOption(CommandLineMain.command(), renamed.getValue()), renamed.getValue());
     }
 
@@ -90,32 +92,31 @@
                 || command.getSubcommands().values().stream().anyMatch(c -> hasOption(c, option));
     }
 
-    /** What is wrong otherwise gets no such line. */
     @Test
-    void anUnknownCommandIsNoRenamedOne() {
+    void unknownCommandIsReportedAsUnmatchedArgument() {
         assertEquals(2, sagefall(List.of("dance")));
         assertTrue(errors.toString().contains("Unmatched argument"), errors.toString());
     }
 
-    /** No page names an old command as one to type, save the historical ones of MEASURING.md. */
+    /** MEASURING.md is exempt, as it names the commands of the older builds that it describes. */
     @Test
-    void documentationHasTheNewNames() throws Exception {
+    void documentationUsesNoOldCommands() throws Exception {
         Path root = Path.of(System.getProperty("sagefall.root", ".."));
         List<Path> pages = new ArrayList<>(List.of(root.resolve("README.md")));
         try (Stream<Path> docs = Files.list(root.resolve("docs"))) {
             docs.filter(page -> page.toString().endsWith(".md")).forEach(pages::add);
         }
-        List<String> old = new ArrayList<>();
+        List<String> linesWithOldCommand = new ArrayList<>();
         for (Path page : pages) {
             if (List.of("MEASURING.md").contains(page.getFileName().toString())) {
                 continue;
             }
             for (String line : Files.readAllLines(page)) {
                 if (line.matches(".*\\./sagefall (lab|rig|duties)\\b.*")) {
-                    old.add(page.getFileName() + ": " + line);
+                    linesWithOldCommand.add(page.getFileName() + ": " + line);
                 }
             }
         }
-        assertEquals(List.of(), old);
+        assertEquals(List.of(), linesWithOldCommand);
     }
 }
