--- a/testbed/src/main/java/sagefall/cli/AgreeCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -14,7 +14,7 @@
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.report.RunResult;
 import sagefall.faultinjection.report.RunStatistics;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 import sagefall.policy.Policy;
 import sagefall.policy.PolicyException;
 import sagefall.policy.PolicyRegistry;
@@ -77,7 +77,7 @@
 
     private static SimulationResult simulate(RunPlan plan, long seed)
             throws IOException, ScenarioException, PolicyException, InterruptedException {
-        try (Policy policy = PolicyRegistry.of("module", SidecarProcess.ROOT)) {
+        try (Policy policy = PolicyRegistry.of("module", SidecarChildProcess.ROOT)) {
             return new FleetSimulation(
                             plan.scenario().requireSupportedBy(ScenarioRunner.EMULATOR),
                             seed,
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -9,7 +9,7 @@
 import sagefall.faultinjection.FaultInjectionRun;
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.report.RunResult;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 import sagefall.scenario.ScenarioSource;
@@ -64,7 +64,7 @@
 
     /** Returns the checkouts of {@code --build}, or this checkout if none is given. */
     List<Path> builds() {
-        return builds.isEmpty() ? List.of(SidecarProcess.ROOT) : builds;
+        return builds.isEmpty() ? List.of(SidecarChildProcess.ROOT) : builds;
     }
 
     /**
@@ -75,7 +75,7 @@
      */
     RunPlan plan(String nameOrFile, long seed) throws IOException, ScenarioException {
         for (Path build : builds()) {
-            SidecarProcess.run(build); // Throws if the checkout is not built.
+            SidecarChildProcess.run(build); // Throws if the checkout is not built.
         }
         ScenarioSource source = Scenario.source(nameOrFile);
         List<String> all = new ArrayList<>();
--- a/testbed/src/main/java/sagefall/cli/StreamsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/StreamsCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 import sagefall.load.StreamBenchmark;
 
 /** {@code sagefall streams}: runs {@link StreamBenchmark}. */
@@ -27,7 +27,7 @@
 
     @Option(
             names = "--jar",
-            defaultValue = SidecarProcess.JAR,
+            defaultValue = SidecarChildProcess.JAR,
             paramLabel = "FILE",
             description = "archive of the build that is measured (${DEFAULT-VALUE})")
     private String jar;
--- a/testbed/src/main/java/sagefall/emulator/FaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultScheduler.java
@@ -6,7 +6,7 @@
 import sagefall.scenario.Fault;
 
 /** Schedules the faults of a scenario as events of the run. */
-final class FaultInjector {
+final class FaultScheduler {
 
     /**
      * Maximum number of groups of sidecars in a restart; the groups are restarted one after
@@ -21,7 +21,7 @@
     private final ServerFaultInjector serverFaults;
     private final List<InjectedFault> injected = new ArrayList<>();
 
-    FaultInjector(
+    FaultScheduler(
             EventQueue events, RandomStreams streams, double runSeconds, FaultTargets targets) {
         this.events = events;
         this.streams = streams;
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -33,7 +33,7 @@
     private final ClientTraffic traffic;
     private final EmulatedFleet fleet;
     private final RequestTransport transport;
-    private final FaultInjector faults;
+    private final FaultScheduler faults;
     private final SidecarEnvironment.Limits limits;
     private final UniformRandomProvider balancerSeeds;
 
@@ -79,7 +79,7 @@
         fleet = new EmulatedFleet(parts, scenario, requestClass, streams, chances);
         FaultTargets targets =
                 new FaultTargets(fleet, network, transport, discovery, traffic, sharedSlowdown);
-        faults = new FaultInjector(events, streams, scenario.seconds(), targets);
+        faults = new FaultScheduler(events, streams, scenario.seconds(), targets);
     }
 
     private static ValueAccounting createAccounting(Scenario scenario) {
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -28,7 +28,7 @@
 import sagefall.faultinjection.process.StandInProcess;
 import sagefall.faultinjection.report.RunResult;
 import sagefall.faultinjection.standin.RealTimeEventLoop;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
@@ -66,7 +66,7 @@
         Scenario scenario = plan.scenario();
         // Fails before anything is created if a sidecar can't be started from a checkout.
         for (Path build : plan.builds()) {
-            SidecarProcess.run(build);
+            SidecarChildProcess.run(build);
         }
         RunDirectory directory = new RunDirectory(output);
         Files.createDirectories(directory.history());
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -23,7 +23,7 @@
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.link.LinkConditions;
 import sagefall.faultinjection.link.LinkRelay;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 
 /**
  * Creates the members of a run and the links between them, but starts no process. Used before the
@@ -118,7 +118,7 @@
     private SidecarMember createSidecar(int index, int zone)
             throws IOException, InterruptedException {
         Path directory = Files.createDirectories(context.directory().sidecar(index));
-        InetSocketAddress listen = SidecarProcess.free(Addresses.listener(index));
+        InetSocketAddress listen = SidecarChildProcess.free(Addresses.listener(index));
         LinkRelay discoveryLink =
                 new LinkRelay(
                         group,
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import sagefall.faultinjection.history.EntryKind;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 
 /**
  * Controls the process of one sidecar: starts, planned restarts, and faults that kill or stop it.
@@ -25,7 +25,7 @@
     private final SidecarLauncher launcher;
     private final AgentEndpointList endpoints;
     private final ClientLoad application;
-    private volatile SidecarProcess process;
+    private volatile SidecarChildProcess process;
 
     /** Whether the run itself has killed or terminated the latest process. */
     private volatile boolean exitRequested;
@@ -94,7 +94,8 @@
         firstList = firstList == null ? current : firstList;
         ObjectNode list = nextStart.staleList ? firstList : current;
         exitRequested = false;
-        SidecarProcess started = launcher.start(++incarnation, list, nextStart.clockOffsetMillis);
+        SidecarChildProcess started =
+                launcher.start(++incarnation, list, nextStart.clockOffsetMillis);
         context.guard().watch(started.process());
         process = started;
         recordStart(started, list);
@@ -121,7 +122,7 @@
                         exitRequested);
     }
 
-    private void recordStart(SidecarProcess started, ObjectNode list) {
+    private void recordStart(SidecarChildProcess started, ObjectNode list) {
         context.history()
                 .write(
                         EntryKind.PROCESS,
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import sagefall.faultinjection.history.JsonLines;
-import sagefall.load.SidecarConfig;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
+import sagefall.load.SidecarConfigFactory;
 
 /** Starts the process of one sidecar with its configuration and extensions. */
 final class SidecarLauncher {
@@ -47,14 +47,14 @@
      * @param clockOffsetMillis offset of the wall clock that the sidecar uses; positive if that
      *     clock is ahead
      */
-    SidecarProcess start(int incarnation, ObjectNode endpoints, long clockOffsetMillis)
+    SidecarChildProcess start(int incarnation, ObjectNode endpoints, long clockOffsetMillis)
             throws IOException {
-        return new SidecarProcess(
-                SidecarProcess.run(spec.checkout()),
+        return new SidecarChildProcess(
+                SidecarChildProcess.run(spec.checkout()),
                 spec.checkout(),
                 spec.directory(),
                 spec.listen(),
-                SidecarConfig.config(
+                SidecarConfigFactory.config(
                         "n" + spec.index(),
                         Addresses.hostAndPort(discovery),
                         salt(incarnation),
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
@@ -27,12 +27,12 @@
     /** CSS classes of the kinds of responses; {@link #responseKind} returns an index of them. */
     private static final String[] RESPONSE_KINDS = {"served", "refused", "lost"};
 
-    private final HtmlPage page;
+    private final TimelinePage page;
     private final List<HistoryEntry> history;
     private final Map<String, List<MemberState>> rows;
     private final int height;
 
-    RunPicture(HtmlPage page, List<HistoryEntry> history) {
+    RunPicture(TimelinePage page, List<HistoryEntry> history) {
         this.page = page;
         this.history = history;
         rows = MemberTimelines.of(page.result(), page.seconds(), history);
@@ -49,7 +49,7 @@
     void draw() {
         page.add(
                 "<svg viewBox='0 0 %d %d' role='img' aria-label='members over time'>",
-                HtmlPage.WIDTH, height);
+                TimelinePage.WIDTH, height);
         drawAxis();
         drawResponses();
         drawMembers();
@@ -85,7 +85,7 @@
         }
         page.add(
                 "<text class='row' x='%d' y='%d' text-anchor='end'>responses</text>",
-                HtmlPage.LABEL_WIDTH - 6, TOP_MARGIN + RESPONSE_CHART_HEIGHT / 2);
+                TimelinePage.LABEL_WIDTH - 6, TOP_MARGIN + RESPONSE_CHART_HEIGHT / 2);
     }
 
     private int[][] responseBins() {
@@ -128,7 +128,7 @@
         for (Map.Entry<String, List<MemberState>> row : rows.entrySet()) {
             page.add(
                     "<text class='row' x='%d' y='%d' text-anchor='end'>%s</text>",
-                    HtmlPage.LABEL_WIDTH - 6, y + 11, row.getKey());
+                    TimelinePage.LABEL_WIDTH - 6, y + 11, row.getKey());
             for (MemberState state : row.getValue()) {
                 page.add(
                         "<rect class='%s' x='%.1f' y='%d' width='%.1f' height='%d'><title>%s: %s,"
@@ -190,6 +190,6 @@
                                         page.x(violation.at()),
                                         TOP_MARGIN,
                                         height - AXIS_HEIGHT,
-                                        HtmlPage.escape(violation.description())));
+                                        TimelinePage.escape(violation.description())));
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunReport.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunReport.java
@@ -29,7 +29,7 @@
             vertical-align:-1px}
             """;
 
-    private final HtmlPage page;
+    private final TimelinePage page;
     private final RunResult result;
     private final List<HistoryEntry> history;
 
@@ -43,7 +43,7 @@
                         .max()
                         .orElse(1);
         double maxSeconds = result.statistics().seconds() + MAX_SECONDS_AFTER_LOAD;
-        page = new HtmlPage(result, Math.max(1, Math.min(lastSecond, maxSeconds)));
+        page = new TimelinePage(result, Math.max(1, Math.min(lastSecond, maxSeconds)));
     }
 
     private static boolean extendsTimeAxis(HistoryEntry entry) {
@@ -68,7 +68,7 @@
                         .findFirst()
                         .map(entry -> entry.text("scenario") + ", seed " + entry.number("seed"))
                         .orElse("a run");
-        String escapedTitle = HtmlPage.escape(title);
+        String escapedTitle = TimelinePage.escape(title);
         page.addRaw("<!doctype html><html lang='en'><head><meta charset='utf-8'><title>");
         page.addRaw(escapedTitle);
         page.addRaw("</title><style>" + STYLE + "</style></head><body>\n");
@@ -76,8 +76,10 @@
     }
 
     private void addVerdict() {
-        result.statistics().lines().forEach(line -> page.add("<p>%s</p>", HtmlPage.escape(line)));
-        String replayCommand = HtmlPage.escape(result.replayCommand());
+        result.statistics()
+                .lines()
+                .forEach(line -> page.add("<p>%s</p>", TimelinePage.escape(line)));
+        String replayCommand = TimelinePage.escape(result.replayCommand());
         if (result.isVoid()) {
             page.add("<p class='bad'>Void: the machine stalled for too long.</p>");
         } else if (result.violations().isEmpty()) {
@@ -96,7 +98,7 @@
                                             "<li class='bad'>%.3f s, %s: %s</li>",
                                             result.seconds(violation.at()),
                                             violation.invariant(),
-                                            HtmlPage.escape(violation.description())));
+                                            TimelinePage.escape(violation.description())));
             page.add("</ul>");
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/report/HtmlPage.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Builds the text of an HTML page, and maps times to positions on its time axis. */
-final class HtmlPage {
+final class TimelinePage {
 
     /** Width of the picture in pixels. */
     static final int WIDTH = 1080;
@@ -18,7 +18,7 @@
     private final RunResult result;
     private final double seconds;
 
-    HtmlPage(RunResult result, double seconds) {
+    TimelinePage(RunResult result, double seconds) {
         this.result = result;
         this.seconds = seconds;
     }
--- a/testbed/src/main/java/sagefall/load/OutageDemo.java
+++ b/testbed/src/main/java/sagefall/load/OutageDemo.java
@@ -65,9 +65,13 @@
         StandInServer discoveryServer =
                 new StandInServer(0, HEALTHY_ZONE, StandInService.NONE, discovery);
         discoveryServer.deregister(); // This server is not an endpoint.
-        try (SidecarProcess sidecar =
-                new SidecarProcess(
-                        SidecarProcess.JAR, settings(), null, discovery, discoveryServer.port())) {
+        try (SidecarChildProcess sidecar =
+                new SidecarChildProcess(
+                        SidecarChildProcess.JAR,
+                        settings(),
+                        null,
+                        discovery,
+                        discoveryServer.port())) {
             out.printf(
                     Locale.ROOT,
                     "a sidecar on 127.0.0.1:%d, %d servers in 2 zones, %.0f requests/s for %d s%n",
@@ -99,13 +103,13 @@
                                 1,
                                 "late_value",
                                 0.0));
-        return SidecarConfig.settings(
+        return SidecarConfigFactory.settings(
                 List.of(save),
                 List.of(HEALTHY_ZONE, FAILED_ZONE),
                 Map.of("source", "answers", "names", List.of("cpu", "rps", "avg_ms")));
     }
 
-    private boolean runLoad(SidecarProcess sidecar) throws IOException, InterruptedException {
+    private boolean runLoad(SidecarChildProcess sidecar) throws IOException, InterruptedException {
         OpenLoopLoadGenerator load =
                 new OpenLoopLoadGenerator(
                         sidecar.port(), requestsPerSecond, TIMEOUT_MILLIS, MAX_OPEN_REQUESTS, SEED);
--- a/testbed/src/main/java/sagefall/load/SidecarProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarChildProcess.java
@@ -20,7 +20,7 @@
  * A sidecar that runs as a process of its own, started with the command {@code run} of the deploy
  * file and with a generated configuration file.
  */
-public final class SidecarProcess implements AutoCloseable {
+public final class SidecarChildProcess implements AutoCloseable {
 
     /** The archive that the build creates, relative to the checkout. */
     public static final String JAR = "sidecar/target/sagefall.jar";
@@ -51,7 +51,7 @@
      * @param discovery source of the endpoint list in the sidecar's configuration
      * @param discoveryPort port of discovery on loopback
      */
-    public SidecarProcess(
+    public SidecarChildProcess(
             String jar,
             Map<String, Object> settings,
             Map<String, Object> extensions,
@@ -63,7 +63,7 @@
                 ROOT,
                 Files.createTempDirectory("sidecar"),
                 free(InetAddress.getLoopbackAddress()),
-                SidecarConfig.config(
+                SidecarConfigFactory.config(
                         INSTANCE_NAME,
                         "127.0.0.1:" + discoveryPort,
                         "8c1f30d27a5be964",
@@ -84,7 +84,7 @@
      * @param config the configuration, to which {@code listen} is added
      * @param extensions content of the extensions file; null for no file
      */
-    public SidecarProcess(
+    public SidecarChildProcess(
             String run,
             Path root,
             Path directory,
--- a/testbed/src/main/java/sagefall/load/SidecarConfig.java
+++ b/testbed/src/main/java/sagefall/load/SidecarConfigFactory.java
@@ -8,9 +8,9 @@
  * Creates the configurations of the sidecars that the test bed starts. Each configuration is a map
  * with the keys of the configuration file.
  */
-public final class SidecarConfig {
+public final class SidecarConfigFactory {
 
-    private SidecarConfig() {}
+    private SidecarConfigFactory() {}
 
     /**
      * Creates a configuration.
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -14,7 +14,7 @@
 
 /**
  * Measures the streaming of a real sidecar between blocking clients and stand-in servers, which run
- * in this process, and prints the results. {@link SidecarProcess} starts the sidecar.
+ * in this process, and prints the results. {@link SidecarChildProcess} starts the sidecar.
  * docs/MEASURING.md describes how to run the benchmark.
  */
 public final class StreamBenchmark {
@@ -58,9 +58,9 @@
         return client.failures() == 0;
     }
 
-    private SidecarProcess start(String jar, boolean streaming)
+    private SidecarChildProcess start(String jar, boolean streaming)
             throws IOException, InterruptedException {
-        return new SidecarProcess(
+        return new SidecarChildProcess(
                 jar,
                 settings(),
                 streaming ? streamingExtension() : null,
@@ -84,7 +84,7 @@
         Map<String, Object> append = new LinkedHashMap<>(common);
         append.putAll(Map.of("name", "append", "effect", "side_effect"));
         Map<String, Object> settings =
-                SidecarConfig.settings(
+                SidecarConfigFactory.settings(
                         List.of(export, append), List.of("a"), Map.of("source", "none"));
         settings.put("discovery", "ask");
         return settings;
@@ -112,13 +112,13 @@
                     upload
                             ? "uploads, 200 x 64 MiB"
                             : "downloads, 200 x 64 MiB, 20 of the readers slow");
-            try (SidecarProcess sidecar = start(jar, true)) {
+            try (SidecarChildProcess sidecar = start(jar, true)) {
                 measureStreams(sidecar, upload);
             }
         }
     }
 
-    private void measureStreams(SidecarProcess sidecar, boolean upload)
+    private void measureStreams(SidecarChildProcess sidecar, boolean upload)
             throws IOException, InterruptedException {
         ProcessStatistics statistics = sidecar.statistics();
         statistics.print("before");
@@ -155,7 +155,8 @@
         statistics.print("12 s after the end");
     }
 
-    private void stream(SidecarProcess sidecar, boolean upload, int number, CountDownLatch done) {
+    private void stream(
+            SidecarChildProcess sidecar, boolean upload, int number, CountDownLatch done) {
         int seed = 1 + number * 37;
         long pauseMillis = number % SLOW_READER_EVERY == 0 ? SLOW_READER_PAUSE_MILLIS : 0;
         try (Socket socket = sidecar.connect()) {
@@ -181,14 +182,14 @@
                         + "20,000 without that pause, on 8 connections");
         for (int pair = 0; pair < PAIRS; pair++) {
             for (boolean streaming : new boolean[] {false, true}) {
-                try (SidecarProcess sidecar = start(jar, streaming)) {
+                try (SidecarChildProcess sidecar = start(jar, streaming)) {
                     measureFirstByte(sidecar, pair + 1, streaming);
                 }
             }
         }
     }
 
-    private void measureFirstByte(SidecarProcess sidecar, int pair, boolean streaming)
+    private void measureFirstByte(SidecarChildProcess sidecar, int pair, boolean streaming)
             throws IOException, InterruptedException {
         long[] firstByte = new long[PAUSED_EXCHANGES];
         try (Socket socket = sidecar.connect()) {
@@ -237,7 +238,7 @@
 
     private void measureSmall(int pair, String name, String jar, boolean streaming)
             throws IOException, InterruptedException {
-        try (SidecarProcess sidecar = start(jar, streaming)) {
+        try (SidecarChildProcess sidecar = start(jar, streaming)) {
             Exchange upload =
                     (socket, number) -> client.upload(socket, SMALL_BYTES, 1 + number % 1000);
             runExchanges(sidecar, SMALL_WARM_UP, upload);
@@ -266,8 +267,8 @@
     private record ExchangeStatistics(long perSecond, long medianMicros, long p99Micros) {}
 
     /** Runs the given number of exchanges on {@link #CONNECTIONS} connections at a time. */
-    private ExchangeStatistics runExchanges(SidecarProcess sidecar, int count, Exchange exchange)
-            throws InterruptedException {
+    private ExchangeStatistics runExchanges(
+            SidecarChildProcess sidecar, int count, Exchange exchange) throws InterruptedException {
         long[] micros = new long[count];
         AtomicInteger next = new AtomicInteger();
         CountDownLatch done = new CountDownLatch(CONNECTIONS);
@@ -287,7 +288,7 @@
 
     /** Runs exchanges on one connection until all have been started. */
     private void runExchanges(
-            SidecarProcess sidecar, Exchange exchange, AtomicInteger next, long[] micros) {
+            SidecarChildProcess sidecar, Exchange exchange, AtomicInteger next, long[] micros) {
         try (Socket socket = sidecar.connect()) {
             int number = next.getAndIncrement();
             while (number < micros.length) {
--- a/testbed/src/main/java/sagefall/policy/SimulatorMessage.java
+++ b/testbed/src/main/java/sagefall/policy/AdapterMessage.java
@@ -16,7 +16,7 @@
 
 /** Events for a load balancer as messages of the simulator protocol; "op" is the type. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "op")
-sealed interface SimulatorMessage {
+sealed interface AdapterMessage {
 
     /**
      * A batch of messages that are processed at one point in time.
@@ -34,7 +34,7 @@
      */
     record Group(
             @JsonProperty("who") String instance,
-            @JsonProperty("msgs") List<SimulatorMessage> messages) {}
+            @JsonProperty("msgs") List<AdapterMessage> messages) {}
 
     /**
      * Starts an instance.
@@ -45,7 +45,7 @@
     @JsonTypeName("Start")
     record Start(
             @JsonProperty("salt") long seed, @JsonProperty("facts") Map<String, Object> settings)
-            implements SimulatorMessage {}
+            implements AdapterMessage {}
 
     /**
      * Defines a table of endpoints; a following {@link Endpoints} message says how to apply it.
@@ -54,7 +54,7 @@
      * @param rows endpoints of the table
      */
     @JsonTypeName("Pool")
-    record Pool(long table, List<Row> rows) implements SimulatorMessage {}
+    record Pool(long table, List<Row> rows) implements AdapterMessage {}
 
     /** An endpoint in a table. */
     record Row(
@@ -94,7 +94,7 @@
      * @param table number of the table that holds the list
      */
     @JsonTypeName("Endpoints")
-    record Endpoints(String how, long epoch, long table) implements SimulatorMessage {
+    record Endpoints(String how, long epoch, long table) implements AdapterMessage {
 
         static Endpoints of(EndpointListKind kind, long epoch) {
             String how =
@@ -118,7 +118,7 @@
             @JsonProperty("type") int requestClass,
             @JsonProperty("mutates") boolean write,
             @JsonProperty("client_group") int tenant)
-            implements SimulatorMessage {
+            implements AdapterMessage {
 
         static Call of(Request request) {
             return new Call(
@@ -143,7 +143,7 @@
             String verdict,
             @JsonProperty("go") int attempt,
             @JsonProperty("server_stats") ServerStats stats)
-            implements SimulatorMessage {
+            implements AdapterMessage {
 
         static Response of(AttemptOutcome outcome) {
             LoadReport report = outcome.report();
@@ -184,9 +184,9 @@
 
     /** Reports that a client has disconnected. */
     @JsonTypeName("ClientLeft")
-    record ClientLeft(@JsonProperty("ticket") String requestId) implements SimulatorMessage {}
+    record ClientLeft(@JsonProperty("ticket") String requestId) implements AdapterMessage {}
 
     /** Reports that a timer is due. */
     @JsonTypeName("DeadlineHit")
-    record DeadlineHit(@JsonProperty("handle") long token) implements SimulatorMessage {}
+    record DeadlineHit(@JsonProperty("handle") long token) implements AdapterMessage {}
 }
--- a/testbed/src/main/java/sagefall/policy/ExternalBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalBalancer.java
@@ -30,7 +30,7 @@
             ExternalProcess process,
             String instance,
             BalancerActions actions,
-            SimulatorMessage.Start start) {
+            AdapterMessage.Start start) {
         this.policyName = policyName;
         this.process = process;
         this.instance = instance;
@@ -38,7 +38,7 @@
         send(0, List.of(start));
     }
 
-    private void send(long nowMicros, List<SimulatorMessage> messages) {
+    private void send(long nowMicros, List<AdapterMessage> messages) {
         lastBatchMicros = Math.max(lastBatchMicros, nowMicros);
         JsonNode reply = process.exchange(lastBatchMicros, instance, messages);
         for (JsonNode group : reply.path("groups")) {
@@ -78,32 +78,32 @@
     @Override
     public void onEndpointList(
             long nowMicros, EndpointListKind kind, long revision, List<ListedEndpoint> list) {
-        List<SimulatorMessage.Row> rows = list.stream().map(SimulatorMessage.Row::of).toList();
+        List<AdapterMessage.Row> rows = list.stream().map(AdapterMessage.Row::of).toList();
         send(
                 nowMicros,
                 List.of(
-                        new SimulatorMessage.Pool(0, rows),
-                        SimulatorMessage.Endpoints.of(kind, nowMicros)));
+                        new AdapterMessage.Pool(0, rows),
+                        AdapterMessage.Endpoints.of(kind, nowMicros)));
     }
 
     @Override
     public void onRequest(long nowMicros, Request request) {
-        send(nowMicros, List.of(SimulatorMessage.Call.of(request)));
+        send(nowMicros, List.of(AdapterMessage.Call.of(request)));
     }
 
     @Override
     public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
-        send(nowMicros, List.of(SimulatorMessage.Response.of(outcome)));
+        send(nowMicros, List.of(AdapterMessage.Response.of(outcome)));
     }
 
     @Override
     public void onClientDisconnected(long nowMicros, String requestId) {
-        send(nowMicros, List.of(new SimulatorMessage.ClientLeft(requestId)));
+        send(nowMicros, List.of(new AdapterMessage.ClientLeft(requestId)));
     }
 
     @Override
     public void onTimer(long nowMicros, long token) {
-        send(nowMicros, List.of(new SimulatorMessage.DeadlineHit(token)));
+        send(nowMicros, List.of(new AdapterMessage.DeadlineHit(token)));
     }
 
     @Override
--- a/testbed/src/main/java/sagefall/policy/ExternalProcess.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcess.java
@@ -57,9 +57,9 @@
      *
      * @throws UncheckedIOException if the process has exited or its reply is not valid JSON
      */
-    JsonNode exchange(long atMicros, String instance, List<SimulatorMessage> messages) {
-        SimulatorMessage.Group group = new SimulatorMessage.Group(instance, messages);
-        SimulatorMessage.Batch batch = new SimulatorMessage.Batch(atMicros, List.of(group));
+    JsonNode exchange(long atMicros, String instance, List<AdapterMessage> messages) {
+        AdapterMessage.Group group = new AdapterMessage.Group(instance, messages);
+        AdapterMessage.Batch batch = new AdapterMessage.Batch(atMicros, List.of(group));
         try {
             processInput.write(JSON.writeValueAsString(batch));
             processInput.write('\n');
--- a/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
@@ -33,8 +33,8 @@
             SettingsMessage message,
             BalancerActions actions,
             GroundTruth groundTruth) {
-        SimulatorMessage.Start start =
-                new SimulatorMessage.Start(settings.seed(), SettingsMessageCodec.encode(message));
+        AdapterMessage.Start start =
+                new AdapterMessage.Start(settings.seed(), SettingsMessageCodec.encode(message));
         return new ExternalBalancer(name, process, "sidecar_" + instances++, actions, start);
     }
 
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -32,7 +32,7 @@
 import sagefall.faultinjection.plan.RunPlan;
 import sagefall.faultinjection.plan.ScenarioGenerator;
 import sagefall.faultinjection.report.RunResult;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 import sagefall.scenario.ScenarioRunner;
@@ -42,7 +42,7 @@
 @Timeout(300)
 class FaultInjectionRunTest {
 
-    private static final Path ROOT = SidecarProcess.ROOT;
+    private static final Path ROOT = SidecarChildProcess.ROOT;
 
     private static final String HISTORY = "history";
     private static final String SCHEDULE = "schedule.jsonl";
--- a/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagefall.faultinjection.plan.RunDirectory;
 import sagefall.faultinjection.plan.RunPlan;
-import sagefall.load.SidecarProcess;
+import sagefall.load.SidecarChildProcess;
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioSource;
 
@@ -67,7 +67,7 @@
                         RunPlan.ONE_MACHINE_FLEET,
                         seed,
                         null,
-                        List.of(SidecarProcess.ROOT));
+                        List.of(SidecarChildProcess.ROOT));
         new FaultInjectionRun(plan, output).close();
         return Files.readString(new RunDirectory(output).schedule());
     }
