--- a/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListParser.java
@@ -60,7 +60,7 @@
         }
         ListedEndpoint endpoint =
                 new ListedEndpoint(
-                        StableIds.of(uid),
+                        StableHash.of(uid),
                         zones.indexOf(json.get("az")),
                         models.indexOf(json.get("model")),
                         (int) Json.longValue(json, "pod_group", 0),
--- a/sidecar/src/main/java/sagefall/discovery/StableIds.java
+++ b/sidecar/src/main/java/sagefall/discovery/StableHash.java
@@ -1,12 +1,12 @@
 package sagefall.discovery;
 
 /** Maps strings to numbers that are equal in every sidecar and after every restart. */
-public final class StableIds {
+public final class StableHash {
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private StableIds() {}
+    private StableHash() {}
 
     /**
      * Returns the 64-bit FNV-1a hash over the UTF-16 code units, without the sign bit. Used for
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -13,7 +13,7 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.RequestClass;
-import sagefall.discovery.StableIds;
+import sagefall.discovery.StableHash;
 import sagefall.http.ProtocolHeaders;
 import sagefall.proxy.ProxiedRequest;
 import sagefall.streaming.StreamedUpload;
@@ -144,7 +144,7 @@
         int slash = path.indexOf('/');
         return slash < 0 || slash == path.length() - 1
                 ? NO_KEY
-                : StableIds.of(path.substring(path.lastIndexOf('/') + 1));
+                : StableHash.of(path.substring(path.lastIndexOf('/') + 1));
     }
 
     private static String path(String uri) {
--- a/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -41,15 +41,21 @@
         assertEquals(
                 List.of(
                         new ListedEndpoint(
-                                StableIds.of("s-1"), 1, 1, 4, EndpointPhase.DRAINING, 12_000, 0.5)),
+                                StableHash.of("s-1"),
+                                1,
+                                1,
+                                4,
+                                EndpointPhase.DRAINING,
+                                12_000,
+                                0.5)),
                 list.endpoints());
         assertEquals("/127.0.0.1:81", list.entries().get(0).address().toString());
     }
 
     @Test
     void stableIdsDoNotChangeBetweenVersions() {
-        assertEquals(0x4bf29ce484222325L, StableIds.of(""));
-        assertEquals(0x2f63dc4c8601ec8cL, StableIds.of("a"));
+        assertEquals(0x4bf29ce484222325L, StableHash.of(""));
+        assertEquals(0x2f63dc4c8601ec8cL, StableHash.of("a"));
     }
 
     @ParameterizedTest
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotWordsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotFieldNamesTest.java
@@ -12,7 +12,7 @@
 import sagefall.balancer.api.EndpointPhase;
 
 /** Tests the field names and phase numbers of stored snapshots and changes. */
-class SnapshotWordsTest {
+class SnapshotFieldNamesTest {
 
     private static final String FILE = "log-1";
 
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
@@ -14,7 +14,7 @@
 import sagefall.balancer.api.EndpointListKind;
 import sagefall.balancer.api.ListedEndpoint;
 import sagefall.balancer.api.Request;
-import sagefall.discovery.StableIds;
+import sagefall.discovery.StableHash;
 
 /**
  * A load balancer that makes no decisions: it records each event as a short text for the test, and
@@ -108,7 +108,7 @@
 
     /** Sends an attempt without a timeout; to be called on the event loop. */
     void send(String requestId, ScriptedPeer server) {
-        actions.send(requestId, StableIds.of("s-" + server.port()), 0, Long.MAX_VALUE);
+        actions.send(requestId, StableHash.of("s-" + server.port()), 0, Long.MAX_VALUE);
     }
 
     @Override
--- a/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -27,7 +27,7 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.Request;
 import sagefall.config.SidecarConfig;
-import sagefall.discovery.StableIds;
+import sagefall.discovery.StableHash;
 import sagefall.proxy.ForwardedAttempt;
 import sagefall.proxy.ProxiedRequest;
 import sagefall.proxy.ReceivedRequest;
@@ -104,7 +104,7 @@
                         null);
         ForwardedAttempt attempt =
                 new ForwardedAttempt(
-                        proxied, StableIds.of("s-" + port), now, request.deadlineMicros());
+                        proxied, StableHash.of("s-" + port), now, request.deadlineMicros());
         harness.loop.submit(() -> pool.send(attempt)).get();
         return attempt;
     }
--- a/testbed/src/main/java/sagefall/cli/BenchWindows.java
+++ b/testbed/src/main/java/sagefall/cli/BenchmarkWindows.java
@@ -13,7 +13,7 @@
  * The windows of 5 s in a report of the operators' bench, each with its figures. A report covers
  * one run, which the bench calls a day.
  */
-final class BenchWindows {
+final class BenchmarkWindows {
 
     /** A row of the report: start second, number of requests, and 17 further columns. */
     private static final Pattern ROW =
@@ -55,7 +55,7 @@
 
     private final List<Window> windows;
 
-    private BenchWindows(List<Window> windows) {
+    private BenchmarkWindows(List<Window> windows) {
         this.windows = windows;
     }
 
@@ -64,7 +64,7 @@
      *
      * @throws NoSuchFileException if the file cannot be read
      */
-    static BenchWindows read(Path file) throws IOException {
+    static BenchmarkWindows read(Path file) throws IOException {
         if (!Files.isReadable(file)) {
             throw new NoSuchFileException(file + ": no such file");
         }
@@ -75,7 +75,7 @@
                 windows.add(window(row));
             }
         }
-        return new BenchWindows(windows);
+        return new BenchmarkWindows(windows);
     }
 
     private static Window window(Matcher row) {
@@ -89,8 +89,8 @@
     }
 
     /** Returns the windows that start before the given second. */
-    BenchWindows startingBefore(double second) {
-        return new BenchWindows(
+    BenchmarkWindows startingBefore(double second) {
+        return new BenchmarkWindows(
                 windows.stream().filter(window -> window.startSecond < second).toList());
     }
 
--- a/testbed/src/main/java/sagefall/cli/WindowsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/WindowsCommand.java
@@ -55,23 +55,23 @@
     }
 
     private void printRow(Path file) throws IOException {
-        BenchWindows windows = BenchWindows.read(file).startingBefore(untilSecond);
+        BenchmarkWindows windows = BenchmarkWindows.read(file).startingBefore(untilSecond);
         if (windows.hasNoRequests()) {
             throw new NoSuchFileException(
                     file + ": contains no windows with requests before " + untilSecond + " s");
         }
-        BenchWindows.WorstSpan worst = windows.worstTenSeconds();
+        BenchmarkWindows.WorstSpan worst = windows.worstTenSeconds();
         System.out.printf(
                 Locale.ROOT,
                 "%-28s %7d %8.4f %7.3f at %6.0f s %7.3f %9.3f %8.3f %9.0f%n",
                 file.getFileName(),
                 windows.count(),
-                windows.mean(BenchWindows.Column.WORTH) / PERCENT,
+                windows.mean(BenchmarkWindows.Column.WORTH) / PERCENT,
                 worst.value(),
                 worst.startSecond(),
-                windows.mean(BenchWindows.Column.LATE),
-                windows.mean(BenchWindows.Column.REFUSED),
-                windows.mean(BenchWindows.Column.FAILED),
-                windows.mean(BenchWindows.Column.P99));
+                windows.mean(BenchmarkWindows.Column.LATE),
+                windows.mean(BenchmarkWindows.Column.REFUSED),
+                windows.mean(BenchmarkWindows.Column.FAILED),
+                windows.mean(BenchmarkWindows.Column.P99));
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/UnevenShares.java
+++ b/testbed/src/main/java/sagefall/emulator/RandomShares.java
@@ -3,9 +3,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Draws unequal shares whose sum is 1. */
-final class UnevenShares {
+final class RandomShares {
 
-    private UnevenShares() {}
+    private RandomShares() {}
 
     /**
      * Draws shares whose sum is 1. A skew of 0 gives equal shares, a skew of 1 very unequal ones.
--- a/testbed/src/main/java/sagefall/emulator/ServerFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -48,7 +48,7 @@
     private void createInitialServers() {
         int zones = scenario.fleet().zones().size();
         double[] zoneShares =
-                UnevenShares.draw(
+                RandomShares.draw(
                         zones, scenario.fleet().serverSkew(), streams.stream("fleet.zones"));
         int[] serversInZone = new int[zones];
         for (int i = 0; i < scenario.fleet().servers(); i++) {
--- a/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
+++ b/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
@@ -61,7 +61,7 @@
         ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
         int zones = scenario.fleet().zones().size();
         double[] zoneShares =
-                UnevenShares.draw(
+                RandomShares.draw(
                         zones,
                         scenario.load().zoneSkew().draw(streams, "load.zone_skew"),
                         streams.stream("load.zones"));
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -157,7 +157,7 @@
     void run() throws IOException, InterruptedException, ExecutionException {
         context.eventLoop().begin();
         context.history().write(EntryKind.BEGIN);
-        RestMeasurement measurement = new RestMeasurement(context, members);
+        ResourceMeasurement measurement = new ResourceMeasurement(context, members);
         context.tasks().runLoop(measurement::watchCpuStarvation);
         if (leaseObserver != null) {
             context.tasks().runLoop(() -> leaseObserver.watch(context.history()));
--- a/testbed/src/main/java/sagefall/faultinjection/RestMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
@@ -10,7 +10,7 @@
  * Measures how long sidecar processes wait for a CPU core, and the resources that they use when
  * idle.
  */
-final class RestMeasurement {
+final class ResourceMeasurement {
 
     /** Longest wait for sidecars to become idle, in multiples of the connection idle timeout. */
     private static final double MAX_IDLE_TIMEOUTS = 4;
@@ -27,7 +27,7 @@
     private final RunContext context;
     private final RunMembers members;
 
-    RestMeasurement(RunContext context, RunMembers members) {
+    ResourceMeasurement(RunContext context, RunMembers members) {
         this.context = context;
         this.members = members;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
@@ -118,7 +118,7 @@
         for (HistoryEntry next : executions.subList(1, executions.size())) {
             long limitNanos =
                     run.parameters().deduplicationWindowNanos()
-                            + OneAnswerInvariant.LATENESS_TOLERANCE_NANOS
+                            + OneResponseInvariant.LATENESS_TOLERANCE_NANOS
                             + run.delays().slackNanos(next.sidecar(), next.at());
             boolean recognizable =
                     next.number("zone") == first.number("zone")
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/Invariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/Invariant.java
@@ -31,7 +31,7 @@
      * Returns whether the machine stalled for so long that the result of this invariant would prove
      * nothing. The whole run is then void.
      */
-    default boolean isVoid(MachineDelays delays) {
-        return delays.longestStallNanos() > MachineDelays.MAX_VALID_STALL_NANOS;
+    default boolean isVoid(SchedulingDelays delays) {
+        return delays.longestStallNanos() > SchedulingDelays.MAX_VALID_STALL_NANOS;
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantChecks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantChecks.java
@@ -20,13 +20,13 @@
                 new ListedEndpointInvariant(run, violations),
                 new DrainInvariant(run, violations),
                 new AttemptLimitInvariant(run, violations),
-                new OneAnswerInvariant(run, violations),
+                new OneResponseInvariant(run, violations),
                 new PlannedRestartInvariant(run, violations),
                 new EffectInvariant(run, violations),
                 new StandInInvariant(run, violations),
                 new ColdServerInvariant(run, violations),
                 new CrashInvariant(run, violations),
-                new ResourcesAtRestInvariant(violations),
+                new ResourceLeakInvariant(violations),
                 new LeaseInvariant(violations));
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
@@ -16,7 +16,7 @@
 final class ObservedRun {
 
     private final RunParameters parameters;
-    private final MachineDelays delays;
+    private final SchedulingDelays delays;
     private final ProcessStates processes = new ProcessStates();
     private final NotifiedEndpoints endpoints = new NotifiedEndpoints();
     private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
@@ -25,14 +25,14 @@
 
     ObservedRun(List<HistoryEntry> history) {
         parameters = RunParameters.of(history);
-        delays = new MachineDelays(history);
+        delays = new SchedulingDelays(history);
     }
 
     RunParameters parameters() {
         return parameters;
     }
 
-    MachineDelays delays() {
+    SchedulingDelays delays() {
         return delays;
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/OneAnswerInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
@@ -10,7 +10,7 @@
  * each successful response was produced by a server for the request that it completes; and that no
  * attempt is sent after the final response.
  */
-final class OneAnswerInvariant implements Invariant {
+final class OneResponseInvariant implements Invariant {
 
     /** Longest lateness of a response that is not a violation, in nanoseconds. */
     static final long LATENESS_TOLERANCE_NANOS = 500_000_000;
@@ -20,7 +20,7 @@
     private final ObservedRun run;
     private final Violations violations;
 
-    OneAnswerInvariant(ObservedRun run, Violations violations) {
+    OneResponseInvariant(ObservedRun run, Violations violations) {
         this.run = run;
         this.violations = violations;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
@@ -99,7 +99,7 @@
     long earliestReadAt(int sidecar, long noticeAt) {
         for (Interval interval : stopped.of(sidecar)) {
             boolean delaysReading =
-                    interval.begin <= noticeAt + MachineDelays.SOCKET_SLACK_NANOS
+                    interval.begin <= noticeAt + SchedulingDelays.SOCKET_SLACK_NANOS
                             && interval.end > noticeAt;
             if (delaysReading) {
                 // Callers add durations to this time; OPEN itself would overflow.
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ResourcesAtRestInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
@@ -10,7 +10,7 @@
  * Checks that a sidecar without load uses about as many descriptors and as much memory after the
  * last request as before the first one.
  */
-final class ResourcesAtRestInvariant implements Invariant {
+final class ResourceLeakInvariant implements Invariant {
 
     private static final long MAX_DESCRIPTOR_GROWTH = 24;
     private static final long MAX_MEMORY_GROWTH_KIB = 40 * 1024;
@@ -18,7 +18,7 @@
     private final Violations violations;
     private final Map<Integer, HistoryEntry> baselines = new HashMap<>();
 
-    ResourcesAtRestInvariant(Violations violations) {
+    ResourceLeakInvariant(Violations violations) {
         this.violations = violations;
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/MachineDelays.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
@@ -9,7 +9,7 @@
  * Delays caused by the machine itself: stalls of the test bed's event loops, and the time for which
  * each sidecar waited for a processor core. Invariants extend their time limits by these delays.
  */
-public final class MachineDelays {
+public final class SchedulingDelays {
 
     /** Longest stall, in nanoseconds, of a run that is not void. */
     static final long MAX_VALID_STALL_NANOS = 2_000_000_000L;
@@ -41,7 +41,7 @@
     private long longestStallNanos;
 
     /** Collects the delays from a complete history. */
-    MachineDelays(List<HistoryEntry> history) {
+    SchedulingDelays(List<HistoryEntry> history) {
         for (HistoryEntry entry : history) {
             long nanos = NANOS_PER_MILLI * entry.number("ms");
             if (entry.kind() == EntryKind.STALL) {
--- a/testbed/src/test/java/sagefall/cli/LeaseCommandWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandOutputTest.java
@@ -21,7 +21,7 @@
  * Tests the output of {@code sagefall lease} on a directory in which sidecar n1 released the lease
  * of term 1, and sidecar n2 holds the lease of term 2.
  */
-class LeaseCommandWordsTest {
+class LeaseCommandOutputTest {
 
     private static final long LEASE_NANOS = 3_600_000_000_000L;
     private static final Instant SNAPSHOT_AT = Instant.parse("2026-01-02T03:04:05Z");
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultWordsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
@@ -22,7 +22,7 @@
 import sagefall.scenario.Scenario;
 
 /** Checks the keys and labels in {@code days.jsonl} and in tables, which must not change. */
-class SimulationResultWordsTest {
+class SimulationResultFormatTest {
 
     private static final long SECOND = 1_000_000;
     private static final RequestClass UNSAFE =
--- a/testbed/src/test/java/sagefall/policy/MechanismWordsTest.java
+++ b/testbed/src/test/java/sagefall/policy/MechanismNamesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the names of mechanisms on the command line and in tables. */
-class MechanismWordsTest {
+class MechanismNamesTest {
 
     private static final List<String> NAMES =
             List.of(
--- a/testbed/src/test/java/sagefall/scenario/FaultWordsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultLabelsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tests the names of fault kinds and modes in scenario files and in error messages. */
-class FaultWordsTest {
+class FaultLabelsTest {
 
     private static final String ALL_KINDS =
             "lose_zone, flap_zone, cut_zone, lose_servers, slow, "
