--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -229,7 +229,7 @@
      */
     public void deliverAnswer(
             ClientRequest request,
-            ClientAnswer response,
+            ResponseKind response,
             RejectionReason reason,
             long retryAfterMicros) {
         String label =
@@ -244,20 +244,20 @@
      *     served
      */
     public void deliverAnswer(
-            ClientRequest request, ClientAnswer response, String label, long retryAfterMicros) {
+            ClientRequest request, ResponseKind response, String label, long retryAfterMicros) {
         events.scheduleAfter(
                 network.clientLatencyMicros(),
                 () -> onResponse(request.operation, response, label, retryAfterMicros));
     }
 
     private void onResponse(
-            ClientOperation operation, ClientAnswer response, String label, long retryAfterMicros) {
-        if (response == ClientAnswer.SERVED) {
+            ClientOperation operation, ResponseKind response, String label, long retryAfterMicros) {
+        if (response == ResponseKind.SERVED) {
             onServed(operation);
             return;
         }
         accounting.recordUnsuccessfulResponse(label);
-        if (response == ClientAnswer.REJECTED || retriesFailures) {
+        if (response == ResponseKind.REJECTED || retriesFailures) {
             retryOrAbandon(operation, retryAfterMicros, label);
         } else {
             abandon(operation, label);
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -187,7 +187,7 @@
                         InvariantChecker.NONE,
                         index);
         disconnectClient(request);
-        environment.deliverResponse(request, ClientAnswer.FAILED, null, 0);
+        environment.deliverResponse(request, ResponseKind.FAILED, null, 0);
     }
 
     @Override
@@ -219,7 +219,7 @@
         if (result == AttemptResult.SERVED && !request.finished) {
             request.finished = true;
             attempt.deliveredToClient = true;
-            environment.deliverResponse(request, ClientAnswer.SERVED, null, 0);
+            environment.deliverResponse(request, ResponseKind.SERVED, null, 0);
         }
         balancer.onAttemptOutcome(
                 nowMicros,
@@ -252,7 +252,7 @@
     /** Sends the final response of a request, unless the request is null or finished. */
     void finish(
             ClientRequest request,
-            ClientAnswer response,
+            ResponseKind response,
             RejectionReason reason,
             long retryAfterMicros) {
         if (request == null || request.finished) {
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -238,7 +238,7 @@
         @Override
         public void deliverResponse(
                 ClientRequest request,
-                ClientAnswer response,
+                ResponseKind response,
                 RejectionReason reason,
                 long retryAfterMicros) {
             traffic.deliverAnswer(request, response, reason, retryAfterMicros);
--- a/testbed/src/main/java/sagefall/emulator/ClientAnswer.java
+++ b/testbed/src/main/java/sagefall/emulator/ResponseKind.java
@@ -1,7 +1,7 @@
 package sagefall.emulator;
 
 /** Kind of the final response that a sidecar sends to a client. */
-public enum ClientAnswer {
+public enum ResponseKind {
     /** A server executed the request, and its response arrived within the deadline. */
     SERVED("served"),
     /** The sidecar rejected the request; a retry by the client is safe. */
@@ -11,7 +11,7 @@
 
     private final String label;
 
-    ClientAnswer(String label) {
+    ResponseKind(String label) {
         this.label = label;
     }
 
--- a/testbed/src/main/java/sagefall/emulator/SidecarActions.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -65,14 +65,14 @@
     public void reject(String requestId, long retryAfterMicros, RejectionReason reason) {
         ClientRequest request = sidecar.openRequest(requestId);
         environment.invariants().onReject(sidecar, request, requestId);
-        sidecar.finish(request, ClientAnswer.REJECTED, reason, retryAfterMicros);
+        sidecar.finish(request, ResponseKind.REJECTED, reason, retryAfterMicros);
     }
 
     @Override
     public void fail(String requestId, RejectionReason reason) {
         ClientRequest request = sidecar.openRequest(requestId);
         environment.invariants().onFinalResponse(sidecar, requestId);
-        sidecar.finish(request, ClientAnswer.FAILED, reason, 0);
+        sidecar.finish(request, ResponseKind.FAILED, reason, 0);
     }
 
     @Override
--- a/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
@@ -47,7 +47,7 @@
      */
     void deliverResponse(
             ClientRequest request,
-            ClientAnswer response,
+            ResponseKind response,
             RejectionReason reason,
             long retryAfterMicros);
 }
--- a/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -23,7 +23,7 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 import java.util.function.Consumer;
-import sagefall.faultinjection.history.AnswerStatus;
+import sagefall.faultinjection.history.ResponseStatus;
 
 /**
  * The client application beside one sidecar. It sends one request at a time per connection and
@@ -35,7 +35,7 @@
     /**
      * The result of a request.
      *
-     * @param status HTTP status code, or a constant of {@link AnswerStatus}
+     * @param status HTTP status code, or a constant of {@link ResponseStatus}
      * @param retryMicros delay from the Retry-After header; 0 without the header
      * @param body body of the response
      */
@@ -146,7 +146,8 @@
                                 f -> {
                                     if (!f.isSuccess()) {
                                         exchange.end(
-                                                new RequestResult(AnswerStatus.UNREACHABLE, 0, ""));
+                                                new RequestResult(
+                                                        ResponseStatus.UNREACHABLE, 0, ""));
                                     } else if (exchange.ended) {
                                         f.channel().close();
                                     } else {
@@ -223,7 +224,7 @@
                 exchange.resent = true;
                 connect(exchange);
             } else {
-                exchange.end(new RequestResult(AnswerStatus.BROKEN, 0, ""));
+                exchange.end(new RequestResult(ResponseStatus.NO_RESPONSE, 0, ""));
             }
         }
 
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sagefall.emulator.ClientAnswer;
 import sagefall.emulator.ClientRequest;
-import sagefall.faultinjection.history.AnswerStatus;
+import sagefall.emulator.ResponseKind;
 import sagefall.faultinjection.history.EntryKind;
+import sagefall.faultinjection.history.ResponseStatus;
 
 /**
  * Sends the requests of the emulator's clients to one sidecar, through the client application
@@ -124,7 +124,9 @@
         OpenRequest openRequest = openRequests.get(request.id);
         if (openRequest != null) {
             application.disconnect(openRequest.exchange);
-            onResult(request, new ClientLoad.RequestResult(AnswerStatus.BROKEN, 0, "unanswered"));
+            onResult(
+                    request,
+                    new ClientLoad.RequestResult(ResponseStatus.NO_RESPONSE, 0, "unanswered"));
         }
     }
 
@@ -156,18 +158,18 @@
     private void notifyClient(
             ClientRequest request, ClientLoad.RequestResult result, boolean sidecarExited) {
         int status = result.status();
-        if (status == AnswerStatus.OK) {
-            members.traffic().deliverAnswer(request, ClientAnswer.SERVED, "", 0);
-        } else if (AnswerStatus.isRejected(status)) {
+        if (status == ResponseStatus.OK) {
+            members.traffic().deliverAnswer(request, ResponseKind.SERVED, "", 0);
+        } else if (ResponseStatus.isRejected(status)) {
             members.traffic()
-                    .deliverAnswer(request, ClientAnswer.REJECTED, "refused", result.retryMicros());
-        } else if (status == AnswerStatus.UNREACHABLE) {
-            members.traffic().deliverAnswer(request, ClientAnswer.REJECTED, "sidecar down", 0);
-        } else if (status == AnswerStatus.BROKEN && sidecarExited) {
+                    .deliverAnswer(request, ResponseKind.REJECTED, "refused", result.retryMicros());
+        } else if (status == ResponseStatus.UNREACHABLE) {
+            members.traffic().deliverAnswer(request, ResponseKind.REJECTED, "sidecar down", 0);
+        } else if (status == ResponseStatus.NO_RESPONSE && sidecarExited) {
             members.traffic().onSidecarKilled(request);
         } else {
-            String reason = status == AnswerStatus.BROKEN ? "unanswered" : "failed";
-            members.traffic().deliverAnswer(request, ClientAnswer.FAILED, reason, 0);
+            String reason = status == ResponseStatus.NO_RESPONSE ? "unanswered" : "failed";
+            members.traffic().deliverAnswer(request, ResponseKind.FAILED, reason, 0);
         }
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/history/AnswerStatus.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/ResponseStatus.java
@@ -1,13 +1,13 @@
 package sagefall.faultinjection.history;
 
 /** Statuses of {@link EntryKind#ANSWER} entries: HTTP statuses, and two that the client adds. */
-public final class AnswerStatus {
+public final class ResponseStatus {
 
     /** The sidecar did not accept the connection. */
     public static final int UNREACHABLE = -1;
 
     /** The connection closed, or the client stopped waiting, before a response arrived. */
-    public static final int BROKEN = 0;
+    public static final int NO_RESPONSE = 0;
 
     /** The request was served. */
     public static final int OK = 200;
@@ -15,7 +15,7 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    private AnswerStatus() {}
+    private ResponseStatus() {}
 
     /** Returns whether the sidecar rejected the request, which promises that no server ran it. */
     public static boolean isRejected(long status) {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryEntry;
+import sagefall.faultinjection.history.ResponseStatus;
 import sagefall.faultinjection.invariant.ObservedRequest.Attempt;
 
 /**
@@ -91,7 +91,7 @@
         }
         HistoryEntry response = request.response();
         boolean mayHaveRun = request.attempts().stream().anyMatch(Attempt::mayHaveRun);
-        if (AnswerStatus.isRejected(response.number("status")) && mayHaveRun) {
+        if (ResponseStatus.isRejected(response.number("status")) && mayHaveRun) {
             violations.add(
                     name(),
                     response.at(),
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
@@ -4,8 +4,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.HistoryEntry;
+import sagefall.faultinjection.history.ResponseStatus;
 
 /** The entries of a history about one request. */
 final class ObservedRequest {
@@ -81,7 +81,7 @@
 
     /** Returns whether no response arrived although the connection was accepted. */
     boolean hasNoResponse() {
-        return response == null || response.number("status") == AnswerStatus.BROKEN;
+        return response == null || response.number("status") == ResponseStatus.NO_RESPONSE;
     }
 
     /** Returns the time of the final response entry; the deadline if there is no such entry. */
@@ -114,12 +114,12 @@
     void recordReply(HistoryEntry reply) {
         long server = reply.number("server");
         long status = reply.number("status");
-        if (AnswerStatus.isNotExecuted(status)) {
+        if (ResponseStatus.isNotExecuted(status)) {
             attempts.stream()
                     .filter(attempt -> attempt.server == server && attempt.mayHaveRun())
                     .findFirst()
                     .ifPresent(attempt -> attempt.notExecuted = true);
-        } else if (status == AnswerStatus.OK) {
+        } else if (status == ResponseStatus.OK) {
             servingServers.add(server);
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
@@ -1,9 +1,9 @@
 package sagefall.faultinjection.invariant;
 
 import java.util.Set;
-import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryEntry;
+import sagefall.faultinjection.history.ResponseStatus;
 
 /**
  * Checks that each request sent to a running sidecar has exactly one final response, in time; that
@@ -62,7 +62,7 @@
             }
             if (request.hasNoResponse()) {
                 checkMissingResponse(request);
-            } else if (request.response().number("status") == AnswerStatus.UNREACHABLE) {
+            } else if (request.response().number("status") == ResponseStatus.UNREACHABLE) {
                 checkRefusedConnection(request);
             } else {
                 checkLateness(request);
@@ -118,7 +118,7 @@
         HistoryEntry response = request.response();
         boolean producedByServer =
                 request.wasServed() && response.text("body").equals("done " + request.id());
-        if (response.number("status") == AnswerStatus.OK && !producedByServer) {
+        if (response.number("status") == ResponseStatus.OK && !producedByServer) {
             violations.add(
                     name(),
                     response.at(),
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
@@ -3,9 +3,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryEntry;
+import sagefall.faultinjection.history.ResponseStatus;
 
 /**
  * Draws the picture of a run as SVG: the responses and the state of each member in rows, over a
@@ -101,10 +101,10 @@
     }
 
     private static int responseKind(long status) {
-        if (status == AnswerStatus.OK) {
+        if (status == ResponseStatus.OK) {
             return 0;
         }
-        return AnswerStatus.isRejected(status) ? 1 : 2;
+        return ResponseStatus.isRejected(status) ? 1 : 2;
     }
 
     private void drawBin(int bin, int kind, double y, double barHeight, int count) {
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import sagefall.faultinjection.history.AnswerStatus;
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryEntry;
+import sagefall.faultinjection.history.ResponseStatus;
 
 /** Computes the statistics of a run from its entries, which are added in order of time. */
 final class RunStatisticsCollector {
@@ -124,19 +124,19 @@
         long status = entry.number("status");
         count(outcomeOf(status));
         Operation operation = operationByRequest.get(entry.requestId());
-        if (operation != null && status == AnswerStatus.OK) {
+        if (operation != null && status == ResponseStatus.OK) {
             operation.servedAt = Math.min(operation.servedAt, entry.at());
         }
     }
 
     private static String outcomeOf(long status) {
-        if (AnswerStatus.isRejected(status)) {
+        if (ResponseStatus.isRejected(status)) {
             return "refused";
         }
         return switch ((int) status) {
-            case AnswerStatus.OK -> "served";
-            case AnswerStatus.UNREACHABLE -> "unreachable";
-            case AnswerStatus.BROKEN -> "unanswered";
+            case ResponseStatus.OK -> "served";
+            case ResponseStatus.UNREACHABLE -> "unreachable";
+            case ResponseStatus.NO_RESPONSE -> "unanswered";
             default -> "failed";
         };
     }
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
@@ -78,7 +78,7 @@
      * Returns the accounting after the given final response to a request whose client does not
      * retry, because the deadline of the operation has passed.
      */
-    private static ValueAccounting accountingAfter(ClientAnswer response, RejectionReason reason)
+    private static ValueAccounting accountingAfter(ResponseKind response, RejectionReason reason)
             throws Exception {
         Scenario scenario = Scenario.load("calm", List.of());
         EventQueue events = new EventQueue();
@@ -148,7 +148,7 @@
         "FAILED, , unanswered"
     })
     void lossIsRecordedUnderLabelOfResponseAndReason(
-            ClientAnswer response, RejectionReason reason, String label) throws Exception {
+            ResponseKind response, RejectionReason reason, String label) throws Exception {
         ValueAccounting accounting = accountingAfter(response, reason);
         assertEquals(Map.of(label, 1L), accounting.unsuccessfulResponses);
         assertEquals(List.of(label), List.copyOf(accounting.lost.keySet()));
@@ -158,7 +158,7 @@
     void labelsOfResponsesAndReasonsDoNotChange() {
         assertEquals(
                 List.of("served", "refused", "failed"),
-                Arrays.stream(ClientAnswer.values()).map(ClientAnswer::label).toList());
+                Arrays.stream(ResponseKind.values()).map(ResponseKind::label).toList());
         assertEquals(
                 List.of(
                         "admission",
