--- a/testbed/src/main/java/sagefall/emulator/ClientRequest.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientRequest.java
@@ -19,7 +19,7 @@
     public final long deadlineMicros;
 
     /** Whether the final response was sent, the client disconnected or the sidecar was killed. */
-    public boolean finished;
+    public boolean completed;
 
     /** Number of attempts in flight. */
     int inFlight;
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -199,7 +199,7 @@
         events.scheduleAfter(
                 (long) (attemptTimeoutMicros * draw / Math.max(disconnectShare, 1e-9)),
                 () -> {
-                    if (!request.finished) {
+                    if (!request.completed) {
                         sidecar.disconnectClient(request);
                         abandon(operation, CAUSE_DISCONNECTED);
                     }
@@ -227,14 +227,14 @@
      * @param reason reason of a rejection or failure; null for a served request or if no response
      *     was sent in time
      */
-    public void deliverAnswer(
+    public void deliverResponse(
             ClientRequest request,
             ResponseKind response,
             RejectionReason reason,
             long retryAfterMicros) {
         String label =
                 reason == null ? LABEL_NO_RESPONSE : response.label() + " " + reason.label();
-        deliverAnswer(request, response, label, retryAfterMicros);
+        deliverResponse(request, response, label, retryAfterMicros);
     }
 
     /**
@@ -243,7 +243,7 @@
      * @param label label under which the results count the response; not used if the request was
      *     served
      */
-    public void deliverAnswer(
+    public void deliverResponse(
             ClientRequest request, ResponseKind response, String label, long retryAfterMicros) {
         events.scheduleAfter(
                 network.clientLatencyMicros(),
--- a/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
@@ -222,8 +222,8 @@
             return;
         }
         for (ClientRequest request : sidecar.kill()) {
-            if (!request.finished) {
-                request.finished = true;
+            if (!request.completed) {
+                request.completed = true;
                 traffic.onSidecarKilled(request);
             }
         }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -172,7 +172,7 @@
         scheduleAfter(
                 environment.limits().responseGraceMicros(),
                 () -> {
-                    if (!request.finished) {
+                    if (!request.completed) {
                         reportMissingResponse(request);
                     }
                 });
@@ -192,16 +192,16 @@
 
     @Override
     public void disconnectClient(ClientRequest request) {
-        if (request.finished || balancer == null) {
+        if (request.completed || balancer == null) {
             return;
         }
-        request.finished = true;
+        request.completed = true;
         balancer.onClientDisconnected(events().now(), request.id);
         removeIfDone(request);
     }
 
     private void removeIfDone(ClientRequest request) {
-        if (request.finished && request.inFlight == 0) {
+        if (request.completed && request.inFlight == 0) {
             openRequests.remove(request.id);
         }
     }
@@ -216,8 +216,8 @@
         request.inFlight--;
         long nowMicros = events().now();
         connections.release(attempt, result);
-        if (result == AttemptResult.SERVED && !request.finished) {
-            request.finished = true;
+        if (result == AttemptResult.SERVED && !request.completed) {
+            request.completed = true;
             attempt.deliveredToClient = true;
             environment.deliverResponse(request, ResponseKind.SERVED, null, 0);
         }
@@ -229,7 +229,7 @@
                         attempt.server.id,
                         result,
                         nowMicros - attempt.startedAtMicros,
-                        request.finished,
+                        request.completed,
                         report));
         removeIfDone(request);
     }
@@ -249,16 +249,16 @@
         balancer.onTimer(events().now(), token);
     }
 
-    /** Sends the final response of a request, unless the request is null or finished. */
+    /** Sends the final response of a request, unless the request is null or completed. */
     void finish(
             ClientRequest request,
             ResponseKind response,
             RejectionReason reason,
             long retryAfterMicros) {
-        if (request == null || request.finished) {
+        if (request == null || request.completed) {
             return;
         }
-        request.finished = true;
+        request.completed = true;
         environment.deliverResponse(request, response, reason, retryAfterMicros);
         removeIfDone(request);
     }
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -95,7 +95,7 @@
                 1e6 * scenario.network().idleTimeoutSeconds(),
                 (long) (1000 * scenario.network().connectTimeoutMillis()),
                 scenario.network().connectRoundTrips().draw(streams, "net.trips"),
-                (long) (1000 * scenario.service().answerGraceMillis()));
+                (long) (1000 * scenario.service().responseGraceMillis()));
     }
 
     private List<EmulatedSidecar> createSidecars() {
@@ -241,7 +241,7 @@
                 ResponseKind response,
                 RejectionReason reason,
                 long retryAfterMicros) {
-            traffic.deliverAnswer(request, response, reason, retryAfterMicros);
+            traffic.deliverResponse(request, response, reason, retryAfterMicros);
         }
     }
 }
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -105,7 +105,7 @@
             String requestId,
             EmulatedServer server,
             long serverId) {
-        if (request == null || request.finished) {
+        if (request == null || request.completed) {
             recordBreach(Rule.ONE_ANSWER, requestId, serverId, sidecar.index());
             return;
         }
@@ -160,7 +160,7 @@
     /** Checks a rejection, which tells the client that a retry is safe. */
     void onReject(EmulatedSidecar sidecar, ClientRequest request, String requestId) {
         onFinalResponse(sidecar, requestId);
-        if (request == null || request.finished || isRetrySafe()) {
+        if (request == null || request.completed || isRetrySafe()) {
             return;
         }
         EmulatedAttempt first = firstPossiblyExecuted(request);
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -89,7 +89,7 @@
                 new HostRules(
                         service.slowStartLimitFactor(),
                         micros(service.drainGraceMillis()),
-                        micros(service.answerGraceMillis()),
+                        micros(service.responseGraceMillis()),
                         micros(scenario.network().connectTimeoutMillis())),
                 service.cachedKeySaving().high() > 0,
                 micros(service.tickMillis()));
@@ -101,7 +101,7 @@
                 idempotency(service.idempotency()),
                 deduplicationScope(service.deduplicationScope()),
                 micros(service.deduplicationWindowMillis()),
-                micros(service.latencyObjectiveMillis()),
+                micros(service.latencyTargetMillis()),
                 micros(service.deadlineMillis()),
                 1,
                 0,
--- a/testbed/src/main/java/sagefall/emulator/SidecarActions.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -45,7 +45,7 @@
         attempt.sendDeadlineMicros = latestStartMicros;
         request.attempts.add(attempt);
         request.inFlight++;
-        if (request.finished || events.now() >= request.deadlineMicros) {
+        if (request.completed || events.now() >= request.deadlineMicros) {
             endLater(attempt, 1, AttemptResult.NOT_SENT);
             return;
         }
--- a/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -23,7 +23,7 @@
     /** Handles an operation whose client could not connect because the process was not running. */
     default void onUnreachable(ClientOperation operation) {}
 
-    /** Submits a request; the response is passed to {@link ClientTraffic#deliverAnswer}. */
+    /** Submits a request; the response is passed to {@link ClientTraffic#deliverResponse}. */
     void submit(ClientRequest request, boolean markedAsRetry);
 
     /** Handles the disconnect of the client of a request. */
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -149,8 +149,8 @@
                         result.retryMicros(),
                         "body",
                         result.body());
-        if (!request.finished) {
-            request.finished = true;
+        if (!request.completed) {
+            request.completed = true;
             notifyClient(request, result, sidecarExited);
         }
     }
@@ -159,23 +159,24 @@
             ClientRequest request, ClientLoad.RequestResult result, boolean sidecarExited) {
         int status = result.status();
         if (status == ResponseStatus.OK) {
-            members.traffic().deliverAnswer(request, ResponseKind.SERVED, "", 0);
+            members.traffic().deliverResponse(request, ResponseKind.SERVED, "", 0);
         } else if (ResponseStatus.isRejected(status)) {
             members.traffic()
-                    .deliverAnswer(request, ResponseKind.REJECTED, "refused", result.retryMicros());
+                    .deliverResponse(
+                            request, ResponseKind.REJECTED, "refused", result.retryMicros());
         } else if (status == ResponseStatus.UNREACHABLE) {
-            members.traffic().deliverAnswer(request, ResponseKind.REJECTED, "sidecar down", 0);
+            members.traffic().deliverResponse(request, ResponseKind.REJECTED, "sidecar down", 0);
         } else if (status == ResponseStatus.NO_RESPONSE && sidecarExited) {
             members.traffic().onSidecarKilled(request);
         } else {
             String reason = status == ResponseStatus.NO_RESPONSE ? "unanswered" : "failed";
-            members.traffic().deliverAnswer(request, ResponseKind.FAILED, reason, 0);
+            members.traffic().deliverResponse(request, ResponseKind.FAILED, reason, 0);
         }
     }
 
     /** Closes the connection of a request on behalf of its client. */
     void disconnect(ClientRequest request) {
-        request.finished = true;
+        request.completed = true;
         OpenRequest openRequest = openRequests.remove(request.id);
         context.history().write(EntryKind.ABANDONED, "id", request.id, "who", sidecar);
         if (openRequest != null) {
--- a/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
@@ -5,7 +5,7 @@
  *
  * @param idempotency whether a request may be executed twice: pure, token or side_effect
  * @param deduplicationScope servers that recognize a repeated idempotency key: all, zone or cell
- * @param latencyObjectiveMillis latency target; a slower response is late
+ * @param latencyTargetMillis latency target; a slower response is late
  * @param deadlineMillis time from the arrival of a request until the client stops waiting for the
  *     response
  * @param deduplicationWindowMillis time for which an idempotency key is recognized
@@ -31,14 +31,14 @@
  * @param slowStartLimitSeconds length of the window over which the load of a cold server is counted
  * @param drainGraceMillis time for which requests may still be sent to a server after a sidecar has
  *     been notified that the server is draining
- * @param answerGraceMillis time after the deadline of a request by which the request must have
+ * @param responseGraceMillis time after the deadline of a request by which the request must have
  *     completed
  * @param tickMillis resolution of the clock of the sidecars
  */
 public record ServiceSettings(
         String idempotency,
         String deduplicationScope,
-        double latencyObjectiveMillis,
+        double latencyTargetMillis,
         double deadlineMillis,
         double deduplicationWindowMillis,
         int maxAttempts,
@@ -60,5 +60,5 @@
         double slowStartLimitFactor,
         double slowStartLimitSeconds,
         double drainGraceMillis,
-        double answerGraceMillis,
+        double responseGraceMillis,
         double tickMillis) {}
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
@@ -119,7 +119,7 @@
                         operation,
                         EventQueue.START_MICROS,
                         EventQueue.START_MICROS + SECOND);
-        traffic.deliverAnswer(request, response, reason, 0);
+        traffic.deliverResponse(request, response, reason, 0);
         events.runUntil(EventQueue.START_MICROS + SECOND);
         return accounting;
     }
