--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -7,7 +7,7 @@
 /**
  * Estimates the latency of each endpoint as a peak EWMA, as a multiple of the typical latency of
  * the request class: a slow response raises the estimate at once, faster responses and time lower
- * it towards the usual value for the kind and zone of the endpoint. Attempts without a response
+ * it towards the usual value for the model and zone of the endpoint. Attempts without a response
  * count by their age, since a hanging endpoint never gives a sample. This prevents an endpoint that
  * has become slow from being sent as much as before.
  */
@@ -35,7 +35,7 @@
 
     private final double meanTargetMicros;
     private final double[] typicalMicros;
-    private final PooledLatencyRatio kindRatio = new PooledLatencyRatio();
+    private final PooledLatencyRatio modelRatio = new PooledLatencyRatio();
     private final PooledLatencyRatio zoneRatio = new PooledLatencyRatio();
 
     LatencyEstimator(BalancerSettings settings) {
@@ -68,11 +68,11 @@
     /**
      * Returns the peak EWMA of an endpoint, without the ages of attempts in flight, as a multiple
      * of the typical latency. Between samples, the peak EWMA decays towards the usual value for the
-     * kind and zone of the endpoint; before the first sample, it is that value.
+     * model and zone of the endpoint; before the first sample, it is that value.
      */
     double sampledRatio(long now, Endpoint endpoint) {
         double pooled =
-                kindRatio.ratio(endpoint.entry().model())
+                modelRatio.ratio(endpoint.entry().model())
                         * zoneRatio.ratio(endpoint.entry().zone());
         LatencyState latency = endpoint.latency();
         if (!latency.hasSample()) {
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Updates the estimates of the endpoint, its kind and its zone from the latency of a response.
+     * Updates the estimates of the endpoint, its model and its zone from the latency of a response.
      */
     void recordResponse(long now, Attempt attempt, long elapsedMicros) {
         Endpoint endpoint = attempt.endpoint();
@@ -110,7 +110,7 @@
         recordSample(now, endpoint, ratio);
         LatencyState latency = endpoint.latency();
         latency.meanRatio += MEAN_RATIO_WEIGHT * (Math.min(ratio, MAX_RATIO) - latency.meanRatio);
-        kindRatio.record(endpoint.entry().model(), ratio);
+        modelRatio.record(endpoint.entry().model(), ratio);
         zoneRatio.record(endpoint.entry().zone(), ratio);
     }
 
--- a/sidecar/src/main/java/sagefall/balancer/health/PooledLatencyRatio.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/PooledLatencyRatio.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Holds, for each value of a label (kind or zone), the EWMA of the latency of all endpoints with
+ * Holds, for each value of a label (model or zone), the EWMA of the latency of all endpoints with
  * that value, as a multiple of the typical latency. It is the estimate for an endpoint that has no
  * sample of its own.
  */
--- a/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
@@ -29,7 +29,7 @@
     private static final int SIDECARS = 14;
     private static final int SERVERS = 40;
     private static final long SERVICE_MICROS = 40_000;
-    private static final long OBJECTIVE_MICROS = 200_000;
+    private static final long LATENCY_TARGET_MICROS = 200_000;
 
     private record Event(long at, int instance, AttemptOutcome outcome) {}
 
@@ -124,7 +124,7 @@
             host.balancer.onAttemptOutcome(event.at(), event.outcome());
             responsesInTime +=
                     event.outcome().result() == AttemptResult.SERVED
-                                    && event.outcome().elapsedMicros() <= OBJECTIVE_MICROS
+                                    && event.outcome().elapsedMicros() <= LATENCY_TARGET_MICROS
                             ? 1
                             : 0;
             queueAttempts(event.instance(), before);
@@ -184,7 +184,7 @@
         for (int i = 0; i < 60; i++) {
             host.request("a" + i);
             RecordingActions.Sent last = host.sent.get(host.sent.size() - 1);
-            host.now += OBJECTIVE_MICROS * 6 / 10;
+            host.now += LATENCY_TARGET_MICROS * 6 / 10;
             host.balancer.onAttemptOutcome(
                     host.now,
                     new AttemptOutcome(
@@ -192,7 +192,7 @@
                             0,
                             last.server(),
                             AttemptResult.SERVED,
-                            OBJECTIVE_MICROS * 6 / 10,
+                            LATENCY_TARGET_MICROS * 6 / 10,
                             true,
                             busy));
         }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -17,8 +17,8 @@
 final class SidecarRequests {
 
     /**
-     * Time after the deadline for which a late response is awaited before the request counts as
-     * unanswered.
+     * Time after the deadline for which a late response is awaited before the request ends without
+     * one.
      */
     private static final long LATE_RESPONSE_WAIT_MICROS = 5_000_000;
 
@@ -68,7 +68,7 @@
                 .queue()
                 .scheduleAt(
                         request.deadlineMicros + LATE_RESPONSE_WAIT_MICROS,
-                        () -> endUnanswered(request));
+                        () -> endWithoutResponse(request));
     }
 
     private void recordIntent(ClientRequest request, String key, long timeoutMicros) {
@@ -120,7 +120,7 @@
         return body;
     }
 
-    private void endUnanswered(ClientRequest request) {
+    private void endWithoutResponse(ClientRequest request) {
         OpenRequest openRequest = openRequests.get(request.id);
         if (openRequest != null) {
             application.disconnect(openRequest.exchange);
