--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -63,13 +63,13 @@
                         experiment.scenario(scenario),
                         experiment.seeds(),
                         MODULE_POLICY,
-                        WITHOUT_PREFIX + mechanism.word(),
+                        WITHOUT_PREFIX + mechanism.label(),
                         experiment.listener());
         PairedDifference goal = comparison.differences().get(0);
         System.out.printf(
                 Locale.ROOT,
                 "%-34s %7.3f %7.3f %+7.3f  %+.3f to %+.3f  %s%n",
-                mechanism.word(),
+                mechanism.label(),
                 goal.meanA(),
                 goal.meanB(),
                 goal.mean(),
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -69,7 +69,7 @@
                         + scenario);
         printHeader();
         comparison.differences().forEach(CompareCommand::printRow);
-        for (PairedDifference difference : comparison.lost().values()) {
+        for (PairedDifference difference : comparison.keptShareByCause().values()) {
             if (Math.abs(difference.meanA()) > MIN_PRINTED_SHARE
                     || Math.abs(difference.meanB()) > MIN_PRINTED_SHARE) {
                 printRow(difference);
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -83,7 +83,7 @@
                     "%-10s %-22s %-24s %8.3f %8.3f%n",
                     measurement.scenario(),
                     measurement.build(),
-                    measurement.day(),
+                    measurement.runName(),
                     benchGoals[i],
                     emulatorGoals[i]);
         }
@@ -157,7 +157,7 @@
         int pairs = 0;
         for (BenchmarkMeasurement lower : bench.measurements()) {
             for (BenchmarkMeasurement higher : bench.measurements()) {
-                if (!lower.day().equals(higher.day()) || lower.g() + spread >= higher.g()) {
+                if (!lower.runName().equals(higher.runName()) || lower.g() + spread >= higher.g()) {
                     continue;
                 }
                 pairs++;
--- a/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
+++ b/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
@@ -17,8 +17,8 @@
  * @param policyB specification of policy B
  * @param differences differences of the goal and of three of its components; the price is negated,
  *     so that a larger figure is better for each of them
- * @param lost for each cause of loss, the difference of the lost share of the offered value; the
- *     share is negated, so that a positive difference means that B loses less
+ * @param keptShareByCause for each cause of loss, the difference of the lost share of the offered
+ *     value; the share is negated, so that a positive difference means that B loses less
  * @param a results of A, in the order of the seeds
  * @param b results of B, in the order of the seeds
  */
@@ -27,7 +27,7 @@
         String policyA,
         String policyB,
         List<PairedDifference> differences,
-        Map<String, PairedDifference> lost,
+        Map<String, PairedDifference> keptShareByCause,
         List<SimulationResult> a,
         List<SimulationResult> b) {
 
@@ -70,15 +70,23 @@
         TreeSet<String> causes = new TreeSet<>();
         a.forEach(result -> causes.addAll(result.lost().keySet()));
         b.forEach(result -> causes.addAll(result.lost().keySet()));
-        Map<String, PairedDifference> lost = new TreeMap<>();
+        Map<String, PairedDifference> keptShareByCause = new TreeMap<>();
         for (String cause : causes) {
             // The name of the figure is also part of the name of the bootstrap's random stream, so
             // another name would give another interval.
             String figure = "kept from " + cause;
-            lost.put(cause, PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
+            keptShareByCause.put(
+                    cause,
+                    PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
         }
         return new PolicyComparison(
-                scenario, a.get(0).policy(), b.get(0).policy(), differences, lost, a, b);
+                scenario,
+                a.get(0).policy(),
+                b.get(0).policy(),
+                differences,
+                keptShareByCause,
+                a,
+                b);
     }
 
     private static double lostShare(SimulationResult result, String cause) {
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -53,24 +53,24 @@
     /** Assignment of tenants to cells of endpoints within a zone. */
     CELLS("cells", "assigning tenants to cells of endpoints", "ENDPOINTS_PER_CELL_AND_ZONE=1e9");
 
-    private final String word;
-    private final String about;
+    private final String label;
+    private final String description;
     private final List<String> assignments;
 
-    Mechanism(String word, String about, String... assignments) {
-        this.word = word;
-        this.about = about;
+    Mechanism(String label, String description, String... assignments) {
+        this.label = label;
+        this.description = description;
         this.assignments = List.of(assignments);
     }
 
     /** Returns a short description of the mechanism. */
-    public String about() {
-        return about;
+    public String description() {
+        return description;
     }
 
     /** Returns the name on the command line, as in {@code module-without:ejection}. */
-    public String word() {
-        return word;
+    public String label() {
+        return label;
     }
 
     /** Returns the values that switch the mechanism off, by the names of the tunables. */
@@ -86,20 +86,20 @@
     }
 
     /** Returns the mechanism with the given name on the command line. */
-    static Mechanism of(String word) throws PolicyException {
+    static Mechanism of(String label) throws PolicyException {
         return Arrays.stream(values())
-                .filter(mechanism -> mechanism.word().equals(word))
+                .filter(mechanism -> mechanism.label().equals(label))
                 .findFirst()
                 .orElseThrow(
                         () ->
                                 new PolicyException(
                                         "no mechanism '"
-                                                + word
+                                                + label
                                                 + "', only "
                                                 + String.join(
                                                         ", ",
                                                         Arrays.stream(values())
-                                                                .map(Mechanism::word)
+                                                                .map(Mechanism::label)
                                                                 .toList())));
     }
 }
--- a/testbed/src/main/java/sagefall/report/HtmlReport.java
+++ b/testbed/src/main/java/sagefall/report/HtmlReport.java
@@ -41,7 +41,7 @@
                         + " by cause, how much less of the offered value B lost than A; columns A"
                         + " and B have the lost shares as negative numbers.</p>");
         report.addDifferences(comparison.differences());
-        report.addDifferences(new ArrayList<>(comparison.lost().values()));
+        report.addDifferences(new ArrayList<>(comparison.keptShareByCause().values()));
         report.page.add("<h2>Runs</h2>");
         List<SimulationResult> all = new ArrayList<>(comparison.a());
         all.addAll(comparison.b());
--- a/testbed/src/main/java/sagefall/scenario/BenchmarkMeasurement.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkMeasurement.java
@@ -5,7 +5,7 @@
  *
  * @param build name of the build
  * @param scenario name of the scenario that resembles the benchmark run
- * @param day name of the benchmark run
+ * @param runName name of the benchmark run
  * @param g measured goal value
  */
-public record BenchmarkMeasurement(String build, String scenario, String day, double g) {}
+public record BenchmarkMeasurement(String build, String scenario, String runName, double g) {}
--- a/testbed/src/test/java/sagefall/policy/MechanismNamesTest.java
+++ b/testbed/src/test/java/sagefall/policy/MechanismNamesTest.java
@@ -27,9 +27,9 @@
 
     @Test
     void eachMechanismHasItsCommandLineName() throws PolicyException {
-        assertEquals(NAMES, Arrays.stream(Mechanism.values()).map(Mechanism::word).toList());
+        assertEquals(NAMES, Arrays.stream(Mechanism.values()).map(Mechanism::label).toList());
         for (String name : NAMES) {
-            assertEquals(name, Mechanism.of(name).word());
+            assertEquals(name, Mechanism.of(name).label());
         }
     }
 
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -65,7 +65,7 @@
     @ParameterizedTest
     @EnumSource(Mechanism.class)
     void eachMechanismCanBeSwitchedOff(Mechanism mechanism) throws Exception {
-        PolicyRegistry.of("module-without:" + mechanism.word(), ROOT).close();
+        PolicyRegistry.of("module-without:" + mechanism.label(), ROOT).close();
     }
 
     @Test
