--- a/testbed/src/main/java/sagefall/cli/AgreeCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -102,7 +102,7 @@
                 emulated.attemptsPerRequest(),
                 real.attempts(),
                 emulated.crossingsPerRequest(),
-                real.crossings(),
+                real.crossZoneAttempts(),
                 perRequest(emulated, REFUSED),
                 perRequest(real, REFUSED),
                 perRequest(emulated, FAILED),
@@ -129,6 +129,7 @@
 
     /** Returns the number of requests with the given outcome, as a share of all requests. */
     private static double perRequest(RunStatistics statistics, String outcome) {
-        return statistics.answers().getOrDefault(outcome, 0L) / (double) statistics.requests();
+        return statistics.requestsByOutcome().getOrDefault(outcome, 0L)
+                / (double) statistics.operations();
     }
 }
--- a/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
@@ -32,7 +32,7 @@
     public Integer call() throws IOException, ScenarioException {
         RunDirectory directory = new RunDirectory(path);
         RunPlan.read(directory.plan()); // Throws if the plan is missing or malformed.
-        RunResult result = RunResult.judge(directory, READY_SECONDS_NOT_MEASURED);
+        RunResult result = RunResult.evaluate(directory, READY_SECONDS_NOT_MEASURED);
         result.print(System.out);
         return ExitStatus.of(result.isViolated());
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -131,7 +131,7 @@
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the fault injection itself failed: " + e, e);
         }
-        return RunResult.judge(new RunDirectory(output), readySeconds);
+        return RunResult.evaluate(new RunDirectory(output), readySeconds);
     }
 
     List<SidecarMember> sidecars() {
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -41,7 +41,7 @@
      *
      * @throws HistoryException if the directory does not hold the history of a run
      */
-    public static RunResult judge(RunDirectory directory, double readySeconds) throws IOException {
+    public static RunResult evaluate(RunDirectory directory, double readySeconds) throws IOException {
         List<HistoryEntry> history = HistoryReader.read(directory.history());
         RunResult result =
                 new RunResult(
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatistics.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatistics.java
@@ -16,15 +16,15 @@
  * @param recoverySeconds time from the end of the last fault until 0.95 of the fraction served
  *     before the first fault is served again for two seconds; {@link #NEVER} if that does not
  *     happen
- * @param servedBefore fraction served before the first fault
- * @param answers number of requests by outcome
+ * @param servedBeforeFaults fraction served before the first fault
+ * @param requestsByOutcome number of requests by outcome
  * @param p50Millis median latency of the operations with a successful response
  * @param p95Millis 95th percentile of the latency of operations with a successful response
  * @param p99Millis 99th percentile of the latency of operations with a successful response
  * @param attempts mean number of attempts sent to servers per operation
- * @param crossings mean number of attempts per operation that arrived in a zone other than that of
- *     the sidecar
- * @param requests number of operations
+ * @param crossZoneAttempts mean number of attempts per operation that arrived in a zone other than
+ *     that of the sidecar
+ * @param operations number of operations
  * @param stallMillis longest stall of an event loop of the test bed
  * @param seconds duration of the load
  */
@@ -32,14 +32,14 @@
         double served,
         double worstSecond,
         double recoverySeconds,
-        double servedBefore,
-        Map<String, Long> answers,
+        double servedBeforeFaults,
+        Map<String, Long> requestsByOutcome,
         double p50Millis,
         double p95Millis,
         double p99Millis,
         double attempts,
-        double crossings,
-        long requests,
+        double crossZoneAttempts,
+        long operations,
         long stallMillis,
         int seconds) {
 
@@ -66,12 +66,12 @@
                 String.format(
                         "%d operations; served %.3f of their value, worst second %.3f, before the"
                                 + " first fault %.3f; %s",
-                        requests, served, worstSecond, servedBefore, recovery));
+                        operations, served, worstSecond, servedBeforeFaults, recovery));
         lines.add(
                 String.format(
                         "requests by outcome %s; p50 %.0f ms, p99 %.0f ms; longest stall of the"
                                 + " test bed %d ms",
-                        answers, p50Millis, p99Millis, stallMillis));
+                        requestsByOutcome, p50Millis, p99Millis, stallMillis));
         return lines;
     }
 }
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -74,7 +74,7 @@
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
         assertFalse(result.isViolated(), printed::toString);
-        assertTrue(result.statistics().requests() > 200, printed::toString);
+        assertTrue(result.statistics().operations() > 200, printed::toString);
         assertTrue(Files.readString(folder.resolve("report.html")).contains("sidecar 5"));
     }
 
--- a/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
@@ -52,16 +52,16 @@
     /** The expected statistics are those that the older build printed. */
     @Test
     void historyOfOlderBuildGivesRecordedStatistics() throws Exception {
-        RunResult result = RunResult.judge(new RunDirectory(folder), 0);
+        RunResult result = RunResult.evaluate(new RunDirectory(folder), 0);
         assertFalse(result.isViolated(), result.violations().toString());
         assertFalse(result.isVoid());
-        assertEquals(65, result.statistics().requests());
+        assertEquals(65, result.statistics().operations());
         assertEquals(0.969, result.statistics().served(), 0.0005);
         assertEquals(0.867, result.statistics().worstSecond(), 0.0005);
-        assertEquals(0.965, result.statistics().servedBefore(), 0.0005);
+        assertEquals(0.965, result.statistics().servedBeforeFaults(), 0.0005);
         assertEquals(
                 Map.of("served", 63L, "sidecar down", 4L, "unreachable", 2L),
-                result.statistics().answers());
+                result.statistics().requestsByOutcome());
         assertEquals(89, result.statistics().stallMillis());
         assertTrue(Files.readString(folder.resolve("report.html")).contains("sidecar 1"));
     }
@@ -99,7 +99,7 @@
         Files.writeString(history, text.substring(text.indexOf('\n') + 1));
         HistoryException missing =
                 assertThrows(
-                        HistoryException.class, () -> RunResult.judge(new RunDirectory(folder), 0));
+                        HistoryException.class, () -> RunResult.evaluate(new RunDirectory(folder), 0));
         assertTrue(missing.getMessage().endsWith("not a history: no line 'play'"));
 
         Files.writeString(history, "nothing\n" + text);
