--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -137,7 +137,8 @@
         long minBytes = reservedBytes(uploads, !uploads);
         if (maxBufferedBytes < minBytes) {
             throw section.invalid(
-                    "max_buffered_bytes", "must be at least one stream's window, " + minBytes);
+                    "max_buffered_bytes",
+                    "must be at least the buffer size of one stream, " + minBytes);
         }
     }
 
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -239,7 +239,7 @@
                         + " settings do not",
                 "{'streaming':{'high_watermark_bytes':100,'low_watermark_bytes':100}} | must be"
                         + " below high",
-                "{'streaming':{'max_buffered_bytes':40000}} | one stream's window, ",
+                "{'streaming':{'max_buffered_bytes':40000}} | the buffer size of one stream, ",
                 "{'streaming':{'max_buffered_bytes':-1}} | max_buffered_bytes: must be a whole"
                         + " number",
                 "{'streaming':{'max_buffered_bytes':99999999999999999999}} | must be a whole"
--- a/testbed/src/main/java/sagefall/policy/PolicySources.java
+++ b/testbed/src/main/java/sagefall/policy/PolicySources.java
@@ -119,7 +119,7 @@
         }
         if (changedClasses.isEmpty()) {
             throw new PolicyException(
-                    policyName + ": " + tunable + " is no tunable of the policy files");
+                    policyName + ": " + tunable + " is not a tunable of the policy files");
         }
         if (changedClasses.size() > 1) {
             throw new PolicyException(
--- a/testbed/src/main/java/sagefall/scenario/Scenario.java
+++ b/testbed/src/main/java/sagefall/scenario/Scenario.java
@@ -131,7 +131,7 @@
                         fault.location()
                                 + ": the "
                                 + runner.label()
-                                + " can't play "
+                                + " cannot inject "
                                 + fault.kind().label());
             }
         }
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -240,7 +240,7 @@
                 "run rig-calm --build /nowhere | /nowhere: no checkout of sagefall",
                 "run flap --set seconds=many | --set:1: not TOML",
                 "run flap --set seconds=[1,2] | --set: seconds: must be one number",
-                "run OWN | OWN:3: fault[0].kind: the rig can't play neighbour",
+                "run OWN | OWN:3: fault[0].kind: the rig cannot inject neighbour",
                 "run BAD | BAD:4: fault[0].zone: the fleet has no such zone",
                 "replay nope.json | nope.json: no such plan",
                 "replay OWN | not a plan",
@@ -278,7 +278,7 @@
     @Test
     void emulatorRejectsFaultThatStopsProcesses() throws Exception {
         assertEquals(
-                "rig-stop.toml:16: fault[0].kind: the emulator can't play stop_sidecars",
+                "rig-stop.toml:16: fault[0].kind: the emulator cannot inject stop_sidecars",
                 assertThrows(
                                 ScenarioException.class,
                                 () ->
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -79,7 +79,7 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "module:SPILL=2; module:SPILL=2: SPILL is no tunable of the policy files",
+                "module:SPILL=2; module:SPILL=2: SPILL is not a tunable of the policy files",
                 "module:SPILL_RATIO=x; module:SPILL_RATIO=x: 'SPILL_RATIO=x' is not TUNABLE=NUMBER",
                 "module-without:luck; no mechanism 'luck'",
                 "best; best: no such policy"
@@ -111,7 +111,7 @@
                                 () -> PolicyRegistry.of("module:OldChoice.SPILL=2", checkout))
                         .getMessage();
         assertEquals(
-                "module:OldChoice.SPILL=2: OldChoice.SPILL is no tunable of the policy files",
+                "module:OldChoice.SPILL=2: OldChoice.SPILL is not a tunable of the policy files",
                 message);
 
         Files.writeString(
--- a/testbed/src/test/java/sagefall/scenario/FaultLabelsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultLabelsTest.java
@@ -120,7 +120,7 @@
         Scenario scenario = read(kind, "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION));
         assertEquals(
-                "f.toml:4: fault[0].kind: the emulator can't play " + kind,
+                "f.toml:4: fault[0].kind: the emulator cannot inject " + kind,
                 assertThrows(
                                 ScenarioException.class,
                                 () -> scenario.requireSupportedBy(ScenarioRunner.EMULATOR))
@@ -132,7 +132,7 @@
         Scenario scenario = read("neighbour", "");
         assertSame(scenario, scenario.requireSupportedBy(ScenarioRunner.EMULATOR));
         assertEquals(
-                "f.toml:4: fault[0].kind: the rig can't play neighbour",
+                "f.toml:4: fault[0].kind: the rig cannot inject neighbour",
                 assertThrows(
                                 ScenarioException.class,
                                 () -> scenario.requireSupportedBy(ScenarioRunner.FAULT_INJECTION))
