--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -75,7 +75,7 @@
      */
     RunPlan plan(String nameOrFile, long seed) throws IOException, ScenarioException {
         for (Path build : builds()) {
-            SidecarChildProcess.run(build); // Throws if the checkout is not built.
+            SidecarChildProcess.runCommand(build); // Throws if the checkout is not built.
         }
         ScenarioSource source = Scenario.source(nameOrFile);
         List<String> all = new ArrayList<>();
--- a/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ListScenariosCommand.java
@@ -27,7 +27,8 @@
         }
         System.out.println("policies: " + PolicyRegistry.HELP);
         for (Mechanism mechanism : Mechanism.values()) {
-            System.out.printf(Locale.ROOT, "%-16s %s%n", mechanism.label(), mechanism.description());
+            System.out.printf(
+                    Locale.ROOT, "%-16s %s%n", mechanism.label(), mechanism.description());
         }
         return ExitStatus.OK;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -66,7 +66,7 @@
         Scenario scenario = plan.scenario();
         // Fails before anything is created if a sidecar can't be started from a checkout.
         for (Path build : plan.builds()) {
-            SidecarChildProcess.run(build);
+            SidecarChildProcess.runCommand(build);
         }
         RunDirectory directory = new RunDirectory(output);
         Files.createDirectories(directory.history());
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -118,7 +118,7 @@
     private SidecarMember createSidecar(int index, int zone)
             throws IOException, InterruptedException {
         Path directory = Files.createDirectories(context.directory().sidecar(index));
-        InetSocketAddress listen = SidecarChildProcess.free(Addresses.listener(index));
+        InetSocketAddress listen = SidecarChildProcess.freeAddress(Addresses.listener(index));
         LinkRelay discoveryLink =
                 new LinkRelay(
                         group,
--- a/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
@@ -38,7 +38,7 @@
         while (!Thread.currentThread().isInterrupted()) {
             for (SidecarMember sidecar : members.sidecars()) {
                 long pid = sidecar.control().process().pid();
-                long nanos = starvation.nanosSinceLastCall(pid);
+                long nanos = starvation.longestWaitNanos(pid);
                 if (nanos > MIN_RECORDED_WAIT_NANOS) {
                     recordStarvation(sidecar, nanos);
                 }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -160,13 +160,13 @@
     /** Returns whether the process has exited, or its open descriptors are near the baseline. */
     boolean isIdle() throws IOException {
         return !process.process().isAlive()
-                || process.statistics().descriptors()
+                || process.statistics().openDescriptors()
                         <= baselineDescriptors + IDLE_TOLERANCE_DESCRIPTORS;
     }
 
     /** Records the resources of the process before the first request, as the baseline. */
     void recordBaseline() throws IOException {
-        baselineDescriptors = process.statistics().descriptors();
+        baselineDescriptors = process.statistics().openDescriptors();
         recordResources("before");
     }
 
@@ -184,9 +184,9 @@
                         "when",
                         when,
                         "descriptors",
-                        process.statistics().descriptors(),
+                        process.statistics().openDescriptors(),
                         "rss_kib",
-                        process.statistics().status("VmRSS"));
+                        process.statistics().statusKib("VmRSS"));
     }
 
     /**
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -50,7 +50,7 @@
     SidecarChildProcess start(int incarnation, ObjectNode endpoints, long clockOffsetMillis)
             throws IOException {
         return new SidecarChildProcess(
-                SidecarChildProcess.run(spec.checkout()),
+                SidecarChildProcess.runCommand(spec.checkout()),
                 spec.checkout(),
                 spec.directory(),
                 spec.listen(),
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryEntry.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryEntry.java
@@ -5,12 +5,12 @@
 /**
  * One line of a history.
  *
- * @param at time of the entry in nanoseconds of the monotonic clock, which all processes of the
- *     machine share
+ * @param atNanos time of the entry in nanoseconds of the monotonic clock, which all processes of
+ *     the machine share
  * @param kind what the line records
  * @param line all fields of the line
  */
-public record HistoryEntry(long at, EntryKind kind, JsonNode line) {
+public record HistoryEntry(long atNanos, EntryKind kind, JsonNode line) {
 
     /** Value of a number field that is missing; no sidecar, server or fault has this number. */
     public static final int NONE = -1;
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryReader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryReader.java
@@ -39,7 +39,7 @@
             throw new HistoryException(
                     directory + ": not a history: no line '" + EntryKind.RUN.word() + "'");
         }
-        entries.sort(Comparator.comparingLong(HistoryEntry::at));
+        entries.sort(Comparator.comparingLong(HistoryEntry::atNanos));
         return entries;
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/AttemptLimitInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/AttemptLimitInvariant.java
@@ -31,7 +31,7 @@
         if (previousAttempts >= run.parameters().attemptLimit()) {
             violations.add(
                     name(),
-                    send.at(),
+                    send.atNanos(),
                     "request %s was sent in %d attempts",
                     send.requestId(),
                     previousAttempts + 1);
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ColdServerInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ColdServerInvariant.java
@@ -63,7 +63,7 @@
         long spanNanos = run.parameters().slowStartLimitNanos();
         ArrayDeque<HistoryEntry> window = recentArrivals.get(server);
         window.add(arrival);
-        while (window.peek().at() < arrival.at() - spanNanos) {
+        while (window.peek().atNanos() < arrival.atNanos() - spanNanos) {
             window.poll();
         }
         double workMicros = window.size() * run.parameters().meanWorkMicros();
@@ -75,7 +75,7 @@
         if (overloaded && fromNotified >= MIN_NOTIFIED_FRACTION * window.size()) {
             violations.add(
                     name(),
-                    arrival.at(),
+                    arrival.atNanos(),
                     "cold server %d received %d requests in one span, above its capacity",
                     server,
                     window.size());
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ColdStarts.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ColdStarts.java
@@ -35,7 +35,7 @@
             byServer.put(
                     id,
                     new ColdStart(
-                            entry.at(),
+                            entry.atNanos(),
                             entry.line().path("cold_from").asDouble(),
                             entry.number("cold_us"),
                             entry.line().path("capacity").asDouble()));
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/CrashInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/CrashInvariant.java
@@ -38,7 +38,7 @@
             case "stuck" ->
                     violations.add(
                             name(),
-                            entry.at(),
+                            entry.atNanos(),
                             "sidecar %d did not exit after SIGTERM",
                             entry.sidecar());
             case "exit" -> checkExit(entry);
@@ -54,7 +54,8 @@
         boolean unexpected = !killed && !terminating;
         boolean badStatus = terminating && !killed && status != 0;
         if (unexpected || badStatus) {
-            violations.add(name(), exit.at(), "sidecar %d exited with status %d", sidecar, status);
+            violations.add(
+                    name(), exit.atNanos(), "sidecar %d exited with status %d", sidecar, status);
         }
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/DrainInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/DrainInvariant.java
@@ -41,15 +41,15 @@
         long graceEndAt =
                 run.processes().earliestReadAt(sidecar, notice.at())
                         + run.parameters().drainGraceNanos();
-        if (send.at() > graceEndAt + run.delays().slackNanos(sidecar, send.at())) {
+        if (send.atNanos() > graceEndAt + run.delays().slackNanos(sidecar, send.atNanos())) {
             violations.add(
                     name(),
-                    send.at(),
+                    send.atNanos(),
                     "sidecar %d sent %s to server %d, %d ms after notice of its state '%s'",
                     sidecar,
                     send.requestId(),
                     notice.server(),
-                    (send.at() - notice.at()) / NANOS_PER_MILLI,
+                    (send.atNanos() - notice.at()) / NANOS_PER_MILLI,
                     notice.state());
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
@@ -62,7 +62,7 @@
             if (previous.mayHaveRun() && !isDeduplicated(previous, send, server)) {
                 violations.add(
                         name(),
-                        send.at(),
+                        send.atNanos(),
                         "request %s may have run on server %d and was retried on server %d",
                         send.requestId(),
                         previous.server,
@@ -78,10 +78,10 @@
         boolean sameScope = parameters.scopeSpansZones() || run.inSameZone(previous.server, server);
         long limitNanos =
                 parameters.deduplicationWindowNanos()
-                        + run.delays().slackNanos(send.sidecar(), send.at());
+                        + run.delays().slackNanos(send.sidecar(), send.atNanos());
         return parameters.hasIdempotencyKeys()
                 && sameScope
-                && send.at() - previous.at <= limitNanos;
+                && send.atNanos() - previous.at <= limitNanos;
     }
 
     /** Checks that a rejected request cannot have run, which is what a rejection promises. */
@@ -94,7 +94,7 @@
         if (ResponseStatus.isRejected(response.number("status")) && mayHaveRun) {
             violations.add(
                     name(),
-                    response.at(),
+                    response.atNanos(),
                     "sidecar %d rejected %s, which may have run",
                     request.sidecar(),
                     request.id());
@@ -119,18 +119,18 @@
             long limitNanos =
                     run.parameters().deduplicationWindowNanos()
                             + OneResponseInvariant.LATENESS_TOLERANCE_NANOS
-                            + run.delays().slackNanos(next.sidecar(), next.at());
+                            + run.delays().slackNanos(next.sidecar(), next.atNanos());
             boolean recognizable =
                     next.number("zone") == first.number("zone")
-                            && next.at() - first.at() <= limitNanos;
+                            && next.atNanos() - first.atNanos() <= limitNanos;
             if (!recognizable) {
                 violations.add(
                         name(),
-                        next.at(),
+                        next.atNanos(),
                         "request with key %s ran in zone %d and, %d ms later, in zone %d",
                         next.text("key"),
                         first.number("zone"),
-                        (next.at() - first.at()) / NANOS_PER_MILLI,
+                        (next.atNanos() - first.atNanos()) / NANOS_PER_MILLI,
                         next.number("zone"));
             }
         }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/LeaseInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/LeaseInvariant.java
@@ -38,7 +38,7 @@
     public void observe(HistoryEntry lease) {
         if (!lease.line().has("term")) {
             violations.add(
-                    name(), lease.at(), "the lease cannot be read: %s", lease.text("unread"));
+                    name(), lease.atNanos(), "the lease cannot be read: %s", lease.text("unread"));
             return;
         }
         MONOTONIC_FIELDS.forEach(field -> checkNotDecreasing(lease, field));
@@ -51,7 +51,7 @@
         if (current < highest) {
             violations.add(
                     name(),
-                    lease.at(),
+                    lease.atNanos(),
                     "field '%s' of the lease entries decreased from %d to %d",
                     field,
                     highest,
@@ -70,7 +70,7 @@
         if (previous != null && !previous.equals(leader)) {
             violations.add(
                     name(),
-                    lease.at(),
+                    lease.atNanos(),
                     "term %d has two leaders: %s and %s",
                     term,
                     previous,
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ListedEndpointInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ListedEndpointInvariant.java
@@ -31,7 +31,7 @@
         if (run.endpoints().notice(send.sidecar(), endpoint) == null) {
             violations.add(
                     name(),
-                    send.at(),
+                    send.atNanos(),
                     "sidecar %d sent %s to %s, which was in none of its endpoint lists",
                     send.sidecar(),
                     send.requestId(),
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/LostRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/LostRequests.java
@@ -14,7 +14,7 @@
      * the end of the run and the deadline had not passed.
      */
     static boolean isLost(ObservedRun run, ObservedRequest request) {
-        long from = request.intent().at();
+        long from = request.intent().atNanos();
         long to = request.waitEndedAt();
         boolean killed = run.processes().wasKilledWithin(request.sidecar(), from, to);
         boolean openAtEnd = request.response() == null && request.deadline() > run.endAt();
@@ -25,6 +25,6 @@
     static boolean inPlannedRestart(ObservedRun run, ObservedRequest request) {
         return run.processes()
                 .wasTerminatingWithin(
-                        request.sidecar(), request.intent().at(), request.waitEndedAt());
+                        request.sidecar(), request.intent().atNanos(), request.waitEndedAt());
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
@@ -51,7 +51,7 @@
         for (JsonNode target : list.line().path("targets")) {
             String endpoint = target.path("endpoint").asText();
             listed.add(endpoint);
-            update(notices, endpoint, target, stale, list.at());
+            update(notices, endpoint, target, stale, list.atNanos());
         }
         if (list.flag("all") && !stale) {
             notices.replaceAll(
@@ -62,7 +62,7 @@
                                             notice.server,
                                             TERMINATED,
                                             notice.startMillis,
-                                            list.at()));
+                                            list.atNanos()));
         }
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
@@ -76,7 +76,7 @@
 
     /** Returns the deadline, in nanoseconds of the history's clock. */
     long deadline() {
-        return intent.at() + NANOS_PER_MICRO * intent.number("timeout_us");
+        return intent.atNanos() + NANOS_PER_MICRO * intent.number("timeout_us");
     }
 
     /** Returns whether no response arrived although the connection was accepted. */
@@ -86,7 +86,7 @@
 
     /** Returns the time of the final response entry; the deadline if there is no such entry. */
     long waitEndedAt() {
-        return response == null ? deadline() : response.at();
+        return response == null ? deadline() : response.atNanos();
     }
 
     /** Returns whether a server sent a successful response to an attempt. */
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
@@ -73,7 +73,7 @@
 
     /** Returns the attempt that an entry records. The server is that of the endpoint lists. */
     Attempt attempt(HistoryEntry send) {
-        return new Attempt(send.at(), send.sidecar(), send.text("to"), serverAt(send));
+        return new Attempt(send.atNanos(), send.sidecar(), send.text("to"), serverAt(send));
     }
 
     /** Applies an entry, after the invariants have checked it. */
@@ -91,7 +91,7 @@
                     processes.apply(entry);
                 }
             }
-            case END -> endAt = entry.at();
+            case END -> endAt = entry.atNanos();
             default -> {}
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
@@ -43,12 +43,15 @@
         }
         if (entry.kind() == EntryKind.ANSWER) {
             violations.add(
-                    name(), entry.at(), "request %s has two final responses", entry.requestId());
-        } else if (entry.at()
-                > response.at() + run.delays().slackNanos(entry.sidecar(), entry.at())) {
+                    name(),
+                    entry.atNanos(),
+                    "request %s has two final responses",
+                    entry.requestId());
+        } else if (entry.atNanos()
+                > response.atNanos() + run.delays().slackNanos(entry.sidecar(), entry.atNanos())) {
             violations.add(
                     name(),
-                    entry.at(),
+                    entry.atNanos(),
                     "an attempt of request %s was sent after its final response",
                     entry.requestId());
         }
@@ -88,8 +91,8 @@
      */
     private void checkRefusedConnection(ObservedRequest request) {
         int sidecar = request.sidecar();
-        long from = request.intent().at() - LATENESS_TOLERANCE_NANOS;
-        long to = request.response().at();
+        long from = request.intent().atNanos() - LATENESS_TOLERANCE_NANOS;
+        long to = request.response().atNanos();
         if (!run.processes().wasKilledWithin(sidecar, from, to)
                 && !run.processes().wasTerminatingWithin(sidecar, from, to)) {
             violations.add(name(), to, "sidecar %d refused a connection", sidecar);
@@ -99,9 +102,9 @@
     /** Checks the lateness of a response, without the time for which the sidecar was stopped. */
     private void checkLateness(ObservedRequest request) {
         int sidecar = request.sidecar();
-        long respondedAt = request.response().at();
+        long respondedAt = request.response().atNanos();
         long stoppedNanos =
-                run.processes().stoppedNanos(sidecar, request.intent().at(), respondedAt);
+                run.processes().stoppedNanos(sidecar, request.intent().atNanos(), respondedAt);
         long lateNanos = respondedAt - request.deadline() - stoppedNanos;
         if (lateNanos > LATENESS_TOLERANCE_NANOS + run.delays().slackNanos(sidecar, respondedAt)) {
             violations.add(
@@ -121,7 +124,7 @@
         if (response.number("status") == ResponseStatus.OK && !producedByServer) {
             violations.add(
                     name(),
-                    response.at(),
+                    response.atNanos(),
                     "sidecar %d sent a response to %s that no server produced for it",
                     request.sidecar(),
                     request.id());
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
@@ -63,14 +63,14 @@
     void apply(HistoryEntry entry) {
         int sidecar = entry.sidecar();
         switch (entry.text("what")) {
-            case "kill" -> killed.open(sidecar, entry.at());
-            case "term" -> terminating.open(sidecar, entry.at());
-            case "stop" -> stopped.open(sidecar, entry.at());
-            case "cont" -> stopped.close(sidecar, entry.at());
+            case "kill" -> killed.open(sidecar, entry.atNanos());
+            case "term" -> terminating.open(sidecar, entry.atNanos());
+            case "stop" -> stopped.open(sidecar, entry.atNanos());
+            case "cont" -> stopped.close(sidecar, entry.atNanos());
             case "ready" -> {
-                killed.close(sidecar, entry.at());
-                terminating.close(sidecar, entry.at());
-                stopped.close(sidecar, entry.at());
+                killed.close(sidecar, entry.atNanos());
+                terminating.close(sidecar, entry.atNanos());
+                stopped.close(sidecar, entry.atNanos());
             }
             default -> {}
         }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
@@ -43,7 +43,7 @@
         if (baseline == null) {
             violations.add(
                     name(),
-                    measurement.at(),
+                    measurement.atNanos(),
                     "sidecar %d was not measured before the first request",
                     sidecar);
             return;
@@ -53,7 +53,7 @@
         if (descriptorGrowth > MAX_DESCRIPTOR_GROWTH || memoryGrowthKib > MAX_MEMORY_GROWTH_KIB) {
             violations.add(
                     name(),
-                    measurement.at(),
+                    measurement.atNanos(),
                     "sidecar %d uses %d descriptors and %d KiB more than before the first request",
                     sidecar,
                     descriptorGrowth,
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
@@ -45,10 +45,10 @@
         for (HistoryEntry entry : history) {
             long nanos = NANOS_PER_MILLI * entry.number("ms");
             if (entry.kind() == EntryKind.STALL) {
-                delays.add(new Delay(entry.at(), nanos, HistoryEntry.NONE));
+                delays.add(new Delay(entry.atNanos(), nanos, HistoryEntry.NONE));
                 longestStallNanos = Math.max(longestStallNanos, nanos);
             } else if (entry.kind() == EntryKind.CPU_STARVATION) {
-                delays.add(new Delay(entry.at(), nanos, entry.sidecar()));
+                delays.add(new Delay(entry.atNanos(), nanos, entry.sidecar()));
             }
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/StandInInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/StandInInvariant.java
@@ -43,7 +43,7 @@
         if (run.request(entry).intent() == null) {
             violations.add(
                     name(),
-                    entry.at(),
+                    entry.atNanos(),
                     "server %d received %s, which no client sent",
                     server,
                     entry.requestId());
@@ -51,10 +51,10 @@
         ColdStarts.ColdStart start = coldStarts.of(server);
         if (start != null
                 && ColdStarts.capacityShare(entry)
-                        < start.minCapacityShare(entry.at()) - CAPACITY_SHARE_TOLERANCE) {
+                        < start.minCapacityShare(entry.atNanos()) - CAPACITY_SHARE_TOLERANCE) {
             violations.add(
                     name(),
-                    entry.at(),
+                    entry.atNanos(),
                     "server %d reports less capacity than its slow start allows",
                     server);
         }
--- a/testbed/src/main/java/sagefall/faultinjection/process/CpuStarvation.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/CpuStarvation.java
@@ -20,7 +20,7 @@
      * Returns the longest time in nanoseconds that any one thread of a process waited since the
      * previous call; 0 if unknown.
      */
-    public long nanosSinceLastCall(long pid) {
+    public long longestWaitNanos(long pid) {
         long longest = 0;
         try (DirectoryStream<Path> tasks =
                 Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
--- a/testbed/src/main/java/sagefall/faultinjection/report/MemberTimelines.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/MemberTimelines.java
@@ -53,11 +53,11 @@
 
     private void addProcessEntry(HistoryEntry entry) {
         if (entry.line().has("who")) {
-            changeState("sidecar " + entry.number("who"), sidecarState(entry), entry.at());
+            changeState("sidecar " + entry.number("who"), sidecarState(entry), entry.atNanos());
         } else if (entry.text("what").equals("kill")) {
             serversOfProcess
                     .getOrDefault(entry.text("name"), List.of())
-                    .forEach(server -> changeState(server, MemberState.Kind.DOWN, entry.at()));
+                    .forEach(server -> changeState(server, MemberState.Kind.DOWN, entry.atNanos()));
         }
     }
 
@@ -81,9 +81,9 @@
                     case "warm" -> MemberState.Kind.UP;
                     default -> MemberState.Kind.DOWN;
                 },
-                entry.at());
+                entry.atNanos());
         if (cold) {
-            long fullCapacityAt = entry.at() + NANOS_PER_MICRO * entry.number("cold_us");
+            long fullCapacityAt = entry.atNanos() + NANOS_PER_MICRO * entry.number("cold_us");
             warmSecondByServer.put(server, result.seconds(fullCapacityAt));
         }
     }
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
@@ -92,7 +92,7 @@
         int[][] bins =
                 new int[(int) Math.ceil(page.seconds() * BINS_PER_SECOND)][RESPONSE_KINDS.length];
         for (HistoryEntry entry : history) {
-            int bin = (int) ((entry.at() - page.result().beginAt()) / BIN_NANOS);
+            int bin = (int) ((entry.atNanos() - page.result().beginAt()) / BIN_NANOS);
             if (entry.kind() == EntryKind.ANSWER && bin >= 0 && bin < bins.length) {
                 bins[bin][responseKind(entry.number("status"))]++;
             }
@@ -167,13 +167,13 @@
     private void drawFault(HistoryEntry begin, HistoryEntry end, int faultIndex) {
         page.add(
                 "<rect class='fault' x='%.1f' y='%d' width='%.1f' height='%d'/>",
-                page.x(begin.at()),
+                page.x(begin.atNanos()),
                 TOP_MARGIN,
-                Math.max(1, page.x(end.at()) - page.x(begin.at())),
+                Math.max(1, page.x(end.atNanos()) - page.x(begin.atNanos())),
                 height - AXIS_HEIGHT - TOP_MARGIN);
         page.add(
                 "<text class='name' x='%.1f' y='%d'>%s</text>",
-                page.x(begin.at()) + 2,
+                page.x(begin.atNanos()) + 2,
                 10 + 10 * (faultIndex % 3),
                 end.text("what").replace('_', ' '));
     }
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunReport.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunReport.java
@@ -39,7 +39,8 @@
         double lastSecond =
                 history.stream()
                         .filter(RunReport::extendsTimeAxis)
-                        .mapToDouble(entry -> (entry.at() - result.beginAt()) / NANOS_PER_SECOND)
+                        .mapToDouble(
+                                entry -> (entry.atNanos() - result.beginAt()) / NANOS_PER_SECOND)
                         .max()
                         .orElse(1);
         double maxSeconds = result.statistics().seconds() + MAX_SECONDS_AFTER_LOAD;
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -41,7 +41,8 @@
      *
      * @throws HistoryException if the directory does not hold the history of a run
      */
-    public static RunResult evaluate(RunDirectory directory, double readySeconds) throws IOException {
+    public static RunResult evaluate(RunDirectory directory, double readySeconds)
+            throws IOException {
         List<HistoryEntry> history = HistoryReader.read(directory.history());
         RunResult result =
                 new RunResult(
@@ -58,7 +59,7 @@
     private static long beginAt(List<HistoryEntry> history) {
         return history.stream()
                 .filter(entry -> entry.kind() == EntryKind.BEGIN)
-                .mapToLong(HistoryEntry::at)
+                .mapToLong(HistoryEntry::atNanos)
                 .findFirst()
                 .orElse(0);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
@@ -69,7 +69,7 @@
     void add(HistoryEntry entry) {
         switch (entry.kind()) {
             case RUN -> parameters = Parameters.of(entry.line());
-            case BEGIN -> beginAt = entry.at();
+            case BEGIN -> beginAt = entry.atNanos();
             case STALL -> stallMillis = Math.max(stallMillis, entry.number("ms"));
             case SERVER -> zoneByServer.put(entry.number("server"), entry.number("zone"));
             case SEND -> {
@@ -103,7 +103,7 @@
     }
 
     private void addFault(HistoryEntry entry) {
-        double second = (entry.at() - beginAt) / (double) NANOS_PER_SECOND;
+        double second = (entry.atNanos() - beginAt) / (double) NANOS_PER_SECOND;
         firstFaultSecond = Math.min(firstFaultSecond, second);
         lastFaultSecond = Math.max(lastFaultSecond, second);
     }
@@ -112,7 +112,7 @@
         double value = entry.flag("beyond") ? parameters.overQuotaValue : 1;
         Operation operation =
                 operations.computeIfAbsent(
-                        entry.number("wish"), number -> new Operation(entry.at(), value));
+                        entry.number("wish"), number -> new Operation(entry.atNanos(), value));
         if (entry.kind() == EntryKind.MISSED) {
             count("sidecar down");
         } else {
@@ -125,7 +125,7 @@
         count(outcomeOf(status));
         Operation operation = operationByRequest.get(entry.requestId());
         if (operation != null && status == ResponseStatus.OK) {
-            operation.servedAt = Math.min(operation.servedAt, entry.at());
+            operation.servedAt = Math.min(operation.servedAt, entry.atNanos());
         }
     }
 
--- a/testbed/src/main/java/sagefall/load/ProcessStatistics.java
+++ b/testbed/src/main/java/sagefall/load/ProcessStatistics.java
@@ -26,12 +26,12 @@
     }
 
     /**
-     * Returns a number from the {@code status} file of the process in {@code /proc}, such as VmRSS
-     * in KiB.
+     * Returns an amount of memory in KiB, such as VmRSS, from the {@code status} file of the
+     * process in {@code /proc}.
      *
-     * @return the number; -1 if the file has no line of that name
+     * @return the amount; -1 if the file has no line of that name
      */
-    public long status(String name) throws IOException {
+    public long statusKib(String name) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith(name + ":")) {
                 return Long.parseLong(line.replaceAll("\\D+", ""));
@@ -41,7 +41,7 @@
     }
 
     /** Returns the number of open file descriptors. */
-    public int descriptors() throws IOException {
+    public int openDescriptors() throws IOException {
         int count = 0;
         try (DirectoryStream<Path> all =
                 Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/fd"))) {
@@ -87,6 +87,6 @@
     void print(String when) throws IOException, InterruptedException {
         System.out.printf(
                 "  %-22s RSS %d MiB, heap %s, descriptors %d%n",
-                when, status("VmRSS") / KIB_PER_MIB, usedHeap(), descriptors());
+                when, statusKib("VmRSS") / KIB_PER_MIB, usedHeap(), openDescriptors());
     }
 }
--- a/testbed/src/main/java/sagefall/load/SidecarChildProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarChildProcess.java
@@ -59,10 +59,10 @@
             int discoveryPort)
             throws IOException, InterruptedException {
         this(
-                run(ROOT).replace(JAR, jar),
+                runCommand(ROOT).replace(JAR, jar),
                 ROOT,
                 Files.createTempDirectory("sidecar"),
-                free(InetAddress.getLoopbackAddress()),
+                freeAddress(InetAddress.getLoopbackAddress()),
                 SidecarConfigFactory.config(
                         INSTANCE_NAME,
                         "127.0.0.1:" + discoveryPort,
@@ -76,7 +76,7 @@
     /**
      * Starts a sidecar, and does not wait until it is ready.
      *
-     * @param run the command, from {@link #run}
+     * @param run the command, from {@link #runCommand}
      * @param root the checkout in which the command runs
      * @param directory directory of this sidecar, for its configuration and its log; if the log
      *     exists, the sidecar appends to it
@@ -116,7 +116,7 @@
      * @throws NoSuchFileException with a message of one line if the directory is not a checkout, or
      *     the checkout is not built
      */
-    public static String run(Path root) throws IOException {
+    public static String runCommand(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
         if (!Files.isReadable(file)) {
             throw new NoSuchFileException(
@@ -135,9 +135,9 @@
     }
 
     /** Returns the IP address with a port that is free at the moment of the call. */
-    public static InetSocketAddress free(InetAddress ip) throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, ip)) {
-            return new InetSocketAddress(ip, free.getLocalPort());
+    public static InetSocketAddress freeAddress(InetAddress ip) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, ip)) {
+            return new InetSocketAddress(ip, socket.getLocalPort());
         }
     }
 
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -134,7 +134,7 @@
         int samples = 0;
         while (!done.await(100, TimeUnit.MILLISECONDS)) {
             peakRssKib = Math.max(peakRssKib, statistics.status("VmRSS"));
-            peakDescriptors = Math.max(peakDescriptors, statistics.descriptors());
+            peakDescriptors = Math.max(peakDescriptors, statistics.openDescriptors());
             samples++;
             if (samples % 50 == 0) {
                 statistics.print("after " + samples / 10 + " s");
--- a/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
@@ -99,7 +99,8 @@
         Files.writeString(history, text.substring(text.indexOf('\n') + 1));
         HistoryException missing =
                 assertThrows(
-                        HistoryException.class, () -> RunResult.evaluate(new RunDirectory(folder), 0));
+                        HistoryException.class,
+                        () -> RunResult.evaluate(new RunDirectory(folder), 0));
         assertTrue(missing.getMessage().endsWith("not a history: no line 'play'"));
 
         Files.writeString(history, "nothing\n" + text);
