--- a/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
@@ -141,7 +141,7 @@
         try {
             list = codec.parse(ByteBufUtil.getBytes(response.content()));
         } catch (IOException | RuntimeException e) {
-            onFailure("malformed endpoint list: " + e.getMessage());
+            onFailure("malformed response: " + e.getMessage());
             return;
         }
         if (completeListRequired && !list.complete()) {
