--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -59,7 +59,6 @@
     /** Whether a response is being reported; the connection must not be read meanwhile. */
     private boolean reporting;
 
-
     /** Timer of the last call's timeout; null before the first call. */
     private Future<?> timeout;
 
--- a/sidecar/src/main/java/sagefall/persistence/LogReader.java
+++ b/sidecar/src/main/java/sagefall/persistence/LogReader.java
@@ -5,8 +5,8 @@
 
 /**
  * Reads the state that earlier incarnations have written: the snapshot, and the changes in the log
- * of its generation. {@link #read} may be called once. If it fails, the accessors return the
- * values found before the failure.
+ * of its generation. {@link #read} may be called once. If it fails, the accessors return the values
+ * found before the failure.
  *
  * <p>If a record is bad, and a later intact record states that the file had been forced beyond the
  * start of the bad one, the log is corrupt. Otherwise the bad record and the bytes after it are a
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -11,8 +11,8 @@
  * @param directory directory for exclusive use by this sidecar; null if nothing is persisted
  * @param maxBytes maximum length of each file that is read, and of snapshot and log together; a
  *     snapshot replaces the log when the log would exceed half of this
- * @param maxAgeMillis maximum age of a snapshot that is used as an endpoint list; an older
- *     one only restricts other lists, so that draining and removed endpoints get no requests
+ * @param maxAgeMillis maximum age of a snapshot that is used as an endpoint list; an older one only
+ *     restricts other lists, so that draining and removed endpoints get no requests
  * @param forceEachChange whether each change is forced to the disk; otherwise only snapshots are,
  *     which include the epoch
  * @param clockOffsetMillis offset added to the wall clock, to test the effect of a wrong clock
--- a/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
@@ -26,8 +26,10 @@
 final class RecordingActions implements BalancerActions {
     final List<String> actions = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
+
     /** Scheduled timers, each with the time at which it fires and its token. */
     final List<long[]> timers = new ArrayList<>();
+
     final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<RejectionReason> reasons = new ArrayList<>();
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
@@ -28,6 +28,7 @@
 
     /** Candidates that are in the middle of a step and take no other step. */
     private final Set<LeaseCandidate> busy = new HashSet<>();
+
     private final Storage interleavedStorage = InterleavedStorage.around(storage, this::interleave);
     private final DirectoryLeaseStore observer =
             new DirectoryLeaseStore(storage, this::now, "b", "w");
--- a/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
+++ b/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
@@ -44,6 +44,7 @@
 
     /** The files by name as of the last force of the directory. */
     private final Map<String, Content> forcedFiles = new TreeMap<>();
+
     private final SplittableRandom random;
     private long callsUntilLoss;
 
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
@@ -20,8 +20,7 @@
                 new ConfigSection(
                         "extensions.recovery",
                         Json.parseDocument(
-                                new JsonFactory()
-                                        .createParser(singleQuoted.replace('\'', '"')))));
+                                new JsonFactory().createParser(singleQuoted.replace('\'', '"')))));
     }
 
     @Test
--- a/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
+++ b/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
@@ -4,9 +4,7 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import sagefall.scenario.LoadSettings;
 
-/**
- * Generates the arrival times of operations: a Poisson process whose rate follows a sine wave.
- */
+/** Generates the arrival times of operations: a Poisson process whose rate follows a sine wave. */
 final class ArrivalProcess {
 
     /** Shortest period of the sine wave; the period is drawn from a range above this value. */
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -232,8 +232,7 @@
             ResponseKind response,
             RejectionReason reason,
             long retryAfterMicros) {
-        String label =
-                reason == null ? LABEL_NO_RESPONSE : response.label() + " " + reason.label();
+        String label = reason == null ? LABEL_NO_RESPONSE : response.label() + " " + reason.label();
         deliverResponse(request, response, label, retryAfterMicros);
     }
 
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -182,10 +182,7 @@
         environment
                 .invariants()
                 .recordBreach(
-                        InvariantChecker.Rule.ONE_ANSWER,
-                        request.id,
-                        InvariantChecker.NONE,
-                        index);
+                        InvariantChecker.Rule.ONE_ANSWER, request.id, InvariantChecker.NONE, index);
         disconnectClient(request);
         environment.deliverResponse(request, ResponseKind.FAILED, null, 0);
     }
--- a/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
@@ -38,8 +38,7 @@
                             window, (server, begins) -> loseServer(server, fault.mode(), begins));
             case SLOW_SERVERS ->
                     scheduleAtServers(
-                            window,
-                            (server, begins) -> changeSlowdown(server, magnitude, begins));
+                            window, (server, begins) -> changeSlowdown(server, magnitude, begins));
             case SLOW_SHARED_DEPENDENCY ->
                     window.schedule(events, begins -> changeSharedSlowdown(magnitude, begins));
             case SERVER_ERRORS ->
--- a/testbed/src/main/java/sagefall/emulator/SidecarActions.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -30,8 +30,7 @@
     }
 
     @Override
-    public void send(
-            String requestId, long serverId, long timeoutMicros, long latestStartMicros) {
+    public void send(String requestId, long serverId, long timeoutMicros, long latestStartMicros) {
         EventQueue events = environment.events();
         ClientRequest request = sidecar.openRequest(requestId);
         EmulatedServer server = environment.server(serverId);
--- a/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
+++ b/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
@@ -76,8 +76,7 @@
             // another name would give another interval.
             String figure = "kept from " + cause;
             keptShareByCause.put(
-                    cause,
-                    PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
+                    cause, PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
         }
         return new PolicyComparison(
                 scenario,
--- a/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
@@ -26,8 +26,7 @@
                     timeline.during(fault, on -> traffic().rateFactor *= factor(on, size));
             case ZONE_TRAFFIC_SHIFT ->
                     timeline.during(fault, on -> shiftZoneTraffic(fault, factor(on, size)));
-            case TENANT_SURGE ->
-                    timeline.during(fault, on -> surgeTenant(fault, factor(on, size)));
+            case TENANT_SURGE -> timeline.during(fault, on -> surgeTenant(fault, factor(on, size)));
             case CLIENT_DISCONNECTS ->
                     timeline.during(
                             fault, on -> traffic().disconnectShare += on ? fraction : -fraction);
--- a/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -178,6 +178,7 @@
 
         /** Whether an earlier request has completed on this connection. */
         private boolean used;
+
         private boolean responseStarted;
 
         /** Detects the first bytes of a response, before the response is complete. */
--- a/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
@@ -34,7 +34,6 @@
 
     private void suppressUpdates(ScheduledFault fault, boolean begins) {
         fault.sidecars()
-                .forEach(
-                        sidecar -> members.discovery().setUpdatesSuppressed(sidecar, begins));
+                .forEach(sidecar -> members.discovery().setUpdatesSuppressed(sidecar, begins));
     }
 }
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
@@ -24,6 +24,7 @@
     private static final double BAR_SPACING = 0.4;
     private static final long BIN_NANOS = 500_000_000L;
     private static final int BINS_PER_SECOND = 2;
+
     /** CSS classes of the kinds of responses; {@link #responseKind} returns an index of them. */
     private static final String[] RESPONSE_KINDS = {"served", "refused", "lost"};
 
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -34,6 +34,7 @@
 
     /** Maximum number of violations that are printed for each invariant. */
     private static final int MAX_PRINTED = 5;
+
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
@@ -17,8 +17,10 @@
     private static final long NANOS_PER_MICRO = 1000;
     private static final double MICROS_PER_MILLI = 1000.0;
     private static final long MAX_LATENCY_MICROS = 60_000_000;
+
     /** Number of significant decimal digits of the latencies. */
     private static final int HISTOGRAM_DIGITS = 3;
+
     private static final long NOT_SERVED = Long.MAX_VALUE;
 
     /** An operation of a client: one or more requests, the first of them at time {@code at}. */
--- a/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
@@ -59,8 +59,7 @@
      */
     double x(double second) {
         return LABEL_WIDTH
-                + (WIDTH - LABEL_WIDTH - RIGHT_MARGIN)
-                        * Math.max(0, Math.min(1, second / seconds));
+                + (WIDTH - LABEL_WIDTH - RIGHT_MARGIN) * Math.max(0, Math.min(1, second / seconds));
     }
 
     /** Escapes the characters that HTML would interpret as markup. */
--- a/testbed/src/main/java/sagefall/load/SidecarChildProcess.java
+++ b/testbed/src/main/java/sagefall/load/SidecarChildProcess.java
@@ -96,8 +96,7 @@
         log = directory.resolve("log");
         config.put("listen", listen.getAddress().getHostAddress() + ":" + listen.getPort());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).directory(root.toFile());
-        builder.environment()
-                .put("LB_CONFIG", writeJson(directory.resolve("config.json"), config));
+        builder.environment().put("LB_CONFIG", writeJson(directory.resolve("config.json"), config));
         if (extensions != null) {
             builder.environment()
                     .put(
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -133,7 +133,7 @@
         int peakDescriptors = 0;
         int samples = 0;
         while (!done.await(100, TimeUnit.MILLISECONDS)) {
-            peakRssKib = Math.max(peakRssKib, statistics.status("VmRSS"));
+            peakRssKib = Math.max(peakRssKib, statistics.statusKib("VmRSS"));
             peakDescriptors = Math.max(peakDescriptors, statistics.openDescriptors());
             samples++;
             if (samples % 50 == 0) {
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Measures the time to the first byte and the processor time of responses, in pairs of
-     * buffered and streamed responses.
+     * Measures the time to the first byte and the processor time of responses, in pairs of buffered
+     * and streamed responses.
      */
     public void measureFirstByte(String jar) throws IOException, InterruptedException {
         System.out.println(
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -13,9 +13,7 @@
 public enum Mechanism {
     /** Admission control, which rejects requests at random when responses are late. */
     ADMISSION(
-            "admission",
-            "rejecting requests at random when responses are late",
-            "ADMISSION_CUT=1"),
+            "admission", "rejecting requests at random when responses are late", "ADMISSION_CUT=1"),
     /** Concurrency limit of a zone. */
     ZONE_LIMIT("zone-limit", "the concurrency limit of a zone", "MIN_ZONE_LIMIT=1e9"),
     /** Concurrency limit of an endpoint. */
--- a/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -53,7 +53,8 @@
             BalancerActions actions,
             GroundTruth groundTruth) {
         try {
-            return balancerClass.getConstructor(BalancerSettings.class, BalancerActions.class)
+            return balancerClass
+                    .getConstructor(BalancerSettings.class, BalancerActions.class)
                     .newInstance(settings, actions);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(name + ": " + e, e);
--- a/testbed/src/main/java/sagefall/scenario/ScenarioReader.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioReader.java
@@ -8,6 +8,7 @@
 
     /** Upper bound of the duration of a run, and of most other times, in seconds. */
     private static final double MAX_SECONDS = 3600;
+
     private static final double DEFAULT_SECONDS = 50;
     private static final List<String> ANY_STRING = List.of();
 
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -94,8 +94,7 @@
             sumOfTerms += term;
             term *= offeredLoad / (k + 1);
         }
-        double waitProbability =
-                term / (1 - utilization) / (sumOfTerms + term / (1 - utilization));
+        double waitProbability = term / (1 - utilization) / (sumOfTerms + term / (1 - utilization));
         double expectedMicros = waitProbability * serviceMicros / (cores * (1 - utilization));
         assertEquals(expectedMicros, waitSumMicros / count, 0.05 * expectedMicros);
     }
@@ -157,8 +156,7 @@
         SimulationResult result =
                 new FleetSimulation(scenario, 1, BaselinePolicies.of("random")).run();
         for (int second = 0; second < 12; second++) {
-            double lost =
-                    1 - result.series().served()[second] / result.series().offered()[second];
+            double lost = 1 - result.series().served()[second] / result.series().offered()[second];
             boolean cut = second >= 4 && second < 7;
             // Random choice sends half of the requests to the other zone; a request that was sent
             // just before the cut may be lost as well.
--- a/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -32,8 +32,7 @@
         for (SimulationResult result : run(4, List.of("module"))) {
             assertEquals(List.of(), result.breaches(), result.scenario());
             assertTrue(
-                    result.served() > 0.4,
-                    result.scenario() + ": served share " + result.served());
+                    result.served() > 0.4, result.scenario() + ": served share " + result.served());
             double lost =
                     result.lost().values().stream().mapToDouble(SimulationResult.Loss::value).sum();
             assertEquals(
