--- a/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
+++ b/sidecar/src/main/java/sagefall/balancer/AttemptGate.java
@@ -12,8 +12,8 @@
 /**
  * Sends all attempts: no other class calls {@link BalancerActions#send}. Checks each attempt
  * against the rules on idempotency, draining endpoints, the maximum number of attempts, the retry
- * budget and deadlines, even if other classes have checked them before, so that no code path can
- * bypass them.
+ * budget and deadlines. Other classes may have checked these rules before; the check here ensures
+ * that no code path bypasses them.
  */
 final class AttemptGate {
 
@@ -51,8 +51,8 @@
             retryBudget.recordRetry();
         }
         long latestSendAt = request.latestSendAt();
-        // An endpoint can't respond before the last byte of an upload: until then the attempt
-        // counts neither as in flight nor as one without a response.
+        // An endpoint can't respond before the last byte of an upload. Before that byte the attempt
+        // is not treated as in flight, and its missing response is no sign of a fault.
         if (!request.isUploading()) {
             health.startAwaitingResponse(now, attempt);
         }
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Makes the host close its idle connections to the endpoint, so that the host sends the attempt
-     * on a new connection. The idle connections are not trusted to be alive. Does nothing while
-     * another attempt is in flight at the endpoint.
+     * Makes the host close its idle connections to the endpoint, because they are not trusted to be
+     * alive. The host then sends the attempt on a new connection. Does nothing while another
+     * attempt is in flight at the endpoint.
      */
     private void closeIdleConnections(Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
--- a/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
+++ b/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
@@ -6,8 +6,8 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Schedules timers with the host, and keeps the purpose of each timer. The kind of a timer is its
- * token modulo the number of kinds.
+ * Schedules timers with the host, and keeps the queued request that each timer rechecks. The kind
+ * of a timer is the token of the timer modulo the number of kinds.
  */
 final class BalancerTimers {
 
--- a/sidecar/src/main/java/sagefall/balancer/DefaultLoadBalancer.java
+++ b/sidecar/src/main/java/sagefall/balancer/DefaultLoadBalancer.java
@@ -19,10 +19,11 @@
  * it. {@link EndpointRegistry} keeps the endpoints, {@link RequestDispatcher} the requests, {@link
  * PollScheduler} schedules polls of discovery.
  *
- * <p>Usually a request is routed to the node of the subset tree for this instance's zone and a cell
- * of the tenant. Two ready endpoints of the node are drawn at random, and the request is sent to
- * the one of lower cost. The cost is peak-EWMA latency x (1 + attempts in flight). The classes that
- * make exceptions to this describe them.
+ * <p>Usually a request is routed to a node of the subset tree: the node for the zone of this
+ * instance and a cell of the tenant. Two ready endpoints of the node are drawn at random, and the
+ * request is sent to the one of lower cost. The cost is the peak EWMA of the latency, multiplied by
+ * 1 plus the number of attempts in flight. Exceptions to these rules are described at the classes
+ * that make them.
  */
 public final class DefaultLoadBalancer implements LoadBalancer {
     private final BalancerActions actions;
--- a/sidecar/src/main/java/sagefall/balancer/EndpointRegistry.java
+++ b/sidecar/src/main/java/sagefall/balancer/EndpointRegistry.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Applies an endpoint list. Endpoints that a complete list does not name become unusable; those
-     * that a list of changes does not name stay as they are.
+     * Applies an endpoint list. Endpoints that a complete list does not name become unusable.
+     * Endpoints that a list of changes does not name stay as they are.
      */
     void apply(EndpointListKind kind, long revision, List<ListedEndpoint> list) {
         boolean subsetsChanged = subsets.ready().isEmpty();
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Applies one entry of a list. An endpoint that is not usable becomes usable only by a list
-     * whose revision is at least that of the lists that named the endpoint before, so that an
-     * outdated list does not end a drain.
+     * Applies one entry of a list. An endpoint that is not usable can become usable again. The
+     * revision of the list must then be at least the highest revision of the earlier lists that
+     * named the endpoint. So an outdated list does not end a drain.
      *
      * @return whether the subset tree has to be rebuilt
      */
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns the endpoint of an entry. A new id or another start time means a new process: a new
-     * endpoint is then created, which takes over nothing that was learned about an old process.
+     * Returns the endpoint of an entry. A new id or another start time means a new process. A new
+     * endpoint is then created. It takes over nothing that was learned about an old process.
      */
     private Endpoint findOrCreate(ListedEndpoint entry) {
         Endpoint existing = endpoints.get(entry.id());
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Makes endpoints that are no longer listed unusable, and forgets those of them that have no
-     * attempt in flight.
+     * Makes endpoints that are no longer listed unusable. Forgets an unlisted endpoint if no
+     * attempt is in flight at it.
      *
      * @return whether the subset tree has to be rebuilt
      */
--- a/sidecar/src/main/java/sagefall/balancer/OpenRequests.java
+++ b/sidecar/src/main/java/sagefall/balancer/OpenRequests.java
@@ -6,15 +6,18 @@
 
 /**
  * Keeps the open requests by id. A request is open from its arrival until it is closed and its last
- * attempt has ended. Compares the sum of the stream buffers that the open requests may hold with
- * its bound.
+ * attempt has ended. Checks whether the sum of the stream buffers that the open requests may hold
+ * exceeds a bound.
  */
 final class OpenRequests {
     private final Map<String, PendingRequest> requests = new HashMap<>();
     private long bufferedBytes;
     private long maxBufferedBytes = Long.MAX_VALUE;
 
-    /** Adds a request; returns false, and adds nothing, if a request with its id is open. */
+    /**
+     * Adds a request and returns true. If a request with the id is open, adds nothing and returns
+     * false.
+     */
     boolean add(PendingRequest request) {
         if (requests.putIfAbsent(request.id(), request) != null) {
             return false;
--- a/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
+++ b/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
@@ -9,34 +9,40 @@
 
 /**
  * Schedules polls of discovery in addition to the host's periodic polls: the first poll after the
- * start, and the poll after a failure. Keeps the sidecars of a fleet from polling all at once, and
- * from receiving a changed list late after an outage of discovery.
+ * start, and the poll after a failure. Spreads the polls of a fleet, so that the sidecars do not
+ * poll all at once. Polls soon after a failure, so that a sidecar does not receive a changed list
+ * late after an outage of discovery.
  */
 final class PollScheduler {
 
     /**
-     * Number of list entries that discovery is assumed to send to all instances together in one
-     * poll interval. First polls are spread so that discovery sends no more, as far as the bounds
-     * below allow.
+     * Maximum number of list entries that discovery is assumed to send to all instances together in
+     * one poll interval. First polls are spread so that this number is not exceeded, as far as
+     * {@link #MAX_SPREAD} and {@link #MAX_FIRST_POLL_MICROS} allow.
      */
     private static final double LIST_ENTRIES_PER_SPREAD = 8000;
 
-    /** Largest fraction of the poll interval over which first polls are spread. */
+    /** Maximum duration of the spread of first polls, as a fraction of the poll interval. */
     private static final double MAX_SPREAD = 0.8;
 
-    /** Mean delay of the poll of an agent after a failure, in microseconds. */
+    /**
+     * Mean delay between a failure and the next poll if the host watches an agent, in microseconds.
+     */
     private static final double AGENT_RETRY_MICROS = 100_000;
 
-    /** Mean delay of the poll of a discovery service after a failure, in microseconds. */
+    /** Mean delay between a failure and the next poll of a discovery service, in microseconds. */
     private static final double SERVICE_RETRY_MICROS = 400_000;
 
     /**
-     * Longest time over which the first polls of a discovery service are spread, in microseconds;
-     * {@link #FIRST_POLL_TICKS} are added to it.
+     * Maximum duration of the spread of the first polls of a discovery service, in microseconds.
+     * {@link #FIRST_POLL_TICKS} are added to the duration.
      */
     private static final double MAX_FIRST_POLL_MICROS = 3_000_000;
 
-    /** Timer ticks of the host that are added to the time over which first polls are spread. */
+    /**
+     * Number of timer ticks of the host that are added to the duration of the spread of first
+     * polls.
+     */
     private static final int FIRST_POLL_TICKS = 20;
 
     private final BalancerSettings settings;
@@ -60,8 +66,8 @@
     }
 
     /**
-     * Schedules the first poll when a cached list is received and the host polls a discovery
-     * service.
+     * Schedules the first poll when a cached list is received. Does nothing unless the host polls a
+     * discovery service.
      *
      * @param entries number of entries of the cached list
      */
@@ -69,8 +75,8 @@
         if (!settings.pollsDiscovery()) {
             return;
         }
-        // All sidecars of a fleet may start at once, and discovery sends only a limited number of
-        // entries per second.
+        // All sidecars of a fleet may start at once, but discovery can send only a limited number
+        // of entries per second.
         double entriesOfFleet = entries * (double) settings.replicas();
         double spread = Math.min(MAX_SPREAD, entriesOfFleet / LIST_ENTRIES_PER_SPREAD);
         double spreadMicros =
@@ -80,9 +86,9 @@
     }
 
     /**
-     * Schedules a poll after a call to discovery has failed; the endpoint list stays as it is. The
-     * poll is soon, because the time within which a sidecar has to stop sending requests to a
-     * draining endpoint counts from the moment at which discovery can be reached again.
+     * Schedules a poll after a call to discovery has failed. The endpoint list stays as it is. The
+     * delay is short: once discovery can be reached again, a sidecar has only a limited time in
+     * which to stop sending requests to a draining endpoint.
      */
     void onPollFailed(long now) {
         double meanMicros = settings.pollsDiscovery() ? SERVICE_RETRY_MICROS : AGENT_RETRY_MICROS;
--- a/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
@@ -12,12 +12,15 @@
 import sagefall.logging.LogLine;
 
 /**
- * Sends queued requests to the endpoints that are picked for them, in the order of the queue. A
- * request stays queued while no endpoint has capacity, until a response would come too late.
+ * Sends queued requests, in the order of the queue, to the endpoints that {@link EndpointPicker}
+ * picks for them. A request stays queued while no endpoint has capacity. It is rejected or failed
+ * when a response would come too late.
  */
 final class QueueDispatcher {
 
-    /** Shortest time between two log lines on the queue, in units of the mean latency target. */
+    /**
+     * Minimum time between two log lines on the queue, as a multiple of the mean latency target.
+     */
     private static final int QUEUE_LOG_INTERVAL_TARGETS = 10;
 
     private final BalancerActions actions;
@@ -56,8 +59,8 @@
     }
 
     /**
-     * Sends a request if an endpoint has capacity, else leaves it queued. Rejects or fails it
-     * instead of queueing it while a zone is at its concurrency limit.
+     * Sends a request if an endpoint has capacity, and queues it otherwise. While a zone is at its
+     * concurrency limit, rejects or fails the request instead of queueing it.
      */
     void sendOrQueue(long now, PendingRequest request) {
         if (request.isClosed() || request.isQueued()) {
@@ -69,8 +72,8 @@
             return;
         }
         if (zoneLimits.isAnyZoneFull()) {
-            // No endpoint of the other zones has capacity either: a queued request would be late,
-            // and would make later requests late.
+            // No endpoint of any zone has capacity. A queued request would be late, and would make
+            // later requests late.
             closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
             return;
         }
@@ -99,9 +102,9 @@
     }
 
     /**
-     * Rechecks a request whose timer has fired. If the request is still queued, it is rejected or
-     * failed when a response would come too late or a zone is at its concurrency limit; else its
-     * next recheck is scheduled.
+     * Rechecks a request whose timer has fired. Does nothing if the request is no longer queued. If
+     * a response would come too late, or if a zone is at its concurrency limit, the request is
+     * rejected or failed. Otherwise the next recheck is scheduled.
      */
     void recheck(long now, PendingRequest request) {
         if (request.isResponseStarted() || !request.isQueued()) {
--- a/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
+++ b/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
@@ -9,12 +9,12 @@
 
 /**
  * The endpoint list that an earlier incarnation of this instance has persisted. It restricts lists
- * of a lower revision that are received after a restart: an endpoint that was draining or removed
- * before the restart is not used because of an outdated list.
+ * of a lower revision that are received after a restart. So an outdated list does not make an
+ * endpoint usable that was draining or removed before the restart.
  *
  * @param revision revision of the persisted list
- * @param fresh whether the persisted list is recent enough to replace an older cached list, rather
- *     than only to restrict it
+ * @param fresh whether the persisted list is recent enough to replace an older cached list;
+ *     otherwise it only restricts the cached list
  * @param list the persisted list, which includes removed endpoints
  * @param entries the entries of the persisted list by endpoint id
  */
@@ -39,8 +39,9 @@
 
     /**
      * Returns the list to use in place of a received list. A received list is used as it is unless
-     * its revision is lower than that of the persisted list. Otherwise a fresh persisted list
-     * replaces a cached list, and any other received list is restricted entry by entry.
+     * its revision is lower than the revision of the persisted list. A fresh persisted list
+     * replaces a cached list of lower revision. In all other cases the received list is restricted
+     * entry by entry.
      */
     List<ListedEndpoint> reconcile(
             EndpointListKind kind, long listRevision, List<ListedEndpoint> received) {
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Returns the entry to use in place of a received entry. If the received and the persisted
-     * entry are of different incarnations, the one with the later start is used. If both are of one
-     * incarnation, an endpoint that was persisted as draining or removed stays so.
+     * Returns the entry to use in place of a received entry. If the two entries are of different
+     * incarnations, the entry with the later start is used. If both are of one incarnation, an
+     * endpoint that was persisted as draining or removed stays draining or removed.
      */
     private ListedEndpoint restrict(ListedEndpoint received) {
         ListedEndpoint persisted = entries.get(received.id());
--- a/sidecar/src/main/java/sagefall/balancer/RequestCloser.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestCloser.java
@@ -31,7 +31,10 @@
         cancellationAllowed = settings.limits().cancellationAllowed();
     }
 
-    /** Rejects a request if its client may retry it, else fails it. Closes it in both cases. */
+    /**
+     * Rejects a request if the client may retry it, and fails the request otherwise. Closes the
+     * request in both cases.
+     */
     void rejectOrFail(PendingRequest request, RejectionReason reason) {
         if (request.mayBeRejected()) {
             actions.reject(request.id(), retryAfter.nextMicros(), reason);
@@ -42,8 +45,8 @@
     }
 
     /**
-     * Closes a request that needs no further response, and cancels its attempts in flight where the
-     * service limits allow that.
+     * Closes a request that needs no further response. Cancels the attempts in flight of the
+     * request if the service limits allow cancellation.
      */
     void close(PendingRequest request) {
         if (request.isClosed()) {
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -24,8 +24,8 @@
 final class RequestDispatcher {
 
     /**
-     * Divisor of the mean latency target. A request is admitted if the time until its deadline is
-     * longer than the quotient plus two timer ticks.
+     * Divisor of the mean latency target. A request is rejected at once unless the time until its
+     * deadline is longer than the quotient plus two timer ticks.
      */
     private static final int MIN_REMAINING_DIVISOR = 20;
 
@@ -79,7 +79,9 @@
                         .toList();
     }
 
-    /** Handles a request that has arrived; ignores it if a request with its id is open. */
+    /**
+     * Handles a request that has arrived. Ignores the request if another one with this id is open.
+     */
     void onRequest(long now, Request arrived) {
         int tenants = Math.max(1, settings.tenants().size());
         PendingRequest request = new PendingRequest(now, arrived, repeatPolicies, tenants);
@@ -109,15 +111,14 @@
     /** Returns why a request is not admitted, or null if it is admitted. */
     private RejectionReason reasonForNoAdmission(long now, PendingRequest request) {
         if (request.request().bufferBytes() > 0 && openRequests.isBufferLimitExceeded()) {
-            // Open requests keep their buffers; the new request is rejected at once, with a
-            // Retry-After.
+            // The open requests keep their buffers, so the new request is rejected at once.
             return RejectionReason.BUFFER_LIMIT;
         }
         long remainingMicros = request.request().deadlineMicros() - now;
         if (remainingMicros
                 <= meanTargetMicros / MIN_REMAINING_DIVISOR + 2 * settings.tickMicros()) {
-            // No timer could fire before the deadline: a request that arrived at its own deadline
-            // used to be queued and never got a response.
+            // No timer could fire before the deadline. For example, a request that arrived at its
+            // own deadline used to be queued and never got a response.
             return RejectionReason.TOO_LATE;
         }
         if (subsets.isSparse() && admission.shouldReject(request, random.nextDouble())) {
@@ -154,7 +155,7 @@
         queueDispatcher.sendQueued(now);
     }
 
-    /** Returns the attempt with this number if it is known and has not ended, else null. */
+    /** Returns the attempt with this number; null if it is unknown or has ended. */
     private Attempt openAttempt(String requestId, int number) {
         PendingRequest request = openRequests.get(requestId);
         Attempt attempt = request == null ? null : request.attempt(number);
@@ -171,7 +172,7 @@
 
     /**
      * Handles the first part of a response that is streamed to the client. The latency of the
-     * attempt ends here, and the request is not retried from now on.
+     * attempt is measured up to this point. The request is not retried any more.
      */
     void onStreamStarted(long now, String requestId, int number, long elapsedMicros) {
         Attempt attempt = openAttempt(requestId, number);
@@ -186,8 +187,8 @@
     }
 
     /**
-     * Handles the last byte of an upload: from now on the endpoint can respond, and the client
-     * waits until the given deadline.
+     * Handles the last byte of an upload. The endpoint can respond from now on. The client waits
+     * for the response until the given deadline.
      */
     void onUploadComplete(long now, String requestId, long deadlineAt) {
         PendingRequest request = openRequests.get(requestId);
@@ -208,7 +209,10 @@
         }
     }
 
-    /** Closes a request whose client has disconnected or got its response from elsewhere. */
+    /**
+     * Closes a request that needs no response from this instance any more: the client has
+     * disconnected, or has got the response from elsewhere.
+     */
     void onClientDisconnected(String requestId) {
         PendingRequest request = openRequests.get(requestId);
         if (request != null) {
--- a/sidecar/src/main/java/sagefall/balancer/RetryAfterPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/RetryAfterPolicy.java
@@ -4,9 +4,9 @@
 import sagefall.balancer.api.BalancerSettings;
 
 /**
- * Chooses the Retry-After of rejections. It lies between a quarter and half of the mean latency
- * target, at random, so that clients whose requests are rejected together do not retry at the same
- * time.
+ * Chooses the Retry-After of rejections: a random duration between a quarter and half of the mean
+ * latency target. The duration is random so that clients do not retry at the same time after their
+ * requests were rejected together.
  */
 final class RetryAfterPolicy {
     private final BalancerSettings settings;
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Returns the Retry-After of the next rejection, in microseconds, at most the longest that the
-     * service limits allow; 0 if they allow none.
+     * Returns the Retry-After of the next rejection, in microseconds. The value is at most the
+     * maximum of the service limits. It is 0 if the service limits allow no Retry-After.
      */
     long nextMicros() {
         if (!settings.limits().retryAfterAllowed()) {
--- a/sidecar/src/main/java/sagefall/balancer/RetryPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/RetryPolicy.java
@@ -7,8 +7,9 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Decides whether a request may be retried, by its idempotency, its replay buffer, the maximum
- * number of attempts, the retry budget and the time until which a response is useful.
+ * Decides whether a request may be retried. Takes into account the idempotency of the request, the
+ * replay buffer, the maximum number of attempts, the retry budget, and the time after which a
+ * response would come too late.
  */
 final class RetryPolicy {
     private final ServiceLimits limits;
@@ -36,8 +37,9 @@
     }
 
     /**
-     * Returns the reason why a request is not sent again. If no other reason applies, such as when
-     * the attempt gate has refused an attempt, the reason is {@link RejectionReason#TOO_LATE}.
+     * Returns the reason why a request is not sent again. If no other reason applies, for example
+     * because the attempt gate has refused an attempt, the reason is {@link
+     * RejectionReason#TOO_LATE}.
      */
     RejectionReason reasonForNoRetry(long now, PendingRequest request) {
         if (!isRetryable(request)) {
--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -6,11 +6,11 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Rejects a random fraction of the requests under overload, those over the quota of their tenant
- * first. The choice is random because a sidecar with little traffic sees no queue, only late
- * responses. The admitted fraction follows additive increase and multiplicative decrease (AIMD):
- * late responses, rejections and failures cut it. This prevents requests from filling endpoints
- * that can respond to none of them in time.
+ * Rejects a random fraction of the requests under overload. Requests over the quota of their tenant
+ * are rejected with a higher probability. The choice is random because a sidecar with little
+ * traffic sees no queue, only late responses. The admitted fraction follows additive increase and
+ * multiplicative decrease (AIMD): late responses, rejections and failures cut it. This prevents
+ * requests from filling the queues of endpoints that can respond to none of them in time.
  */
 public final class AdmissionController {
 
@@ -27,9 +27,9 @@
     private static final double MIN_ADMITTED = 0.1;
 
     /**
-     * Maximum and initial credit of a tenant, in requests; the credit cannot fall below the
-     * negative of this value. The credit is the number of requests by which a tenant may exceed its
-     * quota before its requests count as over quota.
+     * Maximum and initial credit of a tenant, in requests. The credit is the number of requests by
+     * which a tenant may exceed the quota before its requests are treated as over quota. The
+     * minimum credit is the negative of this constant.
      */
     private static final double QUOTA_SLACK = 5;
 
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Starts the measurement of the request rate, when the first endpoint list has arrived; later
+     * Starts the measurement of the request rate when the first endpoint list has arrived. Later
      * calls have no effect.
      */
     public void start(long now) {
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Returns whether a request is rejected. The probability that a request is admitted is the
-     * admitted fraction; for a request over the quota of its tenant, the admitted fraction raised
-     * to the power of the inverse of the over-quota weight. Drawback: a request may be rejected
-     * that a better endpoint could serve.
+     * Returns whether a request is rejected. A request within the quota of its tenant is admitted
+     * with a probability of the admitted fraction. For a request over the quota, the probability is
+     * the admitted fraction to the power of 1 / over-quota weight. Drawback: a request may be
+     * rejected although an endpoint could serve it in time.
      *
      * @param draw random number from 0 to 1
      */
@@ -113,7 +113,7 @@
 
     /** Returns the estimated number of requests that this instance admits per microsecond. */
     public double admittedPerMicro(long now) {
-        // Corrects for the part of the averaging window that precedes the start.
+        // Corrects for the fraction of the averaging window that precedes the start.
         double elapsed = Math.max(meanTargetMicros, (double) (now - startedAt));
         double observedFraction = 1 - Math.exp(-elapsed / rateWindowMicros);
         return requestsPerMicro
@@ -122,9 +122,10 @@
     }
 
     /**
-     * Subtracts a request from the credit of its tenant, and marks the request as over quota if
-     * less than one request of credit was left. Every request adds to the credit of each tenant in
-     * proportion to the quota of that tenant, so that the total request rate need not be known.
+     * Subtracts a request from the credit of its tenant. Marks the request as over quota if the
+     * credit before the subtraction was less than 1. Before that, every request adds to the credit
+     * of each tenant in proportion to the quota of that tenant. So the total request rate need not
+     * be known.
      */
     public void countAgainstQuota(PendingRequest request) {
         if (totalShare <= 0) {
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -8,20 +8,21 @@
 import sagefall.balancer.request.RequestTimes;
 
 /**
- * Holds the requests that wait for an endpoint with capacity, and decides which request is sent
- * next, which request is rejected when there are too many, and for how long a request is kept. This
- * prevents a request from being queued until no response can be in time, while its client could
- * still retry.
+ * Holds the requests that wait for an endpoint with capacity. Decides which request is sent next,
+ * which request is rejected when too many are open, and for how long a request stays queued. The
+ * bound on that time leaves the client enough time to retry while a response can still be in time.
  */
 public final class RequestQueue {
 
     /**
-     * Maximum fraction of the time between arrival and deadline for which a request is queued while
-     * many requests are open.
+     * Maximum time for which a request is queued while many requests are open, as a fraction of the
+     * time between the arrival and the deadline of the request.
      */
     private static final double MAX_QUEUED_PART = 0.45;
 
-    /** Interval at which a queued request is rechecked, in mean latency targets. */
+    /**
+     * Interval between two rechecks of a queued request, as a multiple of the mean latency target.
+     */
     private static final double RECHECK_TARGETS = 0.125;
 
     private final BalancerSettings settings;
@@ -59,8 +60,9 @@
     }
 
     /**
-     * Returns the request that is sent next: requests within the quota of their tenant first, among
-     * equals the newest; null if the queue is empty.
+     * Returns the request that is sent next. Requests within the quota of their tenant precede
+     * requests over the quota. Among equals the newest request is next. Returns null if the queue
+     * is empty.
      */
     public PendingRequest next() {
         PendingRequest best = null;
@@ -73,9 +75,10 @@
     }
 
     /**
-     * Returns the request that is rejected when the number of open requests exceeds its maximum:
-     * the queued or new request of the least weight, among equals the oldest. The oldest request
-     * has the least time left until its deadline, whereas a new request has all of its time left.
+     * Returns the request that is rejected when the number of open requests exceeds the maximum. It
+     * is the request of the least weight among the queued requests and the new request. Among
+     * equals it is the oldest, which has the least time left until the deadline. A new request has
+     * all of its time left.
      *
      * @param arrived the new request, which is not queued
      */
@@ -98,17 +101,17 @@
     }
 
     /**
-     * Returns the time, in microseconds, up to which keeping a request in the queue is useful. It
-     * is the earliest of these times:
+     * Returns the exclusive upper bound of the points in time, in microseconds, at which it is
+     * useful to keep a request queued. The bound is the earliest of these times:
      *
      * <ul>
      *   <li>two ticks of the host's timers before the deadline;
-     *   <li>if more than half of the maximum number of requests are open and the request cannot
-     *       have run at any endpoint: a little less than halfway between arrival and deadline. The
-     *       client can then still retry, and its connection becomes free for requests that can be
-     *       served in time;
-     *   <li>if a late response has no weight: the latest time at which a response after the typical
-     *       latency would be in time.
+     *   <li>a little less than halfway between arrival and deadline, if more than half of the
+     *       maximum number of requests are open and the request cannot have run at any endpoint.
+     *       The client can then still retry, and the client connection becomes free for requests
+     *       that can be served in time;
+     *   <li>the latest time at which an attempt of typical latency would still get a response in
+     *       time, if a late response has no weight.
      * </ul>
      */
     public long lastUsefulAt(PendingRequest request, int openRequests) {
--- a/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
@@ -1,22 +1,27 @@
 package sagefall.balancer.admission;
 
 /**
- * Limits retries to a fraction of the arrived requests by a token bucket, to which each arrived
- * request adds. This prevents failures from multiplying the load.
+ * Limits retries to a fraction of the arrived requests by a token bucket. Each arrived request adds
+ * a fraction of a token; each retry takes one token. This prevents failures from multiplying the
+ * load.
  */
 public final class RetryBudget {
 
-    /** Number of retries that an arrived request adds while all requests are admitted. */
+    /**
+     * Number of tokens that an arrived request adds while all requests are admitted; one token
+     * allows one retry.
+     */
     private static final double RETRIES_PER_REQUEST = 0.15;
 
-    /** Capacity of the token bucket, in retries, while all requests are admitted. */
+    /** Capacity of the token bucket, in tokens, while all requests are admitted. */
     private static final double MAX_SAVED_RETRIES = 10;
 
     private double tokens = MAX_SAVED_RETRIES / 2;
 
     /**
      * Adds to the budget for an arrived request. While the admitted fraction is low, failures come
-     * from overload rather than from faulty endpoints, so less is added and the budget is smaller.
+     * from overload rather than from faulty endpoints. So a request then adds fewer tokens, and the
+     * capacity is lower.
      *
      * @param admittedFraction fraction of the requests that is admitted, from 0 to 1
      */
@@ -32,7 +37,7 @@
         return tokens >= 1;
     }
 
-    /** Subtracts a sent retry from the budget. */
+    /** Takes one token for a retry that is sent. */
     public void recordRetry() {
         tokens--;
     }
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
@@ -1,56 +1,57 @@
 package sagefall.balancer.admission;
 
 /**
- * Limits the number of attempts that this instance has in flight in one zone. The limit is adjusted
- * by the responses of all endpoints of the zone together: in a large fleet no instance sees enough
+ * Limits the number of attempts that this instance has in flight in one zone. The responses of all
+ * endpoints of the zone together adjust the limit: in a large fleet no instance sees enough
  * responses of one endpoint to find the limit of that endpoint. The number of attempts in flight is
- * limited rather than the request rate, because that number rises as soon as responses slow down.
+ * limited, not the request rate, because that number rises as soon as responses become slower.
  * Increases and cuts are fractions of the limit, so that instances with different traffic back off
- * in proportion. Drawback: in a zone where all endpoints are busy, some requests are rejected that
- * would have been served if the picked endpoint had happened to be less busy than the others.
+ * in proportion. Drawback: in a busy zone, some requests are rejected although a less busy endpoint
+ * of the zone could have served them.
  */
 public final class ZoneConcurrencyLimit {
 
     /**
-     * Fraction of the latency target above which a response counts as slow; below 1 to allow for
-     * the variation of service times.
+     * Fraction of the latency target above which a response is treated as slow. The fraction is
+     * below 1 to allow for the variation of service times.
      */
     private static final double SLOW_OBJECTIVE_PART = 0.5;
 
     /**
-     * Fraction of the limit that a slow response of a busy zone subtracts. Some twenty slow
-     * responses, which arrive within half a second, halve the limit.
+     * Fraction of the limit by which a slow response reduces the limit in a busy zone. About twenty
+     * slow responses, which arrive within half a second, halve the limit.
      */
     private static final double ZONE_LIMIT_CUT = 0.03;
 
     /**
-     * Fraction of the limit that a response that is not slow adds. Without overload, a quarter of
-     * the responses is slow; additions and cuts then cancel out.
+     * Fraction of the limit by which a response that is not slow raises the limit. Three such
+     * responses make up for one slow response. So increases and cuts cancel out while a quarter of
+     * the responses is slow, which is the fraction without overload.
      */
     private static final double ZONE_LIMIT_GAIN = 0.01;
 
     /**
-     * Mean reported utilization from which slow responses count as overload; below it, some
-     * endpoints are faulty rather than all of them busy.
+     * Minimum mean reported utilization at which slow responses are treated as overload. At a lower
+     * utilization, slow responses come from a few faulty endpoints, not from a busy zone.
      */
     private static final double ZONE_BUSY_UTILIZATION = 0.8;
 
     /**
-     * Multiple of the typical number of attempts in flight to which a higher limit is reduced when
-     * it is cut; a cut from a much higher limit would have no effect. The limit grows only if the
-     * attempts in flight are at least the limit divided by this factor.
+     * Maximum limit after a cut, as a multiple of the typical number of attempts in flight. Without
+     * this bound, the cut of a much higher limit would have no effect. The limit grows only if the
+     * number of attempts in flight is at least the limit divided by this factor.
      */
     private static final double MAX_TYPICAL_FACTOR = 2;
 
     /**
-     * Minimum limit, in attempts. Above 0, because an instance that sends no attempts gets no
-     * responses that could raise the limit again.
+     * Minimum limit, in attempts. The minimum is above 0, because an instance that sends no
+     * attempts gets no responses that could raise the limit again.
      */
     private static final double MIN_ZONE_LIMIT = 2;
 
     /**
-     * Weight of one report in the mean utilization, and of one attempt in the typical number of
-     * attempts in flight.
+     * Weight of one report in the mean utilization, and weight of one attempt in the typical number
+     * of attempts in flight.
      */
     private static final double ZONE_MEAN_WEIGHT = 0.1;
 
@@ -98,8 +99,8 @@
     }
 
     /**
-     * Cuts the limit after a slow response, a timeout or a rejection, if the zone is busy or
-     * reports no utilization.
+     * Cuts the limit after a slow response, a timeout or a rejection. Does nothing if the reported
+     * utilization shows that the zone is not busy.
      */
     public void recordOverload() {
         if (meanUtilization < ZONE_BUSY_UTILIZATION) {
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimits.java
@@ -9,8 +9,8 @@
     private final ZoneConcurrencyLimit[] limits;
 
     /**
-     * Creates a limit for each zone, or one if the settings have no zones; each is infinite at
-     * first.
+     * Creates a limit for each zone. Creates a single limit if the settings have no zones. Each
+     * limit is infinite at first.
      */
     public ZoneConcurrencyLimits(BalancerSettings settings) {
         limits =
--- a/sidecar/src/main/java/sagefall/balancer/api/AttemptOutcome.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/AttemptOutcome.java
@@ -9,7 +9,7 @@
  * @param result result of the attempt
  * @param elapsedMicros time from the sending of the attempt, or from the last byte of an upload, to
  *     the end of the attempt
- * @param closed whether the request has its final response, complete or cut short
+ * @param closed whether the client has got the final response to the request, complete or cut short
  * @param report load report in the endpoint's response; null if there is none
  */
 public record AttemptOutcome(
--- a/sidecar/src/main/java/sagefall/balancer/api/AttemptResult.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/AttemptResult.java
@@ -1,6 +1,6 @@
 package sagefall.balancer.api;
 
-/** Results of attempts, each with whether it proves that the attempt never ran. */
+/** Results of attempts. Some results prove that the attempt never ran at the endpoint. */
 public enum AttemptResult {
     /** The endpoint sent a response that is not an error. */
     SERVED(false),
@@ -16,7 +16,10 @@
     BROKEN(false),
     /** The sidecar or the client cancelled the attempt. */
     CANCELLED(false),
-    /** The host sent no part of the attempt, for instance because it was too late. */
+    /**
+     * The host sent no part of the attempt, for example because it was too late to start the
+     * attempt.
+     */
     NOT_SENT(true);
 
     /** Whether the result proves that the attempt never ran at the endpoint. */
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
@@ -12,15 +12,16 @@
      * @param endpoint id of the endpoint
      * @param timeoutMicros duration after which the attempt is cancelled; 0 to bound it only by the
      *     deadline of the request
-     * @param latestStartMicros point in time from which on the first byte must not be sent, since
-     *     the request could take effect twice then; {@link Long#MAX_VALUE} if there is no such time
+     * @param latestStartMicros exclusive upper bound of the time at which the first byte may be
+     *     sent, because the request could take effect twice if it were sent later; {@link
+     *     Long#MAX_VALUE} if there is no bound
      */
     void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros);
 
     /**
      * Rejects a request: completes it with a response that allows the client to retry it.
      *
-     * @param retryAfterMicros duration after which the client should retry; 0 to send no
+     * @param retryAfterMicros duration that the client should wait before it retries; 0 to send no
      *     Retry-After
      * @param reason reason of the rejection, for logs and counters only
      */
@@ -48,8 +49,8 @@
     void closeIdleConnections(long endpoint);
 
     /**
-     * Polls discovery, which leads to a call of {@link LoadBalancer#onEndpointList} with a list or
-     * a failure.
+     * Polls discovery. The host then calls {@link LoadBalancer#onEndpointList} with a list or a
+     * failure.
      */
     void requestEndpointUpdates();
 
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
@@ -12,14 +12,14 @@
  * @param zones names of the zones, in the order of their indexes
  * @param classes request classes, in the order of their indexes; at least one
  * @param tenants tenants, in the order of their indexes; may be empty
- * @param overQuotaWeight factor by which the weight of a request is multiplied if its tenant is
- *     beyond its quota; not negative
+ * @param overQuotaWeight factor of the weight of a request whose tenant is beyond the quota; not
+ *     negative
  * @param limits limits of the service on attempts, rejections and connections
  * @param rules durations and fractions that are common to the whole fleet
- * @param loadReportSource where load reports come from
- * @param pollsDiscovery whether the host polls a discovery service, rather than watching an agent
- * @param cachesKeys whether an endpoint responds faster to requests of a key that it has served
- *     before
+ * @param loadReportSource source of the load reports
+ * @param pollsDiscovery whether the host polls a discovery service; otherwise it watches an agent
+ * @param cachesKeys whether endpoints cache data by key, so that an endpoint responds faster to
+ *     requests with a key that it has served before
  * @param tickMicros resolution of the host's timers; not negative
  */
 public record BalancerSettings(
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns the mean latency target over the request classes, in microseconds; a class without a
-     * latency target counts with its deadline.
+     * Returns the mean latency target over the request classes, in microseconds; the deadline of a
+     * class is used instead if the class has no latency target.
      */
     public double meanLatencyTargetMicros() {
         double sum = 0;
--- a/sidecar/src/main/java/sagefall/balancer/api/EndpointListKind.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/EndpointListKind.java
@@ -2,7 +2,7 @@
 
 /** Kinds of endpoint list. */
 public enum EndpointListKind {
-    /** Changes to the last list. */
+    /** Changes since the last list. */
     CHANGES,
     /** A complete list: endpoints that it does not name are removed. */
     COMPLETE,
--- a/sidecar/src/main/java/sagefall/balancer/api/EndpointPhase.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/EndpointPhase.java
@@ -4,7 +4,7 @@
 public enum EndpointPhase {
     /** The endpoint accepts requests. */
     READY,
-    /** The endpoint accepts no new requests, and completes those that it has accepted. */
+    /** The endpoint accepts no new requests, and completes the requests that it has accepted. */
     DRAINING,
     /** The endpoint no longer exists. */
     REMOVED
--- a/sidecar/src/main/java/sagefall/balancer/api/FleetRules.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/FleetRules.java
@@ -3,11 +3,11 @@
 /**
  * Durations and fractions that are common to the whole fleet.
  *
- * @param slowStartInitialShare fraction of its usual request rate that an endpoint is sent when its
+ * @param slowStartInitialShare fraction of the usual request rate that an endpoint is sent when its
  *     slow start begins
  * @param slowStartMicros duration of slow start; not negative
  * @param overloadWindowMicros duration of the window over which overload is measured; not negative
- * @param pollIntervalMicros longest time between two polls of discovery; not negative
+ * @param pollIntervalMicros maximum time between two polls of discovery; not negative
  */
 public record FleetRules(
         double slowStartInitialShare,
--- a/sidecar/src/main/java/sagefall/balancer/api/Idempotency.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Idempotency.java
@@ -5,8 +5,8 @@
     /** The request may run any number of times. */
     IDEMPOTENT,
     /**
-     * The request takes effect once: endpoints deduplicate retries by its idempotency key, within a
-     * deduplication scope and window.
+     * The request takes effect once, because endpoints deduplicate retries by the idempotency key
+     * of the request, within a deduplication scope and window.
      */
     IDEMPOTENCY_KEY,
     /** The request may run at most once. */
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadBalancer.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadBalancer.java
@@ -5,19 +5,22 @@
 /**
  * Balances the requests of one client process over the endpoints of a service. The host calls the
  * methods of an instance from one thread, one method for each kind of event. The balancer reads no
- * clock (every event carries the time) and acts only through {@link BalancerActions}.
+ * clock: each event carries the time. The balancer acts only through {@link BalancerActions}.
  */
 public interface LoadBalancer {
 
     /**
      * Handles an endpoint list, or the failure of a call to discovery.
      *
-     * @param revision revision of the list; a list of a lower revision is older
+     * @param revision revision of the list; a lower revision means an older list
      */
     void onEndpointList(
             long nowMicros, EndpointListKind kind, long revision, List<ListedEndpoint> list);
 
-    /** Handles an endpoint list without a revision, which counts as older than no other list. */
+    /**
+     * Handles an endpoint list without a revision. The list is treated as at least as recent as any
+     * other.
+     */
     default void onEndpointList(long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {
         onEndpointList(nowMicros, kind, Long.MAX_VALUE, list);
     }
@@ -27,13 +30,15 @@
      * list includes removed endpoints. The host calls this method before it passes any other list.
      *
      * @param revision revision of the persisted list
-     * @param fresh whether the list is recent enough to replace an older cached list, rather than
-     *     only to exclude endpoints that were draining or removed
+     * @param fresh whether the list is recent enough to replace an older cached list; otherwise it
+     *     only excludes endpoints that were draining or removed
      */
     default void onRecoveredEndpoints(
             long nowMicros, long revision, boolean fresh, List<ListedEndpoint> list) {}
 
-    /** Handles a request that has arrived; ignores it if a request with its id is open. */
+    /**
+     * Handles a request that has arrived. Ignores the request if another one with this id is open.
+     */
     void onRequest(long nowMicros, Request request);
 
     /**
@@ -43,23 +48,24 @@
     void onBufferLimit(long nowMicros, long maxBytes);
 
     /**
-     * Handles the last byte of an upload. The latency of the request counts from now on.
+     * Handles the last byte of an upload. The latency of the request is measured from now on.
      *
      * @param deadlineMicros deadline that replaces the earlier deadline of the request
      */
     void onUploadComplete(long nowMicros, String requestId, long deadlineMicros);
 
     /**
-     * Handles an overflow of the replay buffer of an upload: more of the body has been forwarded
+     * Handles an overflow of the replay buffer of an upload. More of the body has been forwarded
      * than the buffer holds, so the upload can't be sent to another endpoint.
      */
     void onReplayBufferExceeded(long nowMicros, String requestId);
 
     /**
-     * Handles the first part of a response of a streaming class: the request is not retried from
-     * now on.
+     * Handles the first part of a response to a request of a streaming class. The request is not
+     * retried from now on.
      *
-     * @param elapsedMicros time from the sending of the attempt, or from the last byte of an upload
+     * @param elapsedMicros time from the sending of the attempt, or from the last byte of an
+     *     upload, to the first part of the response
      */
     void onStreamStarted(
             long nowMicros, String requestId, int attempt, long endpoint, long elapsedMicros);
@@ -67,7 +73,10 @@
     /** Handles the end of an attempt; the host calls it once for each attempt that was sent. */
     void onAttemptOutcome(long nowMicros, AttemptOutcome outcome);
 
-    /** Closes a request whose client has disconnected or got its response from elsewhere. */
+    /**
+     * Closes a request that needs no response from this instance any more: the client has
+     * disconnected, or has got the response from elsewhere.
+     */
     void onClientDisconnected(long nowMicros, String requestId);
 
     /** Handles a timer that has fired, see {@link BalancerActions#scheduleTimer}. */
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadReport.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadReport.java
@@ -1,7 +1,7 @@
 package sagefall.balancer.api;
 
 /**
- * The load of an endpoint as the endpoint reports it. A value that is not reported is NaN.
+ * The load that an endpoint reports about itself. A value that is not reported is NaN.
  *
  * @param inFlight number of requests that the endpoint is processing
  * @param queue number of requests that are queued at the endpoint
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
@@ -1,6 +1,6 @@
 package sagefall.balancer.api;
 
-/** Where load reports come from. */
+/** Source of load reports. */
 public enum LoadReportSource {
     /** There are no load reports. */
     NONE,
--- a/sidecar/src/main/java/sagefall/balancer/api/Request.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Request.java
@@ -1,8 +1,8 @@
 package sagefall.balancer.api;
 
 /**
- * A request that has arrived. Of an upload, only the head has arrived: its body is forwarded as it
- * arrives.
+ * A request that has arrived. If the request is an upload, only the head has arrived, and the body
+ * is forwarded as it arrives.
  *
  * @param id id of the request, unique among the open requests of the instance
  * @param requestClass index of the request class in the settings
@@ -12,10 +12,10 @@
  * @param deadlineMicros deadline of the request
  * @param write whether the request may change data at the endpoint
  * @param upload whether the body is forwarded as it arrives
- * @param bufferBytes bytes that the request may hold in stream buffers; 0 if its body is forwarded
- *     only when it is complete
- * @param waitedMicros upper bound on the time that the request waited before the host read it; this
- *     time counts towards the latency of the request
+ * @param bufferBytes number of bytes that the request may hold in stream buffers; 0 if the body is
+ *     forwarded only when it is complete
+ * @param waitedMicros upper bound on the time that the request waited before the host read it; the
+ *     latency of the request includes this time
  */
 public record Request(
         String id,
--- a/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
@@ -6,11 +6,11 @@
  * @param name name of the class in the settings
  * @param idempotency whether a request may run more than once
  * @param deduplicationScope endpoints at which retries are deduplicated by the idempotency key
- * @param deduplicationWindowMicros duration after the first attempt for which retries are
- *     deduplicated; not negative
- * @param latencyTargetMicros latency target: a slower response is late; 0 if there is none, not
- *     negative
- * @param deadlineMicros longest time from the arrival of a request to its response; not negative
+ * @param deduplicationWindowMicros time for which retries are deduplicated, measured from the first
+ *     attempt; not negative
+ * @param latencyTargetMicros latency target: a response with a higher latency is late; 0 if the
+ *     class has no latency target; not negative
+ * @param deadlineMicros maximum time from the arrival of a request to its response; not negative
  * @param priorityWeight weight of a response that is not late; not negative
  * @param lateWeightShare fraction of {@code priorityWeight} that a late response has; not negative
  * @param streaming whether bodies are forwarded as they arrive
--- a/sidecar/src/main/java/sagefall/balancer/api/Tenant.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/Tenant.java
@@ -4,7 +4,8 @@
  * A tenant and its quota.
  *
  * @param name name of the tenant in the settings
- * @param quotaShare quota of the tenant, relative to the sum over all tenants; not negative
+ * @param quotaShare quota of the tenant, as a share of the quotas of all tenants together; not
+ *     negative
  */
 public record Tenant(String name, double quotaShare) {
 
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
@@ -6,10 +6,13 @@
 
 /**
  * Limits the number of attempts in flight at each endpoint by additive increase and multiplicative
- * decrease (AIMD) against the latency target, so that a queue at an endpoint stays short enough for
- * responses in time. While an endpoint reports free cores, its limit grows by 1 per response, as in
- * TCP slow start, so that requests are not rejected after a restart or during a burst. Drawback:
- * since load reports arrive late, a burst may be queued at the endpoint until the next report.
+ * decrease (AIMD). A response that is slow compared with the latency target cuts the limit. Other
+ * responses raise the limit while at least half of it is in use. So a queue at an endpoint stays
+ * short enough for responses in time.
+ *
+ * <p>While an endpoint reports free cores, the limit grows by 1 per response, like the window of
+ * TCP slow start. So requests are not rejected after a restart or during a burst. Drawback: load
+ * reports arrive late, so a burst may be queued at the endpoint until the next report.
  */
 public final class ConcurrencyLimiter {
 
@@ -22,18 +25,21 @@
     /** Factor by which a cut reduces the limit. */
     private static final double LIMIT_CUT = 0.7;
 
-    /** Minimum limit, in attempts; where many sidecars share few endpoints, it is 1 instead. */
+    /**
+     * Minimum limit, in attempts. The minimum is 1 instead where many sidecars share few endpoints.
+     */
     private static final double MIN_LIMIT = 0.2;
 
     /**
-     * Multiple of the typical latency above which a response cuts the limit, where that is more
-     * than {@link #LIMIT_TARGET} allows because the latency target is short.
+     * Multiple of the typical latency above which a response cuts the limit. The multiple applies
+     * where the latency target is so short that the multiple exceeds the bound of {@link
+     * #LIMIT_TARGET}.
      */
     private static final double TYPICAL_FACTOR = 1.25;
 
     /**
-     * Fraction of the latency target above which a response cuts the limit whatever the typical
-     * latency is.
+     * Fraction of the latency target above which a response always cuts the limit, whatever the
+     * typical latency is.
      */
     private static final double MAX_LIMIT_TARGET = 0.6;
 
@@ -63,8 +69,9 @@
      */
     void recordResponse(long now, Attempt attempt, double elapsedMicros) {
         ConcurrencyState state = attempt.endpoint().concurrency();
-        // Where several sidecars share the few cores of an endpoint, even one attempt in flight
-        // from each may be too many: with a limit below 1, the sidecar pauses between attempts.
+        // Several sidecars may share the few cores of an endpoint. Then even one attempt in flight
+        // from each sidecar may be too many. With a limit below 1, the sidecar pauses between
+        // attempts.
         state.nextSendAt = now + (long) (elapsedMicros * (1 / Math.min(1, state.limit) - 1));
         if (isSlow(attempt, elapsedMicros)) {
             cut(now, attempt, state);
@@ -102,7 +109,8 @@
                 !endpoint.loadReport().isKnown()
                         || loadReports.utilization(now, endpoint) > BUSY_UTILIZATION
                         || state.limit > 2 * INITIAL_LIMIT;
-        // A response to an attempt that was sent before the last cut does not show its effect.
+        // A response to an attempt that was sent before the last cut does not show the effect of
+        // that cut.
         if (attempt.sentAt() >= state.lastCutAt && mayHaveQueue) {
             double minimum = subsets.isSparse() ? 1 : MIN_LIMIT;
             state.limit = Math.max(minimum, state.limit * LIMIT_CUT);
@@ -123,8 +131,9 @@
     }
 
     /**
-     * Cuts the limit and pauses sending to the endpoint for a random time around the typical
-     * latency. The endpoint is not ejected: one that rejects a request is busy, not faulty.
+     * Cuts the limit and pauses sending to the endpoint for a random time between 0.5 and 1.5 times
+     * the typical latency. The endpoint is not ejected, because an endpoint that rejects a request
+     * is busy, not faulty.
      */
     void recordRejection(long now, Attempt attempt) {
         ConcurrencyState state = attempt.endpoint().concurrency();
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyState.java
@@ -9,7 +9,10 @@
     /** Attempts in flight, in the order in which the sidecar began to wait for their responses. */
     final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
 
-    /** Maximum number of attempts in flight; below 1 the sidecar pauses between attempts. */
+    /**
+     * Maximum number of attempts in flight. If the limit is below 1, the sidecar pauses between
+     * attempts.
+     */
     double limit = ConcurrencyLimiter.INITIAL_LIMIT;
 
     /** Time of the last cut of the limit after a slow response. */
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionState.java
@@ -4,7 +4,8 @@
 public final class ConnectionState {
 
     /**
-     * Value of {@code lastUsedAt} while no connection is known to work; earlier than every event.
+     * Value of {@code lastUsedAt} while no connection is known to work. The value is earlier than
+     * the time of every event.
      */
     private static final long NEVER = 0;
 
@@ -20,12 +21,15 @@
     /** Whether a response has arrived since the idle connections were last closed. */
     boolean mayHaveIdleConnection;
 
-    /** Whether several connection set-ups in a row failed, so that the endpoint may be down. */
+    /**
+     * Whether several connection set-ups in a row have failed, which is a sign that the endpoint is
+     * down.
+     */
     boolean suspectedDown;
 
     /**
-     * Time of the first response after the endpoint was last suspected to be down; 0 if there was
-     * none.
+     * Time of the first response after the endpoint was last suspected to be down. The value is 0
+     * if the endpoint has never recovered from such a suspicion.
      */
     long recoveredAt;
 
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
@@ -15,8 +15,8 @@
 public final class ConnectionTrust {
 
     /**
-     * Time constant of the decay of the mean set-up time, and duration for which idle connections
-     * are distrusted after one of them failed, in mean latency targets.
+     * Time constant with which the mean set-up time decays, as a multiple of the mean latency
+     * target. Idle connections are distrusted for as long after one of them failed.
      */
     private static final double CONNECTION_MEMORY_TARGETS = 30;
 
@@ -24,14 +24,14 @@
     private static final double SETUP_WEIGHT = 0.3;
 
     /**
-     * Maximum number of doublings of the backoff after failed set-ups, which begins with one mean
-     * latency target.
+     * Maximum number of doublings of the backoff after failed set-ups. The first backoff is one
+     * mean latency target.
      */
     private static final int MAX_CONNECT_DOUBLINGS = 4;
 
     /**
-     * The mean latency target divided by this number is the idle time above which a connection
-     * counts as long idle.
+     * Divisor of the mean latency target. A connection is treated as long idle if its idle time
+     * exceeds the quotient.
      */
     private static final int LONG_IDLE_DIVISOR = 4;
 
@@ -53,8 +53,8 @@
 
     /**
      * Returns whether an attempt would be sent on an open connection that was used recently. A
-     * connection that has been idle for longer than the trusted idle time or the idle timeout is
-     * not trusted.
+     * connection is trusted while its idle time is below both the trusted idle time and the idle
+     * timeout.
      */
     public boolean hasTrustedConnection(long now, Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns for how long a connection may be idle and still be trusted; {@link Long#MAX_VALUE} if
-     * there is no bound.
+     * Returns the idle time, in microseconds, below which a connection is trusted. The value is
+     * {@link Long#MAX_VALUE} while idle connections are not distrusted.
      */
     public long trustedIdleMicros(long now) {
         boolean distrusted = now - distrustedAt < CONNECTION_MEMORY_TARGETS * meanTargetMicros;
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Returns the mean time of a connection set-up, in microseconds; it decays while no set-up is
-     * observed.
+     * Returns the mean duration of a connection set-up, in microseconds. The mean decays towards 0
+     * while no set-up is observed.
      */
     public double setupMicros(long now) {
         return setupMicros
@@ -98,9 +98,9 @@
 
     /**
      * Stops trusting long-idle connections for a while, after an attempt on one of them got no
-     * response: other connections that have been idle for as long may not work either. The trusted
-     * idle time becomes half the idle time of that connection, or half the previous trusted idle
-     * time if that was less.
+     * response: other connections that have been idle for as long may not work either. The new
+     * trusted idle time is half the idle time of the failed connection, or half the previous
+     * trusted idle time if the previous one was shorter.
      */
     void distrustIdle(long now, Attempt attempt) {
         long idleMicros = attempt.connectionIdleMicros();
@@ -129,8 +129,8 @@
             connection.recoveredAt = now;
         }
         connection.suspectedDown = false;
-        // The suspected attempt was only slow: its connection, which had been idle, does work, so
-        // the other idle connections are trusted again.
+        // The suspected attempt was only slow. The response shows that its connection works
+        // although it had been idle. So idle connections are trusted again.
         if (attempt.isSuspected() && attempt.connectionIdleMicros() > 0) {
             trustedIdleMicros = Long.MAX_VALUE;
         }
@@ -143,9 +143,9 @@
     }
 
     /**
-     * Records a failed connection set-up, which counts with twice its duration in the mean set-up
-     * time. The endpoint may be at its connection limit, slow to set up connections, or down, so
-     * only new connections are avoided during the backoff.
+     * Records a failed connection set-up. The mean set-up time takes it as a set-up of twice its
+     * duration. The endpoint may be at its connection limit, slow to set up connections, or down.
+     * So only new connections are avoided during the backoff.
      */
     void recordFailedSetup(long now, Endpoint endpoint, long elapsedMicros) {
         recordSetup(now, (double) (2 * elapsedMicros));
@@ -154,7 +154,8 @@
         int doublings = Math.min(connection.connectFailures, MAX_CONNECT_DOUBLINGS);
         connection.connectFailures++;
         double backoffMicros = meanTargetMicros * (1 << doublings);
-        // All set-ups fail while an endpoint is down, but a single one may fail at any endpoint.
+        // A single set-up may fail at any endpoint. Only several failures in a row are a sign that
+        // the endpoint is down.
         if (connection.connectFailures > 1) {
             connection.suspectedDown = true;
         }
--- a/sidecar/src/main/java/sagefall/balancer/health/EjectionCause.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EjectionCause.java
@@ -4,10 +4,11 @@
 import sagefall.logging.LogLine;
 
 /**
- * Reason for the ejection of an endpoint, as written to the log.
+ * Reason for the ejection of an endpoint, in the form that is written to the log.
  *
  * @param reason kind of cause, as a keyword
- * @param detailKey key of the log field with the detail; ends in the unit if there is one
+ * @param detailKey key of the log field with the detail; the key ends in the unit if the detail has
+ *     one
  * @param detail observed value
  */
 public record EjectionCause(String reason, String detailKey, Object detail) {
@@ -36,7 +37,7 @@
         return new EjectionCause("no_response", "elapsed_ms", elapsedMicros / 1000);
     }
 
-    /** Returns the cause for a trial of a half-open endpoint that has no response yet. */
+    /** Returns the cause for a half-open endpoint whose trial has no response yet. */
     public static EjectionCause trialUnanswered(int inFlight) {
         return new EjectionCause("trial_unanswered", "in_flight", inFlight);
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
@@ -5,8 +5,8 @@
 import sagefall.balancer.routing.RendezvousHash;
 
 /**
- * A server process as this instance sees it, with one state object for each policy. An endpoint
- * outlives rebuilds of the subset tree; another incarnation of the server is another endpoint.
+ * A server process as this instance sees it, with one state object for each policy. The object is
+ * kept when the subset tree is rebuilt. A new incarnation of the server gets a new object.
  * Endpoints are compared by identity.
  */
 public final class Endpoint {
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Returns the sort key of the endpoint in the order of endpoints of this instance, which is
+     * Returns the sort key of the endpoint. This instance orders endpoints by it. The order is
      * stable and differs between instances.
      */
     public long subsetOrder() {
@@ -146,10 +146,10 @@
     }
 
     /**
-     * Returns whether an attempt hangs and the endpoint has sent nothing since that was detected.
-     * If the endpoint has sent something since, only the connection or the request hangs, which
-     * does not predict the next request on another connection. Drawback: an endpoint that is slow
-     * rather than silent is sent more attempts, within its concurrency limit.
+     * Returns whether an attempt hangs and the endpoint has sent nothing since the hanging was
+     * detected. If the endpoint has sent something since, only the connection or the request hangs.
+     * That says nothing about the next request on another connection. Drawback: an endpoint that is
+     * slow rather than silent is still sent attempts, up to its concurrency limit.
      */
     public boolean isSilent() {
         return silence.suspectedAttempts > 0 && connection.lastUsedAt() <= silence.lastSuspectedAt;
@@ -157,8 +157,8 @@
 
     /**
      * Returns the oldest attempt in flight whose age is evidence about the latency of the endpoint;
-     * null if there is none. Unless the endpoint is silent, attempts that hang are ignored: they
-     * are no evidence about the endpoint.
+     * null if there is none. Attempts that hang are ignored unless the endpoint is silent, because
+     * they are then no evidence about the endpoint.
      */
     Attempt oldestAttempt() {
         if (isSilent()) {
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -12,9 +12,9 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * Holds the policies that learn from the outcomes of attempts and passes each outcome on to those
- * that it concerns: an outcome may be evidence about the endpoint, its connection or its zone, or
- * be ignored.
+ * Holds the policies that learn from the outcomes of attempts, and passes each outcome to the
+ * policies that it concerns. An outcome may be evidence about the endpoint, about the connection or
+ * about the zone. Outcomes that are evidence about none of them are ignored.
  */
 public final class EndpointHealth {
     private final SubsetTree subsets;
@@ -29,7 +29,10 @@
     private final SilenceDetector silence;
     private final SlowStart slowStart;
 
-    /** Creates the policies without any observation. */
+    /**
+     * Creates the policies. No outcome has been recorded yet, so each policy starts from its
+     * initial estimates and limits.
+     */
     public EndpointHealth(
             BalancerSettings settings,
             BalancerActions actions,
@@ -84,7 +87,9 @@
         return slowStart;
     }
 
-    /** Starts to wait for the response to an attempt, which counts as in flight from now on. */
+    /**
+     * Starts to wait for the response to an attempt. The attempt counts as in flight from now on.
+     */
     public void startAwaitingResponse(long now, Attempt attempt) {
         attempt.startAwaitingResponse(now);
         silence.add(attempt);
@@ -104,8 +109,8 @@
     }
 
     /**
-     * Records the outcome of an attempt; if the response was streamed, {@link #recordStreamEnd}
-     * does so instead.
+     * Records the outcome of an attempt whose response was not streamed. {@link #recordStreamEnd}
+     * records the end of a streamed response.
      */
     public void recordOutcome(long now, Attempt attempt, AttemptOutcome outcome) {
         switch (outcome.result()) {
@@ -157,8 +162,9 @@
     }
 
     /**
-     * Returns whether the client allowed so little time that the timeout is no evidence about the
-     * endpoint.
+     * Returns whether the attempt timed out so early that the timeout is no evidence about the
+     * endpoint. The client then allowed less than half the time after which an attempt is treated
+     * as hanging.
      */
     private static boolean wasTimeoutShort(Attempt attempt, AttemptOutcome outcome) {
         return outcome.elapsedMicros() * 2
@@ -166,9 +172,10 @@
     }
 
     /**
-     * Returns whether the failure of an attempt may be due to its connection: the connection had
-     * been idle for long, or the endpoint has responded to other attempts since this one was found
-     * to hang. Does not apply to {@link AttemptResult#ERROR}, which is a response.
+     * Returns whether the failure of an attempt may be due to the connection. This is so in two
+     * cases: the connection had been idle for long, or the attempt was found to hang and the
+     * endpoint has responded to other attempts since. Not meant for {@link AttemptResult#ERROR},
+     * which is a response.
      */
     private boolean mayBeConnectionFault(Attempt attempt) {
         Endpoint endpoint = attempt.endpoint();
@@ -197,9 +204,9 @@
     }
 
     /**
-     * Returns the latency target that admission control applies: the target of the request class,
-     * multiplied by the typical latency at the time the attempt was sent and divided by the current
-     * one.
+     * Returns the latency target that admission control applies, in microseconds. It is the target
+     * of the request class, multiplied by the typical latency at the time the attempt was sent, and
+     * divided by the current typical latency.
      */
     private double admissionTargetMicros(Attempt attempt) {
         return attempt.request().requestClass().latencyTargetMicros()
@@ -208,9 +215,9 @@
     }
 
     /**
-     * Returns whether a slow connection set-up dominates the latency, which is then no evidence
-     * about the endpoint. Only checked where many sidecars share few endpoints and connections are
-     * expensive.
+     * Returns whether a slow connection set-up dominates the latency. The latency is then no
+     * evidence about the endpoint. Always false unless many sidecars share few endpoints, since
+     * connections are expensive only there.
      */
     private boolean isSlowSetup(Attempt attempt, long elapsedMicros) {
         return attempt.onNewConnection()
@@ -219,8 +226,8 @@
     }
 
     /**
-     * Records the end of a streamed response. Its duration depends on how fast the client reads, so
-     * it is no latency sample; a broken stream counts as a failed attempt.
+     * Records the end of a streamed response. The duration of the stream depends on how fast the
+     * client reads, so it is no latency sample. A broken stream is treated as a failed attempt.
      */
     public void recordStreamEnd(long now, Attempt attempt, AttemptOutcome outcome) {
         Endpoint endpoint = attempt.endpoint();
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -5,20 +5,20 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Estimates the latency of each endpoint as a peak EWMA, as a multiple of the typical latency of
- * the request class: a slow response raises the estimate at once, faster responses and time lower
- * it towards the usual value for the model and zone of the endpoint. Attempts without a response
- * count by their age, since a hanging endpoint never gives a sample. This prevents an endpoint that
- * has become slow from being sent as much as before.
+ * Estimates the latency of each endpoint as a peak EWMA. The unit is the typical latency of the
+ * request class. A slow response raises the estimate at once. Faster responses lower the estimate;
+ * without responses, it approaches the usual value for the model and zone of the endpoint. The age
+ * of an attempt without a response is treated as a latency, since a hanging endpoint never gives a
+ * sample. All this prevents an endpoint that has become slow from being sent as much as before.
  */
 public final class LatencyEstimator {
 
-    /** Upper bound on one sample of a mean, as a multiple of the typical latency. */
+    /** Upper bound on one sample in a mean, as a multiple of the typical latency. */
     static final int MAX_RATIO = 4;
 
     /**
-     * Time constant with which the peak EWMA approaches a lower sample, in mean latency targets;
-     * without samples, it decays with twice this time constant.
+     * Time constant with which the peak EWMA approaches a lower sample, as a multiple of the mean
+     * latency target. Without samples, the peak EWMA decays with twice this time constant.
      */
     private static final double LATENCY_DECAY_TARGETS = 4;
 
@@ -68,7 +68,7 @@
     /**
      * Returns the peak EWMA of an endpoint, without the ages of attempts in flight, as a multiple
      * of the typical latency. Between samples, the peak EWMA decays towards the usual value for the
-     * model and zone of the endpoint; before the first sample, it is that value.
+     * model and zone of the endpoint. Before the first sample, the usual value is returned.
      */
     double sampledRatio(long now, Endpoint endpoint) {
         double pooled =
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Updates the peak EWMA: a higher sample replaces it, a lower one pulls it down, further the
-     * more time has passed since the previous sample.
+     * Updates the peak EWMA. A sample above the peak EWMA replaces it. A lower sample pulls it
+     * down, by more if more time has passed since the previous sample.
      */
     void recordSample(long now, Endpoint endpoint, double ratio) {
         LatencyState latency = endpoint.latency();
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyState.java
@@ -9,7 +9,7 @@
     /** Time of the last update of the peak EWMA, in microseconds. */
     long sampledAt;
 
-    /** EWMA of latency as a multiple of the typical latency. */
+    /** EWMA of latency as a multiple of the typical latency; 1 before the first response. */
     double meanRatio = 1;
 
     /** Returns whether there has been any sample. */
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportState.java
@@ -4,8 +4,8 @@
 public final class LoadReportState {
 
     /**
-     * Utilization from 0 to 1, as reported or as assumed when a response had no report; NaN before
-     * either.
+     * Utilization from 0 to 1: the reported value, or the value that was assumed when a response
+     * had no report. NaN while there is no such value.
      */
     double utilization = Double.NaN;
 
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
@@ -6,14 +6,17 @@
 import sagefall.balancer.api.LoadReportSource;
 
 /**
- * Tracks the utilization of endpoints from their load reports. The utilization from a report decays
- * towards the mean of all endpoints. If other responses had reports, a response without one is
- * taken as a sign of a busy endpoint. This prevents an endpoint whose last report was low from
- * attracting traffic after its load has risen.
+ * Tracks the utilization of endpoints from their load reports. The reported utilization of an
+ * endpoint decays towards the mean over all endpoints. This prevents an endpoint whose last report
+ * was low from attracting traffic after its load has risen. If other responses had reports, a
+ * response without a report is taken as a sign of a busy endpoint.
  */
 public final class LoadReportTracker {
 
-    /** Time constant of the decay of a report, in mean latency targets. */
+    /**
+     * Time constant with which a reported utilization decays towards the mean over all endpoints,
+     * as a multiple of the mean latency target.
+     */
     private static final double REPORT_DECAY_TARGETS = 4;
 
     /** Weight of one report in the mean of all endpoints. */
@@ -36,8 +39,8 @@
     }
 
     /**
-     * Returns the estimated current utilization of an endpoint from 0 to 1; NaN if no endpoint has
-     * reported any.
+     * Returns the estimated current utilization of an endpoint, from 0 to 1; NaN if no endpoint has
+     * reported its utilization.
      */
     public double utilization(long now, Endpoint endpoint) {
         LoadReportState state = endpoint.loadReport();
@@ -50,10 +53,12 @@
     }
 
     /**
-     * Records the load report of a response. If the response had none, but other responses had, the
-     * endpoint is assumed to be at least halfway between the mean utilization and 1.
+     * Records the load report of a response. If the response had no report although other responses
+     * had one, the utilization of the endpoint is assumed to be at least halfway between the mean
+     * utilization and 1.
      *
-     * @param report the report; null or with a utilization of NaN if the response had none
+     * @param report load report of the response; null, or with a utilization of NaN, if the
+     *     response had none
      */
     void record(long now, Endpoint endpoint, LoadReport report) {
         if (settings.loadReportSource() != LoadReportSource.ANSWERS) {
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
@@ -8,17 +8,18 @@
 import sagefall.logging.LogLine;
 
 /**
- * Ejects an endpoint after several failures in a row, or when it does not respond, for a backoff
- * that doubles with each ejection. After the backoff the endpoint is half-open and gets single
- * trials. This prevents requests from being lost to a failing endpoint. The bound on the number of
- * ejected endpoints prevents a fault of this instance from leaving it without endpoints.
+ * Ejects an endpoint after several failures in a row, or when it does not respond. The ejection
+ * lasts for a backoff that doubles with each ejection. After the backoff the endpoint is half-open:
+ * it is sent one trial at a time. This prevents requests from being lost to a failing endpoint. The
+ * bound on the number of ejected endpoints prevents a fault of this instance from leaving it
+ * without endpoints.
  */
 public final class OutlierDetector {
 
     /** Number of failures in a row that make an endpoint an outlier. */
     private static final int CONSECUTIVE_FAILURES = 3;
 
-    /** Maximum number of doublings of the backoff, which begins with one mean latency target. */
+    /** Maximum number of doublings of the backoff. The first backoff is one mean latency target. */
     private static final int MAX_EJECTION_DOUBLINGS = 4;
 
     /** Maximum fraction of the ready endpoints that may be ejected. */
@@ -42,8 +43,8 @@
     }
 
     /**
-     * Records a failure. Several failures in a row eject the endpoint; if it is already ejected or
-     * half-open, a single failure extends the ejection.
+     * Records a failure. Several failures in a row eject the endpoint. If the endpoint is already
+     * ejected or half-open, a single failure extends the ejection.
      *
      * @param cause cause to log if the endpoint is ejected
      */
@@ -55,8 +56,8 @@
     }
 
     /**
-     * Ejects an endpoint, or extends its ejection. Has no effect on an endpoint that is not usable;
-     * no further endpoint is ejected once the bound on ejected endpoints is reached.
+     * Ejects an endpoint, or extends its ejection. Has no effect on an endpoint that is not usable.
+     * Ejects no further endpoint once the bound on ejected endpoints is reached.
      */
     public void eject(long now, Endpoint endpoint, EjectionCause cause) {
         OutlierState state = endpoint.outlier();
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierState.java
@@ -7,8 +7,8 @@
     int consecutiveFailures;
 
     /**
-     * Number of doublings of the next backoff, before their maximum is applied: an ejection or its
-     * extension adds 1, a readmission subtracts 1.
+     * Number of doublings of the next backoff, before the maximum number of doublings is applied.
+     * Each ejection and each extension adds 1; a readmission subtracts 1.
      */
     int backoffLevel;
 
@@ -28,7 +28,8 @@
     }
 
     /**
-     * Returns the number of ejections and extensions less the number of readmissions; not negative.
+     * Returns the number of doublings of the next backoff, before the maximum is applied. Each
+     * ejection and each extension adds 1; a readmission subtracts 1, but not below 0.
      */
     public int backoffLevel() {
         return backoffLevel;
--- a/sidecar/src/main/java/sagefall/balancer/health/PooledLatencyRatio.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/PooledLatencyRatio.java
@@ -4,8 +4,8 @@
 
 /**
  * Holds, for each value of a label (model or zone), the EWMA of the latency of all endpoints with
- * that value, as a multiple of the typical latency. It is the estimate for an endpoint that has no
- * sample of its own.
+ * that value, as a multiple of the typical latency. This EWMA contributes to the latency estimate
+ * of an endpoint that has no recent sample of its own.
  */
 final class PooledLatencyRatio {
 
@@ -14,12 +14,18 @@
 
     private double[] ratios = {};
 
-    /** Returns the mean ratio for a label value; 1 if there is no sample. */
+    /**
+     * Returns the EWMA for a label value, as a multiple of the typical latency; 1 if there is no
+     * sample.
+     */
     double ratio(int labelValue) {
         return labelValue >= 0 && labelValue < ratios.length ? ratios[labelValue] : 1;
     }
 
-    /** Records the ratio of one response; a negative label value is ignored. */
+    /**
+     * Records the latency of one response, as a multiple of the typical latency. A negative label
+     * value is ignored.
+     */
     void record(int labelValue, double ratio) {
         if (labelValue < 0) {
             return;
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -6,20 +6,22 @@
 import sagefall.balancer.request.Attempt;
 
 /**
- * Finds attempts that have been without a response for far longer than expected and attributes this
- * to the connection or the endpoint. This prevents a hanging endpoint, which never gives a latency
- * sample, from being sent more attempts until the deadlines of those in flight have passed.
+ * Finds attempts that have been without a response for far longer than expected, and attributes the
+ * missing response to the connection or to the endpoint. This prevents a hanging endpoint, which
+ * never gives a latency sample, from being sent more attempts until the deadlines of those in
+ * flight have passed.
  */
 public final class SilenceDetector {
 
     /**
-     * Multiple of the expected latency after which an attempt without a response counts as hanging.
+     * Multiple of the expected latency after which an attempt without a response is treated as
+     * hanging.
      */
     static final int HANGING_FACTOR = 4;
 
     /**
-     * Mean latency of an endpoint, as a multiple of the typical latency, from which a missing
-     * response is attributed to the endpoint rather than to the connection.
+     * Minimum mean latency of a slow endpoint, as a multiple of the typical latency. A missing
+     * response is attributed to a slow endpoint even if the connection had been idle for long.
      */
     private static final double SLOW_MEAN_RATIO = 1.5;
 
@@ -76,9 +78,10 @@
 
     /**
      * Decides why an attempt has no response. Has no effect if the endpoint has responded to
-     * another attempt since the waiting began. If the connection had been idle for long and the
-     * endpoint is not slow on average, the connection is assumed to be broken, and idle connections
-     * to all endpoints are distrusted for a while. Otherwise the endpoint is ejected.
+     * another attempt since the response to this attempt is awaited. If the connection had been
+     * idle for long and the endpoint is not slow on average, the connection is assumed to be
+     * broken, and idle connections to all endpoints are distrusted for a while. Otherwise the
+     * endpoint is ejected.
      */
     void attributeSilence(long now, Attempt attempt) {
         Endpoint endpoint = attempt.endpoint();
--- a/sidecar/src/main/java/sagefall/balancer/health/SlowStart.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SlowStart.java
@@ -15,9 +15,10 @@
     }
 
     /**
-     * Returns the current share of an endpoint; 1 once its slow start has ended, or if its start
-     * time is unknown. An endpoint that responds again after it was suspected to be down counts as
-     * newly started, even before the endpoint list reports a new start time.
+     * Returns the current share of an endpoint. The share is 1 once the slow start has ended. It is
+     * 1 as well if the start time is unknown. An endpoint that responds again after it was
+     * suspected to be down is treated as newly started, even before the endpoint list reports a new
+     * start time.
      */
     public double share(long now, Endpoint endpoint) {
         ConnectionState connection = endpoint.connection();
--- a/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
@@ -25,9 +25,9 @@
     /**
      * Creates an attempt that is sent now.
      *
-     * @param typicalMicros typical latency of the request's class
+     * @param typicalMicros typical latency of the request class, in microseconds
      * @param onTrustedConnection whether the attempt is sent on an open connection that is trusted
-     *     to be alive, rather than on a new one
+     *     to be alive; otherwise a new connection is set up
      */
     public Attempt(
             PendingRequest request,
@@ -61,27 +61,29 @@
         return number;
     }
 
-    /** Returns when the attempt was sent. */
+    /** Returns the time at which the attempt was sent. */
     public long sentAt() {
         return sentAt;
     }
 
     /**
-     * Returns how long the connection had been idle before the attempt was sent; 0 for a new
-     * connection.
+     * Returns the time for which the connection had been idle before the attempt was sent; 0 for a
+     * new connection.
      */
     public long connectionIdleMicros() {
         return connectionIdleMicros;
     }
 
-    /** Returns the typical latency of the request's class when the attempt was sent. */
+    /**
+     * Returns the typical latency of the request class when the attempt was sent, in microseconds.
+     */
     public double typicalMicros() {
         return typicalMicros;
     }
 
     /**
-     * Returns the latency that was expected of the endpoint when the attempt was sent; at least the
-     * typical latency of the request's class.
+     * Returns the latency that was expected of the endpoint when the attempt was sent, in
+     * microseconds. The value is at least the typical latency of the request class.
      */
     public double expectedMicros() {
         return expectedMicros;
@@ -93,17 +95,17 @@
     }
 
     /**
-     * Returns the point in time from which on a response is awaited: the sending of the attempt, or
-     * the last byte of an upload.
+     * Returns the start of the wait for a response: the time at which the attempt was sent or, for
+     * an upload, the time of its last byte.
      */
     public long awaitedSince() {
         return awaitedSince;
     }
 
     /**
-     * Returns whether a response is awaited, so that the attempt counts as in flight at its
-     * endpoint. An upload counts from its last byte on, and an attempt no longer counts once its
-     * response streams.
+     * Returns whether a response is awaited. While this is so, the attempt counts as in flight at
+     * its endpoint. An upload is not in flight before its last byte. An attempt is no longer in
+     * flight once its response streams.
      */
     public boolean isAwaitingResponse() {
         return awaited;
@@ -143,12 +145,12 @@
         return state == AttemptState.STREAMING;
     }
 
-    /** Returns whether the attempt may have run, or may still run. */
+    /** Returns whether the attempt may have run or may still run at its endpoint. */
     public boolean mayHaveRun() {
         return result == null || !result.provesNotExecuted;
     }
 
-    /** Marks the response as begun; the latency of the attempt ends here. */
+    /** Marks the response as begun. The latency of the attempt is measured up to this point. */
     public void startStreaming() {
         state = AttemptState.STREAMING;
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
@@ -92,7 +92,7 @@
         return state == RequestState.QUEUED;
     }
 
-    /** Returns whether the request is closed: it needs no further response. */
+    /** Returns whether the request is closed, so that it needs no further response. */
     public boolean isClosed() {
         return state == RequestState.CLOSED;
     }
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Closes the request: its client has the final response, or has disconnected. */
+    /** Closes the request: the client has got the final response, or has disconnected. */
     public void close() {
         state = RequestState.CLOSED;
     }
@@ -135,7 +135,9 @@
         return uploading;
     }
 
-    /** Marks the body as complete, restarts the latency, and sets the deadline of the request. */
+    /**
+     * Marks the body as complete, restarts the measurement of the latency, and sets the deadline.
+     */
     public void uploadCompleted(long now, long deadlineAt) {
         uploading = false;
         times.restart(now, deadlineAt);
@@ -156,37 +158,40 @@
         return responseStarted;
     }
 
-    /** Notes that a part of the response is sent to the client; no retry is sent from then on. */
+    /** Notes that a part of the response is sent to the client. No retry is sent from now on. */
     public void startResponse() {
         responseStarted = true;
     }
 
-    /** Returns whether the tenant was beyond its quota when the request arrived. */
+    /** Returns whether the tenant was beyond the quota when the request arrived. */
     public boolean isOverQuota() {
         return overQuota;
     }
 
-    /** Sets whether the tenant is beyond its quota. */
+    /** Sets whether the tenant was beyond the quota when the request arrived. */
     public void setOverQuota(boolean beyondQuota) {
         overQuota = beyondQuota;
     }
 
-    /** Returns the cell that the request is routed to first. */
+    /** Returns the cell whose endpoints are tried first for the request. */
     public int cell() {
         return cell;
     }
 
-    /** Sets the cell that the request is routed to first. */
+    /** Sets the cell whose endpoints are tried first for the request. */
     public void setCell(int firstCell) {
         cell = firstCell;
     }
 
-    /** Returns the random number that decides which endpoints in slow start the request may use. */
+    /**
+     * Returns the random number of the request. It decides which endpoints in slow start the
+     * request may use, and which half-open endpoints it may be a trial of.
+     */
     public long routingSeed() {
         return routingSeed;
     }
 
-    /** Sets the random number that decides which endpoints in slow start the request may use. */
+    /** Sets the random number that {@link #routingSeed()} returns. */
     public void setRoutingSeed(long seed) {
         routingSeed = seed;
     }
@@ -226,7 +231,10 @@
         return repeatPolicy.maySendTo(now, this, endpoint);
     }
 
-    /** Returns the time from which on no attempt may be sent, see {@link RepeatPolicy}. */
+    /**
+     * Returns the exclusive upper bound of the time at which an attempt may be sent, see {@link
+     * RepeatPolicy}.
+     */
     public long latestSendAt() {
         return repeatPolicy.latestSendAt(this);
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
@@ -6,9 +6,10 @@
 import sagefall.balancer.health.Endpoint;
 
 /**
- * Decides by the idempotency of a request class whether a request may be retried, at which
- * endpoints and until when, and whether it may be rejected. A request must not take effect twice,
- * so a client must not be asked to retry a request that may have run and is not deduplicated.
+ * Decides by the idempotency of a request class whether a request may be retried, which endpoints a
+ * retry may be sent to, and the latest time of a retry. Decides whether a request may be rejected.
+ * A request must not take effect twice. So a client must not be asked to retry a request that may
+ * have run and is not deduplicated.
  */
 public final class RepeatPolicy {
     private final RequestClass requestClass;
@@ -17,7 +18,8 @@
     /**
      * Creates the policy of a request class.
      *
-     * @param tickMicros resolution of the host's timers, by which an attempt may be sent late
+     * @param tickMicros resolution of the host's timers; the host may send an attempt late by up to
+     *     this duration
      */
     public RepeatPolicy(RequestClass requestClass, long tickMicros) {
         this.requestClass = requestClass;
@@ -30,8 +32,9 @@
     }
 
     /**
-     * Returns whether the client may be asked to retry the request: the request may run any number
-     * of times, or all endpoints deduplicate it by its idempotency key, or no attempt can have run.
+     * Returns whether the client may be asked to retry the request. This is so if the request may
+     * run any number of times, if all endpoints deduplicate it by the idempotency key, or if no
+     * attempt can have run.
      */
     boolean mayReject(PendingRequest request) {
         boolean deduplicatedEverywhere =
@@ -42,15 +45,15 @@
                 || request.firstThatMayHaveRun() == null;
     }
 
-    /** Returns whether idempotency could allow a retry, at some endpoint and time. */
+    /** Returns whether idempotency could allow a retry at any endpoint and time. */
     boolean mayRetry(PendingRequest request) {
         return mayReject(request) || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
     }
 
     /**
-     * Returns the point in time from which on no attempt may be sent: one tick before the end of
-     * the deduplication window if the request has an idempotency key and may have run, else {@link
-     * Long#MAX_VALUE}.
+     * Returns the exclusive upper bound of the time at which an attempt may be sent. If the request
+     * has an idempotency key and may have run, the bound is one tick before the end of the
+     * deduplication window. Otherwise the bound is {@link Long#MAX_VALUE}.
      */
     long latestSendAt(PendingRequest request) {
         Attempt first = request.firstThatMayHaveRun();
@@ -61,8 +64,8 @@
     }
 
     /**
-     * Returns whether an attempt may be sent to this endpoint now. No endpoint is sent two attempts
-     * of a request.
+     * Returns whether an attempt may be sent to this endpoint now. At most one attempt of a request
+     * is sent to each endpoint.
      */
     boolean maySendTo(long now, PendingRequest request, Endpoint endpoint) {
         if (request.wasSentTo(endpoint)) {
--- a/sidecar/src/main/java/sagefall/balancer/request/RequestState.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RequestState.java
@@ -6,6 +6,8 @@
     ACTIVE,
     /** The request is queued until an endpoint has capacity. */
     QUEUED,
-    /** The client has the final response, or has disconnected. Attempts may still be in flight. */
+    /**
+     * The client has got the final response, or has disconnected. Attempts may still be in flight.
+     */
     CLOSED
 }
--- a/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
@@ -16,16 +16,16 @@
     }
 
     /**
-     * Returns the point in time from which on latency counts: the arrival of the request at the
-     * host, or the last byte of an upload.
+     * Returns the start of the latency of the request: the arrival of the request at the host. For
+     * an upload, the last byte restarts the latency.
      */
     public long arrivedAt() {
         return arrivedAt;
     }
 
     /**
-     * Returns the point in time after which a response is late; the arrival of the request if its
-     * class has no latency target.
+     * Returns the latest time of a response that is not late. The value is {@link #arrivedAt()} if
+     * the request class has no latency target.
      */
     public long latencyTargetAt() {
         return latencyTargetAt;
@@ -36,7 +36,10 @@
         return deadlineAt;
     }
 
-    /** Restarts the latency at the last byte of an upload, and sets the new deadline. */
+    /**
+     * Restarts the measurement of the latency at the last byte of an upload, and sets the new
+     * deadline.
+     */
     void restart(long now, long newDeadlineAt) {
         deadlineAt = newDeadlineAt;
         latencyTargetAt += now - arrivedAt;
--- a/sidecar/src/main/java/sagefall/balancer/routing/CandidateSelection.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/CandidateSelection.java
@@ -4,7 +4,10 @@
 import sagefall.balancer.health.Endpoint;
 import sagefall.balancer.request.PendingRequest;
 
-/** Selects one of the candidates that are offered; created for one pick in one node. */
+/**
+ * Selects one of the candidates that {@link EndpointPicker} offers to it. One instance is created
+ * for each node that the search for an endpoint visits.
+ */
 final class CandidateSelection {
     private final SelectionMode mode;
     private final long now;
@@ -35,8 +38,8 @@
     }
 
     /**
-     * Offers a candidate. From the third candidate on, a random number is drawn in every mode, so
-     * that the number of draws does not depend on the mode.
+     * Offers a candidate. For every candidate after the second, a random number is drawn even if
+     * the mode does not need it. So the number of draws does not depend on the mode.
      */
     void offer(Endpoint endpoint) {
         int slot = count < 2 ? count : random.nextInt(count + 1);
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
@@ -6,9 +6,10 @@
 import sagefall.balancer.health.LoadReportTracker;
 
 /**
- * Computes the cost of sending one more attempt to an endpoint: peak EWMA of latency x (1 +
- * attempts in flight), higher for a busy endpoint and, where many sidecars share few endpoints, for
- * a new connection.
+ * Computes the cost of sending one more attempt to an endpoint. The cost is the peak EWMA of the
+ * latency, multiplied by 1 plus the number of attempts in flight. A high reported utilization
+ * raises the cost. The need for a new connection raises the cost where many sidecars share few
+ * endpoints.
  */
 final class EndpointCost {
 
@@ -22,7 +23,8 @@
     private static final double SETUP_COST = 10;
 
     /**
-     * The cost is divided by this value less the utilization; above 1, so that the divisor stays
+     * Utilization at which the cost would become infinite: the cost is divided by the difference
+     * between this value and the utilization. The value is above 1, so that the divisor stays
      * positive at a utilization of 1.
      */
     private static final double MAX_HEADROOM = 1.1;
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -11,14 +11,14 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Decides whether an endpoint has capacity for a request, from concurrency limits, pauses, slow
- * start, trials of ejected endpoints, and the cost of a new connection.
+ * Decides whether an endpoint has capacity for a request. Takes into account concurrency limits,
+ * pauses, slow start, trials of ejected endpoints and the set-up time of connections.
  */
 final class EndpointEligibility {
 
     /**
-     * Fraction of its fair rate that a cold or half-open endpoint is sent, to be multiplied by its
-     * slow start share.
+     * Factor of the slow start share. The product is the fraction of its fair request rate that a
+     * cold or half-open endpoint is sent.
      */
     private static final double SLOW_START = 1;
 
@@ -43,7 +43,7 @@
     /**
      * Returns whether the request may be sent to this endpoint now.
      *
-     * @param candidates number of candidates of the pick, including this endpoint
+     * @param candidates maximum number of candidates in the node, including this endpoint
      */
     boolean hasCapacity(long now, PendingRequest request, Endpoint endpoint, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Returns whether a cold endpoint may be sent the request: its concurrency limit and its rate
-     * are reduced.
+     * Returns whether a cold endpoint may be sent the request. The concurrency limit and the
+     * request rate of a cold endpoint are reduced.
      */
     private boolean isAllowedInSlowStart(
             PendingRequest request, Endpoint endpoint, double share, int candidates) {
@@ -78,13 +78,15 @@
     }
 
     /**
-     * Returns whether the endpoint has a trusted connection for the request, or a new one may be
-     * set up. No connection is set up if the response would then be late. But only a set-up shows
-     * that set-ups have become fast again, also after this process itself was slow, so one is
-     * allowed to any endpoint without attempts in flight; where many sidecars share few endpoints,
-     * only if the last set-up was measured more than one mean latency target ago. During the
-     * backoff after a failed set-up, none is allowed. Drawback: late responses while set-ups are
-     * slow.
+     * Returns whether the endpoint has a trusted connection for the request, or a new connection
+     * may be set up. A set-up is not allowed during the backoff after a failed set-up. Otherwise it
+     * is allowed if the response would still be in time.
+     *
+     * <p>Only a set-up shows that set-ups have become fast again, for example after this process
+     * itself was slow. So one is allowed to any endpoint without attempts in flight, even if the
+     * response would be late. Where many sidecars share few endpoints, this exception applies only
+     * if the last set-up was measured more than one mean latency target ago. Drawback: late
+     * responses while set-ups are slow.
      */
     private boolean isConnectable(long now, PendingRequest request, Endpoint endpoint) {
         ConnectionTrust connections = health.connections();
@@ -104,11 +106,11 @@
     }
 
     /**
-     * Returns whether the request is one of those that a cold or half-open endpoint is sent. Each
-     * request that is routed to a node is selected with a probability of the given share of the
-     * admitted fraction, divided by the number of candidates, so that the rate of the endpoint over
-     * all instances is that share of its fair rate. No allowance accumulates, so no burst can
-     * result.
+     * Returns whether a random draw selects the request for a cold or half-open endpoint. Each
+     * request that is routed to a node of the subset tree is selected with a probability of the
+     * given share, multiplied by the admitted fraction and divided by the number of candidates. So
+     * all instances together send the endpoint that share of its fair request rate. No allowance
+     * accumulates, so no burst can result.
      */
     private boolean isSampled(
             PendingRequest request, Endpoint endpoint, double share, int candidates) {
@@ -119,10 +121,10 @@
 
     /**
      * Returns whether the request is sent as the trial of a half-open endpoint. Only the first
-     * attempt of a request can be a trial, and if the settings have an idempotent request class,
-     * only a request of such a class. The probability is that of an endpoint right after its start
-     * that is the only candidate, divided by the backoff level. If attempts are still in flight at
-     * the endpoint, its ejection is extended instead.
+     * attempt of a request can be a trial. If the settings have an idempotent request class, only a
+     * request of such a class can be a trial. The probability is the one of a sole candidate right
+     * after its start, divided by the backoff level. If attempts are still in flight at the
+     * endpoint, the ejection is extended instead.
      */
     private boolean admitTrial(long now, PendingRequest request, Endpoint endpoint) {
         if (!endpoint.concurrency().isIdle()) {
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -9,30 +9,34 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Picks the endpoint for a request by the power of two choices: the cheaper of two ready endpoints
- * with capacity, from the narrowest node that has any. Where many sidecars share few endpoints,
- * each sidecar picks only from the first endpoints with capacity in an order of its own
- * (deterministic subsetting), so that it needs few connections; the next endpoints in that order
- * replace those that are faulty or at their limit. Drawback: fewer endpoints to choose from.
+ * Picks the endpoint for a request by the power of two choices: the cheaper of two random endpoints
+ * with capacity. The search starts at the narrowest node of the subset tree.
+ *
+ * <p>Where many sidecars share few endpoints, each sidecar orders the endpoints in a different way
+ * and uses only the first ones with capacity (deterministic subsetting). So it needs few
+ * connections. The next endpoints in that order replace endpoints that are faulty or at their
+ * limit. Drawback: fewer endpoints to choose from.
  */
 public final class EndpointPicker {
 
     /**
-     * An endpoint is passed over if its cost exceeds this multiple of the cost of the alternative:
-     * the pick of a wider node, or the endpoint with the second highest hash of the key.
+     * Maximum cost of a preferred endpoint, as a multiple of the cost of the alternative. If the
+     * cost is higher, the alternative is picked. The alternative is the selection from a wider
+     * node, or the endpoint with the second highest hash of the key.
      */
     static final double SPILL_RATIO = 1.5;
 
     /**
      * Number of endpoints of a node that a sidecar uses in deterministic subsetting, in addition to
-     * those that its request rate needs.
+     * the number that its request rate needs.
      */
     private static final int SUBSET_SIZE = 2;
 
     /**
-     * Maximum number of candidates in a node with more endpoints than this, unless the pick is by
-     * key or many sidecars share few endpoints; the search for candidates starts at a random
-     * position.
+     * Number of endpoints above which a node is sampled, and maximum number of candidates in a
+     * sampled node. The search for candidates in a sampled node starts at a random position. A node
+     * is not sampled if the endpoint is selected by key. Nor is it sampled where many sidecars
+     * share few endpoints.
      */
     private static final int WIDE_NODE_SAMPLE = 32;
 
@@ -43,7 +47,7 @@
     private final EndpointEligibility eligibility;
     private final EndpointCost cost;
 
-    /** Creates a picker; each pick draws from the random source in a fixed order. */
+    /** Creates a picker. All its random draws come from the given source. */
     public EndpointPicker(
             BalancerSettings settings,
             SplittableRandom random,
@@ -60,8 +64,8 @@
 
     /**
      * Returns the endpoint for a request, or null if none has capacity. The search starts at the
-     * narrowest node; a wider node is used if the narrower ones have no capacity or are much more
-     * expensive.
+     * narrowest node. A wider node is used if the narrower nodes have no endpoint with capacity or
+     * are much more expensive.
      */
     public Endpoint pick(long now, PendingRequest request) {
         if (subsets.ready().isEmpty()) {
@@ -88,7 +92,8 @@
         if (!subsets.isSparse()) {
             return Integer.MAX_VALUE;
         }
-        // While idle connections are distrusted, a smaller subset keeps each connection in use.
+        // While idle connections are distrusted, the subset is smaller, so that its connections do
+        // not become idle.
         boolean idleTrusted = health.connections().trustedIdleMicros(now) == Long.MAX_VALUE;
         double concurrency =
                 admission.admittedPerMicro(now) * health.latency().typicalMicros(request);
@@ -96,9 +101,10 @@
     }
 
     /**
-     * Selects an endpoint of one node: by the hash of the key if endpoints cache keys, by the
-     * lowest cost in a node wider than the first that had a pick, otherwise by the power of two
-     * choices.
+     * Selects an endpoint of one node; null if the node has no endpoint with capacity. If a
+     * narrower node had an endpoint with capacity, the endpoint of lowest cost is selected.
+     * Otherwise the hash of the key decides if the request is routed by key. In all other cases the
+     * power of two choices decides.
      */
     private Endpoint pickFrom(
             List<Endpoint> node,
@@ -119,12 +125,14 @@
             if (!eligibility.hasCapacity(now, request, endpoint, candidates)) {
                 continue;
             }
-            // Beyond the sample size, the endpoints of the node are not examined with equal
-            // probability, which would distort the rate of a cold endpoint.
+            // The search goes beyond the sample size only if earlier endpoints had no capacity.
+            // Endpoints are then not examined with equal probability. So a cold endpoint is skipped
+            // there, since its request rate would be wrong.
             if (sampled && i >= WIDE_NODE_SAMPLE && isCold(now, endpoint)) {
                 continue;
             }
-            // The request has already been sampled for this endpoint, so no costs are compared.
+            // The random draw for the trial or the slow start has already selected the request for
+            // this endpoint, so costs are not compared.
             if (!isWider && (endpoint.outlier().isEjected() || isCold(now, endpoint))) {
                 return endpoint;
             }
--- a/sidecar/src/main/java/sagefall/balancer/routing/RendezvousHash.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/RendezvousHash.java
@@ -5,8 +5,8 @@
 
 /**
  * Rendezvous (highest random weight) hashing: orders the choices for an id by a hash of the id and
- * the choice. All instances that hash the same ids agree without communication, and a change in the
- * number of choices reassigns few ids.
+ * the choice. Instances that hash the same ids get the same order without communication. A change
+ * in the number of choices reassigns few ids.
  */
 public final class RendezvousHash {
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
@@ -13,23 +13,28 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * The tree of subsets of the endpoints. A node is the list of the ready endpoints that have all of
- * its labels (zone and cell). The tree isolates tenants from each other and keeps requests in their
- * zone while there is capacity: the search for an endpoint widens from the narrowest node to all
- * ready endpoints.
+ * The tree of subsets of the endpoints. A node is the list of the ready endpoints of one zone, of
+ * one cell, or of both; the widest node is the list of all ready endpoints. The search for an
+ * endpoint widens from the narrowest node to all ready endpoints. So the tree isolates tenants from
+ * each other and keeps requests in their zone while there is capacity.
  */
 public final class SubsetTree {
 
     /** Intended number of endpoints of a cell in each zone. */
     private static final double ENDPOINTS_PER_CELL_AND_ZONE = 4;
 
-    /** Fraction of the cells that a tenant is assigned to, as a multiple of its quota. */
+    /**
+     * Multiple of the quota of a tenant. The product is the fraction of the cells that the tenant
+     * is assigned to.
+     */
     private static final double TENANT_CELLS_FACTOR = 3;
 
-    /** Minimum number of cells of a tenant, if there are as many. */
+    /**
+     * Minimum number of cells of a tenant. A tenant has fewer cells if there are fewer in total.
+     */
     private static final int MIN_TENANT_CELLS = 2;
 
-    /** Number of ready endpoints from which there are at least two cells. */
+    /** Minimum number of ready endpoints for which there are at least two cells. */
     private static final int MIN_ENDPOINTS_FOR_CELLS = 4;
 
     /** Added to the weight of a cell, so that the weight is above 0 even without endpoints. */
@@ -55,9 +60,9 @@
     }
 
     /**
-     * Returns whether many sidecars with little traffic share few endpoints. The attempts in flight
-     * and the latency samples of one sidecar then say little about an endpoint, and connections are
-     * expensive.
+     * Returns whether many sidecars share few endpoints: there are more sidecars than ready
+     * endpoints. The attempts in flight and the latency samples of one sidecar then say little
+     * about an endpoint, and connections are expensive.
      */
     public boolean isSparse() {
         return sparse;
@@ -74,9 +79,9 @@
     }
 
     /**
-     * Returns one of the cells of the tenant of a request: the one that the key determines if
-     * endpoints cache keys, otherwise always the same cell if {@link #isSparse()}, otherwise a
-     * random cell.
+     * Returns one of the cells of the tenant of a request. If the request is routed by key, the key
+     * determines the cell. Otherwise, if {@link #isSparse()}, this instance always uses one cell
+     * for the tenant. In all other cases the cell is random.
      */
     public int chooseCell(PendingRequest request, SplittableRandom random) {
         int[] cells = tenantCells.length == 0 ? new int[] {0} : tenantCells[request.tenant()];
@@ -179,8 +184,8 @@
     }
 
     /**
-     * Returns one of the cells by weighted rendezvous hashing; the weight of a cell is the number
-     * of its endpoints in the home zone.
+     * Returns one of the cells by weighted rendezvous hashing. The weight of a cell is the number
+     * of endpoints of the cell in the home zone, plus {@link #EMPTY_NODE_WEIGHT}.
      */
     private int highestScored(long id, int[] cells) {
         int best = cells[0];
@@ -197,10 +202,10 @@
     }
 
     /**
-     * Returns the zone whose endpoints are tried first: the zone of this instance, unless many
-     * sidecars share few endpoints and that zone has too few of them. Some of the instances in it
-     * then choose another zone, in proportion to the surplus of the other zones. Drawback:
-     * unnecessary cross-zone requests.
+     * Returns the zone whose endpoints are tried first. This is usually the zone of this instance.
+     * If many sidecars share few endpoints and the zone has too few of them, some instances of the
+     * zone choose another zone instead. The surplus of endpoints of each other zone is its weight
+     * in that choice. Drawback: unnecessary cross-zone requests.
      */
     private int chooseHomeZone() {
         double fairSize = ready.size() / (double) zoneNodes.size();
--- a/sidecar/src/main/java/sagefall/balancer/routing/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Determines where a request is sent: subsets of the ready endpoints, and the pick of one endpoint.
+ * Determines the endpoint that a request is sent to: builds subsets of the ready endpoints, and
+ * picks one endpoint.
  */
 package sagefall.balancer.routing;
--- a/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
@@ -21,8 +21,9 @@
 import sagefall.balancer.api.ServiceLimits;
 
 /**
- * Tests a fleet of instances without shared state against servers that queue and run every attempt
- * that they are sent, even after its timeout.
+ * Checks a fleet of instances without shared state under overload, below its capacity, and with a
+ * failing server. The simulated servers queue and run every attempt, even after the timeout of the
+ * attempt.
  */
 class FleetOverloadTest {
 
@@ -37,7 +38,7 @@
     private final PriorityQueue<Event> pendingOutcomes =
             new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
-    /** End times of the attempts that are queued or running at a server, by server id. */
+    /** End times of the attempts that are queued or running at each server, by server id. */
     private final Map<Long, ArrayDeque<Long>> queues = new HashMap<>();
 
     private int responsesInTime;
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Sends requests to the instances in turn and returns the number of responses within the
-     * latency target. Each server can serve 25 requests per second.
+     * Sends requests to the instances in turn. Returns the number of responses within the latency
+     * target. Each server serves at most 25 requests per second, since one request takes 40 ms.
      */
     private int sendRequests(long from, long until, int perSecond) {
         responsesInTime = 0;
@@ -85,7 +86,8 @@
     /**
      * Queues attempts of an instance at their servers, and schedules their outcomes.
      *
-     * @param firstAttempt index of the first of these attempts among all that the instance has sent
+     * @param firstAttempt index of the first of these attempts in the list of all attempts that the
+     *     instance has sent
      */
     private void queueAttempts(int instance, int firstAttempt) {
         RecordingActions host = fleet.get(instance);
@@ -132,10 +134,11 @@
     }
 
     /**
-     * When half of a fleet's servers fail, each sidecar sends each remaining server only about one
-     * request per second. No limit per sidecar and server is reached by that, so requests used to
-     * queue at the servers up to their deadlines, and hardly any response was in time. In this test
-     * the request rate rises to twice the capacity instead.
+     * After half of the servers of a fleet have failed, each sidecar still sends each remaining
+     * server only about one request per second. That rate reaches no limit that a sidecar applies
+     * to a single server. So requests used to queue at the servers up to their deadlines, and
+     * hardly any response was in time. This test raises the request rate to twice the capacity
+     * instead of stopping servers.
      */
     @Test
     void fleetAtTwiceItsCapacityServesMostOfItsCapacityInTime() {
@@ -173,8 +176,8 @@
     }
 
     /**
-     * The ratio of a response's latency to the latency target used to be computed in integers, so
-     * that only responses slower than the whole target counted as slow.
+     * The ratio of the latency to the latency target used to be computed in integers. So only
+     * responses slower than the whole latency target were treated as slow.
      */
     @Test
     void responsesSlowerThanHalfOfTheLatencyTargetCutTheLimitOfABusyZone() {
@@ -203,8 +206,9 @@
     }
 
     /**
-     * A sidecar of a large fleet sends a server few requests, each on a connection that was idle
-     * for long: an error on such a connection counts against the server too.
+     * A sidecar of a large fleet sends each server few requests, and each of them on a connection
+     * that was idle for long. An error on such a connection must be treated as a failure of the
+     * server.
      */
     @Test
     void errorsOfASeldomUsedServerMoveItsTrafficToOtherServers() {
@@ -246,7 +250,7 @@
         assertTrue(errors > 0 && errors < 30, "errors received: " + errors);
     }
 
-    /** The request rate is half of the capacity of the fleet. */
+    /** Sends requests at half of the capacity of the fleet. */
     @Test
     void fleetBelowItsCapacityRejectsNothing() {
         startFleet();
--- a/sidecar/src/test/java/sagefall/balancer/RandomEventRun.java
+++ b/sidecar/src/test/java/sagefall/balancer/RandomEventRun.java
@@ -17,9 +17,10 @@
 import sagefall.balancer.api.ListedEndpoint;
 
 /**
- * Runs random valid events, and checks each action that follows. A request must get at most one
- * final response, no attempt after it, no more than the maximum number of attempts, and no retry or
- * rejection that its idempotency does not allow. No attempt may be sent to a draining server.
+ * Runs random valid events, and checks each action that follows. Each request must get at most one
+ * final response, and no attempt after that response. The number of attempts must not exceed the
+ * maximum. The idempotency of the request must allow each retry and each rejection. No attempt may
+ * be sent to a draining server.
  */
 final class RandomEventRun {
     private static final int SERVERS = 7;
@@ -44,14 +45,14 @@
                         RecordingActions.settings(idempotency, DeduplicationScope.ZONE), SERVERS);
     }
 
-    /** Returns the number of requests of which at least one attempt was sent. */
+    /** Returns the number of requests for which at least one attempt was sent. */
     int requestsSent() {
         return attempts.size();
     }
 
     /**
-     * Runs this number of steps and checks the actions after each. A step consists of at most one
-     * random event and the timers that are due.
+     * Runs the given number of steps, and checks the actions after each step. A step consists of at
+     * most one random event and the timers that are due.
      */
     void run(int steps) {
         for (int step = 0; step < steps; step++) {
--- a/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecordingActions.java
@@ -38,7 +38,10 @@
 
     record Sent(String request, long server, long at, long latestStartMicros) {}
 
-    /** Creates an instance with ready servers of ids from 1 on, in zones 0 and 1 by turns. */
+    /**
+     * Creates an instance with ready servers. The ids of the servers start at 1; the zones
+     * alternate between 0 and 1.
+     */
     RecordingActions(BalancerSettings settings, int servers) {
         balancer = new DefaultLoadBalancer(settings, this);
         List<ListedEndpoint> list = new ArrayList<>();
@@ -80,9 +83,9 @@
     }
 
     /**
-     * Moves the clock by the elapsed time, and ends the attempt that was sent last.
+     * Advances the clock by the elapsed time, and ends the attempt that was sent last.
      *
-     * @param attempt number of that attempt among the attempts of its request
+     * @param attempt number of the ended attempt among the attempts of its request, from 0
      */
     void endLastAttempt(int attempt, AttemptResult result, long elapsed, boolean closed) {
         Sent last = sent.get(sent.size() - 1);
@@ -93,7 +96,7 @@
                         last.request, attempt, last.server, result, elapsed, closed, null));
     }
 
-    /** Fires all scheduled timers, and moves the clock to the latest of them. */
+    /** Fires all scheduled timers, and advances the clock to the latest of them. */
     void fireTimers() {
         List<long[]> due = new ArrayList<>(timers);
         timers.clear();
--- a/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RecoveredEndpointsTest.java
@@ -14,8 +14,8 @@
 import sagefall.balancer.api.ListedEndpoint;
 
 /**
- * Tests which endpoint list is used after a start: the persisted list, a cached list or a list from
- * discovery.
+ * Checks that after a start the right endpoint list is used: the persisted list, a cached list or a
+ * list from discovery.
  */
 class RecoveredEndpointsTest {
 
@@ -61,18 +61,20 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                // persisted: revision, fresh, list | received: kind, revision, list | used
+                // Columns: revision, freshness and entries of the persisted list; kind, revision
+                // and entries of the received list; entries of the list that is used.
                 "5 | true  | 1R0 2D0 3G0 | CACHED   | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0",
                 "5 | true  | 1R0 2D0     | CACHED   | 5 | 1R0 2R0         | 1R0 2R0",
                 "5 | true  | 1R0 2D0     | CACHED   | 6 | 2R0             | 2R0",
-                // A persisted list that is not fresh restricts a cached list, but adds no endpoint.
+                // A persisted list that is not fresh restricts a cached list, but adds no endpoint
+                // to it.
                 "5 | false | 1R0 2D0 3G0 5R0 | CACHED | 4 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
-                // Discovery sends an older revision: draining endpoints stay draining.
+                // Discovery sends a list of an older revision, so draining endpoints stay draining.
                 "5 | true  | 1R0 2D0 3G0 | COMPLETE | 3 | 1R0 2R0 3R0 4R0 | 1R0 2D0 3G0 4R0",
                 "5 | true  | 1R0 2D0     | CHANGES  | 4 | 2R0             | 2D0",
                 "5 | true  | 1R0 2D0     | COMPLETE | 5 | 1R0 2R0         | 1R0 2R0",
-                // A later incarnation of a draining endpoint is not draining; a received entry of
-                // an earlier incarnation is replaced by the persisted entry.
+                // A later incarnation of a draining endpoint is not draining. The persisted entry
+                // replaces a received entry of an earlier incarnation.
                 "5 | true  | 1R0 2D3     | COMPLETE | 3 | 1R0 2R4         | 1R0 2R4",
                 "5 | true  | 1R7 2D3     | COMPLETE | 3 | 1R0 2R0         | 1R7 2D3",
             })
@@ -90,8 +92,9 @@
     }
 
     /**
-     * Endpoint 2 was persisted as draining, with list revision 5. A cached list of revision 4 names
-     * the endpoint as ready, but is outdated; a cached list of revision 5 is not.
+     * The persisted list has revision 5 and names endpoint 2 as draining. The cached list names
+     * endpoint 2 as ready. The cached list is outdated if it has revision 4, and is not outdated if
+     * it has revision 5.
      */
     @ParameterizedTest
     @CsvSource({"true, 4, 0", "true, 5, 30", "false, 4, 0"})
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -28,7 +28,9 @@
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.RequestClass;
 
-/** Tests when requests are sent, retried, queued and rejected, and when discovery is polled. */
+/**
+ * Checks the rules on sending, retrying, queueing and rejecting requests, and on polling discovery.
+ */
 class RequestRulesTest {
 
     @ParameterizedTest
@@ -70,12 +72,12 @@
     }
 
     /**
-     * The host may have to wait for a connection before it sends an attempt, so the balancer passes
-     * the end of the deduplication window with the attempt.
+     * The host may have to wait for a connection before it sends an attempt. So the balancer passes
+     * the latest start time with the attempt: one tick before the end of the deduplication window.
      */
     @ParameterizedTest
     @EnumSource
-    void retryCarriesTheEndOfItsDeduplicationWindow(Idempotency idempotency) {
+    void retryCarriesTheLatestStartTimeThatItsIdempotencyAllows(Idempotency idempotency) {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(idempotency, DeduplicationScope.ALL), 6);
@@ -95,9 +97,9 @@
     }
 
     /**
-     * A sidecar has to apply a change within 6 s of the time at which discovery has the change and
-     * can be reached. So discovery is polled soon after a failure, however often it has failed, but
-     * not by all sidecars at once.
+     * Once discovery has a change and can be reached, a sidecar has to apply the change within 6 s.
+     * So each sidecar polls discovery soon after a failure, however often discovery has failed. The
+     * delays are random, so that the sidecars do not poll all at once.
      */
     @ParameterizedTest
     @CsvSource({"false, 50000, 150001", "true, 200000, 600001"})
@@ -119,10 +121,13 @@
         assertTrue(delays.size() > 40);
     }
 
-    /** The time that a request has waited for the host shortens the time for which it is queued. */
+    /**
+     * The latency of a request includes the time that the request has waited for the host. So the
+     * request is queued for less time.
+     */
     @ParameterizedTest
     @ValueSource(longs = {0, 100_000})
-    void timeWaitedForTheHostCountsTowardsLatency(long waited) {
+    void timeWaitedForTheHostShortensTheTimeInTheQueue(long waited) {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -145,16 +150,19 @@
             host.fireTimers();
         }
         long queuedFor = host.now - arrivedAt;
-        // The latency target of 200 ms, less the typical latency of 60 ms.
+        // The request is queued for about 140 ms minus the time that it has waited for the host.
+        // The 140 ms are the latency target of 200 ms minus the typical latency of 60 ms, which is
+        // 0.3 of the latency target before the first response.
         assertTrue(Math.abs(queuedFor - (140_000 - waited)) < 15_000, "queued for " + queuedFor);
     }
 
     /**
-     * All sidecars of a fleet may start at once, so their first polls are spread, but each must
-     * poll early enough to apply the current endpoint list in time.
+     * All sidecars of a fleet may start at once, so their first polls are spread over about 3 s.
+     * The spread must not be longer, because each sidecar has to apply the current endpoint list in
+     * time.
      */
     @Test
-    void firstPollsOfALargeFleetAreSpreadAndSoon() {
+    void firstPollsOfALargeFleetAreSpreadOverAboutThreeSeconds() {
         BalancerSettings defaults =
                 RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         List<ListedEndpoint> servers = new ArrayList<>();
@@ -178,7 +186,7 @@
         }
         assertTrue(
                 longestDelay > 2_500_000 && longestDelay <= 3_020_000,
-                "last poll after " + longestDelay);
+                "longest delay of a first poll: " + longestDelay);
     }
 
     @Test
@@ -242,8 +250,8 @@
     }
 
     /**
-     * Servers whose queues were filled right after the start, before any response was received,
-     * became slow and never recovered.
+     * The queues of servers used to be filled right after the start, before any response was
+     * received. Such servers became slow and never recovered.
      */
     @Test
     void serversThatHaveNotRespondedYetAreSentFewRequests() {
@@ -255,13 +263,14 @@
         for (int i = 0; i < 100; i++) {
             host.request("r" + i);
         }
-        // 4 servers with an initial concurrency limit of 3.
+        // The 12 requests are 4 servers times 3 attempts, because each of the 4 servers has the
+        // initial concurrency limit of 3.
         assertEquals(12, host.sent.size());
     }
 
     /**
      * Overloaded servers never recovered while each of many sidecars always had one attempt in
-     * flight at them, so a sidecar pauses between attempts at an overloaded server.
+     * flight at them. So a sidecar pauses between attempts at an overloaded server.
      */
     @Test
     void overloadedServersAreSentNoRequestsDuringAPause() {
@@ -280,7 +289,7 @@
         assertTrue(sent >= 2 && sent < 40, sent + " requests sent before a pause");
         host.now += 900_000;
         host.balancer.onEndpointList(host.now, EndpointListKind.CHANGES, List.of());
-        assertTrue(host.sent.size() > sent, "the pause has not ended");
+        assertTrue(host.sent.size() > sent, "no request was sent after the pause");
     }
 
     @Test
@@ -295,13 +304,17 @@
                 EndpointListKind.CHANGES,
                 List.of(RecordingActions.server(1, 0, host.now)));
         long cold = sendAndCountAtFirstServer(host, "cold", 200);
-        // The share starts at a fifth and has grown to a third by the end of these 2 s.
+        // The 200 requests take 2 s, since each response takes 10 ms. Slow start takes 10 s, so the
+        // share of the server grows from 0.2 to 0.36 in that time.
         assertTrue(
                 cold > 0 && cold <= 0.45 * warm,
                 cold + " requests in slow start, " + warm + " before");
     }
 
-    /** Sends requests one after another, and returns the number that was sent to server 1. */
+    /**
+     * Sends requests one after another, and returns the number of attempts that were sent to server
+     * 1.
+     */
     private static long sendAndCountAtFirstServer(
             RecordingActions host, String idPrefix, int requests) {
         int before = host.sent.size();
@@ -313,8 +326,8 @@
     }
 
     /**
-     * Requests that were queued up to their deadline occupied client connections that were needed
-     * for requests which could still be served in time.
+     * Requests used to be queued up to their deadline. They occupied client connections that were
+     * needed for requests which could still be served in time.
      */
     @Test
     void queuedRequestsAreRejectedBeforeHalfwayToTheirDeadlineWhileManyAreOpen() {
@@ -348,11 +361,11 @@
     }
 
     /**
-     * A single corrupt response or connection reset must not be taken for a restart of the server,
-     * which would put the server into slow start.
+     * A corrupt response or a connection reset must not be treated as a restart of the server. A
+     * restart would put the server into slow start.
      */
     @Test
-    void brokenConnectionDoesNotCountAsRestart() {
+    void serverIsNotPutIntoSlowStartAfterABrokenConnection() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -368,12 +381,14 @@
         assertTrue(broke);
         host.now += 20_000_000;
         long after = sendAndCountAtFirstServer(host, "after", 200);
-        assertTrue(after >= 0.6 * before, after + " requests after it, " + before + " before");
+        assertTrue(
+                after >= 0.6 * before,
+                after + " requests after the broken connection, " + before + " before");
     }
 
     /**
-     * The first responses after a start are slow for reasons other than load. They cut the
-     * concurrency limits of idle servers too, which were then sent hardly any requests.
+     * The first responses after a start are slow for reasons other than load. They used to cut the
+     * concurrency limits even of idle servers, which were then sent hardly any requests.
      */
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
@@ -408,7 +423,8 @@
         for (int i = 0; i < 100; i++) {
             host.request("b" + i);
         }
-        // 4 servers with an initial concurrency limit of 3.
+        // The 12 requests are 4 servers times 3 attempts. Without a cut, the limit of each of the 4
+        // servers is at least the initial limit of 3. So at least 12 requests are sent at once.
         assertEquals(limitKept, host.sent.size() - before >= 12);
     }
 
@@ -435,7 +451,7 @@
     }
 
     @Test
-    void fastFailuresDoNotAttractTraffic() {
+    void serverThatFailsFastIsSentFewRequests() {
         RecordingActions host =
                 new RecordingActions(
                         RecordingActions.settings(
@@ -472,7 +488,7 @@
     /** Runs random valid events; {@link RandomEventRun} checks the actions that follow. */
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void randomEventsLeadToNoForbiddenAction(Idempotency idempotency) {
+    void randomEventsNeverLeadToAForbiddenAction(Idempotency idempotency) {
         RandomEventRun randomRun = new RandomEventRun(idempotency);
         randomRun.run(6000);
         assertTrue(
@@ -506,8 +522,8 @@
     }
 
     /**
-     * The emulator counts rejected and failed requests by these reasons. The row with CANCELLED has
-     * no servers, so that its request is only queued.
+     * The emulator counts rejected and failed requests by these reasons. In the case with CANCELLED
+     * there are no servers, so the request is queued until it is rejected.
      */
     @ParameterizedTest
     @CsvSource({
--- a/sidecar/src/test/java/sagefall/balancer/SettingsBuilder.java
+++ b/sidecar/src/test/java/sagefall/balancer/SettingsBuilder.java
@@ -8,7 +8,7 @@
 import sagefall.balancer.api.ServiceLimits;
 import sagefall.balancer.api.Tenant;
 
-/** Builds settings that differ from given settings in the values that a test sets. */
+/** Copies settings, and replaces the values that a test sets. */
 final class SettingsBuilder {
     private final BalancerSettings base;
     private long seed;
--- a/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
@@ -18,7 +18,10 @@
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.ServiceLimits;
 
-/** Tests large fleets whose sidecars each send few requests per second, and large lists. */
+/**
+ * Checks the decisions of a sidecar that sends few requests per second in a large fleet, or has a
+ * large endpoint list.
+ */
 class SparseTrafficTest {
 
     private static BalancerSettings fleetSettings(
@@ -39,8 +42,8 @@
     }
 
     /**
-     * 400 instances with about one request per second each: in every second, all instances together
-     * send a server in slow start at most 2.5 times its share.
+     * Each of 400 instances sends about one request per second. In every second, all instances
+     * together must send a server in slow start at most 2.5 times its share of the requests.
      */
     @Test
     void manyInstancesWithFewRequestsDoNotOverloadAColdServer() {
@@ -68,9 +71,9 @@
                 cold += (int) host.sent.stream().skip(before).filter(s -> s.server() == 1).count();
                 host.endLastAttempt(0, AttemptResult.SERVED, 10_000, true);
             }
-            // All instances are in one zone and send a server there that is not cold about 40
-            // requests per second. A cold server's share of that starts at a fifth, and grows by
-            // 0.08 per second.
+            // All 400 instances are in one zone, which has 10 of the 20 servers. So together they
+            // send each server that is not cold about 40 requests per second. The share of a cold
+            // server starts at 0.2 and grows by 0.08 per second, since it reaches 1 after 10 s.
             assertTrue(
                     cold <= 2.5 * 40 * (0.2 + 0.08 * (second + 1)),
                     "second " + second + ": " + cold);
@@ -80,11 +83,11 @@
     }
 
     /**
-     * Each sidecar of a large fleet uses few servers, since full connection tables at the servers
-     * are the largest cost of a large fleet.
+     * Each sidecar of a large fleet should use few servers, since full connection tables at the
+     * servers are the largest cost of a large fleet.
      */
     @Test
-    void oneOfManySidecarsUsesFewServers() {
+    void sidecarUsesFewServersIfThereAreManySidecars() {
         RecordingActions host =
                 new RecordingActions(fleetSettings(3, 400, defaultRules(), false), 60);
         for (int i = 0; i < 300; i++) {
@@ -98,8 +101,8 @@
 
     /**
      * A missing response on a connection that was idle for long is attributed to the connection,
-     * not to the server: the server is not ejected, and connections that were idle for so long are
-     * closed instead of being trusted.
+     * not to the server. So the server is not ejected. Other connections that have been idle for
+     * long are no longer trusted, and are closed before the next attempt.
      */
     @Test
     void missingResponseOnALongIdleConnectionClosesIdleConnections() {
@@ -133,7 +136,7 @@
                 "the idle connection is not closed");
     }
 
-    /** A server that refuses new connections is not ejected, and a retry goes to another server. */
+    /** A server that refuses new connections is not ejected. A retry is sent to another server. */
     @Test
     void failedConnectionSetupDoesNotEjectTheServer() {
         RecordingActions host =
@@ -166,11 +169,11 @@
     }
 
     /**
-     * Servers cache data by key, so the sidecars of a zone that have the same cells all send the
-     * requests of a key to one server.
+     * Servers cache data by key. So all sidecars with the same zone and the same cells should send
+     * the requests with one key to one server.
      */
     @Test
-    void requestsOfAKeyGoToOneServer() {
+    void requestsWithOneKeyAreSentToOneServer() {
         Set<Long> servers = new HashSet<>();
         for (int rank = 0; rank < 30; rank++) {
             RecordingActions host =
@@ -182,9 +185,9 @@
         assertEquals(1, servers.size());
     }
 
-    /** An endpoint that is no longer listed is sent nothing, however often the list changes. */
+    /** An endpoint that is no longer listed is sent no attempt, however often the list changes. */
     @Test
-    void removedEndpointIsNotUsed() {
+    void removedEndpointIsSentNoRequests() {
         RecordingActions host = new RecordingActions(fleetSettings(0, 3, defaultRules(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100L + round;
@@ -199,11 +202,11 @@
     }
 
     /**
-     * The picker examines only some endpoints of a large node, but continues until it has found an
-     * endpoint with capacity.
+     * The picker usually examines only some endpoints of a large node of the subset tree. It has to
+     * continue until it finds an endpoint with capacity.
      */
     @Test
-    void onlyServerWithCapacityAmongManyIsPicked() {
+    void serverWithCapacityIsFoundAmongManyServersAtTheirLimit() {
         BalancerSettings defaults = fleetSettings(0, 3, defaultRules(), false);
         RecordingActions host =
                 new RecordingActions(
--- a/sidecar/src/test/java/sagefall/balancer/StreamingDecisionsTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/StreamingDecisionsTest.java
@@ -13,7 +13,7 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.Request;
 
-/** Tests the decisions on requests whose bodies are streamed: uploads and streamed responses. */
+/** Checks the decisions on requests with a streamed body, and on streamed responses. */
 class StreamingDecisionsTest {
 
     private static final long MINUTE = 60_000_000;
@@ -40,11 +40,11 @@
     }
 
     /**
-     * A response that begins after 50 ms and streams for a minute has a latency of 50 ms: its
-     * server is not treated as slow or as unresponsive.
+     * A response that begins after 50 ms and streams for a minute has a latency of 50 ms. So its
+     * server is treated neither as slow nor as unresponsive.
      */
     @Test
-    void durationOfAStreamDoesNotCountAsLatency() {
+    void durationOfAStreamIsNotTreatedAsLatency() {
         RecordingActions host = newHost(Idempotency.IDEMPOTENT, 1);
         for (int i = 0; i < 20; i++) {
             host.request("s" + i);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void brokenStreamIsNeverRetriedAndCountsAgainstItsServer() {
+    void brokenStreamIsNotRetriedAndItsServerIsSentFewRequests() {
         RecordingActions host = newHost(Idempotency.IDEMPOTENT, 4);
         for (int i = 0; i < 40; i++) {
             host.request("s" + i);
@@ -84,8 +84,8 @@
     }
 
     /**
-     * A non-idempotent upload that provably never ran is retried, but only while the replay buffer
-     * holds all that was sent of its body.
+     * A non-idempotent upload is retried if it provably never ran. The replay buffer must then
+     * still hold the whole body that has been forwarded.
      */
     @ParameterizedTest
     @CsvSource({
@@ -118,11 +118,11 @@
     }
 
     /**
-     * An incomplete upload is no load for a server, so many may be sent at once; complete uploads
-     * count as in flight.
+     * An incomplete upload is no load for a server, so many may be sent at once. A complete upload
+     * counts as in flight.
      */
     @Test
-    void uploadsCountAsInFlightFromTheirLastByte() {
+    void uploadCountsAsInFlightOnlyAfterItsLastByte() {
         RecordingActions host = newHost(Idempotency.NOT_IDEMPOTENT, 1);
         for (int i = 0; i < 20; i++) {
             upload(host, "u" + i, 1);
@@ -136,8 +136,8 @@
     }
 
     /**
-     * The last byte of an upload sets a new deadline, until which the upload may be retried. An
-     * upload that is incomplete at its first deadline is not retried after it.
+     * The last byte of an upload sets a new deadline. Before the new deadline, the upload may be
+     * retried. An upload that is still incomplete is not retried after its first deadline.
      */
     @Test
     void lastByteOfAnUploadSetsANewDeadlineForRetries() {
@@ -175,7 +175,8 @@
                         "b", 0, second.server(), AttemptResult.BROKEN, 1000, true, null));
         upload(host, "e", 200);
         assertEquals(List.of("c", "d"), host.rejected);
-        // A request whose client has disconnected holds its buffer while its attempt is in flight.
+        // The client of request "a" disconnects. The request keeps its buffer while its attempt is
+        // in flight.
         host.balancer.onClientDisconnected(host.now, "a");
         upload(host, "f", 100);
         assertEquals(List.of("c", "d", "f"), host.rejected);
