--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -15,18 +15,18 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * An outgoing HTTP/1.1 connection with at most one request outstanding. It collects complete
- * responses, or streams them if the request allows that, and reports its close exactly once. To be
- * used on its event loop only.
+ * An outgoing HTTP/1.1 connection with at most one request outstanding. Responses are buffered
+ * completely, or streamed if the request allows that. The close of the connection is reported
+ * exactly once. Used on the event loop of the connection only.
  *
  * <p>A response can be attributed to a request only if no other input was under way when the
- * request was written. Therefore an unsolicited byte closes the connection, and a response is
- * reported only when everything that arrived with it has been read; the report says whether there
- * were surplus bytes.
+ * request was written. Therefore an unsolicited byte closes the connection. A response is reported
+ * only when everything that arrived with it has been read. The report says whether there were
+ * surplus bytes.
  */
 public final class HttpClientConnection {
 
-    /** Usual limit of a body that is collected, in bytes. */
+    /** Usual maximum size of a body that is buffered completely, in bytes. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int MIN_READ_BYTES = 64;
@@ -38,13 +38,17 @@
     private final ResponseDecoder decoder = new ResponseDecoder();
     private HttpConnectionState state = HttpConnectionState.CONNECTING;
 
-    /** Largest response to the current request that is streamed, in bytes; 0 to collect it. */
+    /**
+     * Maximum length of a streamed response body, in bytes; 0 if the response is buffered
+     * completely.
+     */
     private long maxStreamedBytes;
 
     /**
      * Begins to connect. Responses on this connection are never streamed.
      *
-     * @param maxBodyBytes largest response that is collected, in bytes
+     * @param maxBodyBytes maximum size, in bytes, of the body of a response that is buffered
+     *     completely; a larger body closes the connection
      * @param connectTimeoutMicros timeout for establishing the connection, in microseconds
      */
     public HttpClientConnection(
@@ -60,7 +64,8 @@
      * Begins to connect. A connection that streams is read in small pieces, so that few bytes are
      * read beyond a high watermark.
      *
-     * @param maxBodyBytes largest response that is collected, in bytes
+     * @param maxBodyBytes maximum size, in bytes, of the body of a response that is buffered
+     *     completely; a larger body closes the connection
      * @param connectTimeoutMicros timeout for establishing the connection, in microseconds
      * @param streaming whether responses may be streamed
      */
@@ -82,7 +87,7 @@
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        // Otherwise a half-close and a reset could not be distinguished.
+                        // Without this option, a half-close and a reset could not be distinguished.
                         .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                         .handler(new ConnectionInitializer(this, maxBodyBytes))
@@ -93,9 +98,10 @@
     }
 
     /**
-     * Reports the result of connecting. If no file descriptor is free, no channel is opened and
+     * Reports the result of connecting. If no file descriptor is free, no channel is opened, and
      * this method is called on another thread. A failure is reported in a separate task on the
-     * event loop, so never during a call that creates or closes the connection.
+     * event loop. Thus a failure is never reported during a call that creates or closes the
+     * connection.
      */
     private void onConnectDone(EventLoop loop, Future<?> connected) {
         if (!connected.isSuccess()) {
@@ -126,9 +132,9 @@
     }
 
     /**
-     * Returns whether a further request can be sent. Reads what has arrived so far, because unread
-     * bytes or an unread end of the input would be taken for the next response. Must not be called
-     * from the listener's methods.
+     * Returns whether a further request can be sent. First reads what has arrived so far. Otherwise
+     * unread bytes, or an unread end of the input, would be taken for the next response. Must not
+     * be called from the listener's methods.
      */
     public boolean isReusable() {
         if (!state.expectsInput()) {
@@ -150,7 +156,7 @@
     }
 
     /**
-     * Sends a request whose response is collected.
+     * Sends a request whose response is buffered completely.
      *
      * @param request ownership passes to the connection
      */
@@ -159,11 +165,12 @@
     }
 
     /**
-     * Sends a request; {@link HttpConnectionListener#requestWritten} follows if it reaches the
-     * network, and otherwise the connection is closed.
+     * Sends a request. {@link HttpConnectionListener#requestWritten} is called when the request has
+     * been passed to the network. If that fails, the connection is closed.
      *
      * @param request ownership passes to the connection
-     * @param maxStreamedBytes largest response that is streamed as it arrives; 0 to collect it
+     * @param maxStreamedBytes maximum length, in bytes, of a response body that is streamed; 0 if
+     *     the response is buffered completely
      */
     public void send(FullHttpRequest request, long maxStreamedBytes) {
         expectResponse(maxStreamedBytes);
@@ -180,10 +187,11 @@
 
     /**
      * Writes the head of a request whose body is streamed, without flushing it. The caller writes
-     * the body to the returned channel and has to observe these writes, because {@link
+     * the body to the returned channel. The caller must also observe these writes, because {@link
      * HttpConnectionListener#requestWritten} is not called.
      *
-     * @param maxStreamedBytes as for {@link #send(FullHttpRequest, long)}
+     * @param maxStreamedBytes maximum length, in bytes, of a response body that is streamed; 0 if
+     *     the response is buffered completely
      */
     public Channel sendHead(HttpRequest head, long maxStreamedBytes) {
         expectResponse(maxStreamedBytes);
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
@@ -18,21 +18,24 @@
     void requestWritten();
 
     /**
-     * Called when a complete response has been collected.
+     * Called when a response has been buffered completely.
      *
      * @param response owned by the connection, which releases it on return
-     * @param clean whether nothing arrived beyond the response; if false, the connection cannot be
+     * @param clean true if nothing arrived beyond the response; if false, the connection cannot be
      *     reused
      */
     void responseCollected(FullHttpResponse response, boolean clean);
 
-    /** Called when a streamed response has begun; its status is 200 and it has a known end. */
+    /**
+     * Called when a streamed response has begun. Its status is 200, and its headers define where
+     * its body ends.
+     */
     default void responseStarted(HttpResponse head) {}
 
     /**
      * Called for each part of the body of a streamed response.
      *
-     * @param part never empty; ownership passes to the listener
+     * @param part a part of the body, never empty; ownership passes to the listener
      */
     default void responsePart(ByteBuf part) {
         part.release();
@@ -45,14 +48,15 @@
      * Called when the last part of a streamed response has been reported.
      *
      * @param trailers as the server sent them; may be empty
-     * @param clean as in {@link #responseCollected}
+     * @param clean true if nothing arrived beyond the response; if false, the connection cannot be
+     *     reused
      */
     default void responseFinished(HttpHeaders trailers, boolean clean) {}
 
     /**
      * Called when the connection could not be established, failed, or was closed by either side.
-     * This is the last call and is made exactly once, in a separate task, so never during a call to
-     * the connection.
+     * This call is the last one and is made exactly once. It is made in a separate task and thus
+     * never during a call to the connection.
      */
     void connectionClosed();
 }
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionState.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionState.java
@@ -20,7 +20,7 @@
     /** A streamed response is complete; its end is reported once all pending input is read. */
     RESPONSE_STREAMED(true, true),
 
-    /** A collected response is complete; it is reported once all pending input is read. */
+    /** A buffered response is complete; it is reported once all pending input is read. */
     RESPONSE_COLLECTED(true, true),
 
     /** The close has been reported to the listener; nothing is reported afterwards. */
@@ -34,7 +34,7 @@
         this.hasResponse = hasResponse;
     }
 
-    /** Returns whether a request is outstanding, so that the peer may send. */
+    /** Returns whether a request is outstanding. Only then may the peer send bytes. */
     boolean expectsInput() {
         return expectsInput;
     }
@@ -49,8 +49,8 @@
 
     /**
      * Returns whether the transition to the next state exists. A response can begin in {@link
-     * #IDLE} only if the decoder has buffered surplus bytes that the end of the input turns into a
-     * response.
+     * #IDLE} in one case only: the decoder has buffered surplus bytes, and the end of the input
+     * turns them into a response.
      */
     boolean canBecome(HttpConnectionState next) {
         if (next == CLOSED) {
--- a/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
+++ b/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
@@ -21,7 +21,7 @@
     /** Key by which a server recognizes a retried request. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** {@code 1} on a request that its client is retrying. */
+    /** Marks a request that the client is retrying with the value {@code 1}. */
     public static final String RETRY = "Client-Retry";
 
     /** Hint about the work that a request causes; the sidecar does not evaluate it. */
@@ -30,7 +30,10 @@
     /** Load report of a server. */
     public static final String LOAD = "Server-Load";
 
-    /** {@code 1} on a response to a request that the server has not begun to execute. */
+    /**
+     * Marks a response to a request that the server has not begun to execute with the value {@code
+     * 1}.
+     */
     public static final String NOT_STARTED = "Not-Started";
 
     /** Fields that concern one connection only (RFC 9110, 7.6.1). */
@@ -46,7 +49,9 @@
                     HttpHeaderNames.UPGRADE,
                     HttpHeaderNames.EXPECT);
 
-    /** Fields that must be known before the body, so they are not forwarded as trailers. */
+    /**
+     * Fields that a receiver needs before the body. They are therefore not forwarded as trailers.
+     */
     private static final List<CharSequence> NOT_IN_TRAILERS =
             List.of(
                     REQUEST_ID,
--- a/sidecar/src/main/java/sagefall/http/ResponseAggregator.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseAggregator.java
@@ -5,13 +5,13 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** Collects complete responses, but passes on the parts of a streamed response as they arrive. */
+/** Buffers complete responses, but passes on the parts of a streamed response as they arrive. */
 final class ResponseAggregator extends HttpObjectAggregator {
 
     private final HttpClientConnection connection;
     private boolean streaming;
 
-    /** Creates an aggregator that collects bodies of at most {@code maxBodyBytes}. */
+    /** Creates an aggregator that buffers bodies of at most {@code maxBodyBytes}. */
     ResponseAggregator(HttpClientConnection connection, int maxBodyBytes) {
         super(maxBodyBytes);
         this.connection = connection;
--- a/sidecar/src/main/java/sagefall/http/ResponseDecoder.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseDecoder.java
@@ -18,7 +18,7 @@
         return super.createMessage(initialLine);
     }
 
-    /** Records that a message is complete, so that later input belongs to another message. */
+    /** Records that a message is complete. Later input belongs to another message. */
     void messageEnded() {
         messageBegun = false;
     }
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -18,15 +18,18 @@
 import java.util.List;
 
 /**
- * Reports responses to the connection's listener. A collected response and the end of a streamed
- * response are reported only when everything that arrived together with them has been read, because
- * only then is it known whether surplus bytes follow.
+ * Reports responses to the connection's listener. A buffered response and the end of a streamed
+ * response are reported only when everything that arrived together with them has been read. Only
+ * then is it known whether surplus bytes follow.
  */
 final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
     private final HttpClientConnection connection;
 
-    /** Reference owned by this handler while the state is {@code RESPONSE_COLLECTED}, else null. */
+    /**
+     * The buffered response while the state is {@code RESPONSE_COLLECTED}, owned by this handler;
+     * otherwise null.
+     */
     private FullHttpResponse collected;
 
     /** Trailers while the state is {@code RESPONSE_STREAMED}, else null. */
@@ -42,7 +45,9 @@
         this.connection = connection;
     }
 
-    /** Handles a message, which the caller releases on return; retains what is used later. */
+    /**
+     * Handles a message, which the caller releases on return. Retains a message that is used later.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (message instanceof FullHttpResponse response) {
@@ -68,8 +73,8 @@
     }
 
     /**
-     * Returns whether the headers of a response define where its body ends, so that completeness
-     * can be checked, and its length, if it is stated, is within the streaming limit.
+     * Returns whether a response can be streamed. Its headers must define where the body ends, so
+     * that completeness can be checked. A stated length must not exceed the streaming limit.
      *
      * @param length value of {@code Content-Length}; negative if there is none
      */
@@ -120,8 +125,8 @@
                 || !context.channel().isActive()
                 || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             // A body that is delimited by the end of the connection is complete after a half-close
-            // by the server (RFC 9112, 6.3); on a closed channel, as after a reset, it may be
-            // incomplete. After 101 (Switching Protocols), no HTTP response follows.
+            // by the server (RFC 9112, 6.3). On a closed channel, for example after a reset, such a
+            // body may be incomplete. After 101 (Switching Protocols), no HTTP response follows.
             context.close();
         } else {
             connection.enter(HttpConnectionState.RESPONSE_COLLECTED);
@@ -167,7 +172,7 @@
         }
     }
 
-    /** Returns whether nothing arrived beyond the response, not even the end of the input. */
+    /** Returns whether neither bytes nor the end of the input arrived after the response. */
     private boolean isClean(ChannelHandlerContext context) {
         return !surplusReceived
                 && connection.decoder().isEmpty()
@@ -186,7 +191,7 @@
         }
     }
 
-    /** Closes the connection after an I/O or decoding error, which notifies the listener. */
+    /** Closes the connection after an I/O or decoding error. The close notifies the listener. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         surplusReceived = true;
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -28,8 +28,8 @@
 
     /**
      * Statuses that a client takes as permission to retry. Only the balancer may give that
-     * permission, so an endpoint's early response to an upload is not forwarded if it has one of
-     * these statuses.
+     * permission. Therefore an endpoint's early response to an upload is not forwarded if the
+     * response has one of these statuses.
      */
     private static final Set<HttpResponseStatus> RETRYABLE_STATUSES =
             Set.of(HttpResponseStatus.TOO_MANY_REQUESTS, HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -77,7 +77,7 @@
      *
      * @param timeoutMicros duration after which the attempt is cancelled; 0 to wait until the
      *     deadline of the request
-     * @param latestStartMicros time from which the first byte must no longer be sent
+     * @param latestStartMicros exclusive upper bound of the time at which the first byte is sent
      */
     void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros) {
         ProxiedRequest request = requests.byId(requestId);
@@ -105,7 +105,10 @@
                         TimeUnit.MICROSECONDS);
     }
 
-    /** Returns the end of the timeout or the deadline of the request, whichever is earlier. */
+    /**
+     * Returns the earlier of two times: the deadline of the request, and the end of the timeout. A
+     * timeout of 0 is ignored.
+     */
     private static long attemptDeadline(ProxiedRequest request, long now, long timeoutMicros) {
         return timeoutMicros == 0
                 ? request.deadlineMicros
@@ -113,8 +116,8 @@
     }
 
     /**
-     * Cancels an attempt; has no effect if the request or the attempt is unknown, or if the attempt
-     * has ended.
+     * Cancels an attempt. An unknown request, an unknown attempt and an attempt that has ended are
+     * ignored.
      *
      * @param number index of the attempt among the attempts of the request
      */
@@ -126,9 +129,9 @@
     }
 
     /**
-     * Ends an attempt unless it has already ended, and closes its connection. An endpoint cannot
-     * have executed a request whose last byte was not written, so the result {@code NOT_SENT} is
-     * then reported to the balancer in place of the given one.
+     * Ends an attempt unless it has already ended, and closes its connection. If the last byte of
+     * the request was not written, the endpoint cannot have executed the request. The balancer then
+     * receives the result {@code NOT_SENT} instead of the given result.
      */
     private void stop(ForwardedAttempt attempt, AttemptResult resultIfWritten) {
         if (attempt.result == null) {
@@ -143,8 +146,8 @@
 
     /**
      * Ends the attempts of a request whose deadline has passed and responds with 504. This method
-     * is called only if the balancer has not completed the request at its deadline, as when the
-     * event loop is late.
+     * is called only if the balancer has not completed the request at its deadline, for example
+     * because the event loop is late.
      */
     void expire(ProxiedRequest request) {
         List.copyOf(request.attempts).forEach(a -> stop(a, AttemptResult.TIMED_OUT));
@@ -152,8 +155,9 @@
     }
 
     /**
-     * Responds to a request that the balancer will not complete. To make the balancer drop the
-     * request, a disconnect of its client is reported. Has no effect if the request is completed.
+     * Responds to a request that the balancer will not complete. Then reports to the balancer that
+     * the client has disconnected, so that the balancer drops the request. Has no effect if the
+     * request is already completed.
      */
     void abort(ProxiedRequest request, HttpResponseStatus status) {
         if (request.completed) {
@@ -167,8 +171,8 @@
     }
 
     /**
-     * Ends the attempts of a request whose endpoint no longer reads the request or sends the
-     * response.
+     * Ends the attempts of a request whose endpoint has stalled. A stalled endpoint has stopped
+     * reading the request body, or has stopped sending the response.
      */
     void endStalled(ProxiedRequest request) {
         for (ForwardedAttempt attempt : List.copyOf(request.attempts)) {
@@ -215,7 +219,8 @@
     }
 
     /**
-     * @param response remains owned by the connection; null if there is none
+     * @param response the endpoint's response, which remains owned by the connection; null if there
+     *     is none
      */
     @Override
     public void attemptEnded(
@@ -267,7 +272,7 @@
     }
 
     /**
-     * @param part ownership passes to this method
+     * @param part a part of the response body; ownership passes to this method
      */
     @Override
     public void responsePart(ForwardedAttempt attempt, ByteBuf part) {
--- a/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
@@ -11,17 +11,17 @@
  * event loop. The driver guarantees:
  *
  * <ul>
- *   <li><b>No re-entrancy.</b> If an action of the balancer causes an event at once, such as the
- *       failure of an attempt while it is being sent, that event is queued and delivered when the
- *       balancer has returned from the current one.
- *   <li><b>Order.</b> Events are delivered in the order in which they are handed over, each with
- *       the time of its delivery.
+ *   <li><b>No re-entrancy.</b> An action of the balancer may cause an event at once, for example if
+ *       sending an attempt fails. That event is queued. It is delivered after the balancer has
+ *       returned from the current event.
+ *   <li><b>Order.</b> Events are delivered in the order in which they are passed to {@code
+ *       deliver}. Each event carries the time of its delivery.
  *   <li><b>Expired deadlines and received endpoint lists first.</b> Before an event that the
  *       balancer did not cause is queued, {@link #catchUp} ends requests whose deadline has passed
- *       and reads what discovery has sent. So the balancer knows an endpoint list that has arrived
- *       even if a late loop would handle a request, a response or a timer before it.
- *   <li><b>Isolation.</b> An exception or error from the balancer aborts the request that the event
- *       concerns, and no other.
+ *       and reads what discovery has sent. Without this step, a late event loop could handle a
+ *       request, a response or a timer before an endpoint list that has already arrived.
+ *   <li><b>Isolation.</b> An exception or error from the balancer aborts only the request that the
+ *       event concerns.
  * </ul>
  */
 final class BalancerDriver {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Shortest time between two reads of discovery's connection by {@link #catchUp}. The event loop
+     * Minimum time between two reads of discovery's connection by {@link #catchUp}. The event loop
      * also reads that connection itself when input arrives.
      */
     private static final long DISCOVERY_READ_INTERVAL_MICROS = 20_000;
@@ -53,12 +53,14 @@
     /** Time at which {@link #catchUp} last read discovery's connection. */
     private long discoveryReadAtMicros;
 
-    /** An event and the request that it concerns, or null if it concerns none. */
+    /** An event and its request. The request is null if the event concerns no request. */
     private record QueuedEvent(ProxiedRequest request, BalancerEvent event) {}
 
     /**
-     * @param readDiscovery reads what discovery has sent and the loop has not read yet
-     * @param abortRequest sends the response of a request whose event failed, if none was sent
+     * @param readDiscovery task that reads the input from discovery that the event loop has not
+     *     read yet
+     * @param abortRequest consumer that aborts a request if the balancer fails while it handles an
+     *     event of that request
      */
     BalancerDriver(
             WallClock clock,
@@ -116,8 +118,8 @@
 
     /**
      * Delivers one event. Every exception and error is caught, because a failure for one request
-     * must not affect the others. The balancer does not complete its handling of that event; if the
-     * request has no response yet, its client receives a 500.
+     * must not affect the others. After a failure, the balancer does not handle the rest of that
+     * event. If the request has no response yet, its client receives a 500.
      */
     private void deliverOne(QueuedEvent next) {
         try {
@@ -150,11 +152,13 @@
     }
 
     /**
-     * Handles pending input and timers that the loop has not reached yet: first requests whose
-     * deadline has passed, then what discovery has sent.
+     * Handles deadlines and discovery input that the event loop has not reached yet. First ends the
+     * requests whose deadline has passed. Then reads what discovery has sent, unless the last such
+     * read was less than {@link #DISCOVERY_READ_INTERVAL_MICROS} ago.
      */
     void catchUp() {
-        // Records when this iteration began to read, before the handling of events delays it.
+        // The first call in an iteration records the time at which the iteration began to read. The
+        // handling of events would delay that call, so it is made here.
         latencyClock.earliestArrivalNanos();
         long now = clock.micros();
         deadlines.expire(now);
--- a/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerRequestHandler.java
@@ -28,7 +28,7 @@
     private StreamingSettings streaming;
 
     /**
-     * @param readiness supplies whether an endpoint is available for requests
+     * @param readiness supplier that returns whether an endpoint is available for requests
      */
     BalancerRequestHandler(
             WallClock clock,
@@ -56,7 +56,7 @@
     }
 
     /**
-     * @param http remains owned by the caller: its body is copied
+     * @param http the request, which remains owned by the caller; its body is copied
      */
     @Override
     public void handle(FullHttpRequest http, ProxiedRequest.Client client)
@@ -104,7 +104,10 @@
             this.headMicros = headMicros;
         }
 
-        /** Moves the deadline of the request, because it counts from the last byte of the body. */
+        /**
+         * Moves the deadline of the request, because the deadline counts from the last byte of the
+         * body.
+         */
         @Override
         public void uploadComplete() {
             long now = clock.micros();
--- a/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
+++ b/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
@@ -36,8 +36,9 @@
     }
 
     /**
-     * Reads the files and applies them to the sidecar, or logs one line that says what is wrong
-     * with them. Blocks on file access, so it must not be called on the event loop.
+     * Reads the files and applies them to the sidecar. If a file is invalid, logs one line that
+     * says what is wrong and applies nothing. Blocks on file access, so it must not be called on
+     * the event loop.
      */
     void reload() {
         try {
--- a/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
+++ b/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
@@ -9,10 +9,10 @@
 
 /**
  * Holds unfinished requests in the order of their expiry times, and removes and reports those whose
- * expiry time has passed. The event loop runs timers only after it has handled everything that it
- * read in an iteration; because an iteration may be long, {@link #expire} is also called before
- * each event. All requests share one timer, because nearly all of them complete before they expire.
- * Used on the event loop only.
+ * expiry time has passed. All requests share one timer, because nearly all of them complete before
+ * they expire. The timer may be late: the event loop runs timers only after it has handled
+ * everything that it read in an iteration, and an iteration may be long. Therefore {@link #expire}
+ * is also called before each event. Used on the event loop only.
  */
 final class DeadlineTimers {
 
@@ -24,14 +24,17 @@
                     Comparator.comparingLong((ProxiedRequest r) -> r.expiresAtMicros)
                             .thenComparing(r -> r.request.id()));
 
-    /** Fires at the earliest expiry time or before; null while none is scheduled. */
+    /**
+     * Timer that fires no later than the earliest expiry time; null while no timer is scheduled.
+     */
     private Future<?> timer;
 
     /** Time at which the scheduled timer fires. */
     private long timerAtMicros;
 
     /**
-     * @param onExpired receives each request whose expiry time has passed, after its removal
+     * @param onExpired consumer of each request whose expiry time has passed; called after the
+     *     request has been removed
      */
     DeadlineTimers(EventLoop loop, WallClock clock, Consumer<ProxiedRequest> onExpired) {
         this.loop = loop;
--- a/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
@@ -7,8 +7,8 @@
 
 /**
  * Passes each endpoint list to the stores that persist it: this sidecar's own snapshot, and the
- * snapshot that the leader writes for all sidecars of the machine. Each of the two exists only if
- * an extension turns it on. Used on the event loop only; no method waits for a disk.
+ * snapshot that the leader writes for all sidecars of the machine. Each of these two stores exists
+ * only if an extension enables it. Used on the event loop only; no method waits for a disk.
  */
 final class EndpointRecorder {
 
--- a/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
@@ -18,7 +18,7 @@
     private final Runnable onDiscoveryResult;
 
     /**
-     * @param onDiscoveryResult runs after each list and each failure of discovery
+     * @param onDiscoveryResult task that runs after each list and each failure of discovery
      */
     EndpointUpdates(
             BalancerDriver driver,
--- a/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
+++ b/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
@@ -19,20 +19,20 @@
 
     /**
      * Start of the duration that is reported to the balancer: the time at which this attempt was
-     * sent or, for an upload, at which the last byte of the body was written.
+     * sent. For an upload, the time at which the last byte of the body was written replaces it.
      */
     long durationStartMicros;
 
     /** Deadline of this attempt, at which the sidecar ends it. */
     public long deadlineMicros;
 
-    /** Time from which the first byte must no longer be sent. */
+    /** Exclusive upper bound of the time at which the first byte is sent. */
     public long latestStartMicros = Long.MAX_VALUE;
 
     /** Timeout that the balancer set; 0 if only the deadline of the request applies. */
     long timeoutMicros;
 
-    /** Whether the last byte was written, so that the endpoint may have executed the request. */
+    /** Whether the last byte was written. If so, the endpoint may have executed the request. */
     public boolean written;
 
     /** How this attempt ended; null while it is in flight. */
--- a/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * Holds the requests that have not completed or whose attempts have not all ended, by id and by
- * client. Used on the event loop only.
+ * Holds the requests in flight. A request can be found by its client until it has completed. It can
+ * be found by its id until it has completed and all its attempts have ended. Used on the event loop
+ * only.
  */
 final class InFlightRequests {
 
     /**
-     * Time after its deadline at which the sidecar ends a request. The balancer completes requests
-     * at the deadline; the sidecar ends only those that the balancer did not complete, as when the
-     * loop is late.
+     * Time from the deadline of a request until the sidecar itself ends the request. The balancer
+     * completes requests at their deadline. The sidecar ends a request only if the balancer has not
+     * completed it, for example because the event loop is late.
      */
     private static final long DEADLINE_GRACE_MICROS = 5_000;
 
--- a/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -25,8 +25,8 @@
  * its usual CPU time and the JIT compiler takes half of the available CPU time. Waiting requests
  * are then late and are retried, which keeps the process busy for seconds. This occurs whenever CPU
  * time is scarce at the start, because the process has a small share of a core or because other
- * processes are busy. The warm-up prolongs a restart, so it is limited in time as well as in the
- * number of requests; while it runs, {@code /healthz} responds with 503.
+ * processes are busy. The warm-up prolongs a restart. Therefore both its duration and its number of
+ * requests are limited. During the warm-up, {@code /healthz} responds with 503.
  */
 final class JvmWarmUp implements WarmUpClient.Progress {
 
@@ -34,7 +34,7 @@
     private static final int CLIENTS = 4;
     private static final int MAX_CONNECTIONS = 128;
 
-    /** Delay after which the loop has begun another iteration. */
+    /** Delay of a task that must run in a later event loop iteration. */
     private static final long LOOP_ITERATION_MILLIS = 1;
 
     private static final long LOOP_SHUTDOWN_SECONDS = 1;
--- a/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
+++ b/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
@@ -24,7 +24,7 @@
  */
 final class LeaderElectionService implements AutoCloseable {
 
-    /** Longest time that the start waits for the lease directory, in case the disk stalls. */
+    /** Maximum time for which the start waits for the lease directory, in case the disk stalls. */
     private static final long OPEN_TIMEOUT_MILLIS = 250;
 
     private final PublishedSnapshot snapshotAtStart;
@@ -40,14 +40,14 @@
         this.elector = elector;
     }
 
-    /** An open lease store, and the snapshot in it; the snapshot is null if it is unreadable. */
+    /** An open lease store and its snapshot. The snapshot is null if none could be read. */
     private record OpenedStore(LeaseStore store, PublishedSnapshot snapshot) {}
 
     /**
      * Reads the shared snapshot and becomes a candidate. Blocks for a bounded time, so it must not
      * be called on the event loop.
      *
-     * @return null if the lease directory cannot be used, which is logged
+     * @return the service; null if the lease directory cannot be used, which is logged
      */
     static LeaderElectionService start(SidecarConfig config, WallClock clock, Consumer<String> log)
             throws InterruptedException {
--- a/sidecar/src/main/java/sagefall/proxy/LifecycleState.java
+++ b/sidecar/src/main/java/sagefall/proxy/LifecycleState.java
@@ -15,7 +15,7 @@
     SERVING,
     /** The listening socket could not be bound. */
     FAILED,
-    /** Shutting down: requests in flight, and those of newly connected clients, are completed. */
+    /** Shutting down: requests in flight and requests of newly connected clients are completed. */
     DRAINING,
     /** Every connection is closed. */
     STOPPED;
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -9,29 +9,35 @@
 /**
  * Estimates the earliest time at which the input that an event loop iteration reads can have
  * arrived. The deadline of a request counts from its last byte, but the loop reads that byte only
- * in its next iteration. If an iteration is long, as in a burst or with a small share of a core,
- * this delay is a large fraction of the time until the deadline; if the deadline counted from the
- * read, the response would be too late.
+ * in its next iteration. An iteration is long, for example, during a burst of requests or if the
+ * process has a small share of a core. The delay is then a large fraction of the time until the
+ * deadline. If the deadline counted from the read, the response would be too late.
  *
- * <p>Input that is present when an iteration begins has arrived since the previous iteration began.
- * If the loop had to sleep until there was input, the input has just arrived; but a sleep that was
- * shorter than the previous iteration cannot be distinguished from a select that found input at
- * once, nor from the JIT compiler occupying the core. The estimate is too early in two cases: input
- * that arrived at the end of a long iteration, or soon after it, is taken to be as old as that
- * iteration; and if no periodic sweep of the client connections wakes the loop, input that arrives
- * after a long sleep is taken to be as old as that sleep.
+ * <p>Input that is present when an iteration begins has arrived since the previous iteration began
+ * to read. If the event loop had to sleep until there was input, the input has just arrived. The
+ * clock recognizes a sleep by the time from the start of the select to the first read. A sleep that
+ * is shorter than the previous iteration is not recognized: such a sleep cannot be distinguished
+ * from a select that found input at once, or from a time in which the JIT compiler occupied the
+ * core.
+ *
+ * <p>The estimate is too early in two cases. Input that arrived around the end of a long iteration
+ * is taken to be as old as that iteration. If no periodic sweep of the client connections wakes the
+ * event loop, input that arrives after a long sleep is taken to be as old as that sleep.
  *
  * <p>Used on the event loop only.
  */
 public final class LoopLatencyClock implements SelectStrategy {
 
-    /** A shorter time between the select and the first read is not taken for a sleep. */
+    /**
+     * Exclusive lower bound of the time from the start of the select to the first read that is
+     * taken for a sleep.
+     */
     private static final long SHORTEST_SLEEP_NANOS = 2_000_000;
 
     /**
-     * A longer time between the select and the first read is not taken for a sleep: the periodic
-     * sweep of the client connections wakes the loop every 25 ms, so the process must have been
-     * stopped meanwhile.
+     * Maximum time from the start of the select to the first read that is taken for a sleep. The
+     * periodic sweep of the client connections wakes the event loop every 25 ms. If more time
+     * passes, the process must have been stopped meanwhile.
      */
     private static final long LONGEST_SLEEP_NANOS = 50_000_000;
 
@@ -41,18 +47,28 @@
     private boolean reading = true;
 
     /**
-     * Time at which the current iteration began to read or, if the process was stopped before that,
-     * to select.
+     * Time at which the current iteration began to read. If the process was stopped between the
+     * select and the first read, the time at which the iteration began to select.
      */
-    private long readingSinceNanos = System.nanoTime();
+    private long readStartNanos = System.nanoTime();
 
-    private long earliestArrivalNanos = readingSinceNanos;
+    /**
+     * Earliest time at which input of the current iteration can have arrived; set at its first
+     * read.
+     */
+    private long earliestArrivalNanos = readStartNanos;
 
-    /** Time at which the previous iteration began to read or, if it read nothing, to select. */
-    private long previousSinceNanos = readingSinceNanos;
+    /**
+     * Start of the previous iteration: the {@link #readStartNanos} of that iteration. If that
+     * iteration read nothing, the time at which it began to select.
+     */
+    private long previousStartNanos = readStartNanos;
 
-    /** Time at which the current iteration began to select and the previous one ended. */
-    private long selectingSinceNanos = readingSinceNanos;
+    /**
+     * Time at which the current iteration began to select, which is the end of the previous
+     * iteration.
+     */
+    private long selectStartNanos = readStartNanos;
 
     /** Creates an event loop group with one loop, whose iterations this clock measures. */
     MultiThreadIoEventLoopGroup group() {
@@ -66,11 +82,12 @@
      */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        // An iteration that read nothing may have run long tasks: it is measured from its select.
+        // An iteration that read nothing may have run long tasks. Such an iteration is therefore
+        // measured from the start of its select.
         iteration++;
-        previousSinceNanos = reading ? readingSinceNanos : selectingSinceNanos;
+        previousStartNanos = reading ? readStartNanos : selectStartNanos;
         reading = false;
-        selectingSinceNanos = System.nanoTime();
+        selectStartNanos = System.nanoTime();
         return hasTasks ? selectNow.get() : SELECT;
     }
 
@@ -92,15 +109,15 @@
     }
 
     private void beginReading() {
-        readingSinceNanos = System.nanoTime();
-        long gap = readingSinceNanos - selectingSinceNanos;
-        if (gap <= Math.max(SHORTEST_SLEEP_NANOS, selectingSinceNanos - previousSinceNanos)) {
-            earliestArrivalNanos = previousSinceNanos;
+        readStartNanos = System.nanoTime();
+        long gap = readStartNanos - selectStartNanos;
+        if (gap <= Math.max(SHORTEST_SLEEP_NANOS, selectStartNanos - previousStartNanos)) {
+            earliestArrivalNanos = previousStartNanos;
         } else if (gap <= LONGEST_SLEEP_NANOS) {
-            earliestArrivalNanos = readingSinceNanos;
+            earliestArrivalNanos = readStartNanos;
         } else {
-            readingSinceNanos = selectingSinceNanos;
-            earliestArrivalNanos = selectingSinceNanos;
+            readStartNanos = selectStartNanos;
+            earliestArrivalNanos = selectStartNanos;
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -13,22 +13,26 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * A client's request. It exists from its last byte (or from the head of a streamed upload) until it
- * has completed and its attempts have ended. Used on the event loop only.
+ * A client's request. The object is created when the last byte of the request has been read; for a
+ * streamed upload, when the head has been read. It is in use until the request has completed and
+ * all attempts have ended. Used on the event loop only.
  */
 public final class ProxiedRequest {
 
     /** The client's side of a request: sends the response on the client's connection. */
     public interface Client {
         /**
-         * Returns whether the client still waits for the response. Reads its connection first, so
-         * that a disconnect which has already arrived is noticed.
+         * Returns whether the client still waits for the response. First reads the client's
+         * connection, so that a disconnect that has already arrived is detected.
          */
         default boolean isStillWaiting() {
             return true;
         }
 
-        /** Returns the longest time that the request can have been unread, in microseconds. */
+        /**
+         * Returns the maximum time, in microseconds, that can have passed since the request
+         * arrived.
+         */
         default long waitedMicros() {
             return 0;
         }
@@ -36,7 +40,7 @@
         /**
          * Sends a complete response.
          *
-         * @param content ownership passes to this method
+         * @param content the body; ownership passes to this method
          */
         void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
@@ -44,7 +48,7 @@
          * Sends the head of a response of status 200 whose body is streamed.
          *
          * @param length length of the body in bytes; negative if it is not known yet
-         * @param source pauses and resumes reading from the endpoint
+         * @param source control that pauses and resumes reading from the endpoint
          */
         default void startStreamedResponse(
                 HttpHeaders headers,
@@ -55,25 +59,29 @@
         }
 
         /**
-         * Sends a part of a streamed body; {@link #flush} follows.
+         * Writes a part of a streamed body without sending it; a call of {@link #flush} follows.
          *
-         * @param part ownership passes to this method
+         * @param part a part of the body; ownership passes to this method
          */
         default void writeBody(ByteBuf part) {
             part.release();
         }
 
-        /** Flushes the written parts; called once for all parts that arrived together. */
+        /** Sends the written parts; called once for all parts that arrived together. */
         default void flush() {}
 
         /**
          * Ends a streamed response.
          *
-         * @param onWritten runs once the whole response has been written to the client's socket
+         * @param onWritten task that runs once the whole response has been written to the client's
+         *     socket
          */
         default void endStreamedResponse(HttpHeaders trailers, Runnable onWritten) {}
 
-        /** Ends a streamed response in a way that shows the client that it is not complete. */
+        /**
+         * Ends a streamed response early, so that the client can tell that the response is
+         * incomplete.
+         */
         default void abortResponse() {}
     }
 
@@ -95,7 +103,9 @@
     /** The body if it is streamed, otherwise null. */
     public final StreamedUpload upload;
 
-    /** Largest response that is streamed, in bytes; 0 if responses are collected. */
+    /**
+     * Maximum length of a streamed response body, in bytes; 0 if responses are buffered completely.
+     */
     public final long maxStreamedBytes;
 
     /** Sends the response of this request. */
@@ -120,8 +130,8 @@
     LoadReport streamedLoadReport;
 
     /**
-     * Deadline of this request, in microseconds; for an upload, it is moved when the last byte has
-     * arrived.
+     * Deadline of this request, in microseconds. The deadline of an upload is moved when the last
+     * byte of the body has arrived.
      */
     long deadlineMicros;
 
@@ -131,9 +141,10 @@
     /**
      * Creates a request without attempts.
      *
-     * @param body null if the body is streamed
-     * @param upload null if the body is not streamed
-     * @param maxStreamedBytes largest response that is streamed, in bytes; 0 to collect responses
+     * @param body the complete body; null if the body is streamed
+     * @param upload the streamed body; null if the body is not streamed
+     * @param maxStreamedBytes maximum length of a streamed response body, in bytes; 0 if responses
+     *     are buffered completely
      */
     public ProxiedRequest(
             Request request,
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -15,9 +15,10 @@
 
 /**
  * Delivers the endpoints that a sidecar starts with: those of its configuration and those of
- * persisted snapshots. This sidecar's own snapshot may add endpoints while it is fresh. If it is
- * older, it only keeps the balancer from using endpoints that had been removed; so does the
- * snapshot that the sidecars of a machine share. Used on the event loop only.
+ * persisted snapshots. This sidecar's own snapshot may add endpoints while the snapshot is fresh.
+ * Two snapshots add no endpoints: an own snapshot that is no longer fresh, and the snapshot that
+ * the sidecars of a machine share. These only keep the balancer from using endpoints that had been
+ * removed. Used on the event loop only.
  */
 final class RecoveryStartup {
 
@@ -69,13 +70,17 @@
      * Sets the snapshot that the sidecars of the machine share; to be called before the initial
      * endpoints are delivered.
      *
-     * @param snapshot null if there is none
+     * @param snapshot the shared snapshot; null if there is none
      */
     void recoverFrom(PublishedSnapshot snapshot) {
         shared = snapshot;
     }
 
-    /** Delivers the persisted endpoints, if there are any, and then the configured ones. */
+    /**
+     * Delivers the endpoints of this sidecar's own snapshot. If there is none, delivers those of
+     * the shared snapshot, provided that it is newer than the configured list. Then delivers the
+     * configured endpoints.
+     */
     void deliverInitialEndpoints() {
         EndpointList configured = config.configuredEndpoints();
         if (persisted != null && persisted.revision() > 0) {
@@ -114,7 +119,8 @@
                                 EndpointListKind.CACHED,
                                 configured.revision(),
                                 configured.endpoints()));
-        // Discovery may be at an older revision than the snapshot, so changes are not enough.
+        // Discovery may be at an older revision than the snapshot. A list of changes is not enough
+        // then.
         discovery.requireCompleteList();
         if (configured.revision() >= recovered.revision()) {
             recorder.record(configured);
@@ -134,8 +140,8 @@
     }
 
     /**
-     * Delivers the shared snapshot as not fresh, so that it adds no endpoint to the balancer: its
-     * list, including the addresses, comes from another sidecar.
+     * Delivers the shared snapshot as not fresh. The balancer then adds no endpoint from the
+     * snapshot, because its endpoint list and addresses come from another sidecar.
      */
     private void recoverShared() {
         EndpointList recovered = config.endpointListCodec().fromSnapshot(shared.snapshot());
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -28,7 +28,8 @@
      * Responds with 200, the body of an endpoint's response, and its headers except the hop-by-hop
      * headers and the load report.
      *
-     * @param response remains owned by the caller: its content is retained for the client
+     * @param response the endpoint's response, which remains owned by the caller; its content is
+     *     retained for the client
      */
     void forward(ProxiedRequest request, FullHttpResponse response) {
         HttpHeaders headers = ProtocolHeaders.endToEnd(response.headers());
@@ -39,8 +40,8 @@
     /**
      * Responds with 503.
      *
-     * @param retryAfterMicros value of the header {@code Retry-After}, which is written in seconds
-     *     and at least 1 ms; 0 to omit the header
+     * @param retryAfterMicros value of the header {@code Retry-After}; the header states it in
+     *     seconds, with a minimum of 1 ms; 0 to omit the header
      */
     void reject(String requestId, long retryAfterMicros) {
         HttpHeaders headers = new DefaultHttpHeaders();
@@ -53,8 +54,9 @@
     }
 
     /**
-     * Responds to a request whose attempts have failed: with the error response of an endpoint to
-     * its upload if there is one, otherwise with 504 if an attempt timed out and 502 if none did.
+     * Responds to a request whose attempts have failed. If an endpoint sent an error response to
+     * the incomplete upload, forwards that response. Otherwise responds with 504 if an attempt
+     * timed out, and with 502 if none did.
      */
     void fail(String requestId) {
         ProxiedRequest request = requests.byId(requestId);
@@ -87,7 +89,8 @@
     /**
      * Sends a response, unless the request is null or completed.
      *
-     * @param content ownership passes to this method; released if no response is sent
+     * @param content the body; ownership passes to this method, which releases it if no response is
+     *     sent
      */
     private void write(
             ProxiedRequest request,
--- a/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
@@ -24,22 +24,23 @@
     private static final int EXIT_CODE_OK = 0;
 
     /**
-     * Number of warm-up requests. With a seventh of a core, only a third of them complete before
-     * {@link #WARM_UP_END_MILLIS}; the first requests are the ones that cost the most CPU time.
+     * Number of warm-up requests. With a seventh of a core, only a third of these requests complete
+     * before {@link #WARM_UP_END_MILLIS}. That is still useful, because the first requests cost the
+     * most CPU time.
      */
     private static final int WARM_UP_REQUESTS = 250;
 
     /**
-     * Time since the start of the process at which the warm-up ends even if requests remain, so
-     * that a restarted sidecar is ready within 10 s. When the warm-up was limited to 1.5 s of its
-     * own, a process with a seventh of a core was still so cold afterwards that requests stayed
-     * unread for a second.
+     * Maximum time from the start of the process until the end of the warm-up, so that a restarted
+     * sidecar is ready within 10 s. A limit of 1.5 s from the start of the warm-up was too short: a
+     * process with a seventh of a core was still so cold afterwards that requests stayed unread for
+     * a second.
      */
     private static final long WARM_UP_END_MILLIS = 6_000;
 
     /**
-     * Longest time that the start waits for the persisted snapshot after the warm-up. The snapshot
-     * is read during the warm-up, so there is a wait only if the disk stalls.
+     * Maximum time for which the start waits for the persisted snapshot after the warm-up. The
+     * snapshot is read during the warm-up. Therefore the start waits only if the disk stalls.
      */
     private static final long SNAPSHOT_TIMEOUT_MILLIS = 250;
 
@@ -50,13 +51,14 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
 
     /**
-     * Written by the main thread and closed by the shutdown hook; null while persistence is off.
+     * The store for endpoint lists, set by the main thread and closed by the shutdown hook; null
+     * while persistence is off.
      */
     private volatile SnapshotStore snapshotStore;
 
     /**
-     * Written by the main thread and closed by the shutdown hook; null while leader election is off
-     * or unavailable.
+     * The leader election, set by the main thread and closed by the shutdown hook; null while
+     * leader election is off or unavailable.
      */
     private volatile LeaderElectionService leaderElection;
 
@@ -145,7 +147,7 @@
     /**
      * Opens the store, which reads the persisted snapshot in the background.
      *
-     * @return null if persistence is off
+     * @return the store; null if persistence is off
      */
     private SnapshotStore openSnapshotStore() {
         PersistenceSettings settings = config.extensions().persistence();
@@ -183,8 +185,8 @@
     }
 
     /**
-     * Completes the requests in flight, releases the lease and writes what is still to be
-     * persisted. Runs on the thread of the shutdown hook.
+     * Completes the requests in flight, releases the lease and writes the endpoint changes that are
+     * not persisted yet. Runs on the thread of the shutdown hook.
      */
     private void shutDown() {
         loop.execute(() -> server.stop(stopped::countDown));
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -28,8 +28,8 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Assembles the parts of one sidecar and controls its life cycle, from the initial endpoint list to
- * the last closed connection, as a {@link LifecycleState}. The sidecar runs on one event loop;
+ * Assembles the parts of one sidecar and controls its {@linkplain LifecycleState life cycle}, from
+ * the initial endpoint list to the last closed connection. The sidecar runs on one event loop;
  * methods must be called on that loop unless their documentation says otherwise.
  */
 final class SidecarServer {
@@ -59,7 +59,7 @@
 
     /**
      * @param latencyClock the clock that measures the iterations of the loop
-     * @param balancerFactory creates the load balancer; tests pass their own
+     * @param balancerFactory factory of the load balancer; tests pass a factory of their own
      */
     SidecarServer(
             EventLoop loop,
@@ -151,7 +151,7 @@
      * Sets the store in which endpoint lists are persisted, and the snapshot that an earlier
      * incarnation wrote there; to be called before the start.
      *
-     * @param snapshot null if it could not be read in time
+     * @param snapshot the snapshot in the store; null if it could not be read in time
      */
     void usePersistence(SnapshotStore store, EndpointSnapshot snapshot) {
         recovery.recoverFrom(store, snapshot);
@@ -161,7 +161,8 @@
     /**
      * Sets the snapshot that the sidecars of a machine share; to be called before the start.
      *
-     * @param snapshot receives the lists that this process publishes while it is the leader
+     * @param snapshot receiver of the endpoint lists, which this process publishes while it is the
+     *     leader
      * @param snapshotAtStart the snapshot that was read at the start; null if there was none
      */
     void useSharedSnapshot(SharedEndpointSnapshot snapshot, PublishedSnapshot snapshotAtStart) {
@@ -207,9 +208,9 @@
             bind();
         } else {
             // In push mode, a local agent holds the endpoint list and responds to a watch. The
-            // balancer does not poll then, so the watch is started here. Clients can connect once
-            // the agent has responded or the call has failed, so that the balancer knows the
-            // agent's list before the first request.
+            // balancer does not poll in this mode, so the watch is started here. Clients can
+            // connect only after the watch has delivered a list or has failed. Thus the balancer
+            // knows the agent's list before the first request.
             state = state.transitionTo(LifecycleState.AWAITING_ENDPOINTS);
             discovery.subscribe();
         }
@@ -247,7 +248,7 @@
      * Waits until all requests in flight have completed, then closes all connections. Does not
      * block; only the first call has an effect.
      *
-     * @param stopped runs on the loop once all connections are closed
+     * @param stopped task that runs on the event loop once all connections are closed
      */
     void stop(Runnable stopped) {
         if (!state.isStopping()) {
--- a/sidecar/src/main/java/sagefall/proxy/SignalHandlers.java
+++ b/sidecar/src/main/java/sagefall/proxy/SignalHandlers.java
@@ -17,9 +17,9 @@
     /**
      * Installs the handlers.
      *
-     * @param reload runs for each SIGHUP, on a thread of its own
-     * @param shutDown runs once, on the thread of the shutdown hook; when it returns, the process
-     *     exits with code 0
+     * @param reload task that runs for each SIGHUP, on a thread of its own
+     * @param shutDown task that runs once, on the thread of the shutdown hook; when the task
+     *     returns, the process exits with code 0
      * @throws ReflectiveOperationException if the JVM does not support signal handlers
      */
     static SignalHandlers install(Runnable reload, Runnable shutDown)
@@ -29,7 +29,8 @@
                 new Thread(
                         () -> {
                             shutDown.run();
-                            // Otherwise the JVM would derive the exit code from the signal.
+                            // Without this call, the JVM would derive the exit code from the
+                            // signal.
                             Runtime.getRuntime().halt(EXIT_CODE_AFTER_SIGNAL);
                         },
                         "shutdown");
--- a/sidecar/src/main/java/sagefall/proxy/StartupException.java
+++ b/sidecar/src/main/java/sagefall/proxy/StartupException.java
@@ -8,7 +8,7 @@
  */
 final class StartupException extends Exception {
 
-    /** Exit code if the configuration is missing or invalid, so that a restart does not help. */
+    /** Exit code if the configuration is missing or invalid. A restart does not help then. */
     static final int INVALID_CONFIGURATION = 2;
 
     /** Exit code for any other failure, such as binding the listening address. */
--- a/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Starts to forward a response whose head has arrived. From this call on, no other attempt can
+     * Starts to forward a response whose head has arrived. After this call, no other attempt can
      * provide the response of the request.
      */
     void begin(
@@ -66,7 +66,8 @@
     /**
      * Forwards a part of the body.
      *
-     * @param part ownership passes to this method; released if the request is completed
+     * @param part a part of the body; ownership passes to this method, which releases it if the
+     *     request is completed
      */
     void forwardPart(ForwardedAttempt attempt, ByteBuf part) {
         if (attempt.request.completed) {
@@ -99,8 +100,8 @@
     }
 
     /**
-     * Finishes the request and reports the outcome of its attempt; aborts the response if the
-     * result is not {@code SERVED}. Only the first call for an attempt has an effect.
+     * Finishes the request and reports the outcome of the attempt. If the result is not {@code
+     * SERVED}, aborts the response. Only the first call for an attempt has an effect.
      */
     void end(ForwardedAttempt attempt, AttemptResult result) {
         ProxiedRequest request = attempt.request;
--- a/sidecar/src/main/java/sagefall/proxy/WallClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/WallClock.java
@@ -5,8 +5,8 @@
 
 /**
  * Provides Unix time in microseconds, which is read from the wall clock once and advanced by the
- * monotonic clock. So the times can be compared with start times from discovery and with deadlines,
- * and a later step of the wall clock does not affect them. Thread-safe.
+ * monotonic clock. Therefore the times can be compared with start times from discovery and with
+ * deadlines. A later step of the wall clock does not affect them. Thread-safe.
  */
 public final class WallClock {
 
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
@@ -17,7 +17,10 @@
         /** Returns whether requests may still be sent. */
         boolean isRunning();
 
-        /** Counts a response; returns whether its client is to send a further request. */
+        /**
+         * Counts a response. Returns whether the client that received it is to send a further
+         * request.
+         */
         boolean onResponse();
     }
 
@@ -68,7 +71,8 @@
     @Override
     public void responseCollected(FullHttpResponse response, boolean clean) {
         if (progress.onResponse() && clean) {
-            // Sent in a later task, because the connection has not released the response yet.
+            // The next request is sent in a later task, because the connection has not released the
+            // response yet.
             loop.execute(() -> connection.send(requests.next()));
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
@@ -13,13 +13,15 @@
 import sagefall.balancer.api.RequestClass;
 import sagefall.http.ProtocolHeaders;
 
-/** Creates the requests of the warm-up, cycling through the classes and tenants of the settings. */
+/** Creates the requests of the warm-up, cycling through the request classes and tenants. */
 final class WarmUpRequests {
 
     /** Size of the bodies of requests and responses that have one. */
     static final int BODY_BYTES = 256;
 
-    /** One request in this many has a timeout so short that it is rejected. */
+    /**
+     * Interval, in requests, between two requests whose timeout is so short that they are rejected.
+     */
     private static final int REJECTED_EVERY = 8;
 
     /** Timeout of a request whose deadline has passed when the request is read. */
@@ -29,7 +31,7 @@
 
     private final BalancerSettings settings;
 
-    /** Prefix of the ids of these requests, and of no other requests. */
+    /** Prefix that the ids of warm-up requests have and all other ids lack. */
     private final String idPrefix;
 
     private int created;
--- a/sidecar/src/main/java/sagefall/proxy/downstream/BadRequestException.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/BadRequestException.java
@@ -1,6 +1,9 @@
 package sagefall.proxy.downstream;
 
-/** Thrown for a message that violates the protocol; its text is the body of the 400 response. */
+/**
+ * Thrown for a message that violates the protocol. The text of the exception is the body of the 400
+ * response.
+ */
 public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
@@ -6,9 +6,9 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * Builds the pipeline of an accepted channel. {@link ClientConnection} comes first and discards
- * input that is no longer accepted before it is decoded; {@link RequestReader} comes last and
- * receives the messages.
+ * Builds the pipeline of an accepted channel. {@link ClientConnection} is the first handler and
+ * discards, before decoding, input that is no longer accepted. {@link RequestReader} is the last
+ * handler and receives the messages.
  */
 final class ClientChannelInitializer extends ChannelInitializer<Channel> {
     private final DownstreamListener listener;
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -15,19 +15,22 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * A client connection and its state; it carries one request at a time. The state changes only in
- * this class, along the transitions that {@link ClientConnectionState} allows.
+ * A client connection and its state. The connection carries one request at a time. The state
+ * changes only in this class, along the transitions that {@link ClientConnectionState} allows.
  *
- * <p>This class is also the first handler of the channel's pipeline: it discards input that is no
- * longer accepted before any time is spent on decoding it. {@link RequestReader} is the last
- * handler.
+ * <p>This class is also the first handler of the channel's pipeline. Input that is no longer
+ * accepted is discarded here, before any time is spent on decoding it. {@link RequestReader} is the
+ * last handler.
  *
  * <p>One object serves as connection and as handler, which saves memory: there can be a thousand
  * connections.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
-    /** Time that a new connection has to send its request before it may be evicted or drained. */
+    /**
+     * Time after the accept during which a new connection is neither evicted nor half-closed by a
+     * shutdown, so that its client can send the first request.
+     */
     static final long FIRST_REQUEST_GRACE_MILLIS = 100;
 
     private final DownstreamListener listener;
@@ -35,7 +38,7 @@
     private final RequestReader reader;
 
     /**
-     * The earliest time at which the client can have connected, as a time of {@link
+     * Earliest time at which the client can have connected, on the clock of {@link
      * System#nanoTime()}.
      */
     private final long earliestConnectNanos;
@@ -53,7 +56,7 @@
 
     private ClientConnectionState state = ClientConnectionState.ACCEPTED;
 
-    /** Time at which the state was entered; while the first request is read, the accept time. */
+    /** Time at which the state was entered. While the first request is read, the accept time. */
     private long stateSinceNanos;
 
     private long lastInputNanos;
@@ -105,8 +108,8 @@
     }
 
     /**
-     * Ends the exchange. Called before a complete response is written, or after the last part of a
-     * streamed one has been written.
+     * Ends the exchange. Called before a response with a complete body is written, or after the
+     * last part of a streamed response has been written.
      *
      * @param last whether the connection closes after this response
      */
@@ -132,7 +135,9 @@
         ((SocketChannel) channel).shutdownOutput();
     }
 
-    /** Flushes the written part of a response that cannot be completed; closes the connection. */
+    /**
+     * Sends the written part of a response that cannot be completed, then closes the connection.
+     */
     void abortResponse(ClientExchange aborted) {
         // The transition is illegal if the client has disconnected in this event loop iteration, or
         // if an earlier abort is still in progress.
@@ -178,8 +183,9 @@
         listener.loopClock().earliestArrivalNanos();
         lastInputNanos = System.nanoTime();
         if (state == ClientConnectionState.IN_FLIGHT) {
-            // Clients send one request at a time. The further bytes may also belong to the current
-            // request, if its length is wrong, so the current request is rejected too.
+            // Clients send one request at a time. If the length of the current request is wrong,
+            // the further bytes may belong to that request. Therefore the current request is
+            // rejected.
             reject(HttpResponseStatus.BAD_REQUEST, RequestReader.SEVERAL_REQUESTS);
         }
         if (state.isBetweenRequests() || state == ClientConnectionState.WRITING) {
@@ -198,9 +204,9 @@
     }
 
     /**
-     * Sends an error response to a message that is malformed, too large or late, and closes the
-     * connection; further input is discarded. If the response to the current request has been
-     * started, that response is aborted instead.
+     * Sends an error response to a message that is malformed, too large or late. Then closes the
+     * connection; further input is discarded. If a streamed response to the current request has
+     * been started, aborts that response instead.
      *
      * @param reason the body of the response
      */
@@ -245,8 +251,8 @@
     /**
      * Half-closes the connection if it is between requests, as RFC 9112, section 9.6, requires:
      * shuts down the output, then reads until the client closes too. A request that arrives after
-     * the half-close is not handled, which its client can tell from the end of the stream. Closing
-     * the socket instead would send a reset if there were unread bytes.
+     * the half-close is not handled. Its client can tell from the end of the stream. Closing the
+     * socket at once would send a reset if there were unread bytes.
      */
     void halfClose() {
         if (isStillBetweenRequests()) {
@@ -276,18 +282,20 @@
         return exchange;
     }
 
-    /** Whether the given exchange is the current one; no other may send a response. */
+    /**
+     * Returns whether the given exchange is the current one. Only the current exchange may respond.
+     */
     boolean carries(ClientExchange candidate) {
         return exchange == candidate;
     }
 
-    /** Returns when the connection was accepted, as a time of {@link System#nanoTime()}. */
+    /** Returns the time of the accept, on the clock of {@link System#nanoTime()}. */
     long acceptedAtNanos() {
         return acceptedAtNanos;
     }
 
     /**
-     * Returns the earliest time at which input that is read now can have arrived, as a time of
+     * Returns the earliest time at which input that is read now can have arrived, on the clock of
      * {@link System#nanoTime()}. Input that is read in the event loop iteration of the accept or in
      * the next iteration may have arrived together with the connection.
      */
@@ -305,7 +313,9 @@
         return DownstreamListener.millisSince(stateSinceNanos);
     }
 
-    /** Returns the time since the last input or the start of the state, whichever is later. */
+    /**
+     * Returns the time since the later of two times: the last input, and the start of the state.
+     */
     long millisWithoutInput() {
         return DownstreamListener.millisSince(Math.max(lastInputNanos, stateSinceNanos));
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
@@ -10,9 +10,9 @@
  * #READING_REQUEST}. They are expected in {@link #READING_BODY}, are rejected as a second request
  * in {@link #IN_FLIGHT}, and are discarded in the states for which {@link #discardsInput} returns
  * true. The end of the client's output closes the connection in every state. In {@link #ACCEPTED}
- * and {@link #IDLE}, shutdown, the idle timeout and the connection limit may close the connection,
- * after checking once more for unread bytes; {@link IdleSweeper} limits the time for reading a
- * request, writing and lingering, and ends streams that have stalled.
+ * and {@link #IDLE}, the shutdown, a timeout or the connection limit may close the connection,
+ * after a check for unread bytes. {@link IdleSweeper} limits the times for reading a request, for
+ * writing and for lingering. It also ends streams that have stalled.
  */
 enum ClientConnectionState {
     /** Accepted; no byte has been read yet. */
@@ -21,7 +21,7 @@
     /** The last response is written, and no byte of a further request has been read. */
     IDLE,
 
-    /** A part of a request has been read, or a complete request that is not handled yet. */
+    /** At least a part of a request has been read, and the request is not handled yet. */
     READING_REQUEST,
 
     /** The head of a request has been handed on, and its streamed body is still being read. */
@@ -60,7 +60,7 @@
 
     private Set<ClientConnectionState> successors;
 
-    /** Whether the transition from this state to the given one is legal. */
+    /** Returns whether the transition from this state to the given one is legal. */
     boolean canBecome(ClientConnectionState next) {
         return successors.contains(next);
     }
@@ -78,12 +78,12 @@
         return next;
     }
 
-    /** Whether bytes from the client are read and discarded. */
+    /** Returns whether bytes from the client are read and discarded. */
     boolean discardsInput() {
         return this == WRITING_LAST || this == LINGERING || this == CLOSED;
     }
 
-    /** Whether the connection carries no request and no byte of a request has been read. */
+    /** Returns whether the connection carries no request and no byte of a request has been read. */
     boolean isBetweenRequests() {
         return this == ACCEPTED || this == IDLE;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -28,9 +28,9 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * One request of a client connection and its response. Only the first response is sent: once that
- * response is complete, or the client has disconnected, the connection no longer {@linkplain
- * ClientConnection#carries carries} the exchange, and further response data is dropped.
+ * One request of a client connection and its response. Only the first response is sent. When that
+ * response is complete or the client has disconnected, the connection no longer {@linkplain
+ * ClientConnection#carries carries} the exchange. Further response data is then dropped.
  */
 final class ClientExchange implements ProxiedRequest.Client {
     private final ClientConnection connection;
@@ -40,13 +40,14 @@
     private final boolean chunkedAllowed;
 
     /**
-     * Earliest time at which the request can have arrived, as a time of {@link System#nanoTime()}.
+     * Earliest time at which the request can have arrived, on the clock of {@link
+     * System#nanoTime()}.
      */
     private final long arrivedAtNanos;
 
     /**
      * Whether the close of the connection marks the end of the response. An incomplete response
-     * then has to end with a reset, so that the client can tell.
+     * then has to end with a reset, so that the client can tell that the response is incomplete.
      */
     private boolean endsByClose;
 
@@ -62,8 +63,8 @@
     /**
      * Starts an exchange.
      *
-     * @param request the request, or null if the input is rejected without one: the connection is
-     *     then closed after the response
+     * @param request the request; null if input is rejected that is not a valid request, in which
+     *     case the connection is closed after the response
      */
     ClientExchange(ClientConnection connection, HttpRequest request) {
         this.connection = connection;
@@ -80,7 +81,7 @@
         return connection.listener();
     }
 
-    /** Whether this is the connection's current exchange. */
+    /** Returns whether this is the connection's current exchange. */
     private boolean isCurrent() {
         return connection.carries(this);
     }
@@ -89,7 +90,9 @@
         return connection.state() == ClientConnectionState.READING_BODY;
     }
 
-    /** Whether a streamed response has been started, which can only be completed or aborted. */
+    /**
+     * Returns whether a streamed response has been started. It can only be completed or aborted.
+     */
     boolean isResponseStarted() {
         return responseFlow != null;
     }
@@ -100,8 +103,8 @@
     }
 
     /**
-     * First reads what has arrived, which detects a disconnect. If the body is streamed, nothing is
-     * read here: only flow control decides when the client is read.
+     * First reads what has arrived, which detects a disconnect. If the request body is streamed,
+     * nothing is read here, because only flow control decides when the client is read.
      */
     @Override
     public boolean isStillWaiting() {
@@ -128,7 +131,7 @@
 
     /**
      * Resumes or pauses reading the body. When reading begins, sends a 100 response if the client
-     * expects one. After the end of the exchange, the connection is read in any case.
+     * expects one. After the end of the exchange, reading is never paused.
      */
     private void setReadingBody(boolean reading) {
         channel().config().setAutoRead(reading || !isCurrent());
@@ -279,7 +282,8 @@
             }
             return;
         }
-        // The rest of a body that has not been read completely would be read as the next request.
+        // The connection must close if the body has not been read completely. Otherwise the rest of
+        // the body would be read as the next request.
         boolean last = !keepAlive || listener().endsConnections() || isReadingBody();
         if (upload != null) {
             channel().config().setAutoRead(true);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientRequestDecoder.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientRequestDecoder.java
@@ -21,7 +21,7 @@
         messageStarted = false;
     }
 
-    /** Whether no byte of a further message has been read. */
+    /** Returns whether no byte of a further message has been read. */
     boolean isEmpty() {
         return !messageStarted && actualReadableBytes() == 0;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
@@ -5,8 +5,9 @@
 import java.util.Set;
 
 /**
- * Limits the number of client connections and thereby of descriptors: accepts only as many as there
- * is capacity for, and at the limit evicts a connection that carries no request.
+ * Limits the number of client connections, and thereby the number of file descriptors. Accepts only
+ * as many connections as there is capacity for. At the limit, evicts a connection that carries no
+ * request.
  */
 final class ConnectionLimiter {
 
@@ -35,7 +36,9 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Returns the listening channel's allocator; limits the accepts per event loop iteration. */
+    /**
+     * Returns the listening channel's allocator, which limits the accepts per event loop iteration.
+     */
     ServerChannelRecvByteBufAllocator acceptAllocator() {
         return acceptAllocator;
     }
@@ -47,16 +50,17 @@
 
     /**
      * Adjusts how many connections the listening channel accepts. At the limit, evicts one
-     * connection that carries no request: a half-closed one, else one that has never sent anything,
-     * else the one that has been idle longest. If all connections are busy, new ones wait in the
-     * kernel's accept queue.
+     * connection that carries no request. Half-closed connections are evicted first, then
+     * connections that have never sent anything, then idle connections. Among these, the connection
+     * that has been in its state longest is evicted. If all connections are busy, new ones wait in
+     * the kernel's accept queue.
      *
      * <p>Below the limit, all waiting connections are accepted at once. Accepting one per event
      * loop iteration is too slow if iterations are long (a cold JVM, no CPU time, a pause):
      * requests then spend their time in the accept queue, where the balancer can neither reject
      * them nor know their age, and each client that times out reconnects at the end of the queue.
-     * Drawback: a burst takes its descriptors at once, so the limit has to be enforced here and not
-     * by the accept rate.
+     * Drawback: a burst of connections takes its file descriptors at once. Therefore the limit has
+     * to be enforced here and not by the accept rate.
      */
     void adjustAccepting(Channel listening) {
         boolean hasCapacity = connections.size() < maxConnections || evictOne();
@@ -89,9 +93,9 @@
     }
 
     /**
-     * Returns the eviction rank; 0 if the connection must not be evicted. The rank grows with the
-     * precedence and, by less than 1, with the time spent in the state, so the time decides only
-     * among connections of one precedence.
+     * Returns the eviction rank; 0 if the connection must not be evicted. The rank is the
+     * precedence plus a fraction that grows with the time spent in the state. The fraction is less
+     * than 1. Therefore the time decides only among connections of one precedence.
      */
     private static double evictionRank(ClientConnection connection) {
         int precedence = evictionPrecedence(connection);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -44,10 +44,10 @@
      * Creates a listener that does not listen yet.
      *
      * @param loop the event loop of the listening channel and of all connections
-     * @param loopClock gives the earliest arrival time of the input that is read
-     * @param requestHandler handles the requests that are read
+     * @param loopClock clock that estimates the earliest arrival time of the input that is read
+     * @param requestHandler handler of the requests that are read
      * @param maxConnections maximum number of open client connections
-     * @param log receives log lines
+     * @param log consumer of log lines
      */
     public DownstreamListener(
             EventLoop loop,
@@ -64,7 +64,10 @@
         shutdown = new GracefulShutdown(loop, this);
     }
 
-    /** Starts to listen; the future completes when the address is bound, or with the error. */
+    /**
+     * Starts to listen. The future completes when the address is bound, and fails if it cannot be
+     * bound.
+     */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -85,7 +88,7 @@
         return bound;
     }
 
-    /** Sets the streaming settings that apply from now on. */
+    /** Sets the streaming settings that apply after this call. */
     public void updateStreamingSettings(StreamingSettings next) {
         streaming = next;
     }
@@ -112,8 +115,8 @@
     /**
      * Shuts down gracefully, see {@link GracefulShutdown}.
      *
-     * @param onClosed called when all connections and the listening socket are closed; at once if
-     *     {@link #listen} has not been called
+     * @param onClosed task that runs when all connections and the listening socket are closed; runs
+     *     at once if {@link #listen} has not been called
      */
     public void shutDownGracefully(Runnable onClosed) {
         if (listening == null) {
@@ -147,15 +150,15 @@
     }
 
     /**
-     * Whether connections are closed after their current response: during shutdown, and while
-     * accepting is paused at the connection limit, where an idle connection would keep out a client
-     * that waits to be accepted.
+     * Returns whether connections are closed after their current response. This is the case during
+     * shutdown, and while accepting is paused at the connection limit. At the limit, an idle
+     * connection would keep out a client that waits to be accepted.
      */
     boolean endsConnections() {
         return shutdown.isDraining() || !listening.config().isAutoRead();
     }
 
-    /** Whether the shutdown has begun to close connections. */
+    /** Returns whether the shutdown has begun to close connections. */
     boolean isDraining() {
         return shutdown.isDraining();
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -7,29 +7,29 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * Shuts down the listener without losing a request: goes on accepting while clients still connect,
+ * Shuts down the listener without losing a request. Goes on accepting while clients still connect,
  * then closes each connection after its response. Idle connections are half-closed before the
- * listening socket is closed, so that a client whose request arrives just after the half-close can
- * reconnect and resend it.
+ * listening socket is closed. Thus a client whose request arrives just after the half-close can
+ * reconnect and resend the request.
  */
 final class GracefulShutdown {
 
     /**
-     * Time after the start of the shutdown during which connections are handled as usual: according
+     * Time after the start of the shutdown during which connections are handled as usual. According
      * to the protocol, clients go on connecting for 0.2 to 0.4 s after SIGTERM.
      */
     private static final long ACCEPT_PERIOD_MILLIS = 400;
 
     /**
-     * Time after which the listening socket is closed even if clients still connect: the process
-     * must exit, and the protocol requires responses only to requests that arrive within 0.7 s
-     * after SIGTERM.
+     * Maximum time from the start of the shutdown until the listening socket is closed, even if
+     * clients still connect. The process must exit, and the protocol requires responses only to
+     * requests that arrive within 0.7 s after SIGTERM.
      */
     private static final long MAX_ACCEPT_PERIOD_MILLIS = 1_500;
 
     /**
-     * The listening socket is closed once no client has connected and no connection has been
-     * half-closed for this time, so that a client whose idle connection was closed can reconnect.
+     * Time without a new or a newly half-closed connection after which the listening socket is
+     * closed. During this time, a client whose idle connection was half-closed can reconnect.
      */
     private static final long QUIET_PERIOD_MILLIS = 100;
 
@@ -48,7 +48,7 @@
         this.listener = listener;
     }
 
-    /** Whether each connection is closed after its current response. */
+    /** Returns whether each connection is closed after its current response. */
     boolean isDraining() {
         return draining;
     }
@@ -66,7 +66,7 @@
     /**
      * Starts the shutdown.
      *
-     * @param onClosed called when all connections and the listening socket are closed
+     * @param onClosed task that runs when all connections and the listening socket are closed
      */
     void start(Runnable onClosed) {
         startedAtNanos = System.nanoTime();
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Half-closes the connections between requests, except new ones whose first request may still
-     * arrive. Aborts all streams once the drain timeout has expired.
+     * First aborts all streams if the drain timeout has expired. Then half-closes the connections
+     * between requests, except new connections whose first request may still arrive.
      */
     private void closeConnections() {
         if (millisSinceStart() >= listener.streamingSettings().drainMillis()) {
@@ -115,8 +115,9 @@
     }
 
     /**
-     * Accepts waiting connections, which the close of the listening socket would reset, then closes
-     * the socket if the quiet period still holds.
+     * First accepts the waiting connections, because the close of the listening socket would reset
+     * them. Then closes the socket if no connection was waiting or the maximum accept period has
+     * passed.
      */
     private void closeListening(Channel listening) {
         listening.config().setAutoRead(true);
@@ -127,8 +128,9 @@
     }
 
     /**
-     * Whether no client has connected and no connection has been half-closed for the quiet period,
-     * or the maximum accept period has passed.
+     * Returns whether the listening socket may be closed. This is the case if no client has
+     * connected and no connection has been half-closed for the quiet period. It is also the case
+     * after the maximum accept period.
      */
     private boolean isQuiet() {
         long lastActivityNanos = Math.max(lastAcceptedNanos, lastHalfClosedNanos);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
@@ -16,8 +16,9 @@
     static final long SWEEP_INTERVAL_MILLIS = 25;
 
     /**
-     * Maximum time from the accept, or from the first byte of a later request, until the request
-     * has been read. A new connection without any input is half-closed after this time too.
+     * Maximum time for reading a request. The time for the first request of a connection starts at
+     * the accept. The time for a later request starts at its first byte. A new connection that has
+     * sent nothing is half-closed when this time has passed since the accept.
      */
     private static final long REQUEST_READ_TIMEOUT_MILLIS = 2_000;
 
@@ -27,18 +28,19 @@
     /** Idle timeout of surplus connections, see {@link #closeSurplus}. */
     private static final long SURPLUS_IDLE_TIMEOUT_MILLIS = 200;
 
-    /** Maximum time for writing a response; if it takes longer, the connection is closed. */
+    /** Maximum time for writing a response. After this time, the connection is closed. */
     private static final long WRITE_TIMEOUT_MILLIS = 5_000;
 
     /**
      * Maximum time for which input on a half-closed connection is read before the socket is closed.
-     * Closing a socket with unread bytes sends a reset, and the client could lose the response.
+     * The socket is not closed at once: closing a socket with unread bytes sends a reset, and the
+     * client could lose the response.
      */
     private static final long LINGER_TIMEOUT_MILLIS = 5_000;
 
     /**
-     * A half-closed connection is closed after this time without input: no more bytes are expected
-     * to be in transit then.
+     * Time without input after which a half-closed connection is closed. After this time, no more
+     * bytes are expected to be in transit.
      */
     private static final long LINGER_QUIET_TIMEOUT_MILLIS = 300;
 
@@ -104,10 +106,10 @@
     /**
      * Half-closes idle connections beyond half of the connection limit, the longest idle first. The
      * number of client connections is limited, and some clients send one request and keep their
-     * connection open, which would keep other clients out although the sidecar and its endpoints
-     * have little load. Closing surplus connections also guards against connection leaks in clients
-     * and against connection floods. Drawback: a client that seldom sends a request has to
-     * reconnect.
+     * connection open. Such connections would keep other clients out although the sidecar and its
+     * endpoints have little load. Closing surplus connections also guards against connection leaks
+     * in clients and against connection floods. Drawback: a client that seldom sends a request has
+     * to reconnect.
      */
     private void closeSurplus() {
         long surplus = limiter.connectionsBeyondHalfLimit();
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestAggregator.java
@@ -9,9 +9,9 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * Collects a request and its body into one message, unless the body is streamed: then head and
- * content are passed on as they arrive. A body that is too large to be collected is rejected with
- * 413, and the connection is closed.
+ * Buffers a request and its body as one message, unless the body is streamed. The head and the
+ * parts of a streamed body are passed on as they arrive. A body that is too large to be buffered is
+ * rejected with 413, and the connection is closed.
  */
 final class RequestAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
@@ -10,12 +10,12 @@
  * loop of the listener.
  */
 public interface RequestHandler {
-    /** Whether an endpoint is ready for requests; {@code /healthz} reports this. */
+    /** Returns whether an endpoint is ready for requests. {@code /healthz} reports this value. */
     boolean hasReadyEndpoint();
 
     /**
-     * Handles a request that has been read completely. The handler sends one response through the
-     * client, now or later, or throws.
+     * Handles a request that has been read completely. Unless this method throws, the handler sends
+     * one response through the client, during this call or later.
      *
      * @param http the request; the caller releases it when this method returns
      * @param client the exchange that takes the response
@@ -25,16 +25,16 @@
     void handle(FullHttpRequest http, ProxiedRequest.Client client) throws BadRequestException;
 
     /**
-     * Returns the maximum length, in bytes, up to which the body of this request is streamed as it
-     * arrives; 0 if the body is collected first.
+     * Returns the maximum length, in bytes, of a streamed body of this request; 0 if the body is
+     * buffered completely.
      */
     default long maxUploadBytes(HttpRequest head) {
         return 0;
     }
 
     /**
-     * Handles a request whose body is streamed, when its head has been read. The handler sends one
-     * response through the client, now or later, or throws.
+     * Handles a request whose body is streamed, when its head has been read. Unless this method
+     * throws, the handler sends one response through the client, during this call or later.
      *
      * @throws BadRequestException if the request violates the protocol; the caller sends the 400
      *     response
@@ -44,9 +44,12 @@
         throw new UnsupportedOperationException();
     }
 
-    /** Called when the endpoint of this request has read or sent nothing for too long. */
+    /**
+     * Called when the endpoint that serves the client's request has read or sent nothing for too
+     * long.
+     */
     default void endpointStalled(ProxiedRequest.Client client) {}
 
-    /** Called when the client of this request can no longer be sent a response. */
+    /** Called when no response can be sent to the client any more. */
     void clientDisconnected(ProxiedRequest.Client client);
 }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -26,12 +26,15 @@
 public final class RequestParser {
 
     /**
-     * Maximum share of a client's timeout that is reserved for the network transit of the request
-     * and the response, since the timeout runs from when the client sent the request.
+     * Maximum transit margin: the part of a client's timeout that is reserved for the network
+     * transit of the request and the response. The margin is needed because the timeout starts when
+     * the client sends the request.
      */
     private static final long MAX_TRANSIT_MARGIN_MICROS = 20_000;
 
-    /** The transit margin is at most the client's timeout divided by this number. */
+    /**
+     * Divisor of the client's timeout; the quotient is a second upper bound of the transit margin.
+     */
     private static final int TRANSIT_MARGIN_DIVISOR = 10;
 
     private static final int MAX_REQUEST_ID_LENGTH = 128;
@@ -39,7 +42,7 @@
     private static final long MAX_TIMEOUT_MILLIS = 1_000_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** The routing key of a request without one. */
+    /** Routing key of a request whose path names only the request class. */
     private static final long NO_KEY = -1;
 
     private final BalancerSettings settings;
@@ -62,10 +65,11 @@
      * have arrived, plus the client's timeout, minus the transit margin.
      *
      * @param now the current time in microseconds
-     * @param http the message, or its head if the body is streamed; not retained
+     * @param http the message, or its head if the body is streamed; its reference count does not
+     *     change
      * @param body the complete body, or null if it is streamed
      * @param upload the body if it is streamed as it arrives, else null
-     * @param streaming which bodies may be streamed
+     * @param streaming the settings that say which bodies may be streamed
      * @param client the exchange that takes the response
      * @throws BadRequestException if the request violates the protocol
      */
@@ -127,7 +131,7 @@
         return now - waitedMicros + timeoutMicros - margin;
     }
 
-    /** Returns the class that a path names, or null if there is no such class. */
+    /** Returns the request class that a path names, or null if there is no such request class. */
     public RequestClass requestClass(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
@@ -136,8 +140,8 @@
     }
 
     /**
-     * Returns the routing key: the stable id of the last path segment, or {@link #NO_KEY} if the
-     * path names only the class.
+     * Returns the routing key: a stable hash of the last path segment. If the path names only the
+     * request class, returns {@link #NO_KEY}.
      */
     private static long key(String uri) {
         String path = path(uri);
@@ -155,8 +159,8 @@
 
     /**
      * Checks the framing and the HTTP version. The decoder itself rejects a content length that is
-     * malformed, repeated or combined with a transfer coding, but accepts transfer codings other
-     * than chunked.
+     * malformed, repeated or combined with a transfer coding. The decoder accepts transfer codings
+     * other than chunked; these are rejected here.
      */
     private static void checkFraming(HttpRequest http) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
@@ -226,7 +230,9 @@
         return millis;
     }
 
-    /** Parses a number; returns -1, which is no valid timeout, for a missing or malformed one. */
+    /**
+     * Parses a number. For a missing or malformed number, returns -1, which is no valid timeout.
+     */
     private static long parseLong(String text) {
         try {
             return text == null ? -1 : Long.parseLong(text);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -19,9 +19,9 @@
 import sagefall.streaming.StreamedUpload;
 
 /**
- * The last handler of a client connection: hands complete requests and streamed bodies to the
+ * The last handler of a client connection. Passes complete requests and streamed bodies to the
  * {@link RequestHandler}. A request is handled only after everything that arrived with it has been
- * read: bytes after it mean that its framing is wrong or that another request follows.
+ * read. Bytes after a request mean that its framing is wrong or that another request follows.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -39,13 +39,15 @@
     private final ClientConnection connection;
     private final ClientRequestDecoder decoder = new ClientRequestDecoder();
 
-    /** A complete request that is not handled yet because further input may follow it; or null. */
+    /**
+     * A complete request that is not handled yet, because further input may follow; null if none.
+     */
     private FullHttpRequest completeRequest;
 
-    /** The end of a streamed body, not forwarded yet because input may follow it; or null. */
+    /** The end of a streamed body, not forwarded yet, because input may follow; null if none. */
     private LastHttpContent bodyEnd;
 
-    /** Whether a further message was read together with a request, which is then rejected. */
+    /** Whether a further message was read together with a request. That request is rejected. */
     private boolean furtherMessageRead;
 
     RequestReader(ClientConnection connection) {
@@ -89,7 +91,9 @@
         connection.listener().log(line.toString());
     }
 
-    /** Dispatches a message. The caller releases it; what is needed for longer is retained. */
+    /**
+     * Dispatches a message, which the caller releases. Retains a message that is needed for longer.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (message instanceof FullHttpRequest request) {
@@ -101,10 +105,7 @@
         }
     }
 
-    /**
-     * Retains the request until {@link #channelReadComplete}, which releases it, or {@link
-     * #releasePending}.
-     */
+    /** Retains the request; {@link #channelReadComplete} or {@link #releasePending} releases it. */
     private void onRequest(FullHttpRequest request) {
         decoder.messageCompleted();
         if (completeRequest != null || connection.exchange() != null) {
@@ -115,9 +116,10 @@
     }
 
     /**
-     * Returns the maximum length, in bytes, up to which the body of this request is streamed, or 0
-     * if the body is not streamed: the body is small or larger than allowed, the request class has
-     * no streamed uploads, or the message does not start a request.
+     * Returns the maximum length, in bytes, of a streamed body of this request; 0 if the body is
+     * not streamed. A body is not streamed in four cases: the body is small; the body is larger
+     * than allowed; the request class has no streamed uploads; the message does not start a
+     * request.
      */
     long maxStreamedBodyBytes(HttpRequest head) {
         boolean startsRequest =
@@ -146,8 +148,9 @@
     }
 
     /**
-     * Forwards the content, or retains the end of the body until {@link #channelReadComplete},
-     * which releases it, or {@link #releasePending}. The caller releases its own reference.
+     * Forwards a part of the body. The end of the body is retained instead; {@link
+     * #channelReadComplete} or {@link #releasePending} releases it. The caller releases its own
+     * reference.
      */
     private void onBodyContent(HttpContent content) {
         if (!isReadingBody()) {
@@ -227,8 +230,9 @@
     }
 
     /**
-     * Forwards the end of a streamed body if nothing follows it. Before the end is forwarded, no
-     * server can have run the request, so it can still be rejected.
+     * Forwards the end of a streamed body if nothing follows it. Otherwise rejects the request. The
+     * request can still be rejected, because no endpoint can have executed it before its end is
+     * forwarded.
      */
     private void endBody() {
         LastHttpContent end = bodyEnd;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
@@ -17,10 +17,11 @@
 public interface AttemptListener {
 
     /**
-     * Called when an attempt has ended, except by the end of a streamed response.
+     * Called when an attempt has ended. If the attempt ends with a complete streamed response,
+     * {@link #responseFinished} is called instead.
      *
-     * @param report the endpoint's load report, or null
-     * @param response the endpoint's response, or null if there is none; owned by the connection,
+     * @param report the endpoint's load report; null if there is none
+     * @param response the endpoint's response; null if there is none; owned by the connection,
      *     which releases it on return
      */
     void attemptEnded(
@@ -46,8 +47,8 @@
     /**
      * Called when the head of a streamed response has arrived.
      *
-     * @param report the endpoint's load report, or null
-     * @param source pauses and resumes reading the response
+     * @param report the endpoint's load report; null if there is none
+     * @param source control that pauses and resumes reading the response
      */
     default void responseStarted(
             ForwardedAttempt attempt,
@@ -58,7 +59,7 @@
     /**
      * Called when a part of the body of a streamed response has arrived.
      *
-     * @param part ownership passes to the listener
+     * @param part a part of the body; ownership passes to the listener
      */
     default void responsePart(ForwardedAttempt attempt, ByteBuf part) {
         part.release();
@@ -67,6 +68,8 @@
     /** Called when all parts that one read of the socket returned have been reported. */
     default void responseReadComplete(ForwardedAttempt attempt) {}
 
-    /** Called when a streamed response is complete and the attempt has left its connection. */
+    /**
+     * Called when a streamed response is complete and the attempt is detached from its connection.
+     */
     default void responseFinished(ForwardedAttempt attempt, HttpHeaders trailers) {}
 }
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -26,7 +26,7 @@
 
     /**
      * Time after a response during which its connection is not reused, in microseconds. A duplicate
-     * of the response may arrive this much later and would be read as the next response.
+     * of the response may arrive within this time and would be read as the next response.
      */
     public static final long REUSE_DELAY_MICROS = 20_000;
 
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Sets whether responses may be streamed from now on. If the setting changes, closes all idle
-     * connections, since their socket reads have the size for the previous setting.
+     * Sets whether responses may be streamed after this call. If the setting changes, closes all
+     * idle connections, because the size of their socket reads fits the previous setting.
      */
     public void setStreaming(boolean next) {
         if (streaming != next) {
@@ -112,14 +112,15 @@
         return added;
     }
 
-    /** Whether any endpoint is in service. */
+    /** Returns whether any endpoint is in service. */
     public boolean hasEndpointInService() {
         return endpoints.values().stream().anyMatch(PooledEndpoint::isInService);
     }
 
     /**
-     * Sends an attempt on the most recently used reusable connection, or on a new one once that is
-     * established. Reports the result to the listener, possibly during this call.
+     * Sends an attempt on the most recently used reusable connection. If there is none, opens a new
+     * connection and sends the attempt once that connection is established. Reports the result to
+     * the listener, possibly during this call.
      */
     public void send(ForwardedAttempt attempt) {
         PooledEndpoint endpoint = endpoints.get(attempt.endpointId);
@@ -139,9 +140,9 @@
     }
 
     /**
-     * Makes room for one more connection: at the limit, closes the connection that has been idle
-     * longest. Returns false if none is idle; the attempt is then not sent. The limit leaves
-     * descriptors for clients.
+     * Makes room for one more connection. At the limit, closes the connection that has been idle
+     * longest. Returns false if there is no idle connection; the attempt is then not sent. The
+     * limit leaves file descriptors for client connections.
      */
     private boolean makeRoomForConnection() {
         return connectionCount < maxConnections || closeOldestIdle();
@@ -212,7 +213,7 @@
                 connection);
     }
 
-    /** Called when a connection is closed; drops a removed endpoint without connections. */
+    /** Called when a connection is closed. Drops a removed endpoint after its last connection. */
     void connectionClosed(PooledEndpoint endpoint, UpstreamConnection connection) {
         connectionCount--;
         endpoint.connectionClosed(connection);
@@ -237,7 +238,7 @@
         }
     }
 
-    /** Detaches an attempt from its connection and returns the connection, or null if none. */
+    /** Detaches an attempt from its connection. Returns the connection; null if there is none. */
     UpstreamConnection release(ForwardedAttempt attempt) {
         UpstreamConnection connection = connectionsInUse.remove(attempt);
         if (connection != null && attempt.request.upload != null) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
@@ -17,10 +17,13 @@
         /** Listed as ready: attempts may be sent. */
         IN_SERVICE,
 
-        /** Listed, but not as ready: attempts in flight go on, no new one is sent. */
+        /** Listed, but not as ready: attempts in flight continue, and no new attempt is sent. */
         DRAINING,
 
-        /** No longer listed; dropped from the pool with its last connection. */
+        /**
+         * No longer listed, or listed as removed. Dropped from the pool after the last connection
+         * to the endpoint has closed.
+         */
         REMOVED
     }
 
@@ -53,7 +56,7 @@
         return listed.id();
     }
 
-    /** Whether the entry of an endpoint list describes this process at this address. */
+    /** Returns whether the entry of an endpoint list describes this process at this address. */
     boolean matches(EndpointList.Entry entry) {
         return entry.address().equals(address)
                 && entry.endpoint().startMicros() == listed.startMicros();
@@ -75,7 +78,7 @@
         leaveService(State.DRAINING);
     }
 
-    /** Called when the endpoint is no longer listed. */
+    /** Takes the endpoint out of service, because it is removed or replaced by another endpoint. */
     void remove() {
         leaveService(State.REMOVED);
     }
@@ -89,12 +92,12 @@
         }
     }
 
-    /** Whether a new attempt may be sent to the endpoint. */
+    /** Returns whether a new attempt may be sent to the endpoint. */
     boolean isInService() {
         return state == State.IN_SERVICE;
     }
 
-    /** Whether the endpoint is removed and has no connection left. */
+    /** Returns whether the endpoint is removed and has no connection left. */
     boolean isUnused() {
         return state == State.REMOVED && connectionCount == 0;
     }
@@ -112,14 +115,15 @@
         idle.addLast(connection);
     }
 
-    /** Returns the connection that has been idle longest, or null. */
+    /** Returns the connection that has been idle longest; null if no connection is idle. */
     UpstreamConnection oldestIdle() {
         return idle.peekFirst();
     }
 
     /**
-     * Removes and returns the most recently used of the idle connections that are still usable and
-     * have been idle for at least the reuse delay; drops those that turn out to be closed.
+     * Removes and returns the most recently used of the reusable idle connections. A connection is
+     * reusable if it has been idle for at least the reuse delay and is still open. Also removes the
+     * closed connections that the search finds.
      *
      * @return the connection, or null if there is none
      */
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -50,7 +50,7 @@
     private final HttpClientConnection connection;
     private State state = State.CONNECTING;
 
-    /** The attempt that waits for this connection or is carried by it, or null. */
+    /** The attempt that waits for this connection or is carried by it; null if there is none. */
     private ForwardedAttempt attempt;
 
     private long idleSinceMicros;
@@ -65,27 +65,27 @@
         connection = endpoint.pool().connect(endpoint, this);
     }
 
-    /** Sends an attempt; the caller has removed this connection from the idle ones. */
+    /** Sends an attempt. The caller has removed this connection from the idle connections. */
     void assign(ForwardedAttempt next) {
         enter(State.IN_USE);
         attempt = next;
         sendUnlessOutdated();
     }
 
-    /** Returns the time in microseconds for which this idle connection has been idle. */
+    /** Returns the duration, in microseconds, for which this idle connection has been idle. */
     long idleMicros(long nowMicros) {
         return nowMicros - idleSinceMicros;
     }
 
-    /** Returns when the connection became idle, in microseconds. */
+    /** Returns the time at which the connection became idle, in microseconds. */
     long idleSinceMicros() {
         return idleSinceMicros;
     }
 
     /**
      * Reads everything that has arrived, then returns whether this connection can carry another
-     * attempt; if not, the connection is closing. The caller has removed the connection from the
-     * idle ones.
+     * attempt. If it cannot, the connection is closing. The caller has removed the connection from
+     * the idle connections.
      */
     boolean isReusable() {
         if (connection.isReusable()) {
@@ -95,7 +95,7 @@
         return false;
     }
 
-    /** Closes the connection; no further events of an attempt on it are reported. */
+    /** Closes the connection. No further events of the attempt that it carries are reported. */
     void close() {
         attempt = null;
         enter(State.CLOSING);
@@ -104,10 +104,11 @@
 
     /**
      * Sends the attempt unless it is outdated. A connection may be established long after the
-     * decision to send the attempt. By then the request may be completed, its client disconnected,
-     * the timeout or the latest start of the attempt passed, or the endpoint draining. Nothing is
-     * sent to a draining endpoint, not even within a grace period: if the event loop is late, it is
-     * not known how long ago the endpoint began to drain.
+     * decision to send the attempt. Meanwhile, an attempt can become outdated in four ways: its
+     * request completes; the client disconnects; the deadline or the latest start of the attempt
+     * passes; the endpoint is no longer in service. Nothing is sent to a draining endpoint, not
+     * even within a grace period: if the event loop is late, it is not known how long ago the
+     * endpoint began to drain.
      */
     private void sendUnlessOutdated() {
         ForwardedAttempt checked = attempt;
@@ -145,7 +146,7 @@
         }
     }
 
-    /** Adds the connection to the idle ones, or closes it if its endpoint is not in service. */
+    /** Makes the connection idle. Closes it instead if its endpoint is not in service. */
     private void becomeIdle() {
         if (endpoint.isInService()) {
             attempt = null;
@@ -182,10 +183,10 @@
     }
 
     /**
-     * Ends the attempt with a collected response. Whatever may throw is done while the connection
-     * still carries the attempt, so that after an exception the close of the connection ends the
-     * attempt. A response that arrives before the request is written is not valid, unless it
-     * rejects an upload.
+     * Ends the attempt with a buffered response. All steps that may throw run while the connection
+     * still carries the attempt. After an exception, the close of the connection then ends the
+     * attempt. A response that arrives before the request is written is valid only if it rejects an
+     * upload.
      */
     @Override
     public void responseCollected(FullHttpResponse response, boolean clean) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
@@ -22,7 +22,9 @@
 
     private UpstreamRequests() {}
 
-    /** Returns the head of a request whose body is streamed, framed as the client framed it. */
+    /**
+     * Returns the head of a request whose body is streamed, with the framing that the client used.
+     */
     static HttpRequest streamedHead(ForwardedAttempt attempt, long nowMicros) {
         HttpHeaders headers = headers(attempt, nowMicros);
         if (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
@@ -49,7 +51,9 @@
                 new DefaultHttpHeaders());
     }
 
-    /** Returns the client's end-to-end headers, with the attempt's remaining time as timeout. */
+    /**
+     * Returns the client's end-to-end headers. The timeout is the remaining time of the attempt.
+     */
     private static HttpHeaders headers(ForwardedAttempt attempt, long nowMicros) {
         HttpHeaders headers = ProtocolHeaders.endToEnd(attempt.request.headers);
         long remainingMillis = (attempt.deadlineMicros - nowMicros) / MICROS_PER_MILLI;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
@@ -16,7 +16,7 @@
 
     private UpstreamResponses() {}
 
-    /** Returns the result of an attempt with this collected response, owned by the caller. */
+    /** Returns the result of an attempt with this buffered response, owned by the caller. */
     static AttemptResult result(FullHttpResponse response) {
         int status = response.status().code();
         if (status == HttpResponseStatus.OK.code()) {
@@ -31,15 +31,16 @@
     }
 
     /**
-     * Whether a response is valid although the upload has not been written completely: a server may
-     * reject or fail an upload before it has received all of it, but cannot have served it.
+     * Returns whether a response is valid although the upload has not been written completely. An
+     * endpoint may send an error response before it has received the whole upload, but cannot have
+     * served the request.
      */
     static boolean rejectsUpload(ForwardedAttempt attempt, FullHttpResponse response) {
         return attempt.request.upload != null
                 && response.status().code() >= HttpResponseStatus.BAD_REQUEST.code();
     }
 
-    /** Returns the load report in a response, or null. */
+    /** Returns the load report in a response; null if there is none. */
     static LoadReport loadReport(HttpResponse response) {
         return LoadReportReader.parse(response.headers().getAll(ProtocolHeaders.LOAD));
     }
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Back-pressure for one direction of a stream. Counts the bytes that have been received from the
- * source and not yet been written to the sink. At the high watermark the source is paused until the
- * count has dropped to the low watermark. A slow sink thus slows the source down, and the buffered
- * bytes are bounded however long the body is. Used on the event loop only.
+ * Applies back-pressure to one direction of a stream. Counts the bytes that have been received from
+ * the source and not yet been written to the sink. At the high watermark, the source is paused
+ * until the count has dropped to the low watermark. Thus a slow sink slows the source down, and the
+ * buffered bytes are bounded for bodies of any length. Used on the event loop only.
  */
 public final class FlowControl {
 
@@ -25,7 +25,7 @@
         /** The high watermark was reached, and the count is still above the low watermark. */
         PAUSED_BY_WATERMARK,
 
-        /** There is no sink, so the source is paused whatever the count is. */
+        /** There is no sink. The source is paused regardless of the count. */
         PAUSED_WITHOUT_SINK,
 
         /** The source has sent everything and is neither paused nor resumed any more. */
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Overhead that is counted for each part in addition to its bytes. Thereby the watermarks also
-     * limit the number of buffers of a peer that sends single bytes.
+     * Overhead that is counted for each part in addition to its bytes. With this overhead, the
+     * watermarks also limit the number of buffers if a peer sends single bytes.
      */
     private static final int PART_OVERHEAD_BYTES = 256;
 
@@ -46,10 +46,17 @@
     /** Accounted bytes of the parts that have been received and not yet been written. */
     private long pendingBytes;
 
-    /** Time of {@link System#nanoTime} when the source last sent, was paused or was resumed. */
+    /**
+     * Time at which the source last sent a part, was paused or was resumed, on the clock of {@link
+     * System#nanoTime}.
+     */
     private long sourceActiveNanos = System.nanoTime();
 
-    /** Time when the sink last took bytes, or when the first pending bytes arrived if later. */
+    /**
+     * Start of the time for which the sink has taken nothing, on the clock of {@link
+     * System#nanoTime}. Set whenever a write to the sink ends, and whenever a part arrives while no
+     * bytes are pending.
+     */
     private long sinkActiveNanos = sourceActiveNanos;
 
     /** Creates the flow control of a source that is being read. */
@@ -65,10 +72,10 @@
     }
 
     /**
-     * Copies the part if its backing buffer is much larger: a small slice of a socket read would
-     * otherwise keep the memory of the whole read allocated.
+     * Copies the part if its backing buffer is much larger than the part. Otherwise a small slice
+     * of a socket read would keep the memory of the whole read allocated.
      *
-     * @param part ownership passes to this method
+     * @param part a part of a body; ownership passes to this method
      * @return the part itself or a copy, owned by the caller
      */
     public static ByteBuf compact(ByteBuf part) {
@@ -143,13 +150,18 @@
         source.setReading(true);
     }
 
-    /** Whether the source is not paused and has sent nothing for longer than the stall limit. */
+    /**
+     * Returns whether the source is not paused and has sent nothing for longer than the read stall
+     * limit.
+     */
     public boolean isSourceStalled() {
         return state == State.READING
                 && millisSince(sourceActiveNanos) > settings.readStallMillis();
     }
 
-    /** Whether bytes are pending and none was written for longer than the write stall limit. */
+    /**
+     * Returns whether bytes are pending and none was written for longer than the write stall limit.
+     */
     public boolean isSinkStalled() {
         return pendingBytes > 0 && millisSince(sinkActiveNanos) > settings.writeStallMillis();
     }
--- a/sidecar/src/main/java/sagefall/streaming/ReplayBuffer.java
+++ b/sidecar/src/main/java/sagefall/streaming/ReplayBuffer.java
@@ -4,9 +4,9 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * A copy of the beginning of an upload, so that a retry can send the body to another endpoint from
- * its first byte. An upload that grows past the limit can no longer be replayed, and the copy is
- * dropped.
+ * A copy of the upload so far. With this copy, a retry can send the body to another endpoint from
+ * its first byte. When the upload exceeds the limit, the copy is dropped, and the upload can no
+ * longer be replayed.
  */
 final class ReplayBuffer {
 
@@ -20,7 +20,10 @@
         this.accounting = accounting;
     }
 
-    /** Copies a part, owned by the caller, unless the upload can no longer be replayed. */
+    /**
+     * Appends a copy of a part, which remains owned by the caller. Has no effect if the upload can
+     * no longer be replayed.
+     */
     void append(ByteBuf part) {
         if (replayable) {
             bytes.writeBytes(part, part.readerIndex(), part.readableBytes());
@@ -28,7 +31,7 @@
         }
     }
 
-    /** Whether the buffer holds any bytes. */
+    /** Returns whether the buffer holds any bytes. */
     boolean isReadable() {
         return bytes.isReadable();
     }
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -10,9 +10,9 @@
 
 /**
  * The body of a request that is forwarded from a client to an endpoint as it arrives. The beginning
- * of the body is kept in a {@link ReplayBuffer}. As long as no bytes beyond this beginning have
- * been forwarded, a retry can send the whole body to another endpoint. The client is read only
- * while an endpoint is attached. Used on the event loop only.
+ * of the body is kept in a {@link ReplayBuffer}. As long as the body has not exceeded the limit of
+ * this buffer, a retry can send the whole body to another endpoint. The client is read only while
+ * an endpoint is attached. Used on the event loop only.
  */
 public final class StreamedUpload {
 
@@ -43,10 +43,13 @@
     private State state = State.RECEIVING;
     private long receivedBytes;
 
-    /** The trailers of a complete body, which may be empty; null until the body is complete. */
+    /**
+     * Trailers that follow the body; empty if the client sent none. Null until the body is
+     * complete.
+     */
     private HttpHeaders trailers;
 
-    /** The channel to the endpoint of the attempt in flight, or null. */
+    /** The channel to the endpoint of the attempt in flight; null if no endpoint is attached. */
     private Channel sink;
 
     /** Runs when the last byte has been written to the sink. */
@@ -55,8 +58,8 @@
     /**
      * Creates an upload and pauses its source until an endpoint is attached.
      *
-     * @param maxBytes largest body that is accepted
-     * @param source the client
+     * @param maxBytes maximum length of the body, in bytes; {@link #receive} refuses a longer body
+     * @param source control that pauses and resumes reading from the client
      */
     public StreamedUpload(
             StreamingSettings settings,
@@ -74,7 +77,10 @@
         listener = next;
     }
 
-    /** Whether the last byte has been received from the client; unchanged by {@link #close}. */
+    /**
+     * Returns whether the last byte has been received from the client. {@link #close} does not
+     * change this value.
+     */
     public boolean isComplete() {
         return trailers != null;
     }
@@ -82,8 +88,8 @@
     /**
      * Buffers and forwards a part from the client.
      *
-     * @param part ownership passes to the upload
-     * @return false if the body is longer than is accepted; after {@link #close}, always true
+     * @param part a part of the body; ownership passes to the upload
+     * @return false if the body exceeds its maximum length; after {@link #close}, always true
      */
     public boolean receive(ByteBuf part) {
         receivedBytes += part.readableBytes();
@@ -127,8 +133,8 @@
     /**
      * Forwards everything that has been received, and further parts as they arrive, to an endpoint.
      *
-     * @param endpoint the channel to write to, to which the head of the request has been written
-     * @param lastWritten runs when the last byte has been written, unless the write fails
+     * @param endpoint the endpoint's channel, to which the head of the request has been written
+     * @param lastWritten task that runs when the last byte has been written, unless the write fails
      */
     public void attach(Channel endpoint, Runnable lastWritten) {
         sink = endpoint;
@@ -161,12 +167,18 @@
         replayBuffer.clear();
     }
 
-    /** Whether the client is being read but has sent nothing for longer than the stall limit. */
+    /**
+     * Returns whether the client is being read but has sent nothing for longer than the read stall
+     * limit.
+     */
     public boolean isClientStalled() {
         return state == State.RECEIVING && flow.isSourceStalled();
     }
 
-    /** Whether the endpoint has read nothing for longer than the write stall limit. */
+    /**
+     * Returns whether bytes are pending and the endpoint has taken none for longer than the write
+     * stall limit.
+     */
     public boolean isEndpointStalled() {
         return state != State.CLOSED && sink != null && flow.isSinkStalled();
     }
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -8,13 +8,15 @@
 import sagefall.config.ConfigSection;
 
 /**
- * The settings of the section {@code streaming}: which bodies are streamed, and how much they may
- * buffer. The bodies of a class that the section does not name are collected before they are
- * forwarded.
+ * The settings of the section {@code streaming} of the extensions file: which bodies are streamed,
+ * and how much they may buffer. The bodies of a request class that the section does not name are
+ * buffered completely before they are forwarded.
  *
- * @param classes bounds by the name of the request class
- * @param highWatermarkBytes pending bytes of one direction at which its source is paused
- * @param lowWatermarkBytes pending bytes at which a paused source is resumed
+ * @param classes bounds of each streamed request class, by the name of the request class
+ * @param highWatermarkBytes number of pending bytes in one direction at which the source of that
+ *     direction is paused
+ * @param lowWatermarkBytes number of pending bytes in one direction at which a paused source is
+ *     resumed
  * @param readStallMillis maximum time for which a source that is not paused may send nothing
  * @param writeStallMillis maximum time for which a sink with pending bytes may take nothing
  * @param replayBytes maximum length of an upload that can be replayed
@@ -40,7 +42,7 @@
      */
     public record Bounds(long maxRequestBytes, long maxResponseBytes) {}
 
-    /** The settings without the section: nothing is streamed. */
+    /** The settings if the section is absent: nothing is streamed. */
     public static final StreamingSettings OFF =
             new StreamingSettings(Map.of(), 0, 0, 0, 0, 0, 0, 0);
 
@@ -131,7 +133,10 @@
         return bounds;
     }
 
-    /** Rejects a buffer limit below the need of one upload or, without uploads, one response. */
+    /**
+     * Rejects a buffer limit that is too small for one stream. The stream is an upload if any
+     * request class streams uploads; otherwise it is a response.
+     */
     private void checkBufferHoldsOneStream(ConfigSection section) throws ConfigException {
         boolean uploads = classes.values().stream().anyMatch(b -> b.maxRequestBytes > 0);
         long minBytes = reservedBytes(uploads, !uploads);
@@ -142,20 +147,21 @@
         }
     }
 
-    /** Returns the bounds of the named class; both are 0 if the class is not streamed. */
+    /** Returns the bounds of the named request class; both are 0 if that class is not streamed. */
     public Bounds bounds(String requestClass) {
         return classes.getOrDefault(requestClass, NOT_STREAMED);
     }
 
-    /** Whether any class is streamed. */
+    /** Returns whether any request class is streamed. */
     public boolean isEnabled() {
         return !classes.isEmpty();
     }
 
     /**
-     * Returns the bytes that a request may buffer at once, which are reserved for it until it
-     * completes. Each streamed direction needs the high watermark, the read that exceeds it, and
-     * one read that is being decoded; an upload also needs its replay buffer.
+     * Returns the maximum number of bytes that a request may buffer at once. This number of bytes
+     * is reserved until the request completes. Each streamed direction needs the bytes of the high
+     * watermark, of the read that exceeds the high watermark, and of one read that is being
+     * decoded. An upload additionally needs its replay buffer.
      *
      * @param upload whether the body of the request is streamed
      * @param response whether the body of the response is streamed
