--- a/sidecar/src/main/java/sagefall/Main.java
+++ b/sidecar/src/main/java/sagefall/Main.java
@@ -3,7 +3,7 @@
 import sagefall.proxy.SidecarProcess;
 import sagefall.simulator.SimulatorAdapter;
 
-/** Starts a host of the balancer: the sidecar, or the adapter for the simulator. */
+/** Starts a host of the balancer: the sidecar or the simulator adapter. */
 public final class Main {
 
     private static final int EXIT_USAGE = 2;
--- a/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -15,7 +15,7 @@
 /**
  * Reads the balancer's settings, which have the same keys in the messages of the simulator and in
  * the configuration file of the sidecar. No other class knows these keys. An unknown key belongs to
- * a newer version and is ignored; an absent key has a default.
+ * a newer version and is ignored. An absent key has a default value.
  */
 public final class BalancerSettingsReader {
 
@@ -29,7 +29,8 @@
     /**
      * Converts the settings object.
      *
-     * @param seed seed of the instance, which is stored outside the settings object
+     * @param seed seed of all random draws of the balancer; the seed is stored outside the settings
+     *     object
      * @throws ConfigException if a value is unknown or out of range
      */
     public static BalancerSettings read(long seed, Map<?, ?> settings) throws ConfigException {
@@ -58,7 +59,9 @@
                 Json.longValue(settings, "tick_us", DEFAULT_TICK_MICROS));
     }
 
-    /** Returns a list of names; the position of a name is its index. */
+    /**
+     * Returns the strings of an array, for example the zone names. A name's position is its index.
+     */
     public static List<String> names(Map<?, ?> settings, String key) {
         List<String> names = new ArrayList<>();
         for (Object name : Json.arrayValue(settings, key)) {
--- a/sidecar/src/main/java/sagefall/config/ConfigException.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Signals a configuration that cannot be used. The message is a single line for the user; the parts
- * of the message have accessors.
+ * Signals a configuration that cannot be used. The message is a single line for the user. Accessors
+ * return the parts of the message.
  */
 public final class ConfigException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -54,7 +54,8 @@
     }
 
     /**
-     * Returns the file as named in the environment; null if the settings do not come from a file.
+     * Returns the path of the file as the environment variable names it; null if the settings do
+     * not come from a file.
      */
     public String file() {
         return file;
--- a/sidecar/src/main/java/sagefall/config/ConfigSection.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigSection.java
@@ -5,8 +5,9 @@
 import java.util.Set;
 
 /**
- * A section of the extensions file, read strictly: unlike the settings of the platform, the file is
- * written by hand, so an unknown key is an error rather than a key of a newer version.
+ * A section of the extensions file. Operators write this file by hand, so an unknown key is treated
+ * as an error. In the settings of the platform, by contrast, an unknown key belongs to a newer
+ * version and is ignored.
  */
 public final class ConfigSection {
 
@@ -25,7 +26,7 @@
         this.values = values;
     }
 
-    /** Returns an integer between two bounds, both inclusive; the default if the key is absent. */
+    /** Returns an integer, or the default if the key is absent. Both bounds are inclusive. */
     public long integer(String key, long defaultValue, long minimum, long maximum)
             throws ConfigException {
         readKeys.add(key);
@@ -62,7 +63,7 @@
         return values.containsKey(key);
     }
 
-    /** Returns a section inside this one; an empty one if the key is absent. */
+    /** Returns a nested section; an empty section if the key is absent. */
     public ConfigSection section(String key) throws ConfigException {
         readKeys.add(key);
         Object value = values.containsKey(key) ? values.get(key) : Map.of();
@@ -77,7 +78,7 @@
         return ConfigException.atPath(path + "." + key, reason);
     }
 
-    /** Rejects keys that have not been read; to be called when all known keys have been. */
+    /** Rejects keys that have not been read. Must be called after all known keys have been read. */
     public void rejectUnknownKeys() throws ConfigException {
         for (String key : keys()) {
             if (!readKeys.contains(key)) {
--- a/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
+++ b/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
@@ -8,17 +8,17 @@
  */
 record DescriptorBudget(int total) {
 
-    /** Minimum number of descriptors; with fewer, the shares are too small to be useful. */
+    /** Minimum total number of descriptors. A smaller total leaves too few connections. */
     static final int MINIMUM = 128;
 
-    /** Maximum number of descriptors that are used, however many the configuration allows. */
+    /** Maximum total number of descriptors, even if the configuration allows more. */
     static final int MAXIMUM = 65_536;
 
     /**
-     * Descriptors reserved for everything but the connections of clients and endpoints. The
-     * runtime, its files and the event loop use 11; the connection to discovery, a second one while
-     * discovery moves to another address, and the configuration file while it is read again bring
-     * this to 14.
+     * Number of descriptors reserved for everything except connections to clients and endpoints. At
+     * most 14 are in use at a time: 11 by the runtime, its files and the event loop; one by the
+     * connection to discovery; one by a second connection while discovery moves to another address;
+     * one by the configuration file while it is read again.
      */
     private static final int RESERVED = 24;
 
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Returns the maximum number of open requests, each of which occupies a client connection. If a
-     * whole third of the descriptors were occupied, further requests would be lost whatever their
-     * priority, so an eighth of that third is kept free for them.
+     * Returns the maximum number of open requests, each of which occupies a client connection. If
+     * open requests occupied a whole third of the descriptors, further requests would be lost
+     * whatever their priority. An eighth of that third is therefore kept free for further requests.
      */
     int maxOpenRequests() {
         return total / 3 / 8 * 7;
--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -29,12 +29,12 @@
     private static final String PERSISTENCE = "recovery";
     private static final String LEADER_ELECTION = "duties";
 
-    /** Everything disabled, as without the file. */
+    /** All features disabled; applies if there is no extensions file. */
     static final Extensions NONE =
             new Extensions(
                     StreamingSettings.OFF, PersistenceSettings.OFF, LeaderElectionSettings.OFF);
 
-    /** Reads the file, if the environment names one. */
+    /** Reads the file that the environment names; returns {@link #NONE} if it names none. */
     static Extensions read(Map<String, String> environment, List<RequestClass> classes)
             throws ConfigException {
         String file = environment.get(FILE_VARIABLE);
--- a/sidecar/src/main/java/sagefall/config/Json.java
+++ b/sidecar/src/main/java/sagefall/config/Json.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 
 /**
- * Reads JSON into plain maps and lists, for use in codecs only, and looks up values with a default
- * that applies if the value is absent or of another type. An integer is a {@link Long}, any other
- * number a {@link Double}.
+ * Reads JSON into plain maps and lists, for use in codecs only. The look-up methods return a
+ * default if the value is absent or of another type. An integer is a {@link Long}, any other number
+ * a {@link Double}.
  */
 public final class Json {
 
     private Json() {}
 
     /**
-     * Reads an object into a map; the parser has to be at the start of the object. The last value
-     * of a duplicate key replaces the others.
+     * Reads an object into a map. The parser must be at the start of the object. If a key occurs
+     * more than once, its last value is kept.
      */
     public static void readInto(JsonParser parser, Map<String, Object> object) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -32,7 +32,7 @@
     /**
      * Reads a document that holds one object and nothing else.
      *
-     * @throws IOException if the document is anything else, with a reason for the user
+     * @throws IOException if the document is not exactly one object; the message is for the user
      */
     public static Map<String, Object> parseDocument(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -73,12 +73,12 @@
         };
     }
 
-    /** Returns a number without its fraction; the default if there is none. */
+    /** Returns a number truncated to an integer; the default if the value is not a number. */
     public static long longValue(Map<?, ?> object, String key, long defaultValue) {
         return object.get(key) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    /** Returns a number; the default if there is none. */
+    /** Returns a number; the default if the value is not a number. */
     public static double doubleValue(Map<?, ?> object, String key, double defaultValue) {
         return object.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
     }
@@ -88,12 +88,12 @@
         return Boolean.TRUE.equals(object.get(key));
     }
 
-    /** Returns an object; an empty one if there is none. */
+    /** Returns an object; an empty object if the value is not an object. */
     public static Map<?, ?> objectValue(Map<?, ?> object, String key) {
         return object.get(key) instanceof Map<?, ?> inner ? inner : Map.of();
     }
 
-    /** Returns an array; an empty one if there is none. */
+    /** Returns an array; an empty array if the value is not an array. */
     public static List<?> arrayValue(Map<?, ?> object, String key) {
         return object.get(key) instanceof List<?> array ? array : List.of();
     }
--- a/sidecar/src/main/java/sagefall/config/LoadReportReader.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -6,15 +6,15 @@
 import sagefall.balancer.api.LoadReport;
 
 /**
- * Reads the load report of an endpoint, from an object or from a response header; both have the
- * same keys.
+ * Reads the load report of an endpoint from a JSON object or from a response header. Both forms use
+ * identical keys.
  */
 public final class LoadReportReader {
 
-    /** Prefix of the only supported format of the header; other formats begin with another word. */
+    /** Prefix of the only supported header format. Other formats begin with another word. */
     private static final String TEXT_FORM = "TEXT ";
 
-    /** Maximum plausible value; a higher one is an error of the sender. */
+    /** Maximum plausible value. A higher value is an error of the endpoint. */
     private static final double MAX_PLAUSIBLE = 1e6;
 
     private LoadReportReader() {}
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Returns the report of the first header that can be parsed, skipping malformed ones; null if
-     * there is none.
+     * Returns the report of the first header that can be parsed. Malformed headers are skipped.
+     * Returns null if no header can be parsed.
      */
     public static LoadReport parse(List<String> headers) {
         for (String header : headers) {
@@ -49,10 +49,11 @@
     }
 
     /**
-     * Parses a header such as {@code TEXT cpu=0.61, rps=140}; returns null if no field can be
-     * parsed. An endpoint may be of another version or faulty, so fields that are unknown, not
-     * numbers, negative or implausible are ignored: a value that is far too high would distort the
-     * mean of all endpoints for a long time, an infinite one permanently.
+     * Parses a header such as {@code TEXT cpu=0.61, rps=140}. Returns null if no field can be
+     * parsed. An endpoint may be of another version or faulty, so unknown fields are ignored, and
+     * so are values that are not numbers, negative or implausibly high. A value that is far too
+     * high would distort the mean of all endpoints for a long time. An infinite value would distort
+     * the mean permanently.
      */
     public static LoadReport parse(String header) {
         if (header == null || !header.startsWith(TEXT_FORM)) {
--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -11,14 +11,14 @@
 /**
  * The configuration of one sidecar. Immutable and thread-safe.
  *
- * @param name name of the sidecar, for stored data and leases
+ * @param name name of the sidecar in stored data and leases
  * @param listen address at which clients connect
  * @param discovery address of discovery
  * @param maxDescriptors maximum number of file descriptors that the process may have open
- * @param settings settings of the balancer, with the limits that apply to sockets
+ * @param settings settings of the balancer; the limits are adapted to sockets
  * @param connectTimeoutMicros maximum duration of the set-up of a connection to an endpoint
- * @param configuredEndpoints endpoint list of the configuration file, which may be outdated
- * @param endpointListCodec codec for endpoint lists under these settings
+ * @param configuredEndpoints endpoint list in the configuration file, which may be outdated
+ * @param endpointListCodec codec that uses the zone names and model names of the configuration
  * @param extensions optional features that the operators have enabled
  */
 public record SidecarConfig(
@@ -35,7 +35,7 @@
     private static final String FILE_VARIABLE = "LB_CONFIG";
 
     /**
-     * Reads the file that {@code LB_CONFIG} names and the one that {@code LB_EXTENSIONS} names.
+     * Reads the files that {@code LB_CONFIG} and {@code LB_EXTENSIONS} name.
      *
      * @throws ConfigException with a single line for the user
      */
@@ -74,7 +74,8 @@
     }
 
     /**
-     * Returns a copy with other endpoints, without polling of discovery and without extensions.
+     * Returns a copy with another endpoint list. The copy does not poll discovery and has no
+     * extensions.
      *
      * @param newMaxDescriptors maximum number of file descriptors
      * @param endpoints the endpoint list
@@ -95,7 +96,7 @@
     /**
      * Returns a copy of the settings with other limits.
      *
-     * @param pollsDiscovery whether discovery is polled in the copy
+     * @param pollsDiscovery whether a sidecar with the copied settings polls discovery
      */
     static BalancerSettings copy(
             BalancerSettings settings, ServiceLimits limits, boolean pollsDiscovery) {
--- a/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfigReader.java
@@ -11,8 +11,9 @@
 import sagefall.discovery.EndpointListCodec;
 
 /**
- * Reads the configuration file of the platform. No other class knows its keys, apart from those of
- * the balancer's settings, or which environment variable overrides which key.
+ * Reads the configuration file of the platform. Only this class knows the keys of the file and the
+ * environment variables that override them. {@link BalancerSettingsReader} knows the keys of the
+ * balancer's settings.
  */
 final class SidecarConfigReader {
 
@@ -90,11 +91,11 @@
     }
 
     /**
-     * Returns the settings with the limits that apply to sockets. Endpoints close connections after
-     * the configured idle timeout, and a request written to such a connection is lost, so the pool
-     * closes idle connections after two thirds of that time. A rejection may always carry a {@code
-     * Retry-After} header: the setting that forbids it applies only to the protocol of the
-     * simulator.
+     * Returns the settings with limits adapted to sockets. Endpoints close idle connections after
+     * the configured timeout, and a request written to a closed connection is lost. The pool
+     * therefore closes idle connections after two thirds of the timeout. A rejection may always
+     * carry a {@code Retry-After} header, because the setting that forbids the header applies only
+     * to the simulator's protocol.
      */
     private static BalancerSettings adaptToSockets(
             BalancerSettings settings, DescriptorBudget budget) {
--- a/sidecar/src/main/java/sagefall/config/SocketAddresses.java
+++ b/sidecar/src/main/java/sagefall/config/SocketAddresses.java
@@ -6,8 +6,9 @@
 import java.net.UnknownHostException;
 
 /**
- * Parses and formats socket addresses, {@code address:port}. Only literal addresses are supported,
- * no host names: the platform has no DNS, and a look-up would block the event loop.
+ * Parses and formats socket addresses of the form {@code address:port}. Only literal IP addresses
+ * are supported. Host names are not supported, because the platform has no DNS and a look-up would
+ * block the event loop.
  */
 public final class SocketAddresses {
 
@@ -19,8 +20,8 @@
     /**
      * Parses an address and a port.
      *
-     * @throws IllegalArgumentException if the text is neither an IPv4 nor an IPv6 literal with a
-     *     port; the message quotes it
+     * @throws IllegalArgumentException if the text is not an IPv4 or IPv6 literal with a port; the
+     *     message quotes the text
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -11,9 +11,9 @@
  *
  * <h2>Why a change is received within 6 s</h2>
  *
- * If a call is lost, the sidecar must know of the changes that the call would have reported within
- * 6 s after discovery stopped responding, or within 2 s after the end of the hold time, whichever
- * is later. In the worst case discovery stops responding at the start of a long poll:
+ * If a call is lost, the sidecar must receive the changes that the call would have reported before
+ * the later of two times: 6 s after discovery stopped responding; 2 s after the end of the hold
+ * time. In the worst case discovery stops responding at the start of a long poll:
  *
  * <ul>
  *   <li>An agent on the local machine responds at once. The loss is detected after 3 + 0.5 s (hold
@@ -25,12 +25,12 @@
  * </ul>
  *
  * <p>After any number of failed calls, the sidecar must know of a change within 6 s from the time
- * at which discovery has the change and is reachable. The call in flight at that time asks for no
- * hold. If that call and the next one are lost, the list arrives after 2 (0.5 + 0.15) s and the
- * time of one response from an agent, and after 2 (1.75 + 0.6) s and the time of one response from
- * a service. After SIGHUP, which may change the address of discovery, the sidecar must know of the
- * changes within 4 s: the new address is called at once, and if that call is lost, the list arrives
- * after 1.75 + 0.6 s and the time of one response.
+ * at which discovery has the change and is reachable. The call in flight at that time has the
+ * minimum hold time, because the previous call failed. If that call and the next one are lost, the
+ * list arrives after 2 (0.5 + 0.15) s plus the response time of an agent, or after 2 (1.75 + 0.6) s
+ * plus the response time of a shared service. After SIGHUP, which may change the address of
+ * discovery, the sidecar must know of the changes within 4 s. The new address is called at once. If
+ * that call is lost, the list arrives after 1.75 + 0.6 s plus the response time.
  *
  * <p>A pending long poll costs the service nothing, so a shorter hold time costs only the sidecar's
  * own processor time. Used on the event loop only.
@@ -38,37 +38,37 @@
 final class Backoff {
 
     /**
-     * Timeouts for an agent on the local machine, which responds at once, so that a lost call can
-     * be detected after a short response timeout.
+     * Timeouts for an agent on the local machine. An agent responds at once, so a short response
+     * timeout suffices to detect a lost call.
      */
     static final DiscoveryTimeouts AGENT_TIMEOUTS = new DiscoveryTimeouts(3_000, 500);
 
     /**
-     * Timeouts for a shared service, which serves its clients one after another, so that a response
-     * may be late.
+     * Timeouts for a shared service. The service serves its clients one after another, so a
+     * response may be late.
      */
     static final DiscoveryTimeouts SERVICE_TIMEOUTS = new DiscoveryTimeouts(1_000, 1_750);
 
     /**
-     * Hold time of the first call, and of the first call after a failure or a change of the
-     * address. The response is due at once, so a peer that does not respond is detected after the
-     * response timeout alone.
+     * Hold time in milliseconds of the first call, and of the first call after a failure or a
+     * change of the address. The response is due at once, so a peer that does not respond is
+     * detected after the response timeout alone.
      */
     private static final long FIRST_HOLD_MILLIS = 1;
 
     /**
-     * Pause after a response without changes that arrived within half of the hold time, so that a
-     * peer that does not hold its responses is not called in a tight loop. A watch continues only
-     * while each next call comes within 200 ms of the last response, so the pause must be shorter
-     * than that.
+     * Pause in milliseconds after a response without changes that arrived within half of the hold
+     * time. Without the pause, the sidecar would call a peer that does not hold its responses in a
+     * tight loop. A watch continues only if each call follows the last response within 200 ms, so
+     * the pause must be shorter than 200 ms.
      */
     private static final long EARLY_RESPONSE_PAUSE_MILLIS = 100;
 
     private final DiscoveryTimeouts timeouts;
 
     /**
-     * Whether the last call received a response, so that discovery may hold the next response until
-     * there is a change. False after {@link #reset}.
+     * Whether the last call received a response. If true, discovery may hold the response to the
+     * next call until there is a change. False after {@link #reset}.
      */
     private boolean lastCallSucceeded;
 
@@ -96,7 +96,8 @@
     /**
      * Returns the timeout of the current call, in milliseconds from its start.
      *
-     * @param completeList whether the call requests the complete list, which is never held
+     * @param completeList whether the call requests the complete list, which discovery returns
+     *     without holding the response
      */
     long callTimeoutMillis(boolean completeList) {
         return (completeList ? 0 : holdMillis) + timeouts.responseMillis();
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -7,14 +7,14 @@
 import sagefall.logging.LogLine;
 
 /**
- * Watches the endpoint list by long polls. A started watch continues until a call fails; then the
- * balancer restarts it. All methods must be called on the event loop.
+ * Watches the endpoint list by long polls. A started watch continues until a call fails. After a
+ * failure, the balancer restarts the watch. All methods must be called on the event loop.
  */
 public final class DiscoveryClient {
 
     /** Receives the results of the watch, always on the event loop. */
     public interface Listener {
-        /** Handles a complete endpoint list, or the changes to the last one. */
+        /** Handles a complete endpoint list, or the changes since the last reported list. */
         void onEndpointList(EndpointList list);
 
         /**
@@ -34,7 +34,7 @@
     private boolean closed;
 
     /**
-     * Creates a client that sends nothing before {@link #subscribe}.
+     * Creates a client. The client sends no call before {@link #subscribe}.
      *
      * @param revision revision of the list that the sidecar already has; the first call requests
      *     the changes since this revision
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Logs each failure, unless the previous call failed for an equal reason, and forwards all
-     * results to the listener.
+     * Forwards all results to the listener and logs failures. A failure is not logged if the
+     * previous call failed for an equal reason.
      */
     private final class FailureLogger implements Listener {
         private final Listener listener;
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryTimeouts.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryTimeouts.java
@@ -3,9 +3,9 @@
 /**
  * Timeouts of a call to discovery. {@link Backoff} explains the values.
  *
- * @param holdMillis how long discovery may hold the response until there is a change
- * @param responseMillis response timeout: how long after the hold time a call without a response
- *     fails
+ * @param holdMillis maximum time for which discovery holds the response until there is a change
+ * @param responseMillis response timeout: time after the end of the hold time at which a call
+ *     without a response fails
  */
 public record DiscoveryTimeouts(long holdMillis, long responseMillis) {
 
--- a/sidecar/src/main/java/sagefall/discovery/EndpointList.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointList.java
@@ -21,7 +21,7 @@
      * An endpoint and its socket address.
      *
      * @param endpoint the endpoint
-     * @param address where requests for the endpoint are sent
+     * @param address socket address to which requests for the endpoint are sent
      */
     public record Entry(ListedEndpoint endpoint, InetSocketAddress address) {}
 
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Returns the union of both lists as a complete list with the higher revision. Of an endpoint
-     * in both lists, the result contains the incarnation that started later; if the start times are
-     * equal, the result contains this list's entry.
+     * Returns the union of both lists as a complete list with the higher revision. If an endpoint
+     * is in both lists, the result contains the entry with the later start time. If the start times
+     * are equal, the result contains this list's entry.
      */
     public EndpointList mergedWith(EndpointList other) {
         Map<Long, Entry> merged = new LinkedHashMap<>();
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
@@ -12,9 +12,9 @@
 import sagefall.persistence.SnapshotEntry;
 
 /**
- * Converts endpoint lists from discovery's JSON form, and to and from the persisted form. Zones and
- * models are numbers in memory, namely indices into the lists of the settings, and names on the
- * wire and on disk, since the numbers change with the settings. Immutable and thread-safe.
+ * Converts endpoint lists from discovery's JSON form, and to and from the persisted form. In
+ * memory, zones and models are numbers: indices into the lists in the settings. On the wire and on
+ * disk they are names, because the numbers change with the settings. Immutable and thread-safe.
  */
 public final class EndpointListCodec {
 
@@ -49,7 +49,7 @@
     /**
      * Converts a list to the form in which it is persisted.
      *
-     * @param receivedAtMillis when the list was received, in Unix time
+     * @param receivedAtMillis Unix time at which the list was received, in milliseconds
      */
     public SnapshotChange toSnapshotChange(EndpointList list, long receivedAtMillis) {
         Map<Long, SnapshotEntry> entries = new LinkedHashMap<>();
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -26,8 +26,8 @@
     static final String REASON_CONNECTION_LOST = "connection lost";
 
     /**
-     * Maximum length in bytes of an endpoint list. Enough for over a thousand endpoints with long
-     * names in indented JSON; the bytes are in memory only while a list is parsed.
+     * Maximum length in bytes of an endpoint list. The bound allows over a thousand endpoints with
+     * long names in indented JSON. The bytes are in memory only while a list is parsed.
      */
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
@@ -41,7 +41,10 @@
          */
         String requestTarget();
 
-        /** Handles the response to the call; it is released after this method has returned. */
+        /**
+         * Handles the response to the call. The response is released after this method has
+         * returned.
+         */
         void onResponse(FullHttpResponse response);
 
         /** Handles the failure of the call, or the loss of the connection between two calls. */
@@ -56,7 +59,7 @@
     private boolean connected;
     private boolean closed;
 
-    /** Whether a response is being reported; the connection must not be read meanwhile. */
+    /** Whether a response is being reported. The connection must not be read while this is true. */
     private boolean reporting;
 
     /** Timer of the last call's timeout; null before the first call. */
--- a/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointWatch.java
@@ -45,7 +45,9 @@
      */
     private boolean completeListRequired;
 
-    /** The current connection; null if there is none, as between a failure and the next start. */
+    /**
+     * The current connection; null if there is none, for example between a failure and a restart.
+     */
     private EndpointPoll poll;
 
     /** Timer of the last pause before a call; null before the first pause. */
@@ -75,8 +77,8 @@
     }
 
     /**
-     * Makes the next request that is written request the complete list; a call that waits for its
-     * connection has not written its request yet.
+     * Makes the next written request ask for the complete list. This includes the request of a call
+     * that still waits for its connection.
      */
     void requireCompleteList() {
         completeListRequired = true;
--- a/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
@@ -11,33 +11,33 @@
 import sagefall.persistence.Storage;
 
 /**
- * A lease store in a directory that the processes of one machine share. The store uses no lock, so
- * a process that is suspended in the middle of an operation does not block the others.
+ * Stores a lease in a directory that the processes of one machine share. The store uses no lock, so
+ * a process that is suspended during an operation does not block the other processes.
  *
  * <ul>
  *   <li>Each term has a file, {@code term-N}. The term is granted to the first process that links a
- *       file under that name. After that, the file is written only on behalf of the term's leader,
- *       to extend or release the term. The file is on the disk before the leader acts under the
- *       term, so no term is granted twice.
+ *       file under that name. After that, only the term's leader writes the file, to extend or
+ *       release the term. The file is on the disk before the leader acts under the term, so no term
+ *       is granted twice.
  *   <li>A leader that renews writes the file of its term and then looks for a newer term. A process
  *       that takes over creates the file of the next term and then checks when the previous term
- *       expires. So either the former leader sees the newer term and stops, or the new leader sees
- *       the renewal and waits until the renewed term has expired.
- *   <li>A published value has a file for each term that wrote one; readers use the file of the
- *       greatest term. A former leader that resumes after a suspension may write the file of its
- *       own term, which is not read any more.
+ *       expires. Therefore one of two things happens: the former leader sees the newer term and
+ *       stops, or the new leader sees the renewal and waits until the renewed term has expired.
+ *   <li>A published value has one file for each term in which a leader published the value. Readers
+ *       use the file of the greatest term. A former leader that resumes after a suspension may
+ *       write the file of its own term. Readers ignore that file once a greater term has one.
  * </ul>
  *
  * <p>Expiry times refer to the machine's monotonic clock, which all processes of the machine share.
- * A grant from before the machine's last boot counts as expired. Not thread-safe: each thread needs
- * an instance of its own.
+ * A grant from before the machine's last boot is treated as expired. Not thread-safe: each thread
+ * needs its own instance.
  */
 public final class DirectoryLeaseStore implements LeaseStore {
 
     private static final String TERM_PREFIX = "term-";
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    /** Substitute for the boot id on systems that provide none. */
+    /** Boot id used on systems that provide no boot id. */
     private static final String UNKNOWN_BOOT_ID = "";
 
     private final LeaseDirectory directory;
@@ -157,7 +157,7 @@
             }
             long term = values.lastKey();
             byte[] body = directory.read(values.get(term));
-            // Null means that a process's cleanup has deleted the file, so a newer one exists.
+            // Null means that a cleanup has deleted the file, so the file of a newer term exists.
             if (body != null) {
                 return new FencedValue(term, body);
             }
@@ -175,7 +175,7 @@
                 return LeaseTerm.none(bootId);
             }
             LeaseTerm newest = readTerm(terms.lastKey());
-            // Null means that a process's cleanup has deleted the file, so a newer one exists.
+            // Null means that a cleanup has deleted the file, so the file of a newer term exists.
             if (newest != null) {
                 return newest;
             }
@@ -183,15 +183,17 @@
     }
 
     /**
-     * Reads a term again, since its leader may have renewed it, and returns the time until it
-     * expires; 0 if it has expired or has no file.
+     * Reads a term again, because its leader may have renewed it. Returns the time until the term
+     * expires, in nanoseconds; 0 if the term has expired or has no file.
      */
     private long remainingNanosAfterRenewal(LeaseTerm term) throws IOException {
         LeaseTerm renewed = term.number() == 0 ? term : readTerm(term.number());
         return renewed == null ? 0 : Math.max(0, remainingNanos(renewed));
     }
 
-    /** Returns the time until a term expires; 0 or less if it has expired. */
+    /**
+     * Returns the time until a term expires, in nanoseconds; 0 or negative if the term has expired.
+     */
     private long remainingNanos(LeaseTerm term) {
         boolean isOfCurrentBoot = term.bootId().equals(bootId);
         return isOfCurrentBoot ? term.expiresAtNanos() - nanoClock.getAsLong() : 0;
--- a/sidecar/src/main/java/sagefall/leaderelection/FencedValue.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/FencedValue.java
@@ -1,7 +1,7 @@
 package sagefall.leaderelection;
 
 /**
- * A value in the lease store and the fencing token that it was written with.
+ * A value in the lease store, with the fencing token of the write.
  *
  * @param term term of the leader that wrote the value
  * @param body bytes of the value
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElectionSettings.java
@@ -6,12 +6,12 @@
 import sagefall.persistence.PersistenceSettings;
 
 /**
- * Settings of the leader election among the sidecars of a machine: the section {@code duties} of
- * the extensions file. Without the section there is no election.
+ * Settings of the leader election among the sidecars of a machine, read from the section {@code
+ * duties} of the extensions file. A sidecar without the section takes no part in the election.
  *
  * @param directory directory that the sidecars share; null if this sidecar takes no part in the
  *     election
- * @param leaseMillis duration of a grant that is not renewed
+ * @param leaseMillis duration of the lease in milliseconds after each grant or renewal
  */
 public record LeaderElectionSettings(Path directory, long leaseMillis) {
 
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderElector.java
@@ -10,9 +10,9 @@
 import sagefall.persistence.StoredDataException;
 
 /**
- * Runs a {@link LeaseStateMachine} on a lease store and, while this process is leader, a {@link
- * LeaderTask}. Each elector has one thread for both, so that no client's request waits for the
- * store. All fields are confined to that thread.
+ * Runs a {@link LeaseStateMachine} on a lease store. While this process is leader, runs a {@link
+ * LeaderTask} as well. Each elector has one thread for both, so that no client's request waits for
+ * the store. All fields are confined to that thread.
  */
 public final class LeaderElector extends BackgroundWorker {
 
@@ -32,9 +32,9 @@
     /**
      * Starts the thread.
      *
-     * @param processName name that no other process has or ever had: it contains the sidecar's name
-     *     and the process's id and start time
-     * @param leaseMillis duration of a grant that is not renewed
+     * @param processName name that no other process has or ever had; consists of the sidecar's
+     *     name, the process id and the time at which the name was built
+     * @param leaseMillis duration of the lease in milliseconds after each grant or renewal
      * @param seed seed of the random delays before attempts to acquire the lease
      * @param logger receives the log lines, on the elector's thread
      */
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaderTask.java
@@ -15,10 +15,10 @@
     boolean isDue();
 
     /**
-     * Does the work. An implementation changes nothing outside the store and returns within a
-     * fraction of the lease.
+     * Does the work. Must change nothing outside the store and must return within a fraction of the
+     * lease duration.
      *
-     * @param term the leader's term, which is the fencing token of each write
+     * @param term the leader's term, used as the fencing token of each write
      * @return false if the store rejected a write because there is a newer term
      * @throws IOException if the store fails; the work is then retried
      */
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
@@ -9,9 +9,9 @@
 import sagefall.persistence.Storage;
 
 /**
- * Reads and writes the files in a lease's directory. The names of the files consist of a prefix and
- * a number, such as {@code term-3}. Several processes may use the directory at the same time; they
- * use different names for their temporary files.
+ * Reads and writes the files in the directory of a lease. A file name consists of a prefix and a
+ * number, such as {@code term-3}. Several processes may use the directory at the same time. The
+ * processes use different names for their temporary files.
  */
 final class LeaseDirectory {
 
@@ -66,15 +66,16 @@
         AtomicFile.write(storage, file, body, writerSuffix);
     }
 
-    /** Creates a file; returns false and changes nothing if the file already exists. */
+    /** Creates a file. Returns false and leaves the file unchanged if it already exists. */
     boolean createExclusively(String file, byte[] body) throws IOException {
         return AtomicFile.createExclusively(storage, file, body, writerSuffix);
     }
 
     /**
-     * Deletes the temporary files of processes that have exited, and the files with the prefix
-     * whose number is less than the newest one by more than {@link #MAX_PAST_TERMS}. A former
-     * leader may write a deleted file again, which has no effect because there is a newer one.
+     * Deletes the temporary files of processes that have exited, and old files with the prefix. A
+     * file is old if its number is less than {@code newest} by more than {@link #MAX_PAST_TERMS}. A
+     * former leader may write a deleted file again. This has no effect, because a file with a
+     * greater number exists.
      */
     void cleanUp(String prefix, long newest) throws IOException {
         for (String file : storage.list()) {
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
@@ -1,13 +1,13 @@
 package sagefall.leaderelection;
 
 /**
- * The newest grant of the lease, as the store returns it.
+ * The newest grant of the lease in the reply of the lease store.
  *
  * @param term term of the grant
  * @param leader name of the process that the lease was granted to; empty once the lease was
  *     released
- * @param remainingNanos time until the grant expires; 0 or less if the lease is free
- * @param waitNanos time until the new leader may act; greater than 0 only if the previous leader
- *     renewed its term while the new leader was acquiring the lease
+ * @param remainingNanos time until the grant expires; 0 or negative if the lease is free
+ * @param waitNanos time that a new leader must wait before it acts; positive only if the previous
+ *     leader renewed its term while the new leader was acquiring the lease
  */
 public record LeaseGrant(long term, String leader, long remainingNanos, long waitNanos) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -2,32 +2,35 @@
 
 /**
  * Decides when one process acquires the lease, renews it, and steps down as leader. The state
- * machine does no I/O: times and random numbers are passed in and requests to the store are
- * returned, so that production code and simulating tests run the same logic. Not thread-safe. All
- * times are nanoseconds on one monotonic clock.
+ * machine does no I/O. The host passes times and random numbers in and sends the returned requests
+ * to the store, so production code and simulating tests run identical logic. Not thread-safe. All
+ * times are in nanoseconds on one monotonic clock.
  *
- * <p>For the leader, its lease begins when it sends the request; for the store, the lease begins
- * when the store handles the request, which is later. The leader therefore stops acting at least
- * {@link LeaseTimings#marginNanos} before the lease expires in the store. A leader whose process
- * was paused for longer than {@link LeaseTimings#maxPauseNanos} does not act until it has renewed
- * the lease.
+ * <p>The leader counts the lease from the time at which it sent the request. The store counts the
+ * lease from the later time at which it handles the request. The leader therefore stops acting at
+ * least {@link LeaseTimings#marginNanos} before the lease expires in the store. A leader whose
+ * process was paused for longer than {@link LeaseTimings#maxPauseNanos} does not act until it has
+ * renewed the lease.
  */
 public final class LeaseStateMachine {
 
-    /** The role of this process in the election, as far as the process knows. */
+    /**
+     * The role of this process in the election. The role follows from the replies of the store, the
+     * pauses of the process and the expiry of the lease.
+     */
     private enum State {
         /** Another process is leader, or the newest grant has not been read yet. */
         FOLLOWER,
-        /** The lease was free at the last read; the next request acquires it. */
+        /** The lease was free at the last read. The next request acquires the lease. */
         CANDIDATE,
         /**
-         * The last read returned a grant to this process although it is not leader, for example
-         * because the reply to its acquire request was lost. A renewal must confirm the grant.
+         * The last read returned a grant to this process, although the process is not leader. An
+         * example is a lost reply to an acquire request. A renewal must confirm the grant.
          */
         UNCONFIRMED,
         /** Leader that may act. */
         LEADER,
-        /** Leader that was paused and has to renew the lease before it acts. */
+        /** Leader that was paused and must renew the lease before it acts. */
         LEADER_PAUSED
     }
 
@@ -35,19 +38,22 @@
     private final String processName;
     private State state = State.FOLLOWER;
 
-    /** Term of the last grant to this process that it received or read; 0 if there is none. */
+    /** Term of the last grant to this process that the process received or read; 0 if none. */
     private long term;
 
-    /** Time from which the leader may act. */
+    /** Earliest time at which the leader may act. */
     private long mayActFrom;
 
-    /** Time at which the leader steps down unless it has renewed the lease. */
+    /** Time at which the leader steps down unless it renews the lease first. */
     private long stepDownAt;
 
     /** Time at which the next request is due, unless the state requires a renewal at once. */
     private long nextRequestAt;
 
-    /** Time of the last call of {@link #stepDownIfExpired}; a long gap since then is a pause. */
+    /**
+     * Time of the last call of {@link #stepDownIfExpired}. If much time has passed since this call,
+     * the process was paused.
+     */
     private long lastRunningAt;
 
     /**
@@ -67,7 +73,10 @@
         return term;
     }
 
-    /** Returns whether this process is leader, including one that must renew before it acts. */
+    /**
+     * Returns whether this process is leader. A paused leader, which must renew the lease before it
+     * acts, is included.
+     */
     public boolean isLeader() {
         return state == State.LEADER || state == State.LEADER_PAUSED;
     }
@@ -85,7 +94,10 @@
         return now - lastRunningAt > timings.maxPauseNanos();
     }
 
-    /** Returns the latest time of the next {@link #stepDownIfExpired} and {@link #nextRequest}. */
+    /**
+     * Returns the time at which {@link #stepDownIfExpired} and {@link #nextRequest} must be called
+     * next at the latest.
+     */
     public long nextWakeAt() {
         return isLeader() ? Math.min(nextRequestAt, stepDownAt) : nextRequestAt;
     }
@@ -126,10 +138,10 @@
      * Handles the grant that the store returned for a request.
      *
      * @param sentAt time at which the request was sent
-     * @param randomFraction random number from 0 to 1 that determines how long a candidate waits
-     *     before it acquires a free lease: up to a third of a lease if the lease expired, up to a
-     *     poll interval if the lease was released
-     * @return true if this process has become leader or is no longer leader
+     * @param randomFraction random number from 0 to 1 that determines the delay before a candidate
+     *     acquires a free lease. The delay is at most a third of the lease duration if the lease
+     *     expired, and at most a poll interval if the lease was released
+     * @return true if this process has become leader or has ceased to be leader
      */
     public boolean onGrant(
             LeaseRequest request, long sentAt, long now, LeaseGrant grant, double randomFraction) {
@@ -179,7 +191,7 @@
 
     /**
      * Handles a request that failed or whose effect is unknown. A leader retries after a poll
-     * interval and stays leader until it must step down; any other process becomes a follower.
+     * interval and stays leader until it must step down. Any other process becomes a follower.
      */
     public void onFailure(long now) {
         if (!isLeader()) {
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStatus.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStatus.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The state of the lease.
+ * The newest grant of the lease and the history of its grants.
  *
  * @param grant the newest grant
- * @param past the grants whose terms the store still keeps, including the newest one, in ascending
- *     order of their terms
+ * @param past the grants that the store still keeps, including the newest one, in ascending order
+ *     of their terms
  */
 public record LeaseStatus(LeaseGrant grant, List<PastTerm> past) {}
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStore.java
@@ -6,8 +6,8 @@
  * Stores a lease and the values that its leaders publish.
  *
  * <p>The lease is granted to at most one process at a time, and the term increases with each grant.
- * Each value is stored with the term under which it was written; readers see the value of the
- * newest term. An operation that throws an exception may nevertheless have taken effect.
+ * Each value is stored with the term of its writer. Readers see the value of the newest term. An
+ * operation that throws an exception may nevertheless have taken effect.
  */
 public interface LeaseStore {
 
@@ -24,8 +24,8 @@
     LeaseGrant acquire(String candidate, long leaseNanos) throws IOException;
 
     /**
-     * Extends the lease to its full duration from now, if the term is the newest one and was
-     * granted to this leader.
+     * Renews the lease if the term is the newest one and was granted to this leader. The renewed
+     * lease expires after its full duration from now.
      *
      * @param leaseNanos full duration of the lease
      * @return the newest grant, which may be another process's
@@ -33,8 +33,8 @@
     LeaseGrant renew(String leader, long term, long leaseNanos) throws IOException;
 
     /**
-     * Releases the lease, so that another process can acquire it at once, if the term is the newest
-     * one and was granted to this leader.
+     * Releases the lease if the term is the newest one and was granted to this leader. Another
+     * process can then acquire the lease at once.
      */
     void release(String leader, long term) throws IOException;
 
@@ -45,6 +45,9 @@
      */
     boolean publish(long term, String name, byte[] body) throws IOException;
 
-    /** Returns the value of the newest term that has one, or null if there is no value. */
+    /**
+     * Returns the value that was published in the newest term; null if no value was published. A
+     * term without a published value is ignored.
+     */
     FencedValue read(String name) throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTerm.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTerm.java
@@ -1,20 +1,21 @@
 package sagefall.leaderelection;
 
 /**
- * A term of the lease, as its file stores it.
+ * One term of the lease. Each term has a file: the file's name contains the number of the term, and
+ * the file's body contains the other components.
  *
  * @param number number of the term; 0 if no term has been granted yet
- * @param leader name of the process that the term was granted to; empty once it was released
- * @param bootId id of the machine's boot that {@code expiresAtNanos} refers to
+ * @param leader name of the process that the term was granted to; empty if the term was released
+ * @param bootId id of the machine's boot to whose monotonic clock {@code expiresAtNanos} refers
  * @param expiresAtNanos time at which the term expires, on the machine's monotonic clock
- * @param grantedAtMillis time of the grant, in Unix time
+ * @param grantedAtMillis Unix time of the grant, in milliseconds
  */
 record LeaseTerm(
         long number, String leader, String bootId, long expiresAtNanos, long grantedAtMillis) {
 
     private static final String NO_LEADER = "";
 
-    /** Returns the placeholder that stands for the newest term while there is none. */
+    /** Returns a placeholder for the newest term, used if no term has been granted yet. */
     static LeaseTerm none(String bootId) {
         return new LeaseTerm(0, NO_LEADER, bootId, 0, 0);
     }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
@@ -5,10 +5,10 @@
 /**
  * Durations that govern a lease.
  *
- * @param leaseNanos duration of a grant that is not renewed
- * @param marginNanos time by which the leader stops acting before its lease expires
- * @param maxPauseNanos longest pause of the leader's process after which the leader may act without
- *     renewing its lease first
+ * @param leaseNanos duration of the lease after each grant or renewal
+ * @param marginNanos time between the end of the leader's actions and the expiry of its lease
+ * @param maxPauseNanos maximum pause of the leader's process that requires no renewal of the lease
+ *     before the next action
  * @param pollNanos interval between two reads of the newest grant
  */
 public record LeaseTimings(long leaseNanos, long marginNanos, long maxPauseNanos, long pollNanos) {
@@ -20,9 +20,9 @@
     private static final long LONGEST_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
-     * Returns durations that are fractions of the lease: a sixth as the margin, which covers a late
-     * step of the state machine and an action in progress; a sixth as the longest pause that
-     * requires no renewal; a thirtieth, at most 100 ms, as the poll interval.
+     * Returns durations that are fractions of the lease duration. The margin is a sixth; it covers
+     * a late step of the state machine and an action in progress. The maximum pause is a sixth. The
+     * poll interval is a thirtieth, but at most 100 ms.
      */
     public static LeaseTimings of(long leaseNanos) {
         return new LeaseTimings(
@@ -41,16 +41,16 @@
     }
 
     /**
-     * Returns the longest random delay before a candidate acquires an expired lease. The delays
-     * keep the candidates from sending their requests at the same time.
+     * Returns the maximum random delay before a candidate acquires an expired lease. The delays
+     * prevent the candidates from sending their requests at the same time.
      */
     long takeoverSpreadNanos() {
         return leaseNanos / RENEWALS_PER_LEASE;
     }
 
     /**
-     * Returns the longest time that the election thread sleeps: short enough for the thread to
-     * detect pauses of its own process.
+     * Returns the maximum time that the election thread sleeps. The time is short, so that the
+     * thread can detect pauses of its own process.
      */
     long longestSleepNanos() {
         return leaseNanos / POLLS_PER_LEASE;
--- a/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
@@ -6,18 +6,22 @@
 import sagefall.persistence.SnapshotChange;
 
 /**
- * The leader's task: publishes, for all sidecars of a machine, the endpoints that discovery
- * reported last. A sidecar that starts without a snapshot of its own reads from the published one
- * which endpoints not to use. It takes no additional endpoints from the published snapshot, since
- * the addresses in one sidecar's endpoint list differ from those in another's. The published
- * revision never decreases, even when the leader changes.
+ * Publishes the endpoints that discovery reported last, for all sidecars of a machine. This is the
+ * leader's task. A sidecar that starts without a snapshot of its own uses the published snapshot to
+ * exclude draining and removed endpoints from endpoint lists with a lower revision. The sidecar
+ * takes no additional endpoints from the published snapshot, because the addresses of endpoints
+ * differ between the endpoint lists of different sidecars. The published revision never decreases,
+ * even when the leader changes.
  *
  * <p>The event loop passes {@code pending} to the thread of {@link LeaderElector} under this
  * object's monitor; {@code snapshot} is confined to that thread.
  */
 public final class SharedEndpointSnapshot implements LeaderTask {
 
-    /** Name of the task in log lines, of its value in the lease store and of the snapshot. */
+    /**
+     * Name of the task in log lines, of the published value in the lease store, and of the
+     * snapshot.
+     */
     private static final String SNAPSHOT_NAME = "digest";
 
     private EndpointSnapshot snapshot = EndpointSnapshot.empty(SNAPSHOT_NAME);
@@ -40,7 +44,7 @@
         return pending != null;
     }
 
-    /** Returns the snapshot with the pending changes, which are then no longer pending. */
+    /** Applies the pending changes to the snapshot, clears them, and returns the snapshot. */
     private synchronized EndpointSnapshot applyPending() {
         if (pending != null) {
             snapshot = snapshot.with(pending);
--- a/sidecar/src/main/java/sagefall/leaderelection/package-info.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Elects one leader among the sidecars of a machine, by a lease in a directory that they share. The
- * leader does work on behalf of all these sidecars.
+ * Elects one leader among the sidecars of a machine. The election uses a lease in a directory that
+ * the sidecars share. The leader does work on behalf of all these sidecars.
  *
  * <p>{@link sagefall.leaderelection.LeaderElector} runs the election on its own thread. {@link
  * sagefall.leaderelection.LeaseStateMachine} decides when to acquire the lease, when to renew it
--- a/sidecar/src/main/java/sagefall/logging/LogEvent.java
+++ b/sidecar/src/main/java/sagefall/logging/LogEvent.java
@@ -2,15 +2,15 @@
 
 /**
  * The events that a sidecar logs. A log line starts with its level and the name of the event.
- * {@code docs/OPERATIONS.md} lists each name with its fields, its meaning and what an operator
- * should do; a test checks that the page and this enum match.
+ * {@code docs/OPERATIONS.md} lists each name with its fields, its meaning and the action that an
+ * operator should take. A test checks that the page and this enum match.
  */
 public enum LogEvent {
     /** The process accepts clients. */
     SIDECAR_STARTED("sidecar_started", LogLevel.INFO),
     /** A call to discovery failed. */
     DISCOVERY_CALL_FAILED("discovery_call_failed", LogLevel.WARN),
-    /** Discovery fails; the balancer continues with the endpoints that it has. */
+    /** Discovery fails. The balancer continues with its current endpoints. */
     DISCOVERY_UNAVAILABLE("discovery_unavailable", LogLevel.WARN),
     /** Requests are queued because no endpoint has capacity for them. */
     REQUEST_QUEUE_NOT_EMPTY("request_queue_not_empty", LogLevel.WARN),
@@ -19,24 +19,31 @@
     /** An ejected endpoint responds again and is back in rotation. */
     ENDPOINT_READMITTED("endpoint_readmitted", LogLevel.INFO),
     /**
-     * A request on an idle connection got no response: idle connections are avoided for a while.
+     * A request on an idle connection got no response. The balancer avoids idle connections for a
+     * while.
      */
     IDLE_CONNECTIONS_DISTRUSTED("idle_connections_distrusted", LogLevel.WARN),
     /** An internal error ended one request; other requests are not affected. */
     REQUEST_ABORTED("request_aborted", LogLevel.ERROR),
     /** An internal error occurred on a client connection; the connection is closed. */
     CLIENT_CONNECTION_FAILED("client_connection_failed", LogLevel.ERROR),
-    /** Reports, at shutdown, the maximum amount of data that all streams together buffered. */
+    /**
+     * The sidecar shuts down. The line reports the maximum amount of data that all streams together
+     * buffered.
+     */
     STREAM_BUFFERS_USED("stream_buffers_used", LogLevel.INFO),
     /** The state that an earlier incarnation had persisted was read at the start. */
     SNAPSHOT_RECOVERED("snapshot_recovered", LogLevel.INFO),
-    /** No persisted state was found, or persistence is new in this directory. */
+    /** The directory contains no persisted state, for example because persistence is new. */
     SNAPSHOT_ABSENT("snapshot_absent", LogLevel.INFO),
-    /** A persisted file could not be used; it was renamed so that its content is kept. */
+    /** A persisted file could not be used. The file was renamed to keep its content. */
     SNAPSHOT_SET_ASIDE("snapshot_set_aside", LogLevel.WARN),
     /** The directory is unresponsive or unusable: the sidecar runs without persistence. */
     PERSISTENCE_UNAVAILABLE("persistence_unavailable", LogLevel.ERROR),
-    /** A write failed; it is retried after a second, and with the next change. */
+    /**
+     * A write failed. The write is retried after a second or with the next change, if that is
+     * sooner.
+     */
     PERSISTENCE_WRITE_FAILED("persistence_write_failed", LogLevel.WARN),
     /** Writes succeed again after a failure. */
     PERSISTENCE_RESUMED("persistence_resumed", LogLevel.INFO),
@@ -58,7 +65,7 @@
     LEASE_RELEASED("lease_released", LogLevel.INFO),
     /** The lease store does not respond. */
     LEASE_STORE_UNAVAILABLE("lease_store_unavailable", LogLevel.WARN),
-    /** A write with this term's fencing token was rejected: another term has begun. */
+    /** The lease store rejected a write of this process because a newer term has begun. */
     FENCED_WRITE_REJECTED("fenced_write_rejected", LogLevel.WARN),
     /** The leader election thread ended with an error. */
     LEADER_ELECTION_STOPPED("leader_election_stopped", LogLevel.ERROR),
@@ -77,7 +84,8 @@
     }
 
     /**
-     * Returns the name of the event in the log, which stays as it is when the constant is renamed.
+     * Returns the name of the event in the log. The name does not change when the constant is
+     * renamed.
      */
     public String eventName() {
         return eventName;
--- a/sidecar/src/main/java/sagefall/logging/LogLevel.java
+++ b/sidecar/src/main/java/sagefall/logging/LogLevel.java
@@ -4,11 +4,10 @@
 public enum LogLevel {
     /** A normal event. */
     INFO,
-    /** Something failed or is limited; the sidecar continues by itself. */
+    /** A failure or limitation that the sidecar handles by itself. */
     WARN,
     /**
-     * Something failed that the sidecar does not recover from by itself, or a request was lost to a
-     * defect.
+     * A failure that the sidecar does not recover from by itself, or a request lost to a defect.
      */
     ERROR
 }
--- a/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
+++ b/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
@@ -4,12 +4,12 @@
 
 /**
  * Reads and atomically replaces small files of one record each. The new content is written to a
- * temporary file and forced to the disk; then the file is renamed and the directory forced, so that
- * a power loss leaves either the old content or the new one.
+ * temporary file and forced to the disk. Then the temporary file is renamed and the directory is
+ * forced. A power loss therefore leaves either the old content or the new content.
  */
 public final class AtomicFile {
 
-    /** Suffix of a temporary file's name, which may be followed by the suffix of a writer. */
+    /** Suffix of a temporary file's name. The suffix of a writer may follow. */
     public static final String TEMPORARY_SUFFIX = ".next";
 
     private AtomicFile() {}
@@ -40,7 +40,7 @@
      * Creates a file unless the file already exists. The file is durable once this method returns.
      *
      * @param writerSuffix suffix of the temporary name; must differ between concurrent writers
-     * @return false if the file already existed, which leaves it unchanged
+     * @return false if the file already existed; its content is then unchanged
      */
     public static boolean createExclusively(
             Storage storage, String file, byte[] body, String writerSuffix) throws IOException {
@@ -64,15 +64,18 @@
     /**
      * Reads the body of a file.
      *
-     * @return null if the file does not exist
-     * @throws StoredDataException if the file is corrupt, of a newer format or too large
+     * @return the body; null if the file does not exist
+     * @throws StoredDataException if the file is corrupt, has an unknown format version or is too
+     *     large
      */
     public static byte[] read(Storage storage, String file, long maxBytes) throws IOException {
         byte[] bytes = storage.read(file, maxBytes);
         return bytes == null ? null : bodyOf(file, bytes);
     }
 
-    /** Returns the body of a file with this content, which must be exactly one intact record. */
+    /**
+     * Returns the body of a file with this content. The content must be exactly one intact record.
+     */
     static byte[] bodyOf(String file, byte[] bytes) throws StoredDataException {
         RecordFormat.checkMagic(file, bytes);
         byte[] body = RecordFormat.bodyAt(bytes, RecordFormat.MAGIC.length);
--- a/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
+++ b/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs blocking work on a daemon thread outside the event loop. {@link #close} requests the thread
- * to exit, wakes it, and waits for a bounded time, so that a disk that does not respond cannot
- * delay the exit of the process.
+ * Runs blocking work on a daemon thread, outside the event loop. {@link #close} requests the thread
+ * to exit and wakes it. {@link #close} then waits at most half a second for the exit, so a disk
+ * that does not respond hardly delays the exit of the process.
  *
- * <p>This object's monitor guards the request to exit. Subclasses must use this monitor also to
- * guard data that other threads pass to the worker, so that the worker waits on one monitor for
- * data and for the request to exit.
+ * <p>This object's monitor guards the request to exit. Subclasses must use this monitor to guard
+ * data that other threads pass to the worker. The worker can then wait on one monitor for data and
+ * for the request to exit.
  */
 public abstract class BackgroundWorker implements AutoCloseable {
 
-    /** Maximum time for which {@link #close} waits for the thread to finish its work. */
+    /** Maximum time in milliseconds that {@link #close} waits for the thread to exit. */
     private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
     private final Thread thread;
@@ -21,7 +21,7 @@
     /** Whether the thread has been requested to exit. Guarded by this object's monitor. */
     private boolean closing;
 
-    /** Creates the thread; the subclass starts it once its own fields are set. */
+    /** Creates the thread. The subclass starts the thread after it has set its own fields. */
     protected BackgroundWorker(String threadName) {
         thread = new Thread(this::run, threadName);
         thread.setDaemon(true);
@@ -32,7 +32,7 @@
         thread.start();
     }
 
-    /** Does the thread's work; must return soon after {@link #isClosing} has become true. */
+    /** Does the thread's work. Must return soon after {@link #isClosing} has become true. */
     protected abstract void run();
 
     /** Returns whether the thread has been requested to exit; may be called on any thread. */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Waits for a duration, or until the worker is closed if that is sooner.
+     * Waits until the duration has passed or the thread is requested to exit.
      *
      * @param millis maximum duration of the wait; no wait if 0 or negative
      */
--- a/sidecar/src/main/java/sagefall/persistence/CborObject.java
+++ b/sidecar/src/main/java/sagefall/persistence/CborObject.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Decodes an object into its values by field name.
+     * Decodes an object into a map from field names to values.
      *
      * @param file name of the file that contains the body, for the error message
      * @throws StoredDataException with {@code CORRUPT} if the body is not one CBOR object
--- a/sidecar/src/main/java/sagefall/persistence/DirectoryStorage.java
+++ b/sidecar/src/main/java/sagefall/persistence/DirectoryStorage.java
@@ -23,7 +23,10 @@
 
     private static final String LOCK_FILE = "lock";
 
-    /** Exception messages of the JDK for ENOSPC and EDQUOT, which have no types of their own. */
+    /**
+     * Exception messages of the JDK for ENOSPC and EDQUOT. The JDK has no exception types for these
+     * errors.
+     */
     private static final Set<String> NO_SPACE_MESSAGES =
             Set.of("No space left on device", "Disk quota exceeded");
 
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -8,15 +8,15 @@
 import sagefall.balancer.api.EndpointPhase;
 
 /**
- * The state that a sidecar persists across restarts: its name, the number of its starts, and the
- * endpoints as discovery last reported them, including removed ones. Requests in flight are not
- * included: after a crash it is unknown which of them have run, so no later incarnation may send
- * one of them again. Immutable.
+ * The state that a sidecar persists across restarts: the sidecar's name, the number of its starts,
+ * and the endpoints as discovery last reported them, including removed endpoints. The snapshot does
+ * not include requests in flight. After a crash it is unknown which requests have run, so a later
+ * incarnation must not send them again. Immutable.
  *
  * @param name name of the sidecar
- * @param epoch number of the incarnation; increases with each start
- * @param revision revision of the newest endpoint list; later lists of discovery have a higher one
- * @param reportedAtMillis when discovery reported this revision, in Unix time
+ * @param epoch number of the incarnation; increases by one with each start
+ * @param revision revision of the newest endpoint list; later lists have higher revisions
+ * @param reportedAtMillis Unix time at which discovery reported this revision, in milliseconds
  * @param endpoints the endpoints by id; must not be modified
  */
 public record EndpointSnapshot(
@@ -27,12 +27,14 @@
         Map<Long, SnapshotEntry> endpoints) {
 
     /**
-     * Maximum number of removed endpoints in a snapshot. Those that have not been ready for the
-     * longest time are dropped first.
+     * Maximum number of removed endpoints in a snapshot. The endpoints that stopped being ready
+     * first are dropped first.
      */
     static final int MAX_REMOVED = 1024;
 
-    /** Returns the snapshot before the first start, which has no endpoints. */
+    /**
+     * Returns the snapshot that precedes the first start: its epoch is 0, and it has no endpoints.
+     */
     public static EndpointSnapshot empty(String name) {
         return withEpoch(name, 0);
     }
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -40,7 +40,8 @@
     /**
      * A snapshot and the generation of its file.
      *
-     * @param generation number of the snapshot file; the log with this number belongs to it
+     * @param generation number of the snapshot file; the log with this number contains the changes
+     *     since the snapshot
      */
     record StoredSnapshot(EndpointSnapshot snapshot, long generation) {}
 
--- a/sidecar/src/main/java/sagefall/persistence/LogReader.java
+++ b/sidecar/src/main/java/sagefall/persistence/LogReader.java
@@ -5,12 +5,12 @@
 
 /**
  * Reads the state that earlier incarnations have written: the snapshot, and the changes in the log
- * of its generation. {@link #read} may be called once. If it fails, the accessors return the values
- * found before the failure.
+ * of its generation. {@link #read} may be called once. If {@link #read} fails, the accessors return
+ * the values found before the failure.
  *
- * <p>If a record is bad, and a later intact record states that the file had been forced beyond the
- * start of the bad one, the log is corrupt. Otherwise the bad record and the bytes after it are a
- * tail that a power loss has torn; the tail is discarded.
+ * <p>A bad record has one of two causes. If a later intact record states that the file had been
+ * forced beyond the start of the bad record, the log is corrupt. Otherwise a power loss has torn
+ * the tail of the log, which starts with the bad record. The tail is discarded.
  */
 final class LogReader {
 
@@ -33,7 +33,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Returns the greatest generation of the files found; 0 if there are none. */
+    /** Returns the greatest generation of the stored files; 0 if there are no files. */
     long newestGeneration() {
         return newestGeneration;
     }
@@ -51,7 +51,7 @@
     /**
      * Reads the snapshot and the log.
      *
-     * @return an empty snapshot if there is no stored snapshot
+     * @return the recovered snapshot; an empty snapshot if none is stored
      * @throws StoredDataException if the stored data cannot be used
      * @throws IOException if the directory cannot be listed
      */
@@ -101,7 +101,7 @@
             return snapshot;
         }
         if (bytes.length <= FIRST_RECORD_OFFSET) {
-            // The log has no record yet, so its first bytes may not have been forced either.
+            // The log has no record yet, so a power loss may have truncated its magic bytes.
             discardedBytes = bytes.length < FIRST_RECORD_OFFSET ? bytes.length : 0;
             return snapshot;
         }
@@ -123,9 +123,9 @@
 
     /**
      * Returns whether an intact record after the bad one states that the file had been forced
-     * beyond the start of the bad one. The search is bounded, since bytes that look like the
-     * headers of many records would take too long to checksum. If the bound is reached, this method
-     * returns true, so that the file is treated as corrupt.
+     * beyond the start of the bad one. The search is bounded, because bytes may look like the
+     * headers of many records, which would take too long to checksum. If the bound is reached, the
+     * method returns true, so the file is treated as corrupt.
      */
     private static boolean wasForcedBeyond(byte[] bytes, int badOffset) {
         long budget = MAX_CHECKSUMMED_BYTES;
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -5,17 +5,17 @@
 import sagefall.config.ConfigSection;
 
 /**
- * Settings of the section {@code recovery} of the extensions file: where and how a sidecar persists
- * the endpoint list. Without the section, nothing is persisted.
+ * Settings of the section {@code recovery} of the extensions file. They determine where and how a
+ * sidecar persists the endpoint list. Without the section, nothing is persisted.
  *
  * @param directory directory for exclusive use by this sidecar; null if nothing is persisted
- * @param maxBytes maximum length of each file that is read, and of snapshot and log together; a
- *     snapshot replaces the log when the log would exceed half of this
- * @param maxAgeMillis maximum age of a snapshot that is used as an endpoint list; an older one only
- *     restricts other lists, so that draining and removed endpoints get no requests
- * @param forceEachChange whether each change is forced to the disk; otherwise only snapshots are,
- *     which include the epoch
- * @param clockOffsetMillis offset added to the wall clock, to test the effect of a wrong clock
+ * @param maxBytes maximum length in bytes of each file that is read, and of snapshot and log
+ *     together; a new snapshot replaces the log before the log exceeds half of this length
+ * @param maxAgeMillis maximum age of a snapshot that is used as an endpoint list; an older snapshot
+ *     is used only to exclude its draining and removed endpoints from lists with a lower revision
+ * @param forceEachChange whether each change is forced to the disk; if false, only snapshots are
+ *     forced, which contain the epoch
+ * @param clockOffsetMillis offset added to the wall clock; simulates a wrong clock in tests
  */
 public record PersistenceSettings(
         Path directory,
--- a/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
+++ b/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
@@ -6,23 +6,29 @@
 
 /**
  * The framing of all stored files: {@link #MAGIC}, followed by records. A record consists of a
- * header and a body. The header holds the body length, a CRC32C checksum, and the number of forced
- * bytes, which is how much of the file had been forced to the disk when the record was written. The
- * checksum covers the number of forced bytes and the body. All numbers are big endian.
+ * header and a body. The header contains the body length, a CRC32C checksum, and the number of
+ * forced bytes. The number of forced bytes is the length of the part of the file that had been
+ * forced to the disk before the record was written. The checksum covers the number of forced bytes
+ * and the body. All numbers are big endian.
  */
 final class RecordFormat {
 
-    /** First bytes of each file; the last of them is the version of the format. */
+    /** First bytes of each file. The last byte is the version of the format. */
     static final byte[] MAGIC = {'S', 'F', 'K', 'E', 'P', 'T', 0, 1};
 
-    /** Length of a record's header: body length (4), CRC32C (4), number of forced bytes (8). */
+    /**
+     * Length of a record's header in bytes: 4 for the body length, 4 for the CRC32C checksum and 8
+     * for the number of forced bytes.
+     */
     static final int HEADER_BYTES = 16;
 
     private static final int VERSION_OFFSET = MAGIC.length - 1;
     private static final int CHECKSUM_OFFSET = 4;
     private static final int FORCED_BYTES_OFFSET = 8;
 
-    /** Length of the part of the header that the checksum covers: the number of forced bytes. */
+    /**
+     * Length in bytes of the checksummed part of the header, which is the number of forced bytes.
+     */
     private static final int CHECKED_HEADER_BYTES = HEADER_BYTES - FORCED_BYTES_OFFSET;
 
     private RecordFormat() {}
@@ -42,7 +48,7 @@
     /**
      * Returns the bytes of a record with this body.
      *
-     * @param forcedBytes how many bytes of the file have been forced to the disk
+     * @param forcedBytes number of bytes of the file that have been forced to the disk
      */
     static byte[] encode(byte[] body, long forcedBytes) {
         ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + body.length);
@@ -78,7 +84,9 @@
         return ByteBuffer.wrap(bytes, offset, HEADER_BYTES).getInt();
     }
 
-    /** Returns the forced bytes in the header at this offset, without checking the record. */
+    /**
+     * Returns the number of forced bytes in the header at this offset, without checking the record.
+     */
     static long forcedBytesAt(byte[] bytes, int offset) {
         return ByteBuffer.wrap(bytes, offset, HEADER_BYTES).getLong(offset + FORCED_BYTES_OFFSET);
     }
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
@@ -8,7 +8,7 @@
  *
  * @param complete whether the change is a complete list
  * @param revision revision of the endpoint list after this change
- * @param reportedAtMillis when discovery reported the change, in Unix time
+ * @param reportedAtMillis Unix time at which discovery reported the change, in milliseconds
  * @param endpoints the endpoints by id; must not be modified
  */
 public record SnapshotChange(
@@ -17,7 +17,7 @@
         long reportedAtMillis,
         Map<Long, SnapshotEntry> endpoints) {
 
-    /** Returns one change that has the effect of applying this change and then the next one. */
+    /** Returns one change with the combined effect of this change followed by the next one. */
     public SnapshotChange then(SnapshotChange next) {
         if (next.complete) {
             return next;
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Returns the pending change followed by the next one, merged into one change.
+     * Returns one change with the combined effect of the pending change followed by the next one.
      *
      * @param pending change that is not yet written; null if there is none
      */
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotEntry.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotEntry.java
@@ -7,15 +7,15 @@
  *
  * @param id id of the endpoint, stable across restarts of the sidecar
  * @param address socket address as text
- * @param zone name of the zone, since its number depends on the settings
- * @param model name of the model, since its number depends on the settings
+ * @param zone name of the zone; zone numbers are not stored because they depend on the settings
+ * @param model name of the model; model numbers are not stored because they depend on the settings
  * @param cell number of the endpoint's cell
  * @param phase phase that was last reported
- * @param startMicros start of the endpoint's process in Unix time; 0 if the process started long
- *     ago
+ * @param startMicros Unix time at which the endpoint's process started, in microseconds; 0 if the
+ *     process started long ago
  * @param weight capacity relative to other endpoints
- * @param notReadySinceMillis when the endpoint was first reported as draining or removed, in Unix
- *     time; 0 while it is ready
+ * @param notReadySinceMillis Unix time at which the endpoint was first reported as draining or
+ *     removed, in milliseconds; 0 while the endpoint is ready
  */
 public record SnapshotEntry(
         long id,
@@ -30,11 +30,11 @@
 
     /**
      * Returns this entry with {@code notReadySinceMillis} set. The value is 0 if the endpoint is
-     * ready. If the previous entry has an equal start time and was not ready either, its value is
-     * kept. Otherwise the value is the time of this report.
+     * ready. If the previous entry has an equal start time and was draining or removed, the result
+     * keeps the previous entry's value. Otherwise the value is the time of this report.
      *
      * @param previous the previous entry of the endpoint; null if the endpoint is new
-     * @param nowMillis time of this report, in Unix time
+     * @param nowMillis Unix time of this report, in milliseconds
      */
     SnapshotEntry withNotReadySince(SnapshotEntry previous, long nowMillis) {
         return with(phase, computeNotReadySince(previous, nowMillis));
@@ -51,7 +51,10 @@
         return nowMillis;
     }
 
-    /** Returns this entry as removed, because a complete list no longer contains the endpoint. */
+    /**
+     * Returns this entry with the phase set to removed. Used if a complete list no longer contains
+     * the endpoint.
+     */
     SnapshotEntry asRemoved(long nowMillis) {
         return with(EndpointPhase.REMOVED, notReadySinceMillis).withNotReadySince(this, nowMillis);
     }
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -11,11 +11,11 @@
 
 /**
  * Persists the endpoint list that discovery reports, on a separate thread. Changes that arrive
- * while the disk is busy are merged into one, so that a stalled or full disk costs bounded memory
- * and delays no request. The first successful write after a failure is that of a new snapshot.
+ * while the disk is busy are merged into one change, so a stalled or full disk costs bounded memory
+ * and delays no request. The first successful write after a failure writes a new snapshot.
  *
- * <p>Only the worker thread uses the {@link WriteAheadLog}, and so the files. {@code pending} is
- * passed from the reporting thread to the worker under this object's monitor. {@code recovered} is
+ * <p>Only the worker thread uses the {@link WriteAheadLog} and its files. {@code pending} is passed
+ * from the reporting thread to the worker under this object's monitor. {@code recovered} is
  * completed once by the worker and read by the thread that starts the sidecar.
  */
 public final class SnapshotStore extends BackgroundWorker {
@@ -28,7 +28,9 @@
 
     private static final String THREAD_NAME = "persistence";
 
-    /** Delay before the retry of a failed write, unless another change arrives sooner. */
+    /**
+     * Delay in milliseconds before a failed write is retried. A new change causes an earlier retry.
+     */
     private static final long RETRY_DELAY_MILLIS = 1_000;
 
     private final PersistenceSettings settings;
@@ -41,7 +43,7 @@
     private SnapshotChange pending;
 
     /**
-     * Starts to open the directory on the worker thread; never waits for the disk.
+     * Starts the worker thread, which opens the directory. Does not wait for the disk.
      *
      * @param sidecarName name of this sidecar; stored data of another sidecar is set aside
      * @param logger receives log lines, on any thread
@@ -73,7 +75,8 @@
      * of this incarnation.
      *
      * @param timeoutMillis maximum duration of the wait
-     * @return null if the directory cannot be used or has not been read in time; this is logged
+     * @return the snapshot; null if the directory cannot be used or has not been read in time. Both
+     *     failures are logged
      */
     public EndpointSnapshot awaitRecovered(long timeoutMillis) throws InterruptedException {
         try {
@@ -92,7 +95,8 @@
 
     /**
      * Returns whether a recovered snapshot is recent enough to be used as an endpoint list. An
-     * older one only restricts other lists, so that draining and removed endpoints get no requests.
+     * older snapshot is used only to exclude its draining and removed endpoints from lists with a
+     * lower revision.
      */
     public boolean isFresh(EndpointSnapshot snapshot) {
         long ageMillis = settings.wallMillis() - snapshot.reportedAtMillis();
@@ -104,15 +108,15 @@
         return settings.wallMillis();
     }
 
-    /** Passes a change to the worker thread to be persisted; never waits for the disk. */
+    /** Passes a change to the worker thread, which persists it. Does not wait for the disk. */
     public synchronized void persist(SnapshotChange change) {
         pending = SnapshotChange.merge(pending, change);
         notifyAll();
     }
 
     /**
-     * Waits for the next change. After a failed write, waits until another change arrives or the
-     * retry is due, even if a change is already pending.
+     * Waits for a change and returns the pending changes merged into one. After a failed write,
+     * waits until another change arrives or the retry is due, even if a change is already pending.
      *
      * @param failing whether the last write failed
      * @return null if there is no change to write
@@ -171,10 +175,10 @@
     }
 
     /**
-     * Writes a change, or the whole snapshot if there is no change and the last write failed. Logs
-     * the first of several successive failures, and the first success after them.
+     * Writes a change. If there is no change and the last write failed, writes the whole snapshot.
+     * Logs the first of several successive failures and the first success after them.
      *
-     * @param change null if there is no change
+     * @param change change to write; null if there is none
      * @param failedBefore whether the last write failed
      * @return whether all changes up to now are written
      */
--- a/sidecar/src/main/java/sagefall/persistence/Storage.java
+++ b/sidecar/src/main/java/sagefall/persistence/Storage.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * File operations in one directory, as persistence and leader election need them. The interface
- * lets tests simulate a power loss at each call. The content of a file is durable only once the
- * file has been forced, and the name of a file only once the directory has been forced. Not
- * thread-safe.
+ * Provides the file operations in one directory that persistence and leader election need. Tests
+ * implement this interface to simulate a power loss at each call. The content of a file is durable
+ * only after the file has been forced. The name of a file is durable only after the directory has
+ * been forced. Not thread-safe.
  */
 public interface Storage extends Closeable {
 
@@ -22,7 +22,7 @@
          */
         void write(byte[] bytes) throws IOException;
 
-        /** Forces all written bytes to the disk; returns once they are durable. */
+        /** Forces all written bytes to the disk. The bytes are durable once this method returns. */
         void force() throws IOException;
     }
 
@@ -30,16 +30,17 @@
     List<String> list() throws IOException;
 
     /**
-     * Returns whether a file exists. Detects that an open file has been deleted, which writing
-     * cannot detect, since writing to a deleted file still succeeds.
+     * Returns whether a file exists. Used to detect that an open file has been deleted: writing
+     * cannot detect this, because writing to a deleted file still succeeds.
      */
     boolean exists(String file);
 
     /**
      * Returns the content of a file.
      *
-     * @return null if the file does not exist
-     * @throws StoredDataException with {@code TOO_LARGE} if the file is longer than the bound
+     * @return the content; null if the file does not exist
+     * @throws StoredDataException with {@code TOO_LARGE} if the file is longer than {@code
+     *     maxBytes}
      */
     byte[] read(String file, long maxBytes) throws IOException;
 
@@ -52,13 +53,15 @@
     /**
      * Adds a second name to a file.
      *
-     * @return false if a file with the second name already exists; nothing is changed then
+     * @return false if a file with the second name already exists; that file is then unchanged
      */
     boolean link(String from, String to) throws IOException;
 
     /** Deletes a file if it exists. */
     void delete(String file) throws IOException;
 
-    /** Forces the current names in the directory to the disk; returns once they are durable. */
+    /**
+     * Forces the names of the files to the disk. The names are durable once this method returns.
+     */
     void forceDirectory() throws IOException;
 }
--- a/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
+++ b/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
@@ -9,13 +9,15 @@
 
     /** Reasons why stored data cannot be used. */
     public enum Reason {
-        /** The content differs from what was written: a bad checksum, length, magic or field. */
+        /** The content is not valid: the magic, a length, the checksum or a field is wrong. */
         CORRUPT("corrupt"),
-        /** The data belongs to a sidecar of another name. */
+        /** The data belongs to a sidecar with another name. */
         FOREIGN("foreign"),
         /** The file has a format version that this program does not know. */
         NEWER_FORMAT("newer_format"),
-        /** The file is, or would become, longer than the configured bound. */
+        /**
+         * The length of the file exceeds the configured maximum, or would exceed it after a write.
+         */
         TOO_LARGE("too_large"),
         /** The directory is already locked, usually by another process. */
         LOCKED("locked"),
@@ -36,7 +38,9 @@
         }
     }
 
-    /** Value of the log field {@code reason} for any other error. */
+    /**
+     * Value of the log field {@code reason} for errors other than a {@link StoredDataException}.
+     */
     private static final String OTHER_ERROR = "io_error";
 
     private final String file;
@@ -83,7 +87,7 @@
                 null);
     }
 
-    /** Reports a file that is longer than the bound. */
+    /** Reports a file that is longer than the maximum. */
     static StoredDataException tooLarge(String file, long bytes, long maxBytes) {
         return new StoredDataException(
                 file,
--- a/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
+++ b/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
@@ -7,15 +7,14 @@
 import sagefall.logging.LogLine;
 
 /**
- * Writes the snapshot and the write-ahead log of one sidecar's endpoint list. A snapshot is written
- * to a temporary file and forced to the disk; then the file is renamed and the directory forced.
- * The name of a log contains the generation of its snapshot, so that a snapshot is never combined
- * with the log of another snapshot. Files that cannot be used (corrupt, of a newer format, of
- * another sidecar, too large) are detected by {@link LogReader} and set aside, and the sidecar
- * starts without them.
+ * Writes the snapshot and the write-ahead log of one sidecar's endpoint list. {@link AtomicFile}
+ * replaces the snapshot. The name of a log contains the generation of its snapshot, so a snapshot
+ * is never combined with the log of another snapshot. {@link LogReader} detects files that cannot
+ * be used: files that are corrupt or too large, have a newer format or belong to another sidecar.
+ * Such files are set aside, and the sidecar starts without them.
  *
- * <p>Each start writes a snapshot with the next epoch, so that nothing is ever appended to the log
- * of an earlier incarnation.
+ * <p>Each start writes a snapshot with the next epoch, so no incarnation appends to the log of an
+ * earlier one.
  *
  * <p>Not thread-safe; used only by the thread of {@link SnapshotStore}.
  */
@@ -40,10 +39,10 @@
     /** The snapshot including all appended changes. */
     private EndpointSnapshot state;
 
-    /** Number of the snapshot on the disk and of its log. */
+    /** Generation of the snapshot on the disk and of the snapshot's log. */
     private long generation;
 
-    /** The open log; null until the first change after a snapshot. */
+    /** The open log; null if no change has been appended since the last snapshot. */
     private Storage.Output log;
 
     /** Length of the open log in bytes. */
@@ -52,7 +51,9 @@
     /** Number of bytes of the open log that have been forced to the disk. */
     private long forcedBytes;
 
-    /** Whether the files may lack an appended change, so that a snapshot must be written next. */
+    /**
+     * Whether the files may lack an appended change. If true, the next write must be a snapshot.
+     */
     private boolean snapshotNeeded;
 
     private WriteAheadLog(Storage storage, long maxBytes, boolean forceEachChange) {
@@ -62,11 +63,11 @@
     }
 
     /**
-     * Reads the stored state and starts the next epoch, which is durable once this method returns.
-     * Logs one line if a torn log tail was discarded or files were set aside.
+     * Reads the stored state and starts the next epoch. The epoch is durable once this method
+     * returns. Logs one line if a torn log tail was discarded or files were set aside.
      *
-     * @param forceEachChange whether each change is forced to the disk; otherwise only snapshots
-     *     are
+     * @param forceEachChange whether each change is forced to the disk; if false, only snapshots
+     *     are forced
      */
     static WriteAheadLog open(
             Storage storage,
@@ -84,7 +85,8 @@
         } catch (StoredDataException e) {
             log.setFilesAside();
             logSetAside(e, logger);
-            // The epoch continues if it could be read; the reader ignores another sidecar's epoch.
+            // The epoch continues from the stored epoch if that could be read. The reader returns 0
+            // in place of another sidecar's epoch.
             recovered = EndpointSnapshot.withEpoch(sidecarName, reader.epoch());
         }
         log.generation = reader.newestGeneration();
@@ -117,12 +119,12 @@
     }
 
     /**
-     * Applies a change to {@link #state} and writes it to the log, or writes a snapshot if the log
-     * would become too long, has been deleted, or may be incomplete. With {@code forceEachChange}
-     * the change is durable once this method returns.
+     * Applies a change to {@link #state} and appends it to the log. If the log would become too
+     * long, has been deleted, or may be incomplete, writes a snapshot instead. With {@code
+     * forceEachChange} the change is durable once this method returns.
      *
-     * @throws IOException if the change could not be written; {@link #state} includes it
-     *     nevertheless, and the next call writes a snapshot
+     * @throws IOException if the change could not be written. {@link #state} nevertheless includes
+     *     the change, and the next call writes a snapshot
      */
     void append(SnapshotChange change) throws IOException {
         state = state.with(change);
@@ -153,8 +155,8 @@
     }
 
     /**
-     * Returns whether the open log with this record would exceed half of {@code maxBytes}; the
-     * other half is left for the snapshot. Returns false if no log is open.
+     * Returns whether appending a record with this body would make the open log longer than half of
+     * {@code maxBytes}. The other half is left for the snapshot. Returns false if no log is open.
      */
     private boolean logWouldBeTooLong(byte[] body) {
         long length = writtenBytes + RecordFormat.HEADER_BYTES + body.length;
@@ -211,8 +213,8 @@
     }
 
     /**
-     * Renames the snapshot and the logs to keep them for analysis, replacing files that were set
-     * aside earlier.
+     * Renames the snapshot and the logs to keep them for analysis. The renamed files replace files
+     * that were set aside earlier.
      */
     private void setFilesAside() throws IOException {
         for (String file : storage.list()) {
--- a/sidecar/src/main/java/sagefall/simulator/BatchReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/BatchReader.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 
 /**
- * Reads batches of messages. A batch is an object with a time and groups; a group has the name of
- * an instance and the messages for this instance. Each message is passed to the handler as it is
- * parsed, so that a batch is never held in memory as a whole.
+ * Reads batches of messages. A batch is a JSON object that contains a time and groups. A group
+ * contains the name of an instance and the messages for this instance. Each message is passed to
+ * the handler as soon as the parser reaches it, so a whole batch is never in memory.
  */
 final class BatchReader {
 
@@ -18,19 +18,19 @@
     /** Receives the contents of a batch. */
     interface Handler {
         /**
-         * Sets the instance that the following messages are for. Called with null at the start of
-         * each group, and again if the group names its instance.
+         * Sets the instance of the following messages. Called with null at the start of each group,
+         * and with the name when the group names its instance.
          *
-         * @param instance null if the group has not named an instance; a group needs no name if it
-         *     has only endpoint tables, which belong to the process
+         * @param instance name of the instance; null if the group has not named one. A group that
+         *     contains only endpoint tables needs no name, because the tables belong to the process
          */
         void onGroup(String instance) throws IOException;
 
         /**
          * Handles a message.
          *
-         * @param parser parser at the start of the message; must be at the end of the message when
-         *     this method returns
+         * @param parser parser at the start of the message. The method must leave the parser at the
+         *     end of the message
          */
         void onMessage(long nowMicros, JsonParser parser)
                 throws IOException, MalformedMessageException;
--- a/sidecar/src/main/java/sagefall/simulator/HostedBalancers.java
+++ b/sidecar/src/main/java/sagefall/simulator/HostedBalancers.java
@@ -14,12 +14,14 @@
 
 /**
  * Holds one balancer for each instance of the simulator, and the endpoint tables that all instances
- * share. Passes each message to the balancer of its instance; the balancers pass their actions to
- * the writer. Not thread-safe.
+ * share. Passes each message to the balancer of the message's instance. The balancers pass their
+ * actions to the writer. Not thread-safe.
  */
 final class HostedBalancers implements BatchReader.Handler, MessageReader.InstanceValidator {
 
-    /** Instance name for the writer in a group without an instance, which has no actions. */
+    /**
+     * Name that the writer gets for a group without an instance. Such a group causes no actions.
+     */
     private static final String NO_INSTANCE = "";
 
     private final MessageWriter writer;
@@ -33,7 +35,7 @@
     /** Instance of the group that is being read; null if the group has not named one. */
     private String instance;
 
-    /** Balancer of the current message; set by {@link #requireInstance}. */
+    /** Balancer of the current message's instance; set by {@link #requireInstance}. */
     private LoadBalancer balancer;
 
     HostedBalancers(MessageWriter writer) {
--- a/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
+++ b/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Reports an error whose reason is used as the exception message without a prefix: {@code
-     * unknown verdict 'x'}.
+     * Reports an error. The exception message is the reason without a prefix: {@code unknown
+     * verdict 'x'}.
      */
     static MalformedMessageException ofReason(String operation, String field, String reason) {
         return new MalformedMessageException(operation, field, reason, reason);
@@ -48,7 +48,7 @@
         return field;
     }
 
-    /** Returns what is wrong with the field or the operation. */
+    /** Returns the description of the error in the field or operation. */
     String reason() {
         return reason;
     }
--- a/sidecar/src/main/java/sagefall/simulator/MessageFields.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageFields.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import sagefall.config.Json;
 
-/** Gives access to the fields of a message with type checks. Reused for one message at a time. */
+/** Returns the fields of a message and checks their types. Holds one message at a time. */
 final class MessageFields {
 
-    /** Name that an error gives instead of the operation if the message has no operation. */
+    /** Placeholder for the operation in the error for a message without an operation. */
     private static final String UNKNOWN_OPERATION = "event";
 
     private final Map<String, Object> values = new HashMap<>();
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -24,12 +24,12 @@
     /** Number of endpoint tables that endpoint lists may refer to. */
     static final int TABLE_COUNT = 16;
 
-    /** Value of the key field of a request that has no key. */
+    /** Key of a request whose message has no key field. */
     private static final long NO_KEY = -1;
 
     /**
-     * Checks the instance that a message is for. The instance is checked before the message's
-     * fields, so that the error names the instance if both are wrong.
+     * Checks the instance of a message. The instance is checked before the message's fields, so if
+     * both are wrong, the error names the instance.
      */
     interface InstanceValidator {
         /** Throws an exception unless the group names an instance. */
--- a/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageWriter.java
@@ -7,9 +7,9 @@
 import sagefall.balancer.api.RejectionReason;
 
 /**
- * Writes the balancers' actions to the reply to a batch, in the order in which the actions are
- * called. Successive actions of one instance form a group; a group is written only if it has an
- * action. The protocol has no field for the reason of a rejection, so the reason is not written.
+ * Writes the balancers' actions to the reply to a batch, in the order of the method calls.
+ * Successive actions of one instance form a group. A group without actions is not written. The
+ * protocol has no field for the reason of a rejection, so the reason is not written.
  */
 final class MessageWriter implements BalancerActions {
 
@@ -25,7 +25,7 @@
         this.json = json;
     }
 
-    /** Writes the fields of an action that follow the operation. */
+    /** Writes the fields of an action except the operation. */
     private interface ActionFields {
         void write() throws IOException;
     }
--- a/sidecar/src/main/java/sagefall/simulator/SimulatorMessage.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorMessage.java
@@ -11,18 +11,18 @@
 sealed interface SimulatorMessage {
 
     /**
-     * Defines the endpoints of a table, which later endpoint lists refer to. Tables belong to the
-     * process and are shared by its instances.
+     * Defines the endpoints of a table. Later endpoint lists refer to the table by number. All
+     * instances of the process share the tables.
      */
     record PoolUpdate(int table, List<ListedEndpoint> endpoints) implements SimulatorMessage {}
 
-    /** Starts an instance, which replaces any instance with its name. */
+    /** Starts an instance. The new instance replaces a running instance that has an equal name. */
     record InstanceStart(BalancerSettings settings) implements SimulatorMessage {}
 
     /** Stops an instance and discards its state. */
     record InstanceStop() implements SimulatorMessage {}
 
-    /** Reports an endpoint list, which consists of the current content of a table. */
+    /** Reports an endpoint list. The list is the current content of the table. */
     record EndpointListUpdate(EndpointListKind kind, int table) implements SimulatorMessage {}
 
     /** Reports that a call to discovery failed. */
--- a/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
@@ -23,8 +23,8 @@
     private static final Pattern OWN_CLASS = Pattern.compile("\\bsagefall/[A-Za-z0-9_/$]+");
 
     /**
-     * A class list that names a missing class makes the sidecar start more slowly, but causes no
-     * error, so only this test detects it.
+     * A class list that names a missing class makes the sidecar start more slowly but causes no
+     * error, so only this test detects the missing class.
      */
     @Test
     void classListNamesOnlyClassesThatExist() throws IOException {
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void nodeListNamesFilesThatExist() {
+    void nodeListNamesOnlyFilesThatExist() {
         List<String> missing =
                 listed("node").stream().filter(f -> !Files.exists(ROOT.resolve(f))).toList();
         assertEquals(List.of(), missing);
--- a/sidecar/src/test/java/sagefall/architecture/DocumentationTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/DocumentationTest.java
@@ -30,8 +30,8 @@
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     /**
-     * Historical pages: they describe measurements and questions of earlier builds, with the names
-     * of that time. Their names are not checked, but their links are.
+     * Pages that describe measurements and questions of earlier builds, with the class names of
+     * that time. The test checks the links in these pages, but not the names.
      */
     private static final Set<String> HISTORICAL_PAGES =
             Set.of("docs/MEASURING.md", "docs/QUESTIONS.md");
@@ -71,7 +71,7 @@
             Pattern.compile("(?:docs|deploy|journal|sidecar|testbed|\\.ci)/[\\w./-]*");
     private static final Pattern BUILT_FILE = Pattern.compile("\\w+/target/.*");
 
-    /** Source files of both modules, by the simple name of their type. */
+    /** Source files of both modules by the simple name of the type that they declare. */
     private static final Map<String, List<Path>> TYPES = new HashMap<>();
 
     @BeforeAll
@@ -137,8 +137,8 @@
     }
 
     /**
-     * Tests the check itself: only a name that looks like one of this project and does not exist is
-     * reported as missing.
+     * Checks {@link #missingName}: a name is reported as missing only if it has the form of a name
+     * of this project and does not exist.
      */
     @ParameterizedTest
     @CsvSource({
@@ -165,7 +165,8 @@
     }
 
     /**
-     * Returns the code if it names something of this project that does not exist; null otherwise.
+     * Returns the code if it names a package, class, class member or file of this project that does
+     * not exist; null otherwise.
      */
     private static String missingName(String code) throws IOException {
         Matcher qualified = QUALIFIED.matcher(code);
@@ -220,7 +221,7 @@
         return false;
     }
 
-    /** Returns the inline code, and the type names in diagrams. */
+    /** Returns the pieces of inline code and the type names in diagrams. */
     private static List<String> codeIn(String text) {
         List<String> code = new ArrayList<>();
         Matcher fence = FENCE.matcher(text);
@@ -237,7 +238,7 @@
         return FENCE.matcher(text).replaceAll("");
     }
 
-    /** Returns the pages, relative to the root. */
+    /** Returns the paths of the pages, relative to the root of the repository. */
     private static List<String> pages() throws IOException {
         List<String> pages = new ArrayList<>(List.of("README.md", "CONTRIBUTING.md"));
         try (Stream<Path> files = Files.list(ROOT.resolve("docs"))) {
--- a/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -17,8 +17,8 @@
 import sagefall.proxy.SidecarHarness;
 
 /**
- * Tests the limits that follow from the configuration, and the error message for each configuration
- * that cannot be used.
+ * Checks the limits that are computed from the configuration, and the error message for each
+ * configuration that cannot be used.
  */
 class SidecarConfigTest {
 
--- a/sidecar/src/test/java/sagefall/discovery/BackoffTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/BackoffTest.java
@@ -5,12 +5,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Tests the hold time and the timeout of calls to discovery, and the pause between calls. */
+/** Checks the hold time and the timeout of calls to discovery, and the pause between calls. */
 class BackoffTest {
 
     private final Backoff backoff = new Backoff(new DiscoveryTimeouts(1_000, 1_750));
 
-    /** Current time; negative at first, since {@link System#nanoTime} may be negative. */
+    /**
+     * Current time in nanoseconds. The initial value is negative, because {@link System#nanoTime}
+     * may return a negative value.
+     */
     private long nowNanos = -5;
 
     private void advanceClock(long millis) {
@@ -18,7 +21,7 @@
     }
 
     @Test
-    void onlyCallAfterAResponseIsHeld() {
+    void holdTimeIsMinimalUnlessLastCallGotAResponse() {
         backoff.onCallStarted(nowNanos);
         assertEquals(1, backoff.holdMillis());
         assertEquals(1_751, backoff.callTimeoutMillis(false));
@@ -42,15 +45,15 @@
     @Test
     void earlyResponseWithoutChangesIsFollowedByAPause() {
         backoff.onCallStarted(nowNanos);
-        assertEquals(0, backoff.onResponse(false, nowNanos), "the first call is not held");
+        assertEquals(0, backoff.onResponse(false, nowNanos), "no pause after the first call");
         backoff.onCallStarted(nowNanos);
         advanceClock(499);
-        assertEquals(100, backoff.onResponse(false, nowNanos), "early");
+        assertEquals(100, backoff.onResponse(false, nowNanos), "early response without changes");
         backoff.onCallStarted(nowNanos);
         advanceClock(499);
-        assertEquals(0, backoff.onResponse(true, nowNanos), "with changes");
+        assertEquals(0, backoff.onResponse(true, nowNanos), "early response with changes");
         backoff.onCallStarted(nowNanos);
         advanceClock(500);
-        assertEquals(0, backoff.onResponse(false, nowNanos), "held for half of the hold time");
+        assertEquals(0, backoff.onResponse(false, nowNanos), "response after half the hold time");
     }
 }
--- a/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -14,12 +14,14 @@
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
 
-/** Tests the keys of discovery's JSON form and the errors for malformed lists. */
+/**
+ * Checks that each key of discovery's JSON form is parsed, and that malformed lists are rejected.
+ */
 class EndpointListCodecTest {
 
     /**
-     * Codec whose lists allow {@code indexOf(null)}, like the lists that the configuration reader
-     * creates.
+     * Codec under test. Its lists allow {@code indexOf(null)}, as the lists of the configuration
+     * reader do. {@code List.of} would throw an exception.
      */
     private final EndpointListCodec codec =
             new EndpointListCodec(Arrays.asList("north", "south"), Arrays.asList("small", "large"));
@@ -29,7 +31,7 @@
     }
 
     @Test
-    void everyKeyIsParsed() throws Exception {
+    void keysOfEndpointListAreParsedAndUnknownKeyIsIgnored() throws Exception {
         EndpointList list =
                 parse(
                         "{'rev':7,'all':false,'targets':[{'uid':'s-1','endpoint':'127.0.0.1:81',"
@@ -53,7 +55,7 @@
     }
 
     @Test
-    void stableIdsDoNotChangeBetweenVersions() {
+    void hashOfTextHasFixedValue() {
         assertEquals(0x4bf29ce484222325L, StableHash.of(""));
         assertEquals(0x2f63dc4c8601ec8cL, StableHash.of("a"));
     }
--- a/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
@@ -14,7 +14,10 @@
 import sagefall.persistence.LossyStorage;
 import sagefall.persistence.StoredDataException;
 
-/** Tests the files of a lease store after a power loss and with a damaged file. */
+/**
+ * Checks that a lease store grants no term twice after a power loss, and that a damaged file is
+ * reported.
+ */
 @Timeout(300)
 class DirectoryLeaseStoreTest {
 
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Acquires a term and uses it; returns the newest term that was granted, which is the previous
-     * one if the power is lost before the grant.
+     * Acquires a term and uses it. Returns the newest granted term, which is the previous term if
+     * the power is lost before the grant.
      */
     private static long useTerm(LossyStorage storage, int boot, long previousTerm)
             throws IOException {
@@ -71,7 +74,7 @@
             assertEquals(boot, store.read("x").body()[0]);
             store.release(leader, granted);
         } catch (LossyStorage.PowerLoss e) {
-            // The operation that the power loss interrupted may have taken effect or not.
+            // It is unknown whether the operation that the power loss interrupted took effect.
         }
         return granted;
     }
--- a/sidecar/src/test/java/sagefall/leaderelection/InterleavedStorage.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/InterleavedStorage.java
@@ -6,7 +6,7 @@
 import java.lang.reflect.Proxy;
 import sagefall.persistence.Storage;
 
-/** Wraps a storage so that a step, such as one of another process, runs before each call. */
+/** Wraps a storage so that a step runs before each call. The step may simulate another process. */
 final class InterleavedStorage {
 
     /** A step that runs before a call to the storage. */
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaderElectorTest.java
@@ -21,9 +21,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests leader election among several JVM processes. In each round the leader is suspended past its
- * lease and resumed, or killed, or terminated. The published values must show that each term has
- * one leader and that neither terms nor a term's actions go backwards.
+ * Checks the leader election among several JVM processes. Each round injects one fault into the
+ * leader: it is suspended until its lease has expired and then resumed, or it is killed, or it is
+ * terminated. The published values must show that each term has one leader, that terms never
+ * decrease, and that the action counts of a term never decrease.
  */
 @Timeout(600)
 class LeaderElectorTest {
@@ -36,7 +37,10 @@
     private static final String TASK = "test";
     private static final String ACTIONS = "actions";
 
-    /** A fault that a round injects into the leader: first each fault once, then random ones. */
+    /**
+     * A fault that a round injects into the leader. The first rounds inject each fault once; later
+     * rounds inject random faults.
+     */
     private enum Fault {
         STOP("STOP"),
         KILL("KILL"),
@@ -53,7 +57,10 @@
     private final SplittableRandom random = new SplittableRandom(5);
     private final Map<String, Process> processes = new HashMap<>();
 
-    /** The different published actions, in the order in which the test read them. */
+    /**
+     * The published actions in the order in which the test read them, without successive
+     * duplicates.
+     */
     private final List<String> publishedActions = new ArrayList<>();
 
     private Path directory;
@@ -167,7 +174,8 @@
                 fault, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - faultAt), LEASE_MILLIS);
         if (fault == Fault.STOP) {
             signal("CONT", process);
-            // Late writes of the former leader are recorded until it logs that it has stepped down.
+            // Records late writes of the former leader until that process logs that it has stepped
+            // down.
             awaitLogLine(processName, "WARN lease_lost task=test term=" + leader.term() + " ");
         } else {
             process.waitFor();
@@ -230,7 +238,10 @@
         }
     }
 
-    /** Asserts that each term has one leader and that terms and counts within a term never fall. */
+    /**
+     * Asserts that each term has one leader, and that terms and counts within a term never
+     * decrease.
+     */
     private void assertActionsInOrder() {
         Map<Long, String> leadersByTerm = new HashMap<>();
         long term = 0;
@@ -247,7 +258,8 @@
             term = nextTerm;
             count = nextCount;
         }
-        // Only two terms are required, since a leader may be killed before it publishes an action.
+        // The test requires actions of only two terms, because a leader may be killed before it
+        // publishes an action.
         assertTrue(
                 leadersByTerm.size() > 1, publishedActions.size() + " actions of " + leadersByTerm);
     }
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseCandidate.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseCandidate.java
@@ -17,16 +17,22 @@
     /** Grant that the store returned for the request; null before the store has returned one. */
     LeaseGrant grant;
 
-    /** Time until which no request of the process reaches the store. */
+    /** End of the period in which no request of the process reaches the store, in nanoseconds. */
     long disconnectedUntil;
 
-    /** Time until which the process is suspended. */
+    /** End of the period in which the process is suspended, in nanoseconds. */
     long suspendedUntil;
 
-    /** Term of the action that has begun but has not yet written its value; 0 if there is none. */
+    /**
+     * Term of the action that has begun but not yet written its value; 0 if there is no such
+     * action.
+     */
     long actingTerm;
 
-    /** Replaces the process with a new one, which the remaining faults of the old one affect. */
+    /**
+     * Replaces the process with a new one. Disconnections and suspensions that have not ended
+     * affect the new process.
+     */
     void restart(String newProcessName, DirectoryLeaseStore newStore, LeaseStateMachine newLease) {
         processName = newProcessName;
         store = newStore;
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
@@ -26,7 +26,7 @@
             List.of(new LeaseCandidate(), new LeaseCandidate(), new LeaseCandidate());
     private final LossyStorage storage = new LossyStorage(Long.MAX_VALUE, 1);
 
-    /** Candidates that are in the middle of a step and take no other step. */
+    /** Candidates whose current step has not ended; they take no other step meanwhile. */
     private final Set<LeaseCandidate> busy = new HashSet<>();
 
     private final Storage interleavedStorage = InterleavedStorage.around(storage, this::interleave);
@@ -45,8 +45,8 @@
      *
      * @param leaseNanos duration of the lease in the store
      * @param timings durations that the processes use
-     * @param isFenced whether writes that the store rejects have no effect; otherwise the model
-     *     counts them as accepted
+     * @param isFenced whether writes that the store rejects have no effect; if false, the model
+     *     treats them as accepted
      */
     LeaseModel(long seed, long leaseNanos, LeaseTimings timings, boolean isFenced) {
         random = new SplittableRandom(seed);
@@ -61,7 +61,9 @@
         return actions;
     }
 
-    /** Returns the number of accepted writes whose term was newer than all before. */
+    /**
+     * Returns the number of accepted writes whose term exceeded the terms of all earlier writes.
+     */
     int newTerms() {
         return newTerms;
     }
@@ -76,7 +78,10 @@
         return newestTerm;
     }
 
-    /** Returns access to the store for a reader that takes no part in the election. */
+    /**
+     * Returns a lease store on the model's storage that no simulated process uses. Tests use it to
+     * read the published value.
+     */
     LeaseStore observer() {
         return observer;
     }
@@ -97,7 +102,7 @@
         return violation;
     }
 
-    /** Before a storage call of a process, lets another process take a step, at random. */
+    /** Lets another process take a step at random. Called before each storage call of a process. */
     private void interleave() throws IOException {
         if (busy.size() < PROCESSES && random.nextInt(4) == 0) {
             step();
@@ -221,8 +226,8 @@
             rejections++;
         }
         if (isAccepted || !isFenced) {
-            // A write accepted during this one counts as either earlier or later, so the term is
-            // compared with the newest one from before this write.
+            // Another write may be accepted during this write. Both orders of the two writes are
+            // valid, so the term is compared with the newest term from before this write.
             if (term < newestBefore) {
                 violation = "term " + term + " wrote after term " + newestTerm;
             }
@@ -234,7 +239,9 @@
         }
     }
 
-    /** Runs without further faults; returns whether a process may act before the duration ends. */
+    /**
+     * Runs without further faults. Returns whether any process may act before the duration ends.
+     */
     boolean mayAnyCandidateActWithin(long nanos) throws IOException {
         // While all candidates are marked as busy, no steps are interleaved.
         busy.addAll(candidates);
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseStateMachineTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests the state machine and the lease store together, with random orders of steps in a {@link
- * LeaseModel}: the store must accept no write of an older term after one of a newer term.
+ * Checks the state machine and the lease store together, with random orders of steps in a {@link
+ * LeaseModel}. After a write of a newer term, the store must accept no write of an older term.
  */
 @Timeout(300)
 class LeaseStateMachineTest {
@@ -43,18 +43,20 @@
     }
 
     @Test
-    void modelFindsViolationWithoutMargin() throws IOException {
-        LeaseTimings withoutMargin =
+    void modelFindsViolationIfMarginIsNegative() throws IOException {
+        LeaseTimings withNegativeMargin =
                 new LeaseTimings(
                         LEASE_NANOS,
                         -LEASE_NANOS / 2,
                         TIMINGS.maxPauseNanos(),
                         TIMINGS.pollNanos());
-        assertNotNull(model(1, withoutMargin).run(STEPS), "no violation found without the margin");
+        assertNotNull(
+                model(1, withNegativeMargin).run(STEPS),
+                "no violation found with a negative margin");
     }
 
     @Test
-    void noViolationOccursWithMarginAndWithoutPauseDetection() throws IOException {
+    void marginPreventsViolationsIfPausesAreNotDetected() throws IOException {
         LeaseTimings withoutPauseDetection =
                 new LeaseTimings(
                         LEASE_NANOS, TIMINGS.marginNanos(), 100 * LEASE_NANOS, TIMINGS.pollNanos());
@@ -64,14 +66,14 @@
     }
 
     @Test
-    void modelFindsViolationWithoutFencingToken() throws IOException {
+    void modelFindsViolationIfRejectedWritesAreTreatedAsAccepted() throws IOException {
         LeaseModel unfenced = new LeaseModel(1, LEASE_NANOS, TIMINGS, !FENCED);
-        assertNotNull(unfenced.run(STEPS), "no violation found without the token check");
+        assertNotNull(unfenced.run(STEPS), "no violation found with rejected writes");
     }
 
     /**
-     * The takeover takes at most the rest of a lease, the random delay of up to a third of a lease,
-     * and some poll intervals.
+     * A takeover takes at most the remaining time of a lease, a random delay of up to a third of a
+     * lease, and some poll intervals. The 3000 ns cover the poll intervals.
      */
     @Test
     void leaderIsElectedWithinTakeoverTimeAfterFaultsEnd() throws IOException {
--- a/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/StoredDataCompatibilityTest.java
@@ -22,9 +22,9 @@
 import sagefall.persistence.SnapshotEntry;
 
 /**
- * Tests that the current build correctly reads a lease directory that the build of commit 732727c
- * wrote, and writes identical bytes. The README of the stored data describes how the directory was
- * created.
+ * Checks that this build can read a lease directory that the build of commit 732727c wrote, and
+ * that this build writes identical bytes. The README of the stored data describes how the directory
+ * was created.
  */
 class StoredDataCompatibilityTest {
 
@@ -103,9 +103,12 @@
                 DirectoryStorage.openShared(directory), () -> nowNanos, bootId, "1");
     }
 
-    /** Of the stored terms, 1 was released and has no leader, 2 has expired, and 3 is current. */
+    /**
+     * The directory contains three terms. Term 1 was released and has no leader. Term 2 has
+     * expired. Term 3 is current.
+     */
     @Test
-    void termsAndLeadersAreRead() throws IOException {
+    void statusContainsStoredTermsWithTheirLeaders() throws IOException {
         LeaseStatus status = store(BOOT_ID).status();
         assertEquals(new LeaseGrant(3, LEADER_3, LEASE_NANOS, 0), status.grant());
         assertEquals(
@@ -117,7 +120,7 @@
     }
 
     @Test
-    void snapshotOfGreatestTermIsRead() throws IOException {
+    void readReturnsSnapshotOfGreatestTermThatPublishedOne() throws IOException {
         assertEquals(
                 new PublishedSnapshot(SNAPSHOT, 2), SharedEndpointSnapshot.read(store(BOOT_ID)));
     }
@@ -143,7 +146,7 @@
     }
 
     @Test
-    void onlyNewestTermPublishes() throws IOException {
+    void publishIsRejectedUnlessTermIsTheNewest() throws IOException {
         byte[] body = EndpointSnapshotCodec.encode(SNAPSHOT, 2);
         assertFalse(store(BOOT_ID).publish(2, "digest", body));
         assertTrue(store(BOOT_ID).publish(3, "digest", body));
--- a/sidecar/src/test/java/sagefall/logging/LogEventCatalogueTest.java
+++ b/sidecar/src/test/java/sagefall/logging/LogEventCatalogueTest.java
@@ -29,7 +29,7 @@
     private static final Pattern FIELD = Pattern.compile("\\.with\\(\\s*\"([a-z_]+)\"");
     private static final Pattern CODE = Pattern.compile("`([a-z_]+)`");
 
-    /** A row of the table: the event and the columns after it. */
+    /** A row of the table: the event name and the columns after the event name. */
     private record Row(String event, List<String> columns) {}
 
     @Test
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Keys that the code composes, such as {@code known_revision}, are not found by this test. */
+    /** This test does not find keys that the code composes, such as {@code known_revision}. */
     @Test
     void tableContainsEachLoggedField() throws IOException {
         Set<String> written = new TreeSet<>();
--- a/sidecar/src/test/java/sagefall/logging/LogLineTest.java
+++ b/sidecar/src/test/java/sagefall/logging/LogLineTest.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Tests the format of log lines, which operators search and count. */
+/** Checks the format of log lines, because operators search and count log lines. */
 class LogLineTest {
 
     @Test
--- a/sidecar/src/test/java/sagefall/persistence/DirectoryStorageTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/DirectoryStorageTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests the reasons of the errors that {@link DirectoryStorage} reports. */
+/** Checks the reason and the file of each error that {@link DirectoryStorage} reports. */
 class DirectoryStorageTest {
 
     /** Linux device on which every write fails because there is no space. */
@@ -20,7 +20,7 @@
     @TempDir private Path directory;
 
     @Test
-    void openingDirectoryTwiceFailsAsLocked() throws IOException {
+    void openingLockedDirectoryFailsUntilItIsClosed() throws IOException {
         try (Storage first = DirectoryStorage.openExclusive(directory)) {
             StoredDataException error =
                     assertThrows(
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void readingFileOverTheBoundFailsAsTooLarge() throws IOException {
+    void readingFileLongerThanMaxBytesFailsAsTooLarge() throws IOException {
         Files.write(directory.resolve("state"), new byte[11]);
         try (Storage storage = DirectoryStorage.openShared(directory)) {
             assertEquals(11, storage.read("state", 11).length);
--- a/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import sagefall.balancer.api.EndpointPhase;
 
-/** Tests which draining and removed endpoints a snapshot keeps, and since when. */
+/**
+ * Checks that a snapshot keeps draining endpoints and a bounded number of removed endpoints, each
+ * with the time at which it was first reported as not ready.
+ */
 class EndpointSnapshotTest {
 
     private final EndpointSnapshot oneDraining =
@@ -16,7 +19,7 @@
                     .with(SnapshotChanges.draining(6, 3));
 
     @Test
-    void drainingEndpointIsKeptWithTheTimeOfItsReport() {
+    void drainingEndpointHasTheTimeOfItsReport() {
         assertEquals(6000, oneDraining.endpoints().get(3L).notReadySinceMillis());
     }
 
@@ -32,7 +35,7 @@
     }
 
     @Test
-    void onlyTheLatestRemovedEndpointsAreKept() {
+    void oldestRemovedEndpointsAreDroppedAboveTheMaximum() {
         SnapshotEntry ready = SnapshotChanges.entry(1, EndpointPhase.READY);
         EndpointSnapshot snapshot =
                 oneDraining.with(new SnapshotChange(true, 9, 9000, Map.of(1L, ready)));
@@ -43,6 +46,7 @@
                     snapshot.with(
                             new SnapshotChange(false, 10 + i, 10_000 + i, Map.of(id, removed)));
         }
+        // The snapshot also contains the one ready endpoint.
         assertEquals(EndpointSnapshot.MAX_REMOVED + 1, snapshot.endpoints().size());
         assertTrue(snapshot.endpoints().containsKey(3099L));
     }
--- a/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
+++ b/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
@@ -10,16 +10,17 @@
 import java.util.TreeMap;
 
 /**
- * Simulates in memory a directory that loses power at a given call. For each file and each name
- * independently, unforced data may survive, be lost, or be truncated at any byte. Only calls that
- * change the directory, or write or force a file, are counted.
+ * Simulates in memory a directory that loses power at a given call. The unforced bytes of a file
+ * may survive, be lost, or be truncated at any byte. An unforced change of a name may survive or be
+ * lost. Chance decides for each file and each name independently. Calls that change or force the
+ * directory or a file are counted; reading calls are not.
  */
 public final class LossyStorage implements Storage {
 
-    /** Mask that corrupts a byte, to simulate that the byte did not reach the disk. */
+    /** Mask that corrupts a byte. The corrupt byte simulates a byte that did not reach the disk. */
     private static final int HOLE_MASK = 0x5a;
 
-    /** On average, one in this many files with surviving unforced bytes has a corrupt one. */
+    /** Average number of files with surviving unforced bytes for each file with a corrupt byte. */
     private static final int FILES_PER_HOLE = 3;
 
     /** Thrown by the call during which the power is lost, and by all later calls. */
@@ -42,7 +43,7 @@
 
     private final Map<String, Content> files = new TreeMap<>();
 
-    /** The files by name as of the last force of the directory. */
+    /** The files by name at the time at which the directory was last forced. */
     private final Map<String, Content> forcedFiles = new TreeMap<>();
 
     private final SplittableRandom random;
@@ -74,8 +75,9 @@
     /**
      * Returns the directory as found after the power is restored.
      *
-     * @param nextCallsUntilLoss number of calls to the new directory before the next power loss
-     * @param seed seed of the new directory
+     * @param nextCallsUntilLoss number of counted calls to the new directory that succeed before
+     *     the next power loss
+     * @param seed seed of the random choice of the data that survives the next loss
      */
     public LossyStorage afterPowerLoss(long nextCallsUntilLoss, long seed) {
         LossyStorage next = new LossyStorage(nextCallsUntilLoss, seed);
@@ -83,7 +85,10 @@
         return next;
     }
 
-    /** Returns the files by name, where each unforced change of a name is randomly kept or lost. */
+    /**
+     * Returns the files by name after the loss. Each unforced change of a name is kept or lost at
+     * random.
+     */
     private Map<String, Content> survivingNames() {
         Map<String, Content> surviving = new TreeMap<>(forcedFiles);
         for (String file : forcedAndUnforcedNames()) {
@@ -105,15 +110,16 @@
     }
 
     /**
-     * Returns all forced bytes and a random number of the unforced bytes after them, of which one
-     * may be corrupt.
+     * Returns all forced bytes, followed by a random number of the unforced bytes. One of the
+     * unforced bytes may be corrupt.
      */
     private byte[] survivingBytes(Content content) {
         byte[] bytes = content.written.toByteArray();
         int unforced = bytes.length - content.forcedBytes;
         int survivingUnforced = unforced == 0 ? 0 : random.nextInt(unforced + 1);
         byte[] surviving = Arrays.copyOf(bytes, content.forcedBytes + survivingUnforced);
-        // Pages reach the disk in any order, so the surviving bytes may have a hole.
+        // The pages of a file reach the disk in any order, so the surviving unforced bytes may have
+        // a hole.
         boolean hasHole = random.nextInt(FILES_PER_HOLE) == 0;
         if (hasHole && survivingUnforced > 0) {
             int hole = content.forcedBytes + random.nextInt(survivingUnforced);
@@ -201,7 +207,7 @@
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            // The power may be lost during the write, so that a part of the bytes is written.
+            // If the power is lost during the write, a random number of the bytes is written.
             boolean powerIsLost = callsUntilLoss <= 0;
             int length = powerIsLost ? random.nextInt(bytes.length + 1) : bytes.length;
             content.written.write(bytes, 0, length);
--- a/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PersistenceSettingsTest.java
@@ -12,7 +12,7 @@
 import sagefall.config.ConfigSection;
 import sagefall.config.Json;
 
-/** Tests the defaults of the section {@code recovery} and the errors for invalid sections. */
+/** Checks the defaults of the section {@code recovery} and the errors for invalid sections. */
 class PersistenceSettingsTest {
 
     private static PersistenceSettings read(String singleQuoted) throws Exception {
--- a/sidecar/src/test/java/sagefall/persistence/PowerLossTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/PowerLossTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Timeout;
 import sagefall.logging.LogEvent;
 
-/** Tests that the state recovered after a power loss is one of the written states. */
+/** Checks that the state recovered after a power loss is one of the written states. */
 @Timeout(120)
 class PowerLossTest {
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** More storage calls than one incarnation makes. */
+    /** Upper bound on the number of storage calls that one incarnation makes. */
     private static final int MAX_CALLS = 40;
 
     private static final int CHANGES_PER_INCARNATION = 6;
@@ -28,12 +28,12 @@
 
     private final List<String> logLines = new ArrayList<>();
 
-    /** The state that several successive incarnations have written and recovered. */
+    /** Records the states that successive incarnations write, and checks each recovered state. */
     private static final class Expectation {
         final Map<Long, EndpointSnapshot> snapshotsByRevision = new HashMap<>();
         long epoch;
 
-        /** Last revision whose append has returned, so that it must not be lost any more. */
+        /** Last revision whose append has returned. This revision must survive a power loss. */
         long durableRevision;
 
         void check(EndpointSnapshot recovered) {
@@ -71,8 +71,8 @@
     /**
      * Runs three incarnations with up to two power losses.
      *
-     * @param firstLossAt number of calls before the first power loss
-     * @return how many incarnations lost power
+     * @param firstLossAt number of storage calls before the first power loss
+     * @return number of incarnations that lost power
      */
     private int runIncarnations(long firstLossAt, SplittableRandom random) throws IOException {
         LossyStorage storage = new LossyStorage(firstLossAt, random.nextLong());
@@ -90,9 +90,10 @@
     }
 
     /**
-     * Loses power at each call of one incarnation and at a random call of the next one, with twenty
-     * seeds each for the unforced data that survives. The recovered state must be exactly one
-     * written state, no appended change may be lost, and no epoch may be used twice.
+     * Loses power at each storage call of one incarnation and at a random call of the next one.
+     * Each combination runs with twenty seeds, which determine the unforced data that survives. The
+     * recovered state must equal one written state. No appended change may be lost. No epoch may be
+     * used twice.
      */
     @Test
     void powerLossAtAnyCallLeavesOneWrittenState() throws IOException {
@@ -102,7 +103,8 @@
                 losses += runIncarnations(lossAt, new SplittableRandom(1000L * seed + lossAt));
             }
         }
-        // On average, more than one loss in each of the 800 runs.
+        // There are 800 runs (20 seeds times 40 calls). The average number of losses in a run must
+        // exceed one.
         assertTrue(losses > 800, losses + " losses");
         String setAside = LogEvent.SNAPSHOT_SET_ASIDE.eventName();
         assertFalse(
--- a/sidecar/src/test/java/sagefall/persistence/ProcessKillTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/ProcessKillTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sagefall.logging.LogEvent;
 
-/** Tests that changes persisted by a process survive when the process is killed at any time. */
+/** Checks that changes persisted by a process survive if the process is killed at any time. */
 @Timeout(600)
 class ProcessKillTest {
 
@@ -67,7 +67,10 @@
                 .start();
     }
 
-    /** Kills the process after this many lines, then reads the rest of its output. */
+    /**
+     * Checks each line of the process's output. Kills the process after the given number of lines
+     * and then reads the remaining output.
+     */
     private void killAfterLines(int lines, Process process) throws IOException {
         int remaining = lines;
         try (BufferedReader out =
@@ -77,7 +80,8 @@
                 check(line);
                 remaining--;
                 if (remaining == 0) {
-                    // Process.destroyForcibly may close the streams, which must still be read.
+                    // Process.destroyForcibly may close the output stream, which must still be
+                    // read.
                     process.toHandle().destroyForcibly();
                 }
                 line = out.readLine();
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotFieldNamesTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotFieldNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.balancer.api.EndpointPhase;
 
-/** Tests the field names and phase numbers of stored snapshots and changes. */
+/** Checks the field names and phase numbers of stored snapshots and changes. */
 class SnapshotFieldNamesTest {
 
     private static final String FILE = "log-1";
@@ -106,8 +106,9 @@
         assertEquals(FILE, error.file());
     }
 
+    /** A new phase needs a stored number, which the other tests of this class must check. */
     @Test
-    void everyPhaseHasATestedNumber() {
+    void thereAreNoPhasesExceptReadyDrainingAndRemoved() {
         assertEquals(3, EndpointPhase.values().length);
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.balancer.api.EndpointPhase;
 
-/** Tests the thread that persists changes: while the disk fails, and when the store is closed. */
+/**
+ * Checks that {@link SnapshotStore} persists changes after the disk was slow, full or missing, that
+ * a locked directory is not used, and that a snapshot with a wrong age is not fresh.
+ */
 @Timeout(120)
 class SnapshotStoreTest {
 
@@ -57,7 +60,7 @@
         return WriteAheadLog.open(from, SIDECAR, MAX_BYTES, true, line -> {}).state();
     }
 
-    /** Returns the storage once the latch is released, like a disk that responds late. */
+    /** Waits for the latch and returns the storage. Simulates a disk that responds late. */
     private Storage openAfter(CountDownLatch opened) throws IOException {
         try {
             opened.await();
@@ -67,7 +70,7 @@
         return storage;
     }
 
-    /** A disk that does not respond does not block the host; changes are merged meanwhile. */
+    /** The host must not wait for a disk that does not respond. The pending changes are merged. */
     @Test
     void changesAreMergedWhileTheDiskDoesNotRespond() throws Exception {
         CountDownLatch opened = new CountDownLatch(1);
@@ -142,8 +145,8 @@
 
     @ParameterizedTest
     @CsvSource({"0, true", "-120000, false", "120000, false"})
-    void snapshotIsFreshOnlyIfTheClockIsRight(long clockOffsetMillis, boolean fresh)
-            throws Exception {
+    void snapshotIsNotFreshIfItsAgeIsNegativeOrAboveMaximum(
+            long clockOffsetMillis, boolean fresh) throws Exception {
         SnapshotChange change =
                 new SnapshotChange(true, 5, System.currentTimeMillis() - 1000, Map.of());
         EndpointSnapshot snapshot = EndpointSnapshot.empty(SIDECAR).with(change);
--- a/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/StoredDataCompatibilityTest.java
@@ -20,9 +20,9 @@
 import sagefall.balancer.api.EndpointPhase;
 
 /**
- * Tests that directories written by the build of commit 732727c for the section {@code recovery}
- * can still be read, and that this build writes identical bytes. The README beside the stored data
- * describes how the directories were created.
+ * Checks that this build can read directories that the build of commit 732727c wrote for the
+ * section {@code recovery}, and that this build writes identical bytes. The README beside the
+ * stored data describes how the directories were created.
  */
 class StoredDataCompatibilityTest {
 
@@ -236,7 +236,7 @@
                 Files.readAllBytes(directory.resolve(SNAPSHOT)));
     }
 
-    /** Repeats, in an empty directory, the two runs that the README describes. */
+    /** Repeats the two runs that the README describes, in an empty directory. */
     @Test
     void repeatedRunsWriteIdenticalBytes() throws Exception {
         try (WriteAheadLog first =
--- a/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/WriteAheadLogTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests recovery from torn and corrupt files, and the bound on the length of the files. */
+/** Checks the recovery from torn and corrupt files, and the bound on the length of the files. */
 @Timeout(120)
 class WriteAheadLogTest {
 
@@ -35,7 +35,9 @@
         return open(storage).state();
     }
 
-    /** Returns a storage with a snapshot of epoch 1 and a log of the revisions 5 to 7. */
+    /**
+     * Returns a storage that contains a snapshot of epoch 1 and a log with the revisions 5 to 7.
+     */
     private LossyStorage writtenStorage() throws IOException {
         LossyStorage storage = new LossyStorage(NEVER, 1);
         WriteAheadLog log = open(storage);
@@ -81,12 +83,16 @@
         assertEquals(0, recovered.revision());
         assertEquals(List.of(setAsideLine(file, reason, error)), logLines);
         assertTrue(hasFilesSetAside(storage));
-        // The epoch is lost only if the snapshot file, which contains it, is unusable.
+        // The snapshot file contains the epoch, so the epoch is lost only if the snapshot is
+        // unusable.
         assertEquals(file.equals("state") ? 1 : 2, recovered.epoch());
         assertEquals(recovered.epoch() + 1, reopen(storage).epoch());
     }
 
-    /** Sets a byte to the value of a digit; flips a bit if the replacement is not a digit. */
+    /**
+     * Changes one byte. If the replacement is a digit, the byte is set to the value of the digit;
+     * otherwise one bit of the byte is flipped.
+     */
     private static void changeByte(
             LossyStorage storage, String file, int offset, char replacement) {
         byte[] bytes = storage.get(file);
@@ -118,12 +124,13 @@
         assertEquals(
                 List.of(setAsideLine("state", "foreign", "state belongs to the sidecar 'n1'")),
                 logLines);
-        // Another sidecar's epoch is not continued.
+        // The epochs of sidecar n2 start at 1. They do not continue the stored epochs of sidecar
+        // n1.
         assertEquals(1, log.state().epoch());
     }
 
     @Test
-    void fileOverTheBoundIsSetAside() throws IOException {
+    void fileLongerThanMaxBytesIsSetAside() throws IOException {
         LossyStorage storage = writtenStorage();
         storage.put("state", new byte[MAX_BYTES + 1]);
         assertEquals(0, reopen(storage).revision());
@@ -136,7 +143,7 @@
                 logLines);
     }
 
-    /** Arbitrary corruption must be handled in bounded time and never be read as valid data. */
+    /** The reader must handle any corruption in bounded time and must not accept corrupt data. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void randomCorruptionIsNeverReadAsData(long seed) throws IOException {
@@ -154,7 +161,7 @@
         }
     }
 
-    /** Changes up to three bytes, and truncates or zero-extends one file in eight. */
+    /** Changes up to three bytes. On average, truncates or zero-extends one file in eight. */
     private static byte[] corrupted(byte[] bytes, SplittableRandom random) {
         for (int changes = random.nextInt(4); changes > 0; changes--) {
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
@@ -164,7 +171,7 @@
     }
 
     @Test
-    void snapshotReplacesLogBeforeFilesExceedTheBound() throws IOException {
+    void snapshotReplacesLogBeforeFilesExceedMaxBytes() throws IOException {
         LossyStorage storage = new LossyStorage(NEVER, 1);
         WriteAheadLog log = open(storage);
         for (int i = 1; i < 2000; i++) {
--- a/sidecar/src/test/java/sagefall/simulator/MessageReaderTest.java
+++ b/sidecar/src/test/java/sagefall/simulator/MessageReaderTest.java
@@ -17,7 +17,9 @@
 import sagefall.balancer.api.LoadReport;
 import sagefall.balancer.api.Request;
 
-/** Tests the names and values in each message of the protocol, and errors in messages. */
+/**
+ * Checks that each message of the protocol is decoded, and that malformed messages are rejected.
+ */
 class MessageReaderTest {
 
     /** Accepts any instance. */
@@ -51,7 +53,7 @@
     }
 
     @Test
-    void absentFieldsOfRequestHaveDefaults() throws Exception {
+    void absentOptionalFieldsOfRequestHaveDefaults() throws Exception {
         assertEquals(
                 new SimulatorMessage.RequestArrival(new Request("t", 1, 2, true, 3, 4, true)),
                 read(
--- a/sidecar/src/test/java/sagefall/simulator/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/sagefall/simulator/SimulatorAdapterTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests whole batches through standard input and output, and the errors for invalid input. */
+/**
+ * Runs the adapter on whole batches. Checks the replies, and the error messages for invalid input.
+ */
 class SimulatorAdapterTest {
 
     private static final String SETTINGS =
@@ -61,7 +63,7 @@
     }
 
     @Test
-    void requestIsSentToTheEndpointAndCompletes() {
+    void requestIsSentToListedEndpointAndSuccessCausesNoAction() {
         String out =
                 run(
                         START
@@ -83,7 +85,7 @@
     }
 
     @Test
-    void endpointTableIsReplacedWithinABatch() {
+    void requestIsSentToEndpointOfTableReplacedInTheBatch() {
         String out =
                 run(
                         START
@@ -99,7 +101,7 @@
     }
 
     @Test
-    void instanceMayRestartWithinABatch() {
+    void instanceCanBeStoppedAndStartedInOneBatch() {
         run(
                 START
                         + batch(
@@ -129,7 +131,7 @@
                         + "'facts':{}}]}]}"
                         + " | classes",
             })
-    void invalidInputIsReportedWithOneLine(String input, String message) {
+    void invalidInputCausesOneErrorLineAndNoReply(String input, String message) {
         String out = run(input);
         assertEquals(1, status);
         assertEquals("", out);
