--- a/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
@@ -145,8 +145,8 @@
 
     @ParameterizedTest
     @CsvSource({"0, true", "-120000, false", "120000, false"})
-    void snapshotIsNotFreshIfItsAgeIsNegativeOrAboveMaximum(
-            long clockOffsetMillis, boolean fresh) throws Exception {
+    void snapshotIsNotFreshIfItsAgeIsNegativeOrAboveMaximum(long clockOffsetMillis, boolean fresh)
+            throws Exception {
         SnapshotChange change =
                 new SnapshotChange(true, 5, System.currentTimeMillis() - 1000, Map.of());
         EndpointSnapshot snapshot = EndpointSnapshot.empty(SIDECAR).with(change);
