--- a/sidecar/src/test/java/sagefall/http/HttpClientConnectionTest.java
+++ b/sidecar/src/test/java/sagefall/http/HttpClientConnectionTest.java
@@ -28,18 +28,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests one connection against a server socket to which the tests write raw bytes. */
+/** Tests one client connection against a server that sends the raw bytes a test writes. */
 class HttpClientConnectionTest {
 
     private static final long CONNECT_TIMEOUT_MICROS = 5_000_000;
     private static final long EVENT_TIMEOUT_SECONDS = 20;
 
-    /** Time after which a test concludes that no further event is reported. */
+    /** Milliseconds without an event after which a test assumes that no further event follows. */
     private static final long QUIET_MILLIS = 100;
 
-    /** Streaming limit of a request whose response is collected. */
+    /** Value of {@code maxStreamedBytes} with which a response is buffered and not streamed. */
     private static final int NOT_STREAMED = 0;
 
+    /** Maximum bytes of a streamed response in tests that stream. */
     private static final int MAX_STREAMED_BYTES = 10;
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
@@ -221,14 +222,14 @@
         try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 200 OK\n\nok");
             assertNoFurtherEvent();
-            // Makes the close send a reset.
+            // With a linger time of 0, the close at the end of this block sends a reset.
             peer.setSoLinger(true, 0);
         }
         assertClosedOnce();
     }
 
     @Test
-    void interimResponsesAreSkipped() throws Exception {
+    void informationalResponsesAreSkipped() throws Exception {
         try (Socket peer = connectAndSendRequest(NOT_STREAMED)) {
             write(peer, "HTTP/1.1 103 Early Hints\n\nHTTP/1.1 200 OK\nContent-Length: 2\n\nok");
             assertEquals("collected ok clean=true", nextEvent());
@@ -267,7 +268,7 @@
     }
 
     @Test
-    void responseWithAnotherStatusThan200IsCollectedAndNotStreamed() throws Exception {
+    void responseWithAStatusOtherThan200IsBufferedInsteadOfStreamed() throws Exception {
         try (Socket peer = connectAndSendRequest(MAX_STREAMED_BYTES)) {
             write(peer, "HTTP/1.1 503 No\nContent-Length: 2\n\nno");
             assertEquals("collected no clean=true", nextEvent());
--- a/sidecar/src/test/java/sagefall/http/HttpConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/http/HttpConnectionStateTest.java
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void onlyTheListedTransitionsExist(HttpConnectionState state) {
+    void transitionsOutsideTheTableAreRejected(HttpConnectionState state) {
         for (HttpConnectionState next : HttpConnectionState.values()) {
             assertEquals(
                     SUCCESSORS.get(state).contains(next),
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void stateHasAResponseFromItsBeginningUntilItsEndIsReported() {
+    void hasResponseIsTrueFromTheStartOfAResponseUntilItsEndIsReported() {
         assertFalse(HttpConnectionState.AWAITING_RESPONSE.hasResponse());
         assertTrue(HttpConnectionState.STREAMING_RESPONSE.hasResponse());
         assertTrue(HttpConnectionState.RESPONSE_STREAMED.hasResponse());
--- a/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
+++ b/sidecar/src/test/java/sagefall/proxy/HttpMessages.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads HTTP/1.1 messages of a known length, as the sidecar writes them. */
+/** Reads HTTP/1.1 messages with a {@code Content-Length} or without a body. */
 final class HttpMessages {
 
     private HttpMessages() {}
@@ -16,8 +16,10 @@
      * An HTTP message whose length is known.
      *
      * @param startLine the request or status line
-     * @param headers headers by case-insensitive name; of a repeated header only the last value
-     * @param body one character for each byte; empty if there is no {@code Content-Length}
+     * @param headers value of each header by case-insensitive name; the last value of a repeated
+     *     header
+     * @param body the body, with one character for each byte; empty if the message has no {@code
+     *     Content-Length}
      */
     record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
@@ -25,14 +27,15 @@
         }
     }
 
-    /** Reads the next message; returns null at the end of the input. */
+    /** Returns the next message, or null if the input has ended. */
     static Message read(InputStream in) throws IOException {
         String startLine = readLine(in);
         if (startLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        // At the end of the input, the line is "null", which has no colon.
+        // At the end of the input, readLine returns null. String.valueOf makes this "null", which
+        // has no colon, so that EOFException is thrown below.
         for (String line = String.valueOf(readLine(in));
                 !line.isEmpty();
                 line = String.valueOf(readLine(in))) {
@@ -50,7 +53,7 @@
         return new Message(startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads the next line without its line end; returns null if the input ends before that. */
+    /** Returns the next line without its line end, or null if the input ends within the line. */
     private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         int next = in.read();
--- a/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import sagefall.config.SidecarConfig;
 
-/** Tests that the warm-up sends its requests through a sidecar and none out of the process. */
+/** Checks that the warm-up sends requests through a sidecar and that none leaves the process. */
 class JvmWarmUpTest extends SocketTest {
 
     private static final int REQUESTS = 50;
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Guards against an address that is still in use after the warm-up. Runs several times, because
-     * that happens in some runs only.
+     * Guards against a fault in which the listening address was still in use after the warm-up. The
+     * test runs the warm-up five times, because the fault occurred only in some runs.
      */
     @Test
-    void allRequestsCompleteAndNoneLeavesTheProcess() throws Exception {
+    void warmUpRequestsCompleteAndNoneLeavesTheProcess() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         SidecarConfig config = configListeningAt(harness, freePort());
@@ -58,9 +58,9 @@
         assertTrue(System.nanoTime() - startNanos < 5_000_000_000L);
     }
 
-    /** A real client must not receive a response that the warm-up's simulated endpoints create. */
+    /** A real client must never receive a response of the warm-up's simulated endpoints. */
     @Test
-    void clientRequestsFailDuringTheWarmUp() throws Exception {
+    void clientReceivesOnlyErrorResponsesDuringTheWarmUp() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
         SidecarConfig config = configListeningAt(harness, freePort());
         var running =
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.balancer.api.Request;
 
-/** Tests requests that the event loop reads late, because it is short of CPU time or busy. */
+/** Tests requests that wait unread because the event loop is busy or gets too little CPU time. */
 class LateEventLoopTest extends SocketTest {
 
     /** The kind of connection on which a request waits while the loop is busy. */
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Guards against a deadline that counts from the read of the request: the response would be
-     * late by the time that the request had been unread.
+     * Guards against a fault in which the timeout ran from the time at which the sidecar read the
+     * request. The response was then late by the time for which the request had waited unread.
      */
     @ParameterizedTest
     @EnumSource
@@ -55,7 +55,7 @@
         assertTrue(elapsedMillis < 2_500, elapsedMillis + " ms");
     }
 
-    /** A request that wakes the sleeping loop has not waited, so its timeout is not shortened. */
+    /** A request that wakes an idle event loop has not waited, so its timeout is not shortened. */
     @Test
     void deadlineOfARequestThatIsReadAtOnceIsNotShortened() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.respondsOk("first"));
@@ -71,8 +71,9 @@
     }
 
     /**
-     * Keeps the loop busy with the second request until the deadline of the first has passed; at
-     * the third request, waits until the test has received the response to the first.
+     * Blocks the event loop during the second and the third request. The second request blocks
+     * until 100 ms after the deadline of the first request. The third request blocks until the test
+     * has received the response to the first request, but for at most 5 s.
      */
     private static final class SlowBalancer extends NoOpLoadBalancer {
         final Set<String> requestIds = new HashSet<>();
@@ -101,8 +102,8 @@
     }
 
     /**
-     * Guards against deadlines that are handled too late in a burst: the loop runs timers only
-     * after it has handled all requests that it read in the same iteration.
+     * Guards against a fault in which deadlines were handled late during a burst of requests. The
+     * event loop runs timers only after it has handled all requests of the same iteration.
      */
     @Test
     void expiredDeadlineIsHandledBeforeTheNextRequestOfTheSameIteration() throws Exception {
@@ -110,7 +111,8 @@
         SidecarHarness harness = harness().start((settings, actions) -> balancer);
         List<TestClient> others = List.of(harness.client(), harness.client());
         for (TestClient other : others) {
-            // Ensures that the connection is accepted, so that one iteration reads both requests.
+            // After the response, the sidecar has accepted the connection. One iteration can then
+            // read the requests of both connections.
             other.healthCheck().readResponse();
         }
         TestClient client = harness.client().search(500);
@@ -129,7 +131,7 @@
         assertTrue(balancer.firstResponseInTime);
     }
 
-    /** Keeps the loop busy until the given duration has passed since the given time. */
+    /** Blocks the event loop until the given duration has passed since the given time. */
     private static void spin(long sinceNanos, long millis) {
         while (System.nanoTime() - sinceNanos < TimeUnit.MILLISECONDS.toNanos(millis)) {
             Thread.onSpinWait();
--- a/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LifecycleTest.java
@@ -22,7 +22,7 @@
 /** Tests the life cycle states of a sidecar. */
 class LifecycleTest extends SocketTest {
 
-    /** Each line names a state and all states that may follow it. */
+    /** Each line names a state and all its legal successors. */
     @ParameterizedTest
     @CsvSource({
         "CREATED,            AWAITING_ENDPOINTS BINDING DRAINING",
@@ -33,7 +33,7 @@
         "DRAINING,           STOPPED",
         "STOPPED,            ''",
     })
-    void onlyTheListedTransitionsExist(LifecycleState from, String successors) {
+    void transitionsOutsideTheTableAreRejected(LifecycleState from, String successors) {
         for (LifecycleState to : LifecycleState.values()) {
             if (List.of(successors.split(" ")).contains(to.name())) {
                 assertSame(to, from.transitionTo(to));
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Guards against accepting clients while the process shuts down, as after a SIGTERM during the
-     * warm-up.
+     * Guards against a fault in which the sidecar accepted clients while the process shut down, for
+     * example because SIGTERM arrived during the warm-up.
      */
     @ParameterizedTest
     @CsvSource({"ask", "push"})
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -25,7 +25,7 @@
 
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-    /** Sends the attempt of the second request while it handles the outcome of the first one. */
+    /** Sends the second request while it handles the outcome of the first request's attempt. */
     private static final class ChainingBalancer extends NoOpLoadBalancer {
         private final BalancerActions actions;
         private final List<String> requestIds = new ArrayList<>();
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Guards against taking a second response, or other bytes that directly follow a response, for
-     * the response to the next request.
+     * Guards against a fault in which bytes that directly followed a response, for example a second
+     * response, were taken for the response to the next request.
      */
     @ParameterizedTest
     @ValueSource(
@@ -73,7 +73,8 @@
         TestClient first = harness.client().search(5_000);
         ReceivedRequest received = server.take();
         TestClient second = harness.client().search(5_000);
-        // The loop reads in order: once this request is rejected, the second one has been read.
+        // The event loop reads the connections in order. When the sidecar has rejected this
+        // malformed request, it has read the second request.
         assertEquals(400, harness.client().write("x\r\n\r\n").readResponse().status());
         received.write(RESPONSE_HEAD + "mine" + surplus);
         assertEquals("mine", first.readResponse().body());
@@ -82,7 +83,7 @@
     }
 
     @Test
-    void byteOnAnIdleConnectionClosesIt() throws Exception {
+    void byteFromTheServerClosesAnIdleConnection() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         assertEquals(200, sidecar(server).client().search(2_000).readResponse().status());
         server.take().write("x");
@@ -106,7 +107,7 @@
         assertEquals("ok", sidecar(server).client().book("x", 2_000).readResponse().body());
     }
 
-    /** The end of each of these requests is ambiguous, so none may be forwarded to a server. */
+    /** The end of each of these requests is ambiguous, so the sidecar must not forward them. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -137,7 +138,7 @@
         assertTrue(server.receivedRequests.isEmpty());
     }
 
-    /** The attempt of the rejected request is cancelled. */
+    /** The sidecar rejects the request and cancels its attempt. */
     @Test
     void requestInFlightIsRejectedWhenMoreBytesArrive() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
@@ -167,8 +168,9 @@
     }
 
     /**
-     * Guards against losing the response to a reset, which the kernel sends if the connection is
-     * closed while bytes of the body are unread.
+     * Guards against a fault in which the client did not receive the rejection. The kernel sends a
+     * reset if the sidecar closes the connection while bytes of the body are unread. The reset
+     * discards the response.
      */
     @Test
     void clientThatExceedsTheBodyLimitReceivesTheRejection() throws Exception {
@@ -182,7 +184,10 @@
         client.assertClosed();
     }
 
-    /** Guards against silent clients that occupy all connections until they disconnect. */
+    /**
+     * Guards against a fault in which silent clients occupied all connections until they
+     * disconnected.
+     */
     @Test
     void silentClientsBeyondTheLimitDoNotBlockOtherClients() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
@@ -197,10 +202,10 @@
     }
 
     /**
-     * Guards against accepting only one connection in each iteration of a slow loop, so that
-     * deadlines pass while connections wait in the kernel's accept queue. The scheduled task runs
-     * once in each iteration, to count the iterations and to make each of them long enough for the
-     * clients to read their responses.
+     * Guards against a fault in which a slow event loop accepted only one connection in each
+     * iteration. Deadlines then passed while connections waited in the kernel's accept queue. The
+     * scheduled task runs once in each iteration. It counts the iterations and makes each of them
+     * long enough for the clients to read their responses.
      */
     @Test
     void slowLoopAcceptsSeveralConnectionsInOneIteration() throws Exception {
@@ -235,11 +240,11 @@
     }
 
     /**
-     * Guards against clients that send one request and stay connected: they would occupy all
-     * connections until the usual idle timeout.
+     * Guards against a fault in which clients that sent one request and stayed connected occupied
+     * all connections until the usual idle timeout.
      */
     @Test
-    void idleConnectionsBeyondHalfOfTheLimitAreClosedSoon() throws Exception {
+    void idleConnectionsThatExceedHalfOfTheLimitAreClosedEarly() throws Exception {
         SidecarHarness harness = harnessWithFewSockets(server(ScriptedPeer.respondsOk("ok")));
         harness.start();
         int half = harness.config().maxClientConnections() / 2;
@@ -259,9 +264,10 @@
     }
 
     /**
-     * Connects three times as many clients as the limit allows; each sends more bytes than its
-     * request announces and then closes or resets its connection. If any of these connections were
-     * not released, the requests at the end of the test could not all be served.
+     * Connects three times as many clients as the limit allows. Each client sends more bytes than
+     * the {@code Content-Length} of its request and then closes or resets its connection. If the
+     * sidecar did not release all these connections, some requests at the end of the test would
+     * fail.
      */
     @Test
     void connectionsOfClientsThatSendTooMuchAndDisconnectAreReleased() throws Exception {
@@ -290,7 +296,7 @@
     }
 
     @Test
-    void errorInTheBalancerIsReportedAs500() throws Exception {
+    void errorThrownByTheBalancerIsReportedAs500() throws Exception {
         SidecarHarness harness = harness();
         harness.start(
                 (settings, actions) ->
@@ -305,7 +311,7 @@
     }
 
     @Test
-    void endpointListBeyondTheDefaultBodyLimitIsRead() throws Exception {
+    void endpointListLargerThanTheDefaultBodyLimitIsApplied() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness();
         List<ScriptedPeer> many = new ArrayList<>();
@@ -324,7 +330,7 @@
                     }
                 });
         harness.start();
-        // The second call shows that the sidecar has read the response to the first.
+        // The second discovery request shows that the sidecar has read the response to the first.
         harness.discovery.take();
         harness.discovery.take();
         assertEquals(200, harness.client().search(2_000).readResponse().status());
--- a/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/NoOpLoadBalancer.java
@@ -7,7 +7,7 @@
 import sagefall.balancer.api.LoadBalancer;
 import sagefall.balancer.api.Request;
 
-/** A load balancer that does nothing; tests override the methods that they observe. */
+/** A load balancer that ignores all events. Tests override the methods whose events they need. */
 class NoOpLoadBalancer implements LoadBalancer {
     @Override
     public void onEndpointList(
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -37,7 +37,7 @@
 /** Tests race conditions. Each test forces one order of concurrent events. */
 class RaceConditionTest extends SocketTest {
 
-    /** Blocks the event loop that calls it for the duration, as a slow iteration does. */
+    /** Blocks the calling event loop for the duration, which simulates a slow iteration. */
     private static void stall(long millis) {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < deadline) {
@@ -47,7 +47,7 @@
 
     // ---- Endpoint lists
 
-    /** Assumed time from the start of a discovery request's connection to its response. */
+    /** Assumed milliseconds from the connection attempt of a discovery request to its response. */
     private static final long RESPONSE_MILLIS = 250;
 
     /** Records the events that a discovery client reports, each as a short text. */
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Guards against a fault in which the first discovery request after a failure had the hold time
-     * of a watch. A discovery service that was still silent was therefore detected late.
+     * Guards against a fault in which the first discovery request after a failure had the long hold
+     * time of a watch. If the discovery service was still silent, the sidecar detected this late.
      */
     @Test
     void firstDiscoveryRequestAfterTimeoutHasMinimalHoldTime() throws Exception {
@@ -108,9 +108,9 @@
 
     /**
      * The sidecar is treated as notified of an endpoint list change 6 s after the change. Within
-     * that time it must detect that a discovery request is lost, send a second request after the
-     * backoff, detect that this one is lost too, and receive the response to a third request after
-     * a further backoff.
+     * these 6 s, the sidecar detects that a discovery request is lost. After a backoff, it sends a
+     * second request and detects that the second request is lost. After another backoff, it sends a
+     * third request and receives the response.
      */
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
@@ -123,8 +123,8 @@
     }
 
     /**
-     * The sidecar is treated as notified of an agent's endpoint list from the start, so it accepts
-     * clients only after the agent's first response.
+     * The sidecar is treated as notified of an agent's endpoint list from the moment at which the
+     * sidecar starts. The sidecar therefore accepts clients only after the agent's first response.
      */
     @Test
     void clientsAreAcceptedOnlyAfterFirstEndpointListOfAgent() throws Exception {
@@ -163,7 +163,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals("second", harness.client().search(2_000).readResponse().body());
         }
-        // A newer list makes the first endpoint ready again.
+        // List 6 drains the second endpoint; list 7 makes the first endpoint ready again.
         harness.publishEndpoints(6, SidecarHarness.list(6, false, "terminating", second));
         harness.publishEndpoints(7, SidecarHarness.list(7, false, "in_service", first));
         assertEquals("first", harness.client().search(2_000).readResponse().body());
@@ -182,7 +182,8 @@
         harness.create(DefaultLoadBalancer::new);
         harness.withConfig(":" + harness.discovery.port(), ":" + newDiscovery.port());
         harness.reload();
-        // A connection that the reload had opened would be accepted before the test's own client.
+        // If the reload had opened a connection to the new discovery service, the service would
+        // have accepted that connection before the connection of the test's own client.
         harness.awaitLoop();
         harness.awaitLoop();
         try (TestClient ownClient =
@@ -230,8 +231,9 @@
     }
 
     /**
-     * Guards against a fault in which the first request after a stall of the event loop was sent to
-     * an endpoint that a list, received by the socket during the stall, reported as draining.
+     * Guards against a fault in which the sidecar applied an endpoint list too late. The socket had
+     * received the list while the event loop was stalled. The first request after the stall was
+     * sent to an endpoint that was draining according to that list.
      */
     @Test
     void endpointListReceivedDuringStallIsAppliedBeforeNextRequest() throws Exception {
@@ -241,7 +243,7 @@
         harness.whileLoopIsStalled(
                 () -> watch.respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
                 () -> {
-                    // Longer than the driver's minimum interval between reads from discovery.
+                    // The stall is longer than the minimum interval between reads from discovery.
                     stall(25);
                     handleRequest(harness.sidecar);
                 });
@@ -251,10 +253,13 @@
 
     // ---- Clients that disconnect
 
-    /** Ways in which a client ends its connection. */
+    /** Ways in which a client disconnects. */
     private enum DisconnectMode {
+        /** The client closes its socket, which sends a FIN. */
         CLOSES,
+        /** The client closes its socket with a linger time of 0, which sends a reset. */
         RESETS,
+        /** The client half-closes its connection: it sends a FIN and can still read. */
         ENDS_SENDING;
 
         void disconnect(TestClient client) throws IOException {
@@ -268,16 +273,16 @@
     }
 
     /**
-     * Waits until the connections to servers may be reused after their last response, so that the
-     * next attempt is sent immediately.
+     * Waits until the delay after which connections to servers may be reused has passed. The next
+     * attempt is then sent immediately on such a connection.
      */
     private static void awaitReusableConnections(SidecarHarness harness) throws Exception {
         harness.awaitLoop(2 * ConnectionPool.REUSE_DELAY_MICROS);
     }
 
     /**
-     * Guards against a fault in which a request was forwarded although the sidecar read the end of
-     * the client's connection together with the request.
+     * Guards against a fault in which a request was forwarded although its client had already
+     * disconnected. The sidecar read the request and the end of the connection together.
      */
     @ParameterizedTest
     @EnumSource
@@ -293,7 +298,7 @@
                     }
                 },
                 () -> {});
-        // The sidecar accepts, and therefore reads, this connection after those closed above.
+        // The sidecar accepts and reads this connection after the connections closed above.
         assertEquals("ok", harness.client().book("stays", 5_000).readResponse().body());
         assertEquals(
                 List.of("warm", "stays"),
@@ -334,8 +339,9 @@
     }
 
     /**
-     * A request that the balancer has received but has not sent. The sidecar has idle connections
-     * to the server, so an attempt is sent immediately.
+     * A request that the balancer has received and for which it has sent no attempt yet. The
+     * sidecar has idle connections to the server, so an attempt is sent without a connection
+     * set-up.
      */
     private final class PendingRequest {
         private final ScriptedPeer server = server(ScriptedPeer.SILENT);
@@ -348,10 +354,10 @@
         /**
          * Starts a sidecar and sends the request.
          *
-         * @param cancelling the {@code cancelling} setting, in the configuration's notation
+         * @param cancelling the {@code cancelling} key and its value, as text of the configuration
          * @param idleConnections number of idle connections to the server
-         * @param skipsEndpointLists whether {@link #nextEvent} skips events of discovery; otherwise
-         *     such an event fails the test
+         * @param skipsEndpointLists whether {@link #nextEvent} skips events of discovery; if false,
+         *     {@link #nextEvent} returns them, and the test fails
          */
         PendingRequest(String cancelling, int idleConnections, boolean skipsEndpointLists)
                 throws Exception {
@@ -434,7 +440,7 @@
     }
 
     @Test
-    void responseWithoutLengthIsLimitedInSize() throws Exception {
+    void responseWithoutLengthThatExceedsTheBodyLimitFails() throws Exception {
         ScriptedPeer server =
                 server(
                         request -> {
@@ -450,9 +456,9 @@
     // ---- Graceful shutdown
 
     /**
-     * Guards against a fault in which the sidecar closed an idle connection completely at shutdown.
-     * A request that arrived after the close caused a reset, which discarded data that the client
-     * had not read yet.
+     * Guards against a fault in which the sidecar closed both directions of an idle connection at
+     * shutdown. A request that arrived after the close caused a reset. The reset discarded data
+     * that the client had not read yet.
      */
     @Test
     void idleClientConnectionIsHalfClosedAtShutdown() throws Exception {
@@ -464,19 +470,20 @@
         CountDownLatch stopped = harness.stop();
         client.assertClosed();
         client.search(5_000).search(5_000);
-        // A reset would make this read fail.
+        // assertClosed() would fail if the connection had been reset.
         client.assertClosed();
-        // The event loop reads and discards both requests before it reads this half-close.
+        // The event loop reads and discards both requests before it reads the half-close that the
+        // next line sends.
         client.socket.shutdownOutput();
         assertTrue(stopped.await(10, TimeUnit.SECONDS));
         assertTrue(server.receivedRequests.isEmpty());
     }
 
     /**
-     * Stops the sidecar and runs the peers' action in the event loop iteration in which the
-     * listening socket closes: after the reads of that iteration and before the close. The action
-     * is due after 380 ms and the close after 400 ms. The event loop is stalled for 450 ms, so the
-     * next iteration runs first the action and then the close.
+     * Stops the sidecar and runs the peers' action in the event loop iteration that closes the
+     * listening socket, after the reads of that iteration and before the close. The action is due
+     * after 380 ms and the close after 400 ms. The event loop is stalled for 450 ms, so the next
+     * iteration runs the action first and then the close.
      */
     private static CountDownLatch stopAndActBeforeListenerCloses(
             SidecarHarness harness, SidecarHarness.PeerAction peers) throws Exception {
@@ -500,7 +507,7 @@
 
     /**
      * Guards against a fault in which an idle connection was closed at shutdown although its socket
-     * already held a request.
+     * had already received a request that the sidecar had not read yet.
      */
     @Test
     void requestThatArrivesBeforeListenerClosesCompletes() throws Exception {
@@ -539,8 +546,8 @@
     }
 
     /**
-     * Closing the listening socket resets the connections that have not been accepted yet, so the
-     * sidecar must accept them before it closes the socket.
+     * The close of the listening socket resets all connections that have not been accepted yet. The
+     * sidecar must therefore accept these connections before it closes the listening socket.
      */
     @Test
     void requestsOnConnectionsNotYetAcceptedAtShutdownComplete() throws Exception {
--- a/sidecar/src/test/java/sagefall/proxy/RawConnection.java
+++ b/sidecar/src/test/java/sagefall/proxy/RawConnection.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * One end of a connection, on which a test writes and reads messages piece by piece instead of
- * reading whole bodies at once.
+ * One end of a connection. A test writes and reads single parts of messages on it, for example one
+ * chunk of a body.
  */
 final class RawConnection implements AutoCloseable {
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Writes the text as bytes, one for each character. */
+    /** Writes the text with one byte for each character. */
     RawConnection write(String text) throws IOException {
         return write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -110,7 +110,7 @@
         return new String(bytes(count), StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads the next chunk; returns null for the last one, which {@link #trailers} follow. */
+    /** Returns the next chunk, or null for the last chunk, after which the trailers follow. */
     byte[] chunk() throws IOException {
         byte[] chunk = bytes(Integer.parseInt(line(), HEX_RADIX));
         if (chunk.length == 0) {
@@ -120,7 +120,7 @@
         return chunk;
     }
 
-    /** Reads all remaining chunks, up to the last one, and returns their content. */
+    /** Reads all remaining chunks, including the last chunk, and returns their content. */
     byte[] chunks() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         byte[] next = chunk();
@@ -136,7 +136,7 @@
         return fields();
     }
 
-    /** Reads chunks until the connection closes; fails if a last chunk arrives. */
+    /** Reads chunks until the connection closes; fails if the body is complete. */
     void assertBroken() {
         Assertions.assertThrows(IOException.class, this::chunks);
     }
@@ -151,7 +151,7 @@
         } catch (SocketTimeoutException e) {
             Assertions.fail("the connection did not close");
         } catch (IOException e) {
-            // A reset closes the connection too.
+            // The connection was reset, which also closes it.
         }
     }
 
@@ -191,7 +191,7 @@
             }
         }
 
-        /** Starts another server, whose connections {@link #take} returns too. */
+        /** Starts another server. {@link #take} returns the connections of both servers. */
         Server another() throws IOException {
             return new Server(accepted);
         }
@@ -207,7 +207,7 @@
             return next;
         }
 
-        /** Whether the test has taken all connections that have arrived. */
+        /** Returns whether the test has taken all connections that have arrived. */
         boolean hasNoConnection() {
             return accepted.isEmpty();
         }
--- a/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
+++ b/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
@@ -5,14 +5,14 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A request as a server received it, and the connection on which it arrived. */
+/** A request that a server has received, and the socket on which the request arrived. */
 public record ReceivedRequest(HttpMessages.Message request, Socket socket) {
     /**
      * Sends a response to the request.
      *
      * @param status status code and reason phrase
      * @param headers further header lines, each with its line end
-     * @param body the body, one byte for each character
+     * @param body the body, sent with one byte for each character
      */
     public void respond(String status, String headers, String body) throws IOException {
         write(
@@ -26,7 +26,7 @@
                         + body);
     }
 
-    /** Writes the text as bytes, one for each character. */
+    /** Writes the text with one byte for each character. */
     void write(String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
@@ -17,12 +17,12 @@
 import sagefall.discovery.StableHash;
 
 /**
- * A load balancer that makes no decisions: it records each event as a short text for the test, and
- * sends only the attempts that the test requests.
+ * A load balancer that makes no decisions. The balancer records each event as a short text for the
+ * test and sends only the attempts that the test requests.
  */
 final class ScriptedBalancer extends NoOpLoadBalancer {
 
-    /** Text that is recorded when a call to discovery fails. */
+    /** Text that the balancer records when a discovery request fails. */
     static final String DISCOVERY_FAILED = "discovery failed";
 
     private static final long AWAIT_SECONDS = 10;
@@ -34,14 +34,14 @@
         this.actions = actions;
     }
 
-    /** Returns the text that is recorded for an endpoint list with this number of entries. */
+    /** Returns the text that the balancer records for an endpoint list with this many entries. */
     static String listOf(int entries) {
         return "list of " + entries;
     }
 
     /**
-     * Starts a sidecar that is configured with one endpoint, responds to its first call to
-     * discovery with a list without changes, and waits until the sidecar listens.
+     * Starts a sidecar whose configuration has one endpoint. Responds to its first discovery
+     * request with a list without changes, and waits until the sidecar listens.
      */
     static ScriptedBalancer start(SidecarHarness harness) throws Exception {
         AtomicReference<ScriptedBalancer> created = new AtomicReference<>();
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Responds to calls to discovery until the sidecar has received a response. If the process is
-     * still cold, the call may time out before the response is read; this method then requests
-     * another call, as a load balancer would.
+     * Responds to discovery requests until the sidecar has received a response. If the JVM is not
+     * warmed up, a request may time out before the sidecar reads the response. This method then
+     * makes the sidecar send another request, which is otherwise a task of the load balancer.
      */
     private void awaitFirstDiscoveryResponse(SidecarHarness harness) throws InterruptedException {
         respondWithoutChanges(harness);
@@ -80,7 +80,7 @@
                     .take()
                     .respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
         } catch (IOException e) {
-            // The call has timed out, which is recorded as an event.
+            // The discovery request has timed out. The balancer records this as an event.
         }
     }
 
@@ -88,15 +88,15 @@
      * Waits for the next event: a request id, the result of an attempt, an endpoint list or a
      * failure of discovery.
      *
-     * @return the text "null" if there is no event in time
+     * @return the text of the event, or the text "null" if no event occurs within 10 s
      */
     String nextEvent() throws InterruptedException {
         return String.valueOf(events.poll(AWAIT_SECONDS, TimeUnit.SECONDS));
     }
 
     /**
-     * Waits for the next event that does not come from discovery. In the meantime, calls to a
-     * silent discovery may time out and be retried.
+     * Waits for the next event that does not come from discovery. In the meantime, requests to a
+     * silent discovery service may time out and be retried.
      */
     String nextEventExceptDiscovery() throws InterruptedException {
         String next = nextEvent();
@@ -106,7 +106,7 @@
         return next;
     }
 
-    /** Sends an attempt without a timeout; to be called on the event loop. */
+    /** Sends an attempt without a timeout. Called on the event loop. */
     void send(String requestId, ScriptedPeer server) {
         actions.send(requestId, StableHash.of("s-" + server.port()), 0, Long.MAX_VALUE);
     }
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedPeer.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * A server or a discovery agent on a free loopback port. A script handles each request, and the
- * test may take the requests and respond itself. Each connection is read by a thread of its own, on
- * which the script runs.
+ * A server or a discovery service on a free loopback port. A script handles each request. The test
+ * may also take the requests and respond to them. Each connection has its own thread, which reads
+ * the requests and runs the script.
  */
 public final class ScriptedPeer implements AutoCloseable {
 
@@ -35,7 +35,7 @@
     /** Closes the connection without a response. */
     public static final Script CLOSE_CONNECTION = received -> received.socket().close();
 
-    /** The requests that have arrived and that the test has not taken. */
+    /** Requests that have arrived and that the test has not taken yet. */
     public final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
 
     /** Number of connections that have been accepted. */
@@ -64,7 +64,7 @@
         return respondsWith("200 OK", "", body);
     }
 
-    /** Sets the script that handles requests from the next one on. */
+    /** Sets the script that handles all requests that arrive after this call. */
     public void script(Script next) {
         script = next;
     }
@@ -81,7 +81,7 @@
         return next;
     }
 
-    /** Waits until a connection is closed that no earlier call has waited for. */
+    /** Waits for the close of a connection. Each call waits for a different connection. */
     public void awaitConnectionEnd() throws InterruptedException {
         Socket closed = closedConnections.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
         Assertions.assertNotNull(closed, "no connection closed");
@@ -113,7 +113,8 @@
             HttpMessages.Message message = HttpMessages.read(in);
             while (message != null) {
                 ReceivedRequest next = new ReceivedRequest(message, socket);
-                // The test may change the script as soon as it has taken this request.
+                // Reads the script before the test can take the request. As soon as the test has
+                // taken the request, it may set the script for the next request.
                 Script current = script;
                 receivedRequests.add(next);
                 current.on(next);
@@ -127,8 +128,8 @@
     }
 
     /**
-     * Closes the sockets. Waits for the accepting thread, since connections may still be accepted
-     * while it runs; after this method they are refused.
+     * Closes the sockets. Waits for the accepting thread, because that thread may still accept a
+     * connection. After this method has returned, new connections are refused.
      */
     @Override
     public void close() throws IOException {
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -25,8 +25,8 @@
 
 /**
  * Runs a sidecar on loopback ports with a scripted discovery service, scripted servers and clients
- * that send the bytes a test writes. Closing the harness closes its clients, its discovery service
- * and its event loop; the test closes the servers.
+ * that send the bytes a test writes. {@link #close} closes the clients, the discovery service and
+ * the event loop. The test closes the servers.
  */
 public final class SidecarHarness implements AutoCloseable {
 
@@ -58,7 +58,7 @@
             'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,
             'cold_us':1000000,'fall_us':1000000},'tick_us':1000}""";
 
-    /** The discovery service; it responds only with the endpoint lists that a test publishes. */
+    /** The discovery service, which responds only with the endpoint lists a test publishes. */
     final ScriptedPeer discovery;
 
     /** The sidecar's event loop. */
@@ -91,8 +91,8 @@
      * Creates a harness whose configuration lists these servers as in service.
      *
      * @param folder directory for the configuration files
-     * @param connectMicros timeout of connecting to a server
-     * @param sockets configured limit on the number of the process's sockets
+     * @param connectMicros timeout in microseconds for connecting to a server
+     * @param sockets maximum number of sockets of the process, as configured
      */
     public SidecarHarness(Path folder, long connectMicros, int sockets, ScriptedPeer... servers)
             throws Exception {
@@ -135,8 +135,8 @@
     /**
      * Returns an endpoint list in discovery's JSON format, with single quotes.
      *
-     * @param all whether the list is complete; otherwise it contains only changes
-     * @param state state of all the servers, such as {@code in_service}
+     * @param all whether the list is complete; if false, the list contains only changes
+     * @param state state of all these servers, for example {@code in_service}
      */
     public static String list(int revision, boolean all, String state, ScriptedPeer... servers) {
         return list(revision, all, state, portsOf(servers));
@@ -177,7 +177,7 @@
         return this;
     }
 
-    /** Configures discovery as an agent on the same machine, which pushes endpoint lists. */
+    /** Configures discovery as a local agent that pushes endpoint lists. */
     SidecarHarness withPushedEndpoints() throws IOException {
         return withConfig("'discovery':'ask'", "'discovery':'push'");
     }
@@ -202,7 +202,7 @@
         return this;
     }
 
-    /** Begins to start the sidecar; {@link #awaitStart} waits until the sidecar listens. */
+    /** Creates and starts the sidecar without waiting; {@link #awaitStart} waits. */
     CompletableFuture<InetSocketAddress> startAsync(
             BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancerFactory)
             throws Exception {
@@ -232,8 +232,8 @@
     }
 
     /**
-     * Responds to the sidecar's discovery requests with this list until the sidecar has read it,
-     * which the revision in its next request shows.
+     * Responds to the sidecar's discovery requests with this list until the sidecar has read the
+     * list. The revision in the sidecar's next discovery request shows that it has.
      */
     void publishEndpoints(int revision, String quotedList) throws InterruptedException {
         publishEndpoints(discovery, revision, quotedList);
@@ -241,7 +241,7 @@
 
     /**
      * Responds to the sidecar's requests to the given discovery service with this list until the
-     * sidecar has read it.
+     * sidecar has read the list.
      */
     static void publishEndpoints(ScriptedPeer discovery, int revision, String quotedList)
             throws InterruptedException {
@@ -256,7 +256,7 @@
         }
     }
 
-    /** Reloads the configuration as SIGHUP does, but on the calling thread. */
+    /** Reloads the configuration on the calling thread; a sidecar process does so at SIGHUP. */
     void reload() throws IOException {
         new ConfigurationReloader(sidecar, environment(), new PrintStream(log, true)).reload();
     }
@@ -266,7 +266,7 @@
         loop.submit(() -> {}).get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits until the event loop has run a task that it schedules with this delay. */
+    /** Waits until the event loop has run a task that is scheduled with this delay. */
     void awaitLoop(long micros) throws Exception {
         loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).get();
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -24,7 +24,7 @@
 /** Tests the sidecar as a whole process: signals, exit codes, limits and configuration. */
 class SidecarProcessTest extends SocketTest {
 
-    /** SIGTERM arrives alone, or immediately before or after another signal. */
+    /** The process receives SIGTERM alone, or immediately before or after another signal. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "HUP TERM", "TERM HUP", "TERM TERM"})
     void terminationCompletesRequestsInFlightAndExitsWithZero(String signals) throws Exception {
@@ -41,7 +41,10 @@
         program.assertExitCode(0);
     }
 
-    /** Before the agent's first response no client is accepted, so no request is in flight. */
+    /**
+     * The sidecar accepts no client before the agent's first response. No request is in flight, so
+     * the shutdown waits for none.
+     */
     @Test
     void terminationBeforeFirstEndpointListExitsImmediately() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
@@ -78,8 +81,8 @@
 
     /**
      * Guards against a limit of 1 MiB on the size of an endpoint list, which an earlier version
-     * had. The list of this test is larger because it is indented and its names have 253
-     * characters, the maximum length of a domain name.
+     * had. The list of this test exceeds 1 MiB: it is indented, and its names have 253 characters,
+     * which is the maximum length of a domain name.
      */
     @Test
     void listOf1024EndpointsIsReadWithinMemoryLimitsOfRunCommand() throws Exception {
@@ -126,8 +129,8 @@
     }
 
     /**
-     * Idle clients may use up the descriptors for client connections, but not the one for the
-     * connection to discovery.
+     * Idle clients may use all descriptors for client connections. They must not use the descriptor
+     * for the connection to discovery.
      */
     @Test
     void idleClientsDuringDiscoveryOutageBlockNeitherDiscoveryNorRequests() throws Exception {
@@ -136,8 +139,8 @@
         SidecarHarness harness =
                 closeAfterTest(new SidecarHarness(folder, 250_000, 256, draining, ready))
                         .withPushedEndpoints();
-        // 64 more than the configured sockets, for the files of the test's class path, which the
-        // JVM keeps open.
+        // The descriptor limit exceeds the 256 configured sockets by 64, because the JVM keeps the
+        // files of the test's class path open.
         SidecarProgram program =
                 closeAfterTest(new SidecarProgram(harness).withDescriptorLimit(256 + 64).start());
         program.connect().close();
@@ -146,7 +149,7 @@
             for (int i = 0; i < 300; i++) {
                 idle.add(closeAfterTest(new TestClient(program.address)));
             }
-            // The sidecar closes an idle connection to make room for a newer one.
+            // The sidecar closes an idle connection when a new one exceeds the limit.
             idle.get(0).assertClosed();
         }
         harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", draining));
@@ -159,8 +162,8 @@
     }
 
     /**
-     * At SIGHUP the discovery address in the configuration file takes precedence over that in the
-     * environment, and an invalid file changes nothing.
+     * At SIGHUP, the discovery address in the configuration file takes precedence over the address
+     * in {@code LB_DISCOVERY}. An invalid configuration file changes nothing.
      */
     @Test
     void reloadSwitchesToNewDiscoveryAddress() throws Exception {
@@ -184,7 +187,7 @@
         ReceivedRequest request = newDiscovery.take();
         assertEquals("GET /v1/servers HTTP/1.1", request.request().startLine());
         harness.discovery.awaitConnectionEnd();
-        // The old endpoint list is used until the new discovery responds.
+        // The sidecar uses the old endpoint list until the new discovery service responds.
         assertEquals(200, client.search(2_000).readResponse().status());
         newDiscovery.receivedRequests.add(request);
         SidecarHarness.publishEndpoints(
@@ -261,9 +264,11 @@
         harness.withExtensions(text).reload();
         String log = harness.log.toString(StandardCharsets.UTF_8);
         assertTrue(log.contains(message) && log.contains("the old configuration stays"), log);
-        // In a run of several seconds, the sidecar may also log that discovery does not respond.
+        // If the test runs for several seconds, the sidecar may also log that discovery does not
+        // respond. Such lines are not counted.
         assertEquals(1, log.lines().filter(line -> !line.contains("discovery")).count(), log);
-        // The upload is larger than the current limit, but not than the limit after the reload.
+        // An upload of 70001 bytes exceeds the limit of 70000 bytes. The next reload raises the
+        // limit to 70001 bytes, so that the sidecar accepts the upload.
         assertEquals(413, statusOfUpload(harness, 70_001));
         harness.withExtensions("{'streaming':{'classes':{'book':{'max_request_bytes':70001}}}}");
         harness.reload();
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Runs the sidecar as a process of its own, on a free port and with the configuration of a {@link
- * SidecarHarness}, which does not start a sidecar itself. Closing this object kills the process.
+ * Runs the sidecar as a separate process on a free port. The process uses the configuration file of
+ * a {@link SidecarHarness}; the harness itself starts no sidecar. {@link #close} kills the process.
  */
 final class SidecarProgram implements AutoCloseable {
 
@@ -35,7 +35,7 @@
     /**
      * Prepares the process without starting it.
      *
-     * @param options options of the JVM
+     * @param options further command-line options of the JVM
      */
     SidecarProgram(SidecarHarness harness, String... options) throws IOException {
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
@@ -88,7 +88,7 @@
                 }
                 client.close();
             } catch (IOException | AssertionError e) {
-                // The process does not listen yet, or closed this connection as its warm-up ended.
+                // The process does not listen yet, or its warm-up ended, which closes connections.
             }
             Assertions.assertTrue(process.isAlive(), "the process has exited");
             process.waitFor(READY_POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Returns the lines that the process has written, without those of SLF4J, which is only on the
-     * class path of tests.
+     * Returns the lines that the process has written, except lines of SLF4J. Only the class path of
+     * tests contains SLF4J.
      */
     List<String> output() throws IOException {
         return Files.readAllLines(output, StandardCharsets.UTF_8).stream()
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -60,7 +60,7 @@
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
-    /** After each of these responses, the request may have run, and it is not idempotent. */
+    /** The request is not idempotent and may have run when each of these responses arrives. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -154,11 +154,11 @@
     }
 
     /**
-     * Responses arrive shortly before or after the deadline. Each request must receive exactly one
-     * response, and never that of another request.
+     * Responses arrive shortly before or shortly after the deadline. Each request must receive
+     * exactly one response, and never the response to another request.
      */
     @Test
-    void requestReceivesOneResponseWhenOutcomesRace() throws Exception {
+    void requestNearItsDeadlineReceivesExactlyOneResponse() throws Exception {
         ScriptedPeer server =
                 server(
                         seen -> {
@@ -186,12 +186,12 @@
     }
 
     @Test
-    void connectionIsReused() throws Exception {
+    void idleServerConnectionIsReusedForTheNextRequest() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         TestClient client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client.search(2_000).readResponse().status());
-            // A connection is not reused directly after a response.
+            // A connection may be reused only after REUSE_DELAY_MICROS since its last response.
             LockSupport.parkNanos(
                     TimeUnit.MICROSECONDS.toNanos(2 * ConnectionPool.REUSE_DELAY_MICROS));
         }
@@ -199,8 +199,8 @@
     }
 
     /**
-     * A server may close an idle connection at any time; a request that is written to it afterwards
-     * would be lost.
+     * A server may close an idle connection at any time. A request that the sidecar writes to a
+     * closed connection is lost.
      */
     @Test
     void closedIdleConnectionIsNotReused() throws Exception {
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void requestWithAnIdInFlightIsRejected() throws Exception {
+    void requestWithTheIdOfARequestInFlightIsRejected() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = sidecar(server);
         String head = TestClient.head("GET", "/search/k", 5_000, "", 0);
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void healthCheckFailsWithoutAnEndpoint() throws Exception {
+    void healthCheckFailsIfThereIsNoEndpoint() throws Exception {
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         SidecarHarness harness = sidecar();
         assertEquals(503, harness.client().write(health).readResponse().status());
@@ -275,8 +275,8 @@
     }
 
     /**
-     * The client of the request that caused the exception receives a response, and other requests
-     * are not affected.
+     * The client whose request caused the exception receives the response 500. Other requests are
+     * not affected.
      */
     @Test
     void exceptionInTheBalancerIsReportedAs500AndLogged() throws Exception {
@@ -307,7 +307,10 @@
                 log);
     }
 
-    /** An event that an action causes at once is delivered after the event being handled. */
+    /**
+     * An action may cause an event immediately. The sidecar delivers that event only after the
+     * balancer has handled the current event.
+     */
     @Test
     void balancerIsNotReenteredFromItsOwnAction() throws Exception {
         SidecarHarness harness = harness();
@@ -332,7 +335,7 @@
         assertEquals(List.of("request", "sent to an unlisted endpoint", "NOT_SENT"), order);
     }
 
-    /** Beyond the limit, a new connection replaces an idle one, so descriptors never run out. */
+    /** At the limit, a new connection replaces an idle one, so that descriptors never run out. */
     @Test
     void connectionsBeyondTheLimitReplaceIdleOnes() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
@@ -340,7 +343,8 @@
         harness.start();
         TestClient first = harness.client();
         assertEquals(200, first.search(5_000).readResponse().status());
-        // Connections that were just accepted are not replaced, so their first request can arrive.
+        // A connection is not replaced during the first 100 ms after it was accepted, so that its
+        // first request can arrive. This sleep exceeds the 100 ms.
         Thread.sleep(150);
         for (int i = 0; i < harness.config().maxClientConnections(); i++) {
             assertEquals(200, harness.client().search(5_000).readResponse().status());
@@ -348,7 +352,7 @@
         first.assertClosed();
     }
 
-    /** At the deadline, the sidecar itself ends a request that the balancer has not completed. */
+    /** At the deadline, the sidecar completes a request that the balancer has not completed. */
     @Test
     void uncompletedRequestTimesOutAndIsReportedToTheBalancerAsDisconnected() throws Exception {
         SidecarHarness harness = harness();
@@ -366,8 +370,8 @@
     }
 
     /**
-     * If all connections have a request in flight, a new client waits; its connection replaces the
-     * next one whose request completes.
+     * If all connections have a request in flight, a new client waits. When a request completes,
+     * the sidecar closes its connection and accepts the connection of a waiting client.
      */
     @Test
     void clientBeyondTheLimitIsAcceptedAfterAResponse() throws Exception {
@@ -429,7 +433,10 @@
         }
     }
 
-    /** After a failed watch the old list stays valid; the watch is retried until it succeeds. */
+    /**
+     * After a failed watch, the old endpoint list stays valid. The sidecar retries the watch until
+     * the watch succeeds.
+     */
     @Test
     void failedWatchIsRetried() throws Exception {
         ScriptedPeer old = server(ScriptedPeer.respondsOk("old"));
@@ -441,14 +448,14 @@
         ReceivedRequest retry = harness.discovery.take();
         assertTrue(retry.request().startLine().contains("from=1&"), retry.request().startLine());
         assertEquals("old", harness.client().search(2_000).readResponse().body());
-        // Puts the call back, because publishEndpoints takes it.
+        // Puts the discovery request back, because publishEndpoints takes it from the queue.
         harness.discovery.receivedRequests.add(retry);
         harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", fresh));
         assertEquals("fresh", harness.client().search(2_000).readResponse().body());
     }
 
     @Test
-    void silentDiscoveryTimesOut() throws Exception {
+    void requestToSilentDiscoveryTimesOut() throws Exception {
         ScriptedPeer silent = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness();
         var address = SocketAddresses.parse("127.0.0.1:" + silent.port());
--- a/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
@@ -4,13 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests that the effects of a slow period of the process or the network end with the period. */
+/** Checks that a slow period of the process or the network has no effects after it has ended. */
 class SlowPeriodTest extends SocketTest {
 
     /**
-     * Guards against taking slow first responses for slow connection set-ups. The sidecar then
-     * opened no connection to endpoints without one, such as those started by a release, although
-     * only a new connection could have shown that set-ups were fast again.
+     * Guards against a fault in which slow first responses were taken for slow connection set-ups.
+     * The sidecar then opened no connection to endpoints that it had no connection to, for example
+     * endpoints started by a release. Only a new connection could have shown that set-ups were fast
+     * again.
      */
     @Test
     void slowFirstResponsesDoNotPreventNewConnections() throws Exception {
@@ -33,8 +34,8 @@
     }
 
     /**
-     * Guards against a limit that grows too slowly: the traffic of a crashed sidecar, which arrives
-     * all at once, was rejected although servers had free cores.
+     * Guards against a fault in which the concurrency limit grew too slowly. The traffic of a
+     * crashed sidecar, which arrives all at once, was rejected although servers had free cores.
      */
     @Test
     void concurrencyLimitGrowsFastWhileCoresAreFree() throws Exception {
@@ -52,8 +53,8 @@
     }
 
     /**
-     * Guards against a silent connection that keeps its server out of rotation until the deadline
-     * of the request on that connection.
+     * Guards against a fault in which one silent connection kept its server out of rotation until
+     * the deadline of the request on that connection.
      */
     @Test
     void serverThatRespondsStaysInRotationDespiteASilentConnection() throws Exception {
@@ -66,8 +67,8 @@
         ReceivedRequest second = server.take();
         harness.awaitLoop(400_000);
         TestClient next = harness.client().search(20_000);
-        // The event loop reads the connections one after the other: when it has responded to this
-        // malformed request, it has also read the previous request.
+        // The event loop reads the connections in order. When the sidecar has rejected this
+        // malformed request, it has read the previous request.
         assertEquals(400, harness.client().write("x\r\n\r\n").readResponse().status());
         second.respond("200 OK", "", "other");
         assertEquals(200, other.readResponse().status());
--- a/sidecar/src/test/java/sagefall/proxy/SocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SocketTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Base class of tests with real sockets. Closes the resources of a test after it, in reverse order.
+ * Base class of tests with real sockets. After each test, closes the resources of the test in the
+ * reverse order of their registration.
  */
 @Timeout(60)
 public abstract class SocketTest {
@@ -26,7 +27,7 @@
         }
     }
 
-    /** Closes the resource after the test; returns the resource. */
+    /** Registers a resource to be closed after the test, and returns the resource. */
     public final <T extends AutoCloseable> T closeAfterTest(T resource) {
         open.add(resource);
         return resource;
--- a/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -38,7 +38,7 @@
         upstream.chunk("second").write("0\r\nCheck: sum\r\nNot-Started: 1\r\n\r\n");
         assertEquals("second", new String(client.chunks(), UTF_8));
         assertEquals(Map.of("Check", "sum"), client.trailers());
-        // A second response on both connections, with a known length.
+        // The second response has a known length and is sent on the same two connections.
         TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
         client.write(exportRequest(2_000));
         upstream.head();
@@ -48,9 +48,9 @@
         assertTrue(server.hasNoConnection());
     }
 
-    /** After the head of the response, neither attempt timeout nor client deadline applies. */
+    /** Once the head is forwarded, neither the attempt timeout nor the deadline ends a response. */
     @Test
-    void startedResponseHasNoDeadline() throws Exception {
+    void responseThatHasStartedIsNotEndedAtTheDeadline() throws Exception {
         start("");
         client.write(exportRequest(300));
         RawConnection upstream = acceptRequest();
@@ -58,8 +58,8 @@
         client.head();
         assertEquals("a", new String(client.chunk(), UTF_8));
         try (RawConnection other = connect()) {
-            // Waits until the timeout of the first request, 300 ms, has passed: the server does not
-            // respond to this later request either.
+            // The server does not respond to this request. The request has a timeout of 400 ms.
+            // When it fails, the timeout of the first request, 300 ms, has passed.
             other.write(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
@@ -89,7 +89,10 @@
         assertThrows(IOException.class, () -> client.bytes(1));
     }
 
-    /** If the close of the connection ends a response, an incomplete one must end with a reset. */
+    /**
+     * The end of a response to an HTTP/1.0 client is the close of the connection. An incomplete
+     * response must therefore end with a reset.
+     */
     @Test
     void http10ClientCanTellThatAResponseIsIncomplete() throws Exception {
         start("");
@@ -102,7 +105,10 @@
         assertThrows(java.net.SocketException.class, () -> client.bytes(1));
     }
 
-    /** The attempt ends even if the settings disable cancelling: its response cannot be sent. */
+    /**
+     * The response cannot be sent to a disconnected client. The attempt therefore ends even if the
+     * settings disable cancelling.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void disconnectDuringAResponseEndsTheAttemptAndFreesItsBuffers(boolean cancelling)
@@ -123,7 +129,7 @@
     }
 
     @Test
-    void newStreamsAreRejectedAtTheBufferLimitWhileOthersGoOn() throws Exception {
+    void newStreamIsRejectedAtTheBufferLimitWhileTheOpenStreamContinues() throws Exception {
         start(BUFFERS_FOR_ONE_STREAM);
         RawConnection upstream = startedExport();
         try (RawConnection other = connect()) {
@@ -134,7 +140,7 @@
             assertTrue(server.hasNoConnection());
             upstream.write(LAST_CHUNK);
             assertEquals("abc", new String(client.chunks(), UTF_8));
-            // The buffers of the completed stream are free for the next one.
+            // The completed stream has released its buffers, so the next stream is accepted.
             client.trailers();
             client.write(exportRequest(2_000));
             acceptRequest().write(OK_WITHOUT_BODY);
@@ -181,7 +187,10 @@
         assertStatus(200, client);
     }
 
-    /** No byte of these responses is forwarded. The class {@code book} is not streamed. */
+    /**
+     * No byte of these responses is forwarded. Responses of the request class {@code book} are not
+     * streamed.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -211,7 +220,7 @@
     }
 
     @Test
-    void responseThatGrowsOverItsLimitIsAborted() throws Exception {
+    void responseThatExceedsItsSizeLimitIsAborted() throws Exception {
         start(
                 newHarness()
                         .withExtensions(
@@ -247,7 +256,7 @@
     }
 
     @Test
-    void streamGoesOnWhileItsEndpointDrainsAndIsRemoved() throws Exception {
+    void streamContinuesWhileItsEndpointDrainsAndIsRemoved() throws Exception {
         start("");
         RawConnection upstream = startedExport();
         for (String state : List.of("terminating", "terminated")) {
@@ -307,9 +316,12 @@
         writing.join();
     }
 
-    /** Without the section {@code streaming}, bodies of up to 64 KiB are collected. */
+    /**
+     * If the extensions file has no section {@code streaming}, the sidecar buffers bodies of up to
+     * 64 KiB and rejects larger uploads.
+     */
     @Test
-    void nothingIsStreamedWithoutTheSection() throws Exception {
+    void bodiesAreBufferedIfTheStreamingSectionIsMissing() throws Exception {
         start(newHarness());
         RawConnection upstream = sendExport(client);
         upstream.write(OK_CHUNKED).chunk("abc").write(LAST_CHUNK);
--- a/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
@@ -36,7 +36,8 @@
         upstream.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         client.head();
         assertEquals("ok", client.text(2));
-        // A small body is collected first and uses the same connections.
+        // The sidecar buffers a small body completely before it forwards the body. Both connections
+        // are reused.
         TimeUnit.MICROSECONDS.sleep(ConnectionPool.REUSE_DELAY_MICROS);
         client.write(appendRequest("Content-Length: 3") + "abc");
         assertEquals("3", upstream.head().header("Content-Length"));
@@ -59,7 +60,7 @@
         assertStatus(200, client);
     }
 
-    /** The timeout of the client runs from the last byte of an upload, not from the first one. */
+    /** The client's timeout runs from the last byte of an upload, not from the first byte. */
     @Test
     void timeoutRunsFromTheLastByteOfAnUpload() throws Exception {
         start("");
@@ -67,8 +68,9 @@
         RawConnection upstream = acceptRequest();
         upstream.chunk();
         try (RawConnection other = connect()) {
-            // Waits until the timeout of the upload, 300 ms, has passed since its first byte: the
-            // server does not respond to this later request either.
+            // The server does not respond to this request. The request has a timeout of
+            // 400 ms. When it fails, the upload's timeout of 300 ms has passed since the first byte
+            // of the upload.
             other.write(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
@@ -76,7 +78,7 @@
         client.write(LAST_CHUNK);
         upstream.chunks();
         upstream.trailers();
-        // The timeout runs from here on.
+        // The timeout of the upload runs from the last chunk.
         assertStatus(504, client);
     }
 
@@ -101,12 +103,14 @@
     }
 
     /**
-     * An upload past the replay buffer is never retried. The request has not run, so it is rejected
-     * at once.
+     * An upload that exceeds the replay buffer cannot be sent again, so it is never retried. A
+     * server runs a request only after it has received the whole body, so the request has not run.
+     * The client therefore receives 503 at once.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void uploadPastTheReplayBufferIsRejectedAtOnce(boolean serverCloses) throws Exception {
+    void uploadThatExceedsTheReplayBufferIsRejectedInsteadOfRetried(boolean serverCloses)
+            throws Exception {
         start(",'replay_bytes':4");
         RawConnection upstream = startedUpload("first");
         if (serverCloses) {
@@ -135,7 +139,10 @@
         assertTrue(server.hasNoConnection());
     }
 
-    /** A server runs a request after its last byte, so an earlier 200 cannot be its response. */
+    /**
+     * A server runs a request only after it has received the whole body. A 200 that arrives earlier
+     * therefore cannot be the response to that request. The client receives 503.
+     */
     @Test
     void successBeforeTheEndOfTheBodyIsNotForwarded() throws Exception {
         start(",'replay_bytes':4");
@@ -173,8 +180,8 @@
     }
 
     /**
-     * The server never receives the end of such a body, so no request can be smuggled in it. A body
-     * of {@code 0} stands for 70 000 bytes.
+     * The server never receives the end of a malformed body, so the body cannot contain a request
+     * that the server would run. In the table, a body of {@code 0} stands for 70 000 bytes.
      */
     @ParameterizedTest
     @CsvSource(
@@ -190,7 +197,7 @@
                 "Content-Length: 200000000 | '' | '' | 413",
                 "Transfer-Encoding: gzip, chunked | 3\\r\\nabc\\r\\n0\\r\\n\\r\\n | '' | 400",
             })
-    void malformedBodyIsRejected(String framing, String body, String following, int status)
+    void malformedUploadBodyIsRejected(String framing, String body, String following, int status)
             throws Exception {
         start("");
         String text = body.equals("0") ? "x".repeat(70_000) : body.replace("\\r\\n", "\r\n");
@@ -226,7 +233,7 @@
                     for (int i = 0; i < 10_000; i++) {
                         client.write("A" + i + ": " + "x".repeat(100) + "\r\n");
                     }
-                    // If all writes succeed, the connection must close after them.
+                    // If all writes succeed, the connection must close after the last write.
                     client.awaitEnd();
                     throw new IOException("ended");
                 });
@@ -234,7 +241,7 @@
     }
 
     @Test
-    void bodyOverItsLimitIsRejected() throws Exception {
+    void uploadThatExceedsItsSizeLimitIsRejected() throws Exception {
         start(
                 newHarness()
                         .withExtensions(
--- a/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamingSocketTest.java
@@ -17,21 +17,24 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Base class of tests of streamed bodies with real sockets: one server, one sidecar and one client.
- * A test writes and reads the bytes of the server and the client itself, and waits for events
- * instead of fixed times.
+ * Base class of tests of streamed bodies with real sockets. A test has one server, one sidecar and
+ * one client. The test itself writes and reads the bytes of the server and the client. The test
+ * waits for events instead of fixed times.
  */
 abstract class StreamingSocketTest extends SocketTest {
 
-    /** Extensions that stream the responses of {@code export} and the uploads of {@code append}. */
+    /**
+     * Extensions that stream the responses of the request class {@code export} and the uploads of
+     * the request class {@code append}. {@link #streaming} replaces {@code MORE}.
+     */
     static final String STREAMING =
             "{'streaming':{'classes':{'export':{'max_answer_bytes':100000000},"
                     + "'append':{'max_request_bytes':100000000}}MORE}}";
 
-    /** Length of a body that no buffer can hold completely. */
+    /** Size in bytes of a body that exceeds all buffers. */
     static final int BIG_BODY_BYTES = 3_000_000;
 
-    /** Further settings that allow buffers for only one stream. */
+    /** Further settings of the section {@code streaming} that allow buffers for only one stream. */
     static final String BUFFERS_FOR_ONE_STREAM =
             ",'high_watermark_bytes':1000,'replay_bytes':0,"
                     + "'max_buffered_bytes':"
@@ -58,14 +61,14 @@
         return harness;
     }
 
-    /** Starts a sidecar and connects a client. */
+    /** Starts the sidecar of the harness and connects the client. */
     final void start(SidecarHarness configured) throws Exception {
         configured.start();
         client = connect();
     }
 
     /**
-     * Starts a sidecar with streaming and connects a client.
+     * Starts a sidecar with streaming and connects the client.
      *
      * @param settings further settings of the section {@code streaming}, with a comma before each
      */
@@ -73,7 +76,7 @@
         start(newHarness().withExtensions(streaming(settings)));
     }
 
-    /** Returns the streaming extensions with further settings, with a comma before each. */
+    /** Returns {@link #STREAMING} with further settings, each with a comma before it. */
     static String streaming(String settings) {
         return STREAMING.replace("MORE", settings);
     }
@@ -83,7 +86,7 @@
         return closeAfterTest(RawConnection.to(harness.address));
     }
 
-    /** Returns a request of the class whose responses are streamed. */
+    /** Returns a request of the request class {@code export}, whose responses are streamed. */
     static String exportRequest(long timeoutMillis) {
         return TestClient.head("GET", "/export/k1", timeoutMillis, "", 0);
     }
@@ -99,8 +102,8 @@
     }
 
     /**
-     * Sends a request with a streamed response. The server has written the head and the first three
-     * bytes of the response, and the client has read the head.
+     * Sends a request with a streamed response. The server then writes the head and the first three
+     * bytes of the response, and the client reads the head.
      *
      * @return the server's connection
      */
@@ -118,7 +121,7 @@
         return upstream;
     }
 
-    /** Returns the head of a request of the class whose uploads are streamed. */
+    /** Returns the head of a request of the request class {@code append}: a streamed upload. */
     static String appendRequest(String framing) {
         return TestClient.head("POST", "/append/k1", 2_000, framing + "\r\n", 0);
     }
@@ -135,7 +138,7 @@
         return upstream;
     }
 
-    /** Sends one chunk of an upload; returns the server's connection after reading the chunk. */
+    /** Sends an upload's first chunk; returns the server's connection after reading the chunk. */
     final RawConnection startedUpload(String chunk) throws Exception {
         client.write(appendRequest("Transfer-Encoding: chunked")).chunk(chunk);
         RawConnection upstream = acceptRequest();
@@ -143,7 +146,7 @@
         return upstream;
     }
 
-    /** Reads a body in 300 parts and checks each of them. */
+    /** Reads a body in 300 parts of equal size and checks each part. */
     static void assertBodyArrives(byte[] body, RawConnection from) throws IOException {
         int partLength = body.length / 300;
         for (int start = 0; start < body.length; start += partLength) {
@@ -186,8 +189,8 @@
     }
 
     /**
-     * Stops the sidecar and checks the peak of the buffered bytes: at least the high watermark of
-     * 5000 bytes, and less than the watermark plus two reads.
+     * Stops the sidecar and checks the peak of the buffered bytes. The peak is at least the high
+     * watermark of 5000 bytes. It exceeds the high watermark by less than the bytes of two reads.
      */
     final void assertBuffersLimited() throws Exception {
         client.close();
--- a/sidecar/src/test/java/sagefall/proxy/TestClient.java
+++ b/sidecar/src/test/java/sagefall/proxy/TestClient.java
@@ -30,7 +30,7 @@
      * Returns the head of a request.
      *
      * @param headers further header lines, each with its line end
-     * @param length length of the body; if 0, there is no {@code Content-Length} header
+     * @param length length of the body in bytes; 0 for a head without {@code Content-Length}
      */
     static String head(String method, String path, long timeoutMillis, String headers, int length) {
         return method
@@ -46,19 +46,19 @@
                 + "\r\n";
     }
 
-    /** Writes the text as bytes, one for each character. */
+    /** Writes the text with one byte for each character. */
     TestClient write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
         return this;
     }
 
-    /** Sends an idempotent request without a body. */
+    /** Sends a request of the idempotent request class {@code search}, without a body. */
     TestClient search(long timeoutMillis) throws IOException {
         return write(head("GET", "/search/k1", timeoutMillis, "", 0));
     }
 
-    /** Sends a request that is not idempotent. */
+    /** Sends a request of the request class {@code book}, which is not idempotent. */
     TestClient book(String body, long timeoutMillis) throws IOException {
         return write(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
     }
@@ -68,14 +68,14 @@
         return write("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
-    /** Waits for the next response; fails if the connection closes without one. */
+    /** Waits for the next response; fails if the connection closes without a response. */
     HttpMessages.Message readResponse() throws IOException {
         HttpMessages.Message response = HttpMessages.read(socket.getInputStream());
         Assertions.assertNotNull(response, "closed without a response");
         return response;
     }
 
-    /** Waits until the connection closes; fails if anything more arrives before. */
+    /** Waits until the server closes the connection; fails at a further byte or at a reset. */
     void assertClosed() throws IOException {
         Assertions.assertEquals(-1, socket.getInputStream().read(), "more than one response");
     }
--- a/sidecar/src/test/java/sagefall/proxy/downstream/ClientConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/downstream/ClientConnectionStateTest.java
@@ -9,10 +9,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks which transitions of a client connection are legal. */
+/** Checks that a client connection allows exactly the legal state transitions. */
 class ClientConnectionStateTest {
 
-    /** Successors in the order of the constants: {@code x} is legal, {@code .} is illegal. */
+    /**
+     * One row for each state, one column for each possible successor, in the order of the enum
+     * constants. {@code x} is a legal transition, {@code .} an illegal one.
+     */
     private static final List<String> TABLE =
             List.of(
                     // to: accepted idle request body flight writing last lingering closed
@@ -27,7 +30,7 @@
                     "CLOSED          . . . . . . . . .");
 
     @Test
-    void exactlyTheTransitionsInTheTableAreLegal() {
+    void transitionsOutsideTheTableAreRejected() {
         List<String> actual = new ArrayList<>();
         for (ClientConnectionState from : ClientConnectionState.values()) {
             StringBuilder row = new StringBuilder(String.format("%-15s", from));
--- a/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/ConnectionPoolTest.java
@@ -38,8 +38,8 @@
 import sagefall.proxy.WallClock;
 
 /**
- * Tests the pool without a balancer: in a complete sidecar, the limits of the balancer prevent the
- * cases that are tested here.
+ * Tests the connection pool without a balancer. In a complete sidecar, the limits of the balancer
+ * prevent the cases that are tested here.
  */
 class ConnectionPoolTest extends SocketTest {
 
@@ -115,7 +115,10 @@
         return result;
     }
 
-    /** Waits until connections that have just received a response may be reused. */
+    /**
+     * Waits until connections that have just received a response may be reused. Asserts that no
+     * attempt ends in the meantime.
+     */
     private void awaitReuseDelay() throws InterruptedException {
         assertNull(results.poll(2 * ConnectionPool.REUSE_DELAY_MICROS, TimeUnit.MICROSECONDS));
     }
@@ -150,7 +153,7 @@
     }
 
     @Test
-    void resultTellsResponsesAndFailuresApart() throws Exception {
+    void attemptResultDistinguishesResponsesFromFailures() throws Exception {
         ScriptedPeer server =
                 server(
                         ScriptedPeer.respondsWith(
@@ -195,7 +198,7 @@
     }
 
     @Test
-    void connectionIsNotReusedAfterConnectionClose() throws Exception {
+    void connectionIsNotReusedAfterTheHeaderConnectionClose() throws Exception {
         ScriptedPeer server =
                 server(ScriptedPeer.respondsWith("200 OK", "Connection: close\r\n", "ok"));
         start(1024, server);
@@ -207,7 +210,10 @@
         assertEquals(2, server.accepted.get());
     }
 
-    /** A listening socket with a full accept queue; new connections wait until it accepts some. */
+    /**
+     * A listening socket with a full accept queue. A new connection is established only after the
+     * test has accepted queued connections.
+     */
     private static final class FullBacklog implements AutoCloseable {
         final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> queued = new ArrayList<>();
@@ -225,7 +231,7 @@
             throw new IOException("the accept queue did not fill up");
         }
 
-        /** Closes the connections that fill the queue and returns the one established next. */
+        /** Accepts and closes the queued connections, then returns the next one accepted. */
         Socket acceptNext() throws IOException {
             for (int i = 0; i < queued.size() - 1; i++) {
                 socket.accept().close();
@@ -264,7 +270,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void attemptIsNotSentIfOutdatedOnceConnected(Change change) throws Exception {
+    void attemptThatBecomesOutdatedWhileConnectingIsNotSent(Change change) throws Exception {
         FullBacklog backlog = closeAfterTest(new FullBacklog());
         start(1024);
         update(listOf(1, "in_service", backlog));
@@ -281,9 +287,9 @@
         assertEquals(-1, established.getInputStream().read());
     }
 
-    /** No new attempt is sent to a draining endpoint, but the attempt in flight goes on. */
+    /** A draining endpoint receives no new attempt, but may complete the attempts in flight. */
     @Test
-    void onlyAttemptsInFlightGoOnWhileTheEndpointDrains() throws Exception {
+    void drainingEndpointCompletesAttemptInFlightAndReceivesNoNewOne() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         start(1024, server);
         send(server.port());
--- a/sidecar/src/test/java/sagefall/proxy/upstream/UpstreamConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/UpstreamConnectionStateTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.proxy.upstream.UpstreamConnection.State;
 
-/** Checks which transitions of a connection to an endpoint are legal. */
+/** Checks that a connection to an endpoint allows exactly the legal state transitions. */
 class UpstreamConnectionStateTest {
 
+    /** All states that each state can change to. */
     private static final Map<State, Set<State>> SUCCESSORS =
             Map.of(
                     State.CONNECTING,
@@ -27,7 +28,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void exactlyTheTransitionsInTheTableAreLegal(State state) {
+    void transitionsOutsideTheTableAreRejected(State state) {
         for (State next : State.values()) {
             assertEquals(
                     SUCCESSORS.get(state).contains(next),
--- a/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/FlowControlTest.java
@@ -14,7 +14,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Tests the watermarks of one direction of a stream. */
+/** Tests the flow control of one direction of a stream. */
 class FlowControlTest {
 
     /** Settings with a high watermark of 1000 bytes and a low watermark of 400 bytes. */
@@ -56,11 +56,11 @@
     }
 
     /**
-     * The pending bytes exceed the high watermark by less than one part, in whatever order parts
-     * are received and written.
+     * The pending bytes exceed the high watermark of 1000 bytes by less than one part, whose
+     * maximum is 300 bytes. This holds for any order in which parts are received and written.
      */
     @Test
-    void pendingBytesAreBounded() {
+    void pendingBytesExceedTheHighWatermarkByLessThanOnePart() {
         Random random = new Random(3);
         long pending = 0;
         boolean reading = true;
@@ -81,7 +81,7 @@
         }
     }
 
-    /** A slice of a few bytes must not keep the memory of a large read. */
+    /** A slice of a few bytes must not keep the buffer of a large read in memory. */
     @Test
     void smallPartOfALargeReadIsCopied() {
         ByteBuf read = Unpooled.buffer(16_384).writeZero(16_384);
--- a/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/streaming/StreamedUploadTest.java
@@ -21,7 +21,10 @@
 /** Tests the forwarding of an upload to the endpoints of its attempts. */
 class StreamedUploadTest {
 
+    /** Size of the replay buffer in bytes. */
     private static final int REPLAY_BYTES = 8;
+
+    /** Maximum size of the upload in bytes. */
     private static final int MAX_BYTES = 20;
 
     private static final StreamingSettings SETTINGS =
@@ -59,7 +62,7 @@
         upload.attach(server, () -> events.add("written"));
     }
 
-    /** Returns the body that a server has received so far; its end is marked with a dot. */
+    /** Returns the parts received since the last call; a dot marks the end of the body. */
     private static String received(EmbeddedChannel server) {
         StringBuilder body = new StringBuilder();
         while (!server.outboundMessages().isEmpty()) {
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void uploadCannotBeReplayedOnceMoreThanTheLimitIsForwarded() {
+    void uploadThatForwardsMoreThanTheReplayLimitCannotBeReplayed() {
         receive("0123456789");
         assertEquals(List.of(), events);
         assertEquals(10, accounting.bufferedBytes());
@@ -155,7 +158,7 @@
     }
 
     @Test
-    void trailersAreForwarded() {
+    void trailersOfTheUploadAreForwarded() {
         EmbeddedChannel server = new EmbeddedChannel();
         attach(server);
         HttpHeaders trailers = new DefaultHttpHeaders().set("Digest", "1");
