--- a/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
+++ b/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
@@ -7,13 +7,13 @@
 /** Generates the arrival times of operations: a Poisson process whose rate follows a sine wave. */
 final class ArrivalProcess {
 
-    /** Shortest period of the sine wave; the period is drawn from a range above this value. */
+    /** Minimum period of the sine wave. */
     private static final double MIN_PERIOD_SECONDS = 10;
 
-    /** Width of the range that the period is drawn from. */
+    /** Difference between the maximum and the minimum period of the sine wave. */
     private static final double PERIOD_SPREAD_SECONDS = 20;
 
-    /** Interval at which the rate is recomputed while it is 0. */
+    /** Interval at which the rate is recomputed while the rate is 0. */
     private static final long IDLE_STEP_MICROS = 1000;
 
     private final double swing;
@@ -37,9 +37,10 @@
     }
 
     /**
-     * Returns the arrivals per microsecond at the given time.
+     * Returns the number of arrivals per microsecond at the given time.
      *
-     * @param weightFactor factor by which the traffic factors of zones and tenants change the rate
+     * @param weightFactor factor of the rate that results from the traffic factors of zones and
+     *     tenants
      * @param rateFactor factor of the rate of all arrivals
      */
     double rate(long nowMicros, double weightFactor, double rateFactor) {
--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -1,9 +1,10 @@
 package sagefall.emulator;
 
 /**
- * An operation of a client. It consists of a first request and its retries, and ends when one of
- * them is served or the client abandons the operation. All random values are drawn when the
- * operation arrives, so no decision of a load balancer changes them.
+ * An operation of a client. An operation consists of a first request and the client's retries. The
+ * operation ends when one of these requests is served or when the client abandons the operation.
+ * All random values are drawn when the operation arrives, so no decision of a load balancer changes
+ * them.
  */
 public final class ClientOperation {
 
@@ -13,7 +14,7 @@
      * @param number sequence number of the operation, from 0
      * @param arrivedAtMicros time of the client's first request
      * @param deadlineMicros time at which the client abandons the operation
-     * @param key key of the operation; a server may have it cached
+     * @param key key of the operation, which a server may have cached
      * @param tenant index of the tenant
      * @param overQuota whether the tenant had used up its quota at the arrival
      * @param workMicros work that the operation requires of a server, in microseconds on a core of
@@ -37,7 +38,7 @@
     /** Time of the client's first request. */
     public final long arrivedAtMicros;
 
-    /** Key of the operation; a server may have it cached. */
+    /** Key of the operation, which a server may have cached. */
     public final long key;
 
     /** Index of the tenant. */
@@ -68,9 +69,9 @@
     boolean finished;
 
     /**
-     * Time at which the operation was last executed, by zone; 0 if no server of the zone executed
-     * it. The deduplication window of the zone starts at this time. Set only if requests have an
-     * idempotency key.
+     * Time at which the operation was last executed in each zone. The deduplication window of the
+     * zone starts at this time. The time is 0 if no server of the zone executed the operation, or
+     * if requests have no idempotency key.
      */
     final long[] executedAtByZone;
 
--- a/testbed/src/main/java/sagefall/emulator/ClientRequest.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientRequest.java
@@ -6,7 +6,7 @@
 /** One request of a client to a sidecar. A retry by the client is a new request with a new id. */
 public final class ClientRequest {
 
-    /** Id, unique in the run; begins with the prefix of the sidecar's incarnation. */
+    /** Id, unique in the run. The id begins with the prefix of the sidecar's incarnation. */
     public final String id;
 
     /** The operation that the request belongs to. */
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -19,7 +19,7 @@
      *
      * @param events the virtual clock and the scheduled events
      * @param sidecars the sidecars that the clients send requests to
-     * @param accounting records the outcome of each operation
+     * @param accounting accounting that records the outcome of each operation
      * @param network the links between clients and sidecars
      */
     public record Environment(
@@ -29,7 +29,8 @@
             EmulatedNetwork network) {}
 
     /**
-     * Time after the arrival of an operation within which its client retries, in latency targets.
+     * Exclusive upper bound of the time from the arrival of an operation to a retry, as a multiple
+     * of the latency target.
      */
     private static final int RETRY_WINDOW_LATENCY_TARGETS = 2;
 
@@ -78,8 +79,9 @@
     public double disconnectShare;
 
     /**
-     * Maximum number of retries of an operation, which clients make without a delay and regardless
-     * of Retry-After. If it is 0, the configured number of retries and the configured delay apply.
+     * Maximum number of immediate retries of an operation. Clients make these retries without a
+     * delay and ignore Retry-After. If the number is 0, the configured number of retries and the
+     * configured delay apply.
      */
     public int immediateRetries;
 
@@ -187,8 +189,8 @@
 
     /**
      * Schedules a disconnect if the client does not wait for the response to the request. Whether
-     * and when the client disconnects is derived from the random value of the operation and the
-     * number of the request, so the outcome of earlier requests has no influence.
+     * and when the client disconnects depends only on the random value of the operation and on the
+     * number of the request. The outcomes of earlier requests have no influence.
      */
     private void scheduleDisconnect(ClientRequest request, SidecarHandle sidecar) {
         ClientOperation operation = request.operation;
@@ -207,9 +209,9 @@
     }
 
     /**
-     * Returns the preferred sidecar. If that sidecar drains, returns the next one in its zone that
-     * does not drain, because a planned restart also restarts the client process beside the
-     * sidecar.
+     * Returns the preferred sidecar. If that sidecar drains, returns the next sidecar of the zone
+     * that does not drain. The reason is that a planned restart of a sidecar also restarts the
+     * client process beside the sidecar.
      */
     private SidecarHandle sidecarFor(SidecarHandle preferred) {
         SidecarHandle sidecar = preferred;
@@ -224,8 +226,8 @@
     /**
      * Delivers the final response of a request to its client.
      *
-     * @param reason reason of a rejection or failure; null for a served request or if no response
-     *     was sent in time
+     * @param reason reason of a rejection or failure; null if the request was served or got no
+     *     response in time
      */
     public void deliverResponse(
             ClientRequest request,
@@ -239,8 +241,7 @@
     /**
      * Delivers the final response of a request to its client.
      *
-     * @param label label under which the results count the response; not used if the request was
-     *     served
+     * @param label label of the response in the results; ignored if the request was served
      */
     public void deliverResponse(
             ClientRequest request, ResponseKind response, String label, long retryAfterMicros) {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
@@ -10,7 +10,7 @@
     final ClientRequest request;
     final EmulatedSidecar sidecar;
 
-    /** Incarnation of the sidecar that made the attempt; later incarnations ignore its outcome. */
+    /** Incarnation of the sidecar that made the attempt. Later ones ignore the outcome. */
     final int incarnation;
 
     /** Number of the attempt among the attempts of the request, from 0. */
@@ -19,16 +19,16 @@
     final EmulatedServer server;
     final long startedAtMicros;
 
-    /** Epoch of the server process at the other end of the connection. */
+    /** Epoch of the connected server process; {@link #NOT_CONNECTED} before a connection. */
     int serverEpoch = NOT_CONNECTED;
 
     /** Whether the attempt opened a new connection. */
     boolean openedConnection;
 
-    /** Time from which the attempt must not be sent any more. */
+    /** Exclusive upper bound of the time at which the attempt may be sent. */
     long sendDeadlineMicros = Long.MAX_VALUE;
 
-    /** Whether the client got the response of this attempt; otherwise the work was wasted. */
+    /** Whether the client got the response of this attempt. If not, the work was wasted. */
     boolean deliveredToClient;
 
     /** Result of the attempt, as the sidecar sees it; null while the attempt is in flight. */
--- a/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
@@ -22,10 +22,10 @@
      */
     private static final double DETECTION_SPREAD = 0.3;
 
-    /** Time within which a published list is assumed to reach all sidecars. */
+    /** Assumed maximum time from the publication of a list to its delivery to all sidecars. */
     private static final long DELIVERY_MARGIN_MICROS = 1_000_000;
 
-    /** Factor by which a requested list is delivered faster than a pushed one. */
+    /** Ratio of the delivery time of a pushed list to the delivery time of a requested list. */
     private static final int REQUEST_SPEEDUP = 4;
 
     private final EventQueue events;
@@ -74,7 +74,9 @@
         }
     }
 
-    /** Adds the initial servers to the endpoint list and starts to publish changes. */
+    /**
+     * Adds the initial servers to the endpoint list and starts the periodic publication of changes.
+     */
     public void initialize(Iterable<EmulatedServer> servers) {
         servers.forEach(server -> current.put(server.id, listed(server, EndpointPhase.READY)));
         events.scheduleAfter(publishIntervalMicros, this::publish);
@@ -148,8 +150,8 @@
     }
 
     /**
-     * Returns the time, in microseconds, after which all sidecars should have been notified that a
-     * server drains.
+     * Returns the assumed maximum time from the start of draining of a server to the notification
+     * of all sidecars, in microseconds.
      */
     public long propagationMicros() {
         return (long) (detectionMicros * delayFactor * (1 + DETECTION_SPREAD))
@@ -193,8 +195,8 @@
     }
 
     /**
-     * Starts or ends the suppression of updates to a sidecar. The sidecar gets the complete list
-     * when no fault suppresses its updates any more.
+     * Starts or ends the suppression of updates to a sidecar. When the last suppression ends, the
+     * sidecar gets the complete list.
      */
     public void setUpdatesSuppressed(EndpointListSubscriber sidecar, boolean suppressed) {
         suppressions[sidecar.index()] += suppressed ? 1 : -1;
@@ -205,7 +207,7 @@
 
     /**
      * Sends the complete list to a sidecar. While a fault stops discovery or suppresses the updates
-     * of the sidecar, the sending is retried.
+     * of the sidecar, the discovery service retries periodically.
      */
     public void requestFullList(EndpointListSubscriber sidecar) {
         int incarnation = sidecar.incarnation();
--- a/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
@@ -20,8 +20,8 @@
     private static final long DRAIN_MARGIN_MICROS = 700_000;
 
     /**
-     * Minimum share of informed requests for which the overload of a cold server counts as a defect
-     * of the policy. A request is informed if its sidecar knew that the server was new.
+     * Minimum share of informed requests at which the overload of a cold server is treated as a
+     * defect of the policy. A request is informed if its sidecar knew that the server was new.
      */
     private static final double MIN_INFORMED_SHARE_OF_BREACH = 2.0 / 3;
 
@@ -45,8 +45,8 @@
     /**
      * The other parts of the simulation that the fleet uses.
      *
-     * @param factory creates all servers, including the initial ones
-     * @param traffic the clients, which are notified of killed sidecars
+     * @param factory factory of all servers, including the initial ones
+     * @param traffic clients, which are notified when a sidecar is killed
      */
     record Parts(
             EventQueue events,
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Starts discovery and all sidecars, and schedules the pauses that servers make even without
-     * faults.
+     * Starts discovery and all sidecars. Also schedules the regular pauses of servers, which happen
+     * without faults as well.
      */
     void start() {
         discovery.initialize(initialServers());
@@ -121,7 +121,7 @@
         return factory.initialServers();
     }
 
-    /** Returns the server with the id, or null. */
+    /** Returns the server with the id; null if no server has the id. */
     EmulatedServer server(long id) {
         return servers.get(id);
     }
@@ -160,11 +160,11 @@
     }
 
     /**
-     * Starts a replacement of a server and drains the old server, which then rejects new requests
-     * until it stops.
+     * Starts a replacement of a server and drains the old server. A draining server rejects new
+     * requests until it stops.
      *
-     * @param rejectsImmediately whether the old server rejects requests from now on; otherwise it
-     *     does so once all sidecars should have been notified that it drains
+     * @param rejectsImmediately whether the old server rejects new requests from now on; if false,
+     *     the old server rejects them once all sidecars should have been notified that it drains
      */
     void replaceServer(EmulatedServer old, boolean rejectsImmediately) {
         if (retired.contains(old.id)) {
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Performs a planned restart of a sidecar: new requests go to other sidecars, open requests
-     * complete, the process exits and a new one starts.
+     * Performs a planned restart of a sidecar. Clients send new requests to other sidecars, and the
+     * open requests complete. Then the process exits and a new one starts.
      */
     void restartSidecar(EmulatedSidecar sidecar, long downMicros) {
         if (!sidecar.isUp()) {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedNetwork.java
@@ -5,8 +5,8 @@
 
 /**
  * Emulates the links between zones: latency, jitter, and cuts in one or both directions. A message
- * on a cut link is lost and not retransmitted; TCP would retransmit it after the cut, mostly too
- * late for the latency target.
+ * on a cut link is lost and not retransmitted. TCP would retransmit the message after the cut, but
+ * mostly too late for the latency target.
  */
 public final class EmulatedNetwork {
 
@@ -16,7 +16,7 @@
     private final double jitter;
     private final UniformRandomProvider random;
 
-    /** Number of active faults that cut the link, by sending and by receiving zone. */
+    /** Number of active faults that cut a link, by sending zone and receiving zone. */
     private final int[][] cuts;
 
     /** Draws the latencies for a run. Initially no link is cut. */
@@ -48,7 +48,7 @@
         return 1 + (long) clientMicros;
     }
 
-    /** Returns whether the link from one zone to the other is cut. */
+    /** Returns whether the link is cut in the direction from the first zone to the second. */
     public boolean isCut(int fromZone, int toZone) {
         return cuts[fromZone][toZone] > 0;
     }
@@ -68,7 +68,7 @@
         addCuts(zone, inbound, outbound, 1);
     }
 
-    /** Ends a cut; the arguments must be those of the {@link #cut} that began it. */
+    /** Ends a cut. The arguments must be those of the call of {@link #cut} that began the cut. */
     public void restore(int zone, boolean inbound, boolean outbound) {
         addCuts(zone, inbound, outbound, -1);
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -15,7 +15,7 @@
     public enum State {
         /** The process accepts requests. */
         UP,
-        /** The process rejects new requests and completes those that it has accepted. */
+        /** The process rejects new requests and completes the accepted ones. */
         DRAINING,
         /** The machine has failed; peers get neither a response nor a connection reset. */
         SILENT,
@@ -44,8 +44,8 @@
     private final JobExecutor executor;
 
     /**
-     * Requests that the machine held when it failed or that have arrived since. Their connections
-     * are reset when the server starts again.
+     * Requests that were running or queued when the machine failed, and requests that have arrived
+     * since. The connections of these requests are reset when the server starts again.
      */
     private final List<Job> pendingResets = new ArrayList<>();
 
@@ -75,11 +75,11 @@
     /** Share of the requests whose response is an error. */
     public double errorRate;
 
-    /** Number of current pauses; the server does no work while it is not 0. */
+    /** Number of current pauses. While the number is positive, the server does no work. */
     public int activePauses;
 
     /**
-     * Creates a server that is up and warm. {@link #start()} replaces its process by a cold one.
+     * Creates a server that is up and warm. {@link #start()} replaces the process by a cold one.
      */
     public EmulatedServer(
             ServerIdentity identity,
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Sets the budget of requests beyond which the cold server stops. Without a budget no load
-     * stops it.
+     * Sets the limit on the requests to the cold server. If the limit is exceeded, the server
+     * stops. Without a budget, no load stops the server.
      */
     public void setSlowStartBudget(SlowStartBudget budget) {
         slowStartBudget = budget;
@@ -130,8 +130,8 @@
                 Math.max(0, requests / spec.cores() - spec.contentionThreshold());
         double connectionShare = Math.min(1, connections / (double) spec.maxConnections());
         double connectionFactor = 1 - spec.connectionTableCost() * connectionShare;
-        // During warm-up the rate is recomputed at least once per step, so the capacity in the
-        // middle of the step is used.
+        // During warm-up the executor recomputes the rate at least once per step. The rate is
+        // therefore based on the capacity in the middle of the step.
         return spec.speed()
                 * capacityShareAt(events.now() + JobExecutor.WARM_UP_STEP_MICROS / 2)
                 * (1 - stolenShare)
@@ -164,8 +164,8 @@
     // Work.
 
     /**
-     * Accepts or rejects a request that has arrived, and returns whether it is accepted. If the
-     * request overloads a cold server, the server stops.
+     * Accepts or rejects a request that has arrived, and returns whether the server accepts it. If
+     * the request overloads a cold server, the server stops.
      */
     public boolean accept(Job job) {
         if (warmUp.isWarmingUp(events.now()) && stopsByOverload(job)) {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -14,9 +14,9 @@
 import sagefall.balancer.api.Request;
 
 /**
- * Emulates a sidecar process, which is the host of one load balancer, as are the real sidecar and
- * the simulator's adapter. The process passes events to the load balancer, carries out the load
- * balancer's actions and holds the connections to servers. It makes no routing decisions.
+ * Emulates a sidecar process, which is the host of one load balancer. Other hosts are the real
+ * sidecar and the simulator's adapter. The process passes events to the load balancer, carries out
+ * the load balancer's actions and holds the connections to servers. It makes no routing decisions.
  */
 public final class EmulatedSidecar implements SidecarHandle, EndpointListSubscriber {
 
@@ -80,7 +80,7 @@
         return environment.events();
     }
 
-    /** Returns what the current process knows of a server; null if no list contained the server. */
+    /** Returns what this process knows of a server; null if no list contained the server. */
     EndpointView.Knowledge knowledgeOf(long server) {
         return endpoints.of(server);
     }
@@ -94,7 +94,7 @@
     /**
      * Starts a new process with the endpoint list of the previous one.
      *
-     * @param initialList used if there is no previous list
+     * @param initialList endpoint list that is used if there is no previous list
      */
     void start(List<ListedEndpoint> initialList) {
         incarnation++;
@@ -115,7 +115,7 @@
         draining = true;
     }
 
-    /** Kills the process and closes its connections; returns the requests that were open. */
+    /** Kills the process, closes its connections and returns the requests that were open. */
     List<ClientRequest> kill() {
         List<ClientRequest> aborted = new ArrayList<>(openRequests.values());
         up = false;
@@ -233,7 +233,7 @@
 
     // Used by the load balancer's actions.
 
-    /** Returns the open request with the id, or null. */
+    /** Returns the open request with the id; null if no open request has the id. */
     ClientRequest openRequest(String requestId) {
         return openRequests.get(requestId);
     }
@@ -260,12 +260,14 @@
         removeIfDone(request);
     }
 
-    /** Schedules an action after a delay; it is dropped if the process has exited by then. */
+    /**
+     * Schedules an action after a delay. The action is dropped if the process has exited by then.
+     */
     void scheduleAfter(long micros, Runnable action) {
         scheduleAt(events().now() + micros, action);
     }
 
-    /** Schedules an action at a time; it is dropped if the process has exited by then. */
+    /** Schedules an action at a time. The action is dropped if the process has exited by then. */
     void scheduleAt(long atMicros, Runnable action) {
         int scheduledBy = incarnation;
         Runnable guarded =
--- a/testbed/src/main/java/sagefall/emulator/EndpointView.java
+++ b/testbed/src/main/java/sagefall/emulator/EndpointView.java
@@ -10,8 +10,8 @@
 
 /**
  * Records the endpoint lists that one sidecar has received. The current list survives a restart of
- * the process. What the current process knows of each server is recorded separately for the checks
- * of invariants.
+ * the process. For the checks of invariants, the view also records what the current process knows
+ * of each server. A restart clears this knowledge.
  */
 final class EndpointView {
 
@@ -22,7 +22,7 @@
      *
      * @param startMicros listed start time of the server
      * @param unavailableSinceMicros time at which the server was first listed as draining or
-     *     removed, or was first missing from a complete list; 0 if it is ready
+     *     removed, or was first missing from a complete list; 0 if the server is ready
      */
     record Knowledge(long startMicros, long unavailableSinceMicros) {
 
--- a/testbed/src/main/java/sagefall/emulator/EventQueue.java
+++ b/testbed/src/main/java/sagefall/emulator/EventQueue.java
@@ -52,12 +52,15 @@
         scheduleAt(nowMicros + micros, action);
     }
 
-    /** Returns the time of the next event; {@link Long#MAX_VALUE} if there is none. */
+    /** Returns the time of the next event, or {@link Long#MAX_VALUE} if there is no event. */
     public long nextEventAt() {
         return events.isEmpty() ? Long.MAX_VALUE : events.peek().atMicros;
     }
 
-    /** Processes all events up to the given time, and advances the clock to it. */
+    /**
+     * Processes all events up to the given time, including events at that time, and advances the
+     * clock to the time.
+     */
     public void runUntil(long endMicros) {
         while (!events.isEmpty() && events.peek().atMicros <= endMicros) {
             Event event = events.poll();
--- a/testbed/src/main/java/sagefall/emulator/FaultScheduler.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultScheduler.java
@@ -9,8 +9,8 @@
 final class FaultScheduler {
 
     /**
-     * Maximum number of groups of sidecars in a restart; the groups are restarted one after
-     * another.
+     * Maximum number of groups into which the sidecars of a planned restart are divided. The groups
+     * are restarted one after another.
      */
     private static final int MAX_RESTART_STEPS = 10;
 
--- a/testbed/src/main/java/sagefall/emulator/FaultTargets.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultTargets.java
@@ -5,10 +5,10 @@
  *
  * @param fleet the servers and sidecars
  * @param network the links between zones
- * @param transport carries attempts and responses
- * @param discovery delivers endpoint lists
+ * @param transport transport of attempts and responses
+ * @param discovery service that delivers endpoint lists
  * @param traffic the clients
- * @param sharedSlowdown slowdown of all servers by a shared dependency
+ * @param sharedSlowdown slowdown of all servers that a shared dependency causes
  */
 record FaultTargets(
         EmulatedFleet fleet,
--- a/testbed/src/main/java/sagefall/emulator/FaultWindow.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultWindow.java
@@ -36,7 +36,7 @@
         return drawn.magnitude();
     }
 
-    /** Returns the magnitude in microseconds, for a kind of fault whose magnitude is in seconds. */
+    /** Returns the magnitude in microseconds. The magnitude of the fault must be in seconds. */
     long magnitudeMicros() {
         return micros(drawn.magnitude());
     }
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -17,7 +17,7 @@
  */
 public final class FleetSimulation {
 
-    /** Time for which a run continues after the last arrival; no client waits longer than this. */
+    /** Time for which a run continues after the end of the arrivals. No client waits longer. */
     private static final long MICROS_AFTER_LAST_ARRIVAL = 10_000_000;
 
     /** Heat map value of a server that is not up. */
@@ -38,7 +38,8 @@
     private final UniformRandomProvider balancerSeeds;
 
     /**
-     * Requests per core, by second and initial server; {@link #DOWN} while the server is not up.
+     * Running and queued requests per core, by second and initial server; {@link #DOWN} while the
+     * server is not up.
      */
     private final List<double[]> heat = new ArrayList<>();
 
@@ -147,8 +148,8 @@
     }
 
     /**
-     * Returns the expected time, in microseconds, until a server responds to a request that is sent
-     * now; infinity if the server cannot be reached. Implements {@link GroundTruth}.
+     * Returns the expected response time, in microseconds, of a server for a request that is sent
+     * now. The time is infinite if the server cannot be reached. Implements {@link GroundTruth}.
      */
     private double expectedResponseMicros(long serverId, int fromZone) {
         EmulatedServer server = fleet.server(serverId);
--- a/testbed/src/main/java/sagefall/emulator/IdleConnections.java
+++ b/testbed/src/main/java/sagefall/emulator/IdleConnections.java
@@ -6,7 +6,8 @@
 import java.util.function.LongFunction;
 
 /**
- * Holds the idle connections of one sidecar, by server. The most recently used one is reused first.
+ * Holds the idle connections of one sidecar, by server. The most recently used connection is reused
+ * first.
  */
 final class IdleConnections {
 
@@ -14,7 +15,7 @@
      * An idle connection.
      *
      * @param idleSinceMicros time of the last use
-     * @param serverEpoch epoch of the server process at the other end
+     * @param serverEpoch epoch of the server process at the other end of the connection
      */
     record Connection(long idleSinceMicros, int serverEpoch) {}
 
@@ -26,10 +27,11 @@
     }
 
     /**
-     * Removes the most recently used connection that appears open to the sidecar, and returns it;
-     * returns null if there is none.
+     * Removes and returns the most recently used connection that appears open to the sidecar.
+     * Returns null if there is no such connection.
      *
-     * @param oldestMicros connections that became idle before this time are closed first
+     * @param oldestMicros earliest time at which a reusable connection became idle; older
+     *     connections are closed
      */
     Connection take(EmulatedServer server, double oldestMicros) {
         ArrayDeque<Connection> connections = byServer.get(server.id);
@@ -61,7 +63,7 @@
     /**
      * Closes the idle connections to a server.
      *
-     * @param server null if no server has the id
+     * @param server the server with the id; null if no server has the id
      */
     void close(long serverId, EmulatedServer server) {
         ArrayDeque<Connection> connections = byServer.remove(serverId);
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -8,21 +8,25 @@
 import sagefall.balancer.api.ServiceLimits;
 
 /**
- * Checks the actions of load balancers against the invariants, and records the breaches that it or
- * other parts of the simulation detect. A breach is a defect of the policy or of the emulator; in
- * both cases the figures of the run are void.
+ * Checks the actions of load balancers against the invariants, and records breaches. Other parts of
+ * the simulation report breaches to the checker. A breach is a defect of the policy or of the
+ * emulator. In both cases the results of the run are invalid.
  */
 public final class InvariantChecker {
 
     /** The invariants. Their names are written to the results. */
     public enum Rule {
-        /** Each request gets one final response in time, and no attempt is sent after it. */
+        /**
+         * Each request gets one final response in time, and no attempt is sent after the response.
+         */
         ONE_ANSWER,
-        /** A request that may have run is retried or rejected only as its class allows. */
+        /**
+         * A request that may have run is retried or rejected only if its request class allows it.
+         */
         EFFECT,
         /**
-         * Once the grace time is over, a sidecar sends no attempt to a server that it knows to be
-         * draining or removed.
+         * A sidecar sends no attempt to a server after the drain grace time. The grace time begins
+         * when the sidecar learns that the server is draining, removed or no longer listed.
          */
         DRAIN,
         /**
@@ -33,7 +37,7 @@
          * A sidecar sends attempts only to servers that one of its endpoint lists has contained.
          */
         LISTED,
-        /** A request has no more attempts than allowed. */
+        /** A request has at most the maximum number of attempts that the service sets. */
         ATTEMPTS
     }
 
@@ -96,8 +100,8 @@
     /**
      * Checks an attempt that a sidecar is about to make.
      *
-     * @param request null if no open request has the id
-     * @param server null if no server has the id
+     * @param request the request with the id; null if no open request has the id
+     * @param server the server with the id; null if no server has the id
      */
     void onSend(
             EmulatedSidecar sidecar,
@@ -157,7 +161,7 @@
         return null;
     }
 
-    /** Checks a rejection, which tells the client that a retry is safe. */
+    /** Checks a rejection. The client concludes from a rejection that a retry is safe. */
     void onReject(EmulatedSidecar sidecar, ClientRequest request, String requestId) {
         onFinalResponse(sidecar, requestId);
         if (request == null || request.completed || isRetrySafe()) {
--- a/testbed/src/main/java/sagefall/emulator/JobExecutor.java
+++ b/testbed/src/main/java/sagefall/emulator/JobExecutor.java
@@ -13,21 +13,22 @@
     static final long WARM_UP_STEP_MICROS = 50_000;
 
     /**
-     * Remaining work up to which a job counts as done, because rounding errors leave a remainder.
+     * Maximum remaining work of a job that is treated as done. Rounding errors leave such a
+     * remainder.
      */
     private static final double DONE_TOLERANCE_MICROS = 1e-6;
 
     /**
-     * Delay from which a completion is not scheduled, because the job makes practically no
-     * progress.
+     * Exclusive upper bound of the delay of a scheduled completion. With a longer delay, the job
+     * makes practically no progress, so no completion is scheduled.
      */
     private static final double MAX_DELAY_MICROS = 1e15;
 
     /**
      * The parts of the server that the executor uses.
      *
-     * @param rate returns the work that a core completes per microsecond
-     * @param onDone called with each job that is done
+     * @param rate function that returns the work that a core completes per microsecond
+     * @param onDone function that is called with each job that is done
      */
     record Host(
             ServerSpec spec,
@@ -43,13 +44,14 @@
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
 
-    /** Work that a core completes per microsecond, as of the last call of {@link #reschedule()}. */
+    /** Work that a core completes per microsecond; updated by {@link #reschedule()}. */
     private double rate;
 
     private long advancedAtMicros;
 
     /**
-     * Number of the last scheduling. Completions that an earlier scheduling created are dropped.
+     * Number of the last call of {@link #reschedule()}. Completions that an earlier call scheduled
+     * are dropped.
      */
     private int scheduleNumber;
 
@@ -108,7 +110,8 @@
         if (micros == 0 || running.isEmpty()) {
             return;
         }
-        // Each running job has a core, or a share of one if there are more jobs than cores.
+        // Each running job has one core. If there are more jobs than cores, the jobs share the
+        // cores equally.
         double workPerJob = micros * rate * Math.min(1, spec.cores() / (double) running.size());
         for (Job job : running) {
             job.remainingMicros -= workPerJob;
@@ -185,7 +188,8 @@
     }
 
     /**
-     * Starts the accounting of work for a new process. The time in which no process ran is skipped.
+     * Starts the accounting of work for a new process. The time in which no process ran is not
+     * treated as working time.
      */
     void restart() {
         advancedAtMicros = events.now();
--- a/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
+++ b/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
@@ -5,7 +5,7 @@
 /** Sums the load of a server and periodically creates load reports from the sums. */
 final class LoadReportSampler {
 
-    /** The sums at the time of a report. */
+    /** The sums of the load at the time of a report. */
     private record Totals(double busyCoreMicros, double serviceMicros, long served) {}
 
     private final int cores;
@@ -34,7 +34,9 @@
         serviceMicros += requestMicros;
     }
 
-    /** Returns the last report, or a new one if there is none or the report interval has passed. */
+    /**
+     * Returns the last report. Creates a new one first if there is none or the interval has passed.
+     */
     LoadReport report(long nowMicros) {
         double elapsedMicros = nowMicros - reportedAtMicros;
         if (lastReport == null || elapsedMicros >= intervalMicros) {
--- a/testbed/src/main/java/sagefall/emulator/OperationGenerator.java
+++ b/testbed/src/main/java/sagefall/emulator/OperationGenerator.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns an operation that arrives at the given time. The values are drawn from one random
-     * stream, so another order of the draws would change all runs.
+     * Returns an operation that arrives at the given time. All values are drawn from one random
+     * stream, so a different order of the draws would change all runs.
      */
     ClientOperation next(long nowMicros) {
         int tenant = weights.sampleTenant();
--- a/testbed/src/main/java/sagefall/emulator/RandomShares.java
+++ b/testbed/src/main/java/sagefall/emulator/RandomShares.java
@@ -8,7 +8,8 @@
     private RandomShares() {}
 
     /**
-     * Draws shares whose sum is 1. A skew of 0 gives equal shares, a skew of 1 very unequal ones.
+     * Draws shares whose sum is 1. With a skew of 0 the shares are equal. With a skew of 1 they are
+     * very unequal.
      */
     static double[] draw(int count, double skew, UniformRandomProvider random) {
         double[] shares = new double[count];
--- a/testbed/src/main/java/sagefall/emulator/RandomStreams.java
+++ b/testbed/src/main/java/sagefall/emulator/RandomStreams.java
@@ -5,7 +5,8 @@
 
 /**
  * Provides named streams of random numbers. A draw from one stream does not change the values of
- * another, so runs with equal seeds have equal arrivals, work and faults whatever the policy.
+ * another stream. Runs with equal seeds therefore have equal arrivals, work and faults under any
+ * policy.
  */
 public final class RandomStreams {
 
--- a/testbed/src/main/java/sagefall/emulator/RecentKeyCache.java
+++ b/testbed/src/main/java/sagefall/emulator/RecentKeyCache.java
@@ -9,7 +9,9 @@
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
-    /** Time of the last request, by key; the least recently used key is evicted. */
+    /**
+     * Time of the last request, by key. If the map is full, the least recently used key is evicted.
+     */
     private static final class LastUsed extends LinkedHashMap<Long, Long> {
         private static final long serialVersionUID = 1;
 
@@ -34,7 +36,7 @@
         lastUsed = new LastUsed(spec.cachedKeys());
     }
 
-    /** Records a request with the key, and returns the factor by which caching changes its work. */
+    /** Records a request with the key, and returns the factor by which caching changes the work. */
     double workFactor(long key, long nowMicros) {
         if (spec.cachedKeys() == 0) {
             return 1;
--- a/testbed/src/main/java/sagefall/emulator/RequestTransport.java
+++ b/testbed/src/main/java/sagefall/emulator/RequestTransport.java
@@ -8,7 +8,10 @@
 import sagefall.balancer.api.RequestClass;
 import sagefall.scenario.Scenario;
 
-/** Carries attempts to servers and their results back to sidecars. Faults lose some of them. */
+/**
+ * Carries attempts to servers, and carries the results of attempts to sidecars. Faults cause some
+ * attempts and results to be lost.
+ */
 final class RequestTransport {
 
     private final EventQueue events;
@@ -100,8 +103,8 @@
 
     /**
      * Returns whether the operation has an idempotency key and was executed in the zone of the
-     * server within the deduplication window. Its repetition then causes no work. Otherwise records
-     * the execution of an operation with an idempotency key.
+     * server within the deduplication window. A duplicate causes no work. If an operation with an
+     * idempotency key is no duplicate, records its execution.
      */
     private boolean isDuplicate(ClientOperation operation, EmulatedServer server) {
         if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
@@ -131,7 +134,8 @@
     }
 
     /**
-     * Handles an attempt that was lost because its server process stopped: the connection is reset.
+     * Handles an attempt that was lost because its server process stopped. The connection of the
+     * attempt is reset.
      */
     void onJobAborted(EmulatedAttempt attempt) {
         accounting.addWorkWasted(attempt.workMicros);
--- a/testbed/src/main/java/sagefall/emulator/ResponseKind.java
+++ b/testbed/src/main/java/sagefall/emulator/ResponseKind.java
@@ -2,9 +2,9 @@
 
 /** Kind of the final response that a sidecar sends to a client. */
 public enum ResponseKind {
-    /** A server executed the request, and its response arrived within the deadline. */
+    /** A server executed the request, and the response arrived before the deadline. */
     SERVED("served"),
-    /** The sidecar rejected the request; a retry by the client is safe. */
+    /** The sidecar rejected the request. A retry by the client is safe. */
     REJECTED("refused"),
     /** The request may have been executed, or no response was sent in time. */
     FAILED("failed");
--- a/testbed/src/main/java/sagefall/emulator/ServerFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -17,7 +17,9 @@
  */
 public final class ServerFactory {
 
-    /** Step of a low-discrepancy sequence that mixes the machine types evenly. */
+    /**
+     * Step of the low-discrepancy sequence that distributes the machine types evenly over servers.
+     */
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887;
 
     private final Scenario scenario;
@@ -117,7 +119,7 @@
         return range.at(random.nextDouble());
     }
 
-    /** Draws the properties of a server. Another order of the draws would change all runs. */
+    /** Draws the properties of a server. A different order of the draws would change all runs. */
     private ServerSpec drawSpec(int typeIndex) {
         MachineType type = scenario.machineTypes().get(typeIndex);
         ServiceSettings service = scenario.service();
--- a/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
@@ -132,10 +132,10 @@
     }
 
     /**
-     * Schedules the periods in which a noisy neighbour takes capacity from a server: every other
-     * period until the fault ends.
+     * Schedules the noisy periods, in which a noisy neighbour takes capacity from a server. Noisy
+     * and quiet periods of equal length alternate until the fault ends.
      *
-     * @param delayPeriods delay until the first of these periods, as a multiple of the period
+     * @param delayPeriods delay until the first noisy period, as a multiple of the period
      */
     private void scheduleNoisyPeriods(
             EmulatedServer server, FaultWindow window, double delayPeriods) {
--- a/testbed/src/main/java/sagefall/emulator/ServerListener.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerListener.java
@@ -6,7 +6,10 @@
     /** Handles a job whose work is done. */
     void onJobDone(Job job);
 
-    /** Handles a job that was lost because the server process stopped; its connection is reset. */
+    /**
+     * Handles a job that was lost because the server process stopped or the failed machine
+     * restarted. The connection of the job is reset.
+     */
     void onJobAborted(Job job);
 
     /**
--- a/testbed/src/main/java/sagefall/emulator/ServerSpec.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerSpec.java
@@ -7,20 +7,23 @@
  * @param cores number of cores
  * @param speed speed of each core; work is given for a core of speed 1
  * @param slots maximum number of requests that are executed concurrently
- * @param queueCapacity maximum number of queued requests; further requests are rejected
- * @param contentionPenalty relative slowdown by each request per core beyond the threshold
- * @param contentionThreshold requests per core beyond which contention begins
+ * @param queueCapacity maximum number of queued requests; the server rejects further requests
+ * @param contentionPenalty relative slowdown that each request per core above {@code
+ *     contentionThreshold} causes
+ * @param contentionThreshold maximum number of requests per core without contention
  * @param initialCapacityShare share of the full capacity at a cold start
  * @param slowStartMicros time from a cold start until the server is warm
- * @param warmsUpByWork whether the server warms up with the work done as well as with time
+ * @param warmsUpByWork whether completed work shortens the warm-up; if false, only time determines
+ *     it
  * @param errorRate share of the requests whose response is an error
- * @param pauseIntervalMicros mean time between two pauses
- * @param pauseMicros duration of a pause
+ * @param pauseIntervalMicros mean time between two pauses of the server process
+ * @param pauseMicros duration of a pause of the server process; 0 for no pauses
  * @param maxConnections maximum number of open connections
- * @param connectionTableCost share of the speed that is lost with all connections in use
+ * @param connectionTableCost share of the speed that is lost if {@code maxConnections} connections
+ *     are open
  * @param cachedKeys number of keys that the server caches
- * @param cachedKeySaving share of the work that a cached key saves
- * @param keyLifetimeMicros time for which a key is cached
+ * @param cachedKeySaving share of the work of a request that is saved if its key is cached
+ * @param keyLifetimeMicros time after the last request with a key for which the key is cached
  * @param reportIntervalMicros time between two load reports
  */
 public record ServerSpec(
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -22,13 +22,13 @@
  * @param machineTypes names of the machine types
  * @param requestClass the only request class
  * @param tenants the tenants and their shares of the sum of all quotas
- * @param overQuotaWeight weight of a request beyond the quota of its tenant; a request within the
- *     quota has the weight 1
+ * @param overQuotaWeight weight of a request beyond the quota of its tenant, relative to a request
+ *     within the quota, whose weight is 1
  * @param limits limits that the service sets for a sidecar
- * @param rules rules of slow start and polling
+ * @param rules rules for slow start, overload of cold servers and polling
  * @param hostRules limits that the host enforces
  * @param cachesKeys whether a request whose key a server has cached causes less work
- * @param tickMicros resolution of the clock
+ * @param tickMicros resolution of the clock, in microseconds
  */
 public record SettingsMessage(
         int rank,
@@ -53,12 +53,11 @@
     /**
      * Limits that the host enforces and a sidecar cannot change.
      *
-     * @param overloadFactor multiple of the current capacity of a cold server up to which sidecars
-     *     may load the server
-     * @param drainGraceMicros time for which a sidecar may still send requests to a server after it
-     *     was notified that the server drains
-     * @param responseGraceMicros time after the deadline of a request within which the request must
-     *     complete
+     * @param overloadFactor maximum load that sidecars may put on a cold server, as a multiple of
+     *     its current capacity
+     * @param drainGraceMicros time after the notification of a sidecar that a server drains; during
+     *     this time the sidecar may still send requests to the server
+     * @param responseGraceMicros maximum time from the deadline of a request to its completion
      * @param connectTimeoutMicros timeout of opening a connection
      */
     public record HostRules(
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessageCodec.java
@@ -12,10 +12,10 @@
 import sagefall.config.BalancerSettingsReader;
 import sagefall.config.ConfigException;
 
-/** Encodes a {@link SettingsMessage} with the names that are used on the wire. */
+/** Encodes a {@link SettingsMessage} as a map with the names on the wire. */
 public final class SettingsMessageCodec {
 
-    /** Cost of a probe on the wire; the load balancer of this build does not read it. */
+    /** Cost of a probe, as sent on the wire. The load balancer of this build ignores the value. */
     private static final double PROBE_COST = 0.0088;
 
     private SettingsMessageCodec() {}
--- a/testbed/src/main/java/sagefall/emulator/SharedSlowdown.java
+++ b/testbed/src/main/java/sagefall/emulator/SharedSlowdown.java
@@ -1,6 +1,6 @@
 package sagefall.emulator;
 
-/** A slowdown of all servers, as by a dependency that all of them call. */
+/** Holds the slowdown of all servers, for example because a dependency that they share is slow. */
 public final class SharedSlowdown {
 
     /** Factor of the execution time of each request; 1 without faults. */
--- a/testbed/src/main/java/sagefall/emulator/SidecarActions.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarActions.java
@@ -8,8 +8,8 @@
 import sagefall.balancer.api.RejectionReason;
 
 /**
- * Carries out the actions that the load balancer of an emulated sidecar calls. Before an attempt, a
- * rejection or a failure is carried out, it is checked against the invariants.
+ * Carries out the actions that the load balancer of an emulated sidecar calls. Attempts, rejections
+ * and failures are checked against the invariants before they are carried out.
  */
 final class SidecarActions implements BalancerActions {
 
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Schedules a timer, which fires one microsecond from now at the earliest and therefore never
-     * while the current event is handled.
+     * Schedules a timer. The timer fires one microsecond from now at the earliest, so it never
+     * fires while the current event is handled.
      */
     @Override
     public void scheduleTimer(long atMicros, long token) {
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Delivers the current list of the sidecar again. Discovery is not contacted, because emulated
-     * discovery pushes all changes.
+     * Delivers the current endpoint list of the sidecar again. The sidecar does not request a list
+     * from the discovery service, because emulated discovery pushes all changes.
      */
     @Override
     public void requestEndpointUpdates() {
--- a/testbed/src/main/java/sagefall/emulator/SidecarConnections.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarConnections.java
@@ -14,9 +14,10 @@
         this.sidecar = sidecar;
     }
 
-    /** Sends an attempt over an idle connection, or over a new one if none is idle. */
+    /** Sends an attempt over an idle connection. If none is idle, opens a new connection. */
     void send(EmulatedAttempt attempt) {
-        // Like the real sidecar, closes idle connections before the idle timeout of the server.
+        // Closes connections after two thirds of the idle timeout of the server. The real sidecar
+        // also closes idle connections before the server does.
         double oldestMicros =
                 environment.events().now() - environment.limits().idleTimeoutMicros() * 2 / 3;
         IdleConnections.Connection connection = idle.take(attempt.server, oldestMicros);
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Adds the connection of an ended attempt to the idle connections if it can be reused;
-     * otherwise closes it.
+     * Adds the connection of an ended attempt to the idle connections if the connection can be
+     * reused. Otherwise closes the connection.
      */
     void release(EmulatedAttempt attempt, AttemptResult result) {
         if (isReusable(attempt, result)) {
--- a/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
@@ -9,11 +9,10 @@
     /**
      * Limits of connections and responses.
      *
-     * @param idleTimeoutMicros time after which a server closes an idle connection
+     * @param idleTimeoutMicros duration after which a server closes an idle connection
      * @param connectTimeoutMicros timeout of opening a connection
      * @param connectRoundTrips number of round trips needed to open a connection
-     * @param responseGraceMicros time after the deadline of a request within which the request must
-     *     complete
+     * @param responseGraceMicros maximum time from the deadline of a request to its completion
      */
     record Limits(
             double idleTimeoutMicros,
@@ -30,7 +29,7 @@
 
     Limits limits();
 
-    /** Returns the server with the id, or null. */
+    /** Returns the server with the id; null if no server has the id. */
     EmulatedServer server(long id);
 
     /** Creates the load balancer for a new process of a sidecar. */
@@ -42,8 +41,10 @@
     /**
      * Sends a client its final response.
      *
-     * @param reason null if the request was served or no response was sent in time
-     * @param retryAfterMicros 0 if the response contains no Retry-After
+     * @param reason reason of a rejection or failure; null if the request was served or got no
+     *     response in time
+     * @param retryAfterMicros delay in the Retry-After header; 0 if the response contains no
+     *     Retry-After
      */
     void deliverResponse(
             ClientRequest request,
--- a/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -1,6 +1,6 @@
 package sagefall.emulator;
 
-/** A sidecar as its clients see it: an emulated one, or a real process. */
+/** Gives clients access to a sidecar, which is emulated or a real process. */
 public interface SidecarHandle {
 
     /** Returns the number of the sidecar, from 0. */
@@ -12,18 +12,21 @@
     /** Returns whether the process runs. */
     boolean isUp();
 
-    /** Returns whether the sidecar drains before a planned restart; clients then use others. */
+    /** Returns whether the sidecar drains before a planned restart. If so, clients use others. */
     boolean isDraining();
 
     /**
-     * Returns the prefix of the ids of all requests to this incarnation, which is six hex digits.
+     * Returns the prefix of the ids of all requests to this incarnation. The prefix has six hex
+     * digits.
      */
     String requestIdPrefix();
 
     /** Handles an operation whose client could not connect because the process was not running. */
     default void onUnreachable(ClientOperation operation) {}
 
-    /** Submits a request; the response is passed to {@link ClientTraffic#deliverResponse}. */
+    /**
+     * Submits a request. The sidecar passes the response to {@link ClientTraffic#deliverResponse}.
+     */
     void submit(ClientRequest request, boolean markedAsRetry);
 
     /** Handles the disconnect of the client of a request. */
--- a/testbed/src/main/java/sagefall/emulator/SimulationResult.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResult.java
@@ -8,8 +8,8 @@
 
 /**
  * The result of a run, written as a line of {@code days.jsonl}. The value of an operation is
- * counted once, however many requests its client makes, and in the second in which the operation
- * arrives. Shares are shares of the offered value unless stated otherwise.
+ * counted once, even if the client makes several requests. The value belongs to the second in which
+ * the operation arrives. All shares refer to the offered value unless stated otherwise.
  *
  * @param scenario name of the scenario
  * @param seed seed of the run
@@ -17,26 +17,28 @@
  * @param g score: 0.55 {@code served} + 0.35 {@code worstTenSeconds} + 0.1 {@code worstTenant} -
  *     {@code price}
  * @param served share of the value that was served within the latency target
- * @param worstTenSeconds share of the value that was served within the latency target, in the
- *     window of ten seconds with the lowest share
- * @param worstTenant share of a tenant's operations within its quota that were served within the
- *     latency target, for the tenant with the lowest share
- * @param price deduction from the score for zone crossings, connections, wasted work and late
- *     losses
+ * @param worstTenSeconds lowest share of the value that was served within the latency target in any
+ *     window of ten seconds
+ * @param worstTenant lowest share of any tenant; the share of a tenant is the fraction of its
+ *     operations within the quota that were served within the latency target
+ * @param price deduction from the score for zone crossings, opened connections, wasted work and
+ *     losses after the latency target
  * @param offeredValue value of all operations
  * @param requests number of operations
- * @param lost lost value by cause, which is the label of the last response or the reason why there
- *     was none
+ * @param lost lost value by cause; the cause is the label of the last response, or, if there was no
+ *     response, the reason for this
  * @param answers number of unsuccessful responses by label, including those after which the client
  *     retried
  * @param attemptsPerRequest attempts per operation
  * @param crossingsPerRequest attempts to another zone per operation
  * @param setupsPerRequest opened connections per operation
- * @param wastedWork work whose response no client received, as a share of the work of all servers
+ * @param wastedWork work whose response no client received, as a share of the work that all servers
+ *     did
  * @param latency latency of all served operations
  * @param zones names of the zones
  * @param series values by second
- * @param heat requests per core by second and initial server; -1 while the server is not up
+ * @param heat running and queued requests per core by second and initial server; -1 while the
+ *     server is not up
  * @param serverZones zone index of each initial server
  * @param faults the injected faults
  * @param breaches the first breaches of invariants
@@ -103,7 +105,8 @@
     }
 
     /**
-     * Time series of a run, by the second in which operations arrived; some also by zone.
+     * Time series of a run. Values belong to the second in which their operations arrived. Some
+     * series are also split by zone.
      *
      * @param offered value of the operations
      * @param served value that was served within the latency target
--- a/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
@@ -11,19 +11,19 @@
 /** Computes the result of a run from the recorded observations. */
 final class SimulationResultFactory {
 
-    /** Weight in the score of the served share of the value. */
+    /** Weight of the served share of the value in the score. */
     private static final double SERVED_WEIGHT = 0.55;
 
-    /** Weight in the score of the worst window of {@link #WINDOW_SECONDS}. */
+    /** Weight of the worst window of {@link #WINDOW_SECONDS} in the score. */
     private static final double WORST_WINDOW_WEIGHT = 0.35;
 
-    /** Weight in the score of the worst tenant. */
+    /** Weight of the served share of the worst tenant in the score. */
     private static final double WORST_TENANT_WEIGHT = 0.1;
 
-    /** Deduction from the score for one zone crossing per operation. */
+    /** Deduction from the score if each operation crosses zones once on average. */
     private static final double CROSSING_PRICE = 0.025;
 
-    /** Deduction from the score for one opened connection per operation. */
+    /** Deduction from the score if each operation opens one connection on average. */
     private static final double CONNECTION_PRICE = 0.02;
 
     /** Deduction from the score if all work is wasted. */
@@ -34,7 +34,7 @@
 
     private static final int WINDOW_SECONDS = 10;
 
-    /** Smallest divisor; keeps quotients finite if no value was offered. */
+    /** Minimum divisor, which keeps quotients finite if no value was offered. */
     private static final double EPSILON = 1e-9;
 
     private static final long MAX_LATENCY_MICROS = 60_000_000;
@@ -43,7 +43,8 @@
     /**
      * The recorded observations of a run.
      *
-     * @param heat requests per core by second and initial server; -1 while the server is not up
+     * @param heat running and queued requests per core by second and initial server; -1 while the
+     *     server is not up
      * @param serverZones zone index of each initial server
      * @param events number of processed events
      */
--- a/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
+++ b/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
@@ -4,13 +4,14 @@
 
 /**
  * Limits the number of requests that a cold server can be sent within a sliding window. The limit
- * is N + 2 sqrt(N) + 2, where N is the number of requests of mean work that a given multiple of the
- * current capacity completes in the window. Requests are counted instead of work, because no
- * sidecar can know that a request is long. The terms beyond N allow for random variation.
+ * is N + 2 sqrt(N) + 2, where N is the number of requests of mean work that a server with {@code
+ * factor} times the current capacity completes in the window. The terms 2 sqrt(N) and 2 allow for
+ * random variation. The budget limits requests instead of work, because no sidecar can know that a
+ * request is long.
  */
 public final class SlowStartBudget {
 
-    /** A request in the window. It is informed if its sidecar knew the server to be new. */
+    /** A request in the window. A request is informed if its sidecar knew the server to be new. */
     private record Entry(long atMicros, boolean informed) {}
 
     private final double factor;
@@ -22,7 +23,7 @@
     /**
      * Creates the budget of one server.
      *
-     * @param factor multiple of the current capacity up to which the server may be loaded
+     * @param factor maximum load of the server, as a multiple of its current capacity
      * @param windowMicros length of the window
      * @param meanWorkMicros mean work of a request, in microseconds on a core of speed 1
      */
--- a/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
+++ b/testbed/src/main/java/sagefall/emulator/StopTheWorldPauses.java
@@ -3,18 +3,19 @@
 import java.util.function.IntConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Schedules pauses of a process at random intervals, like those of a garbage collector. */
+/** Schedules pauses of a process at random intervals, for example those of a garbage collector. */
 public final class StopTheWorldPauses {
 
     private StopTheWorldPauses() {}
 
     /**
-     * Schedules the pauses.
+     * Schedules the next pause and, after its end, all further pauses.
      *
      * @param intervalMicros mean time from the end of one pause to the start of the next
      * @param pauseMicros duration of a pause; 0 for no pauses
-     * @param untilMicros time from which no further pause begins
-     * @param change called with 1 when a pause begins and with -1 when it ends
+     * @param untilMicros exclusive upper bound of the time at which a pause begins
+     * @param change function that is called with 1 when a pause begins and with -1 when the pause
+     *     ends
      */
     public static void schedule(
             EventQueue events,
--- a/testbed/src/main/java/sagefall/emulator/TenantQuotas.java
+++ b/testbed/src/main/java/sagefall/emulator/TenantQuotas.java
@@ -1,8 +1,8 @@
 package sagefall.emulator;
 
 /**
- * Determines which operations are beyond the quota of their tenant. Each tenant has a token bucket,
- * whose capacity is the quota of one second.
+ * Determines which operations are beyond the quota of their tenant. Each tenant has a token bucket.
+ * The capacity of the bucket is the quota of one second.
  */
 final class TenantQuotas {
 
@@ -16,7 +16,7 @@
     /**
      * Creates full buckets.
      *
-     * @param quotas operations per microsecond, by tenant
+     * @param quotas number of operations per microsecond that are within the quota, by tenant
      */
     TenantQuotas(double[] quotas) {
         this.quotas = quotas;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Takes a token from the bucket of the tenant for an operation. Returns true if there was no
-     * token, which means that the operation is beyond the quota.
+     * Takes a token from the bucket of the tenant for an operation. Returns true if the bucket had
+     * no token. The operation is then beyond the quota.
      */
     boolean isOverQuota(int tenant, long nowMicros) {
         double elapsedMicros = nowMicros - refilledAtMicros;
--- a/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
+++ b/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
@@ -10,8 +10,8 @@
 import sagefall.scenario.TenantSettings;
 
 /**
- * Distributes the traffic over sidecars and tenants by randomly drawn weights, multiplied by
- * factors that faults change.
+ * Distributes the traffic over sidecars and tenants. The weights are drawn randomly and are
+ * multiplied by factors that faults change.
  */
 final class TrafficWeights {
 
--- a/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
+++ b/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
@@ -5,9 +5,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Records the value of the operations of a run, how much of it was served, and the causes of the
- * losses. An operation within the quota of its tenant has the value 1. An operation is counted in
- * the second of its arrival and in the zone of its sidecar.
+ * Records the offered value of the operations of a run, the served value, and the lost value by
+ * cause. An operation within the quota of its tenant has the value 1. An operation beyond the quota
+ * has the configured over-quota weight. An operation is counted in the second of its arrival and in
+ * the zone of its sidecar.
  */
 public final class ValueAccounting {
 
@@ -38,7 +39,7 @@
     final int zones;
     private final double overQuotaWeight;
 
-    /** Value that arrived, by second and zone. */
+    /** Value of the operations that arrived, by second and zone. */
     final double[][] offered;
 
     /** Value that was served within the latency target, by second and zone. */
@@ -84,7 +85,7 @@
     private double lateValue;
 
     /**
-     * Creates the accounting of a run in which no operation has arrived yet.
+     * Creates an accounting in which all sums and counts are 0.
      *
      * @param overQuotaWeight value of an operation beyond its tenant's quota
      */
@@ -131,8 +132,8 @@
     }
 
     /**
-     * Records the time from the client's first request to the response of a served operation, even
-     * if the response is late.
+     * Records the latency of a served operation, which is the time from the client's first request
+     * to the response. Late responses are recorded as well.
      */
     void recordLatency(ClientOperation operation, long micros) {
         long bounded = Math.min(micros, MAX_LATENCY_MICROS);
--- a/testbed/src/main/java/sagefall/emulator/WarmUp.java
+++ b/testbed/src/main/java/sagefall/emulator/WarmUp.java
@@ -4,8 +4,8 @@
 final class WarmUp {
 
     /**
-     * Work after which a server is warm, as a share of the work that a warm server could complete
-     * during the slow start.
+     * Amount of work that warms a server up completely, as a share of the work that a warm server
+     * could complete during the slow start.
      */
     private static final double WARM_WORK_SHARE = 0.3;
 
@@ -36,7 +36,8 @@
 
     /**
      * Returns the share of the full capacity at the given time. The share grows from its initial
-     * value to 1, linearly with time or with the work done, whichever gives the larger share.
+     * value to 1. Growth is linear with time and, if configured, with the work done. The larger of
+     * the two shares applies.
      */
     double capacityShare(long atMicros) {
         if (startedAtMicros == NOT_RESTARTED) {
--- a/testbed/src/main/java/sagefall/emulator/WorkDistribution.java
+++ b/testbed/src/main/java/sagefall/emulator/WorkDistribution.java
@@ -15,9 +15,9 @@
     /**
      * Creates a distribution.
      *
-     * @param shape constant, exponential or lognormal
-     * @param meanMicros mean, in microseconds on a core of speed 1
-     * @param variation coefficient of variation, used by lognormal only
+     * @param shape shape of the distribution: constant, exponential or lognormal
+     * @param meanMicros mean work of a request, in microseconds on a core of speed 1
+     * @param variation coefficient of variation; used only for the shape lognormal
      */
     WorkDistribution(
             String shape, double meanMicros, double variation, UniformRandomProvider random) {
--- a/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
+++ b/testbed/src/test/java/sagefall/emulator/GoldenFiguresTest.java
@@ -17,8 +17,9 @@
 import sagefall.scenario.ScenarioRunner;
 
 /**
- * Compares the emulator's figures of the shipped scenarios, to the last digit, with those of the
- * build of commit 732727c. By default one seed of three scenarios is run. To make all runs, use
+ * Checks that runs of the shipped scenarios give the recorded results to the last digit. The
+ * results were recorded with the build of commit 732727c. By default the test runs one seed of
+ * three scenarios. The following command makes all runs:
  *
  * <pre>
  * mvn -B -ntp verify -pl testbed -am -Dtest=GoldenFiguresTest \
@@ -37,13 +38,13 @@
             Integer.getInteger(
                     "golden.threads", Math.max(1, Runtime.getRuntime().availableProcessors() / 2));
 
-    /** Number of runs in the resource, over all scenarios. */
+    /** Number of recorded runs of all scenarios together. */
     private static final int RUNS = 40;
 
     private static final List<String> DEFAULT_SCENARIOS = List.of("calm", "roll", "herd");
     private static final long DEFAULT_SEED = 1;
 
-    /** One line of the resource; figures are stored as text so that no digit is lost. */
+    /** The recorded result of one run. Values are stored as text so that no digit is lost. */
     private record Golden(String scenario, long seed, String g, String served, String requests) {
 
         static Golden parse(String line) {
@@ -105,7 +106,7 @@
     }
 
     @Test
-    void resourceContainsEachRunOfTheShippedScenariosOnce() throws IOException {
+    void recordedResultsContainEachRunOfTheShippedScenariosOnce() throws IOException {
         List<String> expected = new ArrayList<>();
         for (String scenario : Scenario.EMULATOR_NAMES) {
             for (int seed = 1; seed <= RUNS / Scenario.EMULATOR_NAMES.size(); seed++) {
@@ -118,7 +119,7 @@
     }
 
     @Test
-    void figuresMatchResourceToTheLastDigit() throws Exception {
+    void runsGiveRecordedResultsToTheLastDigit() throws Exception {
         List<Golden> expected =
                 read().stream().filter(golden -> ALL || golden.isDefault()).toList();
         assertFalse(expected.isEmpty());
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -30,12 +30,15 @@
 import sagefall.scenario.Scenario;
 
 /**
- * Checks that the invariant checker detects the breach of each invariant, using policies that are
- * mutated to break one invariant, and that the load balancer breaks no invariant.
+ * Checks that the invariant checker detects the breach of each invariant. For this, a policy is
+ * mutated to break one invariant. Also checks that the load balancer breaks no invariant.
  */
 class InvariantCheckerTest {
 
-    /** Returns a scenario with the draining, cold and failing servers that the mutants need. */
+    /**
+     * Returns a scenario with draining servers, cold servers and error responses. The mutants need
+     * them to break their invariants.
+     */
     private static Scenario scenario() throws Exception {
         return Scenario.read(
                 "rules.toml",
@@ -64,15 +67,15 @@
     /** Wraps the random policy and replaces some of its decisions to break an invariant. */
     private static final class Mutant implements InvocationHandler {
         /**
-         * Each request whose number is a multiple of this is mutated, unless the mutation concerns
-         * all requests.
+         * Number of requests from one mutated request to the next. The mutants for {@link
+         * Rule#COLD} and {@link Rule#EFFECT} do not use this interval.
          */
         private static final int MUTATION_INTERVAL = 20;
 
         private static final long UNLISTED_SERVER = 7;
 
         /**
-         * The mutant for {@link Rule#ATTEMPTS} retries until an attempt with this number has ended.
+         * Highest number (from 0) of an attempt that the mutant for {@link Rule#ATTEMPTS} makes.
          */
         private static final int ATTEMPT_NUMBER_LIMIT = 7;
 
@@ -85,9 +88,9 @@
         private long drainingServer;
 
         /**
-         * Handles an event in place of the wrapped policy if the mutation concerns the event, and
-         * returns whether it did. For a request that the mutant has sent, the mutant also handles
-         * the outcomes and sends the final response.
+         * Handles an event in place of the wrapped policy if the mutation concerns the event.
+         * Returns whether the mutant handled the event. If the mutant has sent a request, the
+         * mutant also handles the outcomes of the attempts and sends the final response.
          */
         private boolean replaceEvent(String event, Object[] arguments) {
             if (event.equals("onEndpointList")) {
@@ -198,7 +201,7 @@
     }
 
     @Test
-    void loadBalancerBreaksNoInvariant() throws Exception {
+    void loadBalancerBreaksNoInvariantWhileServersAreReplacedAndReturnErrors() throws Exception {
         for (long seed = 1; seed <= 4; seed++) {
             assertEquals(
                     List.of(),
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -12,7 +12,7 @@
 import sagefall.policy.BaselinePolicies;
 import sagefall.scenario.Scenario;
 
-/** Compares parts of the emulator with results that can be computed from theory. */
+/** Checks that servers and network of the emulator give the results that theory predicts. */
 class KnownResultsTest {
 
     private final EventQueue events = new EventQueue();
@@ -67,7 +67,7 @@
         assertTrue(server.accept(attempt));
     }
 
-    /** The mean wait in an M/M/c queue is given by the Erlang C formula. */
+    /** Checks the mean wait in an M/M/c queue against the value of the Erlang C formula. */
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.8", "2, 0.7", "4, 0.8"})
     void meanWaitMatchesErlangC(int cores, double utilization) {
@@ -101,7 +101,9 @@
 
     /**
      * The work that a server completes after a cold start is the integral of its capacity. During
-     * the slow start this is (initial share + 1) / 2 of the work that a warm server would complete.
+     * the slow start of 8 s, the server completes (initial share + 1) / 2 = 0.7 of the work of a
+     * warm server. The first job has this amount of work, so the job ends after 8 s. The second job
+     * has 1 s of work and ends 1 s later.
      */
     @Test
     void workAfterColdStartMatchesIntegralOfCapacity() {
@@ -116,8 +118,8 @@
     }
 
     /**
-     * While a zone is cut off, no request to the other zone is served, and requests within a zone
-     * are not affected.
+     * Checks that requests to the other zone are not served while a zone is cut off. Requests
+     * within a zone are not affected.
      */
     @Test
     void requestsToOtherZoneAreLostOnlyDuringCut() throws Exception {
@@ -158,8 +160,9 @@
         for (int second = 0; second < 12; second++) {
             double lost = 1 - result.series().served()[second] / result.series().offered()[second];
             boolean cut = second >= 4 && second < 7;
-            // Random choice sends half of the requests to the other zone; a request that was sent
-            // just before the cut may be lost as well.
+            // The random policy sends half of the requests to the other zone, so half of the
+            // requests are lost during the cut. A request that was sent just before the cut may
+            // be lost as well.
             assertEquals(cut ? 0.5 : 0, lost, cut ? 0.15 : 0.02, "second " + second);
         }
     }
--- a/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
+++ b/testbed/src/test/java/sagefall/emulator/ShippedScenariosTest.java
@@ -12,8 +12,8 @@
 import sagefall.scenario.Scenario;
 
 /**
- * Runs the shipped scenarios with fixed seeds. No invariant may be broken, and the results must be
- * identical, to the last digit, for any number of threads.
+ * Runs shipped scenarios with fixed seeds. Checks that no invariant is broken and that results are
+ * identical to the last digit with one thread and with eight threads.
  */
 class ShippedScenariosTest {
 
@@ -44,18 +44,18 @@
     }
 
     @Test
-    void resultsAreIdenticalForAnyNumberOfThreads() throws Exception {
+    void resultsAreIdenticalWithOneThreadAndEightThreads() throws Exception {
         List<SimulationRequest> requests = new ArrayList<>();
         for (long seed = 1; seed <= 8; seed++) {
             requests.add(new SimulationRequest(Scenario.load("flap", List.of()), seed, "module"));
         }
-        List<String> figuresOnOneThread =
+        List<String> resultsOnOneThread =
                 new ParallelSimulations(1, Path.of(".."), null)
                         .runAll(requests, result -> {}).stream()
                                 .map(ShippedScenariosTest::figures)
                                 .toList();
         assertEquals(
-                figuresOnOneThread,
+                resultsOnOneThread,
                 new ParallelSimulations(8, Path.of(".."), null)
                         .runAll(requests, result -> {}).stream()
                                 .map(ShippedScenariosTest::figures)
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
@@ -21,7 +21,7 @@
 import sagefall.policy.PolicyRegistry;
 import sagefall.scenario.Scenario;
 
-/** Checks the keys and labels in {@code days.jsonl} and in tables, which must not change. */
+/** Checks that the keys and labels in {@code days.jsonl} and in tables do not change. */
 class SimulationResultFormatTest {
 
     private static final long SECOND = 1_000_000;
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Returns the accounting after the given final response to a request whose client does not
+     * Returns the accounting after the given final response to a request. The client does not
      * retry, because the deadline of the operation has passed.
      */
     private static ValueAccounting accountingAfter(ResponseKind response, RejectionReason reason)
@@ -186,7 +186,7 @@
         }
     }
 
-    /** Checks the keys of the lines of {@code days.jsonl}, which scripts read. */
+    /** Checks that the keys in {@code days.jsonl} do not change, because scripts read them. */
     @Test
     void keysOfResultLinesDoNotChange() throws Exception {
         Scenario scenario =
@@ -251,8 +251,8 @@
     }
 
     /**
-     * Checks the names of invariants, which are written to {@code days.jsonl} and, in the output of
-     * commands, after {@code BROKEN}.
+     * Checks that the names of invariants do not change. They are written to {@code days.jsonl}
+     * and, in the output of commands, after {@code BROKEN}.
      */
     @Test
     void namesOfInvariantsDoNotChange() {
