--- a/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
@@ -10,15 +10,18 @@
 public enum EntryKind {
     /** The first line: the parameters of the run. */
     RUN("play"),
-    /** Clients begin to send requests, and the fault schedule begins. */
+    /** The clients begin to send requests. The fault schedule begins at this time. */
     BEGIN("begin"),
-    /** All requests have completed; sidecars are now measured without load and shut down. */
+    /** All requests have completed. The sidecars are then measured without load and shut down. */
     END("end"),
-    /** A client's request, as it was handed to the client process of a sidecar. */
+    /** A request was handed to the client process of a sidecar. */
     INTENT("intent"),
-    /** The end of a request at the client process: its final response, or that none arrived. */
+    /**
+     * A request ended at the client process. The status in the entry is that of the final response,
+     * or shows that no response arrived.
+     */
     ANSWER("answer"),
-    /** The client disconnected before the response. */
+    /** The client disconnected before the final response of its request. */
     ABANDONED("left"),
     /** A request that was never sent because its sidecar was down. */
     MISSED("missed"),
@@ -32,7 +35,7 @@
     REPLY("reply"),
     /** The connection of an attempt was closed before the server had responded. */
     CANCEL("cancel"),
-    /** An endpoint list that was written to a sidecar, or passed to it at its start. */
+    /** An endpoint list was written to a sidecar or passed to the sidecar at its start. */
     ENDPOINT_LIST("told"),
     /** A process started, became ready, was sent a signal or exited. */
     PROCESS("process"),
@@ -40,17 +43,17 @@
     HOST("host"),
     /** A fault began or ended. */
     FAULT("fault"),
-    /** A save server started, shut down or failed because of overload in its slow start. */
+    /** A save server started, shut down, or failed because of an overload in its slow start. */
     SERVER("server"),
-    /** Open descriptors and resident memory of a sidecar without load. */
+    /** Number of open descriptors and resident memory of a sidecar without load. */
     REST("rest"),
-    /** The lease and the state of the shared snapshot, as the test bed read them from the store. */
+    /** The lease and the state of the shared snapshot that the test bed read from the store. */
     LEASE("duty"),
-    /** How long an event loop of the test bed was stalled. */
+    /** Duration for which an event loop of the test bed was stalled. */
     STALL("stall"),
-    /** How long a sidecar waited for a processor core. */
+    /** Duration for which a sidecar waited for a processor core. */
     CPU_STARVATION("starved"),
-    /** Any other entry; readers ignore it. */
+    /** An entry with an unknown word. Readers ignore the entry. */
     UNKNOWN("");
 
     private static final Map<String, EntryKind> BY_WORD = new HashMap<>();
@@ -72,7 +75,7 @@
         return word;
     }
 
-    /** Returns the kind for a word in a file; {@link #UNKNOWN} if there is none. */
+    /** Returns the kind for a word in a file; {@link #UNKNOWN} if no kind has this word. */
     static EntryKind of(String word) {
         return BY_WORD.getOrDefault(word, UNKNOWN);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryEntry.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryEntry.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One line of a history.
+ * Holds one line of a history.
  *
  * @param atNanos time of the entry in nanoseconds of the monotonic clock, which all processes of
  *     the machine share
- * @param kind what the line records
+ * @param kind kind of the entry
  * @param line all fields of the line
  */
 public record HistoryEntry(long atNanos, EntryKind kind, JsonNode line) {
 
-    /** Value of a number field that is missing; no sidecar, server or fault has this number. */
+    /** Value of a missing number field. No sidecar, server or fault has this number. */
     public static final int NONE = -1;
 
     /** Returns a text field; empty if it is missing. */
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryReader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryReader.java
@@ -17,11 +17,11 @@
     private HistoryReader() {}
 
     /**
-     * Returns the entries of all files in a directory, in order of time. If the last line of a file
-     * is incomplete because its writer was killed, the line is ignored.
+     * Returns the entries of all files in a directory, in order of time. The last line of a file is
+     * incomplete if the process that wrote the file was killed. An incomplete last line is ignored.
      *
-     * @throws HistoryException if there is no such directory, a line is not JSON, or no entry holds
-     *     the parameters of the run
+     * @throws HistoryException if the directory does not exist, if a line other than the last one
+     *     of its file is not JSON, or if no entry holds the parameters of the run
      */
     public static List<HistoryEntry> read(Path directory) throws IOException {
         if (!Files.isDirectory(directory)) {
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryWriter.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryWriter.java
@@ -12,9 +12,10 @@
 /**
  * Appends the history entries of one process to its own file.
  *
- * <p>{@link #write} passes a whole line to the operating system in one call before it returns. If a
- * process writes each entry before it acts, its file holds the entries of all its effects even if
- * the process is killed. This costs a few microseconds per line. Thread-safe.
+ * <p>{@link #write} passes a whole line to the operating system in one call before {@code write}
+ * returns. If a process writes each entry before it acts, the file holds the entries of all actions
+ * of the process, even if the process is killed. The call costs a few microseconds per line.
+ * Thread-safe.
  */
 public final class HistoryWriter implements Closeable {
 
--- a/testbed/src/main/java/sagefall/faultinjection/history/JsonLines.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/JsonLines.java
@@ -7,10 +7,10 @@
 /** Holds the JSON mapper for histories, plans and the commands to stand-in processes. */
 public final class JsonLines {
 
-    /** Mapper shared by all threads. It must not be reconfigured, which is not thread-safe. */
+    /** Mapper shared by all threads. Must not be reconfigured: that would not be thread-safe. */
     public static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Type for reading a JSON object as a map, for configurations that are passed on unchanged. */
+    /** Type that reads a JSON object as a map. Used for configurations passed on unchanged. */
     public static final TypeReference<Map<String, Object>> MAP = new TypeReference<>() {};
 
     private JsonLines() {}
--- a/testbed/src/main/java/sagefall/faultinjection/history/ResponseStatus.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/ResponseStatus.java
@@ -1,12 +1,15 @@
 package sagefall.faultinjection.history;
 
-/** Statuses of {@link EntryKind#ANSWER} entries: HTTP statuses, and two that the client adds. */
+/**
+ * Defines the statuses in {@link EntryKind#ANSWER} and {@link EntryKind#REPLY} entries. They are
+ * HTTP statuses and two further values that a client records if it receives no response.
+ */
 public final class ResponseStatus {
 
     /** The sidecar did not accept the connection. */
     public static final int UNREACHABLE = -1;
 
-    /** The connection closed, or the client stopped waiting, before a response arrived. */
+    /** No response arrived before the connection closed or the client stopped waiting. */
     public static final int NO_RESPONSE = 0;
 
     /** The request was served. */
@@ -17,7 +20,10 @@
 
     private ResponseStatus() {}
 
-    /** Returns whether the sidecar rejected the request, which promises that no server ran it. */
+    /**
+     * Returns whether the sidecar rejected the request. A rejection promises that no server ran the
+     * request.
+     */
     public static boolean isRejected(long status) {
         return status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/history/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Writes and reads the history of a fault injection run. All processes of the run write one JSON
- * object per line; the invariants, the statistics and the report are computed from these entries.
+ * object per line. The invariants, the statistics and the report are computed from these lines.
  */
 package sagefall.faultinjection.history;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ColdServerInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ColdServerInvariant.java
@@ -12,17 +12,21 @@
 
 /**
  * Checks that a server that started cold does not receive more requests than its current capacity
- * allows. An overload counts only if at least two thirds of the requests came from sidecars that
- * had been notified of the start. At most one violation is reported for each start of a server.
+ * allows. An overload is a violation only if at least two thirds of the requests came from sidecars
+ * that had been notified of the start. At most one violation is reported for each start of a
+ * server.
  */
 final class ColdServerInvariant implements Invariant {
 
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** Number of additional requests of mean cost that a server may receive. */
+    /** Number of requests of mean work by which a server may exceed its limit without violation. */
     private static final double SLACK_REQUESTS = 3;
 
-    /** Fraction of the requests that must come from sidecars notified of the server's start. */
+    /**
+     * Minimum fraction of the requests in an overload that sidecars notified of the server's start
+     * must have sent for the overload to be a violation.
+     */
     private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
     private final ObservedRun run;
@@ -83,7 +87,7 @@
         }
     }
 
-    /** Returns the work that the server may receive in the span without being overloaded. */
+    /** Returns the maximum work, in microseconds, that the server may receive in the span. */
     private double maxWorkMicros(HistoryEntry arrival, ColdStart start, long spanNanos) {
         RunParameters parameters = run.parameters();
         return parameters.slowStartLimitFactor()
@@ -94,7 +98,7 @@
                 + SLACK_REQUESTS * parameters.meanWorkMicros();
     }
 
-    /** Returns whether an endpoint list notified the sending sidecar of the server's start. */
+    /** Returns whether the sidecar that sent the attempt was notified of the server's start. */
     private boolean senderWasNotified(HistoryEntry arrival, long server, long startedAt) {
         List<Attempt> attempts = run.request(arrival).attempts();
         if (attempts.isEmpty()) {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ColdStarts.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ColdStarts.java
@@ -19,7 +19,10 @@
      */
     record ColdStart(long at, double initialCapacityShare, long slowStartMicros, double capacity) {
 
-        /** Returns the smallest share of the full capacity that the server may have now. */
+        /**
+         * Returns the minimum share of the full capacity that the server may report at a time. The
+         * minimum rises linearly to 1 over the slow start.
+         */
         double minCapacityShare(long now) {
             double progress = (now - at) / NANOS_PER_MICRO / Math.max(1, slowStartMicros);
             return Math.min(1, initialCapacityShare + (1 - initialCapacityShare) * progress);
@@ -28,7 +31,7 @@
 
     private final Map<Long, ColdStart> byServer = new HashMap<>();
 
-    /** Applies an entry that a server started, shut down or failed. */
+    /** Applies an entry about the start, shutdown or failure of a server. */
     void apply(HistoryEntry entry) {
         long id = entry.number("server");
         if (entry.text("what").equals("cold")) {
@@ -44,12 +47,15 @@
         }
     }
 
-    /** Returns the cold start of a server; null if it started warm, does not run or was removed. */
+    /**
+     * Returns the latest cold start of a server. Returns null if the server started warm, does not
+     * run, or was removed by {@link #remove}.
+     */
     ColdStart of(long server) {
         return byServer.get(server);
     }
 
-    /** Removes a server until its next cold start. */
+    /** Removes the cold start of a server. The next cold start of the server is added again. */
     void remove(long server) {
         byServer.remove(server);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/CrashInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/CrashInvariant.java
@@ -5,8 +5,8 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Checks that no sidecar exits unless it was killed or sent SIGTERM, and that its exit status after
- * SIGTERM is 0.
+ * Checks that a sidecar exits only after a kill or after SIGTERM. After SIGTERM, the sidecar must
+ * exit, and its exit status must be 0 unless the sidecar was killed.
  */
 final class CrashInvariant implements Invariant {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/DrainInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/DrainInvariant.java
@@ -5,9 +5,10 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Checks that a sidecar sends no attempt to a server after the grace period that follows the
- * endpoint list in which the server is draining or missing. For a sidecar that was stopped when the
- * list was written, the grace period begins when the process is resumed.
+ * Checks that a sidecar sends no attempt to a draining or removed server after a grace period. The
+ * grace period begins when the sidecar is notified by an endpoint list that the server is draining
+ * or removed. If the process of the sidecar is stopped at that time or shortly after, the grace
+ * period begins when the process is resumed.
  */
 final class DrainInvariant implements Invariant {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
@@ -11,9 +11,12 @@
 import sagefall.faultinjection.invariant.ObservedRequest.Attempt;
 
 /**
- * Checks that a request that may have run is retried, run again or rejected only as its class
- * allows. A retry needs an idempotency key, a server in the deduplication scope of the earlier
- * attempt, and a time within the deduplication window that begins with that attempt.
+ * Checks that a request that may have run is retried, run again or rejected only if the request
+ * class allows this. Requests without side effects may be retried at any server. Any other request
+ * may be retried only if it has an idempotency key. The retry must be sent to a server in the
+ * deduplication scope of the earlier attempt, within the deduplication window. The deduplication
+ * window begins with the earlier attempt. A request with side effects that may have run may be
+ * rejected only if the deduplication scope spans all servers.
  */
 final class EffectInvariant implements Invariant {
 
@@ -72,7 +75,7 @@
         }
     }
 
-    /** Returns whether a server recognizes a retry as a duplicate of the previous attempt. */
+    /** Returns whether the server recognizes the retry as a duplicate of the previous attempt. */
     private boolean isDeduplicated(Attempt previous, HistoryEntry send, long server) {
         RunParameters parameters = run.parameters();
         boolean sameScope = parameters.scopeSpansZones() || run.inSameZone(previous.server, server);
@@ -84,7 +87,10 @@
                 && send.atNanos() - previous.at <= limitNanos;
     }
 
-    /** Checks that a rejected request cannot have run, which is what a rejection promises. */
+    /**
+     * Checks that a rejected request cannot have run. A rejection promises the client that no
+     * server ran the request.
+     */
     private void checkRejection(ObservedRequest request) {
         if (!request.expectsResponse() || request.hasNoResponse() || allowsRepeatedExecution()) {
             return;
@@ -102,14 +108,17 @@
     }
 
     /**
-     * Returns whether any server may execute a request again, because requests have no side effects
-     * or the deduplication scope spans all servers.
+     * Returns whether any server may execute a request again. This is allowed if requests have no
+     * side effects. It is also allowed if the deduplication scope spans all servers.
      */
     private boolean allowsRepeatedExecution() {
         return run.parameters().sideEffectFree() || run.parameters().scopeSpansZones();
     }
 
-    /** Checks that servers can recognize each further execution of a key as a duplicate. */
+    /**
+     * Checks that servers can recognize each further execution with an idempotency key as a
+     * duplicate of the first one.
+     */
     private void checkExecutions(List<HistoryEntry> executions) {
         if (allowsRepeatedExecution()) {
             return;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/Invariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/Invariant.java
@@ -5,17 +5,20 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * A property that must hold in every run. An instance checks one history: {@link #observe} is
- * called with each entry of the kinds in {@link #reads}, in order of time, and {@link #finish}
- * after the last one. Violations are added to the {@link Violations} that its constructor was
- * given.
+ * Checks a property that must hold in every run. An instance checks one history. {@link #observe}
+ * is called with each entry of the kinds in {@link #reads}, in order of time. {@link #finish} is
+ * called after the last entry of the history. The instance adds each violation to the {@link
+ * Violations} that its constructor received.
  */
 public interface Invariant {
 
     /** Returns the name that is printed and written to reports. */
     InvariantName name();
 
-    /** Returns the kinds of entries to observe; empty if all checks are made in {@link #finish}. */
+    /**
+     * Returns the kinds of entries to observe. The set is empty if {@link #finish} makes all
+     * checks.
+     */
     Set<EntryKind> reads();
 
     /**
@@ -28,8 +31,8 @@
     default void finish() {}
 
     /**
-     * Returns whether the machine stalled for so long that the result of this invariant would prove
-     * nothing. The whole run is then void.
+     * Returns whether the machine stalled for so long that the result of this invariant proves
+     * nothing. If so, the whole run is void.
      */
     default boolean isVoid(SchedulingDelays delays) {
         return delays.longestStallNanos() > SchedulingDelays.MAX_VALID_STALL_NANOS;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantChecks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantChecks.java
@@ -6,9 +6,9 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Checks a history against all invariants. The times of attempts are those recorded on a link or at
- * a server. Time limits are extended by the delays of the machine; a run in which the machine
- * stalled for too long proves nothing and is void.
+ * Checks a history against all invariants. The time of an attempt is the time that a link or a
+ * server recorded, not a time reported by the sidecar. Time limits are extended by the delays of
+ * the machine. A run in which the machine stalled for too long proves nothing and is void.
  */
 public final class InvariantChecks {
 
@@ -54,7 +54,7 @@
                 .anyMatch(invariant -> invariant.isVoid(run.delays()));
     }
 
-    /** Returns the number of violations of each invariant that was violated. */
+    /** Returns the number of violations by invariant. Invariants without violation are omitted. */
     public static Map<InvariantName, Long> count(List<Violation> violations) {
         Map<InvariantName, Long> counts = new TreeMap<>();
         violations.forEach(violation -> counts.merge(violation.invariant(), 1L, Long::sum));
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantName.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantName.java
@@ -1,27 +1,36 @@
 package sagefall.faultinjection.invariant;
 
-/** Names of the invariants, as they are printed and written to reports. */
+/** Names the invariants in printed results and reports. */
 public enum InvariantName {
-    /** Each request sent to a running sidecar has one correct final response, in time. */
+    /** Each request sent to a running sidecar gets one correct final response in time. */
     ONE_ANSWER,
     /** No request is lost by a planned restart. */
     RESTART,
-    /** A request that may have run is retried, run again or rejected only as its class allows. */
+    /**
+     * A request that may have run is retried, run again or rejected only if its request class
+     * allows it.
+     */
     EFFECT,
     /** No attempt is sent to a draining or removed server after the grace period. */
     DRAIN,
-    /** Sidecars notified of a cold server do not send more requests than it can process. */
+    /** Sidecars notified of a cold server do not send more requests than the server can process. */
     COLD,
     /** A sidecar sends attempts only to addresses that its endpoint lists have named. */
     LISTED,
-    /** No request has more attempts than allowed. */
+    /** No request has more attempts than its request class allows. */
     ATTEMPTS,
-    /** No sidecar exits unexpectedly, and each exits with status 0 after SIGTERM. */
+    /** No sidecar exits unexpectedly. Each sidecar exits with status 0 after SIGTERM. */
     CRASH,
-    /** After the load, sidecars use about as many descriptors and as much memory as before. */
+    /** Sidecars use about as many descriptors and as much memory after the load as before it. */
     REST,
-    /** Lease terms and revisions of the shared snapshot never decrease; a term has one leader. */
+    /**
+     * Lease terms, and the term and revision of the shared snapshot, never decrease. Each lease
+     * term has only one leader.
+     */
     OWNER,
-    /** Stand-in servers receive only requests of clients, and report a plausible capacity. */
+    /**
+     * Stand-in servers receive only requests that a client sent. They report at least the capacity
+     * of their slow start.
+     */
     STAND_IN
 }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/LeaseInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/LeaseInvariant.java
@@ -8,12 +8,13 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Checks that the lease can be read; that the lease term, and the term and revision of the shared
- * snapshot, never decrease; and that each lease term has only one leader.
+ * Checks that the lease can be read. Checks that the term of the lease, the term of the shared
+ * snapshot and the revision of the shared snapshot never decrease. Checks that each lease term has
+ * only one leader.
  */
 final class LeaseInvariant implements Invariant {
 
-    /** Fields for the term of the lease, the term of the snapshot, and its revision. */
+    /** Fields for the lease term, the term of the snapshot, and the revision of the snapshot. */
     private static final List<String> MONOTONIC_FIELDS = List.of("term", "written", "rev");
 
     private final Violations violations;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/LostRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/LostRequests.java
@@ -9,9 +9,9 @@
     private LostRequests() {}
 
     /**
-     * Returns whether a request without a response counts as lost by its sidecar. A request is not
-     * lost if the sidecar was killed while the client waited, or if the client was still waiting at
-     * the end of the run and the deadline had not passed.
+     * Returns whether the sidecar lost a request that has no response. A request is not lost if the
+     * sidecar was down after a kill at some time while the client waited. A request is not lost if
+     * the client was still waiting at the end of the run and the deadline had not passed.
      */
     static boolean isLost(ObservedRun run, ObservedRequest request) {
         long from = request.intent().atNanos();
@@ -21,7 +21,7 @@
         return !killed && !openAtEnd;
     }
 
-    /** Returns whether the sidecar was shutting down after SIGTERM while the request was open. */
+    /** Returns whether the sidecar was shutting down after SIGTERM while the client waited. */
     static boolean inPlannedRestart(ObservedRun run, ObservedRequest request) {
         return run.processes()
                 .wasTerminatingWithin(
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
@@ -14,13 +14,14 @@
     private static final String TERMINATED = "terminated";
 
     /**
-     * The latest state of one address that a sidecar has been notified of.
+     * The latest state of one address of which a sidecar has been notified.
      *
      * @param server id of the server at the address
      * @param state state of the server in the endpoint list
      * @param startMillis start time of the server in the endpoint list; 0 if it is missing
-     * @param at time at which the list was written, in nanoseconds of the history's clock; if
-     *     several lists show that the server is out of service, the time of the first one
+     * @param at time, in nanoseconds of the history's clock, at which the first list with this
+     *     server, state and start time was written. If several lists in a row show that the server
+     *     is out of service, the time of the first of them.
      */
     record Notice(long server, String state, long startMillis, long at) {
         boolean isInService() {
@@ -30,15 +31,16 @@
 
     private final Map<Integer, Map<String, Notice>> bySidecar = new HashMap<>();
 
-    /** Returns the latest notice of an address to a sidecar; null if no list has named it. */
+    /** Returns a sidecar's latest notice of an address; null if no list named the address. */
     Notice notice(int sidecar, String endpoint) {
         return bySidecar.getOrDefault(sidecar, Map.of()).get(endpoint);
     }
 
     /**
-     * Applies an endpoint list that was written to a sidecar, or passed to it at its start. A list
-     * passed at the start replaces all notices. Servers in service that a complete list does not
-     * name are terminated. A stale list only adds addresses that no list has named before.
+     * Applies an endpoint list that was written to a sidecar or passed to it at its start. A list
+     * passed at the start replaces all notices. If a complete list does not name a server in
+     * service, the state of the server becomes "terminated". A stale list is an exception: it only
+     * adds addresses that no list has named before.
      */
     void apply(HistoryEntry list) {
         Map<String, Notice> notices =
@@ -83,7 +85,8 @@
         boolean sameServer = previous.server == server;
         boolean unchanged =
                 sameServer && previous.state.equals(state) && previous.startMillis == startMillis;
-        // Two servers may use an address one after the other: the one in service counts.
+        // Two servers may use an address one after the other. A server that is out of service does
+        // not replace another server that is in service.
         boolean outdated =
                 stale || (!sameServer && !state.equals(IN_SERVICE) && previous.isInService());
         if (unchanged || outdated) {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
@@ -7,12 +7,12 @@
 import sagefall.faultinjection.history.HistoryEntry;
 import sagefall.faultinjection.history.ResponseStatus;
 
-/** The entries of a history about one request. */
+/** Holds the entries of a history about one request. */
 final class ObservedRequest {
 
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** An attempt, and whether the server reported that the attempt was not executed. */
+    /** An attempt. Records whether the server reported that the attempt was not executed. */
     static final class Attempt {
         final long at;
         final int sidecar;
@@ -47,14 +47,15 @@
         return id;
     }
 
-    /** Returns the entry of the client's request; null if no client sent this request. */
+    /** Returns the entry of the client's request; null if no client has sent the request. */
     HistoryEntry intent() {
         return intent;
     }
 
     /**
-     * Returns the entry about the final response; null if there is none so far. The status of the
-     * entry may be that no response arrived: see {@link #hasNoResponse}.
+     * Returns the entry about the end of the request at the client; null if no such entry has been
+     * recorded so far. The status in the entry may be {@link ResponseStatus#NO_RESPONSE} or {@link
+     * ResponseStatus#UNREACHABLE}, which stand for the absence of a response.
      */
     HistoryEntry response() {
         return response;
@@ -79,12 +80,15 @@
         return intent.atNanos() + NANOS_PER_MICRO * intent.number("timeout_us");
     }
 
-    /** Returns whether no response arrived although the connection was accepted. */
+    /**
+     * Returns whether no response has arrived. Returns false if the sidecar did not accept the
+     * connection.
+     */
     boolean hasNoResponse() {
         return response == null || response.number("status") == ResponseStatus.NO_RESPONSE;
     }
 
-    /** Returns the time of the final response entry; the deadline if there is no such entry. */
+    /** Returns the time of the {@link #response} entry; the deadline if there is no such entry. */
     long waitEndedAt() {
         return response == null ? deadline() : response.atNanos();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
@@ -9,9 +9,9 @@
 import sagefall.faultinjection.invariant.ObservedRequest.Attempt;
 
 /**
- * The state of a run after the history entries that were applied so far: requests, processes,
- * endpoint lists and servers. The parameters of the run and the delays of the machine are taken
- * from the complete history.
+ * Holds the state of a run after the history entries that were applied so far. The state consists
+ * of the requests, the processes, the endpoint lists and the zones of the servers. The parameters
+ * of the run and the delays of the machine are read from the complete history.
  */
 final class ObservedRun {
 
@@ -60,23 +60,29 @@
         return zone != null && zone.equals(zoneByServer.get(other));
     }
 
-    /** Returns the time of the end of the run; {@link Long#MAX_VALUE} if it is not known yet. */
+    /**
+     * Returns the time of the end of the run; {@link Long#MAX_VALUE} until the end entry is
+     * applied.
+     */
     long endAt() {
         return endAt;
     }
 
-    /** Returns the server at the attempt's address in the sidecar's endpoint lists; -1 if none. */
+    /**
+     * Returns the id of the server that the sidecar's endpoint lists name at the attempt's address;
+     * {@link HistoryEntry#NONE} if they name none.
+     */
     private long serverAt(HistoryEntry send) {
         NotifiedEndpoints.Notice notice = endpoints.notice(send.sidecar(), send.text("to"));
         return notice == null ? HistoryEntry.NONE : notice.server();
     }
 
-    /** Returns the attempt that an entry records. The server is that of the endpoint lists. */
+    /** Returns the attempt that an entry records, with the server from the endpoint lists. */
     Attempt attempt(HistoryEntry send) {
         return new Attempt(send.atNanos(), send.sidecar(), send.text("to"), serverAt(send));
     }
 
-    /** Applies an entry, after the invariants have checked it. */
+    /** Applies an entry. Called after the invariants have checked the entry. */
     void apply(HistoryEntry entry) {
         switch (entry.kind()) {
             case INTENT -> request(entry).recordIntent(entry);
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
@@ -6,13 +6,13 @@
 import sagefall.faultinjection.history.ResponseStatus;
 
 /**
- * Checks that each request sent to a running sidecar has exactly one final response, in time; that
- * each successful response was produced by a server for the request that it completes; and that no
- * attempt is sent after the final response.
+ * Checks that each request sent to a running sidecar gets exactly one final response in time.
+ * Checks that a server produced each successful response for the request that the response
+ * completes. Checks that no attempt is sent after the final response.
  */
 final class OneResponseInvariant implements Invariant {
 
-    /** Longest lateness of a response that is not a violation, in nanoseconds. */
+    /** Maximum time from the deadline to a late response that is no violation, in nanoseconds. */
     static final long LATENESS_TOLERANCE_NANOS = 500_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -86,8 +86,9 @@
     }
 
     /**
-     * Checks that a connection was refused only if the sidecar was down or shutting down while the
-     * client waited, or shortly before.
+     * Checks that a connection was refused only because the sidecar was down or shutting down. The
+     * interval that is checked begins {@link #LATENESS_TOLERANCE_NANOS} before the request and ends
+     * with the refusal.
      */
     private void checkRefusedConnection(ObservedRequest request) {
         int sidecar = request.sidecar();
@@ -99,7 +100,10 @@
         }
     }
 
-    /** Checks the lateness of a response, without the time for which the sidecar was stopped. */
+    /**
+     * Checks that a response is not too late. The time for which the sidecar was stopped is not
+     * part of the lateness.
+     */
     private void checkLateness(ObservedRequest request) {
         int sidecar = request.sidecar();
         long respondedAt = request.response().atNanos();
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/PlannedRestartInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/PlannedRestartInvariant.java
@@ -27,7 +27,7 @@
 
     @Override
     public void observe(HistoryEntry entry) {
-        // Only the complete history shows which requests have no response.
+        // Nothing to check here. Only the complete history shows which requests have no response.
     }
 
     @Override
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
@@ -7,15 +7,15 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Tracks when the process of each sidecar was stopped by SIGSTOP, down after a kill, or shutting
- * down after SIGTERM.
+ * Tracks the intervals for which the process of each sidecar was stopped by SIGSTOP, down after a
+ * kill, or shutting down after SIGTERM.
  */
 final class ProcessStates {
 
-    /** End of an interval that has not ended. */
+    /** Value of the end of an interval that has not ended. */
     private static final long OPEN = Long.MAX_VALUE;
 
-    /** An interval for which a process was in one state. */
+    /** An interval for which a process was in one state, in nanoseconds of the history's clock. */
     private static final class Interval {
         private final long begin;
         private long end = OPEN;
@@ -93,8 +93,10 @@
     }
 
     /**
-     * Returns the earliest time at which a process could have read a notice. If the process was
-     * stopped when the notice was written, or shortly after, this is the time of its resumption.
+     * Returns the earliest time at which a sidecar could have read a notice. Normally this is the
+     * time at which the notice was written. If the process of the sidecar was stopped at that time,
+     * or at most {@link SchedulingDelays#SOCKET_SLACK_NANOS} later, this is the time at which the
+     * process was resumed.
      */
     long earliestReadAt(int sidecar, long noticeAt) {
         for (Interval interval : stopped.of(sidecar)) {
@@ -102,14 +104,14 @@
                     interval.begin <= noticeAt + SchedulingDelays.SOCKET_SLACK_NANOS
                             && interval.end > noticeAt;
             if (delaysReading) {
-                // Callers add durations to this time; OPEN itself would overflow.
+                // Callers add durations to the result. A sum with OPEN would overflow.
                 return interval.end == OPEN ? OPEN / 2 : interval.end;
             }
         }
         return noticeAt;
     }
 
-    /** Returns the duration for which a process was stopped between two times. */
+    /** Returns the total duration for which a sidecar was stopped between two times. */
     long stoppedNanos(int sidecar, long from, long to) {
         long total = 0;
         for (Interval interval : stopped.of(sidecar)) {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
@@ -7,8 +7,8 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Checks that a sidecar without load uses about as many descriptors and as much memory after the
- * last request as before the first one.
+ * Checks that a sidecar leaks no descriptors and no memory. The sidecar is measured without load
+ * before the first request and after the last request. Each value may grow only by its maximum.
  */
 final class ResourceLeakInvariant implements Invariant {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/RunParameters.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/RunParameters.java
@@ -7,19 +7,20 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * The parameters of a run, from the {@link EntryKind#RUN} entry of its history.
+ * Holds the parameters of a run, read from the {@link EntryKind#RUN} entry of its history.
  *
- * @param sideEffectFree whether requests have no side effects, and so may run any number of times
+ * @param sideEffectFree whether requests have no side effects; if so, a request may run any number
+ *     of times
  * @param hasIdempotencyKeys whether requests carry an idempotency key
  * @param scopeSpansZones whether the deduplication scope spans the servers of all zones
  * @param deduplicationWindowNanos duration for which servers remember an idempotency key
- * @param drainGraceNanos duration for which attempts may be sent to a server after the notice that
- *     it is draining or removed
+ * @param drainGraceNanos maximum time between the notice that a server is draining or removed and
+ *     the last attempt sent to the server
  * @param attemptLimit maximum number of attempts of a request
- * @param slowStartLimitNanos length of the span over which the load of a cold server is counted
+ * @param slowStartLimitNanos length of the span in which the work of a cold server is limited
  * @param slowStartLimitFactor maximum ratio of the work that a cold server may receive in the span
  *     of {@code slowStartLimitNanos} to the work that it can process in that span
- * @param meanWorkMicros mean processing time of a request
+ * @param meanWorkMicros mean processing time of a request, in microseconds
  */
 record RunParameters(
         boolean sideEffectFree,
@@ -34,7 +35,7 @@
 
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** Reads the parameters of a history; uses defaults for missing fields. */
+    /** Returns the parameters in a history. Missing fields get default values. */
     static RunParameters of(List<HistoryEntry> history) {
         JsonNode line = MissingNode.getInstance();
         for (HistoryEntry entry : history) {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
@@ -6,33 +6,34 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Delays caused by the machine itself: stalls of the test bed's event loops, and the time for which
- * each sidecar waited for a processor core. Invariants extend their time limits by these delays.
+ * Collects the delays that the machine itself caused. They are the stalls of the test bed's event
+ * loops and the time for which each sidecar waited for a processor core. Invariants extend their
+ * time limits by these delays.
  */
 public final class SchedulingDelays {
 
-    /** Longest stall, in nanoseconds, of a run that is not void. */
+    /** Maximum stall of a valid run, in nanoseconds. A run with a longer stall is void. */
     static final long MAX_VALID_STALL_NANOS = 2_000_000_000L;
 
-    /** Extension of every time limit, in nanoseconds, that allows for the delays of sockets. */
+    /** Extension of each time limit that accounts for the delays of sockets, in nanoseconds. */
     static final long SOCKET_SLACK_NANOS = 50_000_000;
 
     /** Maximum time between a delay and the time limits that it extends, in nanoseconds. */
     private static final long INFLUENCE_NANOS = 3_000_000_000L;
 
     /**
-     * Ratio of the permitted delay of a member to an observed stall. It is greater than 1 because
-     * the members wait for a processor core as well.
+     * Ratio of the extension of a time limit to an observed stall of the test bed. The ratio is
+     * greater than 1 because the processes of the run wait for a processor core as well.
      */
     private static final int STALL_FACTOR = 4;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * A delay that was observed.
+     * An observed delay.
      *
      * @param at end of the delay, in nanoseconds of the history's clock
-     * @param nanos duration of the delay
+     * @param nanos duration of the delay in nanoseconds
      * @param sidecar index of the delayed sidecar; {@link HistoryEntry#NONE} for the test bed
      */
     private record Delay(long at, long nanos, int sidecar) {}
@@ -53,12 +54,15 @@
         }
     }
 
-    /** Returns the longest stall of an event loop of the test bed. */
+    /** Returns the longest stall of an event loop of the test bed, in nanoseconds. */
     long longestStallNanos() {
         return longestStallNanos;
     }
 
-    /** Returns the duration by which a sidecar's time limit at the given time is extended. */
+    /**
+     * Returns the extension of a sidecar's time limit that ends at the given time. Delays near that
+     * time are taken into account.
+     */
     long slackNanos(int sidecar, long at) {
         long longestStallNearby = 0;
         long starvedNanos = 0;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/StandInInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/StandInInvariant.java
@@ -5,13 +5,13 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Checks that stand-in servers receive only requests that a client sent, and that no server reports
- * a smaller share of its capacity than its slow start allows, as that would hide how much load the
- * server receives.
+ * Checks that stand-in servers receive only requests that a client sent. Checks that no server
+ * reports a smaller share of its capacity than its slow start allows. Such a report would hide how
+ * much load the server receives.
  */
 final class StandInInvariant implements Invariant {
 
-    /** Difference by which the reported share of the capacity may be too small. */
+    /** Maximum amount by which the reported share of the capacity may fall short of the minimum. */
     private static final double CAPACITY_SHARE_TOLERANCE = 0.05;
 
     private final ObservedRun run;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/Violations.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/Violations.java
@@ -15,7 +15,10 @@
         found.add(new Violation(invariant, String.format(format, values), at));
     }
 
-    /** Returns the violations in order of time, and those of one time in the order of addition. */
+    /**
+     * Returns the violations in order of time. Violations with equal times stay in the order in
+     * which they were added.
+     */
     List<Violation> sorted() {
         List<Violation> sorted = new ArrayList<>(found);
         sorted.sort(Comparator.comparingLong(Violation::at));
--- a/testbed/src/main/java/sagefall/faultinjection/report/MemberState.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/MemberState.java
@@ -1,15 +1,15 @@
 package sagefall.faultinjection.report;
 
 /**
- * The state of a member during an interval.
+ * Describes the state of a member during an interval. A member is a sidecar or server of the run.
  *
- * @param kind the state
+ * @param kind kind of the state
  * @param from begin of the interval, in seconds from the beginning of the run
  * @param to end of the interval, in seconds from the beginning of the run
  */
 record MemberState(Kind kind, double from, double to) {
 
-    /** The states that the page shows, each in its own colour. */
+    /** Lists the states that the HTML report shows. Each state has its own colour. */
     enum Kind {
         UP("up", "up", "#cfe3f3"),
         STARTING("start", "starting", "#bbb"),
--- a/testbed/src/main/java/sagefall/faultinjection/report/MemberTimelines.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/MemberTimelines.java
@@ -26,7 +26,10 @@
         this.endSecond = endSecond;
     }
 
-    /** Returns the states by member, sidecars first; omits members for which no state is known. */
+    /**
+     * Returns the states of each sidecar and server by its name, in order of time. The sidecars
+     * come first. Members without a known state are omitted.
+     */
     static Map<String, List<MemberState>> of(
             RunResult result, double endSecond, List<HistoryEntry> history) {
         MemberTimelines timelines = new MemberTimelines(result, endSecond);
@@ -111,8 +114,9 @@
     }
 
     /**
-     * Adds the interval of a state that ended. The interval of a cold server is split at the time
-     * from which the server has its full capacity.
+     * Adds the interval of a state that ended. If a cold server reached its full capacity before
+     * the end of the interval, the interval is split at that time. The server is shown as up after
+     * that time.
      */
     private void closeState(String member, MemberState.Kind kind, double end) {
         double from = Math.max(0, stateBeginSecond.get(member));
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
@@ -8,8 +8,8 @@
 import sagefall.faultinjection.history.ResponseStatus;
 
 /**
- * Draws the picture of a run as SVG: the responses and the state of each member in rows, over a
- * horizontal time axis. Sizes are in pixels.
+ * Draws the picture of a run as SVG with a horizontal time axis. The first row shows the responses.
+ * Each further row shows the states of one sidecar or server. Sizes are in pixels.
  */
 final class RunPicture {
 
@@ -25,7 +25,7 @@
     private static final long BIN_NANOS = 500_000_000L;
     private static final int BINS_PER_SECOND = 2;
 
-    /** CSS classes of the kinds of responses; {@link #responseKind} returns an index of them. */
+    /** CSS classes of the kinds of responses. {@link #responseKind} returns an index into them. */
     private static final String[] RESPONSE_KINDS = {"served", "refused", "lost"};
 
     private final TimelinePage page;
@@ -46,7 +46,7 @@
                         + 2;
     }
 
-    /** Adds the picture to the page. */
+    /** Adds the picture to the HTML report. */
     void draw() {
         page.add(
                 "<svg viewBox='0 0 %d %d' role='img' aria-label='members over time'>",
@@ -70,7 +70,10 @@
         }
     }
 
-    /** Draws the fractions of served, rejected and lost responses in each half second. */
+    /**
+     * Draws the fractions of served, rejected and lost requests for each half second. Each request
+     * without a successful response that was not rejected is shown as lost.
+     */
     private void drawResponses() {
         int[][] bins = responseBins();
         for (int bin = 0; bin < bins.length; bin++) {
@@ -156,7 +159,7 @@
                 continue;
             }
             String key = entry.text("what") + entry.number("place") + entry.line().path("servers");
-            // The replacement of a server has no end, and is not drawn.
+            // The fault that replaces a server has no end, so it is not drawn.
             if (entry.flag("on") && !entry.text("what").equals("replace")) {
                 activeFaults.put(key, entry);
             } else if (activeFaults.containsKey(key)) {
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunReport.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunReport.java
@@ -4,13 +4,13 @@
 import sagefall.faultinjection.history.EntryKind;
 import sagefall.faultinjection.history.HistoryEntry;
 
-/** Builds the HTML page about a run. The page loads no other resources. */
+/** Builds the HTML report of a run. The report loads no styles, scripts or images. */
 final class RunReport {
 
     private static final int MAX_VIOLATIONS = 20;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Maximum time after the end of the load that the picture shows, in seconds. */
+    /** Maximum time between the end of the load and the end of the time axis, in seconds. */
     private static final int MAX_SECONDS_AFTER_LOAD = 12;
 
     private static final String STYLE =
@@ -51,7 +51,7 @@
         return entry.kind() == EntryKind.ANSWER || entry.kind() == EntryKind.PROCESS;
     }
 
-    /** Returns the text of the page. */
+    /** Returns the text of the HTML report. */
     static String of(RunResult result, List<HistoryEntry> history) {
         RunReport report = new RunReport(result, history);
         report.addHead();
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -13,11 +13,11 @@
 import sagefall.faultinjection.plan.RunDirectory;
 
 /**
- * The result of a run.
+ * Holds the result of a run.
  *
  * @param directory directory of the files of the run
- * @param readySeconds time from the start of the first process until all were ready; 0 if not
- *     measured
+ * @param readySeconds time from the start of the first process until all processes were ready, in
+ *     seconds; 0 if this time was not measured
  * @param violations violations of invariants, in order of time
  * @param isVoid whether the machine stalled for so long that the run proves nothing
  * @param statistics statistics of the requests
@@ -38,7 +38,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * Checks the history in the directory of a run, and writes the page of the run there.
+     * Checks the history in the directory of a run and writes the HTML report to the directory.
      *
      * @throws HistoryException if the directory does not hold the history of a run
      */
@@ -65,12 +65,15 @@
                 .orElse(0);
     }
 
-    /** Returns whether the run is valid and violated an invariant. */
+    /** Returns whether the run is not void and violated an invariant. */
     public boolean isViolated() {
         return !isVoid && !violations.isEmpty();
     }
 
-    /** Returns the result as a word for a table: VOID, BROKEN or empty. */
+    /**
+     * Returns the result as a word for a table. The word is VOID for a void run and BROKEN for a
+     * violated run. The word is empty for any other run.
+     */
     public String verdict() {
         if (isVoid) {
             return "VOID";
@@ -80,7 +83,7 @@
 
     /**
      * Prints the statistics, the first violations of each invariant, and the command that replays
-     * the run. For a void run only the statistics and the reason are printed.
+     * the run. For a void run, prints the statistics and why the run is void.
      */
     public void print(PrintStream out) {
         statistics.lines().forEach(line -> out.println("  " + line));
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatistics.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatistics.java
@@ -6,27 +6,27 @@
 import sagefall.faultinjection.history.HistoryEntry;
 
 /**
- * Statistics of a run, computed from its history. As in the emulator, they count client operations,
- * each of which consists of one or more requests. The value of an operation counts as served if its
- * first successful response arrives within the latency target. The value is attributed to the
- * second of the operation's first request.
+ * Holds the statistics of a run, computed from its history. Like the statistics of the emulator,
+ * they count client operations. A client operation consists of one or more requests. The value of
+ * an operation is treated as served if its first successful response arrives within the latency
+ * target. The value is attributed to the second in which the operation's first request was sent.
  *
  * @param served fraction of the offered value that was served
- * @param worstSecond smallest fraction that was served in any second
- * @param recoverySeconds time from the end of the last fault until 0.95 of the fraction served
- *     before the first fault is served again for two seconds; {@link #NEVER} if that does not
- *     happen
- * @param servedBeforeFaults fraction served before the first fault
+ * @param worstSecond smallest fraction of the value offered in one second that was served
+ * @param recoverySeconds time from the end of the last fault until service has recovered. Service
+ *     has recovered at the beginning of the first two seconds in which the served fraction is at
+ *     least 0.95 of {@code servedBeforeFaults}. {@link #NEVER} if service does not recover.
+ * @param servedBeforeFaults fraction of the value offered before the first fault that was served
  * @param requestsByOutcome number of requests by outcome
- * @param p50Millis median latency of the operations with a successful response
+ * @param p50Millis median latency of operations with a successful response
  * @param p95Millis 95th percentile of the latency of operations with a successful response
  * @param p99Millis 99th percentile of the latency of operations with a successful response
  * @param attempts mean number of attempts sent to servers per operation
- * @param crossZoneAttempts mean number of attempts per operation that arrived in a zone other than
- *     that of the sidecar
+ * @param crossZoneAttempts mean number of attempts per operation that arrived at a server outside
+ *     the zone of the sidecar
  * @param operations number of operations
- * @param stallMillis longest stall of an event loop of the test bed
- * @param seconds duration of the load
+ * @param stallMillis duration of the longest stall of an event loop of the test bed
+ * @param seconds duration of the load in seconds
  */
 public record RunStatistics(
         double served,
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
@@ -18,12 +18,12 @@
     private static final double MICROS_PER_MILLI = 1000.0;
     private static final long MAX_LATENCY_MICROS = 60_000_000;
 
-    /** Number of significant decimal digits of the latencies. */
+    /** Number of significant decimal digits that the histogram keeps of a latency. */
     private static final int HISTOGRAM_DIGITS = 3;
 
     private static final long NOT_SERVED = Long.MAX_VALUE;
 
-    /** An operation of a client: one or more requests, the first of them at time {@code at}. */
+    /** An operation of a client. Its first request was sent at time {@code at}. */
     private static final class Operation {
         private final long at;
         private final double value;
@@ -38,9 +38,10 @@
     /**
      * The parameters of the run that the statistics need.
      *
-     * @param latencyTargetNanos longest latency of an operation that counts as served
-     * @param overQuotaValue value of an operation beyond the quota of its tenant; others have 1
-     * @param seconds duration of the load
+     * @param latencyTargetNanos maximum latency of an operation that is treated as served
+     * @param overQuotaValue value of an operation that exceeds the quota of its tenant; the value
+     *     of any other operation is 1
+     * @param seconds duration of the load in seconds
      * @param sidecarZones zone of each sidecar, by index
      */
     private record Parameters(
@@ -143,12 +144,13 @@
         };
     }
 
-    /** Returns the statistics of all entries that were added. */
+    /** Returns the statistics of all entries that have been added. */
     RunStatistics statistics() {
         ServiceTimeline timeline = new ServiceTimeline(parameters.seconds);
         Histogram latency = new Histogram(MAX_LATENCY_MICROS, HISTOGRAM_DIGITS);
         operations.values().forEach(operation -> addOperation(operation, timeline, latency));
-        // Second 0 is left out; second 1 is always measured, even if a fault begins earlier.
+        // The service before the faults is measured from second 1. Second 1 is always
+        // measured, even if a fault begins before its end.
         int faultFreeEndSecond = (int) Math.min(timeline.seconds(), Math.max(2, firstFaultSecond));
         double servedBeforeFaults = timeline.servedFraction(1, faultFreeEndSecond);
         double operationCount = Math.max(1, operations.size());
--- a/testbed/src/main/java/sagefall/faultinjection/report/ServiceTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/ServiceTimeline.java
@@ -1,18 +1,23 @@
 package sagefall.faultinjection.report;
 
 /**
- * The value of client operations by the second in which they began, and the value that was served
- * within the latency target.
+ * Holds the value of client operations for each second of the load. The value of an operation is
+ * attributed to the second in which the operation began.
  *
- * @param offered offered value by second
- * @param served served value by second
+ * @param offered value of all operations by second
+ * @param served value of the operations served within the latency target by second
  */
 record ServiceTimeline(double[] offered, double[] served) {
 
-    /** Fraction of the service before the first fault at which service counts as recovered. */
+    /**
+     * Minimum ratio of the fraction served after the last fault to the fraction served before the
+     * first fault for service to be treated as recovered.
+     */
     private static final double RECOVERED_FRACTION = 0.95;
 
-    /** Length of the interval over which recovered service is measured, in seconds. */
+    /**
+     * Length of the interval in which the served fraction after a fault is measured, in seconds.
+     */
     private static final int RECOVERY_WINDOW_SECONDS = 2;
 
     ServiceTimeline(int seconds) {
@@ -28,7 +33,7 @@
      * offered.
      *
      * @param from first second of the interval
-     * @param to end of the interval, exclusive
+     * @param to first second after the interval
      */
     double servedFraction(int from, int to) {
         double offeredSum = 0;
@@ -40,7 +45,10 @@
         return offeredSum == 0 ? 1 : servedSum / offeredSum;
     }
 
-    /** Returns the smallest fraction of the offered value that was served in any second. */
+    /**
+     * Returns the smallest fraction of the value offered in one second that was served. Seconds in
+     * which nothing was offered are ignored.
+     */
     double worstSecond() {
         double worst = 1;
         for (int second = 0; second < seconds(); second++) {
@@ -52,8 +60,8 @@
     }
 
     /**
-     * Returns the seconds from the end of the last fault until service had recovered; {@link
-     * RunStatistics#NEVER} if it did not recover.
+     * Returns the time from the end of the last fault until service recovered, in seconds. Returns
+     * {@link RunStatistics#NEVER} if service did not recover.
      */
     double recoverySeconds(double servedBeforeFaults, double lastFaultEnd) {
         for (int from = (int) lastFaultEnd; from + RECOVERY_WINDOW_SECONDS <= seconds(); from++) {
--- a/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Builds the text of an HTML page, and maps times to positions on its time axis. */
+/** Builds the text of the HTML report and maps times to positions on the time axis. */
 final class TimelinePage {
 
     /** Width of the picture in pixels. */
@@ -37,13 +37,13 @@
         text.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 
-    /** Adds text without formatting or escaping it. */
+    /** Adds text without formatting and without escaping. */
     void addRaw(String raw) {
         text.append(raw);
     }
 
     /**
-     * Returns the horizontal position of a time.
+     * Returns the horizontal position of a time in pixels.
      *
      * @param at time in nanoseconds of the history's clock
      */
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Returns the horizontal position of a time. A time outside the time axis gets the position of
-     * the nearer end of the axis.
+     * Returns the horizontal position of a time in pixels. A time outside the time axis is mapped
+     * to the nearer end of the axis.
      *
      * @param second time in seconds from the beginning of the run
      */
--- a/testbed/src/main/java/sagefall/faultinjection/report/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/package-info.java
@@ -1,2 +1,2 @@
-/** The result of a fault injection run: violations of invariants, statistics and an HTML page. */
+/** Computes the violations, statistics and HTML report of a fault injection run. */
 package sagefall.faultinjection.report;
--- a/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagefall.faultinjection.HistoryText;
 
-/** Tests the invariants with histories written by hand. Times are in milliseconds. */
+/**
+ * Checks that the invariants find the violations in histories written by hand. Times in the
+ * histories are in milliseconds. The deadline of the request {@code r} is 1100 ms.
+ */
 class InvariantChecksTest {
 
     private static final String RUN =
@@ -25,24 +28,31 @@
             1 begin
             """;
 
-    /** A client's request, written {@code @intent} in the histories of the test cases. */
+    /** A client's request. Test cases include this text as {@code @intent}. */
     private static final String INTENT = "100 intent id r who 0 key k wish 1 timeout_us 1000000; ";
 
-    /** A request with one attempt, written {@code @sent}. */
+    /** A request with one attempt. Test cases include this text as {@code @sent}. */
     private static final String SENT =
             INTENT + "101 send id r who 0 to A; 102 arrive id r server 1 warmth 1; ";
 
-    /** A request that its server executed, written {@code @executed}. */
+    /** A request that a server executed. Test cases include this text as {@code @executed}. */
     private static final String EXECUTED =
             SENT
                     + "150 effect id r key k server 1 zone 0; "
                     + "150 reply id r server 1 status 200; ";
 
-    /** A request with a successful response, written {@code @served}; the default history. */
+    /**
+     * A request with a successful response. Test cases include this text as {@code @served}. A test
+     * case without a history uses this text.
+     */
     private static final String SERVED =
             EXECUTED + "151 answer id r who 0 status 200 body done_r; ";
 
-    /** A request after the notice that its server is draining, written {@code @draining}. */
+    /**
+     * A request after the notice that its server is draining. Test cases include this text as
+     * {@code @draining}. The grace period ends at 550 ms. The slack for the delays of sockets
+     * extends it to 600 ms.
+     */
     private static final String DRAINING =
             "50 told who 0 all false targets A:1:terminating; " + INTENT;
 
@@ -165,8 +175,10 @@
     }
 
     /**
-     * Forty requests exceed the capacity of a cold server with one core, eight do not. Requests
-     * from a sidecar that was not notified of the start do not count.
+     * The cold server has one core and reports a capacity share of 0.31. In the span of 1 s the
+     * server may receive 3 * 0.31 s of work and three more requests of 0.1 s, which is 1.23 s.
+     * Forty requests are 4 s of work and exceed this limit. Eight requests are 0.8 s of work and do
+     * not. Requests from a sidecar that was not notified of the start are no violation.
      */
     @ParameterizedTest
     @CsvSource({"true, 40, true", "true, 8, false", "false, 40, false"})
@@ -208,10 +220,11 @@
 
     /**
      * A server that reports less capacity than its slow start allows would hide how much load it
-     * receives.
+     * receives. At 800 ms, 790 ms of the slow start of 1000 ms have passed. The capacity share has
+     * then risen from 0.3 to 0.85, but the server reports 0.3.
      */
     @Test
-    void reportOfLessCapacityThanSlowStartAllowsIsViolation() throws Exception {
+    void serverThatReportsLessCapacityThanItsSlowStartAllowsIsViolation() throws Exception {
         String text =
                 RUN
                         + "10 server server 1 zone 0 what cold capacity 1 cold_from 0.3 cold_us"
--- a/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantNameTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantNameTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests the names of the invariants, which are part of the report and of the printed result. */
+/** Checks that the names of the invariants, which reports and printed results show, are stable. */
 class InvariantNameTest {
 
     @Test
-    void invariantsHaveTheNamesOfReportsAndPrintedResults() {
+    void invariantNamesAreThoseOfReportsAndPrintedResults() {
         assertEquals(
                 List.of(
                         "ONE_ANSWER",
--- a/testbed/src/test/java/sagefall/faultinjection/report/RunStatisticsTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/report/RunStatisticsTest.java
@@ -6,12 +6,14 @@
 import org.junit.jupiter.api.Test;
 import sagefall.faultinjection.HistoryText;
 
-/** Tests the statistics that are computed from a history. */
+/** Checks the statistics that are computed from a history. */
 class RunStatisticsTest {
 
     /**
-     * In a run of ten seconds, all operations of seconds 4 and 5 and half of those of second 6 are
-     * late. The faults end at second 6, and service has recovered at second 7.
+     * In a run of ten seconds, all operations of seconds 4 and 5 and half of the operations of
+     * second 6 are late. So the operations of 2.5 of the ten seconds are not served, and the served
+     * fraction is 0.75. The fault ends at second 6. Service has recovered at second 7, one second
+     * after the end of the fault.
      */
     @Test
     void lateOperationsLowerServedFractionUntilRecovery() throws Exception {
