--- a/testbed/src/main/java/sagefall/cli/AblateCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AblateCommand.java
@@ -81,7 +81,10 @@
         return experiment.printViolations(results, scenario);
     }
 
-    /** Returns the verdict as a statement about the mechanism, which only A has. */
+    /**
+     * Returns the verdict as a statement about the mechanism. Policy A has the mechanism, and
+     * policy B lacks it.
+     */
     private static String verdict(PairedDifference goal) {
         return goal.verdict()
                 .replace("B is better", "the mechanism lowers G")
--- a/testbed/src/main/java/sagefall/cli/AgreeCommand.java
+++ b/testbed/src/main/java/sagefall/cli/AgreeCommand.java
@@ -22,8 +22,8 @@
 import sagefall.scenario.ScenarioRunner;
 
 /**
- * {@code sagefall inject-faults agree}: runs scenarios both in the emulator and with real
- * processes, and prints the figures of both side by side.
+ * {@code sagefall inject-faults agree}: runs scenarios in the emulator and with real processes.
+ * Prints the values of the two runners side by side.
  */
 @Command(
         name = "agree",
@@ -86,7 +86,10 @@
         }
     }
 
-    /** Prints a row with each figure twice: first of the emulator, then of real processes. */
+    /**
+     * Prints a row. Each quantity has two values: first that of the emulator, then that of the real
+     * processes.
+     */
     private static void print(
             String scenario, long seed, SimulationResult emulated, RunResult result) {
         RunStatistics real = result.statistics();
@@ -115,8 +118,9 @@
     }
 
     /**
-     * Returns the number of rejections and failures whose description begins with {@code prefix},
-     * including those that were retried, divided by the number of requests.
+     * Returns the number of rejections and failures divided by the number of requests. Only
+     * rejections and failures whose description begins with {@code prefix} are counted, including
+     * those that were retried.
      */
     private static double perRequest(SimulationResult result, String prefix) {
         long count =
@@ -127,7 +131,7 @@
         return count / (double) result.requests();
     }
 
-    /** Returns the number of requests with the given outcome, as a share of all requests. */
+    /** Returns the share of the requests that have the given outcome. */
     private static double perRequest(RunStatistics statistics, String outcome) {
         return statistics.requestsByOutcome().getOrDefault(outcome, 0L)
                 / (double) statistics.operations();
--- a/testbed/src/main/java/sagefall/cli/BenchmarkWindows.java
+++ b/testbed/src/main/java/sagefall/cli/BenchmarkWindows.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The windows of 5 s in a report of the operators' bench, each with its figures. A report covers
- * one run, which the bench calls a day.
+ * Holds the windows of a report of the operators' bench. Each window lasts 5 s and has a value for
+ * each column. A report covers one run. The bench calls a run a day.
  */
 final class BenchmarkWindows {
 
@@ -21,7 +21,7 @@
 
     private static final double PERCENT = 100;
 
-    /** The columns that are compared, with their index in {@link Window#columns}, from 0. */
+    /** Columns that are compared. Each holds its index in {@link Window#columns}, from 0. */
     enum Column {
         LATE(1),
         REFUSED(2),
@@ -46,10 +46,10 @@
     private record Window(double startSecond, double requests, double[] columns) {}
 
     /**
-     * The two consecutive windows, 10 s together, with the lowest served value.
+     * The two consecutive windows with the lowest served value. Together they last 10 s.
      *
      * @param value served value of both windows, as a share of the offered value
-     * @param startSecond second of the run at which the first of them starts
+     * @param startSecond second of the run at which the first of the two windows starts
      */
     record WorstSpan(double value, double startSecond) {}
 
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Returns the two consecutive windows with the lowest served value. If there are fewer than two
-     * windows, or no value is below 1, returns a value of 1 at second 0.
+     * Returns the two consecutive windows with the lowest served value. Returns a value of 1 at
+     * second 0 in two cases: there are fewer than two windows, or no value is below 1.
      */
     WorstSpan worstTenSeconds() {
         WorstSpan worst = new WorstSpan(1, 0);
--- a/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CheckHistoryCommand.java
@@ -22,7 +22,10 @@
                         + " rewrites its report.")
 final class CheckHistoryCommand implements Callable<Integer> {
 
-    /** A check starts no processes, so the time until they are ready is not measured. */
+    /**
+     * Placeholder for the time until the processes are ready, in seconds. A check starts no
+     * processes, so there is no such time.
+     */
     private static final double READY_SECONDS_NOT_MEASURED = 0;
 
     @Parameters(paramLabel = "DIR", description = "directory of an earlier run")
--- a/testbed/src/main/java/sagefall/cli/CommandLineMain.java
+++ b/testbed/src/main/java/sagefall/cli/CommandLineMain.java
@@ -57,7 +57,7 @@
 
     private CommandLineMain() {}
 
-    /** Runs the command that the arguments name, and exits with its status. */
+    /** Runs the command that the arguments name, and exits with the status of the command. */
     public static void main(String[] arguments) {
         System.exit(command().execute(arguments));
     }
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -26,7 +26,10 @@
                         + " confidence intervals.")
 final class CompareCommand implements Callable<Integer> {
 
-    /** A cause of loss is printed if its share is above this for at least one policy. */
+    /**
+     * Exclusive minimum share of the offered value that a cause of loss must have to be printed.
+     * The share must exceed this minimum for at least one of the two policies.
+     */
     private static final double MIN_PRINTED_SHARE = 0.001;
 
     @Parameters(paramLabel = "SCENARIO", description = ExperimentOptions.SCENARIO_HELP)
@@ -86,7 +89,10 @@
         System.out.printf("%-34s %7s %7s %7s  %-17s%n", "", "A", "B", "B - A", "95 % interval");
     }
 
-    /** Prints a figure: its means for A and B, their difference, its interval and the verdict. */
+    /**
+     * Prints the row of one compared quantity: its mean for A, its mean for B, the difference, the
+     * confidence interval and the verdict.
+     */
     static void printRow(PairedDifference difference) {
         System.out.printf(
                 Locale.ROOT,
--- a/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
+++ b/testbed/src/main/java/sagefall/cli/ExperimentOptions.java
@@ -20,7 +20,7 @@
 import sagefall.scenario.ScenarioException;
 import sagefall.scenario.ScenarioRunner;
 
-/** A picocli mixin with the options of the commands that simulate. */
+/** A picocli mixin with the options of the commands that run simulations. */
 final class ExperimentOptions {
 
     /** Help text of a scenario parameter. */
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Creates the pool of simulations, which shows its progress if the output is a terminal. If it
-     * is not, {@link System#console()} is null on Java 17.
+     * Creates the runner of simulations. The runner shows a progress bar if the output is a
+     * terminal. On Java 17, {@link System#console()} is null if the output is not a terminal.
      */
     @SuppressWarnings("SystemConsoleNull")
     ParallelSimulations simulations() {
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Creates a listener that writes each result to the directory of {@code --out}, or does nothing
-     * without that option.
+     * Creates a listener that writes each result to the directory of {@code --out}. Without that
+     * option, the listener does nothing.
      */
     ParallelSimulations.Listener listener() throws IOException {
         return out == null ? result -> {} : new SimulationResultWriter(out);
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Prints the first violations of invariants in each result, each with the command that
-     * reproduces it.
+     * Prints the first violations of invariants in each result. Each violation is printed with the
+     * command that reproduces it.
      *
      * @return the exit status: {@link ExitStatus#FAILED} if an invariant was violated
      */
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -18,8 +18,8 @@
 final class FaultInjectionOptions {
 
     /**
-     * Line of a scenario whose fleet is already small enough for one machine. The fleet of any
-     * other scenario is replaced by {@link RunPlan#ONE_MACHINE_FLEET}.
+     * Line that marks a scenario with a fleet that is small enough for one machine. If a scenario
+     * lacks this line, its fleet is replaced by {@link RunPlan#ONE_MACHINE_FLEET}.
      */
     private static final String ONE_MACHINE_MARKER = "sidecars = 12";
 
@@ -102,7 +102,7 @@
 
     /**
      * Executes a plan. The directory of the run is kept if {@code --out} was given, if the run
-     * violated an invariant, or if it is void because the machine stalled for too long.
+     * violated an invariant, or if the run is void because the machine stalled for too long.
      */
     RunResult execute(RunPlan plan, String name)
             throws IOException, ScenarioException, InterruptedException {
--- a/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseHistoryCommand.java
@@ -7,7 +7,7 @@
 import sagefall.leaderelection.LeaseStore;
 import sagefall.leaderelection.PastTerm;
 
-/** {@code sagefall lease history}: prints the latest terms. */
+/** {@code sagefall lease history}: prints the latest terms of the lease. */
 @Command(
         name = "history",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/sagefall/cli/LeaseReleaseCommand.java
+++ b/testbed/src/main/java/sagefall/cli/LeaseReleaseCommand.java
@@ -6,7 +6,7 @@
 import sagefall.leaderelection.LeaseGrant;
 import sagefall.leaderelection.LeaseStore;
 
-/** {@code sagefall lease release}: ends the current term. */
+/** {@code sagefall lease release}: ends the current term of the lease. */
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Returns the policy of a build, with each {@code $NAME} replaced by the checkout that {@code
-     * --build} gives.
+     * Returns the specification of the policy that represents a build. Each {@code $NAME} in the
+     * specification is replaced by the checkout that {@code --build} gives.
      */
     private String policy(BenchmarkFigures bench, String build) {
         String policy =
@@ -149,8 +149,9 @@
     }
 
     /**
-     * Prints how many pairs of builds have the order of the bench in the emulator too. Only pairs
-     * of the same run of the bench count whose goal values differ by more than {@code --spread}.
+     * Prints the number of pairs of builds that have the same order on the bench and in the
+     * emulator. A pair is counted only if its goal values come from the same run of the bench and
+     * differ by more than {@code --spread}.
      */
     private void printPairs(BenchmarkFigures bench, Map<BuildOnScenario, Double> simulated) {
         int sameOrder = 0;
--- a/testbed/src/main/java/sagefall/cli/RenamedWords.java
+++ b/testbed/src/main/java/sagefall/cli/RenamedWords.java
@@ -12,12 +12,13 @@
 final class RenamedWords {
 
     /**
-     * Maps each old command to the new one, both as the words that follow {@code ./sagefall}. The
-     * new command is empty if the subcommands of the old one have become commands.
+     * Maps each old command to the new command. A command is given as the words that follow {@code
+     * ./sagefall}. The new command is empty if the subcommands of the old command have become
+     * commands.
      */
     static final Map<String, String> COMMANDS = new LinkedHashMap<>();
 
-    /** Maps each old option to the new one. */
+    /** Maps each old option to the new option. */
     static final Map<String, String> OPTIONS = new LinkedHashMap<>();
 
     private static final int MAX_COMMAND_WORDS = 3;
--- a/testbed/src/main/java/sagefall/cli/ScalingCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ScalingCommand.java
@@ -19,7 +19,7 @@
 import sagefall.scenario.Scenario;
 import sagefall.scenario.ScenarioException;
 
-/** {@code sagefall scaling}: measures how the time of a simulation grows with the fleet. */
+/** {@code sagefall scaling}: measures the time of a simulation for several sizes of the fleet. */
 @Command(
         name = "scaling",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/sagefall/cli/ShrinkCommand.java
+++ b/testbed/src/main/java/sagefall/cli/ShrinkCommand.java
@@ -23,7 +23,10 @@
                         + " beside the plan.")
 final class ShrinkCommand implements Callable<Integer> {
 
-    /** Number of runs of each candidate plan, as a violation may depend on timing. */
+    /**
+     * Number of runs of each candidate plan. One run is not enough, because a violation may depend
+     * on timing.
+     */
     private static final int RUNS_PER_CANDIDATE = 3;
 
     @Parameters(paramLabel = "PLAN", description = "plan.json of a failed run")
--- a/testbed/src/main/java/sagefall/cli/SweepCommand.java
+++ b/testbed/src/main/java/sagefall/cli/SweepCommand.java
@@ -16,8 +16,8 @@
 import sagefall.scenario.ScenarioException;
 
 /**
- * {@code sagefall sweep}: simulates several values of one tunable of the balancer, or of one value
- * of the scenario.
+ * {@code sagefall sweep}: simulates a scenario with several values of one parameter. The parameter
+ * is a tunable of the balancer or a key of the scenario.
  */
 @Command(
         name = "sweep",
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Returns whether the name is that of a tunable: tunables are Java constants, optionally with
-     * their class, while names of values of scenarios are in lower case.
+     * Returns whether the name is that of a tunable. A tunable is named like a Java constant,
+     * optionally with its class. The name of a scenario's key is in lower case.
      */
     private static boolean isTunable(String name) {
         return name.substring(name.indexOf('.') + 1).matches("[A-Z0-9_]+");
--- a/testbed/src/main/java/sagefall/cli/WindowsCommand.java
+++ b/testbed/src/main/java/sagefall/cli/WindowsCommand.java
@@ -11,8 +11,9 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code sagefall windows}: compares reports of the operators' bench over the windows before a
- * given second, so that a run that was cut off before its end can be compared as well.
+ * {@code sagefall windows}: compares reports of the operators' bench. Only windows that start
+ * before a given second are counted, so that a run that was cut off can be compared with a complete
+ * run.
  */
 @Command(
         name = "windows",
--- a/testbed/src/main/java/sagefall/experiment/PairedDifference.java
+++ b/testbed/src/main/java/sagefall/experiment/PairedDifference.java
@@ -10,16 +10,16 @@
 import sagefall.emulator.SimulationResult;
 
 /**
- * Difference of one figure between two policies, A and B, on the same seeds, with a bootstrap
- * confidence interval. A larger figure is better. The differences, one for each seed, are resampled
- * with replacement; the interval contains the middle share {@link #CONFIDENCE} of the means of the
- * resamples. Few seeds give an interval that is too narrow, so there is no verdict for fewer than
- * {@value #MIN_SEEDS} seeds.
+ * Difference of one quantity between the policies A and B on the same seeds, with a bootstrap
+ * confidence interval. A larger quantity is better. Each seed yields one difference. The
+ * differences are resampled with replacement. The interval contains the middle share {@link
+ * #CONFIDENCE} of the means of the resamples. If there are few seeds, the interval is too narrow.
+ * Therefore there is no verdict for fewer than {@value #MIN_SEEDS} seeds.
  *
- * @param figure name of the compared figure
+ * @param figure name of the compared quantity
  * @param seeds number of seeds
- * @param meanA mean of the figure over the runs of A
- * @param meanB mean of the figure over the runs of B
+ * @param meanA mean of the quantity over the runs of A
+ * @param meanB mean of the quantity over the runs of B
  * @param mean mean of the differences, B minus A
  * @param low lower end of the confidence interval of {@code mean}
  * @param high upper end of the confidence interval of {@code mean}
@@ -33,7 +33,7 @@
         double low,
         double high) {
 
-    /** Smallest number of seeds for which there is a verdict. */
+    /** Minimum number of seeds for a verdict. */
     public static final int MIN_SEEDS = 5;
 
     /** Share of the resampled means that lie within the interval. */
@@ -41,7 +41,7 @@
 
     private static final int BOOTSTRAP_SAMPLES = 10_000;
 
-    /** Compares a figure of the results of A and B; both lists are in the order of the seeds. */
+    /** Compares a quantity of the results of A and B. Both lists are in the order of the seeds. */
     static PairedDifference of(
             String figure,
             List<SimulationResult> resultsA,
@@ -78,7 +78,10 @@
         return means;
     }
 
-    /** Returns the verdict; an interval that contains 0 shows no difference. */
+    /**
+     * Returns the verdict. If there are fewer than {@link #MIN_SEEDS} seeds, the text states that
+     * there is no verdict. If the interval contains 0, the text states that no difference was seen.
+     */
     public String verdict() {
         if (seeds < MIN_SEEDS) {
             return "no verdict under " + MIN_SEEDS + " seeds";
--- a/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
+++ b/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
@@ -29,7 +29,7 @@
      *
      * @param threads number of runs that are simulated at a time
      * @param root root of the checkout whose policy files are compiled if a policy changes tunables
-     * @param progressOutput stream that a progress bar is written to; null for none
+     * @param progressOutput stream that a progress bar is written to; null for no progress bar
      */
     public ParallelSimulations(int threads, Path root, PrintStream progressOutput) {
         this.threads = threads;
@@ -37,7 +37,10 @@
         this.progressOutput = progressOutput;
     }
 
-    /** Receives the result of each run, one at a time, on the thread of the run. */
+    /**
+     * Receives the result of each run on the thread of that run. At most one thread calls the
+     * listener at a time.
+     */
     public interface Listener {
 
         /** Handles the result of a run that has finished. */
@@ -45,11 +48,11 @@
     }
 
     /**
-     * Simulates all runs. If one fails, the remaining runs are cancelled.
+     * Simulates all runs. If a run fails, the remaining runs are cancelled.
      *
      * @return the results in the order of the requests
-     * @throws PolicyException if a policy cannot be created; to detect this early, each policy is
-     *     created and closed once before the first run
+     * @throws PolicyException if a policy cannot be created; each policy is created and closed once
+     *     before the first run, so that this error is detected early
      */
     public List<SimulationResult> runAll(List<SimulationRequest> requests, Listener listener)
             throws PolicyException {
--- a/testbed/src/main/java/sagefall/load/BytePattern.java
+++ b/testbed/src/main/java/sagefall/load/BytePattern.java
@@ -8,7 +8,8 @@
 
 /**
  * Writes bodies of any length whose bytes depend on a seed, and computes their CRC-32. The checksum
- * of a received body differs if bytes are missing, shifted, or from a body with another seed.
+ * of a received body is wrong if bytes are missing or shifted, or if they belong to a body with
+ * another seed.
  */
 final class BytePattern {
 
@@ -23,7 +24,7 @@
 
     private BytePattern() {}
 
-    /** Writes the bytes of a body of {@code length} bytes from position {@code from} on. */
+    /** Writes the end of a body of {@code length} bytes, starting at position {@code from}. */
     static void write(OutputStream out, long from, long length, int seed) throws IOException {
         long position = from;
         while (position < length) {
--- a/testbed/src/main/java/sagefall/load/ChunkedInputStream.java
+++ b/testbed/src/main/java/sagefall/load/ChunkedInputStream.java
@@ -44,7 +44,8 @@
             HttpHead.readLine(in); // The line break that ends the data of a chunk.
         }
         hasPreviousChunk = true;
-        // At the end of the stream the line is null, and parsing "null" as a number fails.
+        // At the end of the stream, the line is null. Parsing the text "null" as a number then
+        // throws an exception.
         remainingInChunk = Long.parseLong(String.valueOf(HttpHead.readLine(in)), HEX_RADIX);
         isLastChunkRead = remainingInChunk == 0;
         if (isLastChunkRead) {
--- a/testbed/src/main/java/sagefall/load/DaemonThreads.java
+++ b/testbed/src/main/java/sagefall/load/DaemonThreads.java
@@ -3,7 +3,10 @@
 /** Starts threads that do not keep the process from exiting. */
 final class DaemonThreads {
 
-    /** Smaller than the default stack, as hundreds of threads block at a time. */
+    /**
+     * Stack size of a thread in bytes. It is below the default size, because hundreds of threads
+     * block at a time.
+     */
     private static final int STACK_BYTES = 256 * 1024;
 
     private DaemonThreads() {}
--- a/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
+++ b/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
@@ -27,8 +27,9 @@
      * @param sent requests that were due so far, including those that were not sent
      * @param served requests with a response of status 200
      * @param rejected requests with a response of status 429 or 503
-     * @param failed requests with a response of another status, or without one in time
-     * @param unsent requests that were not sent, as too many were open
+     * @param failed requests with a response of another status, and requests without a response in
+     *     time
+     * @param unsent requests that were not sent, because too many requests were open
      * @param latencyMicros latencies of the requests that were served since the previous call of
      *     {@link OpenLoopLoadGenerator#statistics}
      */
@@ -40,13 +41,16 @@
             long unsent,
             Histogram latencyMicros) {}
 
-    /** Time beyond the stated timeout after which a request without a response has failed. */
+    /**
+     * Time that the generator waits for a response after the timeout that the request states. If no
+     * response has arrived by then, the request has failed.
+     */
     private static final long RESPONSE_MARGIN_MILLIS = 500;
 
     private static final int KEYS = 1000;
     private static final int BODY_BYTES = 300;
 
-    /** Stands for the status of a request without a response. */
+    /** Value that replaces the status of a request without a response. */
     private static final int NO_RESPONSE = 0;
 
     private static final int OK = 200;
@@ -74,12 +78,13 @@
     private volatile boolean stopped;
 
     /**
-     * Creates a generator that sends nothing before {@link #run}.
+     * Creates a generator. The generator sends nothing before {@link #run} is called.
      *
      * @param port port of the sidecar on loopback
      * @param requestsPerSecond mean rate of the arrivals
      * @param timeoutMillis timeout that each request states in a header
-     * @param maxOpen maximum number of open requests; a request beyond it is counted as unsent
+     * @param maxOpen maximum number of open requests; a request that would exceed it is counted as
+     *     unsent
      * @param seed seed of arrival times, keys and ids
      */
     public OpenLoopLoadGenerator(
@@ -91,7 +96,10 @@
         random = new RandomStreams(seed).stream("open-loop");
     }
 
-    /** Sends requests on the calling thread for the given time or until {@link #stop} is called. */
+    /**
+     * Sends requests on the calling thread for the given time. Ends earlier if {@link #stop} is
+     * called.
+     */
     public void run(double seconds) {
         long startNanos = System.nanoTime();
         double dueSecond = 0;
--- a/testbed/src/main/java/sagefall/load/OutageDemo.java
+++ b/testbed/src/main/java/sagefall/load/OutageDemo.java
@@ -40,7 +40,7 @@
     private final List<StandInServer> servers = new ArrayList<>();
 
     /**
-     * Creates a demonstration that starts with {@link #run}.
+     * Creates a demonstration. {@link #run} starts the demonstration.
      *
      * @param seconds duration of the load
      * @param requestsPerSecond mean rate of the load
--- a/testbed/src/main/java/sagefall/load/SidecarConfigFactory.java
+++ b/testbed/src/main/java/sagefall/load/SidecarConfigFactory.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Creates settings of the balancer. The settings that are not parameters have one value for all
-     * sidecars that this package starts.
+     * Creates settings of the balancer. Every setting that is not a parameter of this method has a
+     * fixed value.
      *
      * @param classes request classes
      * @param zones names of the zones; the sidecar is in the first
--- a/testbed/src/main/java/sagefall/load/StandInDiscovery.java
+++ b/testbed/src/main/java/sagefall/load/StandInDiscovery.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * The endpoint list of a stand-in discovery: endpoints by server id, and a revision that grows with
- * each change. Safe for use by several threads.
+ * Holds the endpoint list of a stand-in discovery service. The list has one endpoint for each
+ * server id. Each change of the list increases the revision of the list. Safe for use by several
+ * threads.
  */
 public final class StandInDiscovery {
 
@@ -56,12 +57,12 @@
     }
 
     /**
-     * Waits until the list is newer than a revision.
+     * Waits until the revision of the list is higher than a known revision.
      *
      * @param knownRevision revision that the sidecar already has
-     * @param holdMillis longest time to wait
-     * @return the complete list as JSON; if no newer revision exists in time, an empty list of
-     *     changes
+     * @param holdMillis maximum time to wait, in milliseconds
+     * @return the complete list as JSON; an empty list of changes if the time ends without a higher
+     *     revision
      */
     synchronized String watch(long knownRevision, long holdMillis) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + holdMillis * 1_000_000;
--- a/testbed/src/main/java/sagefall/load/StandInFaults.java
+++ b/testbed/src/main/java/sagefall/load/StandInFaults.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Fractions of the {@code POST}s to a stand-in server that fail, by kind of fault.
+ * Fractions of the {@code POST} requests to a stand-in server that fail, by kind of fault.
  *
  * @param errors fraction whose response has status 500
  * @param unanswered fraction without a response
@@ -15,7 +15,7 @@
     /** No faults. */
     public static final StandInFaults NONE = new StandInFaults(0, 0, 0, 0);
 
-    /** Outcome of a request. */
+    /** Outcome of a {@code POST} request. */
     enum Outcome {
         ANSWERED,
         ERROR,
--- a/testbed/src/main/java/sagefall/load/StandInServer.java
+++ b/testbed/src/main/java/sagefall/load/StandInServer.java
@@ -42,7 +42,10 @@
     private static final double NANOS_PER_MICRO = 1000;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Known revision of a sidecar without a list. As every list is newer, it is sent at once. */
+    /**
+     * Revision that is assumed for a sidecar without an endpoint list. Every list has a higher
+     * revision, so the server sends its list at once.
+     */
     private static final long NO_REVISION = -1;
 
     private final StandInDiscovery discovery;
@@ -110,7 +113,10 @@
         }
     }
 
-    /** Listens at the address again, as a new process would, and registers with discovery. */
+    /**
+     * Simulates the start of a new process at the address of the killed server: listens at that
+     * address again, and registers with discovery.
+     */
     synchronized void restart() throws IOException {
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
--- a/testbed/src/main/java/sagefall/load/StandInService.java
+++ b/testbed/src/main/java/sagefall/load/StandInService.java
@@ -4,7 +4,8 @@
  * Settings for the processing of a {@code POST} by a stand-in server.
  *
  * @param slots maximum number of requests that are processed at a time
- * @param queue maximum number of queued requests; a request beyond it is rejected unprocessed
+ * @param queue maximum number of queued requests; a request that arrives at a full queue is
+ *     rejected unprocessed
  * @param millis mean of the exponentially distributed processing time; 0 for none
  * @param reportsLoad whether responses have a load report
  */
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -223,8 +223,8 @@
     }
 
     /**
-     * Measures small uploads in rounds: with a baseline build, then with the measured build, first
-     * without and then with streaming.
+     * Measures small uploads in rounds. Each round measures the baseline build without streaming,
+     * then the measured build without streaming, and then the measured build with streaming.
      */
     public void measureSmall(String jar, String baselineJar)
             throws IOException, InterruptedException {
@@ -286,7 +286,10 @@
         return new ExchangeStatistics(perSecond, micros[count / 2], micros[count / 100 * 99]);
     }
 
-    /** Runs exchanges on one connection until all have been started. */
+    /**
+     * Runs exchanges on one connection. Takes the number of each exchange from {@code next}, and
+     * ends when all numbers have been taken.
+     */
     private void runExchanges(
             SidecarChildProcess sidecar, Exchange exchange, AtomicInteger next, long[] micros) {
         try (Socket socket = sidecar.connect()) {
--- a/testbed/src/main/java/sagefall/policy/AdapterMessage.java
+++ b/testbed/src/main/java/sagefall/policy/AdapterMessage.java
@@ -48,7 +48,8 @@
             implements AdapterMessage {}
 
     /**
-     * Defines a table of endpoints; a following {@link Endpoints} message says how to apply it.
+     * Defines a table of endpoints. A following {@link Endpoints} message states how the table is
+     * applied.
      *
      * @param table number of the table
      * @param rows endpoints of the table
@@ -90,7 +91,7 @@
      * Reports that an endpoint list has arrived.
      *
      * @param how kind of the list, such as changes or the complete list
-     * @param epoch number of the list, for which the time of arrival in microseconds is used
+     * @param epoch number of the list; the time of its arrival in microseconds serves as the number
      * @param table number of the table that holds the list
      */
     @JsonTypeName("Endpoints")
--- a/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
@@ -19,13 +19,17 @@
 import sagefall.balancer.api.Request;
 
 /**
- * Base class of the baseline policies, which differ only in how they pick a server. Keeps the
- * endpoint list, sends one attempt of a request at a time, retries only if an attempt's outcome
- * proves that the request was not executed, and immediately rejects a request that cannot be sent.
+ * Base class of the baseline policies. The policies differ only in how they pick a server. This
+ * class keeps the endpoint list and sends one attempt of a request at a time. A request is retried
+ * only if the outcome of its attempt proves that the request was not executed. A request that
+ * cannot be sent is rejected immediately.
  */
 abstract class BaselineBalancer implements LoadBalancer {
 
-    /** An attempt is sent only if more than this many ticks remain until the deadline. */
+    /**
+     * Exclusive minimum number of ticks that must remain until the deadline when an attempt is
+     * sent.
+     */
     private static final int MIN_TICKS_TO_DEADLINE = 2;
 
     /** A request that has not completed, or that has an attempt in flight. */
--- a/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/ExternalProcessPolicy.java
@@ -9,7 +9,8 @@
 /**
  * Policy that uses the load balancer of another build through that build's simulator command. A run
  * has one external process; each start of a sidecar creates an instance in that process. The
- * protocol of older builds has no rejection reasons, so all rejections count as {@code too_late}.
+ * protocol of older builds has no rejection reasons, so each rejection is treated as {@code
+ * too_late}.
  */
 final class ExternalProcessPolicy implements Policy {
 
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -29,13 +29,16 @@
             "slow-start",
             "sending fewer requests to endpoints that have just started",
             "SLOW_START=1e9"),
-    /** Spill-over to an endpoint outside the preferred subset if its cost is much lower. */
+    /**
+     * Spill-over to an endpoint outside the preferred subset if that endpoint has a much lower
+     * cost.
+     */
     SPILL("spill", "leaving the subset for an endpoint of much lower cost", "SPILL_RATIO=1e9"),
     /** Subsetting, which limits each sidecar to few endpoints. */
     SUBSETS("subsets", "using few endpoints", "SUBSET_SIZE=1000000"),
     /** Retries of failed attempts. */
     RETRIES("retries", "retries", "MAX_SAVED_RETRIES=0"),
-    /** Cost of opening a connection, which raises an endpoint's cost. */
+    /** Addition of the cost of opening a connection to the cost of an endpoint. */
     CONNECTION_COST(
             "connection-cost",
             "preferring endpoints with an open connection",
@@ -66,7 +69,7 @@
         return description;
     }
 
-    /** Returns the name on the command line, as in {@code module-without:ejection}. */
+    /** Returns the name on the command line, for example {@code ejection}. */
     public String label() {
         return label;
     }
--- a/testbed/src/main/java/sagefall/policy/OracleBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/OracleBalancer.java
@@ -13,7 +13,7 @@
  */
 final class OracleBalancer extends BaselineBalancer {
 
-    /** Largest expected response time, as a fraction of the latency target. */
+    /** Exclusive upper bound of the expected response time, as a fraction of the latency target. */
     private static final double MAX_LATENCY_TARGET_FRACTION = 0.5;
 
     private final GroundTruth groundTruth;
--- a/testbed/src/main/java/sagefall/policy/PolicySources.java
+++ b/testbed/src/main/java/sagefall/policy/PolicySources.java
@@ -25,11 +25,14 @@
 
     private static final Pattern PACKAGE = Pattern.compile("(?m)^package\\s+([\\w.]+)\\s*;");
 
-    /** Start of a constant's declaration, before the name. Opens group 1. */
+    /** Pattern for the part of a constant's declaration before the name. Opens group 1. */
     private static final String DECLARATION_START =
             "((?:private )?static final (?:double|int|long) [^;]*?\\b";
 
-    /** Rest of the declaration. Closes group 1 before the value; group 2 is the value. */
+    /**
+     * Pattern for the part of a constant's declaration after the name. Closes group 1 before the
+     * value. Group 2 is the value.
+     */
     private static final String DECLARATION_END = "\\s*=\\s*)([^,;]+)";
 
     private final String policyName;
--- a/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -9,8 +9,9 @@
 
 /**
  * Policy that compiles the load balancer from the policy files with some of the tunables changed.
- * Tunables are constants in the source code. The compiler folds constants, so tunables cost a
- * sidecar nothing at run time, and an experiment uses the source code of the sidecar itself.
+ * Tunables are constants in the source code, for two reasons. The compiler folds constants, so
+ * tunables cost a sidecar nothing at run time. An experiment uses the source code of the sidecar
+ * itself.
  */
 final class RecompiledPolicy implements Policy {
 
--- a/testbed/src/main/java/sagefall/policy/TwoChoicesBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/TwoChoicesBalancer.java
@@ -8,15 +8,15 @@
 /**
  * Power of two choices: draws two random servers and picks the one with the lower cost. The cost is
  * the peak EWMA of the latency, multiplied by 1 + the number of this sidecar's attempts in flight.
- * The peak EWMA rises to a higher sample immediately and decays exponentially towards lower ones; a
- * server without a sample has cost 0. There are no subsets and no concurrency limits.
+ * The peak EWMA rises to a higher sample immediately and decays exponentially towards lower
+ * samples. A server without a sample has cost 0. There are no subsets and no concurrency limits.
  */
 final class TwoChoicesBalancer extends BaselineBalancer {
 
-    /** Time constant of the decay of the latency estimate. */
+    /** Time constant of the decay of the latency estimate, in microseconds. */
     private static final double DECAY_MICROS = 5e6;
 
-    /** Smallest latency sample for an attempt that was not served. */
+    /** Minimum latency sample of an attempt that was not served, in microseconds. */
     private static final double MIN_FAILURE_MICROS = 1e6;
 
     TwoChoicesBalancer(BalancerSettings settings, BalancerActions actions) {
--- a/testbed/src/main/java/sagefall/report/HeatMap.java
+++ b/testbed/src/main/java/sagefall/report/HeatMap.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import javax.imageio.ImageIO;
 
-/** Draws rows of values over the seconds of a run as an image that is embedded in the page. */
+/**
+ * Draws rows of values over the seconds of a run as an image that is embedded in the HTML report.
+ */
 final class HeatMap {
 
     private static final int NO_VALUE_COLOUR = 0x111111;
@@ -27,11 +29,13 @@
     private HeatMap() {}
 
     /**
-     * Returns a figure as HTML, with a row for each row of values and a column for each second.
+     * Returns a heat map as HTML. The image has a row for each row of values and a column for each
+     * second.
      *
-     * @param title title of the figure, as HTML
-     * @param rows values by row and second; a value below 0 means none and is drawn black
-     * @param max lowest value that is drawn in the darkest red
+     * @param title title of the heat map, as HTML
+     * @param rows values by row and second; a value below 0 stands for a missing value and is drawn
+     *     in black
+     * @param max minimum value that is drawn in the darkest red
      * @param groups names that are written beside groups of rows
      * @param legend explanation of the colours, as HTML
      */
@@ -84,7 +88,10 @@
         return names.toString();
     }
 
-    /** Returns the RGB colour of a share: white at 0, then yellow, then red at 1. */
+    /**
+     * Returns the RGB colour of a share. The colour is nearly white at 0, yellow at 0.5 and dark
+     * red at 1.
+     */
     private static int colour(double share) {
         int green = (int) (share < 0.5 ? 250 - 100 * share : 200 * 2 * (1 - share));
         int blue = (int) (235 * Math.max(0, 1 - 2 * share));
--- a/testbed/src/main/java/sagefall/report/RunCharts.java
+++ b/testbed/src/main/java/sagefall/report/RunCharts.java
@@ -11,13 +11,18 @@
 /** Creates the charts of one run over its seconds, as HTML. */
 final class RunCharts {
 
-    /** Latency of the dashed line in the chart and of the darkest red in the heat map. */
+    /**
+     * Latency that the dashed line in the chart marks. It is also the minimum latency that the heat
+     * map draws in the darkest red.
+     */
     private static final double MAX_LATENCY_MILLIS = 1200;
 
-    /** Number of causes of loss with a layer of their own. */
+    /** Maximum number of causes of loss that have their own layer in the chart. */
     private static final int MAX_CAUSES = 7;
 
-    /** Value of the darkest red in the heat map of servers. */
+    /**
+     * Minimum number of requests per core that the heat map of servers draws in the darkest red.
+     */
     private static final double MAX_REQUESTS_PER_CORE = 12;
 
     /** Upper end of the vertical axis, as a multiple of the highest value. */
@@ -57,7 +62,10 @@
         return layers.values().stream().mapToDouble(values -> values[second]).sum();
     }
 
-    /** Returns the lost value by second, for each of the largest causes and the others together. */
+    /**
+     * Returns the lost value by second. Each of the largest causes has its own entry. All other
+     * causes together have one entry.
+     */
     private Map<String, double[]> lossesByCause() {
         Map<String, double[]> layers = new LinkedHashMap<>();
         List<Map.Entry<String, Double>> largestFirst = result.losses();
@@ -136,7 +144,10 @@
         return transposed;
     }
 
-    /** Returns the heat map of requests by server, for the initial servers, sorted by zone. */
+    /**
+     * Returns the heat map of the requests per core by server. The rows are the initial servers,
+     * sorted by zone.
+     */
     String servers() {
         List<Integer> zoneOfServer = result.serverZones();
         int[] sizes = new int[result.zones().size()];
--- a/testbed/src/main/java/sagefall/report/ScalingPlot.java
+++ b/testbed/src/main/java/sagefall/report/ScalingPlot.java
@@ -98,7 +98,10 @@
         return String.format(Locale.ROOT, "%.1f,%.1f ", x(size), y(seconds));
     }
 
-    /** Returns a dot for each measurement, with its seconds above and its size on the axis. */
+    /**
+     * Returns a dot for each measurement. The seconds are written above the dot, and the size is
+     * written on the axis.
+     */
     private String markers() {
         StringBuilder markers = new StringBuilder();
         for (Point point : points) {
--- a/testbed/src/main/java/sagefall/report/SvgChart.java
+++ b/testbed/src/main/java/sagefall/report/SvgChart.java
@@ -52,7 +52,8 @@
                     "<text x='%d' y='%.1f' class='tick' text-anchor='end'>%s</text>",
                     LEFT - 5, y(value) + 4, number(value));
         }
-        // The labels of the time axis are a multiple of 5 s apart, with at most ten intervals.
+        // The labels of the time axis are a multiple of 5 s apart. They divide the axis into at
+        // most ten intervals.
         int step = Math.max(1, (int) Math.ceil(seconds / 10.0 / 5) * 5);
         for (int s = 0; s <= seconds; s += step) {
             add(
@@ -61,7 +62,10 @@
         }
     }
 
-    /** Formats a number for a label: integers and numbers from 10 on without decimals, else two. */
+    /**
+     * Formats a number for a label. Integers and numbers of at least 10 have no decimals. All other
+     * numbers have two decimals.
+     */
     static String number(double value) {
         return value >= 10 || value == Math.rint(value)
                 ? String.format(Locale.ROOT, "%.0f", value)
@@ -80,7 +84,10 @@
         return HEIGHT - BOTTOM - (HEIGHT - TOP - BOTTOM) * Math.min(1, value / max);
     }
 
-    /** Shades the time of each fault, and writes its name, using up to six rows for the names. */
+    /**
+     * Shades the time of each fault and writes the name of the fault. The names use at most six
+     * rows.
+     */
     SvgChart faults(List<InjectedFault> faults) {
         int row = 0;
         for (InjectedFault fault : faults) {
@@ -99,7 +106,7 @@
         return this;
     }
 
-    /** Draws a line through a value for each second. */
+    /** Draws a polyline through the values, with one value for each second of the run. */
     SvgChart line(double[] values, String colour) {
         StringBuilder points = new StringBuilder();
         for (int s = 0; s < values.length; s++) {
@@ -149,7 +156,10 @@
         return this;
     }
 
-    /** Returns the figure as HTML, with a legend that names the colours in order. */
+    /**
+     * Returns the chart as HTML. The legend assigns the names to the colours in the order of {@link
+     * #COLOURS}.
+     */
     String finish(List<String> names) {
         StringBuilder legend = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
--- a/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Goal values that builds reached in the operators' benchmark. They serve to check whether the
- * emulator ranks the builds in the same order as the benchmark.
+ * Goal values that builds reached in the operators' benchmark. The values are used to check whether
+ * the emulator ranks the builds in the same order as the benchmark.
  *
  * @param builds builds and the policies that represent them
  * @param measurements measured goal values
--- a/testbed/src/main/java/sagefall/scenario/ClientSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ClientSettings.java
@@ -3,7 +3,7 @@
 /**
  * Retries, timeouts and early disconnects of clients.
  *
- * @param maxRetries largest number of times that a client retries a request
+ * @param maxRetries maximum number of retries of a request by the client
  * @param attemptTimeoutShare timeout of each request or retry of a client, as a share of the
  *     deadline
  * @param backoffMillis delay before a retry
--- a/testbed/src/main/java/sagefall/scenario/DrawnFault.java
+++ b/testbed/src/main/java/sagefall/scenario/DrawnFault.java
@@ -34,8 +34,8 @@
 
     /**
      * Returns the time at which the fault ends, in seconds after requests begin to arrive. A fault
-     * that kills sidecars or cuts their power ends with the restart, whose delay in seconds is the
-     * magnitude; all other faults end after their duration.
+     * that kills sidecars or cuts their power ends with the restart. The magnitude of such a fault
+     * is the delay of the restart in seconds. All other faults end after their duration.
      */
     public double endSeconds() {
         return startSeconds
--- a/testbed/src/main/java/sagefall/scenario/FaultKind.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultKind.java
@@ -18,7 +18,7 @@
  * fraction, magnitude, period and mode in a description denote the components of {@link Fault}.
  */
 public enum FaultKind {
-    /** All servers of a zone stop at once, and later restart cold. Mode: silent or refuse. */
+    /** All servers of a zone stop at once, and later restart cold. The mode is silent or refuse. */
     LOSE_ZONE("lose_zone", DURATION, ZONE, MODE),
     /**
      * A zone is lost and restored in each period; the fraction is the share of the period for which
@@ -26,11 +26,11 @@
      */
     FLAP_ZONE("flap_zone", DURATION, ZONE, PERIOD, FRACTION, MODE),
     /**
-     * No traffic passes between a zone and the others. Mode: both directions, only inbound or only
-     * outbound.
+     * No traffic passes between a zone and the others. The mode selects the direction of the
+     * traffic that is cut: both directions, only inbound or only outbound.
      */
     CUT_ZONE("cut_zone", DURATION, ZONE, MODE),
-    /** A fraction of the servers stops, and later restarts cold. Mode: silent or refuse. */
+    /** A fraction of the servers stops, and later restarts cold. The mode is silent or refuse. */
     LOSE_SERVERS("lose_servers", DURATION, FRACTION, MODE),
     /** A fraction of the servers is slower; the magnitude is the factor. */
     SLOW_SERVERS("slow", DURATION, FRACTION, MAGNITUDE),
@@ -64,9 +64,9 @@
     /** The traffic of one tenant is multiplied by the magnitude. */
     TENANT_SURGE("surge", DURATION, TENANT, MAGNITUDE),
     /**
-     * A fraction of the servers is drained and replaced by new ones, one after another. Mode: late,
-     * if a draining server accepts requests until every sidecar has been notified, or early, if it
-     * rejects requests from the start.
+     * A fraction of the servers is drained and replaced by new ones, one after another. With mode
+     * late, a draining server accepts requests until every sidecar has been notified. With mode
+     * early, a draining server rejects requests from the start.
      */
     REPLACE_SERVERS("replace", DURATION, FRACTION, MODE),
     /**
@@ -89,7 +89,10 @@
     CONNECTION_RESETS("resets", DURATION, FRACTION),
     /** Clients disconnect early during a fraction of their requests. */
     CLIENT_DISCONNECTS("leavers", DURATION, FRACTION),
-    /** Clients ignore Retry-After and retry without delay; the magnitude is the retry limit. */
+    /**
+     * Clients ignore Retry-After and retry without delay; the magnitude is the maximum number of
+     * retries.
+     */
     IMMEDIATE_RETRIES("stubborn", DURATION, MAGNITUDE),
     /**
      * A fraction of the sidecars receives no updates of the endpoint list until the end of the
@@ -98,7 +101,7 @@
     SUPPRESSED_UPDATES("deaf", DURATION, FRACTION),
     /**
      * A fraction of the servers stops, and later restarts at the old addresses with new server ids.
-     * Mode: silent or refuse.
+     * The mode is silent or refuse.
      */
     RESTART_WITH_NEW_IDS(
             "reborn", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION, MODE),
@@ -115,8 +118,9 @@
             FRACTION,
             MAGNITUDE),
     /**
-     * No traffic passes between a fraction of the sidecars and a zone's servers. Mode: both
-     * directions, only to the servers or only from them.
+     * No traffic passes between a fraction of the sidecars and a zone's servers. The mode selects
+     * the direction of the traffic that is cut: both directions, only to the servers or only from
+     * the servers.
      */
     CUT_SIDECARS(
             "cut_sidecars",
@@ -147,7 +151,7 @@
             MAGNITUDE),
     /**
      * Connections between a fraction of the sidecars and a zone's servers are reset after a number
-     * of bytes, which is the magnitude.
+     * of bytes; the magnitude is the number of bytes.
      */
     CUT_BYTES(
             "cut_bytes",
@@ -158,9 +162,9 @@
             MAGNITUDE),
     /**
      * The machines of a fraction of the sidecars, and of the servers of a zone or of all zones,
-     * lose power and later restart; the magnitude is the delay of the restart in seconds. Mode:
-     * fresh, if the configuration of a restarted sidecar has the current endpoint list, or stale,
-     * if the configuration has the endpoint list of the first start.
+     * lose power and later restart; the magnitude is the delay of the restart in seconds. With mode
+     * fresh, the configuration of a restarted sidecar has the current endpoint list. With mode
+     * stale, the configuration has the endpoint list of the first start.
      */
     POWER_LOSS(
             "power_loss",
--- a/testbed/src/main/java/sagefall/scenario/FaultMode.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultMode.java
@@ -34,7 +34,7 @@
         return label;
     }
 
-    /** Returns the mode with the given label; there must be one. */
+    /** Returns the mode with the given label. A mode with this label must exist. */
     static FaultMode ofLabel(String label) {
         return Arrays.stream(values())
                 .filter(mode -> mode.label.equals(label))
--- a/testbed/src/main/java/sagefall/scenario/Scenario.java
+++ b/testbed/src/main/java/sagefall/scenario/Scenario.java
@@ -9,8 +9,8 @@
 
 /**
  * Description of a fleet, its load and the faults that are injected. A value may be given as a
- * range, from which each run draws its value by the run's seed. A scenario and a seed define one
- * run; in the emulator the scenario and the seed also determine the result of the run.
+ * range. Each run then draws its value from the range by the run's seed. A scenario and a seed
+ * define one run. In the emulator, they also determine the result of the run.
  *
  * @param name name of the scenario in results
  * @param description description of the scenario in one sentence
--- a/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
@@ -9,7 +9,7 @@
  * @param deadlineMillis time from the arrival of a request until the client stops waiting for the
  *     response
  * @param deduplicationWindowMillis time for which an idempotency key is recognized
- * @param maxAttempts largest number of attempts that a sidecar makes for a request
+ * @param maxAttempts maximum number of attempts of a request by a sidecar
  * @param cancellationAllowed whether a sidecar may cancel an attempt
  * @param retryAfterAllowed whether a rejection may carry Retry-After
  * @param workMillis mean work of a request, as execution time on a core of speed 1
@@ -26,13 +26,14 @@
  * @param slowStartInitialShare share of its capacity that a cold server has, according to the
  *     settings of sidecars
  * @param slowStartSeconds time until a cold server is warm, according to the settings of sidecars
- * @param slowStartLimitFactor largest load that a cold server withstands, as a multiple of its
+ * @param slowStartLimitFactor maximum load that a cold server withstands, as a multiple of its
  *     present capacity
- * @param slowStartLimitSeconds length of the window over which the load of a cold server is counted
+ * @param slowStartLimitSeconds length of the time window in which the load of a cold server is
+ *     counted
  * @param drainGraceMillis time for which requests may still be sent to a server after a sidecar has
  *     been notified that the server is draining
- * @param responseGraceMillis time after the deadline of a request by which the request must have
- *     completed
+ * @param responseGraceMillis maximum time from the deadline of a request until the request
+ *     completes
  * @param tickMillis resolution of the clock of the sidecars
  */
 public record ServiceSettings(
--- a/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
@@ -63,7 +63,10 @@
         return overridden.contains(path) ? "--set" : file + ":" + lineOf(path);
     }
 
-    /** Returns the line of a path or of its innermost enclosing table with a known line, or 1. */
+    /**
+     * Returns the line of a path. If that line is unknown, returns the line of the innermost
+     * enclosing table that has a known line. If no enclosing table has a known line, returns 1.
+     */
     private int lineOf(String path) {
         String prefix = path;
         while (!prefix.isEmpty()) {
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -14,7 +14,9 @@
  */
 final class TomlTable {
 
-    /** Integers whose absolute value is below this bound are printed without an exponent. */
+    /**
+     * Exclusive upper bound of the absolute value of integers that are printed without an exponent.
+     */
     private static final double MAX_PLAIN_INTEGER = 1e15;
 
     private final String file;
@@ -65,8 +67,8 @@
     /**
      * Reads a number, or a range {@code [low, high]} from which each run draws a number.
      *
-     * @param min smallest permitted value
-     * @param max largest permitted value
+     * @param min minimum permitted value
+     * @param max maximum permitted value
      */
     ValueRange range(String key, ValueRange defaultRange, double min, double max)
             throws ScenarioException {
@@ -99,7 +101,7 @@
         return new ValueRange(value.get(0).doubleValue(), value.get(1).doubleValue());
     }
 
-    /** Reads a single number; a range of different bounds is an error. */
+    /** Reads a single number. A range whose bounds differ is an error. */
     double number(String key, double defaultValue, double min, double max)
             throws ScenarioException {
         ValueRange range = range(key, ValueRange.of(defaultValue), min, max);
--- a/testbed/src/main/java/sagefall/scenario/package-info.java
+++ b/testbed/src/main/java/sagefall/scenario/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Reads scenarios from TOML files. A scenario describes a fleet, its load and the faults that are
- * injected; a value may be given as a range from which each run draws by its seed. The keys of the
- * files are known only to the readers in this package.
+ * injected. A value may be given as a range. Each run then draws its value from the range by the
+ * run's seed. Only the readers in this package know the keys of the files.
  */
 package sagefall.scenario;
--- a/testbed/src/test/java/sagefall/cli/CommandLineTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * A comparison writes a line for each simulation, and a report that loads nothing from
-     * elsewhere.
+     * The command {@code compare} writes a line of JSON for each simulation. It also writes an HTML
+     * report that loads nothing from outside the report.
      */
     @Test
     void compareWritesResultsAndSelfContainedReport() throws Exception {
@@ -69,11 +69,11 @@
     }
 
     /**
-     * With {@code --until 10}, the command counts only windows that start before second 10, so that
-     * a run that was cut off can be compared with a complete one.
+     * With {@code --until 10}, the command {@code windows} counts only windows that start before
+     * second 10, so that a run that was cut off can be compared with a complete one.
      */
     @Test
-    void windowsSummarizesWindowsBeforeGivenSecond() throws Exception {
+    void windowsCommandCountsOnlyWindowsBeforeGivenSecond() throws Exception {
         Path report = directory.resolve("report.log");
         String row =
                 "%6d     %d     99.0    0.5      0.25   0.0   0.8   57.7   %d.0    1.00   1.00    0"
@@ -124,7 +124,10 @@
         assertEquals(1, errors.toString().lines().count());
     }
 
-    /** A terminated experiment leaves the results of its finished runs, each a line of JSON. */
+    /**
+     * A terminated experiment leaves the results of its finished runs. Each result is one line of
+     * JSON.
+     */
     @Test
     @Timeout(60)
     void resultsStayReadableAfterExperimentIsTerminated() throws Exception {
--- a/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
+++ b/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
@@ -26,7 +26,7 @@
     private static final Path ROOT = Path.of(System.getProperty("sagefall.root"));
 
     /**
-     * Historical pages, which are not checked, as they name the commands of older builds. The
+     * Historical pages. They are not checked, because they name the commands of older builds. The
      * program rejects such a command with a message that has the new name.
      */
     private static final Set<String> HISTORICAL_PAGES = Set.of("MEASURING.md", "QUESTIONS.md");
@@ -41,7 +41,7 @@
     private static final Set<String> COMMAND_END = Set.of("&", "|", "||", "&&", ";", ">", "#");
 
     @Test
-    void documentedCommandsCanBeParsed() throws IOException {
+    void commandsInDocumentationAreAcceptedByParser() throws IOException {
         Set<String> problems = new TreeSet<>();
         int commands = 0;
         for (Path page : pages()) {
@@ -61,7 +61,7 @@
         assertEquals(Set.of(), problems);
     }
 
-    /** Tests the check itself: which commands it accepts, and which it rejects. */
+    /** Checks that {@link #problemWith} accepts valid commands and rejects invalid commands. */
     @ParameterizedTest
     @CsvSource({
         "./sagefall simulate zone --seeds 1-8   # comment, true",
@@ -73,7 +73,7 @@
         "./sagefall simulate, false",
         "./sagefall lab run zone, false"
     })
-    void checkAcceptsExactlyExistingCommands(String command, boolean valid) {
+    void checkReportsProblemOnlyForInvalidCommand(String command, boolean valid) {
         assertEquals(valid, problemWith(command, false) == null, command);
     }
 
@@ -87,7 +87,8 @@
     /**
      * Returns what is wrong with a command, or null if it is valid.
      *
-     * @param partial whether parameters may be missing, as where a sentence mentions a command
+     * @param partial whether parameters may be missing, for example because a sentence only
+     *     mentions the command
      */
     private static String problemWith(String command, boolean partial) {
         List<String> arguments = arguments(command);
--- a/testbed/src/test/java/sagefall/cli/LeaseCommandOutputTest.java
+++ b/testbed/src/test/java/sagefall/cli/LeaseCommandOutputTest.java
@@ -18,8 +18,8 @@
 import sagefall.persistence.SnapshotChange;
 
 /**
- * Tests the output of {@code sagefall lease} on a directory in which sidecar n1 released the lease
- * of term 1, and sidecar n2 holds the lease of term 2.
+ * Checks the output of {@code sagefall lease}. In the lease directory, sidecar n1 has released the
+ * lease of term 1, and sidecar n2 has the lease of term 2.
  */
 class LeaseCommandOutputTest {
 
--- a/testbed/src/test/java/sagefall/cli/RenamedWordsTest.java
+++ b/testbed/src/test/java/sagefall/cli/RenamedWordsTest.java
@@ -17,8 +17,8 @@
 import picocli.CommandLine;
 
 /**
- * Tests that an old command or option is rejected with status 2 and one line that has the new name,
- * and that the new name exists.
+ * Checks that an old command or option is rejected with status 2 and a message of one line that has
+ * the new name. Checks that a command or option with the new name exists.
  */
 class RenamedWordsTest {
 
@@ -59,7 +59,7 @@
 
     @ParameterizedTest
     @MethodSource("commands")
-    void newCommandExists(Map.Entry<String, String> renamed) {
+    void newNameOfRenamedCommandIsARegisteredCommand(Map.Entry<String, String> renamed) {
         CommandLine command = CommandLineMain.command();
         for (String word : renamed.getValue().split(" ", 0)) {
             if (!word.isEmpty()) {
@@ -83,7 +83,7 @@
 
     @ParameterizedTest
     @MethodSource("options")
-    void newOptionBelongsToACommand(Map.Entry<String, String> renamed) {
+    void newNameOfRenamedOptionIsAnOptionOfSomeCommand(Map.Entry<String, String> renamed) {
         assertTrue(hasOption(CommandLineMain.command(), renamed.getValue()), renamed.getValue());
     }
 
--- a/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
+++ b/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
@@ -15,8 +15,8 @@
 class PairedDifferenceTest {
 
     /**
-     * Compares two policies whose figures differ by the given values. The figures of A are read
-     * first and are 0, so the figures of B are the differences.
+     * Compares two policies whose results differ by the given values. The values of A are read
+     * first and are 0, so the values of B are the differences.
      */
     private static PairedDifference compare(List<Double> differences) {
         List<SimulationResult> results = Collections.nCopies(differences.size(), null);
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Draws samples from a distribution of known mean: the interval must contain the mean in about
-     * as many cases as its confidence level of 95 percent says.
+     * Draws samples from a distribution of known mean. The confidence level of the interval is 95
+     * percent, so the interval must contain the mean in 88 to 98 percent of the cases.
      */
     @Test
     void intervalContainsTheMeanAsOftenAsItsConfidenceLevelSays() {
--- a/testbed/src/test/java/sagefall/load/LoadTest.java
+++ b/testbed/src/test/java/sagefall/load/LoadTest.java
@@ -12,10 +12,10 @@
 
     /**
      * The four counts of outcomes add up to the number of requests, and a request with a response
-     * of status 500 does not count as served.
+     * of status 500 is not counted as served.
      */
     @Test
-    void everyRequestIsCountedOnce() throws Exception {
+    void countsOfOutcomesAddUpToNumberOfRequests() throws Exception {
         StandInServer server =
                 new StandInServer(0, "a", new StandInService(4, 40, 1), new StandInDiscovery());
         for (double errors : new double[] {0, 1}) {
@@ -38,7 +38,10 @@
         server.kill();
     }
 
-    /** A watch returns the list once it changes, and no endpoints if it does not change in time. */
+    /**
+     * A watch returns the list once the list changes. If the list does not change within the hold
+     * time, the watch returns no endpoints.
+     */
     @Test
     void watchReturnsListOnceItChangesAndNothingAfterHoldTime() throws Exception {
         StandInDiscovery discovery = new StandInDiscovery();
--- a/testbed/src/test/java/sagefall/policy/MechanismNamesTest.java
+++ b/testbed/src/test/java/sagefall/policy/MechanismNamesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests the names of mechanisms on the command line and in tables. */
+/** Checks the names of mechanisms on the command line and in tables. */
 class MechanismNamesTest {
 
     private static final List<String> NAMES =
@@ -26,7 +26,7 @@
                     "cells");
 
     @Test
-    void eachMechanismHasItsCommandLineName() throws PolicyException {
+    void mechanismIsFoundByItsCommandLineName() throws PolicyException {
         assertEquals(NAMES, Arrays.stream(Mechanism.values()).map(Mechanism::label).toList());
         for (String name : NAMES) {
             assertEquals(name, Mechanism.of(name).label());
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -59,12 +59,12 @@
     }
 
     /**
-     * Guards against tunables that were renamed without changing {@link Mechanism}: a mechanism
-     * that cannot be switched off would look like one without effect.
+     * Guards against a tunable that is renamed while {@link Mechanism} keeps the old name. The
+     * mechanism could then not be switched off, and would look like a mechanism without effect.
      */
     @ParameterizedTest
     @EnumSource(Mechanism.class)
-    void eachMechanismCanBeSwitchedOff(Mechanism mechanism) throws Exception {
+    void policyWithoutOneMechanismCanBeCreated(Mechanism mechanism) throws Exception {
         PolicyRegistry.of("module-without:" + mechanism.label(), ROOT).close();
     }
 
--- a/testbed/src/test/java/sagefall/scenario/FaultLabelsTest.java
+++ b/testbed/src/test/java/sagefall/scenario/FaultLabelsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests the names of fault kinds and modes in scenario files and in error messages. */
+/** Checks the names of fault kinds and modes in scenario files and in error messages. */
 class FaultLabelsTest {
 
     private static final String ALL_KINDS =
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void eachNameSelectsItsKind() throws ScenarioException {
+    void faultKindIsFoundByItsNameInScenario() throws ScenarioException {
         List<String> names = List.of(ALL_KINDS.split(", ", -1));
         List<FaultKind> kinds = new ArrayList<>();
         for (String name : names) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void zoneIsRejectedForSurge() {
+    void zoneIsRejectedForTenantSurge() {
         assertEquals(
                 "f.toml:5: fault[0].zone: does not apply to surge",
                 errorMessage("surge", "zone='a'\n"));
