--- a/testbed/src/main/java/sagefall/faultinjection/Addresses.java
+++ b/testbed/src/main/java/sagefall/faultinjection/Addresses.java
@@ -4,7 +4,10 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Assigns the loopback addresses of a run: a /16 block per sidecar with one address per link. */
+/**
+ * Assigns the loopback addresses of a run. Each sidecar gets a /16 block, in which each of its
+ * links has its own address.
+ */
 final class Addresses {
 
     private static final int LOOPBACK = 127;
@@ -25,7 +28,7 @@
         return address(sidecar, DISCOVERY_BLOCK, 1);
     }
 
-    /** Returns the address of the link from a sidecar to the server in a slot. */
+    /** Returns the address of the link from a sidecar to the server with the given slot index. */
     static InetAddress serverLink(int sidecar, int slot) throws UnknownHostException {
         return address(sidecar, slot / SERVERS_PER_BLOCK, 1 + slot % SERVERS_PER_BLOCK);
     }
@@ -36,7 +39,7 @@
                 new byte[] {LOOPBACK, (byte) (FIRST_BLOCK + sidecar), (byte) block, (byte) host});
     }
 
-    /** Formats an address as {@code host:port}, the format in configurations. */
+    /** Formats an address as {@code host:port}, as configuration files require. */
     static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
+++ b/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
@@ -10,8 +10,8 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * The endpoint list of the discovery agent beside one sidecar. It is synchronized, because the
- * thread that starts the sidecar reads it while the event loop of the run updates it.
+ * The endpoint list of the discovery agent beside one sidecar. Its methods are synchronized: the
+ * event loop of the run updates the list, while the thread that starts the sidecar reads it.
  */
 final class AgentEndpointList {
 
@@ -29,14 +29,15 @@
         this.sidecar = sidecar;
     }
 
-    /** Returns the complete list in the format of a sidecar's configuration. */
+    /** Returns the complete list in the format that the configuration of a sidecar uses. */
     synchronized ObjectNode completeList() {
         return StandInCommands.endpointList(revision, true, listed.values());
     }
 
     /**
-     * Applies a complete list or changes, and returns them with the next revision in the format of
-     * the agent.
+     * Applies a complete list, or changes of single endpoints, and increments the revision.
+     *
+     * @return the applied endpoints with the new revision, in the format of the agent
      */
     synchronized ObjectNode update(EndpointListKind kind, List<ListedEndpoint> endpoints) {
         revision++;
@@ -58,8 +59,8 @@
     }
 
     /**
-     * Converts an endpoint to the format of the list, with the address of this sidecar's own link
-     * to the server.
+     * Converts an endpoint to the format of the list. The address is that of the link from this
+     * sidecar to the server.
      */
     private ObjectNode toTarget(ListedEndpoint endpoint) {
         ServerLink link = members.server(endpoint.id()).links().get(sidecar);
@@ -84,7 +85,10 @@
         };
     }
 
-    /** Returns the start time of the server in wall clock milliseconds; 0 if unknown. */
+    /**
+     * Returns the start time of the server as wall clock time in milliseconds. Returns 0 if the
+     * start time is unknown.
+     */
     private long bootMillis(ListedEndpoint endpoint) {
         if (endpoint.startMicros() == 0) {
             return 0;
--- a/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Future;
 
 /**
- * Runs blocking steps in threads beside the event loop of the run, and records the failure of any
- * step. The result of a run in which a step failed is meaningless, so such a run fails as well.
+ * Runs blocking steps of the run in threads other than its event loop, and records the failure of a
+ * step. The result of a run in which a step failed is meaningless, so the run fails too.
  */
 final class BackgroundTasks implements AutoCloseable {
 
@@ -30,36 +30,41 @@
         return thread;
     }
 
-    /** Returns the latest failure of a step; null if none failed. */
+    /** Returns the latest failure of a step. Returns null if no step has failed. */
     Throwable failure() {
         return failure;
     }
 
-    /** Runs a task; its failure completes only the future and does not fail the run. */
+    /**
+     * Runs a task in a worker thread. A failure of the task is reported only by the returned future
+     * and does not fail the run.
+     */
     <T> Future<T> submit(Callable<T> task) {
         return workers.submit(task);
     }
 
-    /** Runs a loop, which is interrupted when the run is closed. */
+    /** Runs a loop in a worker thread. The thread is interrupted when the run is closed. */
     void runLoop(Runnable loop) {
         workers.submit(loop);
     }
 
-    /** Runs a blocking step in a worker thread; its failure fails the run. */
+    /** Runs a blocking step in a worker thread. A failure of the step fails the run. */
     void runInBackground(Step step) {
         workers.submit(() -> runStep(step));
     }
 
     /**
-     * Runs changes of links, and steps that must follow them, one after another in a separate
-     * thread, because closing and opening listeners blocks. A failure fails the run.
+     * Runs a change of a link, or a step that must follow such a change. All of them run one after
+     * another in a thread of their own, because closing and opening a listener blocks. A failure
+     * fails the run.
      */
     void changeLinks(Runnable change) {
         linkChanges.execute(() -> runStep(change::run));
     }
 
     /**
-     * Runs a step in the calling thread. An exception of the step is not thrown, but fails the run.
+     * Runs a step in the calling thread. An exception of the step is recorded as the failure of the
+     * run instead of being thrown.
      */
     void runStep(Step step) {
         try {
--- a/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientFaults.java
@@ -39,7 +39,10 @@
         return true;
     }
 
-    /** Returns the factor that applies a fault when it begins, or reverts it when it ends. */
+    /**
+     * Returns the factor by which a traffic rate is multiplied: the size of the fault when the
+     * fault begins, and its reciprocal when the fault ends.
+     */
     private static double factor(boolean begins, double size) {
         return begins ? size : 1 / size;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -26,9 +26,11 @@
 import sagefall.faultinjection.history.ResponseStatus;
 
 /**
- * The client application beside one sidecar. It sends one request at a time per connection and
- * opens a new connection when all are busy. If a connection that has carried an earlier request
- * closes before the first byte of a response, the request is resent once on a new connection.
+ * The client application beside one sidecar. Each connection carries one request at a time. If all
+ * open connections are busy, the application opens a new one.
+ *
+ * <p>A connection that has carried an earlier request may close before the first byte of the next
+ * response. The request is then resent once, on a new connection.
  */
 final class ClientLoad {
 
@@ -36,12 +38,12 @@
      * The result of a request.
      *
      * @param status HTTP status code, or a constant of {@link ResponseStatus}
-     * @param retryMicros delay from the Retry-After header; 0 without the header
+     * @param retryMicros delay from the Retry-After header in microseconds; 0 without the header
      * @param body body of the response
      */
     record RequestResult(int status, long retryMicros, String body) {}
 
-    /** A request of the client, with the connection that it was sent on. */
+    /** A request of the client application, and the connection on which it was sent. */
     static final class Exchange {
         private final String path;
         private final Map<String, String> headers;
@@ -106,7 +108,7 @@
         return exchange;
     }
 
-    /** Closes the connection of a request. The listener of the request is not called afterwards. */
+    /** Closes the connection of a request. The listener of the request is not called after that. */
     void disconnect(Exchange exchange) {
         loop.execute(
                 () -> {
--- a/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/DiscoveryFaults.java
@@ -1,6 +1,6 @@
 package sagefall.faultinjection;
 
-/** Injects faults of discovery and of the updates that discovery agents receive. */
+/** Injects faults of discovery, and of the updates that are sent to discovery agents. */
 final class DiscoveryFaults implements FaultInjector.FaultGroup {
 
     private final RunMembers members;
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -33,11 +33,12 @@
 import sagefall.scenario.ScenarioException;
 
 /**
- * Runs a plan with real processes: sidecars are started by the {@code run} command of the deploy
- * file, save servers and discovery replicas run in stand-in processes, and each sidecar reaches
- * each of them through a relay. The emulator's clients, server models, discovery and random streams
- * drive the run in real time. All events are recorded in a history, which is the only input of
- * {@link InvariantChecks}.
+ * Runs a plan with real processes. The {@code run} command of the deploy file starts the sidecars.
+ * Save servers and discovery replicas run in stand-in processes. Each sidecar reaches each server,
+ * and its discovery agent, through a relay of its own.
+ *
+ * <p>The emulator's clients, server models, discovery and random streams drive the run in real
+ * time. All events are recorded in a history, which is the only input of {@link InvariantChecks}.
  */
 public final class FaultInjectionRun implements AutoCloseable {
 
@@ -58,13 +59,14 @@
     private final Thread shutdownHook = new Thread(this::killAll, "fault-injection-end");
 
     /**
-     * Creates all members, opens their links, and writes the plan and the schedule of faults.
-     * Starts neither sidecars nor stand-in processes.
+     * Creates the sidecars and servers of the run, opens the links between them, and writes the
+     * plan and the schedule of faults. Starts neither sidecars nor stand-in processes.
      */
     FaultInjectionRun(RunPlan plan, Path output)
             throws IOException, ScenarioException, InterruptedException {
         Scenario scenario = plan.scenario();
-        // Fails before anything is created if a sidecar can't be started from a checkout.
+        // Throws, before any file or link is created, if a sidecar can't be started from a
+        // checkout.
         for (Path build : plan.builds()) {
             SidecarChildProcess.runCommand(build);
         }
@@ -116,7 +118,7 @@
     }
 
     /**
-     * Executes a plan and checks the invariants on its history.
+     * Executes a plan, and checks the invariants on the recorded history.
      *
      * @param output directory for all files of the run
      * @throws IOException if the plan could not be executed or a step of the run failed
@@ -138,7 +140,10 @@
         return members.sidecars();
     }
 
-    /** Starts all processes, waits until all are ready and returns the time taken in seconds. */
+    /**
+     * Starts all processes and waits until all are ready. Returns the time that this took, in
+     * seconds.
+     */
     double start() throws IOException, InterruptedException, ExecutionException, TimeoutException {
         long startNanos = System.nanoTime();
         new RunHeader(context, members).record();
@@ -151,7 +156,7 @@
     }
 
     /**
-     * Runs clients and faults until load and faults have ended and no request is open, then
+     * Runs clients and faults until load and faults have ended and no request is open. Then
      * terminates the sidecars.
      */
     void run() throws IOException, InterruptedException, ExecutionException {
@@ -173,7 +178,7 @@
         }
     }
 
-    /** Starts clients and faults; called on the event loop. */
+    /** Starts clients and faults. Called on the event loop of the run. */
     private Void beginLoad() {
         Scenario scenario = context.scenario();
         members.sidecars().forEach(sidecar -> sidecar.control().markReady());
@@ -194,7 +199,7 @@
         return null;
     }
 
-    /** Schedules the pauses that are part of the specification of a server. */
+    /** Schedules the pauses that the specification of a server contains. */
     private void beginPauses(ServerMember server) {
         StopTheWorldPauses.schedule(
                 context.eventLoop().queue(),
@@ -210,8 +215,8 @@
     }
 
     /**
-     * Waits until load and faults have ended, all sidecars are up and no request is open, or until
-     * a step has failed.
+     * Waits until load and faults have ended. Then waits until all sidecars are up and no request
+     * is open, or until a step has failed.
      */
     private void awaitSettled() throws InterruptedException, ExecutionException {
         CompletableFuture<Void> settled = new CompletableFuture<>();
@@ -254,7 +259,7 @@
     }
 
     /**
-     * Kills all processes, waits until the sidecars have exited, and closes links, threads and
+     * Kills all processes, waits until the sidecars have exited, and closes links, threads and the
      * history.
      */
     @Override
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjector.java
@@ -5,11 +5,11 @@
 /** Injects the faults of a schedule into real processes and links. */
 final class FaultInjector {
 
-    /** Injects the faults of one kind of target, such as servers or links. */
+    /** Injects the faults of one group of fault kinds, such as those of servers or of links. */
     interface FaultGroup {
 
         /**
-         * Puts a fault on the timeline if this group handles its kind.
+         * Schedules a fault on the timeline if this group handles the kind of the fault.
          *
          * @return whether this group handles the kind of the fault
          */
@@ -34,7 +34,7 @@
                         new DiscoveryFaults(members, timeline));
     }
 
-    /** Puts all faults on the timeline; called on the event loop of the run. */
+    /** Schedules all faults on the timeline. Called on the event loop of the run. */
     void scheduleAll(FaultSchedule schedule) {
         schedule.faults().forEach(this::schedule);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -11,22 +11,22 @@
 import sagefall.scenario.FaultKind;
 
 /**
- * The faults of a run, with all parameters and members drawn. The lines of a schedule depend only
- * on the plan and its seed, byte for byte, and leaving out one fault does not change the others.
+ * The faults of a run. Their parameters, and the servers and sidecars that they affect, have been
+ * drawn at random. The lines of a schedule depend only on the plan and its seed, byte for byte.
+ * Omitting a fault does not change the lines of the other faults.
  */
 final class FaultSchedule {
 
-    /** Numbers in a line are rounded to multiples of 1 / 1000. */
+    /** Number of steps per unit to which numbers in a line are rounded. */
     private static final double ROUNDING_STEPS_PER_UNIT = 1000;
 
     private final List<ScheduledFault> faults = new ArrayList<>();
 
     /**
-     * Draws the parameters and the members of some faults of the scenario.
+     * Draws the parameters of the selected faults, and the sidecars and servers that they affect.
      *
-     * @param indices indices of the faults in the scenario
-     * @param members members of the run; affected ones are drawn from its sidecars and initial
-     *     servers
+     * @param members sidecars and initial servers from which the affected ones are drawn
+     * @param indices indices of the selected faults in the scenario
      */
     FaultSchedule(RunContext context, RunMembers members, List<Integer> indices) {
         for (int index : indices) {
@@ -74,8 +74,9 @@
     }
 
     /**
-     * Returns the sidecars from which a fault draws the affected ones. For kills and power loss in
-     * a zone these are the sidecars of the zone, otherwise all sidecars.
+     * Returns the sidecars from which the affected ones are drawn. If a kill of sidecars or a power
+     * loss is limited to a zone, these are the sidecars of that zone. Otherwise these are all
+     * sidecars.
      */
     private static List<SidecarMember> eligibleSidecars(RunMembers members, Fault fault) {
         boolean limitableToZone =
@@ -93,7 +94,7 @@
     }
 
     /**
-     * Returns the servers that a fault kills individually, for which each needs its own process.
+     * Returns the servers that a fault kills individually. Each of them needs a process of its own.
      */
     Set<ServerMember> serversWithOwnProcess() {
         Set<ServerMember> servers = new HashSet<>();
@@ -106,7 +107,7 @@
         return servers;
     }
 
-    /** Returns the schedule as lines of JSON, one object per fault. */
+    /** Returns the schedule as lines of JSON, with one object per fault. */
     List<String> lines() {
         return faults.stream().map(FaultSchedule::line).toList();
     }
@@ -136,7 +137,10 @@
         return Math.rint(value * ROUNDING_STEPS_PER_UNIT) / ROUNDING_STEPS_PER_UNIT;
     }
 
-    /** Returns the time on the clock of the run at which the last fault ends; 0 without faults. */
+    /**
+     * Returns the time in microseconds, on the clock of the run, at which the last fault ends.
+     * Returns 0 without faults.
+     */
     long endMicros() {
         return faults.stream()
                 .mapToLong(fault -> ScheduledFault.clockMicros(fault.drawn().endSeconds()))
--- a/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
@@ -5,8 +5,8 @@
 import sagefall.faultinjection.history.EntryKind;
 
 /**
- * Schedules the begin and the end of faults on the event queue of a run, and records both. Used
- * only on the event loop of the run.
+ * Schedules the begin and the end of faults on the event queue of a run, and records both events in
+ * the history. Used only on the event loop of the run.
  */
 final class FaultTimeline {
 
@@ -26,17 +26,20 @@
         return context.eventLoop().queue();
     }
 
-    /** Applies a fault from its drawn start for its drawn duration. */
+    /** Applies a fault. The fault begins at its drawn start and lasts for its drawn duration. */
     void during(ScheduledFault fault, Action action) {
         during(fault, fault.drawn().startSeconds(), fault.drawn().durationSeconds(), action);
     }
 
-    /** Applies a fault from its drawn start for a given duration. */
+    /** Applies a fault. The fault begins at its drawn start and lasts for the given duration. */
     void during(ScheduledFault fault, double durationSeconds, Action action) {
         during(fault, fault.drawn().startSeconds(), durationSeconds, action);
     }
 
-    /** Applies a fault from the start of each of its periods for a fraction of the period. */
+    /**
+     * Applies a fault repeatedly. In each period, the fault is active from the start of the period
+     * for a fraction of the period.
+     */
     void periodically(ScheduledFault fault, double fraction, Action action) {
         double period = fault.drawn().periodSeconds();
         for (double offset = 0; offset < fault.drawn().durationSeconds(); offset += period) {
--- a/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LeaseObserver.java
@@ -12,17 +12,17 @@
 import sagefall.leaderelection.SharedEndpointSnapshot;
 
 /**
- * Observes the leader election and the shared snapshot of the sidecars of a run by reading their
- * lease store, which any process may do.
+ * Observes the leader election and the shared snapshot of the sidecars of a run. Reads both from
+ * the lease store of the sidecars, which any process may read.
  */
 final class LeaseObserver {
 
     private static final long POLL_NANOS = 5_000_000;
 
-    /** Index returned when no sidecar is the leader. */
+    /** Result of {@link #leader} if no sidecar is the leader. */
     static final int NO_LEADER = -1;
 
-    /** State of the lease and of the shared snapshot, recorded when it changes. */
+    /** State of the lease and of the shared snapshot at one point in time. */
     private record Observation(long term, String owner, long snapshotTerm, long revision) {}
 
     private final Path directory;
@@ -37,14 +37,18 @@
         return directory;
     }
 
-    /** Returns the index of the leader among the sidecars; {@link #NO_LEADER} if there is none. */
+    /**
+     * Returns the index of the sidecar that is the leader. Returns {@link #NO_LEADER} if no lease
+     * is valid.
+     */
     int leader() throws IOException {
         LeaseGrant grant = store.status().grant();
         String owner = grant.leader();
         if (grant.remainingNanos() <= 0 || owner.isEmpty()) {
             return NO_LEADER;
         }
-        // The lease names its owner as NAME#PID#TIME; the sidecars' names are n0, n1, ...
+        // The owner in the lease has the form NAME#PID#TIME. The names of the sidecars are n0, n1,
+        // ...
         return Integer.parseInt(owner.substring(1, owner.indexOf('#')));
     }
 
--- a/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
@@ -6,7 +6,7 @@
 /** Injects faults of the links between sidecars and servers. */
 final class LinkFaults implements FaultInjector.FaultGroup {
 
-    /** Fraction of each period for which a flapping link is cut. */
+    /** Fraction of each period during which a flapping link is cut. */
     private static final double FLAP_CUT_FRACTION = 0.5;
 
     private final RunMembers members;
@@ -46,9 +46,9 @@
 
     /**
      * Cuts or restores the links between the sidecars of a fault and the servers of its zone. The
-     * mode of the fault selects one or both directions.
+     * mode of the fault selects one direction or both.
      *
-     * @param cutChange 1 to cut, -1 to restore
+     * @param cutChange change of the number of active cuts: 1 to cut, -1 to restore
      */
     private void cutSidecars(ScheduledFault fault, int cutChange) {
         int toServer = fault.isMode(FaultMode.OUT) ? 0 : cutChange;
@@ -72,9 +72,9 @@
 
     /**
      * Cuts or restores the links between a zone and all other zones. The mode of the fault selects
-     * the direction into the zone, out of it, or both.
+     * the direction into the zone, the direction out of the zone, or both.
      *
-     * @param cutChange 1 to cut, -1 to restore
+     * @param cutChange change of the number of active cuts: 1 to cut, -1 to restore
      */
     private void cutZone(ScheduledFault fault, int cutChange) {
         int zone = fault.fault().zone();
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -26,21 +26,23 @@
 import sagefall.load.SidecarChildProcess;
 
 /**
- * Creates the members of a run and the links between them, but starts no process. Used before the
- * run, and, for replacements, on its event loop.
+ * Creates the sidecars and servers of a run and the links between them, but starts no process.
+ * Sidecars and initial servers are created before the run begins, replacement servers on the event
+ * loop of the run.
  */
 final class MemberFactory {
 
-    /** Selects the slot, and thereby the addresses, of a replacement server. */
+    /** Slot of a replacement server, which determines its addresses. */
     enum Placement {
-        /** The replacement gets the addresses of the replaced server. */
+        /** The slot, and therefore the addresses, of the replaced server. */
         SAME_SLOT,
-        /** The replacement gets new addresses. */
+        /** A new slot with new addresses. */
         NEW_SLOT
     }
 
     /**
-     * Ignores all events of the server models, because the stand-in processes execute the requests.
+     * Ignores all events of the server models in this process, because the stand-in processes
+     * execute the requests.
      */
     private static final class NoOpServerListener implements ServerListener {
         @Override
@@ -61,17 +63,21 @@
     private final ServerFactory serverFactory;
     private final LeaseObserver leaseObserver;
 
-    /** Random numbers for the jitter of link delays. They do not depend on the seed of the run. */
+    /**
+     * Source of random numbers for the jitter of link delays. The numbers do not depend on the seed
+     * of the run.
+     */
     private final UniformRandomProvider jitter =
             ThreadLocalRandomSource.current(RandomSource.XO_SHI_RO_256_PP);
 
     private int nextSlot;
 
     /**
-     * Creates a factory without any members.
+     * Creates a factory. Neither sidecars nor servers exist until {@link #createInitialMembers} is
+     * called.
      *
      * @param group event loops of relays and client applications
-     * @param leaseObserver null if the run has no leader election
+     * @param leaseObserver observer of the leader election; null if the run has no leader election
      */
     MemberFactory(
             RunContext context,
@@ -99,7 +105,7 @@
                         new NoOpServerListener());
     }
 
-    /** Returns the total capacity of the initial servers. */
+    /** Returns the sum of the capacities of the initial servers. */
     double totalCapacity() {
         return serverFactory.totalCapacity();
     }
@@ -156,8 +162,8 @@
 
     private LinkRelay createServerRelay(SidecarMember sidecar, EmulatedServer server, int slot)
             throws IOException, InterruptedException {
-        // The listener needs the address of the relay, which is set after the relay was created.
-        // No request passes through the relay before that.
+        // The listener of the relay needs the address of the relay, which is known only after the
+        // relay was created. No request passes through the relay before the address is set.
         String[] address = new String[1];
         LinkRelay relay =
                 new LinkRelay(
@@ -178,7 +184,7 @@
         return LinkConditions.withDelay(() -> network.oneWayMicros(fromZone, toZone, jitter));
     }
 
-    /** Creates a server of the same kind as another one, with a new id. */
+    /** Creates a server of the same kind as another server, with a new id. */
     ServerMember createReplacement(ServerMember old, Placement placement)
             throws IOException, InterruptedException {
         EmulatedServer model = serverFactory.createReplacement(old.model());
@@ -191,10 +197,10 @@
     }
 
     /**
-     * Assigns the initial servers to processes: one process per zone, and one for each server that
-     * a fault kills individually.
+     * Assigns the initial servers to processes. Each server that a fault kills individually gets a
+     * process of its own. The other servers of a zone share one process.
      *
-     * @param withOwnProcess the servers that get a process of their own
+     * @param withOwnProcess servers that get a process of their own
      */
     void placeServers(Set<ServerMember> withOwnProcess) {
         List<String> zones = context.scenario().fleet().zones();
--- a/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
@@ -7,18 +7,21 @@
 import sagefall.faultinjection.process.CpuStarvation;
 
 /**
- * Measures how long sidecar processes wait for a CPU core, and the resources that they use when
- * idle.
+ * Measures how long the threads of sidecar processes wait for a CPU core, and which resources idle
+ * sidecars use.
  */
 final class ResourceMeasurement {
 
-    /** Longest wait for sidecars to become idle, in multiples of the connection idle timeout. */
+    /**
+     * Maximum time that all sidecars together may take to become idle, as a multiple of the
+     * connection idle timeout.
+     */
     private static final double MAX_IDLE_TIMEOUTS = 4;
 
     private static final long IDLE_POLL_MILLIS = 50;
     private static final long STARVATION_POLL_NANOS = 250_000_000;
 
-    /** A wait for a CPU core longer than this is recorded. */
+    /** Exclusive lower bound of the recorded waits for a CPU core, in nanoseconds. */
     private static final long MIN_RECORDED_WAIT_NANOS = 20_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -32,7 +35,7 @@
         this.members = members;
     }
 
-    /** Records waits of sidecars for a CPU core until the thread is interrupted. */
+    /** Records the waits of sidecars for a CPU core until the calling thread is interrupted. */
     void watchCpuStarvation() {
         CpuStarvation starvation = new CpuStarvation();
         while (!Thread.currentThread().isInterrupted()) {
@@ -58,8 +61,9 @@
     }
 
     /**
-     * Records the resources of each sidecar once it is idle, or once the time limit for becoming
-     * idle has passed.
+     * Records the resources of each live sidecar once it is idle. All sidecars together have a time
+     * limit for becoming idle. When the limit has passed, the resources are recorded without
+     * waiting.
      */
     void recordAll() throws IOException, InterruptedException {
         double idleSeconds = context.scenario().network().idleTimeoutSeconds();
--- a/testbed/src/main/java/sagefall/faultinjection/RunContext.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunContext.java
@@ -13,14 +13,14 @@
 import sagefall.scenario.Scenario;
 
 /**
- * The objects shared by all members and faults of a run.
+ * The objects that all parts of a run share.
  *
- * @param plan the plan that is executed
- * @param scenario the scenario of the plan
+ * @param plan plan that is executed
+ * @param scenario scenario of the plan
  * @param directory directory for all files of the run
- * @param history history of the test bed's own process
+ * @param history history that the test bed's own process writes
  * @param eventLoop clock and thread of the emulator's model
- * @param guard kills the remaining child processes when this process exits
+ * @param guard guard that kills the remaining child processes when this process exits
  * @param tasks threads for blocking steps
  * @param randomStreams named random streams of the run
  * @param requestClass the only request class of the run
--- a/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
@@ -6,7 +6,8 @@
 import sagefall.scenario.Scenario;
 
 /**
- * Writes the first line of a history, with the parameters that the invariants and statistics need.
+ * Writes the first line of a history. The line has the parameters that invariants and statistics
+ * need.
  */
 final class RunHeader {
 
@@ -20,7 +21,7 @@
 
     /**
      * Writes the line. The field names are those of the first version of the format, so that newer
-     * builds read older histories.
+     * builds can read older histories.
      */
     void record() {
         Scenario scenario = context.scenario();
--- a/testbed/src/main/java/sagefall/faultinjection/RunMembers.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunMembers.java
@@ -9,8 +9,9 @@
 import sagefall.faultinjection.process.StandInProcess;
 
 /**
- * The members of a run. They are added before the run; replacements of servers are added during the
- * run on its event loop.
+ * The members of a run: sidecars, save servers, server processes and discovery replicas, and the
+ * emulator's clients and discovery. Sidecars and initial servers are added before the run begins,
+ * replacement servers on the event loop of the run.
  */
 final class RunMembers {
 
@@ -36,7 +37,7 @@
         return new ArrayList<>(servers.values());
     }
 
-    /** Returns the server with an id. */
+    /** Returns the server with the given id. */
     ServerMember server(long id) {
         return servers.get(id);
     }
@@ -49,7 +50,7 @@
         return processes;
     }
 
-    /** Returns the server processes of a zone. */
+    /** Returns the processes that run servers of a zone. */
     List<ServerProcess> processesOf(int zone) {
         return processes.stream().filter(process -> process.zone() == zone).toList();
     }
@@ -58,12 +59,12 @@
         return discoveryReplicas;
     }
 
-    /** Returns the discovery replica that hosts the agent of a sidecar. */
+    /** Returns the discovery replica that runs the agent of a sidecar. */
     StandInProcess discoveryReplicaOf(int sidecar) {
         return discoveryReplicas.get(sidecar % discoveryReplicas.size());
     }
 
-    /** Returns the emulator's discovery; null until the run starts its processes. */
+    /** Returns the emulator's discovery. Returns null until the run starts its processes. */
     EmulatedDiscovery discovery() {
         return discovery;
     }
@@ -72,7 +73,7 @@
         discovery = emulated;
     }
 
-    /** Returns the emulator's clients; null until the load begins. */
+    /** Returns the emulator's clients. Returns null until the load begins. */
     ClientTraffic traffic() {
         return traffic;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/RunStartup.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunStartup.java
@@ -15,7 +15,9 @@
 import sagefall.emulator.EmulatedDiscovery;
 import sagefall.faultinjection.process.StandInProcess;
 
-/** Starts the processes of a run: discovery replicas and servers first, then sidecars. */
+/**
+ * Starts the processes of a run: first the discovery replicas and the servers, then the sidecars.
+ */
 final class RunStartup {
 
     private static final int DISCOVERY_REPLICAS = 2;
@@ -29,7 +31,7 @@
         this.members = members;
     }
 
-    /** Starts all processes, and waits until all are ready. */
+    /** Starts all processes and waits until all are ready. */
     void startAll() throws IOException, InterruptedException, ExecutionException, TimeoutException {
         members.discovery(
                 new EmulatedDiscovery(
@@ -51,7 +53,9 @@
         startSidecars();
     }
 
-    /** Starts a discovery replica with the agents of its share of the sidecars. */
+    /**
+     * Starts a discovery replica with the agents of the sidecars that are assigned to the replica.
+     */
     private Future<?> startDiscovery(int replica) throws IOException {
         StandInProcess process = context.startStandIn("discovery-" + replica);
         members.discoveryReplicas().add(process);
--- a/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ScheduledFault.java
@@ -8,12 +8,13 @@
 import sagefall.scenario.FaultMode;
 
 /**
- * A fault with its parameters and members drawn.
+ * A fault of a run. Its parameters, and the servers and sidecars that it affects, have been drawn
+ * at random.
  *
  * @param index index of the fault in the scenario
- * @param drawn the fault of the scenario and its drawn parameters
- * @param servers the affected servers; empty if the fault kind draws no servers
- * @param sidecars the affected sidecars; empty if the fault kind draws no sidecars
+ * @param drawn fault of the scenario and its drawn parameters
+ * @param servers affected servers; empty if the fault kind draws no servers
+ * @param sidecars affected sidecars; empty if the fault kind draws no sidecars
  */
 record ScheduledFault(
         int index, DrawnFault drawn, List<ServerMember> servers, List<SidecarMember> sidecars) {
@@ -24,7 +25,7 @@
         return drawn.fault();
     }
 
-    /** Returns the name of the fault kind in scenario files. */
+    /** Returns the name that the fault kind has in scenario files. */
     String kindName() {
         return fault().kind().label();
     }
@@ -33,7 +34,7 @@
         return fault().kind() == kind;
     }
 
-    /** Returns whether the fault has this mode. */
+    /** Returns whether the fault has the given mode. */
     boolean isMode(FaultMode mode) {
         return fault().mode() == mode;
     }
@@ -42,12 +43,15 @@
         return drawn.magnitude();
     }
 
-    /** Returns the size in microseconds, for fault kinds whose size is in seconds. */
+    /**
+     * Returns the size converted from seconds to microseconds. Only for fault kinds whose size is a
+     * duration.
+     */
     long sizeMicros() {
         return (long) (MICROS_PER_SECOND * drawn.magnitude());
     }
 
-    /** Returns the time on the clock of the run at which the fault ends. */
+    /** Returns the time in microseconds, on the clock of the run, at which the fault ends. */
     long endMicros() {
         return clockMicros(drawn.startSeconds() + drawn.durationSeconds());
     }
@@ -60,7 +64,7 @@
         return sidecars.stream().map(SidecarMember::index).toList();
     }
 
-    /** Converts seconds since the start of the run to the clock of its event loop. */
+    /** Converts seconds since the start of the run to microseconds on the clock of the run. */
     static long clockMicros(double second) {
         return EventQueue.START_MICROS + (long) (MICROS_PER_SECOND * second);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Kills servers when a fault begins. When it ends, starts servers with new ids at the addresses
-     * of the killed ones.
+     * Kills servers when a fault begins. When the fault ends, starts servers with new ids at the
+     * addresses of the killed servers.
      */
     private void restartWithNewIds(List<ServerMember> servers, boolean silent, boolean begins)
             throws IOException, InterruptedException {
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Sets a fault on all servers.
+     * Sets the value of a fault on all servers.
      *
-     * @param faultName field of the command that sets the fault
+     * @param faultName name of the command field that sets the fault
      */
     private void setOnAllServers(String faultName, double value) {
         for (ServerMember server : members.servers()) {
@@ -143,8 +143,8 @@
     }
 
     /**
-     * Lists servers as draining while they continue to serve, and drains and stops them when the
-     * fault ends.
+     * When the fault begins, reports servers to discovery as draining while they continue to serve.
+     * When the fault ends, drains and stops the servers.
      */
     private void drain(List<ServerMember> servers, boolean begins) {
         for (ServerMember server : servers) {
@@ -161,8 +161,9 @@
 
     /**
      * Schedules the replacement of servers one after another over the duration of the fault. Each
-     * server is listed as draining, and its replacement is started. The server drains and stops
-     * once all sidecars have been notified, or immediately in mode {@link FaultMode#EARLY}.
+     * server is reported as draining, and its replacement is started. The replaced server drains
+     * and stops once discovery has notified all sidecars. In mode {@link FaultMode#EARLY}, it
+     * drains and stops immediately.
      */
     private void scheduleReplacements(ScheduledFault fault) {
         int count = fault.servers().size();
@@ -172,7 +173,8 @@
             int index = i;
             double second =
                     fault.drawn().startSeconds() + fault.drawn().durationSeconds() * i / count;
-            // Creating links blocks the event loop, so they are created before the load begins.
+            // The replacements are created now, before the load begins, because creating their
+            // links blocks the event loop.
             context.tasks()
                     .runStep(
                             () ->
@@ -220,8 +222,8 @@
     }
 
     /**
-     * Makes a server reject new requests, and stops it one request deadline later, when all
-     * requests that it had accepted must have ended.
+     * Makes a server reject new requests, and stops the server one request deadline later. By then,
+     * all requests that the server had accepted must have ended.
      */
     private void drainAndStop(ServerMember server) {
         server.process().send(server.faultCommand().put("drain", true));
--- a/testbed/src/main/java/sagefall/faultinjection/ServerLink.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerLink.java
@@ -5,7 +5,7 @@
 import sagefall.faultinjection.link.LinkConditions;
 import sagefall.faultinjection.link.LinkRelay;
 
-/** The link from one sidecar to a server, with the faults that are active on it. */
+/** The link from one sidecar to one server, with the faults that are active on the link. */
 final class ServerLink {
 
     private final LinkRelay relay;
@@ -20,10 +20,11 @@
     private boolean silent;
 
     /**
-     * Creates a link. The conditions that the relay has at this time apply whenever no fault is
-     * active.
+     * Creates a link. While no fault is active, the link has the conditions that the relay has when
+     * this constructor is called.
      *
-     * @param changeExecutor runs changes of the relay in order, in a thread that may block
+     * @param changeExecutor executor that runs changes of the relay in order, in a thread that may
+     *     block
      */
     ServerLink(LinkRelay relay, Executor changeExecutor) {
         this.relay = relay;
@@ -37,20 +38,23 @@
     }
 
     /**
-     * Changes the number of active cuts in each direction; a direction with an active cut is
-     * blocked.
+     * Changes the number of active cuts in each direction. A direction with at least one active cut
+     * is blocked.
      */
     void addCuts(int toServerBy, int toClientBy) {
         cutsToServer += toServerBy;
         cutsToClient += toClientBy;
     }
 
-    /** Adds to the delay in each direction; a negative value ends a fault. */
+    /**
+     * Adds to the extra delay in each direction. A negative value reverts the delay of a fault that
+     * has ended.
+     */
     void addDelay(double millis) {
         extraDelayMillis += millis;
     }
 
-    /** Resets connections after this number of bytes to the server; 0: never. */
+    /** Sets the number of bytes to the server after which a connection is reset; 0 for no reset. */
     void resetAfter(long bytes) {
         resetAfterBytes = bytes;
     }
@@ -58,8 +62,8 @@
     /**
      * Sets the state of the server at the end of the link.
      *
-     * @param newRefusing whether new connections are refused, because the server process has exited
-     * @param newSilent whether nothing passes, because the machine of the server has vanished
+     * @param newRefusing whether new connections are refused because the server process has exited
+     * @param newSilent whether no data passes because the machine of the server has vanished
      */
     void setServerState(boolean newRefusing, boolean newSilent) {
         refusing = newRefusing;
--- a/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import sagefall.emulator.EmulatedServer;
 
-/** A save server of the run with its model, its process and the links to it. */
+/** A save server of the run, with its model, its process and the links from the sidecars. */
 final class ServerMember {
 
     private final EmulatedServer model;
@@ -19,9 +19,11 @@
     /**
      * Creates a server that is not yet assigned to a process.
      *
-     * @param model model for the emulator's discovery; the process executes the requests
-     * @param slot index of its addresses; a server restarted with a new id keeps the slot
-     * @param links links by the index of the sidecar
+     * @param model model of the server for the emulator's discovery; the process of the server
+     *     executes the requests
+     * @param slot index that determines the addresses of the server; a server that is restarted
+     *     with a new id keeps its slot
+     * @param links links to the server, by the index of the sidecar
      */
     ServerMember(EmulatedServer model, int slot, List<ServerLink> links) {
         this.model = model;
@@ -55,7 +57,7 @@
         return links.get(sidecar.index());
     }
 
-    /** Returns the process that runs the server; null until one is assigned. */
+    /** Returns the process that runs the server. Returns null until a process is assigned. */
     ServerProcess process() {
         return process;
     }
@@ -65,8 +67,8 @@
     }
 
     /**
-     * Returns whether the server was drained, replaced, or restarted with a new id, and never runs
-     * again.
+     * Returns whether the server never runs again, because it was drained, replaced or restarted
+     * with a new id.
      */
     boolean isRetired() {
         return retired;
@@ -79,8 +81,8 @@
     /**
      * Marks the server as down.
      *
-     * @param silently whether connections get no response, as from a vanished machine, instead of
-     *     being refused
+     * @param silently whether connections get no response, because the machine has vanished; if
+     *     false, new connections are refused
      */
     void markDown(boolean silently) {
         links.forEach(link -> link.setServerState(!silently, silently));
@@ -88,7 +90,7 @@
         model.stop(silently);
     }
 
-    /** Restores the links after the process has started again. */
+    /** Restores the links. Called after the process of the server has started again. */
     void markUp() {
         links.forEach(link -> link.setServerState(false, false));
         links.forEach(ServerLink::apply);
--- a/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -13,7 +13,7 @@
 import sagefall.faultinjection.process.StandInProcess;
 
 /**
- * A process that runs either one save server, or all servers of a zone that no fault kills
+ * A process that runs save servers: either one server, or all servers of a zone that no fault kills
  * individually.
  */
 final class ServerProcess {
@@ -27,7 +27,10 @@
     private StandInProcess child;
     private int starts;
 
-    /** Number of faults that keep the process down. Written only on the event loop of the run. */
+    /**
+     * Number of active faults that keep the process down. Written only on the event loop of the
+     * run.
+     */
     private final AtomicInteger activeKills = new AtomicInteger();
 
     ServerProcess(
@@ -48,8 +51,8 @@
     }
 
     /**
-     * Adds a server. It runs from the next start of the process on, or once {@link #serve} is
-     * called.
+     * Adds a server. The server runs after the next start of the process, or after {@link #serve}
+     * is called.
      */
     void add(ServerMember server) {
         servers.add(server);
@@ -84,7 +87,8 @@
     }
 
     /**
-     * Starts one server in the running process. The future completes once the links relay to it.
+     * Starts one server in the running process. The future completes once the links relay to the
+     * server.
      */
     CompletableFuture<Void> serve(ServerMember server, boolean cold) {
         server.process(this);
@@ -113,8 +117,10 @@
     }
 
     /**
-     * Kills the process by SIGKILL; the addresses of its servers then refuse connections or are
-     * silent.
+     * Kills the process by SIGKILL.
+     *
+     * @param silently whether the addresses of the servers send no response afterwards; if false,
+     *     they refuse connections
      */
     void kill(boolean silently) {
         if (activeKills.getAndIncrement() > 0) {
@@ -125,13 +131,15 @@
             server.markDown(silently);
             members.discovery().serverStopped(server.model());
         }
-        // The process is killed after its links have changed, so that in silent mode no sidecar
-        // sees its connections close.
+        // The process is killed after its links have changed. Therefore, in silent mode no sidecar
+        // sees that its connections close.
         StandInProcess killed = child;
         context.tasks().changeLinks(() -> killed.process().destroyForcibly());
     }
 
-    /** Starts a new process with cold servers, unless another fault still keeps it down. */
+    /**
+     * Starts a new process with cold servers, unless another active fault keeps the process down.
+     */
     void restart() {
         if (activeKills.decrementAndGet() > 0) {
             return;
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -6,18 +6,18 @@
 import sagefall.load.SidecarChildProcess;
 
 /**
- * Controls the process of one sidecar: starts, planned restarts, and faults that kill or stop it.
- * Used on the event loop of the run, except for {@link #start} and the measurements.
+ * Controls the process of one sidecar: its starts, its planned restarts, and the faults that kill
+ * or suspend it. Used on the event loop of the run, except for {@link #start} and the measurements.
  */
 final class SidecarControl {
 
     /**
-     * Number of open file descriptors above the baseline that an idle sidecar may have, such as
-     * that of its discovery watch.
+     * Maximum number of open file descriptors by which an idle sidecar may exceed its baseline, for
+     * example because of its discovery watch.
      */
     private static final int IDLE_TOLERANCE_DESCRIPTORS = 4;
 
-    /** Time after SIGTERM for which clients still open new connections. */
+    /** Time after SIGTERM during which clients still open new connections, in microseconds. */
     private static final long DRAINING_DELAY_MICROS = 300_000;
 
     private final RunContext context;
@@ -27,7 +27,7 @@
     private final ClientLoad application;
     private volatile SidecarChildProcess process;
 
-    /** Whether the run itself has killed or terminated the latest process. */
+    /** Whether the run has killed the latest process or has sent SIGTERM to it. */
     private volatile boolean exitRequested;
 
     private int incarnation;
@@ -41,9 +41,9 @@
      * Conditions for the following starts of a sidecar.
      *
      * @param staleList whether the configuration has the endpoint list of the first start instead
-     *     of the current one
-     * @param clockOffsetMillis offset of the wall clock that the sidecar uses; positive if that
-     *     clock is ahead
+     *     of the current endpoint list
+     * @param clockOffsetMillis offset of the wall clock that the sidecar uses, in milliseconds;
+     *     positive if that clock is ahead
      */
     record NextStart(boolean staleList, long clockOffsetMillis) {}
 
@@ -75,7 +75,7 @@
         return incarnation;
     }
 
-    /** Returns the latest process; null before the first start. */
+    /** Returns the latest process. Returns null before the first start. */
     Process process() {
         return process == null ? null : process.process();
     }
@@ -88,7 +88,10 @@
         nextStart = next;
     }
 
-    /** Starts the process and waits until it is ready; not called on the event loop. */
+    /**
+     * Starts the process and waits until it is ready. Blocks, so it must not be called on the event
+     * loop.
+     */
     void start() throws IOException, InterruptedException {
         ObjectNode current = endpoints.completeList();
         firstList = firstList == null ? current : firstList;
@@ -151,26 +154,31 @@
                         list.path("targets"));
     }
 
-    /** Lets clients send requests. */
+    /** Allows clients to send requests. */
     void markReady() {
         up = true;
         draining = false;
     }
 
-    /** Returns whether the process has exited, or its open descriptors are near the baseline. */
+    /**
+     * Returns whether the process is idle. It is idle if it has exited, or if its number of open
+     * file descriptors exceeds the baseline by at most {@link #IDLE_TOLERANCE_DESCRIPTORS}.
+     */
     boolean isIdle() throws IOException {
         return !process.process().isAlive()
                 || process.statistics().openDescriptors()
                         <= baselineDescriptors + IDLE_TOLERANCE_DESCRIPTORS;
     }
 
-    /** Records the resources of the process before the first request, as the baseline. */
+    /**
+     * Records the resources that the process uses before the first request. They are the baseline.
+     */
     void recordBaseline() throws IOException {
         baselineDescriptors = process.statistics().openDescriptors();
         recordResources("before");
     }
 
-    /** Records the resources of the process after the last request. */
+    /** Records the resources that the process uses after the last request. */
     void recordFinalResources() throws IOException {
         recordResources("after");
     }
@@ -190,7 +198,7 @@
     }
 
     /**
-     * Kills the process by SIGKILL, and starts a new one {@code downMicros} later. Does nothing
+     * Kills the process by SIGKILL, and starts a new one {@code downMicros} later. Has no effect
      * while the sidecar is down.
      */
     void kill(long downMicros) {
@@ -218,9 +226,9 @@
     }
 
     /**
-     * Performs a planned restart: sends SIGTERM, stops clients from opening new connections after a
-     * delay, and starts a new process {@code downMicros} after the old one has exited. Does nothing
-     * while the sidecar is down.
+     * Performs a planned restart. Sends SIGTERM, and after {@link #DRAINING_DELAY_MICROS} stops
+     * clients from opening new connections. Starts a new process {@code downMicros} after the old
+     * process has exited. Has no effect while the sidecar is down.
      */
     void restart(long downMicros) {
         if (!up) {
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -9,10 +9,12 @@
 /** Injects faults of sidecar processes. */
 final class SidecarFaults implements FaultInjector.FaultGroup {
 
-    /** Length of the cycle in which a slowed sidecar is stopped and resumed once. */
+    /**
+     * Length in microseconds of the cycle in which a slowed sidecar is suspended and resumed once.
+     */
     private static final long DUTY_CYCLE_MICROS = 100_000;
 
-    /** Maximum number of points in time over which planned restarts are spread. */
+    /** Maximum number of points in time at which the planned restarts of one fault begin. */
     private static final int MAX_RESTART_STEPS = 10;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -23,13 +25,16 @@
     private final ServerFaults servers;
     private final FaultTimeline timeline;
 
-    /** Leaders that were suspended, by the index of the fault; null if there was no leader. */
+    /**
+     * Control of the suspended leader, by the index of the fault. Null if there was no leader when
+     * the fault began.
+     */
     private final Map<Integer, SidecarControl> stoppedLeaders = new HashMap<>();
 
     /**
      * Creates the fault group of a run.
      *
-     * @param leaseObserver null if the run has no leader election
+     * @param leaseObserver observer of the leader election; null if the run has no leader election
      * @param servers fault group that kills the servers of a zone that loses power
      */
     SidecarFaults(
@@ -68,7 +73,9 @@
         return fault.sidecars().stream().map(SidecarMember::control).toList();
     }
 
-    /** Kills sidecars, each of which is restarted by its {@link SidecarControl}. */
+    /**
+     * Kills sidecars when the fault begins. The {@link SidecarControl} of each sidecar restarts it.
+     */
     private static void kill(ScheduledFault fault, boolean begins) {
         if (begins) {
             controls(fault).forEach(sidecar -> sidecar.kill(fault.sizeMicros()));
@@ -81,7 +88,7 @@
         }
     }
 
-    /** Sets the offset of the clock that sidecars use from their next start on. */
+    /** Sets the offset of the clock that sidecars use after their next start. */
     private static void setClock(ScheduledFault fault) {
         long offsetMillis = (long) (MILLIS_PER_SECOND * fault.size());
         for (SidecarControl sidecar : controls(fault)) {
@@ -90,9 +97,13 @@
         }
     }
 
-    /** Schedules planned restarts in equal steps over the duration of the fault. */
+    /**
+     * Schedules planned restarts in at most {@link #MAX_RESTART_STEPS} equal steps over the
+     * duration of the fault.
+     */
     private void scheduleRestarts(ScheduledFault fault) {
-        // Records when the fault begins and ends; the restarts are scheduled individually.
+        // This call only records the begin and the end of the fault. The restarts are scheduled
+        // below.
         timeline.during(fault, on -> {});
         List<SidecarControl> sidecars = controls(fault);
         int steps = Math.min(MAX_RESTART_STEPS, Math.max(1, sidecars.size()));
@@ -119,9 +130,9 @@
     }
 
     /**
-     * Suspends a sidecar for a fraction of each cycle until a point in time.
+     * Suspends a sidecar for a fraction of each cycle, until a point in time.
      *
-     * @param runningFraction fraction of each cycle for which the sidecar runs
+     * @param runningFraction fraction of each cycle during which the sidecar runs
      */
     private void runDutyCycle(SidecarControl sidecar, double runningFraction, long untilMicros) {
         if (timeline.queue().now() >= untilMicros) {
@@ -138,8 +149,8 @@
     }
 
     /**
-     * Kills the servers of a zone, or all servers, and the drawn sidecars at once. Restarts the
-     * servers when the fault ends; each sidecar is restarted by its {@link SidecarControl}.
+     * Kills the servers of a zone, or all servers, and at the same time the drawn sidecars. When
+     * the fault ends, restarts the servers. The {@link SidecarControl} of each sidecar restarts it.
      */
     private void losePower(ScheduledFault fault, boolean begins) {
         int zone = fault.fault().zone();
@@ -156,13 +167,17 @@
         }
     }
 
-    /** Returns the sidecar that is the leader; null if there is none. */
+    /**
+     * Returns the control of the sidecar that is the leader. Returns null if there is no leader.
+     */
     private SidecarControl leader() throws IOException {
         int index = leaseObserver == null ? LeaseObserver.NO_LEADER : leaseObserver.leader();
         return index == LeaseObserver.NO_LEADER ? null : members.sidecars().get(index).control();
     }
 
-    /** Suspends the current leader, or resumes the one that the fault has suspended. */
+    /**
+     * Suspends the current leader when the fault begins. Resumes that sidecar when the fault ends.
+     */
     private void setLeaderStopped(ScheduledFault fault, boolean begins) throws IOException {
         if (begins) {
             stoppedLeaders.put(fault.index(), leader());
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarLauncher.java
@@ -12,7 +12,7 @@
 /** Starts the process of one sidecar with its configuration and extensions. */
 final class SidecarLauncher {
 
-    /** Age limit of recovery data; older data is not used. */
+    /** Maximum age of recovery data that a sidecar uses, in milliseconds. */
     private static final long MAX_RECOVERY_AGE_MILLIS = 60_000;
 
     private static final String NO_RECOVERY = "off";
@@ -26,7 +26,7 @@
      * Creates the launcher of one sidecar.
      *
      * @param discovery address of the link to the sidecar's discovery agent
-     * @param leaseObserver null if the run has no leader election
+     * @param leaseObserver observer of the leader election; null if the run has no leader election
      */
     SidecarLauncher(
             RunContext context,
@@ -42,10 +42,10 @@
     /**
      * Starts the process without waiting until it is ready.
      *
-     * @param incarnation number of the start, from 1 on
-     * @param endpoints the complete endpoint list for the configuration
-     * @param clockOffsetMillis offset of the wall clock that the sidecar uses; positive if that
-     *     clock is ahead
+     * @param incarnation number of this start; the first start has number 1
+     * @param endpoints complete endpoint list for the configuration
+     * @param clockOffsetMillis offset of the wall clock that the sidecar uses, in milliseconds;
+     *     positive if that clock is ahead
      */
     SidecarChildProcess start(int incarnation, ObjectNode endpoints, long clockOffsetMillis)
             throws IOException {
@@ -63,13 +63,15 @@
                 extensions(clockOffsetMillis));
     }
 
-    /** Returns a seed for the sidecar that differs for each start. */
+    /** Returns a seed for the sidecar. Each start has a different seed. */
     private String salt(int incarnation) {
         String stream = "salt." + spec.index() + "." + incarnation;
         return String.format("%016x", context.randomStreams().stream(stream).nextLong());
     }
 
-    /** Returns the content of the extensions file; null without extensions. */
+    /**
+     * Returns the content of the extensions file. Returns null if the sidecar has no extensions.
+     */
     private Map<String, Object> extensions(long clockOffsetMillis) {
         Map<String, Object> sections = new HashMap<>();
         String sync = context.scenario().fleet().persistence();
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarMember.java
@@ -12,8 +12,8 @@
 import sagefall.faultinjection.link.LinkRelay;
 
 /**
- * A real sidecar behind the interfaces of the emulator's clients and discovery: its process, the
- * client application beside it, and its discovery agent.
+ * A real sidecar for the emulator's clients and discovery. Consists of the sidecar's process, the
+ * client application beside the sidecar, and the sidecar's discovery agent.
  */
 final class SidecarMember implements SidecarHandle, EndpointListSubscriber {
 
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Returns a constant: endpoint lists go to the discovery agent, which is not restarted with the
-     * sidecar.
+     * Returns a constant, because endpoint lists are sent to the discovery agent, which is not
+     * restarted with the sidecar.
      */
     @Override
     public int incarnation() {
@@ -87,7 +87,7 @@
         return control;
     }
 
-    /** Returns whether the sidecar's clients have open requests. */
+    /** Returns whether the clients of the sidecar have open requests. */
     boolean isBusy() {
         return requests.hasOpenRequests();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -17,15 +17,15 @@
 final class SidecarRequests {
 
     /**
-     * Time after the deadline for which a late response is awaited before the request ends without
-     * one.
+     * Time after the deadline during which a late response is awaited, in microseconds. After that,
+     * the request ends without a response.
      */
     private static final long LATE_RESPONSE_WAIT_MICROS = 5_000_000;
 
     private static final int BODY_BYTES = 300;
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** An open request, with the incarnation of the sidecar that the request was sent to. */
+    /** An open request, and the incarnation of the sidecar to which it was sent. */
     private record OpenRequest(ClientLoad.Exchange exchange, int incarnation) {}
 
     private final RunContext context;
@@ -52,7 +52,7 @@
         return !openRequests.isEmpty();
     }
 
-    /** Sends a request and passes its response to the emulator's clients. */
+    /** Sends a request of the emulator's clients, and passes the response back to them. */
     void send(ClientRequest request, boolean retry) {
         long timeoutMicros = request.deadlineMicros - request.receivedAtMicros;
         String key = idempotencyKey(request);
@@ -90,7 +90,8 @@
     }
 
     /**
-     * Returns the idempotency key of a request; all requests of a client's operation have one key.
+     * Returns the idempotency key of a request. All requests of one client operation have the same
+     * key.
      */
     private String idempotencyKey(ClientRequest request) {
         return String.format("%016x%016x", context.plan().seed(), request.operation.number);
@@ -110,7 +111,10 @@
         return headers;
     }
 
-    /** Returns a body with the cost of the request in its first line, padded to a fixed size. */
+    /**
+     * Returns a body of fixed size. The first line has the cost of the request, and the rest is
+     * padding.
+     */
     private static byte[] body(ClientRequest request) {
         byte[] body = new byte[BODY_BYTES];
         Arrays.fill(body, (byte) '.');
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarSpec.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarSpec.java
@@ -11,7 +11,7 @@
  * @param zone index of the zone
  * @param checkout checkout whose deploy file starts the sidecar
  * @param directory directory for configuration, log and recovery data
- * @param listen address that the sidecar listens on
+ * @param listen address on which the sidecar listens
  * @param settings balancer settings for the configuration
  */
 record SidecarSpec(
--- a/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
+++ b/testbed/src/main/java/sagefall/faultinjection/StandInCommands.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import sagefall.faultinjection.history.JsonLines;
 
-/** Builds the commands for stand-in processes; each is sent as one line of JSON. */
+/** Builds the commands for stand-in processes. Each command is sent as one line of JSON. */
 final class StandInCommands {
 
     private final RunContext context;
@@ -26,7 +26,7 @@
         return JsonLines.MAPPER.createObjectNode().put("do", name);
     }
 
-    /** Returns the command to run a server; the reply has its port. */
+    /** Returns the command to run a server. The reply to the command has the port of the server. */
     ObjectNode serve(ServerMember server, boolean cold) {
         ObjectNode command =
                 command("serve")
@@ -59,7 +59,10 @@
         return command("end").put("id", server);
     }
 
-    /** Returns the command to run the agents of sidecars; the reply has their ports, in order. */
+    /**
+     * Returns the command to run the discovery agents of sidecars. The reply to the command has the
+     * ports of the agents, in the order of the sidecars.
+     */
     static ObjectNode agents(List<SidecarMember> sidecars) {
         ObjectNode command = command("views");
         ArrayNode indices = command.putArray("who");
@@ -67,7 +70,10 @@
         return command;
     }
 
-    /** Returns the command that makes discovery silent, or ends the silence. */
+    /**
+     * Returns the command that makes the discovery agents of a replica silent, or ends their
+     * silence.
+     */
     static ObjectNode mute(boolean on) {
         return command("mute").put("on", on);
     }
@@ -77,7 +83,11 @@
         return list.put("do", "list").put("who", sidecar);
     }
 
-    /** Returns an endpoint list of all endpoints, or of those that have changed. */
+    /**
+     * Returns an endpoint list.
+     *
+     * @param all whether the list is complete; if false, it has only changed endpoints
+     */
     static ObjectNode endpointList(long revision, boolean all, Collection<ObjectNode> endpoints) {
         ObjectNode list = JsonLines.MAPPER.createObjectNode().put("rev", revision).put("all", all);
         list.putArray("targets").addAll(endpoints);
--- a/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
@@ -9,15 +9,16 @@
 import java.util.List;
 
 /**
- * An address at which connections are never established. It listens with the shortest backlog,
- * fills the backlog with its own connections and accepts none, so that the operating system drops
- * further SYN packets. To a client this looks like a machine that has vanished.
+ * An address at which connections are never established. A socket listens at the address with the
+ * shortest backlog. The backlog is filled with connections that are never accepted, so the
+ * operating system drops further SYN packets. To a client, the address looks like a machine that
+ * has vanished.
  */
 final class BlackholeAddress implements AutoCloseable {
 
     /**
-     * Number of connections that fill the backlog. A backlog of 1 holds two connections; the third
-     * ensures that it is full.
+     * Number of connections that fill the backlog. A backlog of 1 holds two connections. The third
+     * connection ensures that the backlog is full.
      */
     private static final int FILLER_CONNECTIONS = 3;
 
--- a/testbed/src/main/java/sagefall/faultinjection/link/ConnectMode.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/ConnectMode.java
@@ -1,14 +1,17 @@
 package sagefall.faultinjection.link;
 
-/** How a link handles a new connection. */
+/** Handling of new connections by a link. */
 public enum ConnectMode {
     /** The connection is relayed. */
     FORWARD,
-    /** The connection is refused, as by a machine whose process has exited. */
+    /** The connection is refused. This simulates a server whose process has exited. */
     REFUSE,
-    /** The connection is accepted, but never gets a response. */
+    /** The connection is accepted, but the client never gets a response. */
     SILENT,
-    /** The connection is never established, as with a vanished or partitioned machine. */
+    /**
+     * The connection is never established. This simulates a machine that has vanished or that the
+     * network has partitioned from the client.
+     */
     BLACKHOLE;
 
     boolean isListening() {
--- a/testbed/src/main/java/sagefall/faultinjection/link/DatagramConditions.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/DatagramConditions.java
@@ -3,13 +3,13 @@
 /**
  * The conditions for datagrams on a link.
  *
- * @param lossRate fraction of datagrams that is lost
- * @param duplicationRate fraction of datagrams that arrives twice
- * @param maxDelayMicros upper bound of the delay, which is drawn uniformly from 0 for each
- *     datagram, so that datagrams may be reordered
+ * @param lossRate fraction of the datagrams that are lost
+ * @param duplicationRate fraction of the datagrams that arrive twice
+ * @param maxDelayMicros upper bound of the delay in microseconds; the delay of each datagram is
+ *     drawn uniformly between 0 and this bound, so datagrams may be reordered
  */
 record DatagramConditions(double lossRate, double duplicationRate, long maxDelayMicros) {
 
-    /** No delay and no fault. */
+    /** Conditions without delay and faults. */
     static final DatagramConditions PERFECT = new DatagramConditions(0, 0, 0);
 }
--- a/testbed/src/main/java/sagefall/faultinjection/link/DatagramRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/DatagramRelay.java
@@ -13,8 +13,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A link for datagrams from one member to another, which may lose, duplicate, delay and thereby
- * reorder them. The receiver sees the relay's address as the sender.
+ * A link for datagrams from one process to another. The link may lose, duplicate and delay
+ * datagrams. Delays may reorder datagrams. The receiver sees the address of the relay as the
+ * sender.
  */
 final class DatagramRelay implements AutoCloseable {
 
@@ -47,7 +48,10 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Sets the address that datagrams are relayed to; until it is set, they are dropped. */
+    /**
+     * Sets the address to which datagrams are relayed. Datagrams that arrive before this call are
+     * dropped.
+     */
     void target(InetSocketAddress to) {
         target = to;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkConditions.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkConditions.java
@@ -5,12 +5,12 @@
 /**
  * The conditions in one direction of a link.
  *
- * @param delayMicros supplies the delay of each chunk of data
- * @param bytesPerSecond rate limit; 0: unlimited
+ * @param delayMicros supplier of the delay in microseconds of each chunk of data
+ * @param bytesPerSecond rate limit in bytes per second; 0 for no limit
  * @param blocked whether no data passes
- * @param resetAfterBytes number of bytes after which the connection is reset; 0: never
- * @param halfCloseAfterBytes number of bytes after which the receiver gets an end of stream, as if
- *     the sender had half-closed the connection; 0: never
+ * @param resetAfterBytes number of bytes after which the connection is reset; 0 for no reset
+ * @param halfCloseAfterBytes number of bytes after which the receiver gets an end of stream,
+ *     although the sender has not half-closed the connection; 0 for no half-close
  */
 public record LinkConditions(
         LongSupplier delayMicros,
@@ -19,15 +19,15 @@
         long resetAfterBytes,
         long halfCloseAfterBytes) {
 
-    /** No delay and no fault. */
+    /** Conditions without delay and faults. */
     public static final LinkConditions PERFECT = withDelay(() -> 0);
 
-    /** Returns conditions with a delay and no fault. */
+    /** Returns conditions with a delay and without faults. */
     public static LinkConditions withDelay(LongSupplier delayMicros) {
         return new LinkConditions(delayMicros, 0, false, 0, 0);
     }
 
-    /** Returns a copy in which data is blocked or passes. */
+    /** Returns a copy in which data is blocked, or passes if {@code newBlocked} is false. */
     public LinkConditions blocked(boolean newBlocked) {
         return new LinkConditions(
                 delayMicros, bytesPerSecond, newBlocked, resetAfterBytes, halfCloseAfterBytes);
@@ -39,17 +39,20 @@
                 micros, bytesPerSecond, blocked, resetAfterBytes, halfCloseAfterBytes);
     }
 
-    /** Returns a copy with a reset after this number of bytes. */
+    /** Returns a copy in which the connection is reset after a number of bytes; 0 for no reset. */
     public LinkConditions resetAfter(long bytes) {
         return new LinkConditions(delayMicros, bytesPerSecond, blocked, bytes, halfCloseAfterBytes);
     }
 
-    /** Returns the number of bytes until the reset or half-close; 0: never. */
+    /**
+     * Returns the number of bytes after which the connection is reset or half-closed; 0 for
+     * neither.
+     */
     long limitBytes() {
         return resetAfterBytes > 0 ? resetAfterBytes : halfCloseAfterBytes;
     }
 
-    /** Returns the transmission time of a number of bytes at the rate limit. */
+    /** Returns the time in nanoseconds that a number of bytes takes at the rate limit. */
     long transmissionNanos(int bytes) {
         return bytesPerSecond > 0 ? (long) (1e9 * bytes / bytesPerSecond) : 0;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
@@ -17,10 +17,12 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The link from one member to another: a relay on an address that only this pair uses, which can
- * inject network faults. Bytes that arrive in a blocked direction are buffered. When blocking ends,
- * connections with buffered bytes or a held-back end of stream are reset, because with real TCP the
- * retransmission would mostly come too late; other connections stay open.
+ * The link from one process to another. The link is a relay that can inject network faults. It
+ * listens at an address that only this pair of processes uses.
+ *
+ * <p>Data and an end of stream that arrive in a blocked direction are held back. When blocking
+ * ends, connections with such data or end of stream are reset, because real TCP would mostly
+ * retransmit the data too late. Other connections stay open.
  *
  * <p>Faults may be set from any thread. Calls that close or open the listener block until the
  * listener is closed or open.
@@ -43,9 +45,9 @@
     private volatile LinkConditions toClient;
 
     /**
-     * Listens on a free port of an address.
+     * Creates a relay that listens on a free port of an address.
      *
-     * @param listener called for each request; may be null
+     * @param listener listener that is called for each request; null for none
      */
     public LinkRelay(
             EventLoopGroup group,
@@ -89,7 +91,7 @@
         connection.open();
     }
 
-    /** Returns the address that clients connect to, which never changes. */
+    /** Returns the address to which clients connect. The address never changes. */
     public InetSocketAddress address() {
         return address;
     }
@@ -98,28 +100,28 @@
         return target;
     }
 
-    /** Sets the address that new connections are relayed to. */
+    /** Sets the address to which new connections are relayed. */
     public void target(InetSocketAddress to) {
         target = to;
     }
 
-    /** Returns how new connections are handled. */
+    /** Returns the mode in which new connections are handled. */
     ConnectMode mode() {
         return mode;
     }
 
-    /** Returns the conditions from the client to the server. */
+    /** Returns the conditions in the direction from the client to the server. */
     public LinkConditions toServer() {
         return toServer;
     }
 
-    /** Returns the conditions from the server to the client. */
+    /** Returns the conditions in the direction from the server to the client. */
     public LinkConditions toClient() {
         return toClient;
     }
 
     /**
-     * Changes the handling of new connections and the conditions of open ones.
+     * Changes the handling of new connections, and the conditions of new and open connections.
      *
      * @throws IllegalStateException if the address can't be bound
      */
@@ -134,8 +136,8 @@
     }
 
     /**
-     * Sets how new connections are handled. Connections accepted in mode {@link ConnectMode#SILENT}
-     * are reset when that mode ends.
+     * Sets the mode in which new connections are handled. Connections that were accepted in mode
+     * {@link ConnectMode#SILENT} are reset when that mode ends.
      */
     synchronized void mode(ConnectMode next) throws IOException, InterruptedException {
         ConnectMode previous = mode;
@@ -143,8 +145,9 @@
         if (!next.isListening() && serverChannel != null) {
             serverChannel.close().sync();
             serverChannel = null;
-            // A closed listener accepts connections until the next select call of its event loop.
-            // Such connections would be relayed, so this call waits until the address is free.
+            // A closed listener accepts connections until the next select call of its event loop,
+            // and such connections would be relayed. Therefore, this method waits until the address
+            // is free.
             retryWhileBound(this::probeUnbound);
         }
         if (next != ConnectMode.BLACKHOLE && blackhole != null) {
@@ -161,7 +164,7 @@
         }
     }
 
-    /** Fails while another socket listens at the address; does not listen itself. */
+    /** Throws an exception while another socket listens at the address. Does not itself listen. */
     private Void probeUnbound() throws IOException {
         try (SocketChannel probe = SocketChannel.open()) {
             probe.setOption(StandardSocketOptions.SO_REUSEADDR, true).bind(address);
@@ -170,8 +173,8 @@
     }
 
     /**
-     * Retries an action that fails because an address stays bound for a moment after its listener
-     * was closed.
+     * Retries an action until it succeeds or a time limit has passed. The action fails at first,
+     * because an address stays bound for a moment after its listener was closed.
      */
     private static <T> T retryWhileBound(Callable<T> action) throws IOException {
         long deadlineNanos = System.nanoTime() + REBIND_TIMEOUT_NANOS;
@@ -187,7 +190,7 @@
         }
     }
 
-    /** Sets the conditions of both directions, including those of open connections. */
+    /** Sets the conditions of both directions. They apply to new and open connections. */
     void conditions(LinkConditions newToServer, LinkConditions newToClient) {
         toServer = newToServer;
         toClient = newToClient;
@@ -199,7 +202,7 @@
         connections.forEach(RelayedConnection::reset);
     }
 
-    /** Removes a connection that was reset from the open connections. */
+    /** Removes a connection that was reset from the set of open connections. */
     void onConnectionClosed(RelayedConnection connection) {
         connections.remove(connection);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/RelayDirection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RelayDirection.java
@@ -12,7 +12,7 @@
 /** One direction of a relayed connection. Used only on the event loop of the connection. */
 final class RelayDirection extends ChannelInboundHandlerAdapter {
 
-    /** While at least this number of bytes is in flight, nothing is read from the sender. */
+    /** Number of bytes in flight at which reading from the sender pauses. */
     private static final long MAX_IN_FLIGHT_BYTES = 256 * 1024;
 
     private static final long NANOS_PER_MICRO = 1000;
@@ -22,16 +22,21 @@
     private final ArrayDeque<ByteBuf> blockedData = new ArrayDeque<>();
     private Channel destination;
 
-    /** Bytes that were read from the sender and not yet written to the destination. */
+    /** Number of bytes that were read from the sender but not yet written to the destination. */
     private long inFlightBytes;
 
-    /** Bytes that were not blocked, for the limit in the conditions. */
+    /**
+     * Number of bytes that arrived while the direction was not blocked. Compared with the byte
+     * limit of the conditions.
+     */
     private long passedBytes;
 
-    /** Scheduled time of the latest write to the destination, as {@link System#nanoTime}. */
+    /** Scheduled time of the last write to the destination, as {@link System#nanoTime}. */
     private long lastDueNanos;
 
-    /** Whether the sender's end of stream arrived while the direction was blocked. */
+    /**
+     * Whether the sender's end of stream, close or error arrived while the direction was blocked.
+     */
     private boolean blockedEndOfStream;
 
     /** Whether the sender has closed its output. */
@@ -60,8 +65,8 @@
     }
 
     /**
-     * Returns whether the direction is no longer blocked, but still holds data or an end of stream
-     * from the time when it was.
+     * Returns whether the connection must be reset. This is so if the direction is no longer
+     * blocked, but has data or an end of stream that arrived while it was blocked.
      */
     boolean mustReset() {
         return !conditions().blocked() && (!blockedData.isEmpty() || blockedEndOfStream);
@@ -73,7 +78,9 @@
     }
 
     /**
-     * Handles the close of the sender's channel, and returns whether to reset the connection now.
+     * Handles the close of the sender's channel.
+     *
+     * @return whether the connection is to be reset immediately
      */
     boolean onSourceClosed() {
         if (conditions().blocked()) {
--- a/testbed/src/main/java/sagefall/faultinjection/link/RelayedConnection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RelayedConnection.java
@@ -9,7 +9,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 
-/** A client's connection to a link, and the connection to the target that it is relayed to. */
+/** A connection from a client to a link, and the connection from the link to the target. */
 final class RelayedConnection {
 
     private final LinkRelay link;
@@ -38,12 +38,12 @@
         return scanner;
     }
 
-    /** Returns the channel that a direction reads from. */
+    /** Returns the channel from which a direction reads. */
     Channel source(RelayDirection direction) {
         return direction == toServer ? client : server;
     }
 
-    /** Begins to relay the connection; called on the event loop of the client's channel. */
+    /** Begins to relay the connection. Called on the event loop of the client's channel. */
     void open() {
         client.closeFuture().addListener(f -> onSourceClosed(toServer));
         client.pipeline().addLast(toServer);
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Handles the close of the source of one direction: the other side is reset once the bytes in
-     * flight have passed.
+     * Handles the close of the channel from which a direction reads. The connection is reset once
+     * the bytes in flight have been written.
      */
     private void onSourceClosed(RelayDirection direction) {
         if (direction.onSourceClosed()) {
@@ -103,8 +103,9 @@
     }
 
     /**
-     * Handles a change of the link's faults: resets the connection if data was held back or the
-     * connection was silenced by a fault that has ended. May be called from any thread.
+     * Handles a change of the link's conditions or mode. Resets the connection in two cases: data
+     * was held back in a direction that is no longer blocked, or the connection was accepted in
+     * mode {@link ConnectMode#SILENT} and that mode has ended. May be called from any thread.
      */
     void onConditionsChanged() {
         client.eventLoop()
@@ -117,7 +118,7 @@
                         });
     }
 
-    /** Resets both sides and releases blocked data; may be called from any thread. */
+    /** Resets both channels and releases blocked data. May be called from any thread. */
     void reset() {
         link.onConnectionClosed(this);
         resetChannel(client);
--- a/testbed/src/main/java/sagefall/faultinjection/link/RequestIdScanner.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RequestIdScanner.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 
 /**
- * Finds the request id in the head of each request of a connection. Expects that the client sends a
- * request only after the response to the previous one has begun. Used only on the event loop of the
- * connection.
+ * Finds the request id in the head of each request of a connection. Expects that a client sends a
+ * request only after the response to its previous request has begun. Used only on the event loop of
+ * the connection.
  */
 final class RequestIdScanner {
 
@@ -19,12 +19,16 @@
     private final StringBuilder head = new StringBuilder();
     private boolean awaitingHead = true;
 
-    /** Creates a scanner that reports each id to the listener, which may be null. */
+    /**
+     * Creates a scanner.
+     *
+     * @param listener listener that is called with each id; null for none
+     */
     RequestIdScanner(RequestListener listener) {
         this.listener = listener;
     }
 
-    /** Scans bytes from the client. */
+    /** Scans bytes from the client for the id of the current request. */
     void onRequestBytes(ByteBuf bytes) {
         if (listener == null || !awaitingHead) {
             return;
--- a/testbed/src/main/java/sagefall/faultinjection/link/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Links between the members of a run: relays on separate loopback addresses that can inject network
- * faults.
+ * Links between the processes of a run. Each link is a relay on its own loopback address that can
+ * inject network faults.
  */
 package sagefall.faultinjection.link;
--- a/testbed/src/main/java/sagefall/faultinjection/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Fault injection: runs real sidecar processes between stand-in save servers, discovery and
- * clients, and injects process and link faults by a schedule that is drawn from a seed. All events
- * are written to a history, from which the invariants are checked.
+ * Fault injection. Runs real sidecar processes with stand-in save servers, discovery and clients.
+ * Injects faults of processes and links by a schedule that is drawn from a seed. All events are
+ * written to a history, on which the invariants are checked.
  */
 package sagefall.faultinjection;
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
@@ -18,17 +18,20 @@
         return path.resolve("plan.json");
     }
 
-    /** Returns the file of the faults with their drawn parameters and members, one per line. */
+    /**
+     * Returns the file of the schedule. It has one fault per line, with the drawn parameters and
+     * the affected servers and sidecars.
+     */
     public Path schedule() {
         return path.resolve("schedule.jsonl");
     }
 
-    /** Returns the directory of the history, which has one file per process. */
+    /** Returns the directory of the history. It has one file per process. */
     public Path history() {
         return path.resolve("history");
     }
 
-    /** Returns the history file of the test bed itself. */
+    /** Returns the history file of the test bed's own process. */
     public Path testBedHistory() {
         return history().resolve("rig.jsonl");
     }
@@ -43,17 +46,17 @@
         return path.resolve("stand-ins.log");
     }
 
-    /** Returns the directory of configuration, log and recovery data of one sidecar. */
+    /** Returns the directory for configuration, log and recovery data of one sidecar. */
     public Path sidecar(int index) {
         return path.resolve("sidecar-" + index);
     }
 
-    /** Returns the directory that all sidecars share, with the lease and the shared snapshot. */
+    /** Returns the directory that all sidecars share. It has the lease and the shared snapshot. */
     public Path shared() {
         return path.resolve("shared");
     }
 
-    /** Returns the HTML report of the run. */
+    /** Returns the file of the run's HTML report. */
     public Path report() {
         return path.resolve("report.html");
     }
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
@@ -13,14 +13,14 @@
 import sagefall.scenario.ScenarioRunner;
 
 /**
- * Everything that is needed to execute a run and to replay it.
+ * The input of a run, from which the run can be executed and replayed.
  *
- * @param file name of the scenario file in error messages
+ * @param file name of the scenario file, for error messages
  * @param text text of the scenario
- * @param overrides values that replace those of the scenario, such as {@code load.use=0.5}
+ * @param overrides settings that replace those of the scenario, such as {@code load.use=0.5}
  * @param seed seed of all random draws
- * @param selectedFaults indices of the faults that are injected; null for all
- * @param builds checkouts that the sidecars are started from, assigned round-robin
+ * @param selectedFaults indices of the faults that are injected; null for all faults
+ * @param builds checkouts from which the sidecars are started, assigned round-robin
  */
 public record RunPlan(
         String file,
@@ -30,7 +30,7 @@
         List<Integer> selectedFaults,
         List<Path> builds) {
 
-    /** Overrides for a fleet that fits on one machine. */
+    /** Overrides for a fleet that is small enough for one machine. */
     public static final List<String> ONE_MACHINE_FLEET =
             List.of(
                     "fleet.sidecars=12",
@@ -39,7 +39,8 @@
                     "fleet.cell_servers=4",
                     "fleet.server_skew=0");
 
-    // Field names of the first version of the file format, so that older plans can be read.
+    // The field names are those of the first version of the file format, so that older plans can be
+    // read.
     private static final String FILE = "file";
     private static final String TEXT = "text";
     private static final String SEED = "seed";
@@ -50,8 +51,8 @@
     /**
      * Returns the scenario with the overrides applied.
      *
-     * @throws ScenarioException if it is invalid, or has a fault that can't be injected into real
-     *     processes
+     * @throws ScenarioException if the scenario is invalid, or has a fault that can't be injected
+     *     into real processes
      */
     public Scenario scenario() throws ScenarioException {
         return Scenario.read(file, text, overrides)
--- a/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/ScenarioGenerator.java
@@ -6,8 +6,8 @@
 import sagefall.emulator.RandomStreams;
 
 /**
- * Generates random scenarios. They are text, so that they can be stored, read and shrunk like
- * scenario files.
+ * Generates random scenarios. A scenario is generated as text, so that it can be stored, read and
+ * shrunk like a scenario file.
  */
 public final class ScenarioGenerator {
 
@@ -15,8 +15,8 @@
     private static final double SECONDS = 22;
 
     /**
-     * Time in seconds by which all faults have ended. The recovery of the fleet is observed in the
-     * remaining time of the run.
+     * Time in seconds, since the start of the run, by which all faults have ended. In the rest of
+     * the run, the recovery of the fleet is observed.
      */
     private static final double FAULTS_END_SECONDS = 16;
 
--- a/testbed/src/main/java/sagefall/faultinjection/process/CpuStarvation.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/CpuStarvation.java
@@ -8,17 +8,19 @@
 import java.util.Map;
 
 /**
- * Measures how long a process waited for a CPU core, from the scheduler statistics that Linux keeps
- * for each thread. On a busy machine a member may be late only because no core was free, and the
- * invariants have to allow for such delays. Not thread-safe.
+ * Measures how long the threads of a process waited for a CPU core. Reads the scheduler statistics
+ * that Linux keeps for each thread. On a busy machine, a process under test may be late merely
+ * because no core was free. The invariants have to allow for such delays. Not thread-safe.
  */
 public final class CpuStarvation {
 
     private final Map<String, Long> waitedNanos = new HashMap<>();
 
     /**
-     * Returns the longest time in nanoseconds that any one thread of a process waited since the
-     * previous call; 0 if unknown.
+     * Returns the longest time in nanoseconds that any one thread of a process has waited for a CPU
+     * core since the previous call. Threads that no previous call has seen are ignored. If the
+     * statistics of a thread can't be read, returns the longest wait found until then, or 0 if
+     * there is none.
      */
     public long longestWaitNanos(long pid) {
         long longest = 0;
@@ -31,7 +33,8 @@
                 longest = Math.max(longest, before == null ? 0 : now - before);
             }
         } catch (IOException | RuntimeException e) {
-            // The process or a thread has exited in the meantime, or the system has no statistics.
+            // The process or a thread exited before its statistics were read, or the system has
+            // none.
             return longest;
         }
         return longest;
--- a/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
@@ -6,15 +6,15 @@
 
 /**
  * Ensures that no child process outlives this process, even if this process is killed. A shell
- * process is notified of the start and exit of each child, and kills the remaining children once
- * its standard input is closed. It also sends signals, which is cheaper than starting a program for
- * each signal.
+ * process is notified of the start and exit of each child. Once the standard input of the shell is
+ * closed, the shell kills the remaining children. The shell also sends signals to children, which
+ * is cheaper than starting a program for each signal.
  */
 public final class ProcessGuard implements AutoCloseable {
 
     /**
-     * Shell script that reads lines of the form "add PID", "del PID" or "SIGNAL PID". It ignores
-     * INT, TERM and HUP, so that it outlives this process.
+     * Shell script that reads lines of the form "add PID", "del PID" or "SIGNAL PID". The shell
+     * ignores INT, TERM and HUP, so that it outlives this process.
      */
     private static final String SCRIPT =
             "trap '' INT TERM HUP; all=' '; while read -r what pid; do case "
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Adds a process to those that are killed when this process exits. It is removed once it has
-     * exited.
+     * Adds a process to the watched processes, which are killed when this process exits. The
+     * process is removed from the watched processes once it has exited.
      */
     public void watch(Process process) throws IOException {
         send("add " + process.pid());
--- a/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
@@ -16,8 +16,8 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * Starts and controls a stand-in process. Commands are written to its standard input, and replies
- * are read in the same order from its standard output. Thread-safe.
+ * Starts and controls a stand-in process. Commands are written to the standard input of the
+ * process. Replies are read from its standard output, in the order of the commands. Thread-safe.
  */
 public final class StandInProcess {
 
@@ -39,10 +39,10 @@
     /**
      * Starts a process.
      *
-     * @param guard kills the process when this process exits
-     * @param mainClass main class; its only argument is the history file
-     * @param history file that the process writes its history to
-     * @param log file that its standard error is appended to
+     * @param guard guard that kills the process when this process exits
+     * @param mainClass name of the main class, whose only argument is the history file
+     * @param history file to which the process writes its history
+     * @param log file to which the standard error of the process is appended
      */
     public StandInProcess(ProcessGuard guard, String mainClass, Path history, Path log)
             throws IOException {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Sends a command. The future completes with the reply, or fails if the process has exited. */
+    /** Sends a command. The future completes with the reply. It fails if the process has exited. */
     public CompletableFuture<JsonNode> send(ObjectNode command) {
         CompletableFuture<JsonNode> future = new CompletableFuture<>();
         synchronized (pending) {
--- a/testbed/src/main/java/sagefall/faultinjection/process/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/package-info.java
@@ -1,2 +1,2 @@
-/** Child processes of a fault injection run: start, commands, signals and guaranteed exit. */
+/** Start, commands, signals and guaranteed exit of the child processes of a fault injection run. */
 package sagefall.faultinjection.process;
--- a/testbed/src/main/java/sagefall/faultinjection/standin/DiscoveryAgent.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/DiscoveryAgent.java
@@ -27,16 +27,16 @@
 
 /**
  * The discovery agent beside one sidecar. It responds to a poll with the complete endpoint list,
- * and to a watch with the changed endpoints. It outlives its sidecar, as a real agent does, and
- * sends no response while discovery is down. Its state is confined to the event loop of the
- * process.
+ * and to a watch with the changed endpoints. It sends no response while discovery is down. Like a
+ * real agent, it keeps running when its sidecar exits. Its state is confined to the event loop of
+ * the process.
  */
 final class DiscoveryAgent {
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final long NO_REVISION = -1;
 
-    /** An endpoint in the format of the list, with the revision of its latest change. */
+    /** An endpoint in the format of the list, and the revision in which it last changed. */
     private record ListedTarget(JsonNode target, long revision) {
         boolean isTerminated() {
             return target.path("state").asText().equals("terminated");
@@ -51,7 +51,8 @@
     private long revision;
 
     /**
-     * Revision of the latest complete list; watches from an earlier revision get a complete list.
+     * Revision of the latest complete list that the agent received. A watch from an earlier
+     * revision gets a complete list.
      */
     private long completeListRevision;
 
@@ -102,7 +103,10 @@
         /** Revision that the sidecar already has; {@link #NO_REVISION} for a poll. */
         private long fromRevision;
 
-        /** Time at which a response is sent even if nothing has changed. */
+        /**
+         * Time in microseconds, on the clock of the event loop, at which the hold time of the watch
+         * ends. A response is then sent even if nothing has changed.
+         */
         private long deadlineMicros;
 
         @Override
--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -8,29 +8,30 @@
 import sagefall.emulator.EventQueue;
 
 /**
- * Runs the event queue of the emulator's model in one thread by the machine's monotonic clock, so
- * that the emulator's clients, servers and discovery work unchanged with real processes. Events
- * from sockets are submitted by {@link #run}.
+ * Runs the event queue of the emulator's model in one thread. The clock of the model follows the
+ * machine's monotonic clock, so that the emulator's clients, servers and discovery work unchanged
+ * with real processes. Events from sockets are submitted by {@link #run}.
  */
 public final class RealTimeEventLoop implements AutoCloseable {
 
     /**
-     * Longest delay of this thread that is not reported. Longer delays are reported, because checks
-     * of time limits must allow for them.
+     * Maximum delay of an event, in nanoseconds, that is not reported. Longer delays are reported,
+     * because checks of time limits must allow for them.
      */
     private static final long STALL_NANOS = 20_000_000;
 
     private static final long NANOS_PER_MICRO = 1000;
     private static final long NOT_ARMED = Long.MAX_VALUE;
 
-    /** Receives notifications of delays of the thread. */
+    /** Is notified of delays of the event loop's thread. */
     @FunctionalInterface
     public interface StallListener {
 
         /**
-         * Called when a scheduled event ran late.
+         * Called when the thread ran a scheduled event late.
          *
-         * @param nanos time between the scheduled and the actual start
+         * @param nanos time in nanoseconds between the scheduled start and the actual start of the
+         *     event
          */
         void stalled(long nanos);
     }
@@ -39,20 +40,28 @@
     private final DefaultEventLoop thread = new DefaultEventLoop();
     private final StallListener stallListener;
 
-    /** Time at which the model's clock was started, as {@link System#nanoTime}; 0 before. */
+    /**
+     * Time at which the clock of the model was started, as {@link System#nanoTime}; 0 if the clock
+     * was not started.
+     */
     private volatile long beginNanos;
 
     private Future<?> timer;
 
-    /** Time of the timer on the model's clock; {@link #NOT_ARMED} without a timer. */
+    /**
+     * Time in microseconds on the model's clock at which the timer expires; {@link #NOT_ARMED} if
+     * there is no timer.
+     */
     private long timerMicros = NOT_ARMED;
 
-    /** Creates a loop whose clock is not started. */
+    /**
+     * Creates an event loop. The clock of the model does not run until {@link #begin} is called.
+     */
     public RealTimeEventLoop(StallListener stallListener) {
         this.stallListener = stallListener;
     }
 
-    /** Returns the model's clock and queue, to be used only on this event loop. */
+    /** Returns the event queue, which has the model's clock. Used only on this event loop. */
     public EventQueue queue() {
         return queue;
     }
@@ -63,7 +72,7 @@
         return this;
     }
 
-    /** Runs a task on this event loop, with the model's clock advanced to the present. */
+    /** Runs a task on this event loop. First advances the model's clock to the present. */
     public void run(Runnable task) {
         thread.execute(
                 () -> {
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
@@ -3,7 +3,7 @@
 import sagefall.emulator.EmulatedServer;
 import sagefall.emulator.Job;
 
-/** A request that a server executes, with the connection for its response. */
+/** A request that a server executes, and the connection on which the response is sent. */
 final class ReceivedRequest extends Job {
 
     private final String id;
@@ -41,7 +41,7 @@
 
     /**
      * Returns true, because a server can't know whether the sender was notified of the start of
-     * this server. The invariants check that on the history.
+     * this server. The invariants check this on the history.
      */
     @Override
     protected boolean senderKnowsStart(EmulatedServer server) {
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ServerConnection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ServerConnection.java
@@ -14,12 +14,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A connection of a sidecar to a {@link SocketServer}, with one request at a time. Requests are
- * passed to the event loop of the process, on which the responses are also sent.
+ * A connection from a sidecar to a {@link SocketServer}, with at most one request in flight.
+ * Requests are passed to the event loop of the process, which also sends the responses.
  */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    /** Prefix of the request body, followed by the cost of the request in microseconds. */
+    /** Prefix of the request body. The cost of the request in microseconds follows the prefix. */
     private static final String COST_PREFIX = "work=";
 
     private static final String LOAD_HEADER = "Server-Load";
@@ -29,12 +29,12 @@
     private volatile Channel channel;
 
     /**
-     * Whether no request has arrived yet. The cost of the first request includes the connection
-     * setup.
+     * Whether the next request is the first one on this connection. The cost of the first request
+     * includes the cost of the connection setup.
      */
     private boolean firstRequest = true;
 
-    /** The request in flight; null if none. Used only on the event loop of the process. */
+    /** The request in flight; null if there is none. Used only on the event loop of the process. */
     private ReceivedRequest inFlight;
 
     ServerConnection(SocketServer server, RealTimeEventLoop eventLoop) {
@@ -70,7 +70,7 @@
                 () -> server.receive(new ReceivedRequest(id, key, this), objectKey, work, first));
     }
 
-    /** Sets the request in flight, after the server has accepted it. */
+    /** Sets the request in flight. Called after the server has accepted the request. */
     void setInFlight(ReceivedRequest request) {
         inFlight = request;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -24,9 +24,9 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * The emulator's save server on a real socket. The cost of a request is read from its body. Slots,
- * queue, cold start, thrashing and load reports come from the emulator's model. The state is
- * confined to the event loop of the process.
+ * The emulator's save server on a real socket. The cost of a request is read from the request body.
+ * The emulator's model determines slots, queue, cold start, thrashing and load reports. The state
+ * is confined to the event loop of the process.
  */
 final class SocketServer implements ServerListener {
 
@@ -74,7 +74,7 @@
         random = new RandomStreams(command.path("seed").asLong()).stream("server." + id);
     }
 
-    /** Sets the listening channel; called before {@link #begin}. */
+    /** Sets the listening channel. Called before {@link #begin}. */
     void listener(Channel channel) {
         listener = channel;
     }
@@ -87,7 +87,11 @@
         return model.id;
     }
 
-    /** Begins to serve requests, cold or warm. */
+    /**
+     * Begins to serve requests.
+     *
+     * @param cold whether the server starts cold; if false, it is warm
+     */
     void begin(boolean cold) {
         if (cold) {
             model.start();
@@ -109,7 +113,7 @@
                 spec.slowStartMicros());
     }
 
-    /** Sets the active faults; values that are missing from the command stay unchanged. */
+    /** Sets the active faults. A fault whose value is missing from the command stays unchanged. */
     void setFaults(JsonNode command) {
         model.slowdown = command.path("slow").asDouble(model.slowdown);
         model.stolenShare = command.path("stolen").asDouble(model.stolenShare);
@@ -137,8 +141,8 @@
     }
 
     /**
-     * Registers an accepted connection, and resets it if there are too many connections or the
-     * server is down.
+     * Registers an accepted connection. Resets the connection if the server is down or has too many
+     * connections.
      */
     void connectionOpened(ServerConnection connection) {
         connections.add(connection);
@@ -162,8 +166,9 @@
     /**
      * Accepts or rejects a request.
      *
-     * @param objectKey key of the object that the request saves; the cost depends on it
-     * @param work cost of the request in microseconds
+     * @param objectKey key of the object that the request saves; the actual cost depends on this
+     *     key
+     * @param work nominal cost of the request in microseconds
      * @param newConnection whether the cost of the connection setup is added
      */
     void receive(ReceivedRequest request, String objectKey, double work, boolean newConnection) {
@@ -190,7 +195,7 @@
         }
     }
 
-    /** Returns the key for deduplication, which applies within a zone. */
+    /** Returns the key for deduplication. Requests are deduplicated within a zone. */
     private String deduplicationKey(ReceivedRequest request) {
         return model.zone + " " + request.key();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
@@ -28,10 +28,10 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * Main class of a stand-in process, which runs save servers with the emulator's model, or a replica
- * of discovery. It reads commands from standard input, one JSON object per line, and writes a reply
- * line for each to standard output. It exits at the end of standard input, so that it never
- * outlives the run.
+ * Main class of a stand-in process, which runs save servers with the emulator's model, or a
+ * discovery replica. Commands are read from standard input, with one JSON object per line. For each
+ * command, one reply line is written to standard output. The process exits at the end of standard
+ * input, so that it never outlives the run.
  */
 public final class StandInHost {
 
@@ -46,7 +46,7 @@
 
     /**
      * Time in microseconds at which a request was last accepted for execution, by zone and
-     * idempotency key. Shared by all servers of the process, for deduplication.
+     * idempotency key. All servers of the process share this map for deduplication.
      */
     private final Map<String, Long> executedAt = new HashMap<>();
 
@@ -58,7 +58,11 @@
                         .begin();
     }
 
-    /** Runs a stand-in process; the only argument is its history file. */
+    /**
+     * Runs a stand-in process.
+     *
+     * @param arguments path of the history file, as the only element
+     */
     public static void main(String[] arguments) throws IOException {
         new StandInHost(Path.of(arguments[0])).processCommands();
     }
--- a/testbed/src/main/java/sagefall/faultinjection/standin/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Code of the stand-in processes of a fault injection run: save servers that use the emulator's
- * model, and discovery agents, on real sockets and in real time.
+ * Stand-in processes of a fault injection run: save servers with the emulator's model, and
+ * discovery agents. Both use real sockets and run in real time.
  */
 package sagefall.faultinjection.standin;
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -38,7 +38,10 @@
 import sagefall.scenario.ScenarioRunner;
 import sagefall.scenario.ScenarioSource;
 
-/** Runs real sidecars, servers and discovery with faults, and checks the recorded histories. */
+/**
+ * Runs real sidecars, servers and discovery with faults, and checks the recorded histories. Also
+ * checks schedules, plans, generated scenarios and the errors of the command line.
+ */
 @Timeout(300)
 class FaultInjectionRunTest {
 
@@ -57,7 +60,10 @@
         return new RunPlan(source.file(), source.text(), allOverrides, seed, null, List.of(ROOT));
     }
 
-    /** A small set of short runs; a campaign covers more faults, larger fleets and more seeds. */
+    /**
+     * Runs a small set of short scenarios. A campaign covers more faults, larger fleets and more
+     * seeds.
+     */
     @ParameterizedTest
     @CsvSource({
         "rig-kill, 11",
@@ -67,7 +73,7 @@
         "rig-stop, 16",
         "rig-reborn, 17"
     })
-    void runViolatesNoInvariant(String scenario, long seed) throws Exception {
+    void invariantsHoldInShortRunOfScenario(String scenario, long seed) throws Exception {
         RunResult result =
                 FaultInjectionRun.execute(
                         plan(scenario, seed, "seconds=14", "discovery.notice_s=1"), folder);
@@ -79,12 +85,13 @@
     }
 
     /**
-     * All sidecars lose power and restart with an old endpoint list while discovery is silent. Each
-     * sidecar recovers its persisted snapshot. The snapshot keeps the sidecar from endpoints whose
-     * draining or removal it was notified of before, and has endpoints that the old list lacks.
+     * All sidecars lose power, and restart with an old endpoint list while discovery is silent.
+     * Each sidecar recovers its persisted snapshot. Because of the snapshot, a sidecar does not use
+     * endpoints if it was notified of their draining or removal before the power loss. The snapshot
+     * also has endpoints that the old list lacks.
      */
     @Test
-    void persistedEndpointsAreRecoveredAfterPowerLoss() throws Exception {
+    void sidecarRecoversPersistedEndpointsAfterPowerLoss() throws Exception {
         RunResult result = FaultInjectionRun.execute(plan("rig-blackout", 21), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
@@ -102,9 +109,12 @@
                 && line.contains(" used=true ");
     }
 
-    /** The leader is suspended beyond its lease and resumed, and the next leader is killed. */
+    /**
+     * The leader is suspended until its lease has expired, and is then resumed. The next leader is
+     * killed. Therefore, there are at least three terms.
+     */
     @Test
-    void leaderResumedAfterLeaseExpiryViolatesNoInvariant() throws Exception {
+    void invariantsHoldIfLeaderIsResumedAfterItsLeaseExpired() throws Exception {
         RunResult result = FaultInjectionRun.execute(plan("rig-owner", 23), folder);
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         result.print(new PrintStream(printed, true));
@@ -123,9 +133,9 @@
         assertTrue(logs.toString().contains("WARN lease_lost task=digest term=1 "), logs::toString);
     }
 
-    /** A sidecar that exits although the run has not terminated it is reported as a crash. */
+    /** A sidecar exits although the run has not terminated it. The exit is reported as a crash. */
     @Test
-    void crashOfSidecarIsReported() throws Exception {
+    void unrequestedExitOfSidecarIsReportedAsCrash() throws Exception {
         RunPlan plan = plan("rig-calm", 3, "seconds=6", "fleet.sidecars=2", "fleet.servers=3");
         try (FaultInjectionRun run = new FaultInjectionRun(plan, folder)) {
             run.start();
@@ -149,7 +159,7 @@
         }
         assertArrayEquals(lines[0], lines[1]);
         assertFalse(new String(lines[0], UTF_8).equals(new String(lines[2], UTF_8)));
-        // Leaving out faults does not change the others.
+        // A plan that omits faults gives the same lines for the remaining faults.
         new FaultInjectionRun(
                         plan("rig-disagree", 7).withFaults(List.of(0, 2)), folder.resolve("fewer"))
                 .close();
@@ -186,8 +196,8 @@
     }
 
     /**
-     * The process of the test bed is killed while all its child processes run; none of them is
-     * left.
+     * The process of the test bed is killed while all its child processes run. All child processes
+     * must exit.
      */
     @Test
     void noChildProcessOutlivesKilledRun() throws Exception {
@@ -272,8 +282,8 @@
     }
 
     /**
-     * A scenario with a fault that the emulator does not support is rejected; the message has the
-     * line.
+     * The emulator rejects a scenario with a fault that it does not support. The error message has
+     * the line of the fault in the scenario file.
      */
     @Test
     void emulatorRejectsFaultThatStopsProcesses() throws Exception {
--- a/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultScheduleGoldenTest.java
@@ -18,8 +18,9 @@
 import sagefall.scenario.ScenarioSource;
 
 /**
- * Compares the schedules of all shipped fault injection scenarios for seeds 1 to 3, byte by byte,
- * with schedules recorded before the classes of this package were renamed.
+ * Compares the schedules of all shipped fault injection scenarios, for seeds 1 to 3, byte by byte
+ * with recorded schedules. The recorded schedules were written before the classes of this package
+ * were renamed.
  */
 class FaultScheduleGoldenTest {
 
@@ -55,7 +56,8 @@
     }
 
     /**
-     * Returns the content of the schedule file of a run with the default fleet of the command line.
+     * Returns the content of the schedule file of a run. The fleet is the default fleet of the
+     * command line.
      */
     private String schedule(String scenario, long seed) throws Exception {
         ScenarioSource source = Scenario.source(scenario);
--- a/testbed/src/test/java/sagefall/faultinjection/HistoryText.java
+++ b/testbed/src/test/java/sagefall/faultinjection/HistoryText.java
@@ -5,15 +5,18 @@
 import sagefall.faultinjection.history.HistoryReader;
 import sagefall.faultinjection.history.JsonLines;
 
-/** Parses histories in a format for tests that is shorter than the JSON of history files. */
+/**
+ * Parses histories from a text format for tests, which is shorter than the JSON of history files.
+ */
 public final class HistoryText {
 
     private HistoryText() {}
 
     /**
-     * Parses entries, which are separated by line breaks or {@code "; "}. An entry consists of the
-     * time in milliseconds, the entry kind, and pairs of field name and value. Targets are written
-     * as endpoint:id:state[:boot]; an underscore in a body stands for a blank.
+     * Parses entries. Line breaks or {@code "; "} separate the entries. An entry consists of the
+     * time in milliseconds, the entry kind, and pairs of a field name and a value. A target is
+     * written as {@code endpoint:id:state} or {@code endpoint:id:state:boot}. An underscore in a
+     * body stands for a blank.
      */
     public static List<HistoryEntry> parse(String text) throws Exception {
         StringBuilder lines = new StringBuilder();
--- a/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/OlderRunTest.java
@@ -23,9 +23,9 @@
 import sagefall.faultinjection.report.RunResult;
 
 /**
- * Reads the directory of a run that was written by an older build (732727c), whose classes had
- * other names. Valid files must give the results of that build, and invalid ones must be rejected
- * with a one-line error.
+ * Checks that the directory of a run can be read if an older build wrote it. The directory was
+ * written by build 732727c, whose classes had other names. Valid files must give the results of
+ * that build. An invalid file must be rejected with a one-line error.
  */
 class OlderRunTest {
 
@@ -51,7 +51,7 @@
 
     /** The expected statistics are those that the older build printed. */
     @Test
-    void historyOfOlderBuildGivesRecordedStatistics() throws Exception {
+    void historyOfOlderBuildGivesStatisticsThatItPrinted() throws Exception {
         RunResult result = RunResult.evaluate(new RunDirectory(folder), 0);
         assertFalse(result.isViolated(), result.violations().toString());
         assertFalse(result.isVoid());
@@ -67,16 +67,16 @@
     }
 
     @Test
-    void planOfOlderBuildIsRead() throws Exception {
+    void planOfOlderBuildKeepsSeedFaultsAndOverridesWhenRead() throws Exception {
         RunPlan plan = RunPlan.read(new RunDirectory(folder).plan());
         assertEquals(3, plan.seed());
         assertEquals(List.of(0), plan.faults());
         assertTrue(plan.overrides().contains("fleet.sidecars=2"), plan.overrides().toString());
     }
 
-    /** The plan gives the schedule that the older build wrote for it. */
+    /** The plan of the older build gives the schedule that the older build wrote. */
     @Test
-    void planOfOlderBuildGivesRecordedSchedule(@TempDir Path output) throws Exception {
+    void planOfOlderBuildGivesScheduleThatItWrote(@TempDir Path output) throws Exception {
         RunPlan recorded = RunPlan.read(new RunDirectory(folder).plan());
         RunPlan plan =
                 new RunPlan(
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void invalidHistoryIsRejectedWithOneLine() throws Exception {
+    void historyWithoutHeaderOrWithNonJsonLineIsRejectedWithOneLineError() throws Exception {
         Path history = folder.resolve("history").resolve("rig.jsonl");
         String text = Files.readString(history);
         Files.writeString(history, text.substring(text.indexOf('\n') + 1));
--- a/testbed/src/test/java/sagefall/faultinjection/link/LinkRelayTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/link/LinkRelayTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Timeout;
 import sagefall.emulator.RandomStreams;
 
-/** Tests link faults on real sockets. */
+/** Checks on real sockets that links relay data and inject the configured faults. */
 @Timeout(120)
 class LinkRelayTest {
 
@@ -68,14 +68,15 @@
                                                                         .write(buffer, 0, n);
                                                             }
                                                         } catch (IOException e) {
-                                                            // Some tests reset the connection.
+                                                            // Expected, because some tests reset
+                                                            // the connection.
                                                         }
                                                     });
                                     handler.setDaemon(true);
                                     handler.start();
                                 }
                             } catch (IOException e) {
-                                // The socket was closed at the end of the test.
+                                // Expected, because the socket is closed at the end of the test.
                             }
                         });
         thread.setDaemon(true);
@@ -103,7 +104,7 @@
     }
 
     @Test
-    void bytesAreRelayedAndEachRequestIsReportedOnce() throws Exception {
+    void linkRelaysBytesUnchangedAndReportsEachRequestIdOnce() throws Exception {
         byte[] request = "POST /save/1 HTTP/1.1\r\nRequest-ID: 17ab\r\n\r\nx".getBytes(UTF_8);
         byte[] big = new byte[1_000_000];
         new Random(3).nextBytes(big);
@@ -127,7 +128,7 @@
     }
 
     @Test
-    void newConnectionsAreRefusedSilencedOrDroppedByMode() throws Exception {
+    void newConnectionIsHandledAsConnectModeRequires() throws Exception {
         link.mode(ConnectMode.REFUSE);
         assertThrows(SocketException.class, this::connect);
         link.mode(ConnectMode.BLACKHOLE);
@@ -150,10 +151,10 @@
 
     /**
      * A selector deregisters a closed listener only in its next select call. Connections must be
-     * refused before that too.
+     * refused even before that call.
      */
     @Test
-    void refuseModeTakesEffectImmediately() throws Exception {
+    void connectionIsRefusedImmediatelyAfterChangeToRefuseMode() throws Exception {
         for (int i = 0; i < 300; i++) {
             link.mode(ConnectMode.REFUSE);
             assertThrows(SocketException.class, this::connect);
@@ -163,8 +164,8 @@
     }
 
     /**
-     * Data in a blocked direction is buffered. When blocking ends, only connections with buffered
-     * data are reset.
+     * Data in a blocked direction is buffered. When blocking ends, connections with buffered data
+     * are reset. Other connections stay open.
      */
     @Test
     void unblockingResetsOnlyConnectionsWithBufferedData() throws Exception {
@@ -184,7 +185,7 @@
     }
 
     @Test
-    void linkDelaysLimitsRateResetsAndHalfClosesByConditions() throws Exception {
+    void linkAppliesDelayRateLimitResetAndHalfCloseOfConditions() throws Exception {
         link.conditions(
                 LinkConditions.PERFECT.delayed(() -> 30_000),
                 LinkConditions.PERFECT.delayed(() -> 20_000));
@@ -212,11 +213,12 @@
     }
 
     /**
-     * Measures the delay that the relay adds per direction: half of the difference between the
-     * round trip times with and without the relay.
+     * Measures the delay that the relay adds per direction. The delay is half of the difference
+     * between the round trip times with and without the relay. The relay must add less than 20 ms
+     * to the median round trip time.
      */
     @Test
-    void relayDelayIsSmall() throws Exception {
+    void relayWithoutFaultsAddsLessThan20MillisToMedianRoundTrip() throws Exception {
         Histogram[] micros = {new Histogram(3), new Histogram(3)};
         try (Socket relayed = connect();
                 Socket direct = new Socket(echo.getInetAddress(), echo.getLocalPort())) {
@@ -242,14 +244,14 @@
                                                 / 2.0)
                         .sum(),
                 (micros[1].getValueAtPercentile(99) - micros[0].getValueAtPercentile(99)) / 2.0);
-        // The bound is far above the usual delay, because on a busy machine threads wait for a
-        // core.
+        // The bound of 20 ms is far above the usual delay, because threads wait for a core on a
+        // busy machine.
         assertTrue(
                 micros[1].getValueAtPercentile(50) - micros[0].getValueAtPercentile(50) < 20_000);
     }
 
     @Test
-    void datagramsAreLostDuplicatedAndReordered() throws Exception {
+    void datagramsAreLostDuplicatedOrReorderedAsConditionsRequire() throws Exception {
         var random = new RandomStreams(4).stream("udp");
         try (DatagramSocket from = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket to = new DatagramSocket(0, InetAddress.getLoopbackAddress());
