--- a/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
+++ b/sidecar/src/main/java/sagefall/balancer/BalancerTimers.java
@@ -45,14 +45,14 @@
         return lastTimerNumber * TIMER_KINDS + kind;
     }
 
-    /** Returns whether the timer with this token polls discovery. */
+    /** Returns whether the timer with the given token polls discovery. */
     boolean isDiscoveryPoll(long token) {
         return token % TIMER_KINDS == DISCOVERY_POLL;
     }
 
     /**
-     * Returns the request that the timer with this token rechecks, and forgets the timer. Returns
-     * null if the timer is of another kind or has been forgotten.
+     * Returns the request that the timer with the given token rechecks, and forgets the timer.
+     * Returns null if the timer is of another kind or has been forgotten.
      */
     PendingRequest takeQueuedRequest(long token) {
         return queuedRequests.remove(token);
--- a/sidecar/src/main/java/sagefall/balancer/EndpointRegistry.java
+++ b/sidecar/src/main/java/sagefall/balancer/EndpointRegistry.java
@@ -75,7 +75,7 @@
 
     /**
      * Returns the endpoint of an entry. A new id or another start time means a new process. A new
-     * endpoint is then created. It takes over nothing that was learned about an old process.
+     * endpoint is then created. The new endpoint takes over no state of the old one.
      */
     private Endpoint findOrCreate(ListedEndpoint entry) {
         Endpoint existing = endpoints.get(entry.id());
--- a/sidecar/src/main/java/sagefall/balancer/OpenRequests.java
+++ b/sidecar/src/main/java/sagefall/balancer/OpenRequests.java
@@ -15,8 +15,8 @@
     private long maxBufferedBytes = Long.MAX_VALUE;
 
     /**
-     * Adds a request and returns true. If a request with the id is open, adds nothing and returns
-     * false.
+     * Adds a request and returns true. If a request with the id is already open, adds nothing and
+     * returns false.
      */
     boolean add(PendingRequest request) {
         if (requests.putIfAbsent(request.id(), request) != null) {
@@ -26,7 +26,7 @@
         return true;
     }
 
-    /** Returns the open request with this id, or null if there is none. */
+    /** Returns the open request with the given id, or null if there is none. */
     PendingRequest get(String id) {
         return requests.get(id);
     }
--- a/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
+++ b/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
@@ -35,7 +35,7 @@
 
     /**
      * Maximum duration of the spread of the first polls of a discovery service, in microseconds.
-     * {@link #FIRST_POLL_TICKS} are added to the duration.
+     * {@link #FIRST_POLL_TICKS} ticks are added to the duration.
      */
     private static final double MAX_FIRST_POLL_MICROS = 3_000_000;
 
@@ -87,8 +87,8 @@
 
     /**
      * Schedules a poll after a call to discovery has failed. The endpoint list stays as it is. The
-     * delay is short: once discovery can be reached again, a sidecar has only a limited time in
-     * which to stop sending requests to a draining endpoint.
+     * delay is short, because a sidecar must stop sending requests to a draining endpoint within a
+     * limited time after discovery can be reached again.
      */
     void onPollFailed(long now) {
         double meanMicros = settings.pollsDiscovery() ? SERVICE_RETRY_MICROS : AGENT_RETRY_MICROS;
--- a/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
+++ b/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
@@ -24,7 +24,10 @@
         List<ListedEndpoint> list,
         Map<Long, ListedEndpoint> entries) {
 
-    /** Used where there is no persisted list; restricts no received list. */
+    /**
+     * Instance for the case that there is no persisted list. The instance restricts no received
+     * list.
+     */
     static final RecoveredEndpoints NONE =
             new RecoveredEndpoints(Long.MIN_VALUE, false, List.of(), Map.of());
 
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -24,8 +24,8 @@
 final class RequestDispatcher {
 
     /**
-     * Divisor of the mean latency target. A request is rejected at once unless the time until its
-     * deadline is longer than the quotient plus two timer ticks.
+     * A request is rejected at once unless the time until its deadline is longer than the mean
+     * latency target divided by this number, plus two timer ticks.
      */
     private static final int MIN_REMAINING_DIVISOR = 20;
 
@@ -80,7 +80,8 @@
     }
 
     /**
-     * Handles a request that has arrived. Ignores the request if another one with this id is open.
+     * Handles a request that has arrived. Ignores the request if another request with the same id
+     * is open.
      */
     void onRequest(long now, Request arrived) {
         int tenants = Math.max(1, settings.tenants().size());
@@ -108,7 +109,7 @@
         }
     }
 
-    /** Returns why a request is not admitted, or null if it is admitted. */
+    /** Returns the reason for not admitting a request; null if the request is admitted. */
     private RejectionReason reasonForNoAdmission(long now, PendingRequest request) {
         if (request.request().bufferBytes() > 0 && openRequests.isBufferLimitExceeded()) {
             // The open requests keep their buffers, so the new request is rejected at once.
@@ -155,7 +156,7 @@
         queueDispatcher.sendQueued(now);
     }
 
-    /** Returns the attempt with this number; null if it is unknown or has ended. */
+    /** Returns the attempt with the given number; null if the attempt is unknown or has ended. */
     private Attempt openAttempt(String requestId, int number) {
         PendingRequest request = openRequests.get(requestId);
         Attempt attempt = request == null ? null : request.attempt(number);
--- a/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/AdmissionController.java
@@ -9,12 +9,16 @@
  * Rejects a random fraction of the requests under overload. Requests over the quota of their tenant
  * are rejected with a higher probability. The choice is random because a sidecar with little
  * traffic sees no queue, only late responses. The admitted fraction follows additive increase and
- * multiplicative decrease (AIMD): late responses, rejections and failures cut it. This prevents
- * requests from filling the queues of endpoints that can respond to none of them in time.
+ * multiplicative decrease (AIMD): late responses, rejections and failures cut the fraction. Without
+ * admission control, requests would fill the queues of endpoints, and the endpoints could respond
+ * to none of the requests in time.
  */
 public final class AdmissionController {
 
-    /** Fraction of the latency target above which a response cuts the admitted fraction. */
+    /**
+     * A response cuts the admitted fraction if its latency exceeds this fraction of the latency
+     * target.
+     */
     private static final double ADMISSION_TARGET = 0.8;
 
     /** Factor by which a cut reduces the admitted fraction. */
@@ -113,7 +117,7 @@
 
     /** Returns the estimated number of requests that this instance admits per microsecond. */
     public double admittedPerMicro(long now) {
-        // Corrects for the fraction of the averaging window that precedes the start.
+        // The rate is corrected for the fraction of the averaging window that precedes the start.
         double elapsed = Math.max(meanTargetMicros, (double) (now - startedAt));
         double observedFraction = 1 - Math.exp(-elapsed / rateWindowMicros);
         return requestsPerMicro
@@ -122,10 +126,10 @@
     }
 
     /**
-     * Subtracts a request from the credit of its tenant. Marks the request as over quota if the
-     * credit before the subtraction was less than 1. Before that, every request adds to the credit
-     * of each tenant in proportion to the quota of that tenant. So the total request rate need not
-     * be known.
+     * Adds to the credit of each tenant in proportion to the quota of that tenant, and then
+     * subtracts the request from the credit of its own tenant. Marks the request as over quota if
+     * the credit before the subtraction is less than 1. Each request adds to the credits, so the
+     * total request rate need not be known.
      */
     public void countAgainstQuota(PendingRequest request) {
         if (totalShare <= 0) {
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
@@ -4,16 +4,16 @@
  * Limits the number of attempts that this instance has in flight in one zone. The responses of all
  * endpoints of the zone together adjust the limit: in a large fleet no instance sees enough
  * responses of one endpoint to find the limit of that endpoint. The number of attempts in flight is
- * limited, not the request rate, because that number rises as soon as responses become slower.
- * Increases and cuts are fractions of the limit, so that instances with different traffic back off
- * in proportion. Drawback: in a busy zone, some requests are rejected although a less busy endpoint
- * of the zone could have served them.
+ * limited, not the request rate, because the number of attempts in flight rises as soon as
+ * responses become slower. Increases and cuts are fractions of the limit, so that instances with
+ * different traffic back off in proportion. Drawback: in a busy zone, some requests are rejected
+ * although a less busy endpoint of the zone could have served them.
  */
 public final class ZoneConcurrencyLimit {
 
     /**
-     * Fraction of the latency target above which a response is treated as slow. The fraction is
-     * below 1 to allow for the variation of service times.
+     * A response is treated as slow if its latency exceeds this fraction of the latency target. The
+     * fraction is below 1 to allow for the variation of service times.
      */
     private static final double SLOW_OBJECTIVE_PART = 0.5;
 
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
@@ -28,7 +28,7 @@
     void reject(String requestId, long retryAfterMicros, RejectionReason reason);
 
     /**
-     * Fails a request that may have run: completes it with an error.
+     * Fails a request that has possibly run: completes it with an error.
      *
      * @param reason reason of the failure, for logs and counters only
      */
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerSettings.java
@@ -12,8 +12,8 @@
  * @param zones names of the zones, in the order of their indexes
  * @param classes request classes, in the order of their indexes; at least one
  * @param tenants tenants, in the order of their indexes; may be empty
- * @param overQuotaWeight factor of the weight of a request whose tenant is beyond the quota; not
- *     negative
+ * @param overQuotaWeight factor by which the weight of a request is multiplied if its tenant is
+ *     over the quota; not negative
  * @param limits limits of the service on attempts, rejections and connections
  * @param rules durations and fractions that are common to the whole fleet
  * @param loadReportSource source of the load reports
--- a/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
@@ -3,7 +3,7 @@
 /**
  * An entry of an endpoint list.
  *
- * @param id id of the endpoint, which a later incarnation may reuse
+ * @param id id of the endpoint; a later incarnation may have the same id
  * @param zone index of the endpoint's zone; negative if unknown
  * @param model index of the endpoint's machine type; negative if unknown
  * @param cell index of the endpoint's cell for {@link DeduplicationScope#CELL}
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadBalancer.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadBalancer.java
@@ -37,12 +37,13 @@
             long nowMicros, long revision, boolean fresh, List<ListedEndpoint> list) {}
 
     /**
-     * Handles a request that has arrived. Ignores the request if another one with this id is open.
+     * Handles a request that has arrived. Ignores the request if another request with the same id
+     * is open.
      */
     void onRequest(long nowMicros, Request request);
 
     /**
-     * Sets the bound on the buffers of all requests that stream, in bytes. There is no bound before
+     * Sets the bound on the stream buffers of all open requests, in bytes. There is no bound before
      * the first call.
      */
     void onBufferLimit(long nowMicros, long maxBytes);
--- a/sidecar/src/main/java/sagefall/balancer/api/RejectionReason.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RejectionReason.java
@@ -17,7 +17,9 @@
     BUFFER_LIMIT("buffers"),
     /** Too little time is left for a response that is still of use to the client. */
     TOO_LATE("too_late"),
-    /** The request may have run or its body is no longer buffered, so a retry is not allowed. */
+    /**
+     * The request has possibly run, or its body is no longer buffered, so a retry is not allowed.
+     */
     NOT_RETRYABLE("effect"),
     /** The request has had the maximum number of attempts. */
     MAX_ATTEMPTS("attempts"),
--- a/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/RequestClass.java
@@ -12,7 +12,8 @@
  *     class has no latency target; not negative
  * @param deadlineMicros maximum time from the arrival of a request to its response; not negative
  * @param priorityWeight weight of a response that is not late; not negative
- * @param lateWeightShare fraction of {@code priorityWeight} that a late response has; not negative
+ * @param lateWeightShare weight of a late response, as a fraction of {@code priorityWeight}; not
+ *     negative
  * @param streaming whether bodies are forwarded as they arrive
  */
 public record RequestClass(
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyLimiter.java
@@ -19,7 +19,10 @@
     /** Initial limit of an endpoint, in attempts. */
     static final double INITIAL_LIMIT = 3;
 
-    /** Fraction of the latency target above which a response cuts the limit. */
+    /**
+     * A response is slow if its latency exceeds this fraction of the latency target, unless {@link
+     * #TYPICAL_FACTOR} results in a higher bound.
+     */
     private static final double LIMIT_TARGET = 0.5;
 
     /** Factor by which a cut reduces the limit. */
@@ -31,19 +34,21 @@
     private static final double MIN_LIMIT = 0.2;
 
     /**
-     * Multiple of the typical latency above which a response cuts the limit. The multiple applies
-     * where the latency target is so short that the multiple exceeds the bound of {@link
-     * #LIMIT_TARGET}.
+     * A response is slow only if its latency exceeds this multiple of the typical latency or the
+     * bound of {@link #MAX_LIMIT_TARGET}. The multiple matters only where the latency target is so
+     * short that the multiple exceeds the bound of {@link #LIMIT_TARGET}.
      */
     private static final double TYPICAL_FACTOR = 1.25;
 
     /**
-     * Fraction of the latency target above which a response always cuts the limit, whatever the
-     * typical latency is.
+     * A response is always slow if its latency exceeds this fraction of the latency target,
+     * whatever the typical latency is.
      */
     private static final double MAX_LIMIT_TARGET = 0.6;
 
-    /** Reported utilization above which a slow response is taken as a sign of a queue. */
+    /**
+     * A slow response is taken as a sign of a queue if the reported utilization exceeds this value.
+     */
     private static final double BUSY_UTILIZATION = 0.5;
 
     private final SplittableRandom random;
@@ -91,8 +96,8 @@
     }
 
     /**
-     * Returns whether a latency exceeds the fraction of the latency target above which the limit is
-     * cut.
+     * Returns whether a latency exceeds the fraction {@link #LIMIT_TARGET} of the latency target of
+     * the attempt's request class.
      *
      * @param latencyRatio latency as a multiple of the typical latency of the attempt
      */
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
@@ -9,14 +9,15 @@
 
 /**
  * Estimates how long a connection set-up takes and for how long an idle connection can be assumed
- * to work. This prevents requests from being lost on connections that were dropped without a close,
- * and from waiting for a connection set-up that takes longer than the latency target.
+ * to work. Without these estimates, requests would be lost on connections that were dropped without
+ * a close, and would wait for connection set-ups that take longer than the latency target.
  */
 public final class ConnectionTrust {
 
     /**
      * Time constant with which the mean set-up time decays, as a multiple of the mean latency
-     * target. Idle connections are distrusted for as long after one of them failed.
+     * target. After an idle connection has failed, idle connections are distrusted for the same
+     * time.
      */
     private static final double CONNECTION_MEMORY_TARGETS = 30;
 
@@ -30,8 +31,8 @@
     private static final int MAX_CONNECT_DOUBLINGS = 4;
 
     /**
-     * Divisor of the mean latency target. A connection is treated as long idle if its idle time
-     * exceeds the quotient.
+     * A connection is treated as long idle if its idle time exceeds the mean latency target divided
+     * by this number.
      */
     private static final int LONG_IDLE_DIVISOR = 4;
 
@@ -64,8 +65,8 @@
     }
 
     /**
-     * Returns the idle time, in microseconds, below which a connection is trusted. The value is
-     * {@link Long#MAX_VALUE} while idle connections are not distrusted.
+     * Returns the trusted idle time, in microseconds. A connection is trusted while its idle time
+     * is shorter. The value is {@link Long#MAX_VALUE} while idle connections are not distrusted.
      */
     public long trustedIdleMicros(long now) {
         boolean distrusted = now - distrustedAt < CONNECTION_MEMORY_TARGETS * meanTargetMicros;
@@ -91,7 +92,10 @@
         setupAt = now;
     }
 
-    /** Returns whether an attempt was sent on a connection that had been idle for long. */
+    /**
+     * Returns whether an attempt was sent on a connection that was long idle, see {@link
+     * #LONG_IDLE_DIVISOR}.
+     */
     boolean isLongIdle(Attempt attempt) {
         return attempt.connectionIdleMicros() > meanTargetMicros / LONG_IDLE_DIVISOR;
     }
@@ -143,9 +147,9 @@
     }
 
     /**
-     * Records a failed connection set-up. The mean set-up time takes it as a set-up of twice its
-     * duration. The endpoint may be at its connection limit, slow to set up connections, or down.
-     * So only new connections are avoided during the backoff.
+     * Records a failed connection set-up. In the mean set-up time, the failed set-up is treated as
+     * one that took twice the elapsed time. The endpoint may be at its connection limit, slow to
+     * set up connections, or down. So only new connections are avoided during the backoff.
      */
     void recordFailedSetup(long now, Endpoint endpoint, long elapsedMicros) {
         recordSetup(now, (double) (2 * elapsedMicros));
--- a/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
@@ -148,7 +148,7 @@
     /**
      * Returns whether an attempt hangs and the endpoint has sent nothing since the hanging was
      * detected. If the endpoint has sent something since, only the connection or the request hangs.
-     * That says nothing about the next request on another connection. Drawback: an endpoint that is
+     * This says nothing about the next request on another connection. Drawback: an endpoint that is
      * slow rather than silent is still sent attempts, up to its concurrency limit.
      */
     public boolean isSilent() {
@@ -157,8 +157,8 @@
 
     /**
      * Returns the oldest attempt in flight whose age is evidence about the latency of the endpoint;
-     * null if there is none. Attempts that hang are ignored unless the endpoint is silent, because
-     * they are then no evidence about the endpoint.
+     * null if there is none. Unless the endpoint is silent, attempts that hang are ignored, because
+     * they are no evidence about its latency.
      */
     Attempt oldestAttempt() {
         if (isSilent()) {
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -12,7 +12,7 @@
 import sagefall.balancer.routing.SubsetTree;
 
 /**
- * Holds the policies that learn from the outcomes of attempts, and passes each outcome to the
+ * Holds the policies that adapt to the outcomes of attempts, and passes each outcome to the
  * policies that it concerns. An outcome may be evidence about the endpoint, about the connection or
  * about the zone. Outcomes that are evidence about none of them are ignored.
  */
@@ -122,7 +122,8 @@
             case NO_CONNECTION -> recordFailedSetup(now, attempt, outcome);
             case ERROR, TIMED_OUT, BROKEN -> recordFailure(now, attempt, outcome);
             case CANCELLED, NOT_SENT -> {
-                // Caused by this instance or its client: no evidence about the endpoint.
+                // These outcomes are caused by this instance or its client, so they are no evidence
+                // about the endpoint.
             }
         }
     }
@@ -163,8 +164,8 @@
 
     /**
      * Returns whether the attempt timed out so early that the timeout is no evidence about the
-     * endpoint. The client then allowed less than half the time after which an attempt is treated
-     * as hanging.
+     * endpoint. This is so if the time to the timeout was less than half of the time after which
+     * the attempt would have been treated as hanging.
      */
     private static boolean wasTimeoutShort(Attempt attempt, AttemptOutcome outcome) {
         return outcome.elapsedMicros() * 2
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -9,7 +9,7 @@
  * request class. A slow response raises the estimate at once. Faster responses lower the estimate;
  * without responses, it approaches the usual value for the model and zone of the endpoint. The age
  * of an attempt without a response is treated as a latency, since a hanging endpoint never gives a
- * sample. All this prevents an endpoint that has become slow from being sent as much as before.
+ * sample. Without this, an endpoint that has become slow would be sent as many requests as before.
  */
 public final class LatencyEstimator {
 
@@ -22,14 +22,15 @@
      */
     private static final double LATENCY_DECAY_TARGETS = 4;
 
-    /** Weight of one response in the typical latency of its class. */
+    /** Weight of one response in the typical latency of its request class. */
     private static final double TYPICAL_WEIGHT = 0.03;
 
     /** Weight of one response in the mean ratio of its endpoint. */
     private static final double MEAN_RATIO_WEIGHT = 5 * TYPICAL_WEIGHT;
 
     /**
-     * Typical latency before the first response, as a fraction of the latency target of the class.
+     * Typical latency before the first response, as a fraction of the latency target of the request
+     * class.
      */
     private static final double INITIAL_TYPICAL_TARGETS = 0.3;
 
@@ -47,7 +48,7 @@
                         .toArray();
     }
 
-    /** Returns the typical latency for the class of a request, in microseconds. */
+    /** Returns the typical latency for the request class of a request, in microseconds. */
     public double typicalMicros(PendingRequest request) {
         return typicalMicros[request.classIndex()];
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
@@ -7,9 +7,9 @@
 
 /**
  * Tracks the utilization of endpoints from their load reports. The reported utilization of an
- * endpoint decays towards the mean over all endpoints. This prevents an endpoint whose last report
- * was low from attracting traffic after its load has risen. If other responses had reports, a
- * response without a report is taken as a sign of a busy endpoint.
+ * endpoint decays towards the mean over all endpoints. Without this decay, an endpoint whose last
+ * report was low would attract traffic even after its load has risen. If other responses had
+ * reports, a response without a report is taken as a sign of a busy endpoint.
  */
 public final class LoadReportTracker {
 
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
@@ -10,9 +10,9 @@
 /**
  * Ejects an endpoint after several failures in a row, or when it does not respond. The ejection
  * lasts for a backoff that doubles with each ejection. After the backoff the endpoint is half-open:
- * it is sent one trial at a time. This prevents requests from being lost to a failing endpoint. The
- * bound on the number of ejected endpoints prevents a fault of this instance from leaving it
- * without endpoints.
+ * it is sent one trial at a time. Without ejection, requests would be lost at a failing endpoint.
+ * Without the bound on the number of ejected endpoints, a fault of this instance could leave the
+ * instance without endpoints.
  */
 public final class OutlierDetector {
 
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -7,15 +7,15 @@
 
 /**
  * Finds attempts that have been without a response for far longer than expected, and attributes the
- * missing response to the connection or to the endpoint. This prevents a hanging endpoint, which
- * never gives a latency sample, from being sent more attempts until the deadlines of those in
- * flight have passed.
+ * missing response to the connection or to the endpoint. A hanging endpoint gives no latency
+ * samples. Without this detector, it would be sent more attempts until the deadlines of its
+ * attempts in flight had passed.
  */
 public final class SilenceDetector {
 
     /**
-     * Multiple of the expected latency after which an attempt without a response is treated as
-     * hanging.
+     * An attempt without a response is treated as hanging if its age exceeds this multiple of its
+     * expected latency.
      */
     static final int HANGING_FACTOR = 4;
 
@@ -78,9 +78,9 @@
 
     /**
      * Decides why an attempt has no response. Has no effect if the endpoint has responded to
-     * another attempt since the response to this attempt is awaited. If the connection had been
-     * idle for long and the endpoint is not slow on average, the connection is assumed to be
-     * broken, and idle connections to all endpoints are distrusted for a while. Otherwise the
+     * another attempt since the wait for the response to the given attempt began. If the connection
+     * had been idle for long and the endpoint is not slow on average, the connection is assumed to
+     * be broken, and idle connections to all endpoints are distrusted for a while. Otherwise the
      * endpoint is ejected.
      */
     void attributeSilence(long now, Attempt attempt) {
--- a/sidecar/src/main/java/sagefall/balancer/health/SlowStart.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SlowStart.java
@@ -4,8 +4,8 @@
 
 /**
  * Computes the share of its fair request rate that an endpoint is sent after its start. The share
- * grows linearly from the initial share to 1, which prevents an endpoint from being fully loaded
- * before its caches are warm.
+ * grows linearly from the initial share to 1. So an endpoint is not fully loaded before its caches
+ * are warm.
  */
 public final class SlowStart {
     private final FleetRules rules;
--- a/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/Attempt.java
@@ -145,7 +145,7 @@
         return state == AttemptState.STREAMING;
     }
 
-    /** Returns whether the attempt may have run or may still run at its endpoint. */
+    /** Returns whether the attempt has possibly run, or possibly still runs, at its endpoint. */
     public boolean mayHaveRun() {
         return result == null || !result.provesNotExecuted;
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/PendingRequest.java
@@ -82,7 +82,7 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** Returns the attempt with this number, or null if there is none. */
+    /** Returns the attempt with the given number, or null if there is none. */
     public Attempt attempt(int number) {
         return number < 0 || number >= attempts.size() ? null : attempts.get(number);
     }
@@ -114,7 +114,7 @@
         state = RequestState.CLOSED;
     }
 
-    /** Returns whether an attempt has not ended yet. */
+    /** Returns whether at least one attempt has not ended yet. */
     public boolean hasAttemptInFlight() {
         return attemptsInFlight > 0;
     }
@@ -184,8 +184,8 @@
     }
 
     /**
-     * Returns the random number of the request. It decides which endpoints in slow start the
-     * request may use, and which half-open endpoints it may be a trial of.
+     * Returns the random number of the request. The number decides which endpoints in slow start
+     * the request may use, and which half-open endpoints it may be a trial of.
      */
     public long routingSeed() {
         return routingSeed;
@@ -196,7 +196,10 @@
         routingSeed = seed;
     }
 
-    /** Returns the first attempt that may have run or may still run; null if there is none. */
+    /**
+     * Returns the first attempt that has possibly run or possibly still runs; null if there is
+     * none.
+     */
     public Attempt firstThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) {
@@ -206,7 +209,7 @@
         return null;
     }
 
-    /** Returns whether an attempt was sent to this endpoint. */
+    /** Returns whether an attempt was sent to the given endpoint. */
     boolean wasSentTo(Endpoint endpoint) {
         for (Attempt attempt : attempts) {
             if (attempt.endpoint() == endpoint) {
@@ -226,7 +229,9 @@
         return repeatPolicy.mayRetry(this);
     }
 
-    /** Returns whether an attempt may be sent to this endpoint now, see {@link RepeatPolicy}. */
+    /**
+     * Returns whether an attempt may be sent to the given endpoint now, see {@link RepeatPolicy}.
+     */
     public boolean maySendTo(long now, Endpoint endpoint) {
         return repeatPolicy.maySendTo(now, this, endpoint);
     }
--- a/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RepeatPolicy.java
@@ -8,8 +8,8 @@
 /**
  * Decides by the idempotency of a request class whether a request may be retried, which endpoints a
  * retry may be sent to, and the latest time of a retry. Decides whether a request may be rejected.
- * A request must not take effect twice. So a client must not be asked to retry a request that may
- * have run and is not deduplicated.
+ * A request must not take effect twice. So a client must not be asked to retry a request that has
+ * possibly run and is not deduplicated.
  */
 public final class RepeatPolicy {
     private final RequestClass requestClass;
@@ -45,14 +45,14 @@
                 || request.firstThatMayHaveRun() == null;
     }
 
-    /** Returns whether idempotency could allow a retry at any endpoint and time. */
+    /** Returns whether idempotency could allow a retry at some endpoint at some time. */
     boolean mayRetry(PendingRequest request) {
         return mayReject(request) || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
     }
 
     /**
      * Returns the exclusive upper bound of the time at which an attempt may be sent. If the request
-     * has an idempotency key and may have run, the bound is one tick before the end of the
+     * has an idempotency key and has possibly run, the bound is one tick before the end of the
      * deduplication window. Otherwise the bound is {@link Long#MAX_VALUE}.
      */
     long latestSendAt(PendingRequest request) {
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns whether an attempt may be sent to this endpoint now. At most one attempt of a request
-     * is sent to each endpoint.
+     * Returns whether an attempt may be sent to the given endpoint now. At most one attempt of a
+     * request is sent to each endpoint.
      */
     boolean maySendTo(long now, PendingRequest request, Endpoint endpoint) {
         if (request.wasSentTo(endpoint)) {
--- a/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
+++ b/sidecar/src/main/java/sagefall/balancer/request/RequestTimes.java
@@ -16,8 +16,8 @@
     }
 
     /**
-     * Returns the start of the latency of the request: the arrival of the request at the host. For
-     * an upload, the last byte restarts the latency.
+     * Returns the time from which the latency of the request is measured: the arrival of the
+     * request at the host. For an upload, the measurement restarts at the last byte.
      */
     public long arrivedAt() {
         return arrivedAt;
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointCost.java
@@ -13,19 +13,21 @@
  */
 final class EndpointCost {
 
-    /** Cost factor of a new connection whose set-up takes no time. */
+    /**
+     * Factor by which the need for a new connection multiplies the cost of an endpoint, not
+     * counting the set-up time.
+     */
     private static final double NEW_CONNECTION = 1.25;
 
     /**
-     * Amount that a set-up time of one mean latency target adds to the cost factor of a new
-     * connection.
+     * Amount that is added to {@link #NEW_CONNECTION} for a set-up time of one mean latency target.
+     * For other set-up times, the amount is proportional.
      */
     private static final double SETUP_COST = 10;
 
     /**
-     * Utilization at which the cost would become infinite: the cost is divided by the difference
-     * between this value and the utilization. The value is above 1, so that the divisor stays
-     * positive at a utilization of 1.
+     * The cost is divided by the difference between this value and the utilization. The value is
+     * above 1, so that the divisor stays positive at a utilization of 1.
      */
     private static final double MAX_HEADROOM = 1.1;
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -17,8 +17,8 @@
 final class EndpointEligibility {
 
     /**
-     * Factor of the slow start share. The product is the fraction of its fair request rate that a
-     * cold or half-open endpoint is sent.
+     * Fraction of its fair request rate that a cold or half-open endpoint is sent, as a multiple of
+     * its slow start share.
      */
     private static final double SLOW_START = 1;
 
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Returns whether the request may be sent to this endpoint now.
+     * Returns whether the request may be sent to the given endpoint now.
      *
-     * @param candidates maximum number of candidates in the node, including this endpoint
+     * @param candidates maximum number of candidates in the node, including the given endpoint
      */
     boolean hasCapacity(long now, PendingRequest request, Endpoint endpoint, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
@@ -83,9 +83,9 @@
      * is allowed if the response would still be in time.
      *
      * <p>Only a set-up shows that set-ups have become fast again, for example after this process
-     * itself was slow. So one is allowed to any endpoint without attempts in flight, even if the
-     * response would be late. Where many sidecars share few endpoints, this exception applies only
-     * if the last set-up was measured more than one mean latency target ago. Drawback: late
+     * itself was slow. So a set-up is allowed to any endpoint without attempts in flight, even if
+     * the response would be late. Where many sidecars share few endpoints, this exception applies
+     * only if the last set-up was measured more than one mean latency target ago. Drawback: late
      * responses while set-ups are slow.
      */
     private boolean isConnectable(long now, PendingRequest request, Endpoint endpoint) {
@@ -122,9 +122,9 @@
     /**
      * Returns whether the request is sent as the trial of a half-open endpoint. Only the first
      * attempt of a request can be a trial. If the settings have an idempotent request class, only a
-     * request of such a class can be a trial. The probability is the one of a sole candidate right
-     * after its start, divided by the backoff level. If attempts are still in flight at the
-     * endpoint, the ejection is extended instead.
+     * request of such a class can be a trial. The probability is that of {@link #isSampled} for a
+     * sole candidate, with the initial slow start share divided by the backoff level. If attempts
+     * are still in flight at the endpoint, the ejection is extended instead.
      */
     private boolean admitTrial(long now, PendingRequest request, Endpoint endpoint) {
         if (!endpoint.concurrency().isIdle()) {
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -33,10 +33,9 @@
     private static final int SUBSET_SIZE = 2;
 
     /**
-     * Number of endpoints above which a node is sampled, and maximum number of candidates in a
-     * sampled node. The search for candidates in a sampled node starts at a random position. A node
-     * is not sampled if the endpoint is selected by key. Nor is it sampled where many sidecars
-     * share few endpoints.
+     * Maximum number of candidates in a sampled node. A node with more endpoints than this is
+     * sampled: the search for candidates starts at a random position. A node is not sampled if the
+     * endpoint is selected by key. Nor is it sampled where many sidecars share few endpoints.
      */
     private static final int WIDE_NODE_SAMPLE = 32;
 
@@ -127,7 +126,7 @@
             }
             // The search goes beyond the sample size only if earlier endpoints had no capacity.
             // Endpoints are then not examined with equal probability. So a cold endpoint is skipped
-            // there, since its request rate would be wrong.
+            // there, since its share of the requests would differ from its slow start share.
             if (sampled && i >= WIDE_NODE_SAMPLE && isCold(now, endpoint)) {
                 continue;
             }
--- a/sidecar/src/main/java/sagefall/balancer/routing/RendezvousHash.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/RendezvousHash.java
@@ -37,7 +37,7 @@
                 .toArray();
     }
 
-    /** Returns the first element of {@link #ranked} without sorting the rest. */
+    /** Returns the first element of {@link #ranked} without sorting. */
     static int first(long id, int choices) {
         int best = 0;
         for (int choice = 1; choice < choices; choice++) {
--- a/sidecar/src/main/java/sagefall/balancer/routing/SelectionMode.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SelectionMode.java
@@ -5,8 +5,8 @@
     /** The cheaper of two random candidates. */
     POWER_OF_TWO_CHOICES,
     /**
-     * The candidate with the highest hash of the key. If it is much more expensive than the
-     * candidate with the second highest hash, the second one is selected.
+     * The candidate with the highest hash of the key. If that candidate is much more expensive than
+     * the candidate with the second highest hash, the second one is selected.
      */
     KEY_HASH,
     /** The cheapest candidate. */
--- a/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
@@ -24,8 +24,7 @@
     private static final double ENDPOINTS_PER_CELL_AND_ZONE = 4;
 
     /**
-     * Multiple of the quota of a tenant. The product is the fraction of the cells that the tenant
-     * is assigned to.
+     * Fraction of the cells that a tenant is assigned to, as a multiple of the quota of the tenant.
      */
     private static final double TENANT_CELLS_FACTOR = 3;
 
@@ -37,7 +36,10 @@
     /** Minimum number of ready endpoints for which there are at least two cells. */
     private static final int MIN_ENDPOINTS_FOR_CELLS = 4;
 
-    /** Added to the weight of a cell, so that the weight is above 0 even without endpoints. */
+    /**
+     * Number that is added to the weight of a cell, so that the weight is above 0 even without
+     * endpoints.
+     */
     private static final double EMPTY_NODE_WEIGHT = 0.01;
 
     private final BalancerSettings settings;
@@ -93,7 +95,7 @@
 
     /**
      * Returns whether the key of a request determines its cell and endpoint, because endpoints
-     * cache keys and the request has one.
+     * cache data by key and the request has a key.
      */
     boolean routesByKey(PendingRequest request) {
         return settings.cachesKeys() && request.request().key() >= 0;
--- a/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -60,7 +60,8 @@
     }
 
     /**
-     * Returns the strings of an array, for example the zone names. A name's position is its index.
+     * Returns the strings of an array, for example the zone names. The number of a zone or model is
+     * the index of its name in this list.
      */
     public static List<String> names(Map<?, ?> settings, String key) {
         List<String> names = new ArrayList<>();
--- a/sidecar/src/main/java/sagefall/config/ConfigException.java
+++ b/sidecar/src/main/java/sagefall/config/ConfigException.java
@@ -26,14 +26,17 @@
     }
 
     /**
-     * Returns an exception for a value in a nested section: {@code extensions.recovery.max_bytes:
-     * must be ...}.
+     * Returns an exception whose message is the key path and the reason, for example {@code
+     * extensions.recovery.max_bytes: must be ...}.
      */
     static ConfigException atPath(String keyPath, String reason) {
         return new ConfigException(null, keyPath, reason, keyPath + ": " + reason, null);
     }
 
-    /** Returns an exception for a key that the message quotes: {@code 'seed' must be ...}. */
+    /**
+     * Returns an exception whose message is the key in single quotes and the reason, for example
+     * {@code 'seed' must be ...}.
+     */
     static ConfigException ofKey(String key, String reason) {
         return new ConfigException(null, key, reason, "'" + key + "' " + reason, null);
     }
--- a/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
+++ b/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
@@ -2,7 +2,8 @@
 
 /**
  * Divides the file descriptors of a sidecar. A third of all descriptors is for client connections
- * with an open request, each of which may need a connection to an endpoint.
+ * with an open request. Each open request may need a second descriptor for a connection to an
+ * endpoint.
  *
  * @param total number of descriptors that the sidecar may have open
  */
--- a/sidecar/src/main/java/sagefall/config/Extensions.java
+++ b/sidecar/src/main/java/sagefall/config/Extensions.java
@@ -29,7 +29,7 @@
     private static final String PERSISTENCE = "recovery";
     private static final String LEADER_ELECTION = "duties";
 
-    /** All features disabled; applies if there is no extensions file. */
+    /** Extensions with all features disabled. Used if there is no extensions file. */
     static final Extensions NONE =
             new Extensions(
                     StreamingSettings.OFF, PersistenceSettings.OFF, LeaderElectionSettings.OFF);
@@ -41,7 +41,8 @@
         if (file == null || file.isEmpty()) {
             return NONE;
         }
-        // Without the check, the second value of a duplicate key would silently replace the first.
+        // Without strict duplicate detection, the second value of a duplicate key would silently
+        // replace the first.
         JsonFactory strict =
                 JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
         return JsonFile.read(
--- a/sidecar/src/main/java/sagefall/config/LoadReportReader.java
+++ b/sidecar/src/main/java/sagefall/config/LoadReportReader.java
@@ -11,10 +11,13 @@
  */
 public final class LoadReportReader {
 
-    /** Prefix of the only supported header format. Other formats begin with another word. */
+    /** Prefix of the only supported header format. Headers in other formats have other prefixes. */
     private static final String TEXT_FORM = "TEXT ";
 
-    /** Maximum plausible value. A higher value is an error of the endpoint. */
+    /**
+     * Maximum plausible value of a field in a header. A higher value is an error of the endpoint
+     * and is ignored.
+     */
     private static final double MAX_PLAUSIBLE = 1e6;
 
     private LoadReportReader() {}
@@ -50,10 +53,10 @@
 
     /**
      * Parses a header such as {@code TEXT cpu=0.61, rps=140}. Returns null if no field can be
-     * parsed. An endpoint may be of another version or faulty, so unknown fields are ignored, and
-     * so are values that are not numbers, negative or implausibly high. A value that is far too
-     * high would distort the mean of all endpoints for a long time. An infinite value would distort
-     * the mean permanently.
+     * parsed. An endpoint may be of another version or faulty, so unknown fields are ignored.
+     * Values that are not numbers, negative values and implausibly high values are ignored as well.
+     * A value that is far too high would distort the mean of all endpoints for a long time. An
+     * infinite value would distort the mean permanently.
      */
     public static LoadReport parse(String header) {
         if (header == null || !header.startsWith(TEXT_FORM)) {
--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -15,7 +15,7 @@
  * @param listen address at which clients connect
  * @param discovery address of discovery
  * @param maxDescriptors maximum number of file descriptors that the process may have open
- * @param settings settings of the balancer; the limits are adapted to sockets
+ * @param settings settings of the balancer, with limits adapted to sockets
  * @param connectTimeoutMicros maximum duration of the set-up of a connection to an endpoint
  * @param configuredEndpoints endpoint list in the configuration file, which may be outdated
  * @param endpointListCodec codec that uses the zone names and model names of the configuration
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns a copy with another endpoint list. The copy does not poll discovery and has no
-     * extensions.
+     * Returns a copy with another descriptor limit and another endpoint list. The copy does not
+     * poll discovery and has no extensions.
      *
      * @param newMaxDescriptors maximum number of file descriptors
      * @param endpoints the endpoint list
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Returns a copy of the settings with other limits.
+     * Returns a copy of the settings with other limits and another kind of discovery.
      *
      * @param pollsDiscovery whether a sidecar with the copied settings polls discovery
      */
--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -24,13 +24,13 @@
  *       as well, 1.75 s more pass before its failure, and the third call is made at 5.7 s.
  * </ul>
  *
- * <p>After any number of failed calls, the sidecar must know of a change within 6 s from the time
- * at which discovery has the change and is reachable. The call in flight at that time has the
+ * <p>After any number of failed calls, the sidecar must have received a change within 6 s from the
+ * time at which discovery has the change and is reachable. The call in flight at that time has the
  * minimum hold time, because the previous call failed. If that call and the next one are lost, the
  * list arrives after 2 (0.5 + 0.15) s plus the response time of an agent, or after 2 (1.75 + 0.6) s
  * plus the response time of a shared service. After SIGHUP, which may change the address of
- * discovery, the sidecar must know of the changes within 4 s. The new address is called at once. If
- * that call is lost, the list arrives after 1.75 + 0.6 s plus the response time.
+ * discovery, the sidecar must have received the changes within 4 s. The new address is called at
+ * once. If that call is lost, the list arrives after 1.75 + 0.6 s plus the response time.
  *
  * <p>A pending long poll costs the service nothing, so a shorter hold time costs only the sidecar's
  * own processor time. Used on the event loop only.
--- a/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/sagefall/discovery/DiscoveryClient.java
@@ -34,7 +34,7 @@
     private boolean closed;
 
     /**
-     * Creates a client. The client sends no call before {@link #subscribe}.
+     * Creates a client. The client makes no call before {@link #subscribe}.
      *
      * @param revision revision of the list that the sidecar already has; the first call requests
      *     the changes since this revision
--- a/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointListCodec.java
@@ -25,7 +25,7 @@
     private final List<String> models;
     private final EndpointListParser parser;
 
-    /** Creates a codec that numbers zones and models by their index in these lists. */
+    /** Creates a codec that numbers zones and models by their index in the given lists. */
     public EndpointListCodec(List<String> zones, List<String> models) {
         this.zones = zones;
         this.models = models;
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -33,11 +33,14 @@
 
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
-    /** Provides the target of each call and receives the results, always on the event loop. */
+    /**
+     * Provides the request target of each call and receives the results, always on the event loop.
+     */
     interface Listener {
         /**
-         * Returns the path and query of the call. Called when the request is written, which may be
-         * later than {@link EndpointPoll#call}, so the target can reflect the state at that time.
+         * Returns the path and query of the call. Called when the request is written. This may
+         * happen after {@link EndpointPoll#call} has returned, so the target can reflect the state
+         * at the time of the write.
          */
         String requestTarget();
 
--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -20,9 +20,9 @@
  * exactly once. Used on the event loop of the connection only.
  *
  * <p>A response can be attributed to a request only if no other input was under way when the
- * request was written. Therefore an unsolicited byte closes the connection. A response is reported
- * only when everything that arrived with it has been read. The report says whether there were
- * surplus bytes.
+ * request was written. Therefore a byte that arrives while no request is outstanding closes the
+ * connection. A response is reported only when everything that arrived with it has been read. The
+ * report says whether surplus bytes followed the response.
  */
 public final class HttpClientConnection {
 
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Begins to connect. A connection that streams is read in small pieces, so that few bytes are
-     * read beyond a high watermark.
+     * Begins to connect. If responses may be streamed, the socket is read in small pieces, so that
+     * few bytes are read beyond the high watermark.
      *
      * @param maxBodyBytes maximum size, in bytes, of the body of a response that is buffered
      *     completely; a larger body closes the connection
@@ -132,9 +132,9 @@
     }
 
     /**
-     * Returns whether a further request can be sent. First reads what has arrived so far. Otherwise
-     * unread bytes, or an unread end of the input, would be taken for the next response. Must not
-     * be called from the listener's methods.
+     * Returns whether a further request can be sent. First reads what has arrived so far, because
+     * unread bytes, or an unread end of the input, would otherwise be treated as the next response.
+     * Must not be called from the listener's methods.
      */
     public boolean isReusable() {
         if (!state.expectsInput()) {
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
@@ -7,7 +7,8 @@
 
 /**
  * Receives the events of an {@link HttpClientConnection}, always on its event loop. The methods for
- * streamed responses need to be implemented only if requests are sent with a streaming limit.
+ * streamed responses need to be implemented only if requests are sent with a {@code
+ * maxStreamedBytes} greater than 0.
  */
 public interface HttpConnectionListener {
 
@@ -20,7 +21,8 @@
     /**
      * Called when a response has been buffered completely.
      *
-     * @param response owned by the connection, which releases it on return
+     * @param response the response, owned by the connection, which releases it when this method
+     *     returns
      * @param clean true if nothing arrived beyond the response; if false, the connection cannot be
      *     reused
      */
@@ -47,16 +49,16 @@
     /**
      * Called when the last part of a streamed response has been reported.
      *
-     * @param trailers as the server sent them; may be empty
+     * @param trailers the trailers as the server sent them; may be empty
      * @param clean true if nothing arrived beyond the response; if false, the connection cannot be
      *     reused
      */
     default void responseFinished(HttpHeaders trailers, boolean clean) {}
 
     /**
-     * Called when the connection could not be established, failed, or was closed by either side.
-     * This call is the last one and is made exactly once. It is made in a separate task and thus
-     * never during a call to the connection.
+     * Called when the connection could not be established, failed, or was closed by either side. No
+     * other method is called after this one, and this method is called exactly once. The call is
+     * made in a separate task and thus never during a call to the connection.
      */
     void connectionClosed();
 }
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionState.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionState.java
@@ -8,7 +8,10 @@
     /** The connection is being established. */
     CONNECTING(false, false),
 
-    /** Established, with no request outstanding: any byte that arrives is unsolicited. */
+    /**
+     * The connection is established, and no request is outstanding. Any byte that arrives is
+     * unsolicited.
+     */
     IDLE(false, false),
 
     /** A request has been passed to the network, and no response has begun. */
@@ -34,7 +37,7 @@
         this.hasResponse = hasResponse;
     }
 
-    /** Returns whether a request is outstanding. Only then may the peer send bytes. */
+    /** Returns whether a request is outstanding. Only then is the peer allowed to send bytes. */
     boolean expectsInput() {
         return expectsInput;
     }
@@ -48,7 +51,7 @@
     }
 
     /**
-     * Returns whether the transition to the next state exists. A response can begin in {@link
+     * Returns whether this state may change to the given state. A response can begin in {@link
      * #IDLE} in one case only: the decoder has buffered surplus bytes, and the end of the input
      * turns them into a response.
      */
--- a/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
+++ b/sidecar/src/main/java/sagefall/http/ProtocolHeaders.java
@@ -21,7 +21,7 @@
     /** Key by which a server recognizes a retried request. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** Marks a request that the client is retrying with the value {@code 1}. */
+    /** The value {@code 1} marks a request that the client is retrying. */
     public static final String RETRY = "Client-Retry";
 
     /** Hint about the work that a request causes; the sidecar does not evaluate it. */
@@ -31,8 +31,7 @@
     public static final String LOAD = "Server-Load";
 
     /**
-     * Marks a response to a request that the server has not begun to execute with the value {@code
-     * 1}.
+     * The value {@code 1} marks a response to a request that the server has not begun to execute.
      */
     public static final String NOT_STARTED = "Not-Started";
 
@@ -75,8 +74,8 @@
     }
 
     /**
-     * Returns a copy of the trailers that may be forwarded: without hop-by-hop fields and without
-     * fields that must be known before the body.
+     * Returns a copy of the trailers without the fields that must not be forwarded: hop-by-hop
+     * fields, and fields that a receiver needs before the body.
      */
     public static HttpHeaders forwardableTrailers(HttpHeaders trailers) {
         if (trailers.isEmpty()) {
--- a/sidecar/src/main/java/sagefall/http/ResponseDecoder.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseDecoder.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Splits off a field name. Unlike for requests, Netty accepts responses in which a space
-     * follows a field name or the colon is missing; this method rejects both.
+     * Splits the field name off a header line. In responses, but not in requests, Netty accepts a
+     * space after the field name and a missing colon. This method rejects both.
      *
      * @throws IllegalArgumentException if the name is not directly followed by a colon
      */
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -32,7 +32,9 @@
      */
     private FullHttpResponse collected;
 
-    /** Trailers while the state is {@code RESPONSE_STREAMED}, else null. */
+    /**
+     * Trailers of the streamed response while the state is {@code RESPONSE_STREAMED}, else null.
+     */
     private HttpHeaders trailers;
 
     /** Number of bytes that the streamed response may still contain. */
@@ -46,7 +48,8 @@
     }
 
     /**
-     * Handles a message, which the caller releases on return. Retains a message that is used later.
+     * Handles a message, which the caller releases when this method returns. Retains a message that
+     * is used later.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
@@ -99,7 +102,8 @@
         }
         remainingStreamBytes -= part.content().readableBytes();
         if (part.decoderResult().isFailure() || remainingStreamBytes < 0) {
-            // In this state, neither later parts nor the end of the response are reported.
+            // In the state AWAITING_RESPONSE, neither later parts nor the end of the response are
+            // reported.
             connection.enter(HttpConnectionState.AWAITING_RESPONSE);
             context.close();
             return;
--- a/sidecar/src/main/java/sagefall/http/UnsolicitedInputGate.java
+++ b/sidecar/src/main/java/sagefall/http/UnsolicitedInputGate.java
@@ -6,7 +6,7 @@
 
 /**
  * Closes the connection when bytes arrive while no request is outstanding, because such bytes would
- * be taken for the response to the next request.
+ * be treated as the response to the next request.
  */
 final class UnsolicitedInputGate extends ChannelInboundHandlerAdapter {
 
@@ -16,7 +16,10 @@
         this.connection = connection;
     }
 
-    /** Passes the bytes on, or releases them if no request is outstanding. */
+    /**
+     * Passes the bytes on. If no request is outstanding, instead releases the bytes and closes the
+     * connection.
+     */
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
         if (connection.state().expectsInput()) {
--- a/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/DirectoryLeaseStore.java
@@ -25,7 +25,8 @@
  *       stops, or the new leader sees the renewal and waits until the renewed term has expired.
  *   <li>A published value has one file for each term in which a leader published the value. Readers
  *       use the file of the greatest term. A former leader that resumes after a suspension may
- *       write the file of its own term. Readers ignore that file once a greater term has one.
+ *       write the file of its own term. Readers ignore that file once a file of a greater term
+ *       exists.
  * </ul>
  *
  * <p>Expiry times refer to the machine's monotonic clock, which all processes of the machine share.
@@ -44,7 +45,7 @@
     private final LongSupplier nanoClock;
     private final String bootId;
 
-    /** Creates a store in the directory, which is created if it does not exist. */
+    /** Creates a store in the given directory. Creates the directory if it does not exist. */
     public DirectoryLeaseStore(Path directory) throws IOException {
         this(
                 DirectoryStorage.openShared(directory),
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
@@ -17,12 +17,15 @@
 
     private static final int MAX_FILE_BYTES = 4 * 1024 * 1024;
 
-    /** Number of terms before the newest one whose files are kept as a history. */
+    /** Number of past terms whose files are kept as a history. The newest term is not counted. */
     private static final int MAX_PAST_TERMS = 32;
 
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
 
-    /** Name of a temporary file; the group is the id of the process that created the file. */
+    /**
+     * Matches the name of a temporary file. The group captures the id of the process that created
+     * the file.
+     */
     private static final Pattern TEMPORARY_FILE_NAME =
             Pattern.compile(".+" + Pattern.quote(AtomicFile.TEMPORARY_SUFFIX) + "-([0-9]{1,18})");
 
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseGrant.java
@@ -1,7 +1,7 @@
 package sagefall.leaderelection;
 
 /**
- * The newest grant of the lease in the reply of the lease store.
+ * The newest grant of the lease, as returned by the lease store.
  *
  * @param term term of the grant
  * @param leader name of the process that the lease was granted to; empty once the lease was
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseStateMachine.java
@@ -24,8 +24,9 @@
         /** The lease was free at the last read. The next request acquires the lease. */
         CANDIDATE,
         /**
-         * The last read returned a grant to this process, although the process is not leader. An
-         * example is a lost reply to an acquire request. A renewal must confirm the grant.
+         * The last read returned a grant to this process, although the process is not leader, for
+         * example because the reply to an acquire request was lost. A renewal must confirm the
+         * grant.
          */
         UNCONFIRMED,
         /** Leader that may act. */
@@ -82,9 +83,9 @@
     }
 
     /**
-     * Returns whether an action of the leader may begin at this time. Must be called directly
-     * before the action. If the lease expires during the action, the store rejects its writes once
-     * there is a newer term.
+     * Returns whether an action of the leader may begin at the given time. Must be called directly
+     * before the action. If the lease expires during the action, the store rejects the writes of
+     * the action once there is a newer term.
      */
     public boolean mayAct(long now) {
         return state == State.LEADER && now >= mayActFrom && now < stepDownAt && !wasPaused(now);
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTerm.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTerm.java
@@ -6,7 +6,8 @@
  *
  * @param number number of the term; 0 if no term has been granted yet
  * @param leader name of the process that the term was granted to; empty if the term was released
- * @param bootId id of the machine's boot to whose monotonic clock {@code expiresAtNanos} refers
+ * @param bootId id of a boot of the machine; {@code expiresAtNanos} refers to the monotonic clock
+ *     of that boot
  * @param expiresAtNanos time at which the term expires, on the machine's monotonic clock
  * @param grantedAtMillis Unix time of the grant, in milliseconds
  */
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
@@ -6,9 +6,9 @@
  * Durations that govern a lease.
  *
  * @param leaseNanos duration of the lease after each grant or renewal
- * @param marginNanos time between the end of the leader's actions and the expiry of its lease
- * @param maxPauseNanos maximum pause of the leader's process that requires no renewal of the lease
- *     before the next action
+ * @param marginNanos time before the expiry of the lease at which the leader stops acting
+ * @param maxPauseNanos maximum pause of the leader's process after which the leader may act without
+ *     renewing the lease first
  * @param pollNanos interval between two reads of the newest grant
  */
 public record LeaseTimings(long leaseNanos, long marginNanos, long maxPauseNanos, long pollNanos) {
@@ -20,7 +20,7 @@
     private static final long LONGEST_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
-     * Returns durations that are fractions of the lease duration. The margin is a sixth; it covers
+     * Returns durations that are fractions of the lease duration. The margin is a sixth and covers
      * a late step of the state machine and an action in progress. The maximum pause is a sixth. The
      * poll interval is a thirtieth, but at most 100 ms.
      */
--- a/sidecar/src/main/java/sagefall/logging/LogEvent.java
+++ b/sidecar/src/main/java/sagefall/logging/LogEvent.java
@@ -3,7 +3,7 @@
 /**
  * The events that a sidecar logs. A log line starts with its level and the name of the event.
  * {@code docs/OPERATIONS.md} lists each name with its fields, its meaning and the action that an
- * operator should take. A test checks that the page and this enum match.
+ * operator should take. A test checks that the table in that file and this enum match.
  */
 public enum LogEvent {
     /** The process accepts clients. */
@@ -28,13 +28,16 @@
     /** An internal error occurred on a client connection; the connection is closed. */
     CLIENT_CONNECTION_FAILED("client_connection_failed", LogLevel.ERROR),
     /**
-     * The sidecar shuts down. The line reports the maximum amount of data that all streams together
-     * buffered.
+     * The sidecar shuts down. The log line reports the maximum amount of data that all streams
+     * together buffered.
      */
     STREAM_BUFFERS_USED("stream_buffers_used", LogLevel.INFO),
     /** The state that an earlier incarnation had persisted was read at the start. */
     SNAPSHOT_RECOVERED("snapshot_recovered", LogLevel.INFO),
-    /** The directory contains no persisted state, for example because persistence is new. */
+    /**
+     * The directory contains no persisted state, for example because persistence has just been
+     * enabled.
+     */
     SNAPSHOT_ABSENT("snapshot_absent", LogLevel.INFO),
     /** A persisted file could not be used. The file was renamed to keep its content. */
     SNAPSHOT_SET_ASIDE("snapshot_set_aside", LogLevel.WARN),
--- a/sidecar/src/main/java/sagefall/logging/LogLine.java
+++ b/sidecar/src/main/java/sagefall/logging/LogLine.java
@@ -2,11 +2,11 @@
 
 /**
  * One line of the log, such as {@code WARN endpoint_ejected endpoint=12 reason=failures}. A line
- * consists of the level, the event name, and {@code key=value} fields in the order of addition.
- * Keys are lower case with underscores. The key of a value with a unit ends in the unit, such as
- * {@code elapsed_ms}. A value that is empty or has a space, a quote, an equals sign or a control
- * character is quoted. In a quoted value, quotes and backslashes are escaped, and control
- * characters are replaced by spaces, so that the event stays on one line.
+ * consists of the level, the event name, and {@code key=value} fields in the order in which the
+ * fields were added. Keys are lower case with underscores. The key of a value with a unit ends in
+ * the unit, such as {@code elapsed_ms}. A value that is empty or has a space, a quote, an equals
+ * sign or a control character is quoted. In a quoted value, quotes and backslashes are escaped, and
+ * control characters are replaced by spaces, so that the event stays on one line.
  */
 public final class LogLine {
 
--- a/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
+++ b/sidecar/src/main/java/sagefall/persistence/AtomicFile.java
@@ -74,7 +74,8 @@
     }
 
     /**
-     * Returns the body of a file with this content. The content must be exactly one intact record.
+     * Returns the body of a file with the given content. The content must be exactly one intact
+     * record.
      */
     static byte[] bodyOf(String file, byte[] bytes) throws StoredDataException {
         RecordFormat.checkMagic(file, bytes);
@@ -85,7 +86,7 @@
         return body;
     }
 
-    /** Returns the length in bytes of a file with this body. */
+    /** Returns the length in bytes of a file with the given body. */
     static long fileLength(byte[] body) {
         return (long) RecordFormat.MAGIC.length + RecordFormat.HEADER_BYTES + body.length;
     }
--- a/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
+++ b/sidecar/src/main/java/sagefall/persistence/BackgroundWorker.java
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Waits until the duration has passed or the thread is requested to exit.
+     * Waits until the given duration has passed or the thread is requested to exit.
      *
      * @param millis maximum duration of the wait; no wait if 0 or negative
      */
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -39,7 +39,7 @@
         return withEpoch(name, 0);
     }
 
-    /** Returns a snapshot without endpoints, with this epoch. */
+    /** Returns a snapshot without endpoints and with the given epoch. */
     static EndpointSnapshot withEpoch(String name, long epoch) {
         return new EndpointSnapshot(name, epoch, 0, 0, Map.of());
     }
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshotCodec.java
@@ -92,7 +92,7 @@
         out.writeEndObject();
     }
 
-    /** Decodes a snapshot. */
+    /** Decodes a snapshot without the generation of its file. */
     public static EndpointSnapshot decode(String file, byte[] body) throws StoredDataException {
         return snapshotOf(file, CborObject.decode(file, body));
     }
@@ -109,7 +109,7 @@
         return changeOf(file, CborObject.decode(file, body));
     }
 
-    /** Returns the snapshot with these fields. */
+    /** Returns the snapshot that consists of the decoded fields of a record's body. */
     static EndpointSnapshot snapshotOf(String file, Map<?, ?> fields) throws StoredDataException {
         return new EndpointSnapshot(
                 requiredText(file, fields, NAME),
@@ -119,7 +119,7 @@
                 endpointsOf(file, fields));
     }
 
-    /** Returns the change with these fields. */
+    /** Returns the change that consists of the decoded fields of a record's body. */
     static SnapshotChange changeOf(String file, Map<?, ?> fields) throws StoredDataException {
         return new SnapshotChange(
                 Json.isTrue(fields, COMPLETE),
--- a/sidecar/src/main/java/sagefall/persistence/LogReader.java
+++ b/sidecar/src/main/java/sagefall/persistence/LogReader.java
@@ -124,8 +124,8 @@
     /**
      * Returns whether an intact record after the bad one states that the file had been forced
      * beyond the start of the bad one. The search is bounded, because bytes may look like the
-     * headers of many records, which would take too long to checksum. If the bound is reached, the
-     * method returns true, so the file is treated as corrupt.
+     * headers of many records. Computing the checksums of all these records would take too long. If
+     * the bound is reached, the method returns true, so the file is treated as corrupt.
      */
     private static boolean wasForcedBeyond(byte[] bytes, int badOffset) {
         long budget = MAX_CHECKSUMMED_BYTES;
--- a/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
+++ b/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Returns the bytes of a record with this body.
+     * Returns the bytes of a record with the given body.
      *
      * @param forcedBytes number of bytes of the file that have been forced to the disk
      */
@@ -61,7 +61,7 @@
         return record.array();
     }
 
-    /** Returns the body of the record at this offset; null if there is no intact record. */
+    /** Returns the body of the record at the given offset; null if there is no intact record. */
     static byte[] bodyAt(byte[] bytes, int offset) {
         if (bytes.length - offset < HEADER_BYTES) {
             return null;
@@ -79,13 +79,14 @@
         return Arrays.copyOfRange(bytes, bodyOffset, bodyOffset + bodyLength);
     }
 
-    /** Returns the body length in the header at this offset, without checking the record. */
+    /** Returns the body length in the header at the given offset, without checking the record. */
     static int bodyLengthAt(byte[] bytes, int offset) {
         return ByteBuffer.wrap(bytes, offset, HEADER_BYTES).getInt();
     }
 
     /**
-     * Returns the number of forced bytes in the header at this offset, without checking the record.
+     * Returns the number of forced bytes in the header at the given offset, without checking the
+     * record.
      */
     static long forcedBytesAt(byte[] bytes, int offset) {
         return ByteBuffer.wrap(bytes, offset, HEADER_BYTES).getLong(offset + FORCED_BYTES_OFFSET);
--- a/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
+++ b/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
@@ -9,11 +9,13 @@
 
     /** Reasons why stored data cannot be used. */
     public enum Reason {
-        /** The content is not valid: the magic, a length, the checksum or a field is wrong. */
+        /**
+         * The content is not valid: the magic bytes, a length, the checksum or a field is invalid.
+         */
         CORRUPT("corrupt"),
         /** The data belongs to a sidecar with another name. */
         FOREIGN("foreign"),
-        /** The file has a format version that this program does not know. */
+        /** The file has a format version that this program does not support. */
         NEWER_FORMAT("newer_format"),
         /**
          * The length of the file exceeds the configured maximum, or would exceed it after a write.
@@ -52,7 +54,7 @@
         this.reason = reason;
     }
 
-    /** Reports a wrong magic, length or checksum. */
+    /** Reports invalid magic bytes, an invalid length or an invalid checksum. */
     static StoredDataException corrupt(String file) {
         return new StoredDataException(file, Reason.CORRUPT, file + " is damaged", null);
     }
--- a/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
+++ b/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
@@ -85,8 +85,8 @@
         } catch (StoredDataException e) {
             log.setFilesAside();
             logSetAside(e, logger);
-            // The epoch continues from the stored epoch if that could be read. The reader returns 0
-            // in place of another sidecar's epoch.
+            // If the stored epoch could be read, the epochs continue from the stored epoch. The
+            // reader returns 0 in place of another sidecar's epoch.
             recovered = EndpointSnapshot.withEpoch(sidecarName, reader.epoch());
         }
         log.generation = reader.newestGeneration();
@@ -155,8 +155,9 @@
     }
 
     /**
-     * Returns whether appending a record with this body would make the open log longer than half of
-     * {@code maxBytes}. The other half is left for the snapshot. Returns false if no log is open.
+     * Returns whether appending a record with the given body would make the open log longer than
+     * half of {@code maxBytes}. The other half is left for the snapshot. Returns false if no log is
+     * open.
      */
     private boolean logWouldBeTooLong(byte[] body) {
         long length = writtenBytes + RecordFormat.HEADER_BYTES + body.length;
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Sends an attempt; has no effect if no request with this id is in flight.
+     * Sends an attempt; has no effect if no request with the given id is in flight.
      *
      * @param timeoutMicros duration after which the attempt is cancelled; 0 to wait until the
      *     deadline of the request
@@ -206,7 +206,10 @@
         return attempt.request.client.isStillWaiting();
     }
 
-    /** Restarts the timeout, because the timeout of an upload counts from its last byte. */
+    /**
+     * Restarts the timeout, because the timeout of an upload starts when the last byte of the body
+     * is written.
+     */
     @Override
     public void uploadWritten(ForwardedAttempt attempt) {
         long now = clock.micros();
--- a/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Minimum time between two reads of discovery's connection by {@link #catchUp}. The event loop
-     * also reads that connection itself when input arrives.
+     * Minimum time between two calls of {@link #catchUp} that read discovery's connection. The
+     * event loop also reads that connection itself when input arrives.
      */
     private static final long DISCOVERY_READ_INTERVAL_MICROS = 20_000;
 
@@ -118,8 +118,8 @@
 
     /**
      * Delivers one event. Every exception and error is caught, because a failure for one request
-     * must not affect the others. After a failure, the balancer does not handle the rest of that
-     * event. If the request has no response yet, its client receives a 500.
+     * must not affect the other requests. After a failure, the balancer does not handle the rest of
+     * that event. If the request has no response yet, its client receives a 500.
      */
     private void deliverOne(QueuedEvent next) {
         try {
@@ -157,8 +157,8 @@
      * read was less than {@link #DISCOVERY_READ_INTERVAL_MICROS} ago.
      */
     void catchUp() {
-        // The first call in an iteration records the time at which the iteration began to read. The
-        // handling of events would delay that call, so it is made here.
+        // The first call in an event loop iteration records the time at which the iteration began
+        // to read. The call is made here, because it would be late if events were handled first.
         latencyClock.earliestArrivalNanos();
         long now = clock.micros();
         deadlines.expire(now);
--- a/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
+++ b/sidecar/src/main/java/sagefall/proxy/ConfigurationReloader.java
@@ -10,8 +10,8 @@
 
 /**
  * Reloads the configuration of a running sidecar, off the event loop. On a reload, discovery's
- * address in the file takes precedence over the one in the environment. If any file is invalid, the
- * current configuration stays in force as a whole.
+ * address in the configuration file takes precedence over discovery's address in the environment.
+ * If any file is invalid, the current configuration stays in force as a whole.
  */
 final class ConfigurationReloader {
 
@@ -19,7 +19,10 @@
     private final Map<String, String> environment;
     private final PrintStream log;
 
-    /** Has one thread, so that configurations are applied in the order in which they are read. */
+    /**
+     * Executor with one thread, so that configurations are applied in the order in which they are
+     * read.
+     */
     private final ExecutorService readerThread =
             Executors.newSingleThreadExecutor(
                     new DefaultThreadFactory("configuration-reload", true));
@@ -30,14 +33,17 @@
         this.log = log;
     }
 
-    /** Schedules a reload, which runs after all earlier ones. May be called on any thread. */
+    /**
+     * Schedules a reload, which runs after all reloads that were requested earlier. May be called
+     * on any thread.
+     */
     void requestReload() {
         readerThread.execute(this::reload);
     }
 
     /**
      * Reads the files and applies them to the sidecar. If a file is invalid, logs one line that
-     * says what is wrong and applies nothing. Blocks on file access, so it must not be called on
+     * says what is invalid and applies nothing. Blocks on file access, so it must not be called on
      * the event loop.
      */
     void reload() {
--- a/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
+++ b/sidecar/src/main/java/sagefall/proxy/DeadlineTimers.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 
 /**
- * Holds unfinished requests in the order of their expiry times, and removes and reports those whose
- * expiry time has passed. All requests share one timer, because nearly all of them complete before
- * they expire. The timer may be late: the event loop runs timers only after it has handled
- * everything that it read in an iteration, and an iteration may be long. Therefore {@link #expire}
- * is also called before each event. Used on the event loop only.
+ * Holds unfinished requests in the order of their expiry times, and removes and reports the
+ * requests whose expiry time has passed. All requests share one timer, because nearly all of them
+ * complete before they expire. The timer may be late: the event loop runs timers only after it has
+ * handled everything that the loop has read in an iteration, and an iteration may be long.
+ * Therefore {@link #expire} is also called before each event. Used on the event loop only.
  */
 final class DeadlineTimers {
 
--- a/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
@@ -14,27 +14,29 @@
 
     private final EndpointListCodec codec;
 
-    /** Null while persistence is off. */
+    /** This sidecar's own store; null while persistence is off. */
     private SnapshotStore store;
 
-    /** Null while leader election is off. */
+    /** The shared snapshot; null while leader election is off. */
     private SharedEndpointSnapshot sharedSnapshot;
 
     EndpointRecorder(EndpointListCodec codec) {
         this.codec = codec;
     }
 
-    /** Sets this sidecar's own store, which receives the lists recorded after this call. */
+    /**
+     * Sets this sidecar's own store, which receives the endpoint lists recorded after this call.
+     */
     void recordTo(SnapshotStore newStore) {
         store = newStore;
     }
 
-    /** Sets the shared snapshot, which receives the lists recorded after this call. */
+    /** Sets the shared snapshot, which receives the endpoint lists recorded after this call. */
     void recordTo(SharedEndpointSnapshot newSharedSnapshot) {
         sharedSnapshot = newSharedSnapshot;
     }
 
-    /** Records a complete list or a list of changes. */
+    /** Records an endpoint list, which may be complete or contain only changes. */
     void record(EndpointList list) {
         if (store != null) {
             store.persist(codec.toSnapshotChange(list, store.wallMillis()));
--- a/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointUpdates.java
@@ -18,7 +18,8 @@
     private final Runnable onDiscoveryResult;
 
     /**
-     * @param onDiscoveryResult task that runs after each list and each failure of discovery
+     * @param onDiscoveryResult task that runs after each endpoint list and each failure of
+     *     discovery
      */
     EndpointUpdates(
             BalancerDriver driver,
@@ -31,7 +32,7 @@
         this.onDiscoveryResult = onDiscoveryResult;
     }
 
-    /** Passes a list to the connection pool and the balancer, without recording it. */
+    /** Passes an endpoint list to the connection pool and the balancer, without recording it. */
     void apply(EndpointListKind kind, EndpointList list) {
         pool.update(list);
         driver.deliver(
--- a/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
+++ b/sidecar/src/main/java/sagefall/proxy/ForwardedAttempt.java
@@ -18,8 +18,9 @@
     public final long endpointId;
 
     /**
-     * Start of the duration that is reported to the balancer: the time at which this attempt was
-     * sent. For an upload, the time at which the last byte of the body was written replaces it.
+     * Start of the duration that is reported to the balancer. For an upload whose last byte has
+     * been written, this is the time of that write. Otherwise, it is the time at which this attempt
+     * was sent.
      */
     long durationStartMicros;
 
@@ -32,7 +33,10 @@
     /** Timeout that the balancer set; 0 if only the deadline of the request applies. */
     long timeoutMicros;
 
-    /** Whether the last byte was written. If so, the endpoint may have executed the request. */
+    /**
+     * Whether the last byte of the request was written. If so, the endpoint has possibly executed
+     * the request.
+     */
     public boolean written;
 
     /** How this attempt ended; null while it is in flight. */
--- a/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
@@ -25,7 +25,10 @@
         this.deadlines = deadlines;
     }
 
-    /** Adds a request unless one with the same id is in flight; returns whether it was added. */
+    /**
+     * Adds a request unless a request with the same id is in flight. Returns whether the request
+     * was added.
+     */
     boolean add(ProxiedRequest request) {
         if (byId.putIfAbsent(request.request.id(), request) != null) {
             return false;
@@ -34,12 +37,12 @@
         return true;
     }
 
-    /** Returns the request with this id, or null if none is in flight. */
+    /** Returns the request with the given id; null if no such request is in flight. */
     ProxiedRequest byId(String id) {
         return byId.get(id);
     }
 
-    /** Returns the request that this client waits for, or null if it waits for none. */
+    /** Returns the request whose response the given client waits for; null if there is none. */
     ProxiedRequest byClient(ProxiedRequest.Client client) {
         return byClient.get(client);
     }
@@ -49,7 +52,7 @@
         deadlines.set(request, request.deadlineMicros + DEADLINE_GRACE_MICROS);
     }
 
-    /** Stops the timer, so that the request does not end at its deadline. */
+    /** Stops the timer that would end the request shortly after its deadline. */
     void stopDeadline(ProxiedRequest request) {
         deadlines.remove(request);
     }
--- a/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
+++ b/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
@@ -20,7 +20,7 @@
 /**
  * Takes part in the leader election among the sidecars of a machine. The leader writes the endpoint
  * snapshot that all of these sidecars share. The election runs on a thread of its own; no request
- * waits for it.
+ * waits for the election.
  */
 final class LeaderElectionService implements AutoCloseable {
 
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -21,23 +21,24 @@
  * core.
  *
  * <p>The estimate is too early in two cases. Input that arrived around the end of a long iteration
- * is taken to be as old as that iteration. If no periodic sweep of the client connections wakes the
- * event loop, input that arrives after a long sleep is taken to be as old as that sleep.
+ * is treated as if it were as old as that iteration. If no periodic sweep of the client connections
+ * wakes the event loop, input that arrives after a long sleep is treated as if it were as old as
+ * that sleep.
  *
  * <p>Used on the event loop only.
  */
 public final class LoopLatencyClock implements SelectStrategy {
 
     /**
-     * Exclusive lower bound of the time from the start of the select to the first read that is
-     * taken for a sleep.
+     * A time from the start of the select to the first read is treated as a sleep only if it is
+     * longer than this.
      */
     private static final long SHORTEST_SLEEP_NANOS = 2_000_000;
 
     /**
-     * Maximum time from the start of the select to the first read that is taken for a sleep. The
-     * periodic sweep of the client connections wakes the event loop every 25 ms. If more time
-     * passes, the process must have been stopped meanwhile.
+     * If the time from the start of the select to the first read is longer than this, the process
+     * must have been stopped meanwhile, because the periodic sweep of the client connections wakes
+     * the event loop every 25 ms. A time up to this maximum may be a sleep.
      */
     private static final long LONGEST_SLEEP_NANOS = 50_000_000;
 
@@ -53,8 +54,8 @@
     private long readStartNanos = System.nanoTime();
 
     /**
-     * Earliest time at which input of the current iteration can have arrived; set at its first
-     * read.
+     * Earliest time at which input of the current iteration can have arrived; set at the first read
+     * of the iteration.
      */
     private long earliestArrivalNanos = readStartNanos;
 
@@ -82,8 +83,8 @@
      */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        // An iteration that read nothing may have run long tasks. Such an iteration is therefore
-        // measured from the start of its select.
+        // An iteration that read nothing has possibly run long tasks. Such an iteration is
+        // therefore measured from the start of its select.
         iteration++;
         previousStartNanos = reading ? readStartNanos : selectStartNanos;
         reading = false;
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -14,11 +14,11 @@
 import sagefall.proxy.upstream.ConnectionPool;
 
 /**
- * Delivers the endpoints that a sidecar starts with: those of its configuration and those of
- * persisted snapshots. This sidecar's own snapshot may add endpoints while the snapshot is fresh.
- * Two snapshots add no endpoints: an own snapshot that is no longer fresh, and the snapshot that
- * the sidecars of a machine share. These only keep the balancer from using endpoints that had been
- * removed. Used on the event loop only.
+ * Delivers the endpoints that a sidecar starts with. The endpoints come from the configuration and
+ * from persisted snapshots. This sidecar's own snapshot may add endpoints while the snapshot is
+ * fresh. Two snapshots add no endpoints: an own snapshot that is no longer fresh, and the snapshot
+ * that the sidecars of a machine share. Such a snapshot only prevents the balancer from using
+ * endpoints that had been removed. Used on the event loop only.
  */
 final class RecoveryStartup {
 
@@ -30,7 +30,7 @@
     private final EndpointRecorder recorder;
     private final Consumer<String> log;
 
-    /** Null while persistence is off. */
+    /** This sidecar's own store; null while persistence is off. */
     private SnapshotStore store;
 
     /** The snapshot of an earlier incarnation; null if it could not be read. */
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Delivers the endpoints of this sidecar's own snapshot. If there is none, delivers those of
-     * the shared snapshot, provided that it is newer than the configured list. Then delivers the
-     * configured endpoints.
+     * Delivers the endpoints of this sidecar's own snapshot. If there is no own snapshot, delivers
+     * the endpoints of the shared snapshot, provided that the shared snapshot is newer than the
+     * configured list. Then delivers the configured endpoints.
      */
     void deliverInitialEndpoints() {
         EndpointList configured = config.configuredEndpoints();
@@ -119,8 +119,8 @@
                                 EndpointListKind.CACHED,
                                 configured.revision(),
                                 configured.endpoints()));
-        // Discovery may be at an older revision than the snapshot. A list of changes is not enough
-        // then.
+        // Discovery may be at an older revision than the snapshot. A list of changes is then not
+        // sufficient.
         discovery.requireCompleteList();
         if (configured.revision() >= recovered.revision()) {
             recorder.record(configured);
@@ -141,7 +141,8 @@
 
     /**
      * Delivers the shared snapshot as not fresh. The balancer then adds no endpoint from the
-     * snapshot, because its endpoint list and addresses come from another sidecar.
+     * snapshot, because the endpoint list and the addresses in the snapshot come from another
+     * sidecar.
      */
     private void recoverShared() {
         EndpointList recovered = config.endpointListCodec().fromSnapshot(shared.snapshot());
--- a/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
+++ b/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
@@ -4,8 +4,8 @@
 
 /**
  * Handles SIGHUP, which terminates the JVM by default. Java has no supported API for signals. The
- * unsupported one is accessed by reflection, because a direct use of it causes a compiler warning
- * that cannot be suppressed.
+ * unsupported API is accessed by reflection, because a direct use of that API causes a compiler
+ * warning that cannot be suppressed.
  */
 final class ReloadSignal {
 
@@ -23,7 +23,7 @@
                 Proxy.newProxyInstance(
                         ReloadSignal.class.getClassLoader(),
                         new Class<?>[] {handler},
-                        // The proxy also receives the methods of Object.
+                        // The proxy also receives calls of the methods of Object.
                         (self, method, arguments) ->
                                 switch (method.getName()) {
                                     case "handle" -> {
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -40,8 +40,8 @@
     /**
      * Responds with 503.
      *
-     * @param retryAfterMicros value of the header {@code Retry-After}; the header states it in
-     *     seconds, with a minimum of 1 ms; 0 to omit the header
+     * @param retryAfterMicros duration, in microseconds, that the header {@code Retry-After} states
+     *     in seconds; at least 1 ms is stated; 0 to omit the header
      */
     void reject(String requestId, long retryAfterMicros) {
         HttpHeaders headers = new DefaultHttpHeaders();
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -210,7 +210,7 @@
             // In push mode, a local agent holds the endpoint list and responds to a watch. The
             // balancer does not poll in this mode, so the watch is started here. Clients can
             // connect only after the watch has delivered a list or has failed. Thus the balancer
-            // knows the agent's list before the first request.
+            // has received the agent's list before the first request, unless the watch has failed.
             state = state.transitionTo(LifecycleState.AWAITING_ENDPOINTS);
             discovery.subscribe();
         }
--- a/sidecar/src/main/java/sagefall/proxy/StartupException.java
+++ b/sidecar/src/main/java/sagefall/proxy/StartupException.java
@@ -11,7 +11,7 @@
     /** Exit code if the configuration is missing or invalid. A restart does not help then. */
     static final int INVALID_CONFIGURATION = 2;
 
-    /** Exit code for any other failure, such as binding the listening address. */
+    /** Exit code for any other failure, such as a failure to bind the listening address. */
     static final int CANNOT_START = 1;
 
     private static final long serialVersionUID = 1L;
--- a/sidecar/src/main/java/sagefall/proxy/WallClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/WallClock.java
@@ -4,9 +4,9 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Provides Unix time in microseconds, which is read from the wall clock once and advanced by the
- * monotonic clock. Therefore the times can be compared with start times from discovery and with
- * deadlines. A later step of the wall clock does not affect them. Thread-safe.
+ * Provides Unix time in microseconds. The wall clock is read once, and the time is then advanced by
+ * the monotonic clock. Therefore the times can be compared with start times from discovery and with
+ * deadlines. A later step of the wall clock does not affect the times. Thread-safe.
  */
 public final class WallClock {
 
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpClient.java
@@ -8,7 +8,7 @@
 
 /**
  * Sends the requests of the warm-up on one connection, each as soon as the response to the previous
- * one has arrived. Used on the event loop only.
+ * request has arrived. Used on the event loop only.
  */
 final class WarmUpClient implements HttpConnectionListener {
 
@@ -18,8 +18,8 @@
         boolean isRunning();
 
         /**
-         * Counts a response. Returns whether the client that received it is to send a further
-         * request.
+         * Counts a response. Returns whether the client that received the response is to send a
+         * further request.
          */
         boolean onResponse();
     }
@@ -66,7 +66,7 @@
     public void requestWritten() {}
 
     /**
-     * @param response remains owned by the connection
+     * @param response the response, which remains owned by the connection
      */
     @Override
     public void responseCollected(FullHttpResponse response, boolean clean) {
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
@@ -16,15 +16,15 @@
 /** Creates the requests of the warm-up, cycling through the request classes and tenants. */
 final class WarmUpRequests {
 
-    /** Size of the bodies of requests and responses that have one. */
+    /** Size, in bytes, of the body of each request and response that has a body. */
     static final int BODY_BYTES = 256;
 
     /**
-     * Interval, in requests, between two requests whose timeout is so short that they are rejected.
+     * Of this number of requests, one has a timeout that is so short that the request is rejected.
      */
     private static final int REJECTED_EVERY = 8;
 
-    /** Timeout of a request whose deadline has passed when the request is read. */
+    /** Timeout that is so short that the deadline has passed when the request is read. */
     private static final long EXPIRED_TIMEOUT_MILLIS = 1;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -41,7 +41,7 @@
         idPrefix = Long.toHexString(new SplittableRandom(settings.seed()).nextLong()) + "-";
     }
 
-    /** Returns whether the request with this id belongs to the warm-up. */
+    /** Returns whether the request with the given id belongs to the warm-up. */
     boolean contains(String requestId) {
         return requestId.startsWith(idPrefix);
     }
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpService.java
@@ -48,8 +48,8 @@
             throws BadRequestException {
         String id = String.valueOf(http.headers().get(ProtocolHeaders.REQUEST_ID));
         if (!requests.contains(id)) {
-            // A real client has sent this request before the sidecar serves. The status is 502,
-            // because a 502 does not tell the client that a retry is safe.
+            // This request comes from a real client, but the sidecar does not serve yet. The status
+            // is 502, because a 502 does not tell the client that a retry is safe.
             client.respond(
                     HttpResponseStatus.BAD_GATEWAY,
                     new DefaultHttpHeaders(),
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -177,15 +177,15 @@
 
     /** Updates the state for input that has arrived; returns whether the input is decoded. */
     private boolean updateStateForInput() {
-        // The clock records the start of reading when it is first called in an iteration. It is
-        // called before the bytes are decoded because decoding in a cold process takes so long that
-        // the clock could not distinguish it from a sleep of the event loop.
+        // The clock records the start of reading when it is first called in an iteration. The clock
+        // is called here, before the bytes are decoded, because decoding in a cold process takes so
+        // long that the clock could not distinguish the decoding from a sleep of the event loop.
         listener.loopClock().earliestArrivalNanos();
         lastInputNanos = System.nanoTime();
         if (state == ClientConnectionState.IN_FLIGHT) {
-            // Clients send one request at a time. If the length of the current request is wrong,
-            // the further bytes may belong to that request. Therefore the current request is
-            // rejected.
+            // Clients send one request at a time. If the stated length of the current request is
+            // incorrect, the further bytes possibly belong to that request. Therefore the current
+            // request is rejected.
             reject(HttpResponseStatus.BAD_REQUEST, RequestReader.SEVERAL_REQUESTS);
         }
         if (state.isBetweenRequests() || state == ClientConnectionState.WRITING) {
@@ -251,8 +251,8 @@
     /**
      * Half-closes the connection if it is between requests, as RFC 9112, section 9.6, requires:
      * shuts down the output, then reads until the client closes too. A request that arrives after
-     * the half-close is not handled. Its client can tell from the end of the stream. Closing the
-     * socket at once would send a reset if there were unread bytes.
+     * the half-close is not handled. The client can tell this from the end of the stream. Closing
+     * the socket at once would send a reset if there were unread bytes.
      */
     void halfClose() {
         if (isStillBetweenRequests()) {
@@ -314,13 +314,14 @@
     }
 
     /**
-     * Returns the time since the later of two times: the last input, and the start of the state.
+     * Returns the time, in milliseconds, since the later of two events: the last input, and the
+     * change to the current state.
      */
     long millisWithoutInput() {
         return DownstreamListener.millisSince(Math.max(lastInputNanos, stateSinceNanos));
     }
 
-    /** Returns the time since the last response if the connection is idle, else 0. */
+    /** Returns the milliseconds since the last response if the connection is idle, else 0. */
     long idleMillis() {
         return state == ClientConnectionState.IDLE ? millisInState() : 0;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnectionState.java
@@ -7,7 +7,7 @@
  * The states of a client connection and their legal transitions.
  *
  * <p>Bytes from the client change {@link #ACCEPTED}, {@link #IDLE} and {@link #WRITING} to {@link
- * #READING_REQUEST}. They are expected in {@link #READING_BODY}, are rejected as a second request
+ * #READING_REQUEST}. Bytes are expected in {@link #READING_BODY}, are rejected as a second request
  * in {@link #IN_FLIGHT}, and are discarded in the states for which {@link #discardsInput} returns
  * true. The end of the client's output closes the connection in every state. In {@link #ACCEPTED}
  * and {@link #IDLE}, the shutdown, a timeout or the connection limit may close the connection,
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -63,8 +63,8 @@
     /**
      * Starts an exchange.
      *
-     * @param request the request; null if input is rejected that is not a valid request, in which
-     *     case the connection is closed after the response
+     * @param request the request; null if the exchange rejects input that is not a valid request;
+     *     the connection is then closed after the response
      */
     ClientExchange(ClientConnection connection, HttpRequest request) {
         this.connection = connection;
@@ -91,7 +91,8 @@
     }
 
     /**
-     * Returns whether a streamed response has been started. It can only be completed or aborted.
+     * Returns whether a streamed response has been started. A response that has been started can
+     * only be completed or aborted.
      */
     boolean isResponseStarted() {
         return responseFlow != null;
@@ -146,7 +147,10 @@
         }
     }
 
-    /** Forwards bytes of the body and takes ownership; returns false if the body is too large. */
+    /**
+     * Forwards bytes of the body and takes ownership of these bytes. Returns false if the body is
+     * too large.
+     */
     boolean forwardBody(ByteBuf bytes) {
         return upload.receive(bytes);
     }
@@ -264,7 +268,7 @@
 
     /** Resets the connection of a client that reads nothing; unsent data is discarded. */
     private void reset() {
-        // Makes abortResponse() send a reset.
+        // This value makes abortResponse() send a reset.
         endsByClose = true;
         abortResponse();
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientRequestDecoder.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientRequestDecoder.java
@@ -5,7 +5,7 @@
 
 /**
  * An HTTP request decoder that reports whether it holds a part of a further message. Bytes after a
- * request mean that the framing of the request is wrong or that another request follows.
+ * request mean that the framing of the request is invalid or that another request follows.
  */
 final class ClientRequestDecoder extends HttpRequestDecoder {
     private boolean messageStarted;
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
@@ -55,12 +55,12 @@
      * that has been in its state longest is evicted. If all connections are busy, new ones wait in
      * the kernel's accept queue.
      *
-     * <p>Below the limit, all waiting connections are accepted at once. Accepting one per event
-     * loop iteration is too slow if iterations are long (a cold JVM, no CPU time, a pause):
-     * requests then spend their time in the accept queue, where the balancer can neither reject
-     * them nor know their age, and each client that times out reconnects at the end of the queue.
-     * Drawback: a burst of connections takes its file descriptors at once. Therefore the limit has
-     * to be enforced here and not by the accept rate.
+     * <p>Below the limit, all waiting connections are accepted at once. Accepting one connection
+     * per event loop iteration is too slow if iterations are long (a cold JVM, no CPU time, a
+     * pause): requests then spend their time in the accept queue, where the balancer can neither
+     * reject them nor know their age, and each client that times out reconnects at the end of the
+     * queue. Drawback: a burst of connections takes its file descriptors at once. Therefore the
+     * limit has to be enforced here and not by the accept rate.
      */
     void adjustAccepting(Channel listening) {
         boolean hasCapacity = connections.size() < maxConnections || evictOne();
@@ -70,7 +70,9 @@
         listening.config().setAutoRead(hasCapacity);
     }
 
-    /** Evicts the connection with the highest rank; returns whether one has been closed. */
+    /**
+     * Evicts the connection with the highest eviction rank; returns whether one has been closed.
+     */
     private boolean evictOne() {
         ClientConnection victim = null;
         for (ClientConnection connection : connections) {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/DownstreamListener.java
@@ -17,9 +17,9 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * The listening socket of the sidecar and its client connections: accepts connections up to a limit
- * and closes them without losing a request. Not thread-safe: all methods are called on the event
- * loop.
+ * The listening socket of the sidecar and its client connections: accepts connections up to a
+ * limit, and closes connections without losing a request. Not thread-safe: all methods are called
+ * on the event loop.
  */
 public final class DownstreamListener {
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -53,7 +53,7 @@
         return draining;
     }
 
-    /** Records that a connection was accepted at this time of {@link System#nanoTime()}. */
+    /** Records that a connection was accepted at the given time of {@link System#nanoTime()}. */
     void connectionAccepted(long acceptedAtNanos) {
         lastAcceptedNanos = acceptedAtNanos;
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/IdleSweeper.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Enforces the time limits of client connections and closes surplus idle ones. It checks all
- * connections periodically instead of using a timer for each, since a flood of connections would
- * leave thousands of timers.
+ * Enforces the time limits of client connections and closes surplus idle connections. The sweeper
+ * checks all connections periodically instead of using a timer for each connection, because a flood
+ * of connections would leave thousands of timers.
  */
 final class IdleSweeper {
 
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestHandler.java
@@ -33,8 +33,9 @@
     }
 
     /**
-     * Handles a request whose body is streamed, when its head has been read. Unless this method
-     * throws, the handler sends one response through the client, during this call or later.
+     * Handles a request whose body is streamed. Called when the head of the request has been read.
+     * Unless this method throws, the handler sends one response through the client, during this
+     * call or later.
      *
      * @throws BadRequestException if the request violates the protocol; the caller sends the 400
      *     response
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -32,9 +32,7 @@
      */
     private static final long MAX_TRANSIT_MARGIN_MICROS = 20_000;
 
-    /**
-     * Divisor of the client's timeout; the quotient is a second upper bound of the transit margin.
-     */
+    /** The transit margin is at most the client's timeout divided by this number. */
     private static final int TRANSIT_MARGIN_DIVISOR = 10;
 
     private static final int MAX_REQUEST_ID_LENGTH = 128;
@@ -49,7 +47,7 @@
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Integer> tenantIndexes = new HashMap<>();
 
-    /** Creates a parser for the request classes and tenants of these settings. */
+    /** Creates a parser for the request classes and tenants of the given settings. */
     public RequestParser(BalancerSettings settings) {
         this.settings = settings;
         for (int i = 0; i < settings.classes().size(); i++) {
@@ -67,8 +65,8 @@
      * @param now the current time in microseconds
      * @param http the message, or its head if the body is streamed; its reference count does not
      *     change
-     * @param body the complete body, or null if it is streamed
-     * @param upload the body if it is streamed as it arrives, else null
+     * @param body the complete body; null if the body is streamed
+     * @param upload the streamed body; null if the body is not streamed
      * @param streaming the settings that say which bodies may be streamed
      * @param client the exchange that takes the response
      * @throws BadRequestException if the request violates the protocol
@@ -160,7 +158,7 @@
     /**
      * Checks the framing and the HTTP version. The decoder itself rejects a content length that is
      * malformed, repeated or combined with a transfer coding. The decoder accepts transfer codings
-     * other than chunked; these are rejected here.
+     * other than chunked; such transfer codings are rejected here.
      */
     private static void checkFraming(HttpRequest http) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -21,7 +21,8 @@
 /**
  * The last handler of a client connection. Passes complete requests and streamed bodies to the
  * {@link RequestHandler}. A request is handled only after everything that arrived with it has been
- * read. Bytes after a request mean that its framing is wrong or that another request follows.
+ * read. Bytes after a request mean that the framing of the request is invalid or that another
+ * request follows.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -31,7 +32,7 @@
     /** The body of the response if input follows a request before its response is complete. */
     static final String SEVERAL_REQUESTS = "more than one request";
 
-    /** The body of the response to a request body over its limit. */
+    /** The body of the response to a request body that is larger than allowed. */
     static final String BODY_TOO_LARGE = "the body is too large";
 
     private static final String HEALTH_CHECK_PATH = "/healthz";
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -19,14 +19,15 @@
 
 /**
  * Holds the connections to all endpoints. Selects the idle connection that an attempt is sent on,
- * decides whether a new one may be opened, and closes connections that have been idle for too long.
- * The pool never sends an attempt twice. Used on the event loop only.
+ * decides whether a new connection may be opened, and closes connections that have been idle for
+ * too long. The pool never sends an attempt twice. Used on the event loop only.
  */
 public final class ConnectionPool {
 
     /**
-     * Time after a response during which its connection is not reused, in microseconds. A duplicate
-     * of the response may arrive within this time and would be read as the next response.
+     * Time, in microseconds, after a response during which the connection is not reused. A
+     * duplicate of the response may arrive within this time and would be read as the response to
+     * the next request.
      */
     public static final long REUSE_DELAY_MICROS = 20_000;
 
@@ -68,7 +69,7 @@
 
     /**
      * Sets whether responses may be streamed after this call. If the setting changes, closes all
-     * idle connections, because the size of their socket reads fits the previous setting.
+     * idle connections, because the size of their socket reads was chosen for the previous setting.
      */
     public void setStreaming(boolean next) {
         if (streaming != next) {
@@ -95,8 +96,8 @@
     }
 
     /**
-     * Returns the endpoint that an entry describes. If the known endpoint with this id is another
-     * process or has another address, a new endpoint replaces it.
+     * Returns the endpoint that an entry describes. If the pool's endpoint with the same id is
+     * another process or has another address, a new endpoint replaces the pool's endpoint.
      */
     private PooledEndpoint endpointFor(EndpointList.Entry entry) {
         ListedEndpoint listed = entry.endpoint();
@@ -156,7 +157,10 @@
         }
     }
 
-    /** Closes the idle connections to the endpoint with this id, if the pool has one. */
+    /**
+     * Closes the idle connections to the endpoint with the given id, if the pool has such an
+     * endpoint.
+     */
     public void closeIdle(long endpointId) {
         PooledEndpoint endpoint = endpoints.get(endpointId);
         if (endpoint != null) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/PooledEndpoint.java
@@ -56,7 +56,10 @@
         return listed.id();
     }
 
-    /** Returns whether the entry of an endpoint list describes this process at this address. */
+    /**
+     * Returns whether the given entry of an endpoint list describes the same process at the same
+     * address.
+     */
     boolean matches(EndpointList.Entry entry) {
         return entry.address().equals(address)
                 && entry.endpoint().startMicros() == listed.startMicros();
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -222,7 +222,10 @@
         }
     }
 
-    /** Takes ownership of the part. */
+    /**
+     * Takes ownership of the part. Reports the part to the listener, or releases the part if the
+     * connection no longer carries an attempt.
+     */
     @Override
     public void responsePart(ByteBuf part) {
         if (attempt == null) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamRequests.java
@@ -34,7 +34,7 @@
         return new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers);
     }
 
-    /** Returns a request with its body, owned by the caller. */
+    /** Returns a request with its complete body. The caller owns the returned request. */
     static FullHttpRequest complete(ForwardedAttempt attempt, long nowMicros) {
         ProxiedRequest request = attempt.request;
         HttpHeaders headers = headers(attempt, nowMicros);
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamResponses.java
@@ -16,7 +16,10 @@
 
     private UpstreamResponses() {}
 
-    /** Returns the result of an attempt with this buffered response, owned by the caller. */
+    /**
+     * Returns the result of an attempt that received the given buffered response. The response
+     * remains owned by the caller.
+     */
     static AttemptResult result(FullHttpResponse response) {
         int status = response.status().code();
         if (status == HttpResponseStatus.OK.code()) {
@@ -31,9 +34,9 @@
     }
 
     /**
-     * Returns whether a response is valid although the upload has not been written completely. An
-     * endpoint may send an error response before it has received the whole upload, but cannot have
-     * served the request.
+     * Returns whether the response to a streamed upload is an error response. An endpoint may send
+     * an error response before it has received the whole upload. A response of any other status is
+     * not valid before that, because the endpoint cannot have served the request.
      */
     static boolean rejectsUpload(ForwardedAttempt attempt, FullHttpResponse response) {
         return attempt.request.upload != null
--- a/sidecar/src/main/java/sagefall/simulator/HostedBalancers.java
+++ b/sidecar/src/main/java/sagefall/simulator/HostedBalancers.java
@@ -20,7 +20,7 @@
 final class HostedBalancers implements BatchReader.Handler, MessageReader.InstanceValidator {
 
     /**
-     * Name that the writer gets for a group without an instance. Such a group causes no actions.
+     * Name passed to the writer for a group that names no instance. Such a group causes no actions.
      */
     private static final String NO_INSTANCE = "";
 
@@ -28,7 +28,10 @@
     private final MessageReader reader = new MessageReader();
     private final Map<String, LoadBalancer> balancers = new HashMap<>();
 
-    /** Endpoints of each table by the table's number; null for a table that was never sent. */
+    /**
+     * Endpoints of the tables. The index is the number of the table. An entry is null if its table
+     * was never sent.
+     */
     private final List<List<ListedEndpoint>> tables =
             new ArrayList<>(Collections.nCopies(MessageReader.TABLE_COUNT, null));
 
--- a/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
+++ b/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
@@ -19,20 +19,26 @@
         this.reason = reason;
     }
 
-    /** Reports a field that is missing or has a wrong type: {@code Call: 'type' is missing}. */
+    /**
+     * Reports a field that is missing or has a wrong type. The exception message has the form
+     * {@code Call: 'type' is missing}.
+     */
     static MalformedMessageException ofField(String operation, String field, String reason) {
         return new MalformedMessageException(
                 operation, field, reason, operation + ": '" + field + "' " + reason);
     }
 
-    /** Reports a value that is invalid in its operation: {@code Pool: unknown status 'x'}. */
+    /**
+     * Reports a value that is invalid in its operation. The exception message has the form {@code
+     * Pool: unknown status 'x'}.
+     */
     static MalformedMessageException ofOperation(String operation, String field, String reason) {
         return new MalformedMessageException(operation, field, reason, operation + ": " + reason);
     }
 
     /**
-     * Reports an error. The exception message is the reason without a prefix: {@code unknown
-     * verdict 'x'}.
+     * Reports an error. The exception message is the reason without a prefix, for example {@code
+     * unknown verdict 'x'}.
      */
     static MalformedMessageException ofReason(String operation, String field, String reason) {
         return new MalformedMessageException(operation, field, reason, reason);
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -29,7 +29,7 @@
 
     /**
      * Checks the instance of a message. The instance is checked before the message's fields, so if
-     * both are wrong, the error names the instance.
+     * both are invalid, the error names the instance.
      */
     interface InstanceValidator {
         /** Throws an exception unless the group names an instance. */
--- a/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
+++ b/sidecar/src/main/java/sagefall/streaming/BufferAccounting.java
@@ -1,16 +1,16 @@
 package sagefall.streaming;
 
 /**
- * Counts the bytes that all streams of this process have buffered, and their peak. The peak helps
- * to choose {@code max_buffered_bytes} in the section {@code streaming} of the extensions file.
- * Used on the event loop only.
+ * Counts the bytes that all streams of this process have buffered, and records the peak of this
+ * count. The peak helps to choose {@code max_buffered_bytes} in the section {@code streaming} of
+ * the extensions file. Used on the event loop only.
  */
 public final class BufferAccounting {
 
     private long bufferedBytes;
     private long peakBytes;
 
-    /** Adds this number of bytes to the count. A negative number reduces the count. */
+    /** Adds the given number of bytes to the count. A negative number reduces the count. */
     void add(long bytes) {
         bufferedBytes += bytes;
         peakBytes = Math.max(peakBytes, bufferedBytes);
--- a/sidecar/src/main/java/sagefall/streaming/FlowControl.java
+++ b/sidecar/src/main/java/sagefall/streaming/FlowControl.java
@@ -66,7 +66,10 @@
         this.source = source;
     }
 
-    /** Returns the bytes counted for a part, including overhead; the caller owns the part. */
+    /**
+     * Returns the number of bytes that are counted for a part, including the overhead. The part
+     * remains owned by the caller.
+     */
     public static int accountedBytes(ByteBuf part) {
         return part.readableBytes() + PART_OVERHEAD_BYTES;
     }
@@ -88,7 +91,7 @@
         return copy;
     }
 
-    /** Records that a part of this size has been received from the source. */
+    /** Records that a part of the given size has been received from the source. */
     public void bytesReceived(int accountedBytes) {
         sourceActiveNanos = System.nanoTime();
         if (pendingBytes == 0) {
@@ -99,7 +102,7 @@
         applyWatermarks();
     }
 
-    /** Records that the write of a part of this size to the sink has completed or failed. */
+    /** Records that the write of a part of the given size to the sink has completed or failed. */
     public void bytesWritten(int accountedBytes) {
         sinkActiveNanos = System.nanoTime();
         pendingBytes -= accountedBytes;
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -9,10 +9,10 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * The body of a request that is forwarded from a client to an endpoint as it arrives. The beginning
- * of the body is kept in a {@link ReplayBuffer}. As long as the body has not exceeded the limit of
- * this buffer, a retry can send the whole body to another endpoint. The client is read only while
- * an endpoint is attached. Used on the event loop only.
+ * A request body that is forwarded from a client to an endpoint while the body is still arriving.
+ * The beginning of the body is kept in a {@link ReplayBuffer}. As long as the body has not exceeded
+ * the limit of this buffer, a retry can send the whole body to another endpoint. The client is read
+ * only while an endpoint is attached. Used on the event loop only.
  */
 public final class StreamedUpload {
 
@@ -52,7 +52,7 @@
     /** The channel to the endpoint of the attempt in flight; null if no endpoint is attached. */
     private Channel sink;
 
-    /** Runs when the last byte has been written to the sink. */
+    /** Task that runs when the last byte has been written to the sink. */
     private Runnable onWritten;
 
     /**
@@ -116,7 +116,10 @@
         }
     }
 
-    /** Ends the body; the trailers are forwarded. */
+    /**
+     * Records that the last byte has been received. The given trailers are forwarded after the
+     * body.
+     */
     public void end(HttpHeaders forwardedTrailers) {
         if (state != State.RECEIVING) {
             return;
@@ -176,8 +179,8 @@
     }
 
     /**
-     * Returns whether bytes are pending and the endpoint has taken none for longer than the write
-     * stall limit.
+     * Returns whether an endpoint is attached, bytes are pending, and the endpoint has taken none
+     * of them for longer than the write stall limit. After {@link #close}, always false.
      */
     public boolean isEndpointStalled() {
         return state != State.CLOSED && sink != null && flow.isSinkStalled();
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -34,15 +34,15 @@
         long drainMillis) {
 
     /**
-     * Maximum lengths of the streamed bodies of a request class. A direction with a bound of 0 is
-     * not streamed.
+     * Maximum lengths of the streamed bodies of a request class. A bound of 0 means that bodies of
+     * that direction, request or response, are not streamed.
      *
      * @param maxRequestBytes maximum length of the body of a request
      * @param maxResponseBytes maximum length of the body of a response
      */
     public record Bounds(long maxRequestBytes, long maxResponseBytes) {}
 
-    /** The settings if the section is absent: nothing is streamed. */
+    /** The settings if the section {@code streaming} is absent. Nothing is streamed. */
     public static final StreamingSettings OFF =
             new StreamingSettings(Map.of(), 0, 0, 0, 0, 0, 0, 0);
 
@@ -60,7 +60,7 @@
     private static final long LONGEST_MILLIS = 3_600_000;
 
     /**
-     * Reads the section.
+     * Reads the settings from the given section {@code streaming}.
      *
      * @param requestClasses the request classes that the fleet's settings define
      * @throws ConfigException if a value is malformed or out of range
@@ -134,8 +134,9 @@
     }
 
     /**
-     * Rejects a buffer limit that is too small for one stream. The stream is an upload if any
-     * request class streams uploads; otherwise it is a response.
+     * Rejects a {@code max_buffered_bytes} that is too small for one stream. If any request class
+     * streams uploads, the limit must suffice for one upload. Otherwise, the limit must suffice for
+     * one response.
      */
     private void checkBufferHoldsOneStream(ConfigSection section) throws ConfigException {
         boolean uploads = classes.values().stream().anyMatch(b -> b.maxRequestBytes > 0);
--- a/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/DeployFilesTest.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * The emulator recompiles the files of this list, so the list has to contain the balancer
-     * without its API, and nothing else.
+     * The emulator recompiles the files of the policy list, so the policy list has to contain the
+     * balancer without its API, and nothing else.
      */
     @Test
     void policyListMatchesBalancerSourcesWithoutApi() throws IOException {
--- a/sidecar/src/test/java/sagefall/architecture/DocumentationTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/DocumentationTest.java
@@ -215,7 +215,7 @@
                 Class.forName(jdkPackage + type, false, null);
                 return true;
             } catch (ClassNotFoundException e) {
-                // Not in this package.
+                // The type is not in this JDK package.
             }
         }
         return false;
--- a/sidecar/src/test/java/sagefall/architecture/LayeringTest.java
+++ b/sidecar/src/test/java/sagefall/architecture/LayeringTest.java
@@ -23,7 +23,7 @@
     private static final String[] HOSTS = {"sagefall.proxy..", "sagefall.simulator.."};
 
     /**
-     * The balancer is a deterministic state machine, so it may not use the network, files or
+     * The balancer is a deterministic state machine, so it must not use the network, files or
      * concurrency.
      */
     @ArchTest
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -263,8 +263,7 @@
         for (int i = 0; i < 100; i++) {
             host.request("r" + i);
         }
-        // The 12 requests are 4 servers times 3 attempts, because each of the 4 servers has the
-        // initial concurrency limit of 3.
+        // Each of the 4 servers has the initial concurrency limit of 3, so 12 requests are sent.
         assertEquals(12, host.sent.size());
     }
 
@@ -423,8 +422,8 @@
         for (int i = 0; i < 100; i++) {
             host.request("b" + i);
         }
-        // The 12 requests are 4 servers times 3 attempts. Without a cut, the limit of each of the 4
-        // servers is at least the initial limit of 3. So at least 12 requests are sent at once.
+        // Without a cut, the concurrency limit of each of the 4 servers is at least the initial
+        // limit of 3, so at least 12 requests are sent at once.
         assertEquals(limitKept, host.sent.size() - before >= 12);
     }
 
--- a/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/sagefall/config/SidecarConfigTest.java
@@ -25,8 +25,8 @@
     @TempDir Path folder;
 
     /**
-     * A third of the descriptors is for client connections with an open request, each of which may
-     * need a connection to an endpoint.
+     * A third of the descriptors is for client connections with an open request. Each open request
+     * may need a second descriptor for a connection to an endpoint.
      */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
--- a/sidecar/src/test/java/sagefall/http/HttpConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/http/HttpConnectionStateTest.java
@@ -14,7 +14,7 @@
 /** Tests the states of an outgoing HTTP connection and their transitions. */
 class HttpConnectionStateTest {
 
-    /** All states that each state can change to. */
+    /** Maps each state to all states that may directly follow that state. */
     private static final Map<HttpConnectionState, Set<HttpConnectionState>> SUCCESSORS =
             Map.of(
                     HttpConnectionState.CONNECTING,
--- a/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/DirectoryLeaseStoreTest.java
@@ -30,8 +30,9 @@
     private static final int BOOTS = 3;
 
     /**
-     * Loses the power at a given storage call of the first boot and of the second boot, for each
-     * call that the use of a term makes. The unforced writes that survive are chosen at random.
+     * In each run, the power is lost after N storage calls of the first boot and again after N
+     * storage calls of the second boot. The runs cover each number N of calls that the use of a
+     * term can make. The unforced writes that survive are chosen at random.
      */
     @Test
     void termGrantedBeforePowerLossIsNotGrantedAgain() throws IOException {
--- a/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
+++ b/sidecar/src/test/java/sagefall/leaderelection/LeaseModel.java
@@ -118,7 +118,7 @@
         candidate.restart(processName, store, new LeaseStateMachine(timings, processName, now));
     }
 
-    /** Advances the clock and lets a random candidate take a step unless it is busy. */
+    /** Advances the clock and lets a random candidate take a step unless the candidate is busy. */
     private void step() throws IOException {
         now += randomStepNanos();
         LeaseCandidate candidate = candidates.get(random.nextInt(candidates.size()));
--- a/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
+++ b/sidecar/src/test/java/sagefall/persistence/LossyStorage.java
@@ -12,15 +12,15 @@
 /**
  * Simulates in memory a directory that loses power at a given call. The unforced bytes of a file
  * may survive, be lost, or be truncated at any byte. An unforced change of a name may survive or be
- * lost. Chance decides for each file and each name independently. Calls that change or force the
- * directory or a file are counted; reading calls are not.
+ * lost. The outcome is chosen at random, independently for each file and each name. Calls that
+ * change or force the directory or a file are counted; reading calls are not.
  */
 public final class LossyStorage implements Storage {
 
     /** Mask that corrupts a byte. The corrupt byte simulates a byte that did not reach the disk. */
     private static final int HOLE_MASK = 0x5a;
 
-    /** Average number of files with surviving unforced bytes for each file with a corrupt byte. */
+    /** On average, one of this many files with surviving unforced bytes has a corrupt byte. */
     private static final int FILES_PER_HOLE = 3;
 
     /** Thrown by the call during which the power is lost, and by all later calls. */
@@ -118,8 +118,8 @@
         int unforced = bytes.length - content.forcedBytes;
         int survivingUnforced = unforced == 0 ? 0 : random.nextInt(unforced + 1);
         byte[] surviving = Arrays.copyOf(bytes, content.forcedBytes + survivingUnforced);
-        // The pages of a file reach the disk in any order, so the surviving unforced bytes may have
-        // a hole.
+        // The pages of a file reach the disk in any order, so a page between the surviving unforced
+        // bytes may be missing. The corrupt byte simulates such a page.
         boolean hasHole = random.nextInt(FILES_PER_HOLE) == 0;
         if (hasHole && survivingUnforced > 0) {
             int hole = content.forcedBytes + random.nextInt(survivingUnforced);
@@ -128,7 +128,7 @@
         return surviving;
     }
 
-    /** Stores a file with this content and forces it, without counting a call. */
+    /** Stores a file with the given content and forces it, without counting a call. */
     void put(String file, byte[] bytes) {
         Content content = Content.allForced(bytes);
         files.put(file, content);
--- a/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/SnapshotStoreTest.java
@@ -21,7 +21,8 @@
 
 /**
  * Checks that {@link SnapshotStore} persists changes after the disk was slow, full or missing, that
- * a locked directory is not used, and that a snapshot with a wrong age is not fresh.
+ * a locked directory is not used, and that a snapshot is not fresh if its age is negative or above
+ * the maximum.
  */
 @Timeout(120)
 class SnapshotStoreTest {
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -17,7 +17,7 @@
 /** Tests requests that wait unread because the event loop is busy or gets too little CPU time. */
 class LateEventLoopTest extends SocketTest {
 
-    /** The kind of connection on which a request waits while the loop is busy. */
+    /** The kind of connection on which a request waits while the event loop is busy. */
     private enum Place {
         /** A connection on which an earlier request has completed. */
         ON_AN_IDLE_CONNECTION,
@@ -111,8 +111,8 @@
         SidecarHarness harness = harness().start((settings, actions) -> balancer);
         List<TestClient> others = List.of(harness.client(), harness.client());
         for (TestClient other : others) {
-            // After the response, the sidecar has accepted the connection. One iteration can then
-            // read the requests of both connections.
+            // The response shows that the sidecar has accepted the connection. The event loop can
+            // therefore read the later requests of both connections in one iteration.
             other.healthCheck().readResponse();
         }
         TestClient client = harness.client().search(500);
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -61,7 +61,7 @@
 
     /**
      * Guards against a fault in which bytes that directly followed a response, for example a second
-     * response, were taken for the response to the next request.
+     * response, were treated as the response to the next request.
      */
     @ParameterizedTest
     @ValueSource(
@@ -107,7 +107,7 @@
         assertEquals("ok", sidecar(server).client().book("x", 2_000).readResponse().body());
     }
 
-    /** The end of each of these requests is ambiguous, so the sidecar must not forward them. */
+    /** The end of each given request is ambiguous, so the sidecar must not forward the request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -37,7 +37,7 @@
 /** Tests race conditions. Each test forces one order of concurrent events. */
 class RaceConditionTest extends SocketTest {
 
-    /** Blocks the calling event loop for the duration, which simulates a slow iteration. */
+    /** Blocks the calling event loop for the given duration to simulate a slow iteration. */
     private static void stall(long millis) {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < deadline) {
@@ -47,7 +47,10 @@
 
     // ---- Endpoint lists
 
-    /** Assumed milliseconds from the connection attempt of a discovery request to its response. */
+    /**
+     * Assumed time in milliseconds from the connection attempt of a discovery request to its
+     * response.
+     */
     private static final long RESPONSE_MILLIS = 250;
 
     /** Records the events that a discovery client reports, each as a short text. */
@@ -71,7 +74,8 @@
 
     /**
      * Guards against a fault in which the first discovery request after a failure had the long hold
-     * time of a watch. If the discovery service was still silent, the sidecar detected this late.
+     * time of a watch. If the discovery service was still silent, the sidecar detected the silence
+     * late.
      */
     @Test
     void firstDiscoveryRequestAfterTimeoutHasMinimalHoldTime() throws Exception {
@@ -107,10 +111,9 @@
     }
 
     /**
-     * The sidecar is treated as notified of an endpoint list change 6 s after the change. Within
-     * these 6 s, the sidecar detects that a discovery request is lost. After a backoff, it sends a
-     * second request and detects that the second request is lost. After another backoff, it sends a
-     * third request and receives the response.
+     * The sidecar must know of a change of the endpoint list within 6 s. Two discovery requests may
+     * be lost in this time: the sidecar must detect each loss, back off, and receive the response
+     * to the third request.
      */
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
@@ -123,8 +126,9 @@
     }
 
     /**
-     * The sidecar is treated as notified of an agent's endpoint list from the moment at which the
-     * sidecar starts. The sidecar therefore accepts clients only after the agent's first response.
+     * If discovery is an agent, the agent's endpoint list must apply to all requests after the
+     * start of the sidecar. The sidecar therefore accepts clients only after the agent's first
+     * response.
      */
     @Test
     void clientsAreAcceptedOnlyAfterFirstEndpointListOfAgent() throws Exception {
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
@@ -34,7 +34,10 @@
         this.actions = actions;
     }
 
-    /** Returns the text that the balancer records for an endpoint list with this many entries. */
+    /**
+     * Returns the text that the balancer records for an endpoint list with the given number of
+     * entries.
+     */
     static String listOf(int entries) {
         return "list of " + entries;
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -82,13 +82,13 @@
     /** Address that the sidecar listens on; null before the sidecar is started. */
     InetSocketAddress address;
 
-    /** Creates a harness whose configuration lists these servers as in service. */
+    /** Creates a harness whose configuration lists the given servers as in service. */
     SidecarHarness(Path folder, ScriptedPeer... servers) throws Exception {
         this(folder, DEFAULT_CONNECT_MICROS, DEFAULT_SOCKETS, servers);
     }
 
     /**
-     * Creates a harness whose configuration lists these servers as in service.
+     * Creates a harness whose configuration lists the given servers as in service.
      *
      * @param folder directory for the configuration files
      * @param connectMicros timeout in microseconds for connecting to a server
@@ -99,7 +99,7 @@
         this(folder, connectMicros, sockets, portsOf(servers));
     }
 
-    /** Creates a harness whose configuration lists servers on these ports as in service. */
+    /** Creates a harness whose configuration lists servers on the given ports as in service. */
     SidecarHarness(Path folder, List<Integer> ports) throws Exception {
         this(folder, DEFAULT_CONNECT_MICROS, DEFAULT_SOCKETS, ports);
     }
@@ -136,13 +136,13 @@
      * Returns an endpoint list in discovery's JSON format, with single quotes.
      *
      * @param all whether the list is complete; if false, the list contains only changes
-     * @param state state of all these servers, for example {@code in_service}
+     * @param state state of all given servers, for example {@code in_service}
      */
     public static String list(int revision, boolean all, String state, ScriptedPeer... servers) {
         return list(revision, all, state, portsOf(servers));
     }
 
-    /** Returns an endpoint list, with single quotes, of servers on these ports. */
+    /** Returns an endpoint list, with single quotes, of servers on the given ports. */
     static String list(int revision, boolean all, String state, List<Integer> ports) {
         String targets =
                 ports.stream().map(port -> target(port, state)).collect(Collectors.joining(","));
@@ -194,7 +194,9 @@
         return start(DefaultLoadBalancer::new);
     }
 
-    /** Starts the sidecar with a load balancer from this factory and waits until it listens. */
+    /**
+     * Starts the sidecar with a load balancer from the given factory and waits until it listens.
+     */
     SidecarHarness start(
             BiFunction<BalancerSettings, BalancerActions, LoadBalancer> balancerFactory)
             throws Exception {
@@ -232,16 +234,17 @@
     }
 
     /**
-     * Responds to the sidecar's discovery requests with this list until the sidecar has read the
-     * list. The revision in the sidecar's next discovery request shows that it has.
+     * Responds to the sidecar's discovery requests with the given list until the sidecar has read
+     * the list. The revision in the sidecar's next discovery request shows that the sidecar has
+     * read the list.
      */
     void publishEndpoints(int revision, String quotedList) throws InterruptedException {
         publishEndpoints(discovery, revision, quotedList);
     }
 
     /**
-     * Responds to the sidecar's requests to the given discovery service with this list until the
-     * sidecar has read the list.
+     * Responds to the sidecar's requests to the given discovery service with the given list until
+     * the sidecar has read the list.
      */
     static void publishEndpoints(ScriptedPeer discovery, int revision, String quotedList)
             throws InterruptedException {
@@ -266,7 +269,7 @@
         loop.submit(() -> {}).get(AWAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits until the event loop has run a task that is scheduled with this delay. */
+    /** Waits until the event loop has run a task that is scheduled with the given delay. */
     void awaitLoop(long micros) throws Exception {
         loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).get();
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProcessTest.java
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Guards against a limit of 1 MiB on the size of an endpoint list, which an earlier version
-     * had. The list of this test exceeds 1 MiB: it is indented, and its names have 253 characters,
-     * which is the maximum length of a domain name.
+     * An earlier version limited the size of an endpoint list to 1 MiB. The list of this test
+     * exceeds 1 MiB: it is indented, and its names have 253 characters, which is the maximum length
+     * of a domain name.
      */
     @Test
     void listOf1024EndpointsIsReadWithinMemoryLimitsOfRunCommand() throws Exception {
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
@@ -104,7 +104,7 @@
         Assertions.assertEquals(0, new ProcessBuilder("sh", "-c", kill).start().waitFor());
     }
 
-    /** Returns whether the process is still running after the duration. */
+    /** Returns whether the process is still running after the given duration. */
     boolean keepsRunningFor(long millis) throws InterruptedException {
         return !process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
--- a/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarServerTest.java
@@ -60,7 +60,9 @@
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
-    /** The request is not idempotent and may have run when each of these responses arrives. */
+    /**
+     * The request is not idempotent and has possibly run when one of the given responses arrives.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -371,7 +373,8 @@
 
     /**
      * If all connections have a request in flight, a new client waits. When a request completes,
-     * the sidecar closes its connection and accepts the connection of a waiting client.
+     * the sidecar closes the connection of the completed request and accepts the connection of a
+     * waiting client.
      */
     @Test
     void clientBeyondTheLimitIsAcceptedAfterAResponse() throws Exception {
--- a/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SlowPeriodTest.java
@@ -8,7 +8,7 @@
 class SlowPeriodTest extends SocketTest {
 
     /**
-     * Guards against a fault in which slow first responses were taken for slow connection set-ups.
+     * Guards against a fault in which slow first responses were treated as slow connection set-ups.
      * The sidecar then opened no connection to endpoints that it had no connection to, for example
      * endpoints started by a release. Only a new connection could have shown that set-ups were fast
      * again.
--- a/sidecar/src/test/java/sagefall/proxy/SocketTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/SocketTest.java
@@ -38,7 +38,9 @@
         return closeAfterTest(new ScriptedPeer(script));
     }
 
-    /** Creates a sidecar that has these servers as its endpoints, without starting the sidecar. */
+    /**
+     * Creates a sidecar that has the given servers as its endpoints, without starting the sidecar.
+     */
     final SidecarHarness harness(ScriptedPeer... servers) throws Exception {
         return closeAfterTest(new SidecarHarness(folder, servers));
     }
@@ -48,7 +50,7 @@
         return closeAfterTest(new SidecarHarness(folder, 250_000, 128, servers));
     }
 
-    /** Starts a sidecar with these servers as its endpoints. */
+    /** Starts a sidecar with the given servers as its endpoints. */
     final SidecarHarness sidecar(ScriptedPeer... servers) throws Exception {
         return harness(servers).start();
     }
--- a/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedResponseTest.java
@@ -59,7 +59,7 @@
         assertEquals("a", new String(client.chunk(), UTF_8));
         try (RawConnection other = connect()) {
             // The server does not respond to this request. The request has a timeout of 400 ms.
-            // When it fails, the timeout of the first request, 300 ms, has passed.
+            // When this request fails, the timeout of the first request, 300 ms, has passed.
             other.write(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
@@ -188,8 +188,8 @@
     }
 
     /**
-     * No byte of these responses is forwarded. Responses of the request class {@code book} are not
-     * streamed.
+     * No byte of a response with an invalid framing or length is forwarded, whether its request
+     * class is streamed ({@code export}) or not ({@code book}).
      */
     @ParameterizedTest
     @CsvSource(
--- a/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/StreamedUploadTest.java
@@ -68,9 +68,9 @@
         RawConnection upstream = acceptRequest();
         upstream.chunk();
         try (RawConnection other = connect()) {
-            // The server does not respond to this request. The request has a timeout of
-            // 400 ms. When it fails, the upload's timeout of 300 ms has passed since the first byte
-            // of the upload.
+            // The server does not respond to this request. The request has a timeout of 400 ms.
+            // When this request fails, the upload's timeout of 300 ms has passed since the first
+            // byte of the upload.
             other.write(TestClient.head("GET", "/search/k1", 400, "", 0));
             acceptRequest();
             assertTrue(other.head().startLine().startsWith("HTTP/1.1 50"));
--- a/sidecar/src/test/java/sagefall/proxy/upstream/UpstreamConnectionStateTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/upstream/UpstreamConnectionStateTest.java
@@ -12,7 +12,7 @@
 /** Checks that a connection to an endpoint allows exactly the legal state transitions. */
 class UpstreamConnectionStateTest {
 
-    /** All states that each state can change to. */
+    /** Maps each state to all states that may directly follow that state. */
     private static final Map<State, Set<State>> SUCCESSORS =
             Map.of(
                     State.CONNECTING,
--- a/testbed/src/main/java/sagefall/cli/CompareCommand.java
+++ b/testbed/src/main/java/sagefall/cli/CompareCommand.java
@@ -27,8 +27,8 @@
 final class CompareCommand implements Callable<Integer> {
 
     /**
-     * Exclusive minimum share of the offered value that a cause of loss must have to be printed.
-     * The share must exceed this minimum for at least one of the two policies.
+     * A cause of loss is printed only if its share of the offered value exceeds this number for at
+     * least one of the two policies.
      */
     private static final double MIN_PRINTED_SHARE = 0.001;
 
--- a/testbed/src/main/java/sagefall/cli/ExitStatus.java
+++ b/testbed/src/main/java/sagefall/cli/ExitStatus.java
@@ -9,7 +9,7 @@
     /** An invariant was violated, or the command failed. */
     static final int FAILED = 1;
 
-    /** A command, an option, a scenario, a policy or a file is wrong. */
+    /** A command, an option, a scenario, a policy or a file is invalid. */
     static final int USAGE = 2;
 
     private ExitStatus() {}
--- a/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
+++ b/testbed/src/main/java/sagefall/cli/FaultInjectionOptions.java
@@ -18,8 +18,8 @@
 final class FaultInjectionOptions {
 
     /**
-     * Line that marks a scenario with a fleet that is small enough for one machine. If a scenario
-     * lacks this line, its fleet is replaced by {@link RunPlan#ONE_MACHINE_FLEET}.
+     * A scenario with this line has a fleet that is small enough for one machine. In a scenario
+     * without this line, the fleet is replaced by {@link RunPlan#ONE_MACHINE_FLEET}.
      */
     private static final String ONE_MACHINE_MARKER = "sidecars = 12";
 
--- a/testbed/src/main/java/sagefall/cli/RankCommand.java
+++ b/testbed/src/main/java/sagefall/cli/RankCommand.java
@@ -22,8 +22,8 @@
 import sagefall.scenario.ScenarioException;
 
 /**
- * {@code sagefall rank}: compares the order of builds by goal value in the emulator with their
- * order on the operators' bench.
+ * {@code sagefall rank}: orders builds by their goal value in the emulator, and compares this order
+ * with the order of the builds on the operators' bench.
  */
 @Command(
         name = "rank",
--- a/testbed/src/main/java/sagefall/cli/RenamedWords.java
+++ b/testbed/src/main/java/sagefall/cli/RenamedWords.java
@@ -14,7 +14,7 @@
     /**
      * Maps each old command to the new command. A command is given as the words that follow {@code
      * ./sagefall}. The new command is empty if the subcommands of the old command have become
-     * commands.
+     * commands of their own.
      */
     static final Map<String, String> COMMANDS = new LinkedHashMap<>();
 
--- a/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
+++ b/testbed/src/main/java/sagefall/emulator/ArrivalProcess.java
@@ -39,9 +39,9 @@
     /**
      * Returns the number of arrivals per microsecond at the given time.
      *
-     * @param weightFactor factor of the rate that results from the traffic factors of zones and
-     *     tenants
-     * @param rateFactor factor of the rate of all arrivals
+     * @param weightFactor factor by which the traffic factors of all zones and tenants together
+     *     multiply the rate; 1 without faults
+     * @param rateFactor factor by which a traffic burst multiplies the rate; 1 without faults
      */
     double rate(long nowMicros, double weightFactor, double rateFactor) {
         double phase = 2 * Math.PI * (nowMicros - EventQueue.START_MICROS) / periodMicros;
--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -4,7 +4,7 @@
  * An operation of a client. An operation consists of a first request and the client's retries. The
  * operation ends when one of these requests is served or when the client abandons the operation.
  * All random values are drawn when the operation arrives, so no decision of a load balancer changes
- * them.
+ * these values.
  */
 public final class ClientOperation {
 
@@ -69,9 +69,9 @@
     boolean finished;
 
     /**
-     * Time at which the operation was last executed in each zone. The deduplication window of the
-     * zone starts at this time. The time is 0 if no server of the zone executed the operation, or
-     * if requests have no idempotency key.
+     * Time at which the operation was last executed, by zone. The deduplication window of the zone
+     * starts at that time. The element of a zone is 0 if no server of the zone executed the
+     * operation, or if requests have no idempotency key.
      */
     final long[] executedAtByZone;
 
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -29,8 +29,8 @@
             EmulatedNetwork network) {}
 
     /**
-     * Exclusive upper bound of the time from the arrival of an operation to a retry, as a multiple
-     * of the latency target.
+     * A client makes a retry only if the time from the arrival of the operation to the retry is
+     * less than this multiple of the latency target.
      */
     private static final int RETRY_WINDOW_LATENCY_TARGETS = 2;
 
@@ -60,28 +60,30 @@
     private final OperationGenerator operations;
     private long requestsSent;
 
-    /** Factor of the rate of all arrivals; 1 without faults. */
+    /** Factor by which the arrival rate is multiplied; 1 without faults. */
     public double rateFactor = 1;
 
     /**
-     * Factor of the arrival rate of each zone. Changes take effect when {@link #updateWeights()} is
-     * called.
+     * Factors by which the traffic is multiplied, by zone; 1 without faults. Changes take effect
+     * when {@link #updateWeights()} is called.
      */
     public final double[] zoneFactors;
 
     /**
-     * Factor of the arrival rate of each tenant. Changes take effect when {@link #updateWeights()}
-     * is called.
+     * Factors by which the traffic is multiplied, by tenant; 1 without faults. Changes take effect
+     * when {@link #updateWeights()} is called.
      */
     public final double[] tenantFactors;
 
-    /** Share of the requests whose client disconnects before its attempt timeout. */
+    /**
+     * Share of the requests during which the client disconnects before its timeout for the request.
+     */
     public double disconnectShare;
 
     /**
-     * Maximum number of immediate retries of an operation. Clients make these retries without a
-     * delay and ignore Retry-After. If the number is 0, the configured number of retries and the
-     * configured delay apply.
+     * Maximum number of immediate retries of an operation. A client makes an immediate retry
+     * without a delay and ignores Retry-After. If the maximum is 0, the configured number of
+     * retries and the configured delay apply.
      */
     public int immediateRetries;
 
@@ -136,9 +138,9 @@
         operations.weights().update();
     }
 
-    // Arrivals.
+    // ---- Arrivals of operations
 
-    /** Starts the arrivals. */
+    /** Schedules the first arrival. Each arrival schedules the next one. */
     public void start() {
         scheduleNextArrival();
     }
@@ -165,7 +167,7 @@
         sendRequest(operation);
     }
 
-    // Requests.
+    // ---- Requests to sidecars
 
     private void sendRequest(ClientOperation operation) {
         operation.requestCount++;
@@ -210,8 +212,8 @@
 
     /**
      * Returns the preferred sidecar. If that sidecar drains, returns the next sidecar of the zone
-     * that does not drain. The reason is that a planned restart of a sidecar also restarts the
-     * client process beside the sidecar.
+     * that does not drain. This models that a planned restart of a sidecar also restarts the client
+     * process beside the sidecar.
      */
     private SidecarHandle sidecarFor(SidecarHandle preferred) {
         SidecarHandle sidecar = preferred;
@@ -221,7 +223,7 @@
         return sidecar;
     }
 
-    // Responses.
+    // ---- Responses to clients
 
     /**
      * Delivers the final response of a request to its client.
--- a/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
@@ -10,7 +10,7 @@
     final ClientRequest request;
     final EmulatedSidecar sidecar;
 
-    /** Incarnation of the sidecar that made the attempt. Later ones ignore the outcome. */
+    /** Incarnation of the sidecar that made the attempt. Later incarnations ignore the outcome. */
     final int incarnation;
 
     /** Number of the attempt among the attempts of the request, from 0. */
@@ -52,7 +52,10 @@
         return result == null;
     }
 
-    /** Returns whether, as far as the sidecar knows, the server may have executed the request. */
+    /**
+     * Returns whether the server has possibly executed the request. This is the case unless the
+     * result of the attempt proves that the request was not executed.
+     */
     boolean mayHaveExecuted() {
         return result == null || !result.provesNotExecuted;
     }
@@ -62,7 +65,7 @@
         this.result = result;
     }
 
-    /** Returns whether the sidecar and the server are in one zone. */
+    /** Returns whether the sidecar and the server are in the same zone. */
     boolean isWithinZone() {
         return sidecar.zone() == server.zone;
     }
--- a/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedDiscovery.java
@@ -25,7 +25,10 @@
     /** Assumed maximum time from the publication of a list to its delivery to all sidecars. */
     private static final long DELIVERY_MARGIN_MICROS = 1_000_000;
 
-    /** Ratio of the delivery time of a pushed list to the delivery time of a requested list. */
+    /**
+     * The delivery of a requested list takes the delivery time of a pushed list divided by this
+     * number.
+     */
     private static final int REQUEST_SPEEDUP = 4;
 
     private final EventQueue events;
@@ -44,7 +47,10 @@
     /** Number of active faults that suppress updates, by sidecar. */
     private final int[] suppressions;
 
-    /** Factor of the delays of detection, registration and pushed lists; 1 without faults. */
+    /**
+     * Factor by which the delays of detection, registration and pushed lists are multiplied; 1
+     * without faults.
+     */
     public double delayFactor = 1;
 
     /** Number of active faults that stop discovery. */
--- a/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedFleet.java
@@ -21,7 +21,8 @@
 
     /**
      * Minimum share of informed requests at which the overload of a cold server is treated as a
-     * defect of the policy. A request is informed if its sidecar knew that the server was new.
+     * defect of the policy. A request is informed if the sidecar that sent it had received an
+     * endpoint list with the start time of the server process.
      */
     private static final double MIN_INFORMED_SHARE_OF_BREACH = 2.0 / 3;
 
@@ -90,8 +91,8 @@
     }
 
     /**
-     * Starts discovery and all sidecars. Also schedules the regular pauses of servers, which happen
-     * without faults as well.
+     * Starts discovery and all sidecars. Also schedules the pauses that servers make even without
+     * faults.
      */
     void start() {
         discovery.initialize(initialServers());
@@ -126,7 +127,7 @@
         return servers.get(id);
     }
 
-    // Servers.
+    // ---- Starts, stops and replacements of servers
 
     /** Stops a server if it runs. {@link #startServer} can restart it. */
     void stopServer(EmulatedServer server, boolean silently) {
@@ -207,7 +208,7 @@
         }
     }
 
-    // Sidecars.
+    // ---- Starts and stops of sidecars
 
     private void startSidecar(EmulatedSidecar sidecar) {
         sidecar.start(discovery.endpointList());
@@ -215,7 +216,8 @@
     }
 
     /**
-     * Kills a sidecar. A new process starts after the given time plus a randomly drawn start time.
+     * Kills a sidecar. A new process is ready after the given delay plus a randomly drawn start
+     * time.
      */
     void killSidecar(EmulatedSidecar sidecar, long downMicros) {
         if (!sidecar.isUp()) {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -66,7 +66,7 @@
     /** Number of open connections. */
     public int connections;
 
-    /** Factor of the execution time of each request; 1 without faults. */
+    /** Factor by which the execution time of each request is multiplied; 1 without faults. */
     public double slowdown = 1;
 
     /** Share of the capacity that a noisy neighbour takes. */
@@ -79,7 +79,8 @@
     public int activePauses;
 
     /**
-     * Creates a server that is up and warm. {@link #start()} replaces the process by a cold one.
+     * Creates a server that is up and warm. {@link #start()} replaces the server process by a cold
+     * process.
      */
     public EmulatedServer(
             ServerIdentity identity,
@@ -118,7 +119,7 @@
         slowStartBudget = budget;
     }
 
-    // Capacity.
+    // ---- Capacity and accepted work
 
     /** Returns the work that a core completes per microsecond at present. */
     private double currentRate() {
@@ -130,8 +131,8 @@
                 Math.max(0, requests / spec.cores() - spec.contentionThreshold());
         double connectionShare = Math.min(1, connections / (double) spec.maxConnections());
         double connectionFactor = 1 - spec.connectionTableCost() * connectionShare;
-        // During warm-up the executor recomputes the rate at least once per step. The rate is
-        // therefore based on the capacity in the middle of the step.
+        // During warm-up the executor recomputes the rate at least once per WARM_UP_STEP_MICROS.
+        // The rate is therefore based on the capacity in the middle of that step.
         return spec.speed()
                 * capacityShareAt(events.now() + JobExecutor.WARM_UP_STEP_MICROS / 2)
                 * (1 - stolenShare)
@@ -161,7 +162,7 @@
         return executor.size();
     }
 
-    // Work.
+    // ---- Acceptance of requests
 
     /**
      * Accepts or rejects a request that has arrived, and returns whether the server accepts it. If
@@ -196,8 +197,8 @@
     }
 
     /**
-     * Returns the factor by which caching changes the work of a request with the key, and caches
-     * the key.
+     * Caches the key of a request, and returns the factor by which the work of the request is
+     * multiplied. The factor is 1 unless the key was already cached.
      */
     public double workFactorForKey(long key) {
         return recentKeys.workFactor(key, events.now());
@@ -216,7 +217,7 @@
         return reports.report(events.now());
     }
 
-    // Process.
+    // ---- Starts and stops of the server process
 
     /** Returns whether the process accepts requests or completes accepted ones. */
     boolean isRunning() {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedSidecar.java
@@ -80,12 +80,18 @@
         return environment.events();
     }
 
-    /** Returns what this process knows of a server; null if no list contained the server. */
+    /**
+     * Returns what the current process has received about a server; null if no list contained the
+     * server.
+     */
     EndpointView.Knowledge knowledgeOf(long server) {
         return endpoints.of(server);
     }
 
-    /** Returns whether the current process knows the time at which the server was last started. */
+    /**
+     * Returns whether the current process has received the start time of the current server
+     * process.
+     */
     boolean knowsStart(EmulatedServer server) {
         EndpointView.Knowledge known = endpoints.of(server.id);
         return known != null && known.startMicros() == server.startedAtMicros;
@@ -115,7 +121,7 @@
         draining = true;
     }
 
-    /** Kills the process, closes its connections and returns the requests that were open. */
+    /** Kills the process, closes its connections and returns its open requests. */
     List<ClientRequest> kill() {
         List<ClientRequest> aborted = new ArrayList<>(openRequests.values());
         up = false;
@@ -133,7 +139,7 @@
         return aborted;
     }
 
-    // Events for the load balancer.
+    // ---- Events for the load balancer
 
     @Override
     public void onEndpointList(EndpointListKind kind, List<ListedEndpoint> list) {
@@ -231,7 +237,7 @@
         removeIfDone(request);
     }
 
-    // Used by the load balancer's actions.
+    // ---- Methods that the load balancer's actions use
 
     /** Returns the open request with the id; null if no open request has the id. */
     ClientRequest openRequest(String requestId) {
@@ -267,7 +273,10 @@
         scheduleAt(events().now() + micros, action);
     }
 
-    /** Schedules an action at a time. The action is dropped if the process has exited by then. */
+    /**
+     * Schedules an action for the given time. The action is dropped if the process has exited by
+     * then.
+     */
     void scheduleAt(long atMicros, Runnable action) {
         int scheduledBy = incarnation;
         Runnable guarded =
--- a/testbed/src/main/java/sagefall/emulator/EndpointView.java
+++ b/testbed/src/main/java/sagefall/emulator/EndpointView.java
@@ -10,15 +10,15 @@
 
 /**
  * Records the endpoint lists that one sidecar has received. The current list survives a restart of
- * the process. For the checks of invariants, the view also records what the current process knows
- * of each server. A restart clears this knowledge.
+ * the process. For the checks of invariants, the view also records what the current process has
+ * received about each server. A restart of the process clears this record.
  */
 final class EndpointView {
 
     private static final long AVAILABLE = 0;
 
     /**
-     * What the current process of the sidecar knows of a server.
+     * What the current process of the sidecar has received about a server.
      *
      * @param startMicros listed start time of the server
      * @param unavailableSinceMicros time at which the server was first listed as draining or
@@ -34,12 +34,15 @@
     private final Map<Long, Knowledge> knowledge = new HashMap<>();
     private final Map<Long, ListedEndpoint> current = new HashMap<>();
 
-    /** Clears what the previous process of the sidecar knew of the servers. */
+    /** Clears what the previous process of the sidecar had received about the servers. */
     void clearKnowledge() {
         knowledge.clear();
     }
 
-    /** Returns what the current process knows of a server; null if no list contained the server. */
+    /**
+     * Returns what the current process has received about a server; null if no list contained the
+     * server.
+     */
     Knowledge of(long serverId) {
         return knowledge.get(serverId);
     }
--- a/testbed/src/main/java/sagefall/emulator/EventQueue.java
+++ b/testbed/src/main/java/sagefall/emulator/EventQueue.java
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Schedules an action at the given time, or at the current time if the given time has passed.
+     * Schedules an action for the given time, or for the current time if the given time has passed.
      */
     public void scheduleAt(long atMicros, Runnable action) {
         events.add(new Event(Math.max(nowMicros, atMicros), scheduled++, action));
--- a/testbed/src/main/java/sagefall/emulator/FaultScheduler.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultScheduler.java
@@ -9,8 +9,8 @@
 final class FaultScheduler {
 
     /**
-     * Maximum number of groups into which the sidecars of a planned restart are divided. The groups
-     * are restarted one after another.
+     * A planned restart divides the affected sidecars into at most this many groups, and restarts
+     * one group after another.
      */
     private static final int MAX_RESTART_STEPS = 10;
 
@@ -84,7 +84,7 @@
         return new IllegalStateException("unsupported fault kind " + fault.kind());
     }
 
-    // Clients.
+    // ---- Faults of clients
 
     private void changeTraffic(FaultWindow window, boolean begins) {
         ClientTraffic traffic = targets.traffic();
@@ -108,7 +108,7 @@
         }
     }
 
-    // Sidecars.
+    // ---- Faults of sidecars
 
     /**
      * Kills a randomly drawn fraction of the sidecars of a zone, or of all sidecars if the zone
@@ -138,7 +138,7 @@
         }
     }
 
-    // Discovery and transport.
+    // ---- Faults of discovery and transport
 
     private void changeDiscovery(FaultWindow window, boolean begins) {
         EmulatedDiscovery discovery = targets.discovery();
--- a/testbed/src/main/java/sagefall/emulator/FaultTargets.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultTargets.java
@@ -8,7 +8,7 @@
  * @param transport transport of attempts and responses
  * @param discovery service that delivers endpoint lists
  * @param traffic the clients
- * @param sharedSlowdown slowdown of all servers that a shared dependency causes
+ * @param sharedSlowdown slowdown of all servers because of a slow shared dependency
  */
 record FaultTargets(
         EmulatedFleet fleet,
--- a/testbed/src/main/java/sagefall/emulator/FaultWindow.java
+++ b/testbed/src/main/java/sagefall/emulator/FaultWindow.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Schedules two calls of {@code change}: with true at the given time and with false after the
-     * duration.
+     * Schedules two calls of {@code change}: with true at the given start and with false after the
+     * given duration.
      */
     static void schedule(
             EventQueue events, long beginMicros, long durationMicros, Consumer<Boolean> change) {
--- a/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
+++ b/testbed/src/main/java/sagefall/emulator/FleetSimulation.java
@@ -17,7 +17,10 @@
  */
 public final class FleetSimulation {
 
-    /** Time for which a run continues after the end of the arrivals. No client waits longer. */
+    /**
+     * A run continues for this time after the period in which operations arrive. No client waits
+     * longer for a response.
+     */
     private static final long MICROS_AFTER_LAST_ARRIVAL = 10_000_000;
 
     /** Heat map value of a server that is not up. */
@@ -38,12 +41,15 @@
     private final UniformRandomProvider balancerSeeds;
 
     /**
-     * Running and queued requests per core, by second and initial server; {@link #DOWN} while the
-     * server is not up.
+     * Number of running and queued requests per core, by second and initial server; {@link #DOWN}
+     * while the server is not up.
      */
     private final List<double[]> heat = new ArrayList<>();
 
-    /** Creates the parts of a run and draws their random values. */
+    /**
+     * Creates the parts of the simulation, such as servers, sidecars and discovery, and draws the
+     * random parameters of the run from the seed.
+     */
     public FleetSimulation(Scenario scenario, long seed, Policy policy) {
         this.scenario = scenario;
         this.seed = seed;
--- a/testbed/src/main/java/sagefall/emulator/IdleConnections.java
+++ b/testbed/src/main/java/sagefall/emulator/IdleConnections.java
@@ -30,8 +30,8 @@
      * Removes and returns the most recently used connection that appears open to the sidecar.
      * Returns null if there is no such connection.
      *
-     * @param oldestMicros earliest time at which a reusable connection became idle; older
-     *     connections are closed
+     * @param oldestMicros earliest permitted time at which a reused connection became idle;
+     *     connections that became idle earlier are closed
      */
     Connection take(EmulatedServer server, double oldestMicros) {
         ArrayDeque<Connection> connections = byServer.get(server.id);
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -21,16 +21,18 @@
          */
         ONE_ANSWER,
         /**
-         * A request that may have run is retried or rejected only if its request class allows it.
+         * A request that has possibly been executed is retried or rejected only if its request
+         * class allows this.
          */
         EFFECT,
         /**
          * A sidecar sends no attempt to a server after the drain grace time. The grace time begins
-         * when the sidecar learns that the server is draining, removed or no longer listed.
+         * when the sidecar is notified that the server is draining, removed or no longer listed.
          */
         DRAIN,
         /**
-         * A cold server is not overloaded by the requests of the sidecars that know it to be new.
+         * A cold server is not overloaded by requests of sidecars that have received the start time
+         * of the server.
          */
         COLD,
         /**
@@ -48,11 +50,14 @@
      * @param request id of the request, or {@link #NO_REQUEST}
      * @param server id of the server, or {@link #NONE}
      * @param sidecar index of the sidecar, or {@link #NONE}
-     * @param second time of the breach, in seconds of the run
+     * @param second time of the breach, in seconds since the start of the run
      */
     public record Breach(Rule rule, String request, long server, int sidecar, double second) {}
 
-    /** Server id or sidecar index in a breach that concerns no single server or sidecar. */
+    /**
+     * Server id of a breach that concerns no single server, and sidecar index of a breach that
+     * concerns no single sidecar.
+     */
     static final int NONE = -1;
 
     /** Request id in a breach that concerns no single request. */
@@ -131,8 +136,8 @@
     }
 
     /**
-     * Returns whether the server may execute the request, given that earlier attempts may have
-     * executed it.
+     * Returns whether the request class allows the server to execute the request, considering the
+     * first attempt that has possibly executed the request.
      */
     private boolean mayExecute(ClientRequest request, EmulatedServer server) {
         EmulatedAttempt first = firstPossiblyExecuted(request);
--- a/testbed/src/main/java/sagefall/emulator/Job.java
+++ b/testbed/src/main/java/sagefall/emulator/Job.java
@@ -8,6 +8,6 @@
     /** Total work, in microseconds on a core of speed 1. */
     public double workMicros;
 
-    /** Returns whether the sender knows the start time of the current server process. */
+    /** Returns whether the sender has received the start time of the current server process. */
     protected abstract boolean senderKnowsStart(EmulatedServer server);
 }
--- a/testbed/src/main/java/sagefall/emulator/JobExecutor.java
+++ b/testbed/src/main/java/sagefall/emulator/JobExecutor.java
@@ -13,14 +13,14 @@
     static final long WARM_UP_STEP_MICROS = 50_000;
 
     /**
-     * Maximum remaining work of a job that is treated as done. Rounding errors leave such a
-     * remainder.
+     * A job is treated as done if its remaining work is at most this. Rounding errors can leave
+     * such a remainder.
      */
     private static final double DONE_TOLERANCE_MICROS = 1e-6;
 
     /**
-     * Exclusive upper bound of the delay of a scheduled completion. With a longer delay, the job
-     * makes practically no progress, so no completion is scheduled.
+     * A completion is scheduled only if its delay is less than this. A job with a longer delay
+     * makes practically no progress.
      */
     private static final double MAX_DELAY_MICROS = 1e15;
 
@@ -101,8 +101,7 @@
     }
 
     /**
-     * Subtracts the work that was done since the last call from the remaining work of the running
-     * jobs.
+     * Reduces the remaining work of the running jobs by the work that was done since the last call.
      */
     void advance() {
         double micros = events.now() - advancedAtMicros;
@@ -110,8 +109,8 @@
         if (micros == 0 || running.isEmpty()) {
             return;
         }
-        // Each running job has one core. If there are more jobs than cores, the jobs share the
-        // cores equally.
+        // Each running job has one core. If there are more running jobs than cores, the running
+        // jobs share the cores equally.
         double workPerJob = micros * rate * Math.min(1, spec.cores() / (double) running.size());
         for (Job job : running) {
             job.remainingMicros -= workPerJob;
--- a/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
+++ b/testbed/src/main/java/sagefall/emulator/LoadReportSampler.java
@@ -35,7 +35,8 @@
     }
 
     /**
-     * Returns the last report. Creates a new one first if there is none or the interval has passed.
+     * Returns the last report. If there is no report yet or the report interval has passed, first
+     * creates a new report.
      */
     LoadReport report(long nowMicros) {
         double elapsedMicros = nowMicros - reportedAtMicros;
--- a/testbed/src/main/java/sagefall/emulator/RecentKeyCache.java
+++ b/testbed/src/main/java/sagefall/emulator/RecentKeyCache.java
@@ -36,7 +36,10 @@
         lastUsed = new LastUsed(spec.cachedKeys());
     }
 
-    /** Records a request with the key, and returns the factor by which caching changes the work. */
+    /**
+     * Records a request with the key, and returns the factor by which the work of the request is
+     * multiplied.
+     */
     double workFactor(long key, long nowMicros) {
         if (spec.cachedKeys() == 0) {
             return 1;
--- a/testbed/src/main/java/sagefall/emulator/RequestTransport.java
+++ b/testbed/src/main/java/sagefall/emulator/RequestTransport.java
@@ -33,11 +33,13 @@
     /** Share of the responses that are lost in transit. */
     double lostResponseShare;
 
-    /** Share of the executed requests whose connection is reset before the response. */
+    /**
+     * Share of the executed requests whose connection to the server is reset before the response.
+     */
     double resetShare;
 
     /**
-     * Draws the noise and the connection cost for a run.
+     * Draws the parameters of the transport for a run.
      *
      * @param chances random stream "chances", shared with the pauses of servers
      */
--- a/testbed/src/main/java/sagefall/emulator/ResponseKind.java
+++ b/testbed/src/main/java/sagefall/emulator/ResponseKind.java
@@ -6,7 +6,7 @@
     SERVED("served"),
     /** The sidecar rejected the request. A retry by the client is safe. */
     REJECTED("refused"),
-    /** The request may have been executed, or no response was sent in time. */
+    /** The request has possibly been executed, or no response was sent in time. */
     FAILED("failed");
 
     private final String label;
--- a/testbed/src/main/java/sagefall/emulator/ServerFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFactory.java
@@ -18,7 +18,8 @@
 public final class ServerFactory {
 
     /**
-     * Step of the low-discrepancy sequence that distributes the machine types evenly over servers.
+     * Step of a low-discrepancy sequence. The sequence distributes the machine types evenly over
+     * the servers.
      */
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887;
 
--- a/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerFaultInjector.java
@@ -70,7 +70,7 @@
         };
     }
 
-    // Loss and cuts.
+    // ---- Faults that stop servers or cut off zones
 
     private void flapZone(FaultWindow window) {
         long period = window.periodMicros();
@@ -110,7 +110,7 @@
         }
     }
 
-    // Slowness.
+    // ---- Faults that slow servers down
 
     private static void changeSlowdown(EmulatedServer server, double factor, boolean begins) {
         server.slowdown *= begins ? factor : 1 / factor;
@@ -132,10 +132,11 @@
     }
 
     /**
-     * Schedules the noisy periods, in which a noisy neighbour takes capacity from a server. Noisy
-     * and quiet periods of equal length alternate until the fault ends.
+     * Schedules the noisy periods of a server. In a noisy period, a noisy neighbour takes capacity
+     * from the server. Noisy and quiet periods of equal length alternate until the fault ends.
      *
-     * @param delayPeriods delay until the first noisy period, as a multiple of the period
+     * @param delayPeriods delay until the first noisy period, as a multiple of the length of a
+     *     noisy period
      */
     private void scheduleNoisyPeriods(
             EmulatedServer server, FaultWindow window, double delayPeriods) {
@@ -161,7 +162,7 @@
         server.reschedule();
     }
 
-    // Replacement.
+    // ---- Faults that replace servers
 
     private void replaceSomeServers(FaultWindow window) {
         boolean rejectsImmediately = window.fault().mode() == FaultMode.EARLY;
--- a/testbed/src/main/java/sagefall/emulator/ServerListener.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerListener.java
@@ -15,7 +15,8 @@
     /**
      * Handles the stop of a cold server that was sent too many requests.
      *
-     * @param informedShare share of the requests whose sidecar knew the server to be new
+     * @param informedShare share of the requests that were sent by sidecars that had received the
+     *     start time of the server process
      */
     void onSlowStartOverload(EmulatedServer server, double informedShare);
 }
--- a/testbed/src/main/java/sagefall/emulator/ServerSpec.java
+++ b/testbed/src/main/java/sagefall/emulator/ServerSpec.java
@@ -13,17 +13,17 @@
  * @param contentionThreshold maximum number of requests per core without contention
  * @param initialCapacityShare share of the full capacity at a cold start
  * @param slowStartMicros time from a cold start until the server is warm
- * @param warmsUpByWork whether completed work shortens the warm-up; if false, only time determines
- *     it
+ * @param warmsUpByWork whether completed work shortens the warm-up; if false, the warm-up depends
+ *     only on time
  * @param errorRate share of the requests whose response is an error
  * @param pauseIntervalMicros mean time between two pauses of the server process
  * @param pauseMicros duration of a pause of the server process; 0 for no pauses
  * @param maxConnections maximum number of open connections
- * @param connectionTableCost share of the speed that is lost if {@code maxConnections} connections
- *     are open
+ * @param connectionTableCost share of the speed that the server loses if {@code maxConnections}
+ *     connections are open
  * @param cachedKeys number of keys that the server caches
  * @param cachedKeySaving share of the work of a request that is saved if its key is cached
- * @param keyLifetimeMicros time after the last request with a key for which the key is cached
+ * @param keyLifetimeMicros time for which a key is cached after the last request with the key
  * @param reportIntervalMicros time between two load reports
  */
 public record ServerSpec(
--- a/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
+++ b/testbed/src/main/java/sagefall/emulator/SettingsMessage.java
@@ -21,10 +21,10 @@
  * @param zones names of the zones
  * @param machineTypes names of the machine types
  * @param requestClass the only request class
- * @param tenants the tenants and their shares of the sum of all quotas
+ * @param tenants tenants, each with its share of the sum of all quotas
  * @param overQuotaWeight weight of a request beyond the quota of its tenant, relative to a request
  *     within the quota, whose weight is 1
- * @param limits limits that the service sets for a sidecar
+ * @param limits limits that the service requires a sidecar to observe
  * @param rules rules for slow start, overload of cold servers and polling
  * @param hostRules limits that the host enforces
  * @param cachesKeys whether a request whose key a server has cached causes less work
@@ -54,11 +54,11 @@
      * Limits that the host enforces and a sidecar cannot change.
      *
      * @param overloadFactor maximum load that sidecars may put on a cold server, as a multiple of
-     *     its current capacity
-     * @param drainGraceMicros time after the notification of a sidecar that a server drains; during
-     *     this time the sidecar may still send requests to the server
+     *     the server's current capacity
+     * @param drainGraceMicros time for which a sidecar may still send requests to a server after
+     *     the sidecar was notified that the server drains
      * @param responseGraceMicros maximum time from the deadline of a request to its completion
-     * @param connectTimeoutMicros timeout of opening a connection
+     * @param connectTimeoutMicros maximum time for opening a connection
      */
     public record HostRules(
             double overloadFactor,
--- a/testbed/src/main/java/sagefall/emulator/SharedSlowdown.java
+++ b/testbed/src/main/java/sagefall/emulator/SharedSlowdown.java
@@ -1,8 +1,11 @@
 package sagefall.emulator;
 
-/** Holds the slowdown of all servers, for example because a dependency that they share is slow. */
+/**
+ * Holds the slowdown that all servers have in common, for example because a dependency of all
+ * servers is slow.
+ */
 public final class SharedSlowdown {
 
-    /** Factor of the execution time of each request; 1 without faults. */
+    /** Factor by which the execution time of each request is multiplied; 1 without faults. */
     double factor = 1;
 }
--- a/testbed/src/main/java/sagefall/emulator/SidecarConnections.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarConnections.java
@@ -16,8 +16,8 @@
 
     /** Sends an attempt over an idle connection. If none is idle, opens a new connection. */
     void send(EmulatedAttempt attempt) {
-        // Closes connections after two thirds of the idle timeout of the server. The real sidecar
-        // also closes idle connections before the server does.
+        // take() closes connections that have been idle for more than two thirds of the server's
+        // idle timeout. The real sidecar also closes idle connections before the server does.
         double oldestMicros =
                 environment.events().now() - environment.limits().idleTimeoutMicros() * 2 / 3;
         IdleConnections.Connection connection = idle.take(attempt.server, oldestMicros);
--- a/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarEnvironment.java
@@ -10,7 +10,7 @@
      * Limits of connections and responses.
      *
      * @param idleTimeoutMicros duration after which a server closes an idle connection
-     * @param connectTimeoutMicros timeout of opening a connection
+     * @param connectTimeoutMicros maximum time for opening a connection
      * @param connectRoundTrips number of round trips needed to open a connection
      * @param responseGraceMicros maximum time from the deadline of a request to its completion
      */
--- a/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
+++ b/testbed/src/main/java/sagefall/emulator/SidecarHandle.java
@@ -12,7 +12,10 @@
     /** Returns whether the process runs. */
     boolean isUp();
 
-    /** Returns whether the sidecar drains before a planned restart. If so, clients use others. */
+    /**
+     * Returns whether the sidecar drains before a planned restart. If so, clients send new requests
+     * to other sidecars.
+     */
     boolean isDraining();
 
     /**
--- a/testbed/src/main/java/sagefall/emulator/SimulationResult.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResult.java
@@ -19,14 +19,15 @@
  * @param served share of the value that was served within the latency target
  * @param worstTenSeconds lowest share of the value that was served within the latency target in any
  *     window of ten seconds
- * @param worstTenant lowest share of any tenant; the share of a tenant is the fraction of its
- *     operations within the quota that were served within the latency target
+ * @param worstTenant lowest served share of any tenant; the served share of a tenant is the number
+ *     of its operations within the quota that were served within the latency target, divided by the
+ *     number of its operations within the quota
  * @param price deduction from the score for zone crossings, opened connections, wasted work and
  *     losses after the latency target
  * @param offeredValue value of all operations
  * @param requests number of operations
- * @param lost lost value by cause; the cause is the label of the last response, or, if there was no
- *     response, the reason for this
+ * @param lost lost value by cause; the cause is the label of the last response; if there was no
+ *     response, the cause states why
  * @param answers number of unsuccessful responses by label, including those after which the client
  *     retried
  * @param attemptsPerRequest attempts per operation
--- a/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
@@ -20,21 +20,36 @@
     /** Weight of the served share of the worst tenant in the score. */
     private static final double WORST_TENANT_WEIGHT = 0.1;
 
-    /** Deduction from the score if each operation crosses zones once on average. */
+    /**
+     * Deduction from the score if each operation crosses zones once on average. The deduction is
+     * proportional to the number of crossings per operation.
+     */
     private static final double CROSSING_PRICE = 0.025;
 
-    /** Deduction from the score if each operation opens one connection on average. */
+    /**
+     * Deduction from the score if each operation opens one connection on average. The deduction is
+     * proportional to the number of opened connections per operation.
+     */
     private static final double CONNECTION_PRICE = 0.02;
 
-    /** Deduction from the score if all work is wasted. */
+    /**
+     * Deduction from the score if all work is wasted. The deduction is proportional to the wasted
+     * share of the work.
+     */
     private static final double WASTED_WORK_PRICE = 0.05;
 
-    /** Deduction from the score if the whole value is lost after the latency target. */
+    /**
+     * Deduction from the score if the whole value is lost after the latency target. The deduction
+     * is proportional to the share of the value that is lost so late.
+     */
     private static final double LATE_LOSS_PRICE = 0.043;
 
     private static final int WINDOW_SECONDS = 10;
 
-    /** Minimum divisor, which keeps quotients finite if no value was offered. */
+    /**
+     * Minimum divisor of a quotient. Without this minimum, the quotient would not be finite if no
+     * value was offered.
+     */
     private static final double EPSILON = 1e-9;
 
     private static final long MAX_LATENCY_MICROS = 60_000_000;
