--- a/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
+++ b/testbed/src/main/java/sagefall/emulator/SlowStartBudget.java
@@ -6,12 +6,15 @@
  * Limits the number of requests that a cold server can be sent within a sliding window. The limit
  * is N + 2 sqrt(N) + 2, where N is the number of requests of mean work that a server with {@code
  * factor} times the current capacity completes in the window. The terms 2 sqrt(N) and 2 allow for
- * random variation. The budget limits requests instead of work, because no sidecar can know that a
- * request is long.
+ * random variation. The budget limits requests instead of work, because no sidecar can know the
+ * work of a request in advance.
  */
 public final class SlowStartBudget {
 
-    /** A request in the window. A request is informed if its sidecar knew the server to be new. */
+    /**
+     * A request in the window. A request is informed if the sidecar that sent it had received the
+     * start time of the server process.
+     */
     private record Entry(long atMicros, boolean informed) {}
 
     private final double factor;
@@ -42,7 +45,8 @@
     /**
      * Records a request, and returns whether the window now contains more requests than allowed.
      *
-     * @param senderInformed whether the sidecar of the request knew the server to be new
+     * @param senderInformed whether the sidecar that sent the request had received the start time
+     *     of the server process
      * @param capacity work that the cold server completes per microsecond at present
      */
     public boolean recordAndCheckExceeded(long nowMicros, boolean senderInformed, double capacity) {
@@ -55,7 +59,7 @@
         return window.size() > allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    /** Returns the share of the requests in the window that informed sidecars sent. */
+    /** Returns the share of the requests in the window that are informed. */
     public double informedShare() {
         return informed / (double) window.size();
     }
--- a/testbed/src/main/java/sagefall/emulator/TenantQuotas.java
+++ b/testbed/src/main/java/sagefall/emulator/TenantQuotas.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Takes a token from the bucket of the tenant for an operation. Returns true if the bucket had
-     * no token. The operation is then beyond the quota.
+     * Takes a token from the bucket of the tenant for an operation. Returns true if the bucket
+     * contains less than one token. The operation is then beyond the quota, and takes no token.
      */
     boolean isOverQuota(int tenant, long nowMicros) {
         double elapsedMicros = nowMicros - refilledAtMicros;
--- a/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
+++ b/testbed/src/main/java/sagefall/emulator/TrafficWeights.java
@@ -23,11 +23,15 @@
     private SharedStateDiscreteSampler tenantSampler;
     private double totalFactor = 1;
 
-    /** Factor of the traffic of each zone. Changes take effect when {@link #update()} is called. */
+    /**
+     * Factors by which the traffic is multiplied, by zone. Changes take effect when {@link
+     * #update()} is called.
+     */
     final double[] zoneFactors;
 
     /**
-     * Factor of the traffic of each tenant. Changes take effect when {@link #update()} is called.
+     * Factors by which the traffic is multiplied, by tenant. Changes take effect when {@link
+     * #update()} is called.
      */
     final double[] tenantFactors;
 
@@ -111,7 +115,10 @@
         tenantSampler = AliasMethodDiscreteSampler.of(random, tenantWeights);
     }
 
-    /** Returns the factor by which the zone and tenant factors together change the total rate. */
+    /**
+     * Returns the factor by which the zone and tenant factors together multiply the arrival rate of
+     * all operations.
+     */
     double totalFactor() {
         return totalFactor;
     }
--- a/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
+++ b/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
@@ -113,7 +113,7 @@
         return operation.sidecar.zone();
     }
 
-    // Operations.
+    // ---- Arrivals and outcomes of operations
 
     void recordArrival(ClientOperation operation) {
         operations++;
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Records the latency of a served operation, which is the time from the client's first request
-     * to the response. Late responses are recorded as well.
+     * Records the latency of a served operation. The latency is the time from the client's first
+     * request to the response. The latencies of late responses are recorded as well.
      */
     void recordLatency(ClientOperation operation, long micros) {
         long bounded = Math.min(micros, MAX_LATENCY_MICROS);
@@ -177,7 +177,7 @@
         return lateValue;
     }
 
-    // Attempts.
+    // ---- Attempts, connections and work
 
     void recordAttempt(boolean crossesZones, boolean opensConnection) {
         attempts++;
--- a/testbed/src/main/java/sagefall/emulator/WarmUp.java
+++ b/testbed/src/main/java/sagefall/emulator/WarmUp.java
@@ -36,8 +36,8 @@
 
     /**
      * Returns the share of the full capacity at the given time. The share grows from its initial
-     * value to 1. Growth is linear with time and, if configured, with the work done. The larger of
-     * the two shares applies.
+     * value to 1. The share grows linearly with time. If configured, a second share grows linearly
+     * with the work done, and the larger share applies.
      */
     double capacityShare(long atMicros) {
         if (startedAtMicros == NOT_RESTARTED) {
--- a/testbed/src/main/java/sagefall/emulator/WorkDistribution.java
+++ b/testbed/src/main/java/sagefall/emulator/WorkDistribution.java
@@ -15,9 +15,10 @@
     /**
      * Creates a distribution.
      *
-     * @param shape shape of the distribution: constant, exponential or lognormal
+     * @param shape shape of the distribution: {@code constant}, {@code exponential} or {@code
+     *     lognormal}
      * @param meanMicros mean work of a request, in microseconds on a core of speed 1
-     * @param variation coefficient of variation; used only for the shape lognormal
+     * @param variation coefficient of variation; used only for the shape {@code lognormal}
      */
     WorkDistribution(
             String shape, double meanMicros, double variation, UniformRandomProvider random) {
--- a/testbed/src/main/java/sagefall/experiment/PairedDifference.java
+++ b/testbed/src/main/java/sagefall/experiment/PairedDifference.java
@@ -12,9 +12,10 @@
 /**
  * Difference of one quantity between the policies A and B on the same seeds, with a bootstrap
  * confidence interval. A larger quantity is better. Each seed yields one difference. The
- * differences are resampled with replacement. The interval contains the middle share {@link
- * #CONFIDENCE} of the means of the resamples. If there are few seeds, the interval is too narrow.
- * Therefore there is no verdict for fewer than {@value #MIN_SEEDS} seeds.
+ * differences are resampled with replacement. The interval contains the fraction {@link
+ * #CONFIDENCE} of the means of the resamples, and leaves out equally many of the lowest and of the
+ * highest means. If there are few seeds, the interval is too narrow. Therefore there is no verdict
+ * for fewer than {@value #MIN_SEEDS} seeds.
  *
  * @param figure name of the compared quantity
  * @param seeds number of seeds
--- a/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
+++ b/testbed/src/main/java/sagefall/experiment/ParallelSimulations.java
@@ -27,7 +27,7 @@
     /**
      * Creates a runner of simulations. Each call of {@link #runAll} has its own thread pool.
      *
-     * @param threads number of runs that are simulated at a time
+     * @param threads number of runs that are simulated concurrently
      * @param root root of the checkout whose policy files are compiled if a policy changes tunables
      * @param progressOutput stream that a progress bar is written to; null for no progress bar
      */
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Receives the result of each run on the thread of that run. At most one thread calls the
-     * listener at a time.
+     * Receives the result of each run on the thread of that run. Calls of the listener never
+     * overlap.
      */
     public interface Listener {
 
--- a/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
+++ b/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
@@ -15,8 +15,8 @@
  * @param scenario name of the scenario
  * @param policyA specification of policy A
  * @param policyB specification of policy B
- * @param differences differences of the goal and of three components of the goal; the component
- *     price is negated, so that a larger value is better for each component
+ * @param differences differences of the score and of three components of the score; the component
+ *     {@code price} is negated, so that a larger value is better for each component
  * @param keptShareByCause for each cause of loss, the difference of the lost share of the offered
  *     value; the share is negated, so that a positive difference means that B loses less
  * @param a results of A, in the order of the seeds
@@ -72,8 +72,8 @@
         b.forEach(result -> causes.addAll(result.lost().keySet()));
         Map<String, PairedDifference> keptShareByCause = new TreeMap<>();
         for (String cause : causes) {
-            // The name of the bootstrap's random stream contains this name. Another name would
-            // therefore give another interval.
+            // The name of the bootstrap's random stream contains the text of the variable figure. A
+            // change of this text would therefore change the confidence interval.
             String figure = "kept from " + cause;
             keptShareByCause.put(
                     cause, PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
--- a/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
+++ b/testbed/src/main/java/sagefall/faultinjection/AgentEndpointList.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Converts an endpoint to the format of the list. The address is that of the link from this
+     * Converts an endpoint to the format of the list. The address is that of the link from the
      * sidecar to the server.
      */
     private ObjectNode toTarget(ListedEndpoint endpoint) {
--- a/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
+++ b/testbed/src/main/java/sagefall/faultinjection/BackgroundTasks.java
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Runs a change of a link, or a step that must follow such a change. All of them run one after
-     * another in a thread of their own, because closing and opening a listener blocks. A failure
-     * fails the run.
+     * Runs a change of a link, or a step that must follow such a change. All such changes and steps
+     * run one after another in a thread of their own, because closing and opening a listener
+     * blocks. A failure fails the run.
      */
     void changeLinks(Runnable change) {
         linkChanges.execute(() -> runStep(change::run));
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -34,8 +34,8 @@
 
 /**
  * Runs a plan with real processes. The {@code run} command of the deploy file starts the sidecars.
- * Save servers and discovery replicas run in stand-in processes. Each sidecar reaches each server,
- * and its discovery agent, through a relay of its own.
+ * Save servers and discovery replicas run in stand-in processes. Each sidecar has a separate relay
+ * to each server and to its discovery agent.
  *
  * <p>The emulator's clients, server models, discovery and random streams drive the run in real
  * time. All events are recorded in a history, which is the only input of {@link InvariantChecks}.
@@ -65,8 +65,8 @@
     FaultInjectionRun(RunPlan plan, Path output)
             throws IOException, ScenarioException, InterruptedException {
         Scenario scenario = plan.scenario();
-        // Throws, before any file or link is created, if a sidecar can't be started from a
-        // checkout.
+        // This loop throws an exception, before any file or link is created, if a sidecar can't be
+        // started from a checkout.
         for (Path build : plan.builds()) {
             SidecarChildProcess.runCommand(build);
         }
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -12,12 +12,12 @@
 
 /**
  * The faults of a run. Their parameters, and the servers and sidecars that they affect, have been
- * drawn at random. The lines of a schedule depend only on the plan and its seed, byte for byte.
- * Omitting a fault does not change the lines of the other faults.
+ * drawn at random. The plan and its seed determine every byte of the lines of a schedule. Omitting
+ * a fault does not change the lines of the other faults.
  */
 final class FaultSchedule {
 
-    /** Number of steps per unit to which numbers in a line are rounded. */
+    /** Numbers in a line are rounded to multiples of 1 divided by this constant. */
     private static final double ROUNDING_STEPS_PER_UNIT = 1000;
 
     private final List<ScheduledFault> faults = new ArrayList<>();
--- a/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultTimeline.java
@@ -38,7 +38,8 @@
 
     /**
      * Applies a fault repeatedly. In each period, the fault is active from the start of the period
-     * for a fraction of the period.
+     * for the given fraction of the period. The last period is shorter if the duration of the fault
+     * is not a multiple of the period.
      */
     void periodically(ScheduledFault fault, double fraction, Action action) {
         double period = fault.drawn().periodSeconds();
--- a/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/LinkFaults.java
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Cuts or restores the links between the sidecars of a fault and the servers of its zone. The
-     * mode of the fault selects one direction or both.
+     * Cuts or restores the links between the sidecars of a fault and the servers of the fault's
+     * zone. The mode of the fault selects one direction or both.
      *
      * @param cutChange change of the number of active cuts: 1 to cut, -1 to restore
      */
@@ -56,7 +56,7 @@
         changeLinks(fault, link -> link.addCuts(toServer, toClient));
     }
 
-    /** Changes the links between the sidecars of a fault and the servers of its zone. */
+    /** Changes the links between the sidecars of a fault and the servers of the fault's zone. */
     private void changeLinks(ScheduledFault fault, Consumer<ServerLink> change) {
         for (ServerMember server : members.servers()) {
             if (server.zone() != fault.fault().zone()) {
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -27,8 +27,8 @@
 
 /**
  * Creates the sidecars and servers of a run and the links between them, but starts no process.
- * Sidecars and initial servers are created before the run begins, replacement servers on the event
- * loop of the run.
+ * Sidecars and initial servers are created before the run begins. Replacement servers are created
+ * on the event loop during the run.
  */
 final class MemberFactory {
 
--- a/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ResourceMeasurement.java
@@ -21,7 +21,7 @@
     private static final long IDLE_POLL_MILLIS = 50;
     private static final long STARVATION_POLL_NANOS = 250_000_000;
 
-    /** Exclusive lower bound of the recorded waits for a CPU core, in nanoseconds. */
+    /** A wait for a CPU core is recorded only if it is longer than this time, in nanoseconds. */
     private static final long MIN_RECORDED_WAIT_NANOS = 20_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunHeader.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Writes the line. The field names are those of the first version of the format, so that newer
-     * builds can read older histories.
+     * Writes the first line of the history. The field names are those of the first version of the
+     * format, so that newer builds can read older histories.
      */
     void record() {
         Scenario scenario = context.scenario();
--- a/testbed/src/main/java/sagefall/faultinjection/RunMembers.java
+++ b/testbed/src/main/java/sagefall/faultinjection/RunMembers.java
@@ -10,8 +10,8 @@
 
 /**
  * The members of a run: sidecars, save servers, server processes and discovery replicas, and the
- * emulator's clients and discovery. Sidecars and initial servers are added before the run begins,
- * replacement servers on the event loop of the run.
+ * emulator's clients and discovery. Sidecars and initial servers are added before the run begins.
+ * Replacement servers are added on the event loop during the run.
  */
 final class RunMembers {
 
--- a/testbed/src/main/java/sagefall/faultinjection/ServerLink.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerLink.java
@@ -54,7 +54,10 @@
         extraDelayMillis += millis;
     }
 
-    /** Sets the number of bytes to the server after which a connection is reset; 0 for no reset. */
+    /**
+     * Sets the number of bytes sent to the server after which a connection is reset; 0 for no
+     * reset.
+     */
     void resetAfter(long bytes) {
         resetAfterBytes = bytes;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerMember.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Returns whether the server never runs again, because it was drained, replaced or restarted
-     * with a new id.
+     * Returns whether the server will never run again, because it was drained, replaced or
+     * restarted with a new id.
      */
     boolean isRetired() {
         return retired;
--- a/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerProcess.java
@@ -154,7 +154,7 @@
             if (!isDown()) {
                 throw e;
             }
-            // Another fault has killed the process before it was ready.
+            // Another fault has killed the process before the process was ready.
             return;
         }
         context.eventLoop().run(this::onRestarted);
@@ -175,7 +175,7 @@
         return activeKills.get() > 0;
     }
 
-    /** Kills the process in any state. */
+    /** Kills the process if it was started. */
     void destroy() {
         if (child != null) {
             child.process().destroyForcibly();
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarControl.java
@@ -162,7 +162,8 @@
 
     /**
      * Returns whether the process is idle. It is idle if it has exited, or if its number of open
-     * file descriptors exceeds the baseline by at most {@link #IDLE_TOLERANCE_DESCRIPTORS}.
+     * file descriptors exceeds the baseline of {@link #recordBaseline} by at most {@link
+     * #IDLE_TOLERANCE_DESCRIPTORS}.
      */
     boolean isIdle() throws IOException {
         return !process.process().isAlive()
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -26,8 +26,8 @@
     private final FaultTimeline timeline;
 
     /**
-     * Control of the suspended leader, by the index of the fault. Null if there was no leader when
-     * the fault began.
+     * Maps the index of a fault to the control of the leader that the fault suspended. The control
+     * is null if there was no leader when the fault began.
      */
     private final Map<Integer, SidecarControl> stoppedLeaders = new HashMap<>();
 
@@ -35,7 +35,7 @@
      * Creates the fault group of a run.
      *
      * @param leaseObserver observer of the leader election; null if the run has no leader election
-     * @param servers fault group that kills the servers of a zone that loses power
+     * @param servers fault group of server faults, which kills and restarts servers in a power loss
      */
     SidecarFaults(
             RunContext context,
@@ -74,7 +74,8 @@
     }
 
     /**
-     * Kills sidecars when the fault begins. The {@link SidecarControl} of each sidecar restarts it.
+     * Kills sidecars when the fault begins. The {@link SidecarControl} of each sidecar restarts the
+     * sidecar.
      */
     private static void kill(ScheduledFault fault, boolean begins) {
         if (begins) {
@@ -130,7 +131,7 @@
     }
 
     /**
-     * Suspends a sidecar for a fraction of each cycle, until a point in time.
+     * Suspends a sidecar for a fraction of each cycle, until the given time.
      *
      * @param runningFraction fraction of each cycle during which the sidecar runs
      */
@@ -150,7 +151,8 @@
 
     /**
      * Kills the servers of a zone, or all servers, and at the same time the drawn sidecars. When
-     * the fault ends, restarts the servers. The {@link SidecarControl} of each sidecar restarts it.
+     * the fault ends, restarts the servers. The {@link SidecarControl} of each sidecar restarts the
+     * sidecar.
      */
     private void losePower(ScheduledFault fault, boolean begins) {
         int zone = fault.fault().zone();
--- a/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Kinds of entries in a history. The words written to the files are those of the first version of
+ * Kinds of entries in a history. The names written to the files are those of the first version of
  * the format, so that the histories of older runs stay readable.
  */
 public enum EntryKind {
@@ -53,7 +53,7 @@
     STALL("stall"),
     /** Duration for which a sidecar waited for a processor core. */
     CPU_STARVATION("starved"),
-    /** An entry with an unknown word. Readers ignore the entry. */
+    /** An entry whose kind is unknown. Readers ignore the entry. */
     UNKNOWN("");
 
     private static final Map<String, EntryKind> BY_WORD = new HashMap<>();
@@ -70,12 +70,12 @@
         this.word = word;
     }
 
-    /** Returns the word that stands for this kind in a file. */
+    /** Returns the name of this kind in a file. */
     public String word() {
         return word;
     }
 
-    /** Returns the kind for a word in a file; {@link #UNKNOWN} if no kind has this word. */
+    /** Returns the kind with the given name in a file; {@link #UNKNOWN} if there is none. */
     static EntryKind of(String word) {
         return BY_WORD.getOrDefault(word, UNKNOWN);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryEntry.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryEntry.java
@@ -5,7 +5,7 @@
 /**
  * Holds one line of a history.
  *
- * @param atNanos time of the entry in nanoseconds of the monotonic clock, which all processes of
+ * @param atNanos time of the entry in nanoseconds on the monotonic clock, which all processes of
  *     the machine share
  * @param kind kind of the entry
  * @param line all fields of the line
--- a/testbed/src/main/java/sagefall/faultinjection/history/HistoryException.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/HistoryException.java
@@ -10,7 +10,7 @@
     /**
      * Creates the exception.
      *
-     * @param message one line that says what was read and what is wrong with it
+     * @param message one line that says what was read and why it is invalid
      */
     public HistoryException(String message) {
         super(message);
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ColdServerInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ColdServerInvariant.java
@@ -20,12 +20,12 @@
 
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** Number of requests of mean work by which a server may exceed its limit without violation. */
+    /** A cold server may exceed its limit by this number of requests of mean work. */
     private static final double SLACK_REQUESTS = 3;
 
     /**
-     * Minimum fraction of the requests in an overload that sidecars notified of the server's start
-     * must have sent for the overload to be a violation.
+     * An overload is a violation only if at least this fraction of the requests came from sidecars
+     * that had been notified of the server's start.
      */
     private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
@@ -87,7 +87,10 @@
         }
     }
 
-    /** Returns the maximum work, in microseconds, that the server may receive in the span. */
+    /**
+     * Returns the maximum work, in microseconds, that the server may receive in the span that ends
+     * with the given arrival.
+     */
     private double maxWorkMicros(HistoryEntry arrival, ColdStart start, long spanNanos) {
         RunParameters parameters = run.parameters();
         return parameters.slowStartLimitFactor()
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ColdStarts.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ColdStarts.java
@@ -12,7 +12,7 @@
     /**
      * The latest cold start of a server.
      *
-     * @param at time of the start in nanoseconds of the history's clock
+     * @param at time of the start in nanoseconds on the history's clock
      * @param initialCapacityShare share of the full capacity that the server has at its start
      * @param slowStartMicros duration until the server has its full capacity
      * @param capacity full capacity, in core-seconds of work per second
@@ -20,8 +20,8 @@
     record ColdStart(long at, double initialCapacityShare, long slowStartMicros, double capacity) {
 
         /**
-         * Returns the minimum share of the full capacity that the server may report at a time. The
-         * minimum rises linearly to 1 over the slow start.
+         * Returns the minimum share of the full capacity that the server may report at the given
+         * time. The minimum rises linearly to 1 over the slow start.
          */
         double minCapacityShare(long now) {
             double progress = (now - at) / NANOS_PER_MICRO / Math.max(1, slowStartMicros);
@@ -55,7 +55,10 @@
         return byServer.get(server);
     }
 
-    /** Removes the cold start of a server. The next cold start of the server is added again. */
+    /**
+     * Removes the recorded cold start of a server. A later cold start of the server is recorded as
+     * usual.
+     */
     void remove(long server) {
         byServer.remove(server);
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/DrainInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/DrainInvariant.java
@@ -7,8 +7,8 @@
 /**
  * Checks that a sidecar sends no attempt to a draining or removed server after a grace period. The
  * grace period begins when the sidecar is notified by an endpoint list that the server is draining
- * or removed. If the process of the sidecar is stopped at that time or shortly after, the grace
- * period begins when the process is resumed.
+ * or removed. If the process of the sidecar is stopped at that time, or at most {@link
+ * SchedulingDelays#SOCKET_SLACK_NANOS} later, the grace period begins when the process is resumed.
  */
 final class DrainInvariant implements Invariant {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
@@ -11,12 +11,18 @@
 import sagefall.faultinjection.invariant.ObservedRequest.Attempt;
 
 /**
- * Checks that a request that may have run is retried, run again or rejected only if the request
- * class allows this. Requests without side effects may be retried at any server. Any other request
- * may be retried only if it has an idempotency key. The retry must be sent to a server in the
- * deduplication scope of the earlier attempt, within the deduplication window. The deduplication
- * window begins with the earlier attempt. A request with side effects that may have run may be
- * rejected only if the deduplication scope spans all servers.
+ * Checks the rules for requests that have side effects and have possibly run:
+ *
+ * <ul>
+ *   <li>Such a request is retried only if it has an idempotency key. The retry is sent to a server
+ *       in the deduplication scope of the earlier attempt, within the deduplication window. The
+ *       window begins with the earlier attempt.
+ *   <li>A server executes such a request again only if the server can recognize the execution as a
+ *       duplicate of the first one, or if the deduplication scope spans all servers.
+ *   <li>Such a request is rejected only if the deduplication scope spans all servers.
+ * </ul>
+ *
+ * <p>Requests without side effects may be retried, run again or rejected without restriction.
  */
 final class EffectInvariant implements Invariant {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantName.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/InvariantName.java
@@ -7,8 +7,8 @@
     /** No request is lost by a planned restart. */
     RESTART,
     /**
-     * A request that may have run is retried, run again or rejected only if its request class
-     * allows it.
+     * A request that has possibly run is retried, run again or rejected only if its request class
+     * allows this.
      */
     EFFECT,
     /** No attempt is sent to a draining or removed server after the grace period. */
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
@@ -19,9 +19,9 @@
      * @param server id of the server at the address
      * @param state state of the server in the endpoint list
      * @param startMillis start time of the server in the endpoint list; 0 if it is missing
-     * @param at time, in nanoseconds of the history's clock, at which the first list with this
-     *     server, state and start time was written. If several lists in a row show that the server
-     *     is out of service, the time of the first of them.
+     * @param at time, in nanoseconds on the history's clock, at which the first list with this
+     *     server, state and start time was written. If several consecutive lists show that the
+     *     server is out of service, this is the time of the first of these lists.
      */
     record Notice(long server, String state, long startMillis, long at) {
         boolean isInService() {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
@@ -75,7 +75,7 @@
         return intent.sidecar();
     }
 
-    /** Returns the deadline, in nanoseconds of the history's clock. */
+    /** Returns the deadline, in nanoseconds on the history's clock. */
     long deadline() {
         return intent.atNanos() + NANOS_PER_MICRO * intent.number("timeout_us");
     }
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRun.java
@@ -54,7 +54,7 @@
         return requests.computeIfAbsent(entry.requestId(), ObservedRequest::new);
     }
 
-    /** Returns whether two servers are known to be in the same zone. */
+    /** Returns whether the entries applied so far show that two servers are in the same zone. */
     boolean inSameZone(long server, long other) {
         Integer zone = zoneByServer.get(server);
         return zone != null && zone.equals(zoneByServer.get(other));
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/OneResponseInvariant.java
@@ -7,12 +7,16 @@
 
 /**
  * Checks that each request sent to a running sidecar gets exactly one final response in time.
- * Checks that a server produced each successful response for the request that the response
+ * Checks that each successful response was produced by a server for the request that the response
  * completes. Checks that no attempt is sent after the final response.
  */
 final class OneResponseInvariant implements Invariant {
 
-    /** Maximum time from the deadline to a late response that is no violation, in nanoseconds. */
+    /**
+     * Maximum time from the deadline of a request to its response, in nanoseconds. The time for
+     * which the sidecar was stopped is not counted, and the delays of the machine extend the
+     * maximum.
+     */
     static final long LATENESS_TOLERANCE_NANOS = 500_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
@@ -15,7 +15,7 @@
     /** Value of the end of an interval that has not ended. */
     private static final long OPEN = Long.MAX_VALUE;
 
-    /** An interval for which a process was in one state, in nanoseconds of the history's clock. */
+    /** An interval for which a process was in one state, in nanoseconds on the history's clock. */
     private static final class Interval {
         private final long begin;
         private long end = OPEN;
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ResourceLeakInvariant.java
@@ -8,7 +8,9 @@
 
 /**
  * Checks that a sidecar leaks no descriptors and no memory. The sidecar is measured without load
- * before the first request and after the last request. Each value may grow only by its maximum.
+ * before the first request and after the last request. The number of descriptors may grow by at
+ * most {@link #MAX_DESCRIPTOR_GROWTH}, and the memory may grow by at most {@link
+ * #MAX_MEMORY_GROWTH_KIB}.
  */
 final class ResourceLeakInvariant implements Invariant {
 
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/RunParameters.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/RunParameters.java
@@ -9,8 +9,8 @@
 /**
  * Holds the parameters of a run, read from the {@link EntryKind#RUN} entry of its history.
  *
- * @param sideEffectFree whether requests have no side effects; if so, a request may run any number
- *     of times
+ * @param sideEffectFree whether requests have no side effects; if so, a request is allowed to run
+ *     any number of times
  * @param hasIdempotencyKeys whether requests carry an idempotency key
  * @param scopeSpansZones whether the deduplication scope spans the servers of all zones
  * @param deduplicationWindowNanos duration for which servers remember an idempotency key
@@ -18,8 +18,9 @@
  *     the last attempt sent to the server
  * @param attemptLimit maximum number of attempts of a request
  * @param slowStartLimitNanos length of the span in which the work of a cold server is limited
- * @param slowStartLimitFactor maximum ratio of the work that a cold server may receive in the span
- *     of {@code slowStartLimitNanos} to the work that it can process in that span
+ * @param slowStartLimitFactor factor of the limit; in the span of {@code slowStartLimitNanos}, a
+ *     cold server may receive at most the work that it can process in that span, multiplied by this
+ *     factor
  * @param meanWorkMicros mean processing time of a request, in microseconds
  */
 record RunParameters(
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/SchedulingDelays.java
@@ -18,12 +18,15 @@
     /** Extension of each time limit that accounts for the delays of sockets, in nanoseconds. */
     static final long SOCKET_SLACK_NANOS = 50_000_000;
 
-    /** Maximum time between a delay and the time limits that it extends, in nanoseconds. */
+    /**
+     * A delay extends a time limit only if the delay is less than this time before or after the end
+     * of the time limit, in nanoseconds.
+     */
     private static final long INFLUENCE_NANOS = 3_000_000_000L;
 
     /**
-     * Ratio of the extension of a time limit to an observed stall of the test bed. The ratio is
-     * greater than 1 because the processes of the run wait for a processor core as well.
+     * A stall of the test bed extends a time limit by its duration multiplied by this factor. The
+     * factor is greater than 1 because the processes of the run wait for a processor core as well.
      */
     private static final int STALL_FACTOR = 4;
 
@@ -32,7 +35,7 @@
     /**
      * An observed delay.
      *
-     * @param at end of the delay, in nanoseconds of the history's clock
+     * @param at end of the delay, in nanoseconds on the history's clock
      * @param nanos duration of the delay in nanoseconds
      * @param sidecar index of the delayed sidecar; {@link HistoryEntry#NONE} for the test bed
      */
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Returns the extension of a sidecar's time limit that ends at the given time. Delays near that
-     * time are taken into account.
+     * Returns the extension of a sidecar's time limit that ends at the given time. Only delays less
+     * than {@link #INFLUENCE_NANOS} before or after that time are taken into account.
      */
     long slackNanos(int sidecar, long at) {
         long longestStallNearby = 0;
--- a/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/BlackholeAddress.java
@@ -9,10 +9,10 @@
 import java.util.List;
 
 /**
- * An address at which connections are never established. A socket listens at the address with the
- * shortest backlog. The backlog is filled with connections that are never accepted, so the
- * operating system drops further SYN packets. To a client, the address looks like a machine that
- * has vanished.
+ * An address at which connections are never established. A socket with the shortest backlog listens
+ * at the address. The backlog is filled with connections that are never accepted, so the operating
+ * system drops further SYN packets. To a client, the address looks like a machine that has
+ * vanished.
  */
 final class BlackholeAddress implements AutoCloseable {
 
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkConditions.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkConditions.java
@@ -39,7 +39,10 @@
                 micros, bytesPerSecond, blocked, resetAfterBytes, halfCloseAfterBytes);
     }
 
-    /** Returns a copy in which the connection is reset after a number of bytes; 0 for no reset. */
+    /**
+     * Returns a copy in which the connection is reset after the given number of bytes, or is not
+     * reset if the number is 0.
+     */
     public LinkConditions resetAfter(long bytes) {
         return new LinkConditions(delayMicros, bytesPerSecond, blocked, bytes, halfCloseAfterBytes);
     }
@@ -52,7 +55,7 @@
         return resetAfterBytes > 0 ? resetAfterBytes : halfCloseAfterBytes;
     }
 
-    /** Returns the time in nanoseconds that a number of bytes takes at the rate limit. */
+    /** Returns the time in nanoseconds that the given number of bytes takes at the rate limit. */
     long transmissionNanos(int bytes) {
         return bytesPerSecond > 0 ? (long) (1e9 * bytes / bytesPerSecond) : 0;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/LinkRelay.java
@@ -18,7 +18,7 @@
 
 /**
  * The link from one process to another. The link is a relay that can inject network faults. It
- * listens at an address that only this pair of processes uses.
+ * listens at an address that no other link uses.
  *
  * <p>Data and an end of stream that arrive in a blocked direction are held back. When blocking
  * ends, connections with such data or end of stream are reset, because real TCP would mostly
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Retries an action until it succeeds or a time limit has passed. The action fails at first,
-     * because an address stays bound for a moment after its listener was closed.
+     * Retries an action until the action succeeds or a time limit has passed. The action fails at
+     * first, because an address stays bound for a moment after its listener was closed.
      */
     private static <T> T retryWhileBound(Callable<T> action) throws IOException {
         long deadlineNanos = System.nanoTime() + REBIND_TIMEOUT_NANOS;
@@ -190,7 +190,7 @@
         }
     }
 
-    /** Sets the conditions of both directions. They apply to new and open connections. */
+    /** Sets the conditions of both directions. The conditions apply to new and open connections. */
     void conditions(LinkConditions newToServer, LinkConditions newToClient) {
         toServer = newToServer;
         toClient = newToClient;
--- a/testbed/src/main/java/sagefall/faultinjection/process/CpuStarvation.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/CpuStarvation.java
@@ -18,9 +18,9 @@
 
     /**
      * Returns the longest time in nanoseconds that any one thread of a process has waited for a CPU
-     * core since the previous call. Threads that no previous call has seen are ignored. If the
-     * statistics of a thread can't be read, returns the longest wait found until then, or 0 if
-     * there is none.
+     * core since the previous call. A thread whose statistics no previous call has read is ignored.
+     * If the statistics of a thread can't be read, returns the longest wait found until then, or 0
+     * if there is none.
      */
     public long longestWaitNanos(long pid) {
         long longest = 0;
@@ -33,8 +33,8 @@
                 longest = Math.max(longest, before == null ? 0 : now - before);
             }
         } catch (IOException | RuntimeException e) {
-            // The process or a thread exited before its statistics were read, or the system has
-            // none.
+            // The process or a thread exited before its statistics were read, or the system has no
+            // such statistics.
             return longest;
         }
         return longest;
--- a/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
@@ -105,7 +105,10 @@
         }
     }
 
-    /** Sends a command. The future completes with the reply. It fails if the process has exited. */
+    /**
+     * Sends a command. The future completes with the reply. The future fails if the process has
+     * exited.
+     */
     public CompletableFuture<JsonNode> send(ObjectNode command) {
         CompletableFuture<JsonNode> future = new CompletableFuture<>();
         synchronized (pending) {
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunPicture.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Draws the fractions of served, rejected and lost requests for each half second. Each request
-     * without a successful response that was not rejected is shown as lost.
+     * Draws the fractions of served, rejected and lost requests for each half second. A request
+     * that was neither served nor rejected is shown as lost.
      */
     private void drawResponses() {
         int[][] bins = responseBins();
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunResult.java
@@ -21,7 +21,7 @@
  * @param violations violations of invariants, in order of time
  * @param isVoid whether the machine stalled for so long that the run proves nothing
  * @param statistics statistics of the requests
- * @param beginAt time at which clients began to send requests, in nanoseconds of the history's
+ * @param beginAt time at which clients began to send requests, in nanoseconds on the history's
  *     clock
  */
 public record RunResult(
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Returns the result as a word for a table. The word is VOID for a void run and BROKEN for a
-     * violated run. The word is empty for any other run.
+     * Returns the verdict for a table: {@code VOID} for a void run, {@code BROKEN} for a run that
+     * violated an invariant, and an empty string for any other run.
      */
     public String verdict() {
         if (isVoid) {
@@ -112,7 +112,7 @@
         out.printf("    at %.3f s: %s%n", seconds(violation.at()), violation.description());
     }
 
-    /** Converts a time of the history's clock to seconds from the beginning of the run. */
+    /** Converts a time on the history's clock to seconds from the beginning of the run. */
     double seconds(long at) {
         return (at - beginAt) / NANOS_PER_SECOND;
     }
--- a/testbed/src/main/java/sagefall/faultinjection/report/ServiceTimeline.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/ServiceTimeline.java
@@ -10,8 +10,8 @@
 record ServiceTimeline(double[] offered, double[] served) {
 
     /**
-     * Minimum ratio of the fraction served after the last fault to the fraction served before the
-     * first fault for service to be treated as recovered.
+     * Service has recovered if the fraction served after the last fault is at least the fraction
+     * served before the first fault, multiplied by this constant.
      */
     private static final double RECOVERED_FRACTION = 0.95;
 
--- a/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/TimelinePage.java
@@ -45,7 +45,7 @@
     /**
      * Returns the horizontal position of a time in pixels.
      *
-     * @param at time in nanoseconds of the history's clock
+     * @param at time in nanoseconds on the history's clock
      */
     double x(long at) {
         return x(result.seconds(at));
--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -15,8 +15,8 @@
 public final class RealTimeEventLoop implements AutoCloseable {
 
     /**
-     * Maximum delay of an event, in nanoseconds, that is not reported. Longer delays are reported,
-     * because checks of time limits must allow for them.
+     * A delay of an event is reported only if it is longer than this time, in nanoseconds. Checks
+     * of time limits must allow for such delays.
      */
     private static final long STALL_NANOS = 20_000_000;
 
@@ -66,7 +66,7 @@
         return queue;
     }
 
-    /** Starts the clock of the model and returns this loop. */
+    /** Starts the clock of the model and returns this event loop. */
     public RealTimeEventLoop begin() {
         beginNanos = System.nanoTime();
         return this;
--- a/testbed/src/main/java/sagefall/load/BytePattern.java
+++ b/testbed/src/main/java/sagefall/load/BytePattern.java
@@ -8,8 +8,8 @@
 
 /**
  * Writes bodies of any length whose bytes depend on a seed, and computes their CRC-32. The checksum
- * of a received body is wrong if bytes are missing or shifted, or if they belong to a body with
- * another seed.
+ * of a received body differs from the expected checksum if bytes are missing or shifted, or if they
+ * belong to a body with another seed.
  */
 final class BytePattern {
 
--- a/testbed/src/main/java/sagefall/load/DaemonThreads.java
+++ b/testbed/src/main/java/sagefall/load/DaemonThreads.java
@@ -5,7 +5,7 @@
 
     /**
      * Stack size of a thread in bytes. It is below the default size, because hundreds of threads
-     * block at a time.
+     * block at the same time.
      */
     private static final int STACK_BYTES = 256 * 1024;
 
--- a/testbed/src/main/java/sagefall/load/HttpHead.java
+++ b/testbed/src/main/java/sagefall/load/HttpHead.java
@@ -33,7 +33,9 @@
         return line == null ? null : new HttpHead(firstLine, headers);
     }
 
-    /** Reads a line without its line break. Returns null if the stream ends before the break. */
+    /**
+     * Reads a line without its line break. Returns null if the stream ends before the line break.
+     */
     static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         int next = in.read();
--- a/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
+++ b/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
@@ -50,7 +50,7 @@
     private static final int KEYS = 1000;
     private static final int BODY_BYTES = 300;
 
-    /** Value that replaces the status of a request without a response. */
+    /** Status that is recorded for a request without a response. */
     private static final int NO_RESPONSE = 0;
 
     private static final int OK = 200;
@@ -83,8 +83,8 @@
      * @param port port of the sidecar on loopback
      * @param requestsPerSecond mean rate of the arrivals
      * @param timeoutMillis timeout that each request states in a header
-     * @param maxOpen maximum number of open requests; a request that would exceed it is counted as
-     *     unsent
+     * @param maxOpen maximum number of open requests; a request that would exceed this maximum is
+     *     counted as unsent
      * @param seed seed of arrival times, keys and ids
      */
     public OpenLoopLoadGenerator(
--- a/testbed/src/main/java/sagefall/load/OutageDemo.java
+++ b/testbed/src/main/java/sagefall/load/OutageDemo.java
@@ -24,13 +24,13 @@
     private static final int SEED = 1;
     private static final double MICROS_PER_MILLI = 1000.0;
 
-    /** Fraction of the duration after which the servers of the zone fail. */
+    /** Fraction of the demo's duration after which the servers of {@link #FAILED_ZONE} fail. */
     private static final double OUTAGE_FRACTION = 0.3;
 
-    /** Fraction of the duration after which discovery removes the failed servers. */
+    /** Fraction of the demo's duration after which discovery removes the failed servers. */
     private static final double REMOVAL_FRACTION = 0.4;
 
-    /** Fraction of the duration after which the servers restart. */
+    /** Fraction of the demo's duration after which the failed servers restart. */
     private static final double RESTART_FRACTION = 0.55;
 
     private final int seconds;
@@ -157,7 +157,10 @@
                 event);
     }
 
-    /** Applies the event of this second. Returns its description, or "" if there is none. */
+    /**
+     * Applies the event of the given second. Returns the description of the event, or "" if there
+     * is none.
+     */
     private String applyZoneEvent(int second) throws IOException {
         if (second == (int) (OUTAGE_FRACTION * seconds)) {
             for (StandInServer server : failedZoneServers()) {
--- a/testbed/src/main/java/sagefall/load/SidecarConfigFactory.java
+++ b/testbed/src/main/java/sagefall/load/SidecarConfigFactory.java
@@ -42,7 +42,7 @@
      * fixed value.
      *
      * @param classes request classes
-     * @param zones names of the zones; the sidecar is in the first
+     * @param zones names of the zones; the sidecar is in the first zone
      * @param report how endpoints send load reports
      */
     public static Map<String, Object> settings(
--- a/testbed/src/main/java/sagefall/load/StandInDiscovery.java
+++ b/testbed/src/main/java/sagefall/load/StandInDiscovery.java
@@ -57,12 +57,12 @@
     }
 
     /**
-     * Waits until the revision of the list is higher than a known revision.
+     * Waits until the revision of the list is higher than the given revision.
      *
      * @param knownRevision revision that the sidecar already has
      * @param holdMillis maximum time to wait, in milliseconds
-     * @return the complete list as JSON; an empty list of changes if the time ends without a higher
-     *     revision
+     * @return the complete list as JSON; an empty list of changes if the maximum time passes
+     *     without a higher revision
      */
     synchronized String watch(long knownRevision, long holdMillis) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + holdMillis * 1_000_000;
--- a/testbed/src/main/java/sagefall/load/StreamBenchmark.java
+++ b/testbed/src/main/java/sagefall/load/StreamBenchmark.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Measures the streaming of a real sidecar between blocking clients and stand-in servers, which run
- * in this process, and prints the results. {@link SidecarChildProcess} starts the sidecar.
- * docs/MEASURING.md describes how to run the benchmark.
+ * Measures the streaming of a real sidecar, and prints the results. Blocking clients and stand-in
+ * servers run in this process. {@link SidecarChildProcess} starts the sidecar. docs/MEASURING.md
+ * describes how to run the benchmark.
  */
 public final class StreamBenchmark {
 
@@ -266,7 +266,7 @@
     /** Throughput of exchanges, and percentiles of their latency. */
     private record ExchangeStatistics(long perSecond, long medianMicros, long p99Micros) {}
 
-    /** Runs the given number of exchanges on {@link #CONNECTIONS} connections at a time. */
+    /** Runs the given number of exchanges, distributed over {@link #CONNECTIONS} connections. */
     private ExchangeStatistics runExchanges(
             SidecarChildProcess sidecar, int count, Exchange exchange) throws InterruptedException {
         long[] micros = new long[count];
--- a/testbed/src/main/java/sagefall/policy/AdapterMessage.java
+++ b/testbed/src/main/java/sagefall/policy/AdapterMessage.java
@@ -21,7 +21,8 @@
     /**
      * A batch of messages that are processed at one point in time.
      *
-     * @param atMicros time of the messages in microseconds; not before that of the previous batch
+     * @param atMicros time of the messages in microseconds; not before the time of the previous
+     *     batch
      * @param groups one group of messages for each instance
      */
     record Batch(@JsonProperty("at_time_us") long atMicros, List<Group> groups) {}
@@ -172,7 +173,7 @@
         }
     }
 
-    /** Load report of a server, which a response carries. */
+    /** Load report that a server sends with a response. */
     record ServerStats(
             @JsonProperty("cpu") double utilization,
             @JsonProperty("rps") double rate,
--- a/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/BaselineBalancer.java
@@ -20,15 +20,14 @@
 
 /**
  * Base class of the baseline policies. The policies differ only in how they pick a server. This
- * class keeps the endpoint list and sends one attempt of a request at a time. A request is retried
- * only if the outcome of its attempt proves that the request was not executed. A request that
- * cannot be sent is rejected immediately.
+ * class keeps the endpoint list and has at most one attempt of a request in flight. A request is
+ * retried only if the outcome of its attempt proves that the request was not executed. A request
+ * that cannot be sent is rejected immediately.
  */
 abstract class BaselineBalancer implements LoadBalancer {
 
     /**
-     * Exclusive minimum number of ticks that must remain until the deadline when an attempt is
-     * sent.
+     * An attempt is sent only if more than this number of clock ticks remain until the deadline.
      */
     private static final int MIN_TICKS_TO_DEADLINE = 2;
 
--- a/testbed/src/main/java/sagefall/policy/InMemoryCompiler.java
+++ b/testbed/src/main/java/sagefall/policy/InMemoryCompiler.java
@@ -30,7 +30,8 @@
      *
      * @param policyName name of the policy, for error messages
      * @param sources source texts by the qualified names of their classes
-     * @return a class loader that prefers the compiled classes to those of this build
+     * @return a class loader that loads the compiled classes instead of the classes with the same
+     *     names in this build
      * @throws PolicyException if there is no compiler or the sources have an error
      */
     static ClassLoader compile(String policyName, Map<String, String> sources)
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -11,7 +11,7 @@
  * is the difference between the results with and without the mechanism.
  */
 public enum Mechanism {
-    /** Admission control, which rejects requests at random when responses are late. */
+    /** Admission control: rejects requests at random when responses are late. */
     ADMISSION(
             "admission", "rejecting requests at random when responses are late", "ADMISSION_CUT=1"),
     /** Concurrency limit of a zone. */
@@ -34,19 +34,25 @@
      * cost.
      */
     SPILL("spill", "leaving the subset for an endpoint of much lower cost", "SPILL_RATIO=1e9"),
-    /** Subsetting, which limits each sidecar to few endpoints. */
+    /** Subsetting: each sidecar uses only few endpoints. */
     SUBSETS("subsets", "using few endpoints", "SUBSET_SIZE=1000000"),
     /** Retries of failed attempts. */
     RETRIES("retries", "retries", "MAX_SAVED_RETRIES=0"),
-    /** Addition of the cost of opening a connection to the cost of an endpoint. */
+    /**
+     * Connection cost, which raises the cost of an endpoint to which a new connection is needed, if
+     * many sidecars share few endpoints.
+     */
     CONNECTION_COST(
             "connection-cost",
             "preferring endpoints with an open connection",
             "NEW_CONNECTION=1",
             "SETUP_COST=0"),
-    /** Fair sharing, by which requests beyond a tenant's quota are rejected first. */
+    /** Fair sharing: requests beyond a tenant's quota are rejected first. */
     FAIR_SHARE("fair-share", "rejecting requests beyond a tenant's quota first", "QUOTA_SLACK=1e9"),
-    /** Bound on the time in the queue, which applies while many requests are open. */
+    /**
+     * Short limit on the time that a request may wait in the queue. This limit applies while many
+     * requests are open.
+     */
     SHORT_HOLD(
             "short-hold",
             "rejecting queued requests before half of the time to their deadline",
--- a/testbed/src/main/java/sagefall/policy/OracleBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/OracleBalancer.java
@@ -13,7 +13,10 @@
  */
 final class OracleBalancer extends BaselineBalancer {
 
-    /** Exclusive upper bound of the expected response time, as a fraction of the latency target. */
+    /**
+     * A request is sent only if the expected response time is less than this fraction of the
+     * latency target.
+     */
     private static final double MAX_LATENCY_TARGET_FRACTION = 0.5;
 
     private final GroundTruth groundTruth;
--- a/testbed/src/main/java/sagefall/policy/Policy.java
+++ b/testbed/src/main/java/sagefall/policy/Policy.java
@@ -8,7 +8,10 @@
 /** Creates the load balancers of an emulated fleet, one for each sidecar process. */
 public interface Policy extends AutoCloseable {
 
-    /** Returns the specification of this policy, as on the command line and in results. */
+    /**
+     * Returns the specification of this policy. The specification is used on the command line and
+     * in results.
+     */
     String name();
 
     /**
--- a/testbed/src/main/java/sagefall/policy/PolicySources.java
+++ b/testbed/src/main/java/sagefall/policy/PolicySources.java
@@ -12,7 +12,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Source files of the load balancer, as the deploy file of a checkout lists them. */
+/** Source files of the load balancer that are listed in the deploy file of a checkout. */
 final class PolicySources {
 
     private static final String DEPLOY_FILE = "deploy/balancer.toml";
@@ -101,8 +101,8 @@
     /**
      * Replaces the value of a constant.
      *
-     * @param tunable name of the constant, or CLASS.NAME if several classes have a constant of this
-     *     name
+     * @param tunable {@code NAME} of the constant, or {@code CLASS.NAME} if several classes have a
+     *     constant of this name
      * @throws PolicyException unless exactly one class has a constant of this name
      */
     void setTunable(String tunable, String value) throws PolicyException {
--- a/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
+++ b/testbed/src/main/java/sagefall/policy/RecompiledPolicy.java
@@ -10,8 +10,8 @@
 /**
  * Policy that compiles the load balancer from the policy files with some of the tunables changed.
  * Tunables are constants in the source code, for two reasons. The compiler folds constants, so
- * tunables cost a sidecar nothing at run time. An experiment uses the source code of the sidecar
- * itself.
+ * tunables cost a sidecar nothing at run time. An experiment compiles the source code that the
+ * sidecar uses.
  */
 final class RecompiledPolicy implements Policy {
 
@@ -23,7 +23,8 @@
      *
      * @param name specification of the policy
      * @param root root of a checkout of sagefall, whose deploy file lists the policy files
-     * @param tunables new values by the names of the tunables, NAME or CLASS.NAME
+     * @param tunables new values by the names of the tunables; a name has the form {@code NAME} or
+     *     {@code CLASS.NAME}
      * @throws PolicyException if the files do not exist, do not compile against this build, or do
      *     not have one of the tunables
      */
--- a/testbed/src/main/java/sagefall/policy/RoundRobinBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/RoundRobinBalancer.java
@@ -8,7 +8,7 @@
 /** Sends requests to the servers in turn, starting with a random one. */
 final class RoundRobinBalancer extends BaselineBalancer {
 
-    /** Exclusive upper bound of the initial, random value of {@code nextPosition}. */
+    /** The initial value of {@code nextPosition} is random and less than this. */
     private static final int FIRST_POSITION_BOUND = 1 << 20;
 
     private int nextPosition;
--- a/testbed/src/main/java/sagefall/policy/TwoChoicesBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/TwoChoicesBalancer.java
@@ -6,10 +6,11 @@
 import sagefall.balancer.api.Request;
 
 /**
- * Power of two choices: draws two random servers and picks the one with the lower cost. The cost is
- * the peak EWMA of the latency, multiplied by 1 + the number of this sidecar's attempts in flight.
- * The peak EWMA rises to a higher sample immediately and decays exponentially towards lower
- * samples. A server without a sample has cost 0. There are no subsets and no concurrency limits.
+ * Power of two choices: draws two random servers, possibly the same server twice, and picks the
+ * server with the lower cost. The cost is the peak EWMA of the latency, multiplied by 1 + the
+ * number of this sidecar's attempts in flight. The peak EWMA rises to a higher sample immediately
+ * and decays exponentially towards lower samples. A server without a sample has cost 0. There are
+ * no subsets and no concurrency limits.
  */
 final class TwoChoicesBalancer extends BaselineBalancer {
 
--- a/testbed/src/main/java/sagefall/report/HeatMap.java
+++ b/testbed/src/main/java/sagefall/report/HeatMap.java
@@ -36,7 +36,7 @@
      * @param rows values by row and second; a value below 0 stands for a missing value and is drawn
      *     in black
      * @param max minimum value that is drawn in the darkest red
-     * @param groups names that are written beside groups of rows
+     * @param groups groups of rows, with the names that are written beside them
      * @param legend explanation of the colours, as HTML
      */
     static String figure(
--- a/testbed/src/main/java/sagefall/report/RunCharts.java
+++ b/testbed/src/main/java/sagefall/report/RunCharts.java
@@ -25,7 +25,7 @@
      */
     private static final double MAX_REQUESTS_PER_CORE = 12;
 
-    /** Upper end of the vertical axis, as a multiple of the highest value. */
+    /** The upper end of the vertical axis is the highest value multiplied by this factor. */
     private static final double AXIS_HEADROOM = 1.1;
 
     private final SimulationResult result;
--- a/testbed/src/main/java/sagefall/report/SvgChart.java
+++ b/testbed/src/main/java/sagefall/report/SvgChart.java
@@ -6,9 +6,9 @@
 import sagefall.emulator.InjectedFault;
 
 /**
- * Draws a chart over the seconds of a run as SVG text, which a reader can search and copy values
- * from. No plotting library is used, as no library for the JDK writes such static charts without a
- * window system or external scripts.
+ * Draws a chart over the seconds of a run as SVG. Readers can search and copy its text. No plotting
+ * library is used, as no library for the JDK writes such static charts without a window system or
+ * external scripts.
  */
 final class SvgChart {
 
@@ -20,7 +20,7 @@
     private static final int BOTTOM = 26;
     private static final int MAX_FAULT_NAME_ROWS = 6;
 
-    /** Colours of lines and layers, which readers with colour blindness can distinguish. */
+    /** Colours of lines and layers. Readers with colour blindness can distinguish the colours. */
     static final List<String> COLOURS =
             List.of(
                     "#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#8C6D1F",
--- a/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
+++ b/testbed/src/main/java/sagefall/scenario/BenchmarkFigures.java
@@ -10,7 +10,7 @@
  * Goal values that builds reached in the operators' benchmark. The values are used to check whether
  * the emulator ranks the builds in the same order as the benchmark.
  *
- * @param builds builds and the policies that represent them
+ * @param builds builds, each with the policy that represents the build in the emulator
  * @param measurements measured goal values
  */
 public record BenchmarkFigures(
--- a/testbed/src/main/java/sagefall/scenario/ClientSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ClientSettings.java
@@ -3,11 +3,12 @@
 /**
  * Retries, timeouts and early disconnects of clients.
  *
- * @param maxRetries maximum number of retries of a request by the client
- * @param attemptTimeoutShare timeout of each request or retry of a client, as a share of the
- *     deadline
+ * @param maxRetries maximum number of retries that a client makes for an operation
+ * @param attemptTimeoutShare time for which a client waits for the response to each request or
+ *     retry, as a share of the deadline
  * @param backoffMillis delay before a retry
- * @param retryAfterCompliance share of the clients that wait as long as Retry-After says
+ * @param retryAfterCompliance share of the clients that wait for the delay in Retry-After before a
+ *     retry
  * @param disconnectShare share of the requests during which the client disconnects early
  * @param marksRetries whether a client marks its retries as retries
  */
--- a/testbed/src/main/java/sagefall/scenario/DrawnFault.java
+++ b/testbed/src/main/java/sagefall/scenario/DrawnFault.java
@@ -13,7 +13,7 @@
  * @param durationSeconds duration of the fault in seconds
  * @param fraction fraction of the servers, sidecars, requests or responses that the fault affects
  * @param magnitude magnitude of the fault, in the unit of its kind
- * @param periodSeconds time between two repetitions, in seconds
+ * @param periodSeconds period of a fault that repeats, in seconds
  * @param random source of the values that are drawn later, such as the affected servers
  */
 public record DrawnFault(
--- a/testbed/src/main/java/sagefall/scenario/Fault.java
+++ b/testbed/src/main/java/sagefall/scenario/Fault.java
@@ -14,7 +14,7 @@
  * @param tenant index of the affected tenant; -1 for none
  * @param fraction fraction of the servers, sidecars, requests or responses that the fault affects
  * @param magnitude magnitude of the fault, in the unit of its kind
- * @param periodSeconds time between two repetitions, in seconds
+ * @param periodSeconds period of a fault that repeats, in seconds
  * @param mode variant of the kind
  * @param location file, line and key of the fault's definition, for error messages
  */
--- a/testbed/src/main/java/sagefall/scenario/FaultKind.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultKind.java
@@ -14,11 +14,15 @@
 import java.util.Set;
 
 /**
- * Kinds of faults, with the keys that each kind takes and the runners that can inject it. The words
- * fraction, magnitude, period and mode in a description denote the components of {@link Fault}.
+ * Kinds of faults, with the keys that each kind takes and the runners that can inject it. In a
+ * description, fraction, magnitude, period and mode are the components of {@link Fault} with these
+ * names.
  */
 public enum FaultKind {
-    /** All servers of a zone stop at once, and later restart cold. The mode is silent or refuse. */
+    /**
+     * All servers of a zone stop simultaneously, and later restart cold. The mode is {@code silent}
+     * or {@code refuse}.
+     */
     LOSE_ZONE("lose_zone", DURATION, ZONE, MODE),
     /**
      * A zone is lost and restored in each period; the fraction is the share of the period for which
@@ -30,7 +34,10 @@
      * traffic that is cut: both directions, only inbound or only outbound.
      */
     CUT_ZONE("cut_zone", DURATION, ZONE, MODE),
-    /** A fraction of the servers stops, and later restarts cold. The mode is silent or refuse. */
+    /**
+     * A fraction of the servers stops, and later restarts cold. The mode is {@code silent} or
+     * {@code refuse}.
+     */
     LOSE_SERVERS("lose_servers", DURATION, FRACTION, MODE),
     /** A fraction of the servers is slower; the magnitude is the factor. */
     SLOW_SERVERS("slow", DURATION, FRACTION, MAGNITUDE),
@@ -65,13 +72,13 @@
     TENANT_SURGE("surge", DURATION, TENANT, MAGNITUDE),
     /**
      * A fraction of the servers is drained and replaced by new ones, one after another. With mode
-     * late, a draining server accepts requests until every sidecar has been notified. With mode
-     * early, a draining server rejects requests from the start.
+     * {@code late}, a draining server accepts requests until every sidecar has been notified. With
+     * mode {@code early}, a draining server rejects requests from the start.
      */
     REPLACE_SERVERS("replace", DURATION, FRACTION, MODE),
     /**
-     * A fraction of the sidecars, or of those of a zone, is killed at once and later restarted; the
-     * magnitude is the delay of the restart in seconds.
+     * A fraction of all sidecars, or of the sidecars of a zone, is killed simultaneously and later
+     * restarted; the magnitude is the delay of the restart in seconds.
      */
     KILL_SIDECARS("kill_sidecars", FRACTION, MAGNITUDE, ZONE),
     /**
@@ -101,7 +108,7 @@
     SUPPRESSED_UPDATES("deaf", DURATION, FRACTION),
     /**
      * A fraction of the servers stops, and later restarts at the old addresses with new server ids.
-     * The mode is silent or refuse.
+     * The mode is {@code silent} or {@code refuse}.
      */
     RESTART_WITH_NEW_IDS(
             "reborn", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION, MODE),
@@ -109,7 +116,7 @@
     STOP_SIDECARS("stop_sidecars", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION),
     /**
      * A fraction of the sidecars is suspended for a part of each tenth of a second; the magnitude
-     * is the share of the time for which they run.
+     * is the share of the time for which the sidecars run.
      */
     SLOW_SIDECARS(
             "slow_sidecars",
@@ -140,7 +147,7 @@
             MODE),
     /**
      * The latency between a fraction of the sidecars and a zone's servers is higher; the magnitude
-     * is the addition in milliseconds.
+     * is the additional latency in milliseconds.
      */
     DELAY_LINKS(
             "delay_links",
@@ -163,8 +170,8 @@
     /**
      * The machines of a fraction of the sidecars, and of the servers of a zone or of all zones,
      * lose power and later restart; the magnitude is the delay of the restart in seconds. With mode
-     * fresh, the configuration of a restarted sidecar has the current endpoint list. With mode
-     * stale, the configuration has the endpoint list of the first start.
+     * {@code fresh}, the configuration of a restarted sidecar has the current endpoint list. With
+     * mode {@code stale}, the configuration has the endpoint list of the first start.
      */
     POWER_LOSS(
             "power_loss",
@@ -179,8 +186,8 @@
      */
     DRAIN_SERVERS("drain", EnumSet.of(ScenarioRunner.FAULT_INJECTION), DURATION, FRACTION),
     /**
-     * The wall clock of a fraction of the sidecars is wrong from their next start on; the magnitude
-     * is the number of seconds by which the clock is ahead.
+     * The wall clock of a fraction of the sidecars is wrong from the next start of each sidecar on;
+     * the magnitude is the number of seconds by which the clock is ahead.
      */
     WRONG_CLOCK("wrong_clock", EnumSet.of(ScenarioRunner.FAULT_INJECTION), MAGNITUDE, FRACTION),
     /** The leader at the start of the fault is suspended (SIGSTOP) and later continued. */
--- a/testbed/src/main/java/sagefall/scenario/FaultParameter.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultParameter.java
@@ -12,7 +12,7 @@
     FRACTION("part"),
     /** Magnitude of the fault, in the unit of its kind. */
     MAGNITUDE("size"),
-    /** Time between two repetitions, in seconds. */
+    /** Period of a fault that repeats, in seconds. */
     PERIOD("every_s"),
     /** Mode of the fault, a variant of its kind. */
     MODE("how");
--- a/testbed/src/main/java/sagefall/scenario/FaultReader.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultReader.java
@@ -17,8 +17,8 @@
     /**
      * Creates a reader for the faults of one scenario.
      *
-     * @param runSeconds time in seconds for which requests arrive, which limits the times of a
-     *     fault
+     * @param runSeconds time in seconds for which requests arrive; the times of a fault are at most
+     *     this
      */
     FaultReader(FleetSettings fleet, List<TenantSettings> tenants, double runSeconds) {
         this.fleet = fleet;
--- a/testbed/src/main/java/sagefall/scenario/FleetSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/FleetSettings.java
@@ -11,9 +11,9 @@
  * @param serverSkew unevenness of the distribution of the servers over the zones, 0 to 1
  * @param cellServers number of servers in a cell
  * @param startSeconds time from the start of a sidecar until the sidecar is ready, in the emulator;
- *     fault injection ignores it, because it starts real processes
- * @param persistence mode in which sidecars persist the endpoint list in fault injection: off, each
- *     or snapshot
+ *     fault injection ignores this time, because real processes are started there
+ * @param persistence mode in which sidecars persist the endpoint list in fault injection: {@code
+ *     off}, {@code each} or {@code snapshot}
  * @param leaseMillis duration of the lease that sidecars compete for in fault injection; 0 for no
  *     lease
  */
--- a/testbed/src/main/java/sagefall/scenario/MachineType.java
+++ b/testbed/src/main/java/sagefall/scenario/MachineType.java
@@ -7,11 +7,11 @@
  * @param share share of the servers that have this type, relative to the shares of the other types
  * @param cores number of cores
  * @param speed speed of a core, relative to a core of speed 1
- * @param slotsPerCore number of requests executed at a time, per core
+ * @param slotsPerCore maximum number of requests that a server executes concurrently, per core
  * @param queuePerCore maximum length of the queue, per core; a request that arrives at a full queue
  *     is rejected
- * @param contentionPenalty relative slowdown by each request per core beyond the {@code
- *     contentionThreshold}
+ * @param contentionPenalty relative slowdown that each request per core above {@code
+ *     contentionThreshold} causes
  * @param contentionThreshold maximum number of requests per core without contention
  * @param initialCapacityShare share of its capacity that a server has right after a cold start
  * @param slowStartSeconds time from a cold start until a server is warm
--- a/testbed/src/main/java/sagefall/scenario/Scenario.java
+++ b/testbed/src/main/java/sagefall/scenario/Scenario.java
@@ -9,7 +9,7 @@
 
 /**
  * Description of a fleet, its load and the faults that are injected. A value may be given as a
- * range. Each run then draws its value from the range by the run's seed. A scenario and a seed
+ * range. Each run then draws its value from the range with the run's seed. A scenario and a seed
  * define one run. In the emulator, they also determine the result of the run.
  *
  * @param name name of the scenario in results
--- a/testbed/src/main/java/sagefall/scenario/ScenarioReader.java
+++ b/testbed/src/main/java/sagefall/scenario/ScenarioReader.java
@@ -6,7 +6,10 @@
 /** Reads a scenario, and defines the default values of the keys that are absent in the file. */
 final class ScenarioReader {
 
-    /** Upper bound of the duration of a run, and of most other times, in seconds. */
+    /**
+     * Maximum permitted duration of a run in seconds, and maximum of most other times in a
+     * scenario.
+     */
     private static final double MAX_SECONDS = 3600;
 
     private static final double DEFAULT_SECONDS = 50;
@@ -18,7 +21,7 @@
         this.root = root;
     }
 
-    /** Reads all tables; an unknown key is an error. */
+    /** Reads all tables of the scenario. An unknown key is an error. */
     Scenario read() throws ScenarioException {
         double seconds = root.number("seconds", DEFAULT_SECONDS, 1, MAX_SECONDS);
         FleetSettings fleet = readFleet(root.table("fleet"));
--- a/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
+++ b/testbed/src/main/java/sagefall/scenario/ServiceSettings.java
@@ -3,8 +3,10 @@
 /**
  * Request class and limits of the service, and model of the work that requests cause.
  *
- * @param idempotency whether a request may be executed twice: pure, token or side_effect
- * @param deduplicationScope servers that recognize a repeated idempotency key: all, zone or cell
+ * @param idempotency whether a request may be executed twice: {@code pure}, {@code token} or {@code
+ *     side_effect}
+ * @param deduplicationScope servers that recognize a repeated idempotency key: {@code all}, {@code
+ *     zone} or {@code cell}
  * @param latencyTargetMillis latency target; a slower response is late
  * @param deadlineMillis time from the arrival of a request until the client stops waiting for the
  *     response
@@ -13,8 +15,10 @@
  * @param cancellationAllowed whether a sidecar may cancel an attempt
  * @param retryAfterAllowed whether a rejection may carry Retry-After
  * @param workMillis mean work of a request, as execution time on a core of speed 1
- * @param distribution distribution of the work: lognormal, exponential or constant
- * @param workVariation coefficient of variation of the work; only lognormal uses it
+ * @param distribution distribution of the work: {@code lognormal}, {@code exponential} or {@code
+ *     constant}
+ * @param workVariation coefficient of variation of the work; used only for the distribution {@code
+ *     lognormal}
  * @param attemptNoise coefficient of variation of the work between two attempts of one request
  * @param cachedKeySaving share of the work that is saved for a key that the server has cached
  * @param keyLifetimeSeconds time for which a server caches a key
@@ -30,8 +34,8 @@
  *     present capacity
  * @param slowStartLimitSeconds length of the time window in which the load of a cold server is
  *     counted
- * @param drainGraceMillis time for which requests may still be sent to a server after a sidecar has
- *     been notified that the server is draining
+ * @param drainGraceMillis time for which a sidecar may still send requests to a server after the
+ *     sidecar was notified that the server drains
  * @param responseGraceMillis maximum time from the deadline of a request until the request
  *     completes
  * @param tickMillis resolution of the clock of the sidecars
--- a/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlLineIndex.java
@@ -9,8 +9,8 @@
 
 /**
  * Index of the lines of the keys in a TOML text. The parser does not keep the locations of keys,
- * but error messages need a line: a message without one is of little use in a file of a hundred
- * lines. A key within an inline table has the line of the table.
+ * but error messages need a line number: a message without a line number is of little use for a
+ * file of a hundred lines. A key within an inline table has the line of the table.
  */
 final class TomlLineIndex {
 
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -14,9 +14,7 @@
  */
 final class TomlTable {
 
-    /**
-     * Exclusive upper bound of the absolute value of integers that are printed without an exponent.
-     */
+    /** An integer is printed without an exponent if its absolute value is less than this. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
 
     private final String file;
--- a/testbed/src/main/java/sagefall/scenario/ValueRange.java
+++ b/testbed/src/main/java/sagefall/scenario/ValueRange.java
@@ -3,7 +3,7 @@
 import sagefall.emulator.RandomStreams;
 
 /**
- * Range of a value of a scenario. Each run draws its value from the range by the run's seed.
+ * Range of a value of a scenario. Each run draws its value from the range with the run's seed.
  *
  * @param low lower bound
  * @param high upper bound; equal to the lower bound if the value is fixed
--- a/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
+++ b/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Returns what is wrong with a command, or null if it is valid.
+     * Returns why a command is invalid, or null if the command is valid.
      *
      * @param partial whether parameters may be missing, for example because a sentence only
      *     mentions the command
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -30,14 +30,14 @@
 import sagefall.scenario.Scenario;
 
 /**
- * Checks that the invariant checker detects the breach of each invariant. For this, a policy is
- * mutated to break one invariant. Also checks that the load balancer breaks no invariant.
+ * Checks that the invariant checker detects the breach of each invariant. For each invariant, a
+ * mutated policy breaks the invariant. Also checks that the load balancer breaks no invariant.
  */
 class InvariantCheckerTest {
 
     /**
-     * Returns a scenario with draining servers, cold servers and error responses. The mutants need
-     * them to break their invariants.
+     * Returns a scenario with draining servers, cold servers and error responses. Without these
+     * servers and responses, the mutants could not break their invariants.
      */
     private static Scenario scenario() throws Exception {
         return Scenario.read(
@@ -75,7 +75,8 @@
         private static final long UNLISTED_SERVER = 7;
 
         /**
-         * Highest number (from 0) of an attempt that the mutant for {@link Rule#ATTEMPTS} makes.
+         * Number of the last attempt, counted from 0, that the mutant for {@link Rule#ATTEMPTS}
+         * makes.
          */
         private static final int ATTEMPT_NUMBER_LIMIT = 7;
 
@@ -88,9 +89,9 @@
         private long drainingServer;
 
         /**
-         * Handles an event in place of the wrapped policy if the mutation concerns the event.
-         * Returns whether the mutant handled the event. If the mutant has sent a request, the
-         * mutant also handles the outcomes of the attempts and sends the final response.
+         * Handles an event instead of the wrapped policy if this is needed to break the rule.
+         * Returns whether the event was handled. If the mutant has sent a request, the mutant also
+         * handles the outcomes of the attempts and sends the final response.
          */
         private boolean replaceEvent(String event, Object[] arguments) {
             if (event.equals("onEndpointList")) {
--- a/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
+++ b/testbed/src/test/java/sagefall/emulator/KnownResultsTest.java
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Checks that requests to the other zone are not served while a zone is cut off. Requests
+     * Checks that requests between the two zones are not served while one zone is cut off. Requests
      * within a zone are not affected.
      */
     @Test
--- a/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
+++ b/testbed/src/test/java/sagefall/emulator/SimulationResultFormatTest.java
@@ -251,8 +251,8 @@
     }
 
     /**
-     * Checks that the names of invariants do not change. They are written to {@code days.jsonl}
-     * and, in the output of commands, after {@code BROKEN}.
+     * Checks that the names of invariants do not change. The names are written to {@code
+     * days.jsonl}. Commands print the names after {@code BROKEN}.
      */
     @Test
     void namesOfInvariantsDoNotChange() {
--- a/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
+++ b/testbed/src/test/java/sagefall/experiment/PairedDifferenceTest.java
@@ -28,7 +28,7 @@
 
     /**
      * Draws samples from a distribution of known mean. The confidence level of the interval is 95
-     * percent, so the interval must contain the mean in 88 to 98 percent of the cases.
+     * percent, so the interval must contain the known mean for 88 to 98 percent of the samples.
      */
     @Test
     void intervalContainsTheMeanAsOftenAsItsConfidenceLevelSays() {
--- a/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/FaultInjectionRunTest.java
@@ -87,8 +87,8 @@
     /**
      * All sidecars lose power, and restart with an old endpoint list while discovery is silent.
      * Each sidecar recovers its persisted snapshot. Because of the snapshot, a sidecar does not use
-     * endpoints if it was notified of their draining or removal before the power loss. The snapshot
-     * also has endpoints that the old list lacks.
+     * an endpoint if the sidecar was notified before the power loss that the endpoint is draining
+     * or removed. The snapshot also has endpoints that the old list lacks.
      */
     @Test
     void sidecarRecoversPersistedEndpointsAfterPowerLoss() throws Exception {
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -60,7 +60,7 @@
 
     /**
      * Guards against a tunable that is renamed while {@link Mechanism} keeps the old name. The
-     * mechanism could then not be switched off, and would look like a mechanism without effect.
+     * mechanism could then not be switched off, and would seem to have no effect.
      */
     @ParameterizedTest
     @EnumSource(Mechanism.class)
