--- a/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
+++ b/sidecar/src/main/java/sagefall/balancer/PollScheduler.java
@@ -103,7 +103,7 @@
         failing = true;
     }
 
-    /** Notes that a list was received, so that the next failure is logged again. */
+    /** Notes that an endpoint list was received, so that the next failed poll is logged again. */
     void onListReceived() {
         failing = false;
     }
--- a/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RetryBudget.java
@@ -19,9 +19,9 @@
     private double tokens = MAX_SAVED_RETRIES / 2;
 
     /**
-     * Adds to the budget for an arrived request. While the admitted fraction is low, failures come
-     * from overload rather than from faulty endpoints. So a request then adds fewer tokens, and the
-     * capacity is lower.
+     * Adds tokens for an arrived request. While the admitted fraction is low, failures come from
+     * overload rather than from faulty endpoints. So a request then adds fewer tokens, and the
+     * capacity of the bucket is lower.
      *
      * @param admittedFraction fraction of the requests that is admitted, from 0 to 1
      */
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
@@ -50,8 +50,8 @@
     private static final double MIN_ZONE_LIMIT = 2;
 
     /**
-     * Weight of one report in the mean utilization, and weight of one attempt in the typical number
-     * of attempts in flight.
+     * Weight of one report in the moving average of the utilization, and weight of one attempt in
+     * the moving average of the number of attempts in flight.
      */
     private static final double ZONE_MEAN_WEIGHT = 0.1;
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -43,7 +43,8 @@
     /**
      * Returns whether the request may be sent to the given endpoint now.
      *
-     * @param candidates maximum number of candidates in the node, including the given endpoint
+     * @param candidates maximum number of candidates in the searched node of the subset tree,
+     *     including the given endpoint
      */
     boolean hasCapacity(long now, PendingRequest request, Endpoint endpoint, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -128,9 +128,10 @@
         } else if (response.decoderResult().isFailure()
                 || !context.channel().isActive()
                 || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            // A body that is delimited by the end of the connection is complete after a half-close
-            // by the server (RFC 9112, 6.3). On a closed channel, for example after a reset, such a
-            // body may be incomplete. After 101 (Switching Protocols), no HTTP response follows.
+            // The response is unusable. If the end of the connection delimits the body, the body
+            // may be incomplete on a closed channel, for example after a reset. After a half-close
+            // by the server the body is complete (RFC 9112, 6.3), and the channel is still active.
+            // After 101 (Switching Protocols), no HTTP response follows.
             context.close();
         } else {
             connection.enter(HttpConnectionState.RESPONSE_COLLECTED);
--- a/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
+++ b/sidecar/src/main/java/sagefall/persistence/WriteAheadLog.java
@@ -85,8 +85,9 @@
         } catch (StoredDataException e) {
             log.setFilesAside();
             logSetAside(e, logger);
-            // If the stored epoch could be read, the epochs continue from the stored epoch. The
-            // reader returns 0 in place of another sidecar's epoch.
+            // If the stored epoch could be read, the epochs continue from the stored epoch. If it
+            // could not be read or belongs to another sidecar, the reader returns 0, and the next
+            // epoch is 1.
             recovered = EndpointSnapshot.withEpoch(sidecarName, reader.epoch());
         }
         log.generation = reader.newestGeneration();
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -49,7 +49,7 @@
 
     /**
      * Time at which the current iteration began to read. If the process was stopped between the
-     * select and the first read, the time at which the iteration began to select.
+     * select and the first read, this is the time at which the iteration began to select instead.
      */
     private long readStartNanos = System.nanoTime();
 
@@ -60,8 +60,8 @@
     private long earliestArrivalNanos = readStartNanos;
 
     /**
-     * Start of the previous iteration: the {@link #readStartNanos} of that iteration. If that
-     * iteration read nothing, the time at which it began to select.
+     * Start of the previous iteration: the {@link #readStartNanos} of that iteration or, if it read
+     * nothing, the time at which it began to select.
      */
     private long previousStartNanos = readStartNanos;
 
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -136,7 +136,7 @@
     }
 
     /**
-     * Applies discovery's address and the extensions of a configuration. May be called on any
+     * Applies the discovery address and the extensions of a new configuration. May be called on any
      * thread.
      */
     void reconfigure(SidecarConfig newConfig) {
--- a/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedServer.java
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Sets the limit on the requests to the cold server. If the limit is exceeded, the server
-     * stops. Without a budget, no load stops the server.
+     * Sets the budget for requests to this server while it is cold. If the budget is exceeded, the
+     * server stops. Without a budget, no load stops the server.
      */
     public void setSlowStartBudget(SlowStartBudget budget) {
         slowStartBudget = budget;
--- a/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
+++ b/testbed/src/main/java/sagefall/emulator/InvariantChecker.java
@@ -17,7 +17,8 @@
     /** The invariants. Their names are written to the results. */
     public enum Rule {
         /**
-         * Each request gets one final response in time, and no attempt is sent after the response.
+         * Each request gets one final response by its deadline plus the response grace time, and no
+         * attempt is sent after the response.
          */
         ONE_ANSWER,
         /**
@@ -166,7 +167,10 @@
         return null;
     }
 
-    /** Checks a rejection. The client concludes from a rejection that a retry is safe. */
+    /**
+     * Checks that a request that has possibly been executed is rejected only if a retry of it is
+     * safe. The client concludes from a rejection that it may retry.
+     */
     void onReject(EmulatedSidecar sidecar, ClientRequest request, String requestId) {
         onFinalResponse(sidecar, requestId);
         if (request == null || request.completed || isRetrySafe()) {
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -28,7 +28,8 @@
 /**
  * Creates the sidecars and servers of a run and the links between them, but starts no process.
  * Sidecars and initial servers are created before the run begins. Replacement servers are created
- * on the event loop during the run.
+ * on the event loop: those in a new slot before the load begins, because creating their links
+ * blocks the event loop, and those in the slot of the replaced server when the fault ends.
  */
 final class MemberFactory {
 
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -162,9 +162,8 @@
     /**
      * Schedules the replacement of servers one after another over the duration of the fault. Each
      * server is reported as draining, and its replacement is started. The replaced server begins to
-     * drain once discovery has notified all sidecars. In mode {@link FaultMode#EARLY}, the replaced
-     * server begins to drain immediately. {@link #drainAndStop} describes when the replaced server
-     * stops.
+     * drain once discovery has notified all sidecars or, in mode {@link FaultMode#EARLY},
+     * immediately. {@link #drainAndStop} describes when the replaced server stops.
      */
     private void scheduleReplacements(ScheduledFault fault) {
         int count = fault.servers().size();
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -103,7 +103,7 @@
      * duration of the fault.
      */
     private void scheduleRestarts(ScheduledFault fault) {
-        // This call only records the begin and the end of the fault. The restarts are scheduled
+        // This call only records the start and the end of the fault. The restarts are scheduled
         // below.
         timeline.during(fault, on -> {});
         List<SidecarControl> sidecars = controls(fault);
--- a/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
@@ -43,7 +43,10 @@
     HOST("host"),
     /** A fault began or ended. */
     FAULT("fault"),
-    /** A save server started, shut down, or failed because of an overload in its slow start. */
+    /**
+     * A save server, which is the server behind an endpoint, started, shut down, or failed because
+     * of an overload in its slow start.
+     */
     SERVER("server"),
     /** Number of open descriptors and resident memory of a sidecar without load. */
     REST("rest"),
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ObservedRequest.java
@@ -81,8 +81,9 @@
     }
 
     /**
-     * Returns whether no response has arrived. Returns false if the sidecar did not accept the
-     * connection.
+     * Returns whether the request got no response for a reason other than an unreachable sidecar.
+     * If the sidecar did not accept the connection ({@link ResponseStatus#UNREACHABLE}), returns
+     * false, although no response has arrived.
      */
     boolean hasNoResponse() {
         return response == null || response.number("status") == ResponseStatus.NO_RESPONSE;
--- a/testbed/src/test/java/sagefall/cli/CommandLineTest.java
+++ b/testbed/src/test/java/sagefall/cli/CommandLineTest.java
@@ -112,7 +112,7 @@
                 "simulate;calm --set colour=1;--set: colour: unknown key",
                 "simulate;calm --policy best;best: no such policy",
                 "simulate;calm --seeds x;--seeds: 'x' is neither a number nor FROM-TO",
-                "compare;calm --b module:X=1;module:X=1: X is no tunable"
+                "compare;calm --b module:X=1;module:X=1: X is not a tunable of the policy files"
             })
     void wrongInputIsReportedOnOneLineWithStatusTwo(String command, String options, String line) {
         assertEquals(
