--- a/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/QueueDispatcher.java
@@ -12,12 +12,15 @@
 import sagefall.logging.LogLine;
 
 /**
- * Sends requests to the endpoints that are picked for them, in the order of the queue. A request
- * stays queued while no endpoint has capacity, until waiting is of no use any more.
+ * Sends queued requests, in the order of the queue, to the endpoints that {@link EndpointPicker}
+ * picks for them. A request stays queued while no endpoint has capacity. It is rejected or failed
+ * when a response would come too late.
  */
 final class QueueDispatcher {
 
-    /** Latency targets from one log line on the queue to the next. */
+    /**
+     * Minimum time between two log lines on the queue, as a multiple of the mean latency target.
+     */
     private static final int QUEUE_LOG_INTERVAL_TARGETS = 10;
 
     private final BalancerActions actions;
@@ -29,7 +32,7 @@
     private final AttemptGate gate;
     private final RetryPolicy retryPolicy;
     private final RequestCloser closer;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private long queueLoggedAt;
 
     QueueDispatcher(
@@ -52,10 +55,13 @@
         this.gate = gate;
         this.retryPolicy = retryPolicy;
         this.closer = closer;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
-    /** Sends a request, or queues it, or gives it up where waiting would make others late. */
+    /**
+     * Sends a request if an endpoint has capacity, and queues it otherwise. While a zone is at its
+     * concurrency limit, rejects or fails the request instead of queueing it.
+     */
     void sendOrQueue(long now, PendingRequest request) {
         if (request.isClosed() || request.isQueued()) {
             return;
@@ -65,17 +71,20 @@
         if (!request.isQueued()) {
             return;
         }
-        if (zoneLimits.anyFull()) {
-            // The others have no endpoint to offer: whoever waits would be late, and make others
-            // late.
-            closer.giveUp(request, RejectionReason.ZONE_FULL);
+        if (zoneLimits.isAnyZoneFull()) {
+            // No endpoint of any zone has capacity. A queued request would be late, and would make
+            // later requests late.
+            closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
             return;
         }
-        scheduleCheck(now, request);
+        scheduleRecheck(now, request);
         logQueue(now);
     }
 
-    /** Sends queued requests while endpoints have capacity. */
+    /**
+     * Sends queued requests until the queue is empty or no endpoint has capacity for the next
+     * request. A request that the attempt gate does not send is rejected or failed.
+     */
     void sendQueued(long now) {
         PendingRequest next = queue.next();
         while (next != null) {
@@ -86,34 +95,38 @@
             queue.remove(next);
             boolean sent = gate.send(now, next, endpoint);
             if (!sent && !next.isClosed() && !next.hasAttemptInFlight()) {
-                closer.giveUp(next, retryPolicy.reasonAgainst(now, next));
+                closer.rejectOrFail(next, retryPolicy.reasonForNoRetry(now, next));
             }
             next = queue.next();
         }
     }
 
-    /** Checks a request that was queued when its timer was asked for. */
-    void check(long now, PendingRequest request) {
+    /**
+     * Rechecks a request whose timer has fired. Does nothing if the request is no longer queued. If
+     * a response would come too late, or if a zone is at its concurrency limit, the request is
+     * rejected or failed. Otherwise the next recheck is scheduled.
+     */
+    void recheck(long now, PendingRequest request) {
         if (request.isResponseStarted() || !request.isQueued()) {
             return;
         }
         if (now >= queue.lastUsefulAt(request, openRequests.size())) {
-            closer.giveUp(request, RejectionReason.QUEUE_TIMEOUT);
-        } else if (zoneLimits.anyFull()) {
-            closer.giveUp(request, RejectionReason.ZONE_FULL);
+            closer.rejectOrFail(request, RejectionReason.QUEUE_TIMEOUT);
+        } else if (zoneLimits.isAnyZoneFull()) {
+            closer.rejectOrFail(request, RejectionReason.ZONE_FULL);
         } else {
-            scheduleCheck(now, request);
+            scheduleRecheck(now, request);
             sendQueued(now);
         }
     }
 
-    private void scheduleCheck(long now, PendingRequest request) {
-        long at = queue.nextCheckAt(now, request, openRequests.size());
-        timers.scheduleQueueCheck(at, request);
+    private void scheduleRecheck(long now, PendingRequest request) {
+        long recheckAt = queue.nextRecheckAt(now, request, openRequests.size());
+        timers.scheduleRecheck(recheckAt, request);
     }
 
     private void logQueue(long now) {
-        if (now - queueLoggedAt < QUEUE_LOG_INTERVAL_TARGETS * targetMicros) {
+        if (now - queueLoggedAt < QUEUE_LOG_INTERVAL_TARGETS * meanTargetMicros) {
             return;
         }
         queueLoggedAt = now;
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -8,22 +8,27 @@
 import sagefall.balancer.request.RequestTimes;
 
 /**
- * Requests that wait for an endpoint with capacity: which is next, which gives way, until when
- * waiting is of use. It prevents that requests wait until no answer can be in time, while their
- * clients could still retry.
+ * Holds the requests that wait for an endpoint with capacity. Decides which request is sent next,
+ * which request is rejected when too many are open, and for how long a request stays queued. The
+ * bound on that time leaves the client enough time to retry while a response can still be in time.
  */
 public final class RequestQueue {
 
-    /** Part of its time for which a request is queued at most while many requests are open. */
+    /**
+     * Maximum time for which a request is queued while many requests are open, as a fraction of the
+     * time between the arrival and the deadline of the request.
+     */
     private static final double MAX_QUEUED_PART = 0.45;
 
-    /** Part of the latency target after which a queued request is rechecked. */
+    /**
+     * Interval between two rechecks of a queued request, as a multiple of the mean latency target.
+     */
     private static final double RECHECK_TARGETS = 0.125;
 
     private final BalancerSettings settings;
     private final AdmissionController admission;
     private final LatencyEstimator latency;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private final List<PendingRequest> queued = new ArrayList<>();
 
     /** Creates an empty queue. */
@@ -32,10 +37,10 @@
         this.settings = settings;
         this.admission = admission;
         this.latency = latency;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
-    /** Number of queued requests. */
+    /** Returns the number of queued requests. */
     public int size() {
         return queued.size();
     }
@@ -54,7 +59,11 @@
         request.dequeue();
     }
 
-    /** The request that is sent next: within quota first, of equals the newest; null if empty. */
+    /**
+     * Returns the request that is sent next. Requests within the quota of their tenant precede
+     * requests over the quota. Among equals the newest request is next. Returns null if the queue
+     * is empty.
+     */
     public PendingRequest next() {
         PendingRequest best = null;
         for (PendingRequest request : queued) {
@@ -66,9 +75,12 @@
     }
 
     /**
-     * Past the most open requests that the instance may have, the queued or new request of the
-     * least weight gives way, of equals the oldest: its time is the shortest, and a client that
-     * can't get in loses its own.
+     * Returns the request that is rejected when the number of open requests exceeds the maximum. It
+     * is the request of the least weight among the queued requests and the new request. Among
+     * equals it is the oldest, which has the least time left until the deadline. A new request has
+     * all of its time left.
+     *
+     * @param arrived the new request, which is not queued
      */
     public PendingRequest leastValuable(PendingRequest arrived) {
         PendingRequest least = null;
@@ -77,35 +89,43 @@
                 least = request;
             }
         }
-        boolean arrivedIsLeast =
+        boolean isArrivedLeast =
                 least == null || admission.weight(arrived) < admission.weight(least);
-        return arrivedIsLeast ? arrived : least;
+        return isArrivedLeast ? arrived : least;
     }
 
-    /** When a queued request is rechecked, in microseconds. */
-    public long nextCheckAt(long now, PendingRequest request, int openRequests) {
-        long recheckAt = now + (long) (targetMicros * RECHECK_TARGETS);
+    /** Returns the time of the next check of a queued request, in microseconds. */
+    public long nextRecheckAt(long now, PendingRequest request, int openRequests) {
+        long recheckAt = now + (long) (meanTargetMicros * RECHECK_TARGETS);
         return Math.max(now + 1, Math.min(lastUsefulAt(request, openRequests), recheckAt));
     }
 
     /**
-     * Until when a queued request may still earn something; after that it is rejected, which costs
-     * nothing. Where more than half of the requests that may be open are, one that no endpoint may
-     * have is rejected before half of its time: its client can still retry, and its connection is
-     * free for what is in time.
+     * Returns the exclusive upper bound of the points in time, in microseconds, at which it is
+     * useful to keep a request queued. The bound is the earliest of these times:
+     *
+     * <ul>
+     *   <li>two ticks of the host's timers before the deadline;
+     *   <li>a little less than halfway between arrival and deadline, if more than half of the
+     *       maximum number of requests are open and the request cannot have run at any endpoint.
+     *       The client can then still retry, and the client connection becomes free for requests
+     *       that can be served in time;
+     *   <li>the latest time at which an attempt of typical latency would still get a response in
+     *       time, if a late response has no weight.
+     * </ul>
      */
     public long lastUsefulAt(PendingRequest request, int openRequests) {
         RequestTimes times = request.times();
         long lastUseful = times.deadlineAt() - 2 * settings.tickMicros();
-        if (request.firstPossiblyExecuted() == null
+        if (request.firstThatMayHaveRun() == null
                 && openRequests > settings.limits().maxOpenRequests() / 2) {
             long total = times.deadlineAt() - times.arrivedAt();
             long latest = times.arrivedAt() + (long) (MAX_QUEUED_PART * total);
             lastUseful = Math.min(lastUseful, latest);
         }
-        if (request.rules().lateWeightShare() == 0) {
-            long inTime = times.objectiveAt() - (long) latency.typicalMicros(request);
-            lastUseful = Math.min(lastUseful, inTime);
+        if (request.requestClass().lateWeightShare() == 0) {
+            long latestInTime = times.latencyTargetAt() - (long) latency.typicalMicros(request);
+            lastUseful = Math.min(lastUseful, latestInTime);
         }
         return lastUseful;
     }
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
@@ -1,47 +1,58 @@
 package sagefall.balancer.admission;
 
 /**
- * A limit on this instance's attempts in flight in one zone, moved by the answers of all of its
- * endpoints together: where a fleet is large, no instance sees enough of one endpoint to find that
- * endpoint's limit. In flight rather than by rate, as that rises at once when answers slow down.
- * Both steps are parts of the limit, so instances of unlike traffic give way alike. Harm: in a zone
- * that is busy all over, some are rejected whom a lucky pick would have served.
+ * Limits the number of attempts that this instance has in flight in one zone. The responses of all
+ * endpoints of the zone together adjust the limit: in a large fleet no instance sees enough
+ * responses of one endpoint to find the limit of that endpoint. The number of attempts in flight is
+ * limited, not the request rate, because the number of attempts in flight rises as soon as
+ * responses become slower. Increases and cuts are fractions of the limit, so that instances with
+ * different traffic back off in proportion. Drawback: in a busy zone, some requests are rejected
+ * although a less busy endpoint of the zone could have served them.
  */
 public final class ZoneConcurrencyLimit {
 
     /**
-     * An answer is slow from this part of its latency objective on: the rest is for the spread of
-     * service times.
+     * A response is treated as slow if its latency exceeds this fraction of the latency target. The
+     * fraction is below 1 to allow for the variation of service times.
      */
     private static final double SLOW_OBJECTIVE_PART = 0.5;
 
     /**
-     * Part of the limit that a slow answer of a busy zone takes. Some twenty slow ones, which come
-     * in half a second, halve it.
+     * Fraction of the limit by which a slow response reduces the limit in a busy zone. About twenty
+     * slow responses, which arrive within half a second, halve the limit.
      */
     private static final double ZONE_LIMIT_CUT = 0.03;
 
     /**
-     * Part of the limit that any other answer gives back: at rest a quarter of the answers is slow.
+     * Fraction of the limit by which a response that is not slow raises the limit. Three such
+     * responses make up for one slow response. So increases and cuts cancel out while a quarter of
+     * the responses is slow, which is the fraction without overload.
      */
     private static final double ZONE_LIMIT_GAIN = 0.01;
 
     /**
-     * Mean reported utilization from which slow answers mean overload; below it some endpoints are
-     * sick, not all busy.
+     * Minimum mean reported utilization at which slow responses are treated as overload. At a lower
+     * utilization, slow responses come from a few faulty endpoints, not from a busy zone.
      */
     private static final double ZONE_BUSY_UTILIZATION = 0.8;
 
     /**
-     * The limit is cut from this many times what is typically in flight at the most, so that it
-     * binds.
+     * Maximum limit after a cut, as a multiple of the typical number of attempts in flight. Without
+     * this bound, the cut of a much higher limit would have no effect. The limit grows only if the
+     * number of attempts in flight is at least the limit divided by this factor.
      */
     private static final double MAX_TYPICAL_FACTOR = 2;
 
-    /** Least limit, in attempts: an instance that sends nothing learns nothing. */
+    /**
+     * Minimum limit, in attempts. The minimum is above 0, because an instance that sends no
+     * attempts gets no responses that could raise the limit again.
+     */
     private static final double MIN_ZONE_LIMIT = 2;
 
-    /** Weight of one report in the mean utilization, of one send in what is typically in flight. */
+    /**
+     * Weight of one report in the moving average of the utilization, and weight of one attempt in
+     * the moving average of the number of attempts in flight.
+     */
     private static final double ZONE_MEAN_WEIGHT = 0.1;
 
     private double limit = Double.POSITIVE_INFINITY;
@@ -49,23 +60,23 @@
     private double typicalInFlight;
     private int inFlight;
 
-    /** Whether as many attempts are in flight as may be. */
+    /** Returns whether the number of attempts in flight has reached the limit. */
     public boolean isFull() {
         return inFlight >= limit;
     }
 
-    /** An attempt counts as in flight from now on. */
+    /** Counts an attempt as in flight. */
     public void attemptStarted() {
         inFlight++;
         typicalInFlight += ZONE_MEAN_WEIGHT * (inFlight - typicalInFlight);
     }
 
-    /** An attempt is no longer in flight, whatever its outcome says of the zone. */
+    /** Stops counting an attempt as in flight, whatever its outcome. */
     public void attemptEnded() {
         inFlight--;
     }
 
-    /** Takes in what an endpoint reports of itself, from 0 to 1. */
+    /** Records the utilization that an endpoint reports, from 0 to 1. */
     public void recordUtilization(double utilization) {
         if (Double.isNaN(meanUtilization)) {
             meanUtilization = utilization;
@@ -74,16 +85,23 @@
         }
     }
 
-    /** Adjusts the limit to an answer that took this part of its latency objective. */
-    public void recordAnswer(double objectivePart) {
-        if (objectivePart > SLOW_OBJECTIVE_PART) {
+    /**
+     * Adjusts the limit to a response.
+     *
+     * @param latencyTargetFraction latency of the response as a fraction of its latency target
+     */
+    public void recordResponse(double latencyTargetFraction) {
+        if (latencyTargetFraction > SLOW_OBJECTIVE_PART) {
             recordOverload();
         } else if (inFlight >= limit / MAX_TYPICAL_FACTOR) {
             limit *= 1 + ZONE_LIMIT_GAIN;
         }
     }
 
-    /** A slow answer, none, or a full endpoint cuts the limit. Without reports each counts. */
+    /**
+     * Cuts the limit after a slow response, a timeout or a rejection. Does nothing if the reported
+     * utilization shows that the zone is not busy.
+     */
     public void recordOverload() {
         if (meanUtilization < ZONE_BUSY_UTILIZATION) {
             return;
--- a/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/LoadReportSource.java
@@ -1,9 +1,9 @@
 package sagefall.balancer.api;
 
-/** Where load reports come from. */
+/** Source of load reports. */
 public enum LoadReportSource {
-    /** There are none. */
+    /** There are no load reports. */
     NONE,
-    /** Servers add them to their answers. */
+    /** Endpoints add load reports to their responses. */
     ANSWERS
 }
--- a/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LoadReportTracker.java
@@ -6,13 +6,17 @@
 import sagefall.balancer.api.LoadReportSource;
 
 /**
- * Utilization of endpoints by their own load reports. A report ages towards the mean of all, and
- * one that is missing where they are usual means busy, not idle. It prevents that an endpoint whose
- * last report was good keeps attracting traffic after it has filled up.
+ * Tracks the utilization of endpoints from their load reports. The reported utilization of an
+ * endpoint decays towards the mean over all endpoints. Without this decay, an endpoint whose last
+ * report was low would attract traffic even after its load has risen. If other responses had
+ * reports, a response without a report is taken as a sign of a busy endpoint.
  */
 public final class LoadReportTracker {
 
-    /** Time constant of the aging of a report, in latency targets. */
+    /**
+     * Time constant with which a reported utilization decays towards the mean over all endpoints,
+     * as a multiple of the mean latency target.
+     */
     private static final double REPORT_DECAY_TARGETS = 4;
 
     /** Weight of one report in the mean of all endpoints. */
@@ -20,31 +24,42 @@
 
     private final BalancerSettings settings;
     private final ZoneConcurrencyLimits zoneLimits;
-    private final double targetMicros;
+    private final double meanTargetMicros;
     private double meanUtilization = Double.NaN;
 
     LoadReportTracker(BalancerSettings settings, ZoneConcurrencyLimits zoneLimits) {
         this.settings = settings;
         this.zoneLimits = zoneLimits;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
-    /** Whether any endpoint has reported its utilization. */
+    /** Returns whether any endpoint has reported its utilization. */
     public boolean hasReports() {
         return !Double.isNaN(meanUtilization);
     }
 
-    /** Utilization of an endpoint from 0 to 1 as known now; NaN where none is reported. */
+    /**
+     * Returns the estimated current utilization of an endpoint, from 0 to 1; NaN if no endpoint has
+     * reported its utilization.
+     */
     public double utilization(long now, Endpoint endpoint) {
         LoadReportState state = endpoint.loadReport();
         if (!state.isKnown()) {
             return meanUtilization;
         }
-        double decay = Math.exp(-(now - state.reportedAt) / (REPORT_DECAY_TARGETS * targetMicros));
+        double decay =
+                Math.exp(-(now - state.reportedAt) / (REPORT_DECAY_TARGETS * meanTargetMicros));
         return meanUtilization + (state.utilization - meanUtilization) * decay;
     }
 
-    /** Takes in the report of an answer; null or NaN where the answer brought none. */
+    /**
+     * Records the load report of a response. If the response had no report although other responses
+     * had one, the utilization of the endpoint is assumed to be at least halfway between the mean
+     * utilization and 1.
+     *
+     * @param report load report of the response; null, or with a utilization of NaN, if the
+     *     response had none
+     */
     void record(long now, Endpoint endpoint, LoadReport report) {
         if (settings.loadReportSource() != LoadReportSource.ANSWERS) {
             return;
--- a/sidecar/src/main/java/sagefall/balancer/health/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What answers, failures and silence tell of endpoints and connections: latency, outliers,
- * concurrency limits, load reports and slow start. One class for each policy, with its state for an
- * endpoint in a class of its own.
+ * Estimates the state of endpoints and connections from responses, failures and missing responses:
+ * latency, outliers, concurrency limits, load reports and slow start. Each policy is one class; the
+ * state that a policy keeps for each endpoint is another class.
  */
 package sagefall.balancer.health;
--- a/sidecar/src/main/java/sagefall/balancer/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The decisions: from an endpoint list and a request to the attempts that are sent, and to the one
- * answer of the request. A deterministic state machine: one thread drives it by events that bring
- * the time, and it acts only through {@link sagefall.balancer.api.BalancerActions}. It sees no
- * network, file, clock or thread.
+ * The load balancer: decides from endpoint lists and requests which attempts are sent, and which
+ * requests are rejected or failed. The balancer is a deterministic state machine. One thread calls
+ * it for each event and passes the time with the event. The balancer acts only through {@link
+ * sagefall.balancer.api.BalancerActions}. The balancer itself uses no network, file, clock or
+ * thread.
  */
 package sagefall.balancer;
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointEligibility.java
@@ -11,19 +11,22 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Whether an endpoint has capacity for a request: concurrency limits, pauses, slow start, trials of
- * ejected endpoints, and the cost of a new connection.
+ * Decides whether an endpoint has capacity for a request. Takes into account concurrency limits,
+ * pauses, slow start, trials of ejected endpoints and the set-up time of connections.
  */
 final class EndpointEligibility {
 
-    /** Part of its fair rate that a cold or half-open endpoint is sent, before its share. */
+    /**
+     * Fraction of its fair request rate that a cold or half-open endpoint is sent, as a multiple of
+     * its slow start share.
+     */
     private static final double SLOW_START = 1;
 
     private final BalancerSettings settings;
     private final SubsetTree subsets;
     private final EndpointHealth health;
     private final AdmissionController admission;
-    private final double targetMicros;
+    private final double meanTargetMicros;
 
     EndpointEligibility(
             BalancerSettings settings,
@@ -34,13 +37,14 @@
         this.subsets = subsets;
         this.health = health;
         this.admission = admission;
-        targetMicros = settings.meanTargetLatencyMicros();
+        meanTargetMicros = settings.meanLatencyTargetMicros();
     }
 
     /**
-     * Whether the request may go to this endpoint now.
+     * Returns whether the request may be sent to the given endpoint now.
      *
-     * @param candidates how many endpoints the pick looks at, this one among them
+     * @param candidates maximum number of candidates in the searched node of the subset tree,
+     *     including the given endpoint
      */
     boolean hasCapacity(long now, PendingRequest request, Endpoint endpoint, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
@@ -49,65 +53,81 @@
                 || endpoint.isSilent()) {
             return false;
         }
-        if (!request.mayRunOn(now, endpoint) || !isConnectable(now, request, endpoint)) {
+        if (!request.maySendTo(now, endpoint) || !isConnectable(now, request, endpoint)) {
             return false;
         }
         if (endpoint.outlier().isEjected()) {
-            return now >= endpoint.outlier().ejectedUntil() && mayTry(now, request, endpoint);
+            return now >= endpoint.outlier().ejectedUntil() && admitTrial(now, request, endpoint);
         }
         double share = health.slowStart().share(now, endpoint);
-        if (share < 1 && !isSlowStartTurn(request, endpoint, share, candidates)) {
+        if (share < 1 && !isAllowedInSlowStart(request, endpoint, share, candidates)) {
             return false;
         }
         return concurrency.inFlight() < concurrency.limit()
-                && (subsets.isSparse() || now >= concurrency.restUntil());
+                && (subsets.isSparse() || now >= concurrency.nextSendAt());
     }
 
-    private boolean isSlowStartTurn(
+    /**
+     * Returns whether a cold endpoint may be sent the request. The concurrency limit and the
+     * request rate of a cold endpoint are reduced.
+     */
+    private boolean isAllowedInSlowStart(
             PendingRequest request, Endpoint endpoint, double share, int candidates) {
         ConcurrencyState concurrency = endpoint.concurrency();
         return concurrency.inFlight() < Math.max(1, concurrency.limit() * share / 2)
-                && isDrawn(request, endpoint, share, candidates);
+                && isSampled(request, endpoint, share, candidates);
     }
 
     /**
-     * Where set-ups have taken too long lately, a new connection brings no answer in time. But only
-     * a set-up shows that they have become short, after a slow spell of this very process too: an
-     * endpoint with nothing in flight is tried all the same, by one of many sidecars once a latency
-     * target. Harm: late answers where they are slow.
+     * Returns whether the endpoint has a trusted connection for the request, or a new connection
+     * may be set up. A set-up is not allowed during the backoff after a failed set-up. Otherwise it
+     * is allowed if the response would still be in time.
+     *
+     * <p>Only a set-up shows that set-ups have become fast again, for example after this process
+     * itself was slow. So a set-up is allowed to any endpoint without attempts in flight, even if
+     * the response would be late. Where many sidecars share few endpoints, this exception applies
+     * only if the last set-up was measured more than one mean latency target ago. Drawback: late
+     * responses while set-ups are slow.
      */
     private boolean isConnectable(long now, PendingRequest request, Endpoint endpoint) {
         ConnectionTrust connections = health.connections();
-        if (connections.isWarm(now, endpoint)) {
+        if (connections.hasTrustedConnection(now, endpoint)) {
             return true;
         }
         if (now < endpoint.connection().connectAt()) {
             return false;
         }
-        boolean trial =
+        boolean mayMeasureSetup =
                 endpoint.concurrency().isIdle()
-                        && (!subsets.isSparse() || now - connections.lastSetupAt() > targetMicros);
-        return trial
+                        && (!subsets.isSparse()
+                                || now - connections.lastSetupAt() > meanTargetMicros);
+        return mayMeasureSetup
                 || now + connections.setupMicros(now) + health.latency().typicalMicros(request)
-                        <= request.times().objectiveAt();
+                        <= request.times().latencyTargetAt();
     }
 
     /**
-     * Slow start as a sum over all instances: each request that walks to a node has one chance, by
-     * that share of what one of its endpoints is sent. Nothing is saved up, so no burst can come of
-     * it.
+     * Returns whether a random draw selects the request for a cold or half-open endpoint. Each
+     * request that is routed to a node of the subset tree is selected with a probability of the
+     * given share, multiplied by the admitted fraction and divided by the number of candidates. So
+     * all instances together send the endpoint that share of its fair request rate. No allowance
+     * accumulates, so no burst can result.
      */
-    private boolean isDrawn(
+    private boolean isSampled(
             PendingRequest request, Endpoint endpoint, double share, int candidates) {
-        double part = SLOW_START * share * admission.admittedFraction() / Math.max(1, candidates);
-        return RendezvousHash.uniform(request.routingSeed(), endpoint.id()) < part;
+        double probability =
+                SLOW_START * share * admission.admittedFraction() / Math.max(1, candidates);
+        return RendezvousHash.uniform(request.routingSeed(), endpoint.id()) < probability;
     }
 
     /**
-     * Whether a request is the trial of a half-open endpoint: as if the endpoint were cold, less
-     * often with each failure, by a first attempt that may be repeated.
+     * Returns whether the request is sent as the trial of a half-open endpoint. Only the first
+     * attempt of a request can be a trial. If the settings have an idempotent request class, only a
+     * request of such a class can be a trial. The probability is that of {@link #isSampled} for a
+     * sole candidate, with the initial slow start share divided by the backoff level. If attempts
+     * are still in flight at the endpoint, the ejection is extended instead.
      */
-    private boolean mayTry(long now, PendingRequest request, Endpoint endpoint) {
+    private boolean admitTrial(long now, PendingRequest request, Endpoint endpoint) {
         if (!endpoint.concurrency().isIdle()) {
             int inFlight = endpoint.concurrency().inFlight();
             health.outliers().eject(now, endpoint, EjectionCause.trialUnanswered(inFlight));
@@ -115,11 +135,11 @@
         if (now < endpoint.outlier().ejectedUntil()) {
             return false;
         }
-        boolean idempotent = request.rules().idempotency() == Idempotency.IDEMPOTENT;
+        boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         if (!request.attempts().isEmpty() || (!idempotent && settings.anyIdempotentClass())) {
             return false;
         }
         double share = health.slowStart().initialShare() / endpoint.outlier().backoffLevel();
-        return isDrawn(request, endpoint, share, 1);
+        return isSampled(request, endpoint, share, 1);
     }
 }
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -9,23 +9,34 @@
 import sagefall.balancer.request.PendingRequest;
 
 /**
- * Picks the endpoint for a request by the power of two choices: the cheaper of two ready ones with
- * capacity, from the narrowest node that has some. One of many sidecars for few endpoints keeps to
- * the first of its own order instead (deterministic subsetting), so that it keeps few connections;
- * the next ones step in for the sick and full. Harm: fewer endpoints to choose from.
+ * Picks the endpoint for a request by the power of two choices: the cheaper of two random endpoints
+ * with capacity. The search starts at the narrowest node of the subset tree.
+ *
+ * <p>Where many sidecars share few endpoints, each sidecar orders the endpoints in a different way
+ * and uses only the first ones with capacity (deterministic subsetting). So it needs few
+ * connections. The next endpoints in that order replace endpoints that are faulty or at their
+ * limit. Drawback: fewer endpoints to choose from.
  */
 public final class EndpointPicker {
 
-    /** A wider node is taken once a node's pick costs this many times the wider one's. */
+    /**
+     * Maximum cost of a preferred endpoint, as a multiple of the cost of the alternative. If the
+     * cost is higher, the alternative is picked. The alternative is the selection from a wider
+     * node, or the endpoint with the second highest hash of the key.
+     */
     static final double SPILL_RATIO = 1.5;
 
     /**
-     * Deterministic subsetting: endpoints of a node that a sidecar keeps, beside what its rate asks
-     * for.
+     * Number of endpoints of a node that a sidecar uses in deterministic subsetting, in addition to
+     * the number that its request rate needs.
      */
     private static final int SUBSET_SIZE = 2;
 
-    /** Endpoints with capacity that a pick looks at in a wide node, from a random place on. */
+    /**
+     * Maximum number of candidates in a sampled node. A node with more endpoints than this is
+     * sampled: the search for candidates starts at a random position. A node is not sampled if the
+     * endpoint is selected by key. Nor is it sampled where many sidecars share few endpoints.
+     */
     private static final int WIDE_NODE_SAMPLE = 32;
 
     private final SplittableRandom random;
@@ -35,7 +46,7 @@
     private final EndpointEligibility eligibility;
     private final EndpointCost cost;
 
-    /** Creates a picker; each pick draws from the random source in a fixed order. */
+    /** Creates a picker. All its random draws come from the given source. */
     public EndpointPicker(
             BalancerSettings settings,
             SplittableRandom random,
@@ -47,12 +58,13 @@
         this.health = health;
         this.admission = admission;
         eligibility = new EndpointEligibility(settings, subsets, health, admission);
-        cost = new EndpointCost(subsets, health, settings.meanTargetLatencyMicros());
+        cost = new EndpointCost(subsets, health, settings.meanLatencyTargetMicros());
     }
 
     /**
-     * The endpoint for a request, or null if none has capacity. Walks from the narrowest node;
-     * widens where one is empty, and spills over where it is much dearer.
+     * Returns the endpoint for a request, or null if none has capacity. The search starts at the
+     * narrowest node. A wider node is used if the narrower nodes have no endpoint with capacity or
+     * are much more expensive.
      */
     public Endpoint pick(long now, PendingRequest request) {
         if (subsets.ready().isEmpty()) {
@@ -79,7 +91,8 @@
         if (!subsets.isSparse()) {
             return Integer.MAX_VALUE;
         }
-        // While idle connections die, fewer endpoints keep each connection in use.
+        // While idle connections are distrusted, the subset is smaller, so that its connections do
+        // not become idle.
         boolean idleTrusted = health.connections().trustedIdleMicros(now) == Long.MAX_VALUE;
         double concurrency =
                 admission.admittedPerMicro(now) * health.latency().typicalMicros(request);
@@ -87,8 +100,10 @@
     }
 
     /**
-     * Selects an endpoint of one node: by the key's hash where servers remember keys, by the lowest
-     * cost in a node wider than the first that had a pick, else by the power of two choices.
+     * Selects an endpoint of one node; null if the node has no endpoint with capacity. If a
+     * narrower node had an endpoint with capacity, the endpoint of lowest cost is selected.
+     * Otherwise the hash of the key decides if the request is routed by key. In all other cases the
+     * power of two choices decides.
      */
     private Endpoint pickFrom(
             List<Endpoint> node,
@@ -109,11 +124,14 @@
             if (!eligibility.hasCapacity(now, request, endpoint, candidates)) {
                 continue;
             }
-            // A cold endpoint has its chance only where each of its node has the same to be looked
-            // at.
+            // The search goes beyond the sample size only if earlier endpoints had no capacity.
+            // Endpoints are then not examined with equal probability. So a cold endpoint is skipped
+            // there, since its share of the requests would differ from its slow start share.
             if (sampled && i >= WIDE_NODE_SAMPLE && isCold(now, endpoint)) {
                 continue;
             }
+            // The random draw for the trial or the slow start has already selected the request for
+            // this endpoint, so costs are not compared.
             if (!isWider && (endpoint.outlier().isEjected() || isCold(now, endpoint))) {
                 return endpoint;
             }
--- a/sidecar/src/main/java/sagefall/balancer/routing/package-info.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/package-info.java
@@ -1,2 +1,5 @@
-/** Where a request may go: subsets of the ready endpoints, and the pick of one of them. */
+/**
+ * Determines the endpoint that a request is sent to: builds subsets of the ready endpoints, and
+ * picks one endpoint.
+ */
 package sagefall.balancer.routing;
--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -15,17 +15,18 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * One outgoing HTTP/1.1 connection with at most one request outstanding. It collects complete
- * responses, or streams them where the request allows that, and reports its end exactly once. To be
- * used on its event loop only.
+ * An outgoing HTTP/1.1 connection with at most one request outstanding. Responses are buffered
+ * completely, or streamed if the request allows that. The close of the connection is reported
+ * exactly once. Used on the event loop of the connection only.
  *
- * <p>A response belongs to a request only if nothing else was on its way when the request was
- * written. So a response is reported when everything that arrived with it has been read, along with
- * whether anything was left over; and an unsolicited byte closes the connection.
+ * <p>A response can be attributed to a request only if no other input was under way when the
+ * request was written. Therefore a byte that arrives while no request is outstanding closes the
+ * connection. A response is reported only when everything that arrived with it has been read. The
+ * report says whether surplus bytes followed the response.
  */
 public final class HttpClientConnection {
 
-    /** Largest body that is collected, in bytes. */
+    /** Usual maximum size of a body that is buffered completely, in bytes. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int MIN_READ_BYTES = 64;
@@ -35,39 +36,44 @@
     private final Channel channel;
     private final HttpConnectionListener listener;
     private final ResponseDecoder decoder = new ResponseDecoder();
-    private ConnectionState state = ConnectionState.CONNECTING;
+    private HttpConnectionState state = HttpConnectionState.CONNECTING;
 
-    /** Largest response that is streamed, of the request sent last; 0 where it is collected. */
+    /**
+     * Maximum length of a streamed response body, in bytes; 0 if the response is buffered
+     * completely.
+     */
     private long maxStreamedBytes;
 
     /**
-     * Begins to connect; no response on this connection is going to be streamed.
+     * Begins to connect. Responses on this connection are never streamed.
      *
-     * @param maxBody largest response that is collected, in bytes
-     * @param connectMicros time limit for establishing the connection, in microseconds
+     * @param maxBodyBytes maximum size, in bytes, of the body of a response that is buffered
+     *     completely; a larger body closes the connection
+     * @param connectTimeoutMicros timeout for establishing the connection, in microseconds
      */
     public HttpClientConnection(
             EventLoop loop,
-            InetSocketAddress to,
-            int maxBody,
-            long connectMicros,
+            InetSocketAddress address,
+            int maxBodyBytes,
+            long connectTimeoutMicros,
             HttpConnectionListener listener) {
-        this(loop, to, maxBody, connectMicros, false, listener);
+        this(loop, address, maxBodyBytes, connectTimeoutMicros, false, listener);
     }
 
     /**
-     * Begins to connect. A connection that streams is read in small pieces, so that few bytes come
-     * past a high watermark.
+     * Begins to connect. If responses may be streamed, the socket is read in small pieces, so that
+     * few bytes are read beyond the high watermark.
      *
-     * @param maxBody largest response that is collected, in bytes
-     * @param connectMicros time limit for establishing the connection, in microseconds
+     * @param maxBodyBytes maximum size, in bytes, of the body of a response that is buffered
+     *     completely; a larger body closes the connection
+     * @param connectTimeoutMicros timeout for establishing the connection, in microseconds
      * @param streaming whether responses may be streamed
      */
     public HttpClientConnection(
             EventLoop loop,
-            InetSocketAddress to,
-            int maxBody,
-            long connectMicros,
+            InetSocketAddress address,
+            int maxBodyBytes,
+            long connectTimeoutMicros,
             boolean streaming,
             HttpConnectionListener listener) {
         this.listener = listener;
@@ -75,44 +81,45 @@
         if (streaming) {
             bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, smallReadAllocator());
         }
-        int connectMillis = (int) Math.max(1, connectMicros / MICROS_PER_MILLI);
+        int connectTimeoutMillis = (int) Math.max(1, connectTimeoutMicros / MICROS_PER_MILLI);
         ChannelFuture connecting =
                 bootstrap
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        // Otherwise an announced end and a reset would look alike.
+                        // Without this option, a half-close and a reset could not be distinguished.
                         .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
-                        .handler(new ConnectionInitializer(this, maxBody))
-                        .connect(to);
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
+                        .handler(new ConnectionInitializer(this, maxBodyBytes))
+                        .connect(address);
         channel = connecting.channel();
         connecting.addListener(connected -> onConnectDone(loop, connected));
         channel.closeFuture().addListener(closed -> executeLater(loop, this::onClosed));
     }
 
     /**
-     * Without a free descriptor there is no channel at all, and the failure comes on another
-     * thread. The end is reported in a task of its own, so never inside a call that asked for the
-     * connection or closed it.
+     * Reports the result of connecting. If no file descriptor is free, no channel is opened, and
+     * this method is called on another thread. A failure is reported in a separate task on the
+     * event loop. Thus a failure is never reported during a call that creates or closes the
+     * connection.
      */
     private void onConnectDone(EventLoop loop, Future<?> connected) {
         if (!connected.isSuccess()) {
             executeLater(loop, this::onClosed);
-        } else if (state != ConnectionState.CLOSED) {
-            enter(ConnectionState.IDLE);
+        } else if (state != HttpConnectionState.CLOSED) {
+            enter(HttpConnectionState.IDLE);
             listener.connectionOpened();
         }
     }
 
     private void onClosed() {
-        if (state != ConnectionState.CLOSED) {
-            enter(ConnectionState.CLOSED);
+        if (state != HttpConnectionState.CLOSED) {
+            enter(HttpConnectionState.CLOSED);
             listener.connectionClosed();
         }
     }
 
-    /** Reads in small pieces, for channels whose bodies are streamed. */
+    /** Returns an allocator that limits reads to small pieces, for channels that stream bodies. */
     public static AdaptiveRecvByteBufAllocator smallReadAllocator() {
         return new AdaptiveRecvByteBufAllocator(
                 MIN_READ_BYTES, FIRST_READ_BYTES, StreamingSettings.READ_BYTES);
@@ -125,9 +132,9 @@
     }
 
     /**
-     * Whether a further request can be sent, after reading what has arrived so far: bytes or an end
-     * that still wait in the socket would be taken for the next response. Not to be called from the
-     * listener's methods.
+     * Returns whether a further request can be sent. First reads what has arrived so far, because
+     * unread bytes, or an unread end of the input, would otherwise be treated as the next response.
+     * Must not be called from the listener's methods.
      */
     public boolean isReusable() {
         if (!state.expectsInput()) {
@@ -136,12 +143,12 @@
         return channel.isActive();
     }
 
-    /** Reads what has arrived so far; not to be called from the listener's methods. */
+    /** Reads what has arrived so far. Must not be called from the listener's methods. */
     public void readAvailable() {
         readAvailableFrom(channel);
     }
 
-    /** Reads what a socket has received, an end too, before the loop comes to it. */
+    /** Reads a socket's pending input, including its end, without waiting for the event loop. */
     public static void readAvailableFrom(Channel channel) {
         if (channel.isActive() && channel instanceof AbstractNioChannel nio) {
             nio.unsafe().read();
@@ -149,7 +156,7 @@
     }
 
     /**
-     * Sends a request whose response is collected.
+     * Sends a request whose response is buffered completely.
      *
      * @param request ownership passes to the connection
      */
@@ -158,11 +165,12 @@
     }
 
     /**
-     * Sends a request; {@link HttpConnectionListener#requestWritten} follows if it reaches the
-     * network, and otherwise the connection is closed.
+     * Sends a request. {@link HttpConnectionListener#requestWritten} is called when the request has
+     * been passed to the network. If that fails, the connection is closed.
      *
      * @param request ownership passes to the connection
-     * @param maxStreamedBytes largest response that is streamed as it arrives; 0 to collect it
+     * @param maxStreamedBytes maximum length, in bytes, of a response body that is streamed; 0 if
+     *     the response is buffered completely
      */
     public void send(FullHttpRequest request, long maxStreamedBytes) {
         expectResponse(maxStreamedBytes);
@@ -178,10 +186,12 @@
     }
 
     /**
-     * Writes, without a flush, the head of a request whose body is streamed. The caller writes the
-     * body to the channel returned, and knows when its last byte is written.
+     * Writes the head of a request whose body is streamed, without flushing it. The caller writes
+     * the body to the returned channel. The caller must also observe these writes, because {@link
+     * HttpConnectionListener#requestWritten} is not called.
      *
-     * @param maxStreamedBytes as for {@link #send(FullHttpRequest, long)}
+     * @param maxStreamedBytes maximum length, in bytes, of a response body that is streamed; 0 if
+     *     the response is buffered completely
      */
     public Channel sendHead(HttpRequest head, long maxStreamedBytes) {
         expectResponse(maxStreamedBytes);
@@ -195,34 +205,34 @@
         return channel;
     }
 
-    /** Back-pressure: whether the socket is read. */
+    /** Pauses or resumes reading from the socket, for back-pressure. */
     public void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
 
-    /** Closes the connection; its end is reported in a later task. */
+    /** Closes the connection; the close is reported in a later task. */
     public void close() {
         channel.close();
     }
 
-    private void expectResponse(long maxBytes) {
-        enter(ConnectionState.AWAITING_RESPONSE);
-        maxStreamedBytes = maxBytes;
+    private void expectResponse(long newMaxStreamedBytes) {
+        enter(HttpConnectionState.AWAITING_RESPONSE);
+        maxStreamedBytes = newMaxStreamedBytes;
     }
 
     /**
-     * Changes the state. {@code CLOSED} is final: what a closed connection is still asked to do has
-     * no effect, as the channel refuses it.
+     * Changes the state. {@code CLOSED} is final: later transitions are ignored, because a closed
+     * channel rejects all operations.
      */
-    void enter(ConnectionState next) {
-        if (state == ConnectionState.CLOSED) {
+    void enter(HttpConnectionState next) {
+        if (state == HttpConnectionState.CLOSED) {
             return;
         }
         assert state.canBecome(next) : "HTTP connection: " + state + " cannot become " + next;
         state = next;
     }
 
-    ConnectionState state() {
+    HttpConnectionState state() {
         return state;
     }
 
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -18,31 +18,39 @@
 import java.util.List;
 
 /**
- * Reports responses to the connection's listener: a collected one, and the end of a streamed one,
- * only once everything that arrived together with it has been read, because only then is it known
- * whether surplus bytes follow.
+ * Reports responses to the connection's listener. A buffered response and the end of a streamed
+ * response are reported only when everything that arrived together with them has been read. Only
+ * then is it known whether surplus bytes follow.
  */
 final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
     private final HttpClientConnection connection;
 
-    /** Reference owned by this handler while the state is {@code RESPONSE_COLLECTED}, else null. */
+    /**
+     * The buffered response while the state is {@code RESPONSE_COLLECTED}, owned by this handler;
+     * otherwise null.
+     */
     private FullHttpResponse collected;
 
-    /** Trailers while the state is {@code RESPONSE_STREAMED}, else null. */
+    /**
+     * Trailers of the streamed response while the state is {@code RESPONSE_STREAMED}, else null.
+     */
     private HttpHeaders trailers;
 
-    /** Bytes that a streamed response may still bring. */
+    /** Number of bytes that the streamed response may still contain. */
     private long remainingStreamBytes;
 
-    /** More has arrived than one response; once true, this stays true. */
+    /** Whether more than one response, or undecodable input, has arrived; never reset. */
     private boolean surplusReceived;
 
     ResponseHandler(HttpClientConnection connection) {
         this.connection = connection;
     }
 
-    /** The message is released by the caller after this method; what outlives it is retained. */
+    /**
+     * Handles a message, which the caller releases when this method returns. Retains a message that
+     * is used later.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (message instanceof FullHttpResponse response) {
@@ -58,20 +66,22 @@
         long length = HttpUtil.getContentLength(head, -1L);
         if (connection.state().hasResponse()) {
             surplusReceived = true;
-        } else if (head.decoderResult().isFailure() || !hasKnownEnd(head, length)) {
+        } else if (head.decoderResult().isFailure() || !isStreamable(head, length)) {
             context.close();
         } else {
-            connection.enter(ConnectionState.STREAMING_RESPONSE);
+            connection.enter(HttpConnectionState.STREAMING_RESPONSE);
             remainingStreamBytes = connection.maxStreamedBytes();
             connection.listener().responseStarted(head);
         }
     }
 
     /**
-     * Only a response that announces its end can be known to be complete, and one that announces
-     * more than may be streamed is not begun. The length is that of the head, or negative.
+     * Returns whether a response can be streamed. Its headers must define where the body ends, so
+     * that completeness can be checked. A stated length must not exceed the streaming limit.
+     *
+     * @param length value of {@code Content-Length}; negative if there is none
      */
-    private boolean hasKnownEnd(HttpResponse head, long length) {
+    private boolean isStreamable(HttpResponse head, long length) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (length > connection.maxStreamedBytes()) {
             return false;
@@ -86,13 +96,15 @@
     }
 
     private void onStreamedPart(ChannelHandlerContext context, HttpContent part) {
-        if (connection.state() != ConnectionState.STREAMING_RESPONSE) {
+        if (connection.state() != HttpConnectionState.STREAMING_RESPONSE) {
             surplusReceived = true;
             return;
         }
         remainingStreamBytes -= part.content().readableBytes();
         if (part.decoderResult().isFailure() || remainingStreamBytes < 0) {
-            connection.enter(ConnectionState.AWAITING_RESPONSE);
+            // In the state AWAITING_RESPONSE, neither later parts nor the end of the response are
+            // reported.
+            connection.enter(HttpConnectionState.AWAITING_RESPONSE);
             context.close();
             return;
         }
@@ -101,7 +113,7 @@
         }
         if (part instanceof LastHttpContent last) {
             connection.decoder().messageEnded();
-            connection.enter(ConnectionState.RESPONSE_STREAMED);
+            connection.enter(HttpConnectionState.RESPONSE_STREAMED);
             trailers = last.trailingHeaders();
         }
     }
@@ -111,17 +123,18 @@
         if (connection.state().hasResponse()) {
             surplusReceived = true;
         } else if (isInterim(response)) {
-            // One or more of them may precede the final response.
+            // One or more interim responses may precede the final response.
             return;
         } else if (response.decoderResult().isFailure()
                 || !context.channel().isActive()
                 || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            // A body that only the end of the connection delimits is complete where the server has
-            // announced that end (RFC 9112, 6.3); on a closed channel, as after a reset, that is
-            // not known. After a change of protocol no response comes.
+            // The response is unusable. If the end of the connection delimits the body, the body
+            // may be incomplete on a closed channel, for example after a reset. After a half-close
+            // by the server the body is complete (RFC 9112, 6.3), and the channel is still active.
+            // After 101 (Switching Protocols), no HTTP response follows.
             context.close();
         } else {
-            connection.enter(ConnectionState.RESPONSE_COLLECTED);
+            connection.enter(HttpConnectionState.RESPONSE_COLLECTED);
             collected = response.retain();
         }
     }
@@ -133,9 +146,9 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        ConnectionState state = connection.state();
-        if (state == ConnectionState.STREAMING_RESPONSE
-                || state == ConnectionState.RESPONSE_STREAMED) {
+        HttpConnectionState state = connection.state();
+        if (state == HttpConnectionState.STREAMING_RESPONSE
+                || state == HttpConnectionState.RESPONSE_STREAMED) {
             connection.listener().responseReadComplete();
         }
         if (trailers != null) {
@@ -147,16 +160,16 @@
     }
 
     private void reportStreamedEnd(ChannelHandlerContext context) {
-        HttpHeaders last = trailers;
+        HttpHeaders receivedTrailers = trailers;
         trailers = null;
-        connection.enter(ConnectionState.IDLE);
-        connection.listener().responseFinished(last, isClean(context));
+        connection.enter(HttpConnectionState.IDLE);
+        connection.listener().responseFinished(receivedTrailers, isClean(context));
     }
 
     private void reportCollected(ChannelHandlerContext context) {
         FullHttpResponse response = collected;
         collected = null;
-        connection.enter(ConnectionState.IDLE);
+        connection.enter(HttpConnectionState.IDLE);
         try {
             connection.listener().responseCollected(response, isClean(context));
         } finally {
@@ -164,7 +177,7 @@
         }
     }
 
-    /** Whether nothing has arrived beyond the response, the end of the input included. */
+    /** Returns whether neither bytes nor the end of the input arrived after the response. */
     private boolean isClean(ChannelHandlerContext context) {
         return !surplusReceived
                 && connection.decoder().isEmpty()
@@ -173,8 +186,8 @@
     }
 
     /**
-     * Half-open: the server has announced that nothing more comes. A response that this end
-     * completes has been reported before.
+     * Closes the connection after a half-close by the server. If the half-close completes a
+     * response, that response has already been reported.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
@@ -183,7 +196,7 @@
         }
     }
 
-    /** Input that cannot be decoded, or an I/O error: the listener learns of it by the close. */
+    /** Closes the connection after an I/O or decoding error. The close notifies the listener. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         surplusReceived = true;
--- a/sidecar/src/main/java/sagefall/http/UnsolicitedInputGate.java
+++ b/sidecar/src/main/java/sagefall/http/UnsolicitedInputGate.java
@@ -5,8 +5,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Closes the connection when bytes arrive while no request is outstanding: they would be taken for
- * the response to the next request.
+ * Closes the connection when bytes arrive while no request is outstanding, because such bytes would
+ * be treated as the response to the next request.
  */
 final class UnsolicitedInputGate extends ChannelInboundHandlerAdapter {
 
@@ -16,7 +16,10 @@
         this.connection = connection;
     }
 
-    /** Takes ownership of the bytes: passes them on, or releases them. */
+    /**
+     * Passes the bytes on. If no request is outstanding, instead releases the bytes and closes the
+     * connection.
+     */
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
         if (connection.state().expectsInput()) {
--- a/sidecar/src/main/java/sagefall/leaderelection/PastTerm.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/PastTerm.java
@@ -1,10 +1,11 @@
 package sagefall.leaderelection;
 
 /**
- * A grant of the lease in the past.
+ * An entry in the history of the lease's grants.
  *
- * @param term of the grant
- * @param owner to whom it was granted; empty once it was released
- * @param atMillis when, in Unix time
+ * @param term term of the grant
+ * @param leader name of the process that the lease was granted to; empty once the lease was
+ *     released
+ * @param grantedAtMillis Unix time of the grant, in milliseconds
  */
-public record PastTerm(long term, String owner, long atMillis) {}
+public record PastTerm(long term, String leader, long grantedAtMillis) {}
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotChange.java
@@ -4,27 +4,34 @@
 import java.util.Map;
 
 /**
- * What discovery reported: the complete list, or the endpoints that have changed.
+ * A change that discovery reported: a complete endpoint list, or the endpoints that have changed.
  *
- * @param complete whether the endpoints are all that there are
- * @param revision of the list with this change applied
- * @param atMillis when it was reported, in Unix time
- * @param endpoints by id; never changed
+ * @param complete whether the change is a complete list
+ * @param revision revision of the endpoint list after this change
+ * @param reportedAtMillis Unix time at which discovery reported the change, in milliseconds
+ * @param endpoints the endpoints by id; must not be modified
  */
 public record SnapshotChange(
-        boolean complete, long revision, long atMillis, Map<Long, SnapshotEntry> endpoints) {
+        boolean complete,
+        long revision,
+        long reportedAtMillis,
+        Map<Long, SnapshotEntry> endpoints) {
 
-    /** Both changes in one, the other one applied after this one. */
+    /** Returns one change with the combined effect of this change followed by the next one. */
     public SnapshotChange then(SnapshotChange next) {
         if (next.complete) {
             return next;
         }
         Map<Long, SnapshotEntry> merged = new LinkedHashMap<>(endpoints);
         merged.putAll(next.endpoints);
-        return new SnapshotChange(complete, next.revision, next.atMillis, merged);
+        return new SnapshotChange(complete, next.revision, next.reportedAtMillis, merged);
     }
 
-    /** The next change merged into what is pending, which is null if nothing is. */
+    /**
+     * Returns one change with the combined effect of the pending change followed by the next one.
+     *
+     * @param pending change that is not yet written; null if there is none
+     */
     public static SnapshotChange merge(SnapshotChange pending, SnapshotChange next) {
         return pending == null ? next : pending.then(next);
     }
--- a/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
+++ b/sidecar/src/main/java/sagefall/proxy/BalancerDriver.java
@@ -7,21 +7,21 @@
 import sagefall.logging.LogLine;
 
 /**
- * Delivers events to the load balancer. Every call into the balancer goes through here, on the
- * event loop. What it guarantees:
+ * Delivers events to the load balancer. Every event reaches the balancer through this class, on the
+ * event loop. The driver guarantees:
  *
  * <ul>
- *   <li><b>No re-entrancy.</b> An event that an action causes at once, such as an attempt that
- *       fails while it is being sent, is queued and delivered right after the event that is being
- *       delivered, never within it.
- *   <li><b>Order.</b> Events are delivered in the order in which they are handed over, each with
- *       the time of its delivery.
- *   <li><b>What has arrived or expired goes first.</b> Before an event from outside is queued,
- *       {@link #catchUp} ends requests whose deadline has passed and reads what discovery has
- *       written. An endpoint list that has arrived counts as known, also where the loop is late and
- *       a request, an answer or a timer would be handled first.
- *   <li><b>Isolation.</b> An exception or error from the balancer costs the request that the event
- *       concerns, and no other.
+ *   <li><b>No re-entrancy.</b> An action of the balancer may cause an event at once, for example if
+ *       sending an attempt fails. That event is queued. It is delivered after the balancer has
+ *       returned from the current event.
+ *   <li><b>Order.</b> Events are delivered in the order in which they are passed to {@code
+ *       deliver}. Each event carries the time of its delivery.
+ *   <li><b>Expired deadlines and received endpoint lists first.</b> Before an event that the
+ *       balancer did not cause is queued, {@link #catchUp} ends requests whose deadline has passed
+ *       and reads what discovery has sent. Without this step, a late event loop could handle a
+ *       request, a response or a timer before an endpoint list that has already arrived.
+ *   <li><b>Isolation.</b> An exception or error from the balancer aborts only the request that the
+ *       event concerns.
  * </ul>
  */
 final class BalancerDriver {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Least time between two reads of discovery's connection here, beside those that the loop
-     * itself does.
+     * Minimum time between two calls of {@link #catchUp} that read discovery's connection. The
+     * event loop also reads that connection itself when input arrives.
      */
     private static final long DISCOVERY_READ_INTERVAL_MICROS = 20_000;
 
@@ -50,14 +50,17 @@
     /** Whether an event is being delivered. */
     private boolean delivering;
 
+    /** Time at which {@link #catchUp} last read discovery's connection. */
     private long discoveryReadAtMicros;
 
-    /** An event, and the request that it concerns; null where it concerns none. */
+    /** An event and its request. The request is null if the event concerns no request. */
     private record QueuedEvent(ProxiedRequest request, BalancerEvent event) {}
 
     /**
-     * @param readDiscovery reads what discovery has written and the loop has not read yet
-     * @param abortRequest gives a request whose event failed an answer, if it has none
+     * @param readDiscovery task that reads the input from discovery that the event loop has not
+     *     read yet
+     * @param abortRequest consumer that aborts a request if the balancer fails while it handles an
+     *     event of that request
      */
     BalancerDriver(
             WallClock clock,
@@ -74,8 +77,8 @@
         this.log = log;
     }
 
-    /** Sets the balancer, once and before the first event. */
-    void drive(LoadBalancer newBalancer) {
+    /** Sets the balancer; to be called once, before the first event. */
+    void setBalancer(LoadBalancer newBalancer) {
         balancer = newBalancer;
     }
 
@@ -85,9 +88,10 @@
     }
 
     /**
-     * Delivers an event now, or right after those that are being delivered.
+     * Delivers an event at once or, if another event is being delivered, after that event and all
+     * events in the queue.
      *
-     * @param request the request that is aborted where the balancer fails; null for none
+     * @param request the request that is aborted if the balancer fails; null for none
      */
     void deliver(ProxiedRequest request, BalancerEvent event) {
         if (!delivering) {
@@ -113,8 +117,9 @@
     }
 
     /**
-     * Catches errors as widely as it does since one request must not harm the others. Lost are the
-     * rest of the event and, if the request still waits, its answer: the client gets a 500.
+     * Delivers one event. Every exception and error is caught, because a failure for one request
+     * must not affect the other requests. After a failure, the balancer does not handle the rest of
+     * that event. If the request has no response yet, its client receives a 500.
      */
     private void deliverOne(QueuedEvent next) {
         try {
@@ -140,17 +145,20 @@
         if (request == null) {
             return "event_skipped";
         }
-        if (request.finished) {
+        if (request.completed) {
             return "already_answered";
         }
         return request.streamingAttempt == null ? "answered_500" : "stream_cut_short";
     }
 
     /**
-     * Handles what has arrived or expired and that the loop has not come to: first requests whose
-     * deadline has passed, then what discovery has written.
+     * Handles deadlines and discovery input that the event loop has not reached yet. First ends the
+     * requests whose deadline has passed. Then reads what discovery has sent, unless the last such
+     * read was less than {@link #DISCOVERY_READ_INTERVAL_MICROS} ago.
      */
     void catchUp() {
+        // The first call in an event loop iteration records the time at which the iteration began
+        // to read. The call is made here, because it would be late if events were handled first.
         latencyClock.earliestArrivalNanos();
         long now = clock.micros();
         deadlines.expire(now);
--- a/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/InFlightRequests.java
@@ -4,14 +4,16 @@
 import java.util.Map;
 
 /**
- * The requests that have no answer yet or have attempts that have not ended, by id and by client.
- * Used on the event loop only.
+ * Holds the requests in flight. A request can be found by its client until it has completed. It can
+ * be found by its id until it has completed and all its attempts have ended. Used on the event loop
+ * only.
  */
 final class InFlightRequests {
 
     /**
-     * The balancer ends its requests at their deadline; this much later the sidecar does, so that a
-     * request is answered also where the loop is late.
+     * Time from the deadline of a request until the sidecar itself ends the request. The balancer
+     * completes requests at their deadline. The sidecar ends a request only if the balancer has not
+     * completed it, for example because the event loop is late.
      */
     private static final long DEADLINE_GRACE_MICROS = 5_000;
 
@@ -23,7 +25,10 @@
         this.deadlines = deadlines;
     }
 
-    /** Adds a request, unless one with its id is in flight already; whether it was added. */
+    /**
+     * Adds a request unless a request with the same id is in flight. Returns whether the request
+     * was added.
+     */
     boolean add(ProxiedRequest request) {
         if (byId.putIfAbsent(request.request.id(), request) != null) {
             return false;
@@ -32,32 +37,32 @@
         return true;
     }
 
-    /** The request with this id; null if none is in flight. */
+    /** Returns the request with the given id; null if no such request is in flight. */
     ProxiedRequest byId(String id) {
         return byId.get(id);
     }
 
-    /** The request that this client waits for; null if it waits for none. */
+    /** Returns the request whose response the given client waits for; null if there is none. */
     ProxiedRequest byClient(ProxiedRequest.Client client) {
         return byClient.get(client);
     }
 
-    /** From now on the request ends at its deadline; moves a deadline that was set before. */
+    /** Starts or restarts the timer that ends the request shortly after its deadline. */
     void startDeadline(ProxiedRequest request) {
         deadlines.set(request, request.deadlineMicros + DEADLINE_GRACE_MICROS);
     }
 
-    /** The deadline no longer ends the request. */
+    /** Stops the timer that would end the request shortly after its deadline. */
     void stopDeadline(ProxiedRequest request) {
         deadlines.remove(request);
     }
 
     /**
-     * Nothing is owed to the client any more: it has its answer, or it has left. The request stays
-     * until its attempts have ended.
+     * Marks a request as completed, because its response has been sent or its client has
+     * disconnected. The request stays registered by its id until its attempts have ended.
      */
     void finish(ProxiedRequest request) {
-        request.finished = true;
+        request.completed = true;
         deadlines.remove(request);
         if (request.upload != null) {
             request.upload.close();
@@ -66,9 +71,9 @@
         removeIfComplete(request);
     }
 
-    /** Removes a request that is finished and has no attempt in flight. */
+    /** Removes a request if it is completed and has no attempt in flight. */
     void removeIfComplete(ProxiedRequest request) {
-        if (request.finished && request.attemptsInFlight == 0) {
+        if (request.completed && request.attemptsInFlight == 0) {
             byId.remove(request.request.id(), request);
         }
     }
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -7,69 +7,99 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Since when what an iteration of an event loop reads may have waited. A client's time counts from
- * its last byte, and the loop reads that byte only in its next iteration: where an iteration is
- * long, as under a burst or with little of a core, that is much of a deadline, and counted from the
- * reading the answer would come too late.
+ * Estimates the earliest time at which the input that an event loop iteration reads can have
+ * arrived. The deadline of a request counts from its last byte, but the loop reads that byte only
+ * in its next iteration. An iteration is long, for example, during a burst of requests or if the
+ * process has a small share of a core. The delay is then a large fraction of the time until the
+ * deadline. If the deadline counted from the read, the response would be too late.
  *
- * <p>What is there when an iteration begins has arrived since the one before began. Where the loop
- * had to sleep for it, it has arrived only now; but a sleep that was shorter than the iteration
- * before looks the same as a select that found something, and as the compiler having the core.
- * Harm: what arrived at the end of a long iteration, or soon after, counts as as old as that
- * iteration, and what arrives at an idle process that is not swept for longer than it is.
+ * <p>Input that is present when an iteration begins has arrived since the previous iteration began
+ * to read. If the event loop had to sleep until there was input, the input has just arrived. The
+ * clock recognizes a sleep by the time from the start of the select to the first read. A sleep that
+ * is shorter than the previous iteration is not recognized: such a sleep cannot be distinguished
+ * from a select that found input at once, or from a time in which the JIT compiler occupied the
+ * core.
+ *
+ * <p>The estimate is too early in two cases. Input that arrived around the end of a long iteration
+ * is treated as if it were as old as that iteration. If no periodic sweep of the client connections
+ * wakes the event loop, input that arrives after a long sleep is treated as if it were as old as
+ * that sleep.
  *
  * <p>Used on the event loop only.
  */
 public final class LoopLatencyClock implements SelectStrategy {
 
+    /**
+     * A time from the start of the select to the first read is treated as a sleep only if it is
+     * longer than this.
+     */
     private static final long SHORTEST_SLEEP_NANOS = 2_000_000;
 
     /**
-     * Connections are swept every 25 ms: a loop that begins so much later has been stopped, not
-     * asleep.
+     * If the time from the start of the select to the first read is longer than this, the process
+     * must have been stopped meanwhile, because the periodic sweep of the client connections wakes
+     * the event loop every 25 ms. A time up to this maximum may be a sleep.
      */
     private static final long LONGEST_SLEEP_NANOS = 50_000_000;
 
     private long iteration;
 
-    /** Whether the current iteration has read something. */
+    /** Whether the current iteration has read input. */
     private boolean reading = true;
 
-    private long readingSinceNanos = System.nanoTime();
+    /**
+     * Time at which the current iteration began to read. If the process was stopped between the
+     * select and the first read, this is the time at which the iteration began to select instead.
+     */
+    private long readStartNanos = System.nanoTime();
 
-    private long earliestArrivalNanos = readingSinceNanos;
+    /**
+     * Earliest time at which input of the current iteration can have arrived; set at the first read
+     * of the iteration.
+     */
+    private long earliestArrivalNanos = readStartNanos;
 
-    /** When the iteration before began to read. */
-    private long previousSinceNanos = readingSinceNanos;
+    /**
+     * Start of the previous iteration: the {@link #readStartNanos} of that iteration or, if it read
+     * nothing, the time at which it began to select.
+     */
+    private long previousStartNanos = readStartNanos;
 
-    /** When the current iteration began to select, which is when the one before ended. */
-    private long selectingSinceNanos = readingSinceNanos;
+    /**
+     * Time at which the current iteration began to select, which is the end of the previous
+     * iteration.
+     */
+    private long selectStartNanos = readStartNanos;
 
-    /** A new event loop, whose iterations this clock measures from now on. */
+    /** Creates an event loop group with one loop, whose iterations this clock measures. */
     MultiThreadIoEventLoopGroup group() {
         return new MultiThreadIoEventLoopGroup(
                 1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> this));
     }
 
-    /** Called by the loop at the beginning of each iteration; as Netty's default strategy. */
+    /**
+     * Records the beginning of an iteration and selects as Netty's default strategy does. The loop
+     * calls this method at the beginning of each iteration.
+     */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        // An iteration that read nothing may have had long tasks all the same.
+        // An iteration that read nothing has possibly run long tasks. Such an iteration is
+        // therefore measured from the start of its select.
         iteration++;
-        previousSinceNanos = reading ? readingSinceNanos : selectingSinceNanos;
+        previousStartNanos = reading ? readStartNanos : selectStartNanos;
         reading = false;
-        selectingSinceNanos = System.nanoTime();
+        selectStartNanos = System.nanoTime();
         return hasTasks ? selectNow.get() : SELECT;
     }
 
-    /** Number of the current iteration, counted from the start. */
-    public long turnNumber() {
+    /** Returns the number of iterations that have begun since the start. */
+    public long iterationNumber() {
         return iteration;
     }
 
     /**
-     * The earliest time at which what is read now can have arrived, on the clock of {@code
-     * System.nanoTime()}.
+     * Returns the earliest time at which the input that is being read can have arrived, on the
+     * clock of {@code System.nanoTime()}.
      */
     public long earliestArrivalNanos() {
         if (!reading) {
@@ -80,15 +110,15 @@
     }
 
     private void beginReading() {
-        readingSinceNanos = System.nanoTime();
-        long gap = readingSinceNanos - selectingSinceNanos;
-        if (gap <= Math.max(SHORTEST_SLEEP_NANOS, selectingSinceNanos - previousSinceNanos)) {
-            earliestArrivalNanos = previousSinceNanos;
+        readStartNanos = System.nanoTime();
+        long gap = readStartNanos - selectStartNanos;
+        if (gap <= Math.max(SHORTEST_SLEEP_NANOS, selectStartNanos - previousStartNanos)) {
+            earliestArrivalNanos = previousStartNanos;
         } else if (gap <= LONGEST_SLEEP_NANOS) {
-            earliestArrivalNanos = readingSinceNanos;
+            earliestArrivalNanos = readStartNanos;
         } else {
-            readingSinceNanos = selectingSinceNanos;
-            earliestArrivalNanos = selectingSinceNanos;
+            readStartNanos = selectStartNanos;
+            earliestArrivalNanos = selectStartNanos;
         }
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxiedRequest.java
@@ -13,38 +13,42 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * A client's request, from its last byte, or the head of a streamed upload, until it is answered
- * and its attempts have ended. Used on the event loop only.
+ * A client's request. The object is created when the last byte of the request has been read; for a
+ * streamed upload, when the head has been read. It is in use until the request has completed and
+ * all attempts have ended. Used on the event loop only.
  */
 public final class ProxiedRequest {
 
-    /** The client's connection, which waits for the answer. */
+    /** The client's side of a request: sends the response on the client's connection. */
     public interface Client {
         /**
-         * Whether it still waits. Reads first what has come from it so far, the end of the
-         * connection included.
+         * Returns whether the client still waits for the response. First reads the client's
+         * connection, so that a disconnect that has already arrived is detected.
          */
         default boolean isStillWaiting() {
             return true;
         }
 
-        /** How long the request may have waited to be read, in microseconds. */
+        /**
+         * Returns the maximum time, in microseconds, that can have passed since the request
+         * arrived.
+         */
         default long waitedMicros() {
             return 0;
         }
 
         /**
-         * Sends a complete answer.
+         * Sends a complete response.
          *
-         * @param content taken over
+         * @param content the body; ownership passes to this method
          */
-        void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
+        void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
         /**
-         * Sends the head of an answer of status 200 whose body is streamed.
+         * Sends the head of a response of status 200 whose body is streamed.
          *
-         * @param length of the body; negative where it is not known yet
-         * @param source lets the client stop the endpoint from sending, and let it go on
+         * @param length length of the body in bytes; negative if it is not known yet
+         * @param source control that pauses and resumes reading from the endpoint
          */
         default void startStreamedResponse(
                 HttpHeaders headers,
@@ -55,29 +59,33 @@
         }
 
         /**
-         * Sends a part of a streamed body; {@link #flush} follows.
+         * Writes a part of a streamed body without sending it; a call of {@link #flush} follows.
          *
-         * @param part taken over
+         * @param part a part of the body; ownership passes to this method
          */
         default void writeBody(ByteBuf part) {
             part.release();
         }
 
-        /** All parts that arrived together have been handed over. */
+        /** Sends the written parts; called once for all parts that arrived together. */
         default void flush() {}
 
         /**
-         * Ends a streamed answer.
+         * Ends a streamed response.
          *
-         * @param taken runs once the client has received all of it
+         * @param onWritten task that runs once the whole response has been written to the client's
+         *     socket
          */
-        default void endStreamedResponse(HttpHeaders trailers, Runnable taken) {}
+        default void endStreamedResponse(HttpHeaders trailers, Runnable onWritten) {}
 
-        /** Ends a streamed answer so that the client sees that it is not complete. */
+        /**
+         * Ends a streamed response early, so that the client can tell that the response is
+         * incomplete.
+         */
         default void abortResponse() {}
     }
 
-    /** What the balancer knows of it. */
+    /** The description of this request that the balancer receives. */
     final Request request;
 
     /** Method of the request line. */
@@ -89,48 +97,54 @@
     /** Headers as the client sent them. */
     public final HttpHeaders headers;
 
-    /** The body; null where it is streamed. */
+    /** The body; null if it is streamed. */
     public final byte[] body;
 
-    /** The body where it is streamed, else null. */
+    /** The body if it is streamed, otherwise null. */
     public final StreamedUpload upload;
 
-    /** Largest answer that is streamed, in bytes; 0 where answers are collected. */
+    /**
+     * Maximum length of a streamed response body, in bytes; 0 if responses are buffered completely.
+     */
     public final long maxStreamedBytes;
 
-    /** Where the answer goes. */
+    /** Sends the response of this request. */
     final Client client;
 
-    /** By number, those that have ended included. */
+    /** All attempts, including those that have ended, indexed by their number. */
     final List<ForwardedAttempt> attempts = new ArrayList<>(2);
 
-    /** Attempts that have not ended. */
+    /** Number of attempts that have not ended. */
     int attemptsInFlight;
 
-    /** Nothing is owed any more: it has its one answer, or the client has left. */
-    public boolean finished;
+    /** Whether the one final response has been sent, or the client has disconnected. */
+    public boolean completed;
 
-    /** How an endpoint failed an upload before it was complete; null where none did. */
+    /** Error response of an endpoint to an incomplete upload; null if there was none. */
     UploadRefusal uploadRefusal;
 
-    /** The attempt whose answer is streamed to the client; null while there is none. */
+    /** The attempt whose response is streamed to the client; null while there is none. */
     ForwardedAttempt streamingAttempt;
 
-    /** The load report that came with the streamed answer; null where there was none. */
+    /** The load report of the streamed response; null if there was none. */
     LoadReport streamedLoadReport;
 
     /**
-     * Until when the client waits, in microseconds; of an upload it is moved when the last byte has
-     * come.
+     * Deadline of this request, in microseconds. The deadline of an upload is moved when the last
+     * byte of the body has arrived.
      */
     long deadlineMicros;
 
-    /** When {@link DeadlineTimers} ends it, while it is there. */
+    /** Expiry time, used by {@link DeadlineTimers} while it holds this request. */
     long expiresAtMicros;
 
     /**
-     * @param body null where the body is streamed
-     * @param upload null where it is not
+     * Creates a request without attempts.
+     *
+     * @param body the complete body; null if the body is streamed
+     * @param upload the streamed body; null if the body is not streamed
+     * @param maxStreamedBytes maximum length of a streamed response body, in bytes; 0 if responses
+     *     are buffered completely
      */
     public ProxiedRequest(
             Request request,
@@ -139,12 +153,12 @@
             HttpHeaders headers,
             byte[] body,
             StreamedUpload upload,
-            long mostStreamed,
+            long maxStreamedBytes,
             Client client) {
         this.request = request;
         deadlineMicros = request.deadlineMicros();
         this.upload = upload;
-        this.maxStreamedBytes = mostStreamed;
+        this.maxStreamedBytes = maxStreamedBytes;
         this.method = method;
         this.uri = uri;
         this.headers = headers;
@@ -152,6 +166,6 @@
         this.client = client;
     }
 
-    /** An endpoint's answer to an upload that it does not want; the content is a copy. */
+    /** An endpoint's error response to an upload that was not complete; the content is a copy. */
     record UploadRefusal(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 }
--- a/sidecar/src/main/java/sagefall/proxy/HostActions.java
+++ b/sidecar/src/main/java/sagefall/proxy/ProxyActions.java
@@ -8,10 +8,10 @@
 import sagefall.discovery.DiscoveryClient;
 
 /**
- * The balancer's actions, each passed on to the part of the sidecar that carries it out. Used on
- * the event loop only.
+ * Implements the balancer's actions by passing each one to the part of the sidecar that carries it
+ * out. Used on the event loop only.
  */
-final class HostActions implements BalancerActions {
+final class ProxyActions implements BalancerActions {
 
     private final EventLoop loop;
     private final WallClock clock;
@@ -21,7 +21,7 @@
     private final DiscoveryClient discovery;
     private final Consumer<String> log;
 
-    HostActions(
+    ProxyActions(
             EventLoop loop,
             WallClock clock,
             BalancerDriver driver,
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public void send(String requestId, long endpoint, long timeoutMicros, long latestMicros) {
-        forwarder.send(requestId, endpoint, timeoutMicros, latestMicros);
+    public void send(String requestId, long endpoint, long timeoutMicros, long latestStartMicros) {
+        forwarder.send(requestId, endpoint, timeoutMicros, latestStartMicros);
     }
 
     @Override
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -14,10 +14,11 @@
 import sagefall.proxy.upstream.ConnectionPool;
 
 /**
- * The endpoints that a sidecar starts with: those of its configuration, and what was persisted
- * before. This sidecar's own snapshot may add endpoints while it is fresh; an old one, and the one
- * that the sidecars of a machine share, only keep the balancer away from endpoints that had left.
- * Used on the event loop only.
+ * Delivers the endpoints that a sidecar starts with. The endpoints come from the configuration and
+ * from persisted snapshots. This sidecar's own snapshot may add endpoints while the snapshot is
+ * fresh. Two snapshots add no endpoints: an own snapshot that is no longer fresh, and the snapshot
+ * that the sidecars of a machine share. Such a snapshot only prevents the balancer from using
+ * endpoints that had been removed. Used on the event loop only.
  */
 final class RecoveryStartup {
 
@@ -29,13 +30,13 @@
     private final EndpointRecorder recorder;
     private final Consumer<String> log;
 
-    /** Null while persistence is off. */
+    /** This sidecar's own store; null while persistence is off. */
     private SnapshotStore store;
 
-    /** What an earlier incarnation persisted; null where nothing could be read. */
+    /** The snapshot of an earlier incarnation; null if it could not be read. */
     private EndpointSnapshot persisted;
 
-    /** What the leader had written at the start; null where there is none. */
+    /** The snapshot that the leader had written before the start; null if there is none. */
     private PublishedSnapshot shared;
 
     RecoveryStartup(
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Sets this sidecar's own store, before the initial endpoints are delivered.
+     * Sets this sidecar's own store; to be called before the initial endpoints are delivered.
      *
-     * @param snapshot what it holds; null where it could not be read in time
+     * @param snapshot content of the store; null if it could not be read in time
      */
     void recoverFrom(SnapshotStore newStore, EndpointSnapshot snapshot) {
         store = newStore;
@@ -66,14 +67,20 @@
     }
 
     /**
-     * Sets the snapshot that the sidecars of the machine share, before the initial endpoints are
-     * delivered; null where there is none.
+     * Sets the snapshot that the sidecars of the machine share; to be called before the initial
+     * endpoints are delivered.
+     *
+     * @param snapshot the shared snapshot; null if there is none
      */
     void recoverFrom(PublishedSnapshot snapshot) {
         shared = snapshot;
     }
 
-    /** Delivers to the balancer what was persisted, if anything was, and then its first list. */
+    /**
+     * Delivers the endpoints of this sidecar's own snapshot. If there is no own snapshot, delivers
+     * the endpoints of the shared snapshot, provided that the shared snapshot is newer than the
+     * configured list. Then delivers the configured endpoints.
+     */
     void deliverInitialEndpoints() {
         EndpointList configured = config.configuredEndpoints();
         if (persisted != null && persisted.revision() > 0) {
@@ -112,7 +119,8 @@
                                 EndpointListKind.CACHED,
                                 configured.revision(),
                                 configured.endpoints()));
-        // Discovery may be behind what was persisted, so its changes alone would not do.
+        // Discovery may be at an older revision than the snapshot. A list of changes is then not
+        // sufficient.
         discovery.requireCompleteList();
         if (configured.revision() >= recovered.revision()) {
             recorder.record(configured);
@@ -125,13 +133,17 @@
                 LogLine.of(LogEvent.SNAPSHOT_RECOVERED)
                         .with("epoch", persisted.epoch())
                         .with("revision", recovered.revision())
-                        .with("age_ms", store.wallMillis() - persisted.atMillis())
+                        .with("age_ms", store.wallMillis() - persisted.reportedAtMillis())
                         .with("used", used);
         describeEndpoints(line, "", recovered);
         log.accept(describe(line, "known_", configured).toString());
     }
 
-    /** The shared snapshot only restricts: another sidecar's list has another's addresses. */
+    /**
+     * Delivers the shared snapshot as not fresh. The balancer then adds no endpoint from the
+     * snapshot, because the endpoint list and the addresses in the snapshot come from another
+     * sidecar.
+     */
     private void recoverShared() {
         EndpointList recovered = config.endpointListCodec().fromSnapshot(shared.snapshot());
         log.accept(
@@ -155,7 +167,7 @@
     private static LogLine describeEndpoints(LogLine line, String prefix, EndpointList list) {
         long ready =
                 list.entries().stream()
-                        .filter(e -> e.server().phase() == EndpointPhase.READY)
+                        .filter(e -> e.endpoint().phase() == EndpointPhase.READY)
                         .count();
         return line.with(prefix + "ready", ready)
                 .with(prefix + "not_ready", list.entries().size() - ready);
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -11,8 +11,8 @@
 import sagefall.http.ProtocolHeaders;
 
 /**
- * Writes the one answer of a request: an endpoint's, a rejection or a failure. A request that is
- * finished gets no further answer. Used on the event loop only.
+ * Sends the one final response of a request: a forwarded response, a rejection or a failure. No
+ * further response is sent for a completed request. Used on the event loop only.
  */
 final class ResponseWriter {
 
@@ -25,10 +25,11 @@
     }
 
     /**
-     * Answers with 200 and what an endpoint answered, without the headers that concern one
-     * connection or the endpoint's load.
+     * Responds with 200, the body of an endpoint's response, and its headers except the hop-by-hop
+     * headers and the load report.
      *
-     * @param response stays the caller's: its content is retained for the client
+     * @param response the endpoint's response, which remains owned by the caller; its content is
+     *     retained for the client
      */
     void forward(ProxiedRequest request, FullHttpResponse response) {
         HttpHeaders headers = ProtocolHeaders.endToEnd(response.headers());
@@ -37,10 +38,10 @@
     }
 
     /**
-     * Answers with 503.
+     * Responds with 503.
      *
-     * @param retryAfterMicros goes into {@code Retry-After}, in seconds with milliseconds; 0 for no
-     *     such header
+     * @param retryAfterMicros duration, in microseconds, that the header {@code Retry-After} states
+     *     in seconds; at least 1 ms is stated; 0 to omit the header
      */
     void reject(String requestId, long retryAfterMicros) {
         HttpHeaders headers = new DefaultHttpHeaders();
@@ -53,8 +54,9 @@
     }
 
     /**
-     * Answers a request whose attempts have failed: with what an endpoint said of its upload, else
-     * with 504 if an attempt timed out and 502 if none did.
+     * Responds to a request whose attempts have failed. If an endpoint sent an error response to
+     * the incomplete upload, forwards that response. Otherwise responds with 504 if an attempt
+     * timed out, and with 502 if none did.
      */
     void fail(String requestId) {
         ProxiedRequest request = requests.byId(requestId);
@@ -79,26 +81,27 @@
                 new DefaultHttpHeaders());
     }
 
-    /** Answers without a body, unless the request is null or finished. */
+    /** Sends a response without a body, unless the request is null or completed. */
     void write(ProxiedRequest request, HttpResponseStatus status, HttpHeaders headers) {
         write(request, status, headers, Unpooled.EMPTY_BUFFER);
     }
 
     /**
-     * Answers, unless the request is null or finished.
+     * Sends a response, unless the request is null or completed.
      *
-     * @param content taken over: passed on to the client, or released where there is no answer
+     * @param content the body; ownership passes to this method, which releases it if no response is
+     *     sent
      */
     private void write(
             ProxiedRequest request,
             HttpResponseStatus status,
             HttpHeaders headers,
             ByteBuf content) {
-        if (request == null || request.finished) {
+        if (request == null || request.completed) {
             content.release();
             return;
         }
         requests.finish(request);
-        request.client.answer(status, headers, content);
+        request.client.respond(status, headers, content);
     }
 }
--- a/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
+++ b/sidecar/src/main/java/sagefall/proxy/StreamedResponses.java
@@ -11,7 +11,7 @@
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Answers that are passed on to the client while the endpoint still sends them. Used on the event
+ * Forwards each response to its client while the endpoint is still sending it. Used on the event
  * loop only.
  */
 final class StreamedResponses {
@@ -29,19 +29,22 @@
         this.outcomes = outcomes;
     }
 
-    /** Answers that have begun go on under the settings under which they began. */
+    /** Sets the streaming settings for responses that begin after this call. */
     void useStreaming(StreamingSettings newSettings) {
         settings = newSettings;
     }
 
-    /** The head of an answer has arrived: the attempt is the request's only one from now on. */
+    /**
+     * Starts to forward a response whose head has arrived. After this call, no other attempt can
+     * provide the response of the request.
+     */
     void begin(
             ForwardedAttempt attempt,
             HttpResponse head,
             LoadReport report,
             FlowControl.Source source) {
         ProxiedRequest request = attempt.request;
-        attempt.timeout.cancel(false);
+        attempt.timeoutTimer.cancel(false);
         requests.stopDeadline(request);
         request.streamingAttempt = attempt;
         request.streamedLoadReport = report;
@@ -53,7 +56,7 @@
                                 request.request.id(),
                                 attempt.number,
                                 attempt.endpointId,
-                                now - attempt.timedFromMicros));
+                                now - attempt.durationStartMicros));
         HttpHeaders headers = ProtocolHeaders.endToEnd(head.headers());
         headers.remove(ProtocolHeaders.LOAD);
         request.client.startStreamedResponse(
@@ -61,32 +64,33 @@
     }
 
     /**
-     * Passes a part of the body on.
+     * Forwards a part of the body.
      *
-     * @param part taken over: passed on to the client, or released if the request is finished
+     * @param part a part of the body; ownership passes to this method, which releases it if the
+     *     request is completed
      */
     void forwardPart(ForwardedAttempt attempt, ByteBuf part) {
-        if (attempt.request.finished) {
+        if (attempt.request.completed) {
             part.release();
         } else {
             attempt.request.client.writeBody(part);
         }
     }
 
-    /** All parts that arrived together have been passed on. */
+    /** Flushes the client's connection; called once for all parts that arrived together. */
     void flush(ForwardedAttempt attempt) {
-        if (!attempt.request.finished) {
+        if (!attempt.request.completed) {
             attempt.request.client.flush();
         }
     }
 
     /**
-     * The endpoint has sent everything. The request stays in flight until its client has received
-     * all of it.
+     * Ends a response that the endpoint has sent completely. The request stays in flight until the
+     * whole response has been written to the client's socket.
      */
     void finish(ForwardedAttempt attempt, HttpHeaders trailers) {
         ProxiedRequest request = attempt.request;
-        if (request.finished) {
+        if (request.completed) {
             end(attempt, AttemptResult.SERVED);
         } else {
             request.client.endStreamedResponse(
@@ -95,7 +99,10 @@
         }
     }
 
-    /** Ends an answer, complete or broken off; only the first call for an attempt counts. */
+    /**
+     * Finishes the request and reports the outcome of the attempt. If the result is not {@code
+     * SERVED}, aborts the response. Only the first call for an attempt has an effect.
+     */
     void end(ForwardedAttempt attempt, AttemptResult result) {
         ProxiedRequest request = attempt.request;
         if (attempt.result != null) {
@@ -103,7 +110,7 @@
         }
         attempt.result = result;
         request.attemptsInFlight--;
-        if (!request.finished) {
+        if (!request.completed) {
             requests.finish(request);
             if (result != AttemptResult.SERVED) {
                 request.client.abortResponse();
--- a/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
+++ b/sidecar/src/main/java/sagefall/proxy/WarmUpRequests.java
@@ -13,22 +13,25 @@
 import sagefall.balancer.api.RequestClass;
 import sagefall.http.ProtocolHeaders;
 
-/** The requests of the warm-up: one class and tenant of the settings after the other. */
+/** Creates the requests of the warm-up, cycling through the request classes and tenants. */
 final class WarmUpRequests {
 
-    /** Size of the bodies of requests and answers that have one. */
+    /** Size, in bytes, of the body of each request and response that has a body. */
     static final int BODY_BYTES = 256;
 
-    /** One request in so many is rejected, since its time is up when it is read. */
+    /**
+     * Of this number of requests, one has a timeout that is so short that the request is rejected.
+     */
     private static final int REJECTED_EVERY = 8;
 
+    /** Timeout that is so short that the deadline has passed when the request is read. */
     private static final long EXPIRED_TIMEOUT_MILLIS = 1;
 
     private static final long MICROS_PER_MILLI = 1000;
 
     private final BalancerSettings settings;
 
-    /** Begins the id of each of these requests, and of no other's. */
+    /** Prefix that the ids of warm-up requests have and all other ids lack. */
     private final String idPrefix;
 
     private int created;
@@ -38,12 +41,12 @@
         idPrefix = Long.toHexString(new SplittableRandom(settings.seed()).nextLong()) + "-";
     }
 
-    /** Whether a request with this id is one of the warm-up's. */
+    /** Returns whether the request with the given id belongs to the warm-up. */
     boolean contains(String requestId) {
         return requestId.startsWith(idPrefix);
     }
 
-    /** The next request; the caller owns its buffer. */
+    /** Creates the next request; the caller owns its buffer. */
     FullHttpRequest next() {
         int number = created++;
         RequestClass requestClass = settings.classes().get(number % settings.classes().size());
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientChannelInitializer.java
@@ -6,8 +6,9 @@
 import sagefall.http.HttpClientConnection;
 
 /**
- * Builds the pipeline of an accepted channel: the gate discards unwanted input before it is
- * decoded, and the connection sees messages last.
+ * Builds the pipeline of an accepted channel. {@link ClientConnection} is the first handler and
+ * discards, before decoding, input that is no longer accepted. {@link RequestReader} is the last
+ * handler and receives the messages.
  */
 final class ClientChannelInitializer extends ChannelInitializer<Channel> {
     private final DownstreamListener listener;
@@ -19,7 +20,7 @@
     @Override
     protected void initChannel(Channel channel) {
         ClientConnection connection = new ClientConnection(listener, channel);
-        if (listener.streamingSettings().isOn()) {
+        if (listener.streamingSettings().isEnabled()) {
             channel.config().setRecvByteBufAllocator(HttpClientConnection.smallReadAllocator());
         }
         channel.pipeline()
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestParser.java
@@ -13,25 +13,26 @@
 import sagefall.balancer.api.Idempotency;
 import sagefall.balancer.api.Request;
 import sagefall.balancer.api.RequestClass;
-import sagefall.discovery.StableIds;
+import sagefall.discovery.StableHash;
 import sagefall.http.ProtocolHeaders;
 import sagefall.proxy.ProxiedRequest;
 import sagefall.streaming.StreamedUpload;
 import sagefall.streaming.StreamingSettings;
 
 /**
- * Parses a client's HTTP message into a request of the protocol, or says why it is none. Reads the
- * settings only, so one parser serves all connections; not thread-safe.
+ * Parses a client's HTTP message into a request, or reports how the message violates the protocol.
+ * One parser serves all connections, since no state is kept between requests. Not thread-safe.
  */
 public final class RequestParser {
 
     /**
-     * A client's time runs from when it sent the request; at most this much of it is set aside for
-     * the way here and back.
+     * Maximum transit margin: the part of a client's timeout that is reserved for the network
+     * transit of the request and the response. The margin is needed because the timeout starts when
+     * the client sends the request.
      */
     private static final long MAX_TRANSIT_MARGIN_MICROS = 20_000;
 
-    /** The margin is at most this part of the client's timeout: a tenth. */
+    /** The transit margin is at most the client's timeout divided by this number. */
     private static final int TRANSIT_MARGIN_DIVISOR = 10;
 
     private static final int MAX_REQUEST_ID_LENGTH = 128;
@@ -39,14 +40,14 @@
     private static final long MAX_TIMEOUT_MILLIS = 1_000_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** The routing key of a request without one. */
+    /** Routing key of a request whose path names only the request class. */
     private static final long NO_KEY = -1;
 
     private final BalancerSettings settings;
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Integer> tenantIndexes = new HashMap<>();
 
-    /** Creates a parser for the request classes and tenants of these settings. */
+    /** Creates a parser for the request classes and tenants of the given settings. */
     public RequestParser(BalancerSettings settings) {
         this.settings = settings;
         for (int i = 0; i < settings.classes().size(); i++) {
@@ -58,15 +59,17 @@
     }
 
     /**
-     * Parses a request. Its deadline counts from when the client may have sent it.
+     * Parses a request. The deadline of the request is the earliest time at which the request can
+     * have arrived, plus the client's timeout, minus the transit margin.
      *
      * @param now the current time in microseconds
-     * @param http the message, or its head where the body is streamed; not retained
-     * @param body the body that came with the request, or null where it is streamed
-     * @param upload the body that is streamed as it arrives, else null
-     * @param streaming which bodies may be streamed
+     * @param http the message, or its head if the body is streamed; its reference count does not
+     *     change
+     * @param body the complete body; null if the body is streamed
+     * @param upload the streamed body; null if the body is not streamed
+     * @param streaming the settings that say which bodies may be streamed
      * @param client the exchange that takes the response
-     * @throws BadRequestException if this is no request of the protocol
+     * @throws BadRequestException if the request violates the protocol
      */
     public ProxiedRequest parse(
             long now,
@@ -91,7 +94,7 @@
                 http.headers(),
                 body,
                 upload,
-                streaming.bounds(requestClass.name()).answerBytes(),
+                streaming.bounds(requestClass.name()).maxResponseBytes(),
                 client);
     }
 
@@ -107,7 +110,7 @@
         String id = requestId(headers);
         long timeoutMicros = timeoutMillis(headers) * MICROS_PER_MILLI;
         long waitedMicros = client.waitedMicros();
-        boolean responseStreamed = streaming.bounds(requestClass.name()).answerBytes() > 0;
+        boolean responseStreamed = streaming.bounds(requestClass.name()).maxResponseBytes() > 0;
         return new Request(
                 id,
                 classIndexes.get(requestClass.name()),
@@ -126,7 +129,7 @@
         return now - waitedMicros + timeoutMicros - margin;
     }
 
-    /** The class that a path names, or null if there is no such class. */
+    /** Returns the request class that a path names, or null if there is no such request class. */
     public RequestClass requestClass(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
@@ -134,13 +137,16 @@
         return index == null ? null : settings.classes().get(index);
     }
 
-    /** The key is the last segment of a path that has more than the class. */
+    /**
+     * Returns the routing key: a stable hash of the last path segment. If the path names only the
+     * request class, returns {@link #NO_KEY}.
+     */
     private static long key(String uri) {
         String path = path(uri);
         int slash = path.indexOf('/');
         return slash < 0 || slash == path.length() - 1
                 ? NO_KEY
-                : StableIds.of(path.substring(path.lastIndexOf('/') + 1));
+                : StableHash.of(path.substring(path.lastIndexOf('/') + 1));
     }
 
     private static String path(String uri) {
@@ -150,8 +156,9 @@
     }
 
     /**
-     * The decoder rejects lengths that are odd, repeated or beside a transfer coding; other codings
-     * it lets pass.
+     * Checks the framing and the HTTP version. The decoder itself rejects a content length that is
+     * malformed, repeated or combined with a transfer coding. The decoder accepts transfer codings
+     * other than chunked; such transfer codings are rejected here.
      */
     private static void checkFraming(HttpRequest http) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
@@ -171,8 +178,8 @@
     }
 
     /**
-     * The method and the idempotency key say what the client takes the class for; it must be what
-     * the settings say.
+     * Checks that the method, the body and the idempotency key match the idempotency that the
+     * settings define for the request class.
      */
     private static void checkMethod(HttpRequest http, Idempotency idempotency, boolean hasBody)
             throws BadRequestException {
@@ -221,7 +228,9 @@
         return millis;
     }
 
-    /** The number that the text is, or -1, which is no timeout. */
+    /**
+     * Parses a number. For a missing or malformed number, returns -1, which is no valid timeout.
+     */
     private static long parseLong(String text) {
         try {
             return text == null ? -1 : Long.parseLong(text);
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -19,19 +19,20 @@
 import sagefall.streaming.StreamedUpload;
 
 /**
- * The last handler of a client connection: hands complete requests and streamed bodies to the
- * {@link RequestHandler}. A request is handled once all that arrived with it has been read: bytes
- * behind it mean that it does not end where it says, or that it is not alone.
+ * The last handler of a client connection. Passes complete requests and streamed bodies to the
+ * {@link RequestHandler}. A request is handled only after everything that arrived with it has been
+ * read. Bytes after a request mean that the framing of the request is invalid or that another
+ * request follows.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** The text of the response to bytes that are not HTTP. */
+    /** The body of the response to bytes that are not HTTP. */
     static final String NOT_HTTP = "not HTTP";
 
-    /** The text of the response where a request follows before the first is answered. */
+    /** The body of the response if input follows a request before its response is complete. */
     static final String SEVERAL_REQUESTS = "more than one request";
 
-    /** The text of the response to a body over its limit. */
+    /** The body of the response to a request body that is larger than allowed. */
     static final String BODY_TOO_LARGE = "the body is too large";
 
     private static final String HEALTH_CHECK_PATH = "/healthz";
@@ -39,20 +40,22 @@
     private final ClientConnection connection;
     private final ClientRequestDecoder decoder = new ClientRequestDecoder();
 
-    /** A request that was read completely, until it is seen that nothing follows it. */
+    /**
+     * A complete request that is not handled yet, because further input may follow; null if none.
+     */
     private FullHttpRequest completeRequest;
 
-    /** The end of a streamed body, until it is seen that nothing follows it. */
+    /** The end of a streamed body, not forwarded yet, because input may follow; null if none. */
     private LastHttpContent bodyEnd;
 
-    /** Whether a further message was read together with a request; the connection then ends. */
+    /** Whether a further message was read together with a request. That request is rejected. */
     private boolean furtherMessageRead;
 
     RequestReader(ClientConnection connection) {
         this.connection = connection;
     }
 
-    /** The decoder of this connection, to be put into its pipeline. */
+    /** Returns the decoder of this connection, to be added to its pipeline. */
     ClientRequestDecoder decoder() {
         return decoder;
     }
@@ -62,7 +65,7 @@
         connection.channelClosed();
     }
 
-    /** An error in the pipeline costs this connection its request; the others go on. */
+    /** Ends the request of this connection after an error; other connections are not affected. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         ClientExchange exchange = connection.exchange();
@@ -70,7 +73,7 @@
             context.close();
         } else if (exchange != null && !isReadingBody()) {
             logFailure(exchange, cause);
-            exchange.answer(
+            exchange.respond(
                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
                     new DefaultHttpHeaders(),
                     Unpooled.EMPTY_BUFFER);
@@ -89,23 +92,22 @@
         connection.listener().log(line.toString());
     }
 
-    /** The caller releases the message; what is needed for longer is retained. */
+    /**
+     * Dispatches a message, which the caller releases. Retains a message that is needed for longer.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (message instanceof FullHttpRequest request) {
-            requestRead(request);
+            onRequest(request);
         } else if (message instanceof HttpRequest head) {
-            uploadHeadRead(head);
+            onUploadHead(head);
         } else if (message instanceof HttpContent content) {
-            bodyContentRead(content);
+            onBodyContent(content);
         }
     }
 
-    /**
-     * Retains the request until {@link #channelReadComplete}, which releases it, or {@link
-     * #releasePending}.
-     */
-    private void requestRead(FullHttpRequest request) {
+    /** Retains the request; {@link #channelReadComplete} or {@link #releasePending} releases it. */
+    private void onRequest(FullHttpRequest request) {
         decoder.messageCompleted();
         if (completeRequest != null || connection.exchange() != null) {
             furtherMessageRead = true;
@@ -115,8 +117,10 @@
     }
 
     /**
-     * Largest body of this request, in bytes, that is streamed; 0 for one that is small or not
-     * known to be allowed, or no request.
+     * Returns the maximum length, in bytes, of a streamed body of this request; 0 if the body is
+     * not streamed. A body is not streamed in four cases: the body is small; the body is larger
+     * than allowed; the request class has no streamed uploads; the message does not start a
+     * request.
      */
     long maxStreamedBodyBytes(HttpRequest head) {
         boolean startsRequest =
@@ -133,7 +137,7 @@
         return small || length > maxBytes ? 0 : maxBytes;
     }
 
-    private void uploadHeadRead(HttpRequest head) {
+    private void onUploadHead(HttpRequest head) {
         long maxBytes = maxStreamedBodyBytes(head);
         ClientExchange exchange = connection.startReadingBody(head);
         StreamedUpload upload = exchange.startUpload(head, maxBytes);
@@ -145,10 +149,11 @@
     }
 
     /**
-     * Forwards the content, or retains the end of the body until {@link #channelReadComplete},
-     * which releases it, or {@link #releasePending}. The caller releases its own reference.
+     * Forwards a part of the body. The end of the body is retained instead; {@link
+     * #channelReadComplete} or {@link #releasePending} releases it. The caller releases its own
+     * reference.
      */
-    private void bodyContentRead(HttpContent content) {
+    private void onBodyContent(HttpContent content) {
         if (!isReadingBody()) {
             return;
         }
@@ -163,8 +168,8 @@
     }
 
     /**
-     * Forwards the bytes of the content under a reference of their own, which the upload releases;
-     * the caller releases the content. False where the body has become too large.
+     * Forwards the bytes of the content. The caller releases the content; the upload releases a
+     * reference of its own. Returns false if the body is too large.
      */
     private boolean forwardBody(HttpContent content) {
         boolean fits = connection.exchange().forwardBody(content.content().retain());
@@ -174,7 +179,7 @@
         return fits;
     }
 
-    /** All that arrived in one go has been read. */
+    /** Called when everything that one read of the socket returned has been handled. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (completeRequest != null) {
@@ -195,18 +200,18 @@
         context.fireChannelReadComplete();
     }
 
-    /** The caller releases the request. */
+    /** Handles a complete request, which the caller releases. */
     private void handleRequest(FullHttpRequest request) {
         if (connection.state().discardsInput()) {
             return;
         }
-        if (anythingFollows()) {
+        if (hasFurtherInput()) {
             connection.reject(HttpResponseStatus.BAD_REQUEST, SEVERAL_REQUESTS);
             return;
         }
         ClientExchange exchange = connection.startRequest(request);
         if (request.decoderResult().isSuccess() && request.uri().equals(HEALTH_CHECK_PATH)) {
-            answerHealthCheck(exchange);
+            respondToHealthCheck(exchange);
             return;
         }
         try {
@@ -216,8 +221,8 @@
         }
     }
 
-    private void answerHealthCheck(ClientExchange exchange) {
-        exchange.answer(
+    private void respondToHealthCheck(ClientExchange exchange) {
+        exchange.respond(
                 requestHandler().hasReadyEndpoint()
                         ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -226,17 +231,18 @@
     }
 
     /**
-     * Forwards the end of a streamed body only when nothing follows it: until then no server can
-     * have run the request.
+     * Forwards the end of a streamed body if nothing follows it. Otherwise rejects the request. The
+     * request can still be rejected, because no endpoint can have executed it before its end is
+     * forwarded.
      */
     private void endBody() {
         LastHttpContent end = bodyEnd;
         bodyEnd = null;
         try {
-            if (anythingFollows()) {
+            if (hasFurtherInput()) {
                 connection.reject(HttpResponseStatus.BAD_REQUEST, SEVERAL_REQUESTS);
             } else if (forwardBody(end) && isReadingBody()) {
-                connection.bodyRead();
+                connection.bodyCompleted();
                 connection.exchange().endUpload(end);
             }
         } finally {
@@ -248,11 +254,11 @@
         return connection.state() == ClientConnectionState.READING_BODY;
     }
 
-    private boolean anythingFollows() {
+    private boolean hasFurtherInput() {
         return furtherMessageRead || !decoder.isEmpty();
     }
 
-    /** Releases what was read and not yet handled. */
+    /** Releases messages that have been read and not handled yet. */
     void releasePending() {
         ReferenceCountUtil.release(completeRequest);
         ReferenceCountUtil.release(bodyEnd);
--- a/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
+++ b/sidecar/src/test/java/sagefall/discovery/EndpointListCodecTest.java
@@ -14,21 +14,26 @@
 import sagefall.balancer.api.EndpointPhase;
 import sagefall.balancer.api.ListedEndpoint;
 
-/** Discovery's form of a list, key by key, and what becomes of a list that is malformed. */
+/**
+ * Checks that each key of discovery's JSON form is parsed, and that malformed lists are rejected.
+ */
 class EndpointListCodecTest {
 
-    /** Lists that may be asked for null, as those that the configuration makes. */
+    /**
+     * Codec under test. Its lists allow {@code indexOf(null)}, as the lists of the configuration
+     * reader do. {@code List.of} would throw an exception.
+     */
     private final EndpointListCodec codec =
             new EndpointListCodec(Arrays.asList("north", "south"), Arrays.asList("small", "large"));
 
-    private EndpointList read(String quoted) throws IOException {
-        return codec.parse(quoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private EndpointList parse(String singleQuoted) throws IOException {
+        return codec.parse(singleQuoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void eachKeyIsRead() throws Exception {
+    void keysOfEndpointListAreParsedAndUnknownKeyIsIgnored() throws Exception {
         EndpointList list =
-                read(
+                parse(
                         "{'rev':7,'all':false,'targets':[{'uid':'s-1','endpoint':'127.0.0.1:81',"
                                 + "'az':'south','model':'large','pod_group':4,"
                                 + "'state':'terminating','boot_ms':12,'capacity_hint':0.5,"
@@ -38,15 +43,21 @@
         assertEquals(
                 List.of(
                         new ListedEndpoint(
-                                StableIds.of("s-1"), 1, 1, 4, EndpointPhase.DRAINING, 12_000, 0.5)),
+                                StableHash.of("s-1"),
+                                1,
+                                1,
+                                4,
+                                EndpointPhase.DRAINING,
+                                12_000,
+                                0.5)),
                 list.endpoints());
         assertEquals("/127.0.0.1:81", list.entries().get(0).address().toString());
     }
 
     @Test
-    void idsOfServersAreTheSameInEachVersion() {
-        assertEquals(0x4bf29ce484222325L, StableIds.of(""));
-        assertEquals(0x2f63dc4c8601ec8cL, StableIds.of("a"));
+    void hashOfTextHasFixedValue() {
+        assertEquals(0x4bf29ce484222325L, StableHash.of(""));
+        assertEquals(0x2f63dc4c8601ec8cL, StableHash.of("a"));
     }
 
     @ParameterizedTest
@@ -54,7 +65,7 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "{'all':true,'targets':[]} | a list without 'rev', 'all' or 'targets'",
+                "{'all':true,'targets':[]} | endpoint list lacks 'rev', 'all' or 'targets'",
                 "{'rev':1,'all':true,'targets':[{'uid':'a'}]} | a target without 'uid' or"
                         + " 'endpoint'",
                 "{'rev':1,'all':true,'targets':[{'uid':'a','endpoint':'1.1.1.1:1',"
@@ -62,8 +73,8 @@
                 "{'rev':1,'all':true,'targets':[{'uid':'a','endpoint':'name:1',"
                         + "'state':'in_service'}]} | 'name:1' is not an address and a port",
             })
-    void malformedListIsRejectedWhole(String quoted, String message) {
-        IOException e = assertThrows(IOException.class, () -> read(quoted));
+    void malformedListIsRejectedWithReason(String singleQuoted, String message) {
+        IOException e = assertThrows(IOException.class, () -> parse(singleQuoted));
         assertEquals(message, e.getMessage().replace('"', '\''));
     }
 }
--- a/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
+++ b/sidecar/src/test/java/sagefall/persistence/EndpointSnapshotTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import sagefall.balancer.api.EndpointPhase;
 
-/** What a snapshot remembers of endpoints that leave. */
+/**
+ * Checks that a snapshot keeps draining endpoints and a bounded number of removed endpoints, each
+ * with the time at which it was first reported as not ready.
+ */
 class EndpointSnapshotTest {
 
     private final EndpointSnapshot oneDraining =
@@ -16,23 +19,23 @@
                     .with(SnapshotChanges.draining(6, 3));
 
     @Test
-    void endpointThatDrainsIsRememberedWithItsTime() {
-        assertEquals(6000, oneDraining.endpoints().get(3L).leavingSinceMillis());
+    void drainingEndpointHasTheTimeOfItsReport() {
+        assertEquals(6000, oneDraining.endpoints().get(3L).notReadySinceMillis());
     }
 
     @Test
-    void endpointsMissingFromACompleteListAreRemovedSinceTheyBeganToLeave() {
+    void endpointsMissingFromCompleteListBecomeRemovedAndKeepTheirDrainingTime() {
         SnapshotEntry ready = SnapshotChanges.entry(1, EndpointPhase.READY);
         EndpointSnapshot snapshot =
                 oneDraining.with(new SnapshotChange(true, 9, 9000, Map.of(1L, ready)));
         assertEquals(EndpointPhase.REMOVED, snapshot.endpoints().get(3L).phase());
-        assertEquals(6000, snapshot.endpoints().get(3L).leavingSinceMillis());
-        assertEquals(9000, snapshot.endpoints().get(2L).leavingSinceMillis());
+        assertEquals(6000, snapshot.endpoints().get(3L).notReadySinceMillis());
+        assertEquals(9000, snapshot.endpoints().get(2L).notReadySinceMillis());
         assertEquals(EndpointPhase.READY, snapshot.endpoints().get(1L).phase());
     }
 
     @Test
-    void onlyTheLatestRemovedEndpointsAreRemembered() {
+    void oldestRemovedEndpointsAreDroppedAboveTheMaximum() {
         SnapshotEntry ready = SnapshotChanges.entry(1, EndpointPhase.READY);
         EndpointSnapshot snapshot =
                 oneDraining.with(new SnapshotChange(true, 9, 9000, Map.of(1L, ready)));
@@ -43,6 +46,7 @@
                     snapshot.with(
                             new SnapshotChange(false, 10 + i, 10_000 + i, Map.of(id, removed)));
         }
+        // The snapshot also contains the one ready endpoint.
         assertEquals(EndpointSnapshot.MAX_REMOVED + 1, snapshot.endpoints().size());
         assertTrue(snapshot.endpoints().containsKey(3099L));
     }
--- a/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/JvmWarmUpTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import sagefall.config.SidecarConfig;
 
-/** The warm-up sends its requests through a complete sidecar, and nothing out of the process. */
+/** Checks that the warm-up sends requests through a sidecar and that none leaves the process. */
 class JvmWarmUpTest extends SocketTest {
 
     private static final int REQUESTS = 50;
@@ -32,9 +32,12 @@
         }
     }
 
-    /** Several times: before, the address was at times still in use when the warm-up had ended. */
+    /**
+     * Guards against a fault in which the listening address was still in use after the warm-up. The
+     * test runs the warm-up five times, because the fault occurred only in some runs.
+     */
     @Test
-    void allRequestsAreAnsweredAndNothingLeavesTheProcess() throws Exception {
+    void warmUpRequestsCompleteAndNoneLeavesTheProcess() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         SidecarConfig config = configListeningAt(harness, freePort());
@@ -48,16 +51,16 @@
     }
 
     @Test
-    void itEndsAtItsTimeLimit() throws Exception {
+    void warmUpEndsAtItsTimeLimit() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         JvmWarmUp.run(configListeningAt(harness, freePort()), Integer.MAX_VALUE, 100);
-        assertTrue(System.nanoTime() - since < 5_000_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 5_000_000_000L);
     }
 
-    /** No client gets an answer of the warm-up's own servers. */
+    /** A real client must never receive a response of the warm-up's simulated endpoints. */
     @Test
-    void clientsAreNotServed() throws Exception {
+    void clientReceivesOnlyErrorResponsesDuringTheWarmUp() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT));
         SidecarConfig config = configListeningAt(harness, freePort());
         var running =
@@ -70,9 +73,9 @@
                             }
                         });
         try (TestClient client = connect(config.listen())) {
-            assertEquals(503, client.healthCheck().answer().status());
-            assertEquals(502, client.search(2_000).answer().status());
-            assertEquals(502, client.search(2_000).answer().status());
+            assertEquals(503, client.healthCheck().readResponse().status());
+            assertEquals(502, client.search(2_000).readResponse().status());
+            assertEquals(502, client.search(2_000).readResponse().status());
         }
         assertTrue(running.join() > 0);
     }
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -14,28 +14,30 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import sagefall.balancer.api.Request;
 
-/** Requests of a loop that reads them late, since it has too little of a core or too much to do. */
+/** Tests requests that wait unread because the event loop is busy or gets too little CPU time. */
 class LateEventLoopTest extends SocketTest {
 
-    /** Where a request is queued while the loop is busy. */
+    /** The kind of connection on which a request waits while the event loop is busy. */
     private enum Place {
+        /** A connection on which an earlier request has completed. */
         ON_AN_IDLE_CONNECTION,
+        /** A connection that the sidecar has not accepted yet. */
         TO_BE_ACCEPTED
     }
 
     /**
-     * Before, its time counted from its reading, so it was answered as much too late as it had been
-     * unread.
+     * Guards against a fault in which the timeout ran from the time at which the sidecar read the
+     * request. The response was then late by the time for which the request had waited unread.
      */
     @ParameterizedTest
     @EnumSource
-    void timeRunsFromTheLastByteAndNotFromItsReading(Place place) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("first"));
+    void deadlineCountsFromTheArrivalOfTheLastByte(Place place) throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("first"));
         SidecarHarness harness = sidecar(server);
         AtomicReference<TestClient> client = new AtomicReference<>();
         if (place == Place.ON_AN_IDLE_CONNECTION) {
             client.set(harness.client().search(2_000));
-            assertEquals(200, client.get().answer().status());
+            assertEquals(200, client.get().readResponse().status());
         }
         server.script(ScriptedPeer.SILENT);
         long[] sentAt = new long[1];
@@ -48,18 +50,18 @@
                     client.get().search(2_000);
                 },
                 () -> spin(sentAt[0], 1_500));
-        client.get().answer();
-        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt[0]);
-        assertTrue(took < 2_500, took + " ms");
+        client.get().readResponse();
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt[0]);
+        assertTrue(elapsedMillis < 2_500, elapsedMillis + " ms");
     }
 
-    /** What came while the loop slept has not waited: its time must not be cut short. */
+    /** A request that wakes an idle event loop has not waited, so its timeout is not shortened. */
     @Test
-    void timeOfARequestThatIsReadAtOnceIsItsOwn() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("first"));
+    void deadlineOfARequestThatIsReadAtOnceIsNotShortened() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("first"));
         SidecarHarness harness = sidecar(server);
         TestClient client = harness.client().search(2_000);
-        assertEquals(200, client.answer().status());
+        assertEquals(200, client.readResponse().status());
         server.script(ScriptedPeer.SILENT);
         client.search(2_000);
         server.take();
@@ -69,27 +71,29 @@
     }
 
     /**
-     * The second request keeps the loop busy until the deadline of the first is over; the third
-     * then waits for the answer of the first.
+     * Blocks the event loop during the second and the third request. The second request blocks
+     * until 100 ms after the deadline of the first request. The third request blocks until the test
+     * has received the response to the first request, but for at most 5 s.
      */
     private static final class SlowBalancer extends NoOpLoadBalancer {
         final Set<String> requestIds = new HashSet<>();
         final CountDownLatch firstRequest = new CountDownLatch(1);
-        final CountDownLatch answered = new CountDownLatch(1);
-        volatile boolean inTime;
-        private long deadline;
+        final CountDownLatch firstResponseReceived = new CountDownLatch(1);
+        volatile boolean firstResponseInTime;
+        private long firstDeadlineNanos;
 
         @Override
         public void onRequest(long nowMicros, Request request) {
             requestIds.add(request.id());
             if (requestIds.size() == 1) {
-                deadline = System.nanoTime() + (request.deadlineMicros() - nowMicros) * 1000;
+                firstDeadlineNanos =
+                        System.nanoTime() + (request.deadlineMicros() - nowMicros) * 1000;
                 firstRequest.countDown();
             } else if (requestIds.size() == 2) {
-                spin(deadline, 100);
+                spin(firstDeadlineNanos, 100);
             } else {
                 try {
-                    inTime = answered.await(5, TimeUnit.SECONDS);
+                    firstResponseInTime = firstResponseReceived.await(5, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -98,17 +102,18 @@
     }
 
     /**
-     * The loop runs timers behind all that an iteration has read, so before, a deadline waited for
-     * the requests of a burst.
+     * Guards against a fault in which deadlines were handled late during a burst of requests. The
+     * event loop runs timers only after it has handled all requests of the same iteration.
      */
     @Test
-    void deadlineComesBeforeTheNextRequestOfTheSameIteration() throws Exception {
+    void expiredDeadlineIsHandledBeforeTheNextRequestOfTheSameIteration() throws Exception {
         SlowBalancer balancer = new SlowBalancer();
         SidecarHarness harness = harness().start((settings, actions) -> balancer);
         List<TestClient> others = List.of(harness.client(), harness.client());
         for (TestClient other : others) {
-            // Accepted, so that what it sends is read in one iteration with the other's.
-            other.healthCheck().answer();
+            // The response shows that the sidecar has accepted the connection. The event loop can
+            // therefore read the later requests of both connections in one iteration.
+            other.healthCheck().readResponse();
         }
         TestClient client = harness.client().search(500);
         assertTrue(balancer.firstRequest.await(10, TimeUnit.SECONDS));
@@ -119,14 +124,14 @@
                     }
                 },
                 () -> {});
-        assertEquals(504, client.answer().status());
-        balancer.answered.countDown();
+        assertEquals(504, client.readResponse().status());
+        balancer.firstResponseReceived.countDown();
         harness.awaitLoop();
         assertEquals(3, balancer.requestIds.size());
-        assertTrue(balancer.inTime);
+        assertTrue(balancer.firstResponseInTime);
     }
 
-    /** Keeps the loop busy until so long after a time. */
+    /** Blocks the event loop until the given duration has passed since the given time. */
     private static void spin(long sinceNanos, long millis) {
         while (System.nanoTime() - sinceNanos < TimeUnit.MILLISECONDS.toNanos(millis)) {
             Thread.onSpinWait();
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -20,16 +20,16 @@
 import sagefall.balancer.api.Request;
 import sagefall.http.HttpClientConnection;
 
-/** Servers that send more than one answer, and clients that send malformed requests. */
+/** Tests servers that send more than one response and clients that send malformed requests. */
 class MalformedTrafficTest extends SocketTest {
 
-    private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-    /** Sends the second request from inside the event that ends the first. */
+    /** Sends the second request while it handles the outcome of the first request's attempt. */
     private static final class ChainingBalancer extends NoOpLoadBalancer {
         private final BalancerActions actions;
         private final List<String> requestIds = new ArrayList<>();
-        private long server;
+        private long endpoint;
 
         ChainingBalancer(BalancerActions actions) {
             this.actions = actions;
@@ -39,7 +39,7 @@
         public void onEndpointList(
                 long nowMicros, EndpointListKind kind, List<ListedEndpoint> list) {
             if (!list.isEmpty()) {
-                server = list.get(0).id();
+                endpoint = list.get(0).id();
             }
         }
 
@@ -47,65 +47,67 @@
         public void onRequest(long nowMicros, Request request) {
             requestIds.add(request.id());
             if (requestIds.size() == 1) {
-                actions.send(request.id(), server, 0, Long.MAX_VALUE);
+                actions.send(request.id(), endpoint, 0, Long.MAX_VALUE);
             }
         }
 
         @Override
         public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
             if (requestIds.size() == 2 && outcome.requestId().equals(requestIds.get(0))) {
-                actions.send(requestIds.get(1), server, 0, Long.MAX_VALUE);
+                actions.send(requestIds.get(1), endpoint, 0, Long.MAX_VALUE);
             }
         }
     }
 
     /**
-     * Before, a second copy or noise right behind an answer counted as the answer to the next
-     * request.
+     * Guards against a fault in which bytes that directly followed a response, for example a second
+     * response, were treated as the response to the next request.
      */
     @ParameterizedTest
-    @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
-    void bytesBehindAnAnswerAreNoAnswer(String behind) throws Exception {
+    @ValueSource(
+            strings = {RESPONSE_HEAD + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
+    void bytesAfterAResponseAreNotTakenForTheNextResponse(String surplus) throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         SidecarHarness harness = harness(server);
         harness.start((settings, actions) -> new ChainingBalancer(actions));
         TestClient first = harness.client().search(5_000);
-        ReceivedRequest one = server.take();
+        ReceivedRequest received = server.take();
         TestClient second = harness.client().search(5_000);
-        // Rejected once the one before has been read, since the loop reads one after the other.
-        assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
-        one.raw(COPY + "mine" + behind);
-        assertEquals("mine", first.answer().body());
-        server.take().reply("200 OK", "", "other");
-        assertEquals("other", second.answer().body());
+        // The event loop reads the connections in order. When the sidecar has rejected this
+        // malformed request, it has read the second request.
+        assertEquals(400, harness.client().write("x\r\n\r\n").readResponse().status());
+        received.write(RESPONSE_HEAD + "mine" + surplus);
+        assertEquals("mine", first.readResponse().body());
+        server.take().respond("200 OK", "", "other");
+        assertEquals("other", second.readResponse().body());
     }
 
     @Test
-    void byteOnAnIdleConnectionEndsIt() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        assertEquals(200, sidecar(server).client().search(2_000).answer().status());
-        server.take().raw("x");
-        server.awaitEnd();
+    void byteFromTheServerClosesAnIdleConnection() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
+        assertEquals(200, sidecar(server).client().search(2_000).readResponse().status());
+        server.take().write("x");
+        server.awaitConnectionEnd();
     }
 
     @Test
-    void informationalResponsesAreNotTheAnswer() throws Exception {
+    void informationalResponsesAndAnInvalidLoadReportAreIgnored() throws Exception {
         ScriptedPeer server =
                 server(
                         seen -> {
-                            seen.raw(
+                            seen.write(
                                     "HTTP/1.1 103 Early\r\n"
                                             + "Link: x\r\n\r\n"
                                             + "HTTP/1.1 102 On it\r\n\r\n");
-                            seen.reply(
+                            seen.respond(
                                     "200 OK",
                                     "Server-Load: {\r\nServer-Load: TEXT cpu=0.5\r\n",
                                     "ok");
                         });
-        assertEquals("ok", sidecar(server).client().book("x", 2_000).answer().body());
+        assertEquals("ok", sidecar(server).client().book("x", 2_000).readResponse().body());
     }
 
-    /** None of these reaches a server: the end of such a request is ambiguous. */
+    /** The end of each given request is ambiguous, so the sidecar must not forward the request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -127,25 +129,25 @@
                 "no colon\r\n\r\n",
             })
     void requestWithAnAmbiguousEndIsRejected(String rest) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         TestClient client = sidecar(server).client();
         String head = TestClient.head("POST", "/book/k1", 2_000, "", 0);
-        client.raw(head.substring(0, head.length() - 2) + rest);
-        assertEquals(400, client.answer().status());
+        client.write(head.substring(0, head.length() - 2) + rest);
+        assertEquals(400, client.readResponse().status());
         client.assertClosed();
         assertTrue(server.receivedRequests.isEmpty());
     }
 
-    /** The same for bytes that come while the request is in flight: its attempt is cancelled. */
+    /** The sidecar rejects the request and cancels its attempt. */
     @Test
-    void bytesBehindARequestInFlightRejectIt() throws Exception {
+    void requestInFlightIsRejectedWhenMoreBytesArrive() throws Exception {
         ScriptedPeer server = server(ScriptedPeer.SILENT);
         TestClient client = sidecar(server).client().search(2_000);
         server.take();
         client.search(2_000);
-        assertEquals(400, client.answer().status());
+        assertEquals(400, client.readResponse().status());
         client.assertClosed();
-        server.awaitEnd();
+        server.awaitConnectionEnd();
     }
 
     @ParameterizedTest
@@ -155,54 +157,59 @@
                 "GET /search/k HTTP/1.1\r\nHost: a\r\n",
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
-    void clientThatDoesNotCompleteItsRequestIsDisconnected(String part) throws Exception {
-        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().raw(part);
-        long since = System.nanoTime();
-        if (!part.isEmpty()) {
-            assertEquals(408, client.answer().status());
+    void clientThatDoesNotCompleteItsRequestIsDisconnected(String sent) throws Exception {
+        TestClient client = sidecar(server(ScriptedPeer.SILENT)).client().write(sent);
+        long startNanos = System.nanoTime();
+        if (!sent.isEmpty()) {
+            assertEquals(408, client.readResponse().status());
         }
         client.assertClosed();
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
+        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 3_000);
     }
 
     /**
-     * Before, the answer was lost to a reset where the connection was closed with bytes of the body
-     * unread.
+     * Guards against a fault in which the client did not receive the rejection. The kernel sends a
+     * reset if the sidecar closes the connection while bytes of the body are unread. The reset
+     * discards the response.
      */
     @Test
-    void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
+    void clientThatExceedsTheBodyLimitReceivesTheRejection() throws Exception {
         TestClient client = sidecar(server(ScriptedPeer.SILENT)).client();
-        client.raw(TestClient.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
-        byte[] some = new byte[1024 * 1024];
+        client.write(TestClient.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024));
+        byte[] chunk = new byte[1024 * 1024];
         for (int i = 0; i < 32; i++) {
-            client.socket.getOutputStream().write(some);
+            client.socket.getOutputStream().write(chunk);
         }
-        assertEquals(413, client.answer().status());
+        assertEquals(413, client.readResponse().status());
         client.assertClosed();
     }
 
-    /** Before, silent clients up to the limit shut out others until one of them left by itself. */
+    /**
+     * Guards against a fault in which silent clients occupied all connections until they
+     * disconnected.
+     */
     @Test
-    void silentClientsDoNotShutOutOthers() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
-        SidecarHarness harness = harnessOfFewSockets(server);
+    void silentClientsBeyondTheLimitDoNotBlockOtherClients() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
+        SidecarHarness harness = harnessWithFewSockets(server);
         harness.start();
         for (int i = 0; i < harness.config().maxClientConnections() + 20; i++) {
             harness.client();
         }
-        long since = System.nanoTime();
-        assertEquals(200, harness.client().search(5_000).answer().status());
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 1_500);
+        long startNanos = System.nanoTime();
+        assertEquals(200, harness.client().search(5_000).readResponse().status());
+        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 1_500);
     }
 
     /**
-     * Before, with one connection accepted in each iteration of a slow loop, clients' time ran out
-     * in the kernel's queue. The task is due in each iteration, so it counts them, and makes each
-     * long enough for the clients to read.
+     * Guards against a fault in which a slow event loop accepted only one connection in each
+     * iteration. Deadlines then passed while connections waited in the kernel's accept queue. The
+     * scheduled task runs once in each iteration. It counts the iterations and makes each of them
+     * long enough for the clients to read their responses.
      */
     @Test
-    void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
-        SidecarHarness harness = sidecar(server(ScriptedPeer.serves("ok")));
+    void slowLoopAcceptsSeveralConnectionsInOneIteration() throws Exception {
+        SidecarHarness harness = sidecar(server(ScriptedPeer.respondsOk("ok")));
         AtomicInteger iterations = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
         harness.loop.execute(
@@ -227,65 +234,69 @@
         }
         connected.countDown();
         for (TestClient client : clients) {
-            assertEquals(200, client.answer().status());
+            assertEquals(200, client.readResponse().status());
         }
         assertTrue(iterations.get() < 40, iterations + " iterations");
     }
 
     /**
-     * Before, clients that send one request and stay connected used up the limit until the usual
-     * idle time was over.
+     * Guards against a fault in which clients that sent one request and stayed connected occupied
+     * all connections until the usual idle timeout.
      */
     @Test
-    void idleClientsPastHalfOfTheLimitAreClosedSoon() throws Exception {
-        SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok")));
+    void idleConnectionsThatExceedHalfOfTheLimitAreClosedEarly() throws Exception {
+        SidecarHarness harness = harnessWithFewSockets(server(ScriptedPeer.respondsOk("ok")));
         harness.start();
         int half = harness.config().maxClientConnections() / 2;
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < half + 5; i++) {
             clients.add(harness.client().search(5_000));
-            assertEquals(200, clients.get(i).answer().status());
+            assertEquals(200, clients.get(i).readResponse().status());
         }
-        long since = System.nanoTime();
-        for (TestClient longest : clients.subList(0, 5)) {
-            longest.assertClosed();
+        long startNanos = System.nanoTime();
+        for (TestClient longestIdle : clients.subList(0, 5)) {
+            longestIdle.assertClosed();
         }
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 3_000);
-        for (TestClient staying : clients.subList(5, clients.size())) {
-            assertEquals(200, staying.search(5_000).answer().status());
+        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < 3_000);
+        for (TestClient remaining : clients.subList(5, clients.size())) {
+            assertEquals(200, remaining.search(5_000).readResponse().status());
         }
     }
 
     /**
-     * Three times the limit of clients that send much and disconnect, by an end or a reset, leave
-     * no connection behind.
+     * Connects three times as many clients as the limit allows. Each client sends more bytes than
+     * the {@code Content-Length} of its request and then closes or resets its connection. If the
+     * sidecar did not release all these connections, some requests at the end of the test would
+     * fail.
      */
     @Test
-    void clientsThatSendMuchAndDisconnectLeaveNoConnection() throws Exception {
-        SidecarHarness harness = harnessOfFewSockets(server(ScriptedPeer.serves("ok"))).start();
+    void connectionsOfClientsThatSendTooMuchAndDisconnectAreReleased() throws Exception {
+        SidecarHarness harness =
+                harnessWithFewSockets(server(ScriptedPeer.respondsOk("ok"))).start();
         int limit = harness.config().maxClientConnections();
-        TestClient staying = harness.client();
-        String much = TestClient.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
+        TestClient remaining = harness.client();
+        String oversized =
+                TestClient.head("POST", "/book/k1", 2_000, "", 60_000) + "x".repeat(200_000);
         for (int i = 0; i < 3 * limit; i++) {
             TestClient flooding = harness.client();
             flooding.socket.setSoLinger(i % 2 == 0, 0);
             try {
-                flooding.raw(much);
+                flooding.write(oversized);
             } catch (IOException e) {
-                // Disconnected, as it may be.
+                // The sidecar may have closed the connection.
             }
             flooding.close();
             if (i % 10 == 0) {
-                assertEquals(200, staying.search(5_000).answer().status());
+                assertEquals(200, remaining.search(5_000).readResponse().status());
             }
         }
         for (int i = 0; i < limit - 1; i++) {
-            assertEquals(200, harness.client().search(5_000).answer().status());
+            assertEquals(200, harness.client().search(5_000).readResponse().status());
         }
     }
 
     @Test
-    void errorInTheBalancerIsAnsweredToo() throws Exception {
+    void errorThrownByTheBalancerIsReportedAs500() throws Exception {
         SidecarHarness harness = harness();
         harness.start(
                 (settings, actions) ->
@@ -295,13 +306,13 @@
                                 throw new StackOverflowError();
                             }
                         });
-        assertEquals(500, harness.client().search(2_000).answer().status());
-        assertEquals(500, harness.client().search(2_000).answer().status());
+        assertEquals(500, harness.client().search(2_000).readResponse().status());
+        assertEquals(500, harness.client().search(2_000).readResponse().status());
     }
 
     @Test
-    void longListIsRead() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+    void endpointListLargerThanTheDefaultBodyLimitIsApplied() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness();
         List<ScriptedPeer> many = new ArrayList<>();
         for (int i = 0; i < 900; i++) {
@@ -315,12 +326,13 @@
         harness.discovery.script(
                 seen -> {
                     if (seen.request().startLine().contains("from=1&")) {
-                        seen.reply("200 OK", "", list);
+                        seen.respond("200 OK", "", list);
                     }
                 });
         harness.start();
+        // The second discovery request shows that the sidecar has read the response to the first.
         harness.discovery.take();
         harness.discovery.take();
-        assertEquals(200, harness.client().search(2_000).answer().status());
+        assertEquals(200, harness.client().search(2_000).readResponse().status());
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/RaceConditionTest.java
@@ -34,33 +34,36 @@
 import sagefall.proxy.downstream.BadRequestException;
 import sagefall.proxy.upstream.ConnectionPool;
 
-/** Events that race: each test forces an order that must do no harm. */
+/** Tests race conditions. Each test forces one order of concurrent events. */
 class RaceConditionTest extends SocketTest {
 
-    /** Keeps the loop, on which it is called, busy for so long, as a slow iteration does. */
+    /** Blocks the calling event loop for the given duration to simulate a slow iteration. */
     private static void stall(long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
     }
 
     // ---- Endpoint lists
 
-    /** Within this time a call connects and is answered. */
-    private static final long ANSWER_MILLIS = 250;
+    /**
+     * Assumed time in milliseconds from the connection attempt of a discovery request to its
+     * response.
+     */
+    private static final long RESPONSE_MILLIS = 250;
 
-    /** What a discovery client reports, each as a short text. */
+    /** Records the events that a discovery client reports, each as a short text. */
     private static final class DiscoveryEvents implements DiscoveryClient.Listener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
         @Override
-        public void listed(EndpointList list) {
+        public void onEndpointList(EndpointList list) {
             events.add("list " + list.revision());
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailure(String reason) {
             events.add(reason);
         }
 
@@ -69,9 +72,13 @@
         }
     }
 
-    /** Before, a silent peer was awaited for as long after a failure as in a watch. */
+    /**
+     * Guards against a fault in which the first discovery request after a failure had the long hold
+     * time of a watch. If the discovery service was still silent, the sidecar detected the silence
+     * late.
+     */
     @Test
-    void afterSilenceTheFirstCallDoesNotWait() throws Exception {
+    void firstDiscoveryRequestAfterTimeoutHasMinimalHoldTime() throws Exception {
         SidecarHarness harness = harness();
         DiscoveryEvents events = new DiscoveryEvents();
         SidecarConfig config = harness.config();
@@ -92,117 +99,127 @@
             harness.loop.execute(discovery::subscribe);
             ReceivedRequest first = harness.discovery.take();
             assertEquals("GET /v1/servers?from=1&hold_ms=1 HTTP/1.1", first.request().startLine());
-            first.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
+            first.respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES));
             assertEquals("list 1", events.next());
             assertEquals(
                     "GET /v1/servers?from=1&hold_ms=400 HTTP/1.1",
                     harness.discovery.take().request().startLine());
-            assertEquals("no answer", events.next());
-            harness.discovery.awaitEnd();
+            assertEquals("no response", events.next());
+            harness.discovery.awaitConnectionEnd();
         }
         harness.loop.submit(discovery::close).get();
     }
 
     /**
-     * Noticing, the backoff, a further call that is lost and the next one end within the 6 s after
-     * which a list counts as known.
+     * The sidecar must know of a change of the endpoint list within 6 s. Two discovery requests may
+     * be lost in this time: the sidecar must detect each loss, back off, and receive the response
+     * to the third request.
      */
     @ParameterizedTest
     @CsvSource({"false, 150", "true, 600"})
-    void silenceOfDiscoveryIsOverBeforeItsListCountsAsKnown(boolean polls, long backoffMillis) {
+    void endpointListArrivesWithinSixSecondsAfterTwoLostRequests(
+            boolean polls, long backoffMillis) {
         DiscoveryTimeouts timeouts = DiscoveryTimeouts.of(polls);
-        long asked = timeouts.holdMillis() + 2 * (timeouts.answerMillis() + backoffMillis);
-        assertTrue(asked + ANSWER_MILLIS < 6_000, asked + " ms");
+        long thirdRequestMillis =
+                timeouts.holdMillis() + 2 * (timeouts.responseMillis() + backoffMillis);
+        assertTrue(thirdRequestMillis + RESPONSE_MILLIS < 6_000, thirdRequestMillis + " ms");
     }
 
     /**
-     * What an agent has counts as known from the first moment, so clients are accepted only after
-     * its first answer.
+     * If discovery is an agent, the agent's endpoint list must apply to all requests after the
+     * start of the sidecar. The sidecar therefore accepts clients only after the agent's first
+     * response.
      */
     @Test
-    void agentIsReadBeforeTheFirstRequest() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        SidecarHarness harness = harness(leaving, staying).withPushedEndpoints();
+    void clientsAreAcceptedOnlyAfterFirstEndpointListOfAgent() throws Exception {
+        ScriptedPeer draining = server(ScriptedPeer.respondsOk("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.respondsOk("ready"));
+        SidecarHarness harness = harness(draining, ready).withPushedEndpoints();
         CompletableFuture<InetSocketAddress> started = harness.startAsync(DefaultLoadBalancer::new);
-        awaitCall(harness.discovery);
+        awaitDiscoveryRequest(harness.discovery);
         assertFalse(started.isDone());
-        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", leaving));
+        harness.publishEndpoints(2, SidecarHarness.list(2, false, "terminating", draining));
         harness.awaitStart(started);
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("ready", harness.client().search(2_000).readResponse().body());
         }
     }
 
     @Test
-    void silentAgentDoesNotPreventTheStart() throws Exception {
+    void silentAgentDoesNotPreventStartup() throws Exception {
         SidecarHarness harness =
-                harness(server(ScriptedPeer.serves("known"))).withPushedEndpoints().start();
-        assertEquals("known", harness.client().search(2_000).answer().body());
+                harness(server(ScriptedPeer.respondsOk("known"))).withPushedEndpoints().start();
+        assertEquals("known", harness.client().search(2_000).readResponse().body());
     }
 
     /**
-     * Before, a replica of discovery that was behind, as after SIGHUP, made a server ready that had
-     * been listed as draining.
+     * Guards against a fault in which an older endpoint list made a draining endpoint ready again.
+     * The sidecar may receive such a list from a discovery replica that lags behind, for example
+     * after a SIGHUP.
      */
     @Test
-    void listThatIsBehindEndsNoDrain() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        SidecarHarness harness = harness(leaving, staying).start();
-        harness.publishEndpoints(5, SidecarHarness.list(5, false, "terminating", leaving));
-        harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", leaving, staying));
+    void olderEndpointListDoesNotMakeDrainingEndpointReady() throws Exception {
+        ScriptedPeer first = server(ScriptedPeer.respondsOk("first"));
+        ScriptedPeer second = server(ScriptedPeer.respondsOk("second"));
+        SidecarHarness harness = harness(first, second).start();
+        harness.publishEndpoints(5, SidecarHarness.list(5, false, "terminating", first));
+        harness.publishEndpoints(3, SidecarHarness.list(3, true, "in_service", first, second));
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("second", harness.client().search(2_000).readResponse().body());
         }
-        // One that is ahead does.
-        harness.publishEndpoints(6, SidecarHarness.list(6, false, "terminating", staying));
-        harness.publishEndpoints(7, SidecarHarness.list(7, false, "in_service", leaving));
-        assertEquals("leaving", harness.client().search(2_000).answer().body());
+        // List 6 drains the second endpoint; list 7 makes the first endpoint ready again.
+        harness.publishEndpoints(6, SidecarHarness.list(6, false, "terminating", second));
+        harness.publishEndpoints(7, SidecarHarness.list(7, false, "in_service", first));
+        assertEquals("first", harness.client().search(2_000).readResponse().body());
     }
 
     /**
-     * Before, at a SIGHUP during the start, the first list, which may be old, was delivered behind
-     * discovery's.
+     * Guards against a fault in which a SIGHUP during startup caused the configured endpoint list,
+     * which may be old, to be applied after the list from discovery.
      */
     @Test
-    void hangupDuringTheStartWaitsForTheFirstList() throws Exception {
-        ScriptedPeer leaving = server(ScriptedPeer.serves("leaving"));
-        ScriptedPeer staying = server(ScriptedPeer.serves("staying"));
-        ScriptedPeer next = server(ScriptedPeer.SILENT);
-        SidecarHarness harness = harness(leaving, staying).withPushedEndpoints();
+    void reloadDuringStartupWaitsForFirstEndpointList() throws Exception {
+        ScriptedPeer draining = server(ScriptedPeer.respondsOk("draining"));
+        ScriptedPeer ready = server(ScriptedPeer.respondsOk("ready"));
+        ScriptedPeer newDiscovery = server(ScriptedPeer.SILENT);
+        SidecarHarness harness = harness(draining, ready).withPushedEndpoints();
         harness.create(DefaultLoadBalancer::new);
-        harness.withConfig(":" + harness.discovery.port(), ":" + next.port());
+        harness.withConfig(":" + harness.discovery.port(), ":" + newDiscovery.port());
         harness.reload();
-        // A connection that the loop has begun by then is accepted before this one.
+        // If the reload had opened a connection to the new discovery service, the service would
+        // have accepted that connection before the connection of the test's own client.
         harness.awaitLoop();
         harness.awaitLoop();
-        try (TestClient own =
+        try (TestClient ownClient =
                 new TestClient(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port()))) {
-            own.raw("GET /own HTTP/1.1\r\n\r\n");
-            assertEquals("GET /own HTTP/1.1", next.take().request().startLine());
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), newDiscovery.port()))) {
+            ownClient.write("GET /own HTTP/1.1\r\n\r\n");
+            assertEquals("GET /own HTTP/1.1", newDiscovery.take().request().startLine());
         }
-        assertEquals(1, next.accepted.get());
+        assertEquals(1, newDiscovery.accepted.get());
         CompletableFuture<InetSocketAddress> started = harness.sidecar.start();
-        assertEquals("GET /v1/servers HTTP/1.1", awaitCall(next).request().startLine());
+        assertEquals(
+                "GET /v1/servers HTTP/1.1",
+                awaitDiscoveryRequest(newDiscovery).request().startLine());
         SidecarHarness.publishEndpoints(
-                next, 2, SidecarHarness.list(2, true, "in_service", staying));
+                newDiscovery, 2, SidecarHarness.list(2, true, "in_service", ready));
         harness.awaitStart(started);
         for (int i = 0; i < 20; i++) {
-            assertEquals("staying", harness.client().search(2_000).answer().body());
+            assertEquals("ready", harness.client().search(2_000).readResponse().body());
         }
         assertTrue(harness.discovery.receivedRequests.isEmpty());
     }
 
-    /** Waits for the next call, which stays to be answered. */
-    private static ReceivedRequest awaitCall(ScriptedPeer discovery) throws InterruptedException {
-        ReceivedRequest call = discovery.take();
-        discovery.receivedRequests.add(call);
-        return call;
+    /** Waits for the next discovery request and leaves it in the queue for a later response. */
+    private static ReceivedRequest awaitDiscoveryRequest(ScriptedPeer discovery)
+            throws InterruptedException {
+        ReceivedRequest request = discovery.take();
+        discovery.receivedRequests.add(request);
+        return request;
     }
 
-    /** Hands the sidecar a request whose client does not look at the answer; on the loop. */
+    /** Passes a request to the sidecar and discards the response. Called on the event loop. */
     private static void handleRequest(SidecarServer sidecar) {
         FullHttpRequest http =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/search/k");
@@ -218,17 +235,19 @@
     }
 
     /**
-     * Before, a request that was handled first after a stall went to a server that had been listed
-     * as draining meanwhile.
+     * Guards against a fault in which the sidecar applied an endpoint list too late. The socket had
+     * received the list while the event loop was stalled. The first request after the stall was
+     * sent to an endpoint that was draining according to that list.
      */
     @Test
-    void listThatCameDuringAStallGoesBeforeTheRequest() throws Exception {
+    void endpointListReceivedDuringStallIsAppliedBeforeNextRequest() throws Exception {
         SidecarHarness harness = harness(server(ScriptedPeer.SILENT)).withPushedEndpoints();
         ScriptedBalancer balancer = ScriptedBalancer.start(harness);
         ReceivedRequest watch = harness.discovery.take();
         harness.whileLoopIsStalled(
-                () -> watch.reply("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
+                () -> watch.respond("200 OK", "", SidecarHarness.json(SidecarHarness.NO_CHANGES)),
                 () -> {
+                    // The stall is longer than the minimum interval between reads from discovery.
                     stall(25);
                     handleRequest(harness.sidecar);
                 });
@@ -238,13 +257,16 @@
 
     // ---- Clients that disconnect
 
-    /** How a client disconnects. */
-    private enum Leaving {
+    /** Ways in which a client disconnects. */
+    private enum DisconnectMode {
+        /** The client closes its socket, which sends a FIN. */
         CLOSES,
+        /** The client closes its socket with a linger time of 0, which sends a reset. */
         RESETS,
+        /** The client half-closes its connection: it sends a FIN and can still read. */
         ENDS_SENDING;
 
-        void by(TestClient client) throws IOException {
+        void disconnect(TestClient client) throws IOException {
             if (this == ENDS_SENDING) {
                 client.socket.shutdownOutput();
                 return;
@@ -255,57 +277,63 @@
     }
 
     /**
-     * Waits until connections that have brought an answer may be used for the next request, so that
-     * it goes out at once.
+     * Waits until the delay after which connections to servers may be reused has passed. The next
+     * attempt is then sent immediately on such a connection.
      */
     private static void awaitReusableConnections(SidecarHarness harness) throws Exception {
         harness.awaitLoop(2 * ConnectionPool.REUSE_DELAY_MICROS);
     }
 
-    /** Before, a request was forwarded whose bytes came with the end of the connection. */
+    /**
+     * Guards against a fault in which a request was forwarded although its client had already
+     * disconnected. The sidecar read the request and the end of the connection together.
+     */
     @ParameterizedTest
     @EnumSource
-    void requestWhoseClientHasLeftIsNotForwarded(Leaving leaving) throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+    void requestOfDisconnectedClientIsNotForwarded(DisconnectMode mode) throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
-        assertEquals("ok", harness.client().book("warm", 5_000).answer().body());
+        assertEquals("ok", harness.client().book("warm", 5_000).readResponse().body());
         awaitReusableConnections(harness);
         harness.whileLoopIsStalled(
                 () -> {
                     for (int i = 0; i < 20; i++) {
-                        leaving.by(harness.client().book("left", 5_000));
+                        mode.disconnect(harness.client().book("left", 5_000));
                     }
                 },
                 () -> {});
-        // Accepted after them, and so read after them.
-        assertEquals("ok", harness.client().book("stays", 5_000).answer().body());
+        // The sidecar accepts and reads this connection after the connections closed above.
+        assertEquals("ok", harness.client().book("stays", 5_000).readResponse().body());
         assertEquals(
                 List.of("warm", "stays"),
-                server.receivedRequests.stream().map(seen -> seen.request().body()).toList());
+                server.receivedRequests.stream()
+                        .map(received -> received.request().body())
+                        .toList());
     }
 
-    /** The same for one that waits for an attempt while the loop is slow. */
+    /** The client disconnects while its request awaits an attempt and the event loop is stalled. */
     @ParameterizedTest
     @EnumSource
-    void pendingRequestWhoseClientLeavesDuringAStallIsNotForwarded(Leaving leaving)
+    void pendingRequestIsNotForwardedAfterDisconnectDuringStall(DisconnectMode mode)
             throws Exception {
         PendingRequest pending = new PendingRequest("'cancelling':true", 1, false);
-        pending.harness.whileLoopIsStalled(() -> leaving.by(pending.client), pending::sendAttempt);
+        pending.harness.whileLoopIsStalled(
+                () -> mode.disconnect(pending.client), pending::sendAttempt);
         assertEquals("NOT_SENT", pending.nextEvent());
         assertTrue(pending.server.receivedRequests.isEmpty());
     }
 
-    /** Between two attempts too, also where attempts may not be cancelled. */
+    /** The client disconnects between two attempts while cancelling of attempts is turned off. */
     @ParameterizedTest
     @EnumSource
-    void furtherAttemptIsNotStartedForAClientThatHasLeft(Leaving leaving) throws Exception {
+    void retryIsNotSentForDisconnectedClient(DisconnectMode mode) throws Exception {
         PendingRequest pending = new PendingRequest("'cancelling':false", 2, true);
         pending.harness.loop.execute(pending::sendAttempt);
-        ReceivedRequest first = pending.server.take();
+        ReceivedRequest firstAttempt = pending.server.take();
         pending.harness.whileLoopIsStalled(
                 () -> {
-                    first.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
-                    leaving.by(pending.client);
+                    firstAttempt.respond("503 Service Unavailable", "Not-Started: 1\r\n", "");
+                    mode.disconnect(pending.client);
                 },
                 pending::sendAttempt);
         String earlier = pending.nextEvent();
@@ -315,8 +343,9 @@
     }
 
     /**
-     * A request that the balancer knows and has not sent, beside idle connections to its server, so
-     * that each attempt would go out at once.
+     * A request that the balancer has received and for which it has sent no attempt yet. The
+     * sidecar has idle connections to the server, so an attempt is sent without a connection
+     * set-up.
      */
     private final class PendingRequest {
         private final ScriptedPeer server = server(ScriptedPeer.SILENT);
@@ -324,17 +353,19 @@
         private final ScriptedBalancer balancer;
         private final TestClient client;
         private final String id;
-        private final boolean listsMayIntervene;
+        private final boolean skipsEndpointLists;
 
         /**
-         * @param cancelling the setting, as the configuration says it
-         * @param idleConnections how many attempts can go out at once
-         * @param listsMayIntervene whether endpoint lists may come between the events; otherwise
-         *     one that does fails the test
+         * Starts a sidecar and sends the request.
+         *
+         * @param cancelling the {@code cancelling} key and its value, as text of the configuration
+         * @param idleConnections number of idle connections to the server
+         * @param skipsEndpointLists whether {@link #nextEvent} skips events of discovery; if false,
+         *     {@link #nextEvent} returns them, and the test fails
          */
-        PendingRequest(String cancelling, int idleConnections, boolean listsMayIntervene)
+        PendingRequest(String cancelling, int idleConnections, boolean skipsEndpointLists)
                 throws Exception {
-            this.listsMayIntervene = listsMayIntervene;
+            this.skipsEndpointLists = skipsEndpointLists;
             harness.withConfig("'cancelling':true", cancelling);
             balancer = ScriptedBalancer.start(harness);
             openConnections(idleConnections);
@@ -352,114 +383,119 @@
                 requests.add(server.take());
             }
             for (int i = 0; i < count; i++) {
-                requests.get(i).reply("200 OK", "", "ok");
+                requests.get(i).respond("200 OK", "", "ok");
                 assertEquals("SERVED", nextEvent());
-                assertEquals("ok", clients.get(i).answer().body());
+                assertEquals("ok", clients.get(i).readResponse().body());
             }
             awaitReusableConnections(harness);
         }
 
         private String nextEvent() throws InterruptedException {
-            return listsMayIntervene ? balancer.nextEventButLists() : balancer.nextEvent();
+            return skipsEndpointLists ? balancer.nextEventExceptDiscovery() : balancer.nextEvent();
         }
 
-        /** On the loop. */
+        /** Sends an attempt of the request. Called on the event loop. */
         void sendAttempt() {
             balancer.send(id, server);
         }
     }
 
-    // ---- Answers that end with the connection
+    // ---- Responses that end with the connection
 
-    /** Without a length the end of the server's sending is that of the answer (RFC 9112, 6.3). */
+    /** A response without a length ends when the server closes the connection (RFC 9112, 6.3). */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY_BYTES})
-    void answerWithoutALengthEndsWithTheConnection(int length) throws Exception {
+    void responseWithoutLengthEndsWhenConnectionCloses(int length) throws Exception {
         String body = "x".repeat(length);
         ScriptedPeer server =
                 server(
-                        seen -> {
-                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + body);
-                            seen.socket().close();
+                        request -> {
+                            request.write("HTTP/1.1 200 OK\r\n\r\n" + body);
+                            request.socket().close();
                         });
         SidecarHarness harness = harness(server).start();
         for (int i = 0; i < 2; i++) {
-            HttpMessages.Message answer = harness.client().book("x", 5_000).answer();
-            assertEquals(200, answer.status());
-            assertEquals(body, answer.body());
+            HttpMessages.Message response = harness.client().book("x", 5_000).readResponse();
+            assertEquals(200, response.status());
+            assertEquals(body, response.body());
         }
         assertEquals(2, server.accepted.get());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 5, HttpClientConnection.MAX_BODY_BYTES})
-    void resetDoesNotEndAnAnswer(int length) throws Exception {
-        BlockingQueue<ReceivedRequest> written = new LinkedBlockingQueue<>();
+    void resetDoesNotCompleteResponseWithoutLength(int length) throws Exception {
+        BlockingQueue<ReceivedRequest> respondedTo = new LinkedBlockingQueue<>();
         ScriptedPeer server =
                 server(
-                        seen -> {
-                            seen.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
-                            written.add(seen);
+                        request -> {
+                            request.write("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(length));
+                            respondedTo.add(request);
                         });
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client().book("x", 5_000);
-        ReceivedRequest seen = written.poll(10, TimeUnit.SECONDS);
-        // What was written is read in this iteration or an earlier one, so before the reset.
+        ReceivedRequest request = respondedTo.poll(10, TimeUnit.SECONDS);
+        // When awaitLoop returns, the event loop has read the bytes that the server has written.
         harness.awaitLoop();
-        seen.socket().setSoLinger(true, 0);
-        seen.socket().close();
-        assertEquals(502, client.answer().status());
+        request.socket().setSoLinger(true, 0);
+        request.socket().close();
+        assertEquals(502, client.readResponse().status());
         assertEquals(1, server.receivedRequests.size());
     }
 
     @Test
-    void answerWithoutALengthIsLimitedToo() throws Exception {
+    void responseWithoutLengthThatExceedsTheBodyLimitFails() throws Exception {
         ScriptedPeer server =
                 server(
-                        seen -> {
-                            seen.raw(
+                        request -> {
+                            request.write(
                                     "HTTP/1.1 200 OK\r\n\r\n"
                                             + "x".repeat(HttpClientConnection.MAX_BODY_BYTES + 1));
-                            seen.socket().close();
+                            request.socket().close();
                         });
-        assertEquals(502, harness(server).start().client().book("x", 5_000).answer().status());
+        assertEquals(
+                502, harness(server).start().client().book("x", 5_000).readResponse().status());
     }
 
     // ---- Graceful shutdown
 
     /**
-     * Before, an idle connection was closed at once and then reset by a request on its way, and the
-     * reset took what was unread.
+     * Guards against a fault in which the sidecar closed both directions of an idle connection at
+     * shutdown. A request that arrived after the close caused a reset. The reset discarded data
+     * that the client had not read yet.
      */
     @Test
-    void idleClientIsHalfClosedAndNotReset() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+    void idleClientConnectionIsHalfClosedAtShutdown() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client();
-        assertEquals("ok", client.search(5_000).answer().body());
+        assertEquals("ok", client.search(5_000).readResponse().body());
         server.take();
-        CountDownLatch ended = harness.stop();
+        CountDownLatch stopped = harness.stop();
         client.assertClosed();
         client.search(5_000).search(5_000);
-        // Read and thrown away by now, since this comes behind it on the same loop.
+        // assertClosed() would fail if the connection had been reset.
         client.assertClosed();
+        // The event loop reads and discards both requests before it reads the half-close that the
+        // next line sends.
         client.socket.shutdownOutput();
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
         assertTrue(server.receivedRequests.isEmpty());
     }
 
     /**
-     * Stops the sidecar and lets peers act between the reads of an iteration of the loop and the
-     * end of accepting: both that act and that end are due when a long iteration is over, and so
-     * run one after the other in the next.
+     * Stops the sidecar and runs the peers' action in the event loop iteration that closes the
+     * listening socket, after the reads of that iteration and before the close. The action is due
+     * after 380 ms and the close after 400 ms. The event loop is stalled for 450 ms, so the next
+     * iteration runs the action first and then the close.
      */
-    private static CountDownLatch stopAndRace(
+    private static CountDownLatch stopAndActBeforeListenerCloses(
             SidecarHarness harness, SidecarHarness.PeerAction peers) throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch stopped = new CountDownLatch(1);
         harness.loop
                 .submit(
                         () -> {
-                            harness.sidecar.stop(ended::countDown);
+                            harness.sidecar.stop(stopped::countDown);
                             harness.loop.schedule(
                                     () -> {
                                         peers.run();
@@ -470,64 +506,71 @@
                             stall(450);
                         })
                 .get();
-        return ended;
+        return stopped;
     }
 
     /**
-     * Before, a connection that had been idle was closed although a request was in its socket
-     * already.
+     * Guards against a fault in which an idle connection was closed at shutdown although its socket
+     * had already received a request that the sidecar had not read yet.
      */
     @Test
-    void requestThatHasComeBeforeTheEndIsAnswered() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+    void requestThatArrivesBeforeListenerClosesCompletes() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient client = harness.client();
-        assertEquals("ok", client.search(5_000).answer().body());
-        CountDownLatch ended = stopAndRace(harness, () -> client.search(5_000));
-        HttpMessages.Message answer = client.answer();
-        assertEquals("ok", answer.body());
-        assertEquals("close", answer.headers().get("Connection"));
+        assertEquals("ok", client.search(5_000).readResponse().body());
+        CountDownLatch stopped =
+                stopAndActBeforeListenerCloses(harness, () -> client.search(5_000));
+        HttpMessages.Message response = client.readResponse();
+        assertEquals("ok", response.body());
+        assertEquals("close", response.headers().get("Connection"));
         client.assertClosed();
         client.close();
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 
-    /** Before, a connection on which part of a request had come counted as idle, and was closed. */
+    /**
+     * Guards against a fault in which a connection with a partially received request was treated as
+     * idle and closed at shutdown.
+     */
     @Test
-    void partOfARequestKeepsItsConnectionOpen() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+    void partiallyReceivedRequestKeepsConnectionOpenDuringShutdown() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
         TestClient idle = harness.client();
-        assertEquals("ok", idle.search(5_000).answer().body());
+        assertEquals("ok", idle.search(5_000).readResponse().body());
         String request = TestClient.head("GET", "/search/k", 5_000, "", 0);
         TestClient client = harness.client();
-        assertEquals("ok", client.search(5_000).answer().body());
-        client.raw(request.substring(0, 40));
+        assertEquals("ok", client.search(5_000).readResponse().body());
+        client.write(request.substring(0, 40));
         harness.stop();
         idle.assertClosed();
-        assertEquals("ok", client.raw(request.substring(40)).answer().body());
+        assertEquals("ok", client.write(request.substring(40)).readResponse().body());
         client.assertClosed();
     }
 
-    /** Connections in the queue of the listening socket would be reset when it closes. */
+    /**
+     * The close of the listening socket resets all connections that have not been accepted yet. The
+     * sidecar must therefore accept these connections before it closes the listening socket.
+     */
     @Test
-    void connectionNotYetAcceptedAtTheStopIsAnswered() throws Exception {
-        ScriptedPeer server = server(ScriptedPeer.serves("ok"));
+    void requestsOnConnectionsNotYetAcceptedAtShutdownComplete() throws Exception {
+        ScriptedPeer server = server(ScriptedPeer.respondsOk("ok"));
         SidecarHarness harness = harness(server).start();
-        BlockingQueue<TestClient> late = new LinkedBlockingQueue<>();
-        CountDownLatch ended =
-                stopAndRace(
+        BlockingQueue<TestClient> lateClients = new LinkedBlockingQueue<>();
+        CountDownLatch stopped =
+                stopAndActBeforeListenerCloses(
                         harness,
                         () -> {
                             for (int i = 0; i < 5; i++) {
-                                late.add(harness.client().search(5_000));
+                                lateClients.add(harness.client().search(5_000));
                             }
                         });
         for (int i = 0; i < 5; i++) {
-            try (TestClient client = late.poll(10, TimeUnit.SECONDS)) {
-                assertEquals("ok", client.answer().body());
+            try (TestClient client = lateClients.poll(10, TimeUnit.SECONDS)) {
+                assertEquals("ok", client.readResponse().body());
             }
         }
-        assertTrue(ended.await(10, TimeUnit.SECONDS));
+        assertTrue(stopped.await(10, TimeUnit.SECONDS));
     }
 }
--- a/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
+++ b/sidecar/src/test/java/sagefall/proxy/ReceivedRequest.java
@@ -5,17 +5,17 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A request as it came, and the connection that it came on. */
+/** A request that a server has received, and the socket on which the request arrived. */
 public record ReceivedRequest(HttpMessages.Message request, Socket socket) {
     /**
-     * Answers it.
+     * Sends a response to the request.
      *
-     * @param status code and reason
-     * @param headers further lines of the head, each with its end
-     * @param body one byte a character
+     * @param status status code and reason phrase
+     * @param headers further header lines, each with its line end
+     * @param body the body, sent with one byte for each character
      */
-    public void reply(String status, String headers, String body) throws IOException {
-        raw(
+    public void respond(String status, String headers, String body) throws IOException {
+        write(
                 "HTTP/1.1 "
                         + status
                         + "\r\n"
@@ -26,8 +26,8 @@
                         + body);
     }
 
-    /** Writes bytes, one for each character. */
-    void raw(String text) throws IOException {
+    /** Writes the text with one byte for each character. */
+    void write(String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
