--- a/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
+++ b/sidecar/src/main/java/sagefall/balancer/RecoveredEndpoints.java
@@ -9,8 +9,8 @@
 
 /**
  * The endpoint list that an earlier incarnation of this instance has persisted. It restricts lists
- * of a lower revision that are received after a restart. So an outdated list does not make an
- * endpoint usable that was draining or removed before the restart.
+ * of a lower revision that are received after a restart. So an endpoint that was draining or
+ * removed before the restart does not become usable by an outdated list.
  *
  * @param revision revision of the persisted list
  * @param fresh whether the persisted list is recent enough to replace an older cached list;
--- a/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
+++ b/sidecar/src/main/java/sagefall/balancer/RequestDispatcher.java
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Handles the outcome of an attempt, which may lead to a retry. Ignores the outcome if the
-     * attempt is unknown or has ended before.
+     * Handles the outcome of an attempt. The outcome may lead to a retry. Ignores the outcome if
+     * the attempt is unknown or has ended before.
      */
     void onAttemptOutcome(long now, AttemptOutcome outcome) {
         Attempt attempt = openAttempt(outcome.requestId(), outcome.attempt());
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Handles the first part of a response that is streamed to the client. The latency of the
-     * attempt is measured up to this point. The request is not retried any more.
+     * Handles the first part of a streamed response. The latency of the attempt is measured up to
+     * this point. The request is not retried any more.
      */
     void onStreamStarted(long now, String requestId, int number, long elapsedMicros) {
         Attempt attempt = openAttempt(requestId, number);
--- a/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/RequestQueue.java
@@ -77,8 +77,8 @@
     /**
      * Returns the request that is rejected when the number of open requests exceeds the maximum. It
      * is the request of the least weight among the queued requests and the new request. Among
-     * equals it is the oldest, which has the least time left until the deadline. A new request has
-     * all of its time left.
+     * equals it is the oldest request, because that request has the least time left until its
+     * deadline. A new request has all of its time left.
      *
      * @param arrived the new request, which is not queued
      */
--- a/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
+++ b/sidecar/src/main/java/sagefall/balancer/admission/ZoneConcurrencyLimit.java
@@ -19,14 +19,14 @@
 
     /**
      * Fraction of the limit by which a slow response reduces the limit in a busy zone. About twenty
-     * slow responses, which arrive within half a second, halve the limit.
+     * slow responses halve the limit. These twenty responses arrive within half a second.
      */
     private static final double ZONE_LIMIT_CUT = 0.03;
 
     /**
      * Fraction of the limit by which a response that is not slow raises the limit. Three such
-     * responses make up for one slow response. So increases and cuts cancel out while a quarter of
-     * the responses is slow, which is the fraction without overload.
+     * responses make up for one slow response. So increases and cuts cancel out if a quarter of the
+     * responses is slow. Without overload, this is the usual fraction of slow responses.
      */
     private static final double ZONE_LIMIT_GAIN = 0.01;
 
--- a/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/BalancerActions.java
@@ -1,8 +1,8 @@
 package sagefall.balancer.api;
 
 /**
- * Actions of the balancer, which the host carries out in the order of the calls. The host
- * implements this interface.
+ * Actions of the balancer. The host implements this interface and carries out the actions in the
+ * order of the calls.
  */
 public interface BalancerActions {
     /**
--- a/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/api/ListedEndpoint.java
@@ -1,14 +1,16 @@
 package sagefall.balancer.api;
 
 /**
- * An entry of an endpoint list.
+ * An entry of an endpoint list: an endpoint with its properties.
  *
  * @param id id of the endpoint; a later incarnation may have the same id
  * @param zone index of the endpoint's zone; negative if unknown
  * @param model index of the endpoint's machine type; negative if unknown
- * @param cell index of the endpoint's cell for {@link DeduplicationScope#CELL}
+ * @param cell index of the endpoint's cell; retries are deduplicated within a cell if the scope is
+ *     {@link DeduplicationScope#CELL}
  * @param phase whether the endpoint accepts requests
- * @param startMicros point in time at which this incarnation started; 0 if that was long ago
+ * @param startMicros point in time at which this incarnation started; 0 if this incarnation started
+ *     long ago
  * @param weight weight of the endpoint in the list; not used for routing
  */
 public record ListedEndpoint(
--- a/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyState.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConcurrencyState.java
@@ -21,7 +21,10 @@
     /** End of the pause in sending after the endpoint rejected a request. */
     long pausedUntil;
 
-    /** Earliest time of the next attempt, which a limit below 1 delays. */
+    /**
+     * Earliest time of the next attempt. It is later than the last response only if the limit was
+     * below 1.
+     */
     long nextSendAt;
 
     /** Returns the number of attempts in flight. */
@@ -44,7 +47,10 @@
         return pausedUntil;
     }
 
-    /** Returns the earliest time of the next attempt, which a limit below 1 delays. */
+    /**
+     * Returns the earliest time of the next attempt. It is later than the last response only if the
+     * limit was below 1.
+     */
     public long nextSendAt() {
         return nextSendAt;
     }
--- a/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/ConnectionTrust.java
@@ -16,8 +16,8 @@
 
     /**
      * Time constant with which the mean set-up time decays, as a multiple of the mean latency
-     * target. After an idle connection has failed, idle connections are distrusted for the same
-     * time.
+     * target. After an idle connection has failed, idle connections are distrusted for as long as
+     * this time constant.
      */
     private static final double CONNECTION_MEMORY_TARGETS = 30;
 
@@ -25,8 +25,8 @@
     private static final double SETUP_WEIGHT = 0.3;
 
     /**
-     * Maximum number of doublings of the backoff after failed set-ups. The first backoff is one
-     * mean latency target.
+     * Maximum number of times that the backoff after failed set-ups is doubled. The first backoff
+     * is one mean latency target, increased or reduced at random by up to a quarter.
      */
     private static final int MAX_CONNECT_DOUBLINGS = 4;
 
--- a/sidecar/src/main/java/sagefall/balancer/health/EjectionCause.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EjectionCause.java
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Returns the cause for several failures in a row, the last of which was a response that broke
+     * Returns the cause for several failures in a row. The last failure was a response that broke
      * off after it had begun.
      *
      * @param last result of the attempt with that response
--- a/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/Endpoint.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns the sort key of the endpoint. This instance orders endpoints by it. The order is
-     * stable and differs between instances.
+     * Returns the sort key of the endpoint. This instance orders endpoints by this key. The order
+     * is stable and differs between instances.
      */
     public long subsetOrder() {
         return subsetOrder;
@@ -99,12 +99,18 @@
         usable = false;
     }
 
-    /** Returns the cell of the endpoint, chosen for {@link #cellCount} cells. */
+    /**
+     * Returns the cell to which the endpoint is assigned, one of {@link #cellCount} cells.
+     * Meaningful only if the cell count is not 0.
+     */
     public int cell() {
         return cell;
     }
 
-    /** Returns the number of cells for which the cell was chosen; 0 before the first choice. */
+    /**
+     * Returns the number of cells among which the endpoint was assigned to one; 0 before the first
+     * assignment.
+     */
     public int cellCount() {
         return cellCount;
     }
@@ -120,7 +126,7 @@
         return latency;
     }
 
-    /** Returns the failures and ejections. */
+    /** Returns the state of failures and ejections. */
     public OutlierState outlier() {
         return outlier;
     }
@@ -148,8 +154,8 @@
     /**
      * Returns whether an attempt hangs and the endpoint has sent nothing since the hanging was
      * detected. If the endpoint has sent something since, only the connection or the request hangs.
-     * This says nothing about the next request on another connection. Drawback: an endpoint that is
-     * slow rather than silent is still sent attempts, up to its concurrency limit.
+     * Such a hang says nothing about the next request on another connection. Drawback: an endpoint
+     * that is slow rather than silent is still sent attempts, up to its concurrency limit.
      */
     public boolean isSilent() {
         return silence.suspectedAttempts > 0 && connection.lastUsedAt() <= silence.lastSuspectedAt;
--- a/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/EndpointHealth.java
@@ -176,7 +176,7 @@
      * Returns whether the failure of an attempt may be due to the connection. This is so in two
      * cases: the connection had been idle for long, or the attempt was found to hang and the
      * endpoint has responded to other attempts since. Not meant for {@link AttemptResult#ERROR},
-     * which is a response.
+     * because an error is a response.
      */
     private boolean mayBeConnectionFault(Attempt attempt) {
         Endpoint endpoint = attempt.endpoint();
--- a/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/LatencyEstimator.java
@@ -9,7 +9,8 @@
  * request class. A slow response raises the estimate at once. Faster responses lower the estimate;
  * without responses, it approaches the usual value for the model and zone of the endpoint. The age
  * of an attempt without a response is treated as a latency, since a hanging endpoint never gives a
- * sample. Without this, an endpoint that has become slow would be sent as many requests as before.
+ * sample. Without this rule, an endpoint that has become slow would be sent as many requests as
+ * before.
  */
 public final class LatencyEstimator {
 
@@ -116,8 +117,9 @@
     }
 
     /**
-     * Updates the peak EWMA. A sample above the peak EWMA replaces it. A lower sample pulls it
-     * down, by more if more time has passed since the previous sample.
+     * Updates the peak EWMA. A sample above the peak EWMA replaces the peak EWMA. A lower sample
+     * lowers the peak EWMA. The longer the time since the previous sample, the greater the
+     * decrease.
      */
     void recordSample(long now, Endpoint endpoint, double ratio) {
         LatencyState latency = endpoint.latency();
--- a/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/OutlierDetector.java
@@ -19,7 +19,10 @@
     /** Number of failures in a row that make an endpoint an outlier. */
     private static final int CONSECUTIVE_FAILURES = 3;
 
-    /** Maximum number of doublings of the backoff. The first backoff is one mean latency target. */
+    /**
+     * Maximum number of times that the backoff is doubled. The first backoff is one mean latency
+     * target, increased or reduced at random by up to a quarter.
+     */
     private static final int MAX_EJECTION_DOUBLINGS = 4;
 
     /** Maximum fraction of the ready endpoints that may be ejected. */
--- a/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
+++ b/sidecar/src/main/java/sagefall/balancer/health/SilenceDetector.java
@@ -20,8 +20,9 @@
     static final int HANGING_FACTOR = 4;
 
     /**
-     * Minimum mean latency of a slow endpoint, as a multiple of the typical latency. A missing
-     * response is attributed to a slow endpoint even if the connection had been idle for long.
+     * An endpoint is treated as slow if its mean latency is at least this multiple of the typical
+     * latency. If an endpoint is slow, a missing response is attributed to the endpoint even if the
+     * connection had been idle for long.
      */
     private static final double SLOW_MEAN_RATIO = 1.5;
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/EndpointPicker.java
@@ -27,8 +27,9 @@
     static final double SPILL_RATIO = 1.5;
 
     /**
-     * Number of endpoints of a node that a sidecar uses in deterministic subsetting, in addition to
-     * the number that its request rate needs.
+     * Number of spare endpoints in a deterministic subset: endpoints beyond those that the
+     * sidecar's expected concurrency needs. There are no spare endpoints while idle connections are
+     * distrusted.
      */
     private static final int SUBSET_SIZE = 2;
 
--- a/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
+++ b/sidecar/src/main/java/sagefall/balancer/routing/SubsetTree.java
@@ -82,8 +82,8 @@
 
     /**
      * Returns one of the cells of the tenant of a request. If the request is routed by key, the key
-     * determines the cell. Otherwise, if {@link #isSparse()}, this instance always uses one cell
-     * for the tenant. In all other cases the cell is random.
+     * determines the cell. Otherwise, if {@link #isSparse()} returns true, this instance always
+     * uses one cell for the tenant. In all other cases the cell is random.
      */
     public int chooseCell(PendingRequest request, SplittableRandom random) {
         int[] cells = tenantCells.length == 0 ? new int[] {0} : tenantCells[request.tenant()];
--- a/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/sagefall/config/BalancerSettingsReader.java
@@ -13,9 +13,9 @@
 import sagefall.balancer.api.Tenant;
 
 /**
- * Reads the balancer's settings, which have the same keys in the messages of the simulator and in
- * the configuration file of the sidecar. No other class knows these keys. An unknown key belongs to
- * a newer version and is ignored. An absent key has a default value.
+ * Reads the balancer's settings. The settings have identical keys in the messages of the simulator
+ * and in the configuration file of the sidecar. No other class knows these keys. An unknown key
+ * belongs to a newer version and is ignored. An absent key has a default value.
  */
 public final class BalancerSettingsReader {
 
--- a/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
+++ b/sidecar/src/main/java/sagefall/config/DescriptorBudget.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns the maximum number of open requests, each of which occupies a client connection. If
-     * open requests occupied a whole third of the descriptors, further requests would be lost
+     * Returns the maximum number of open requests. Each open request occupies a client connection.
+     * If open requests occupied a whole third of the descriptors, further requests would be lost
      * whatever their priority. An eighth of that third is therefore kept free for further requests.
      */
     int maxOpenRequests() {
--- a/sidecar/src/main/java/sagefall/config/SidecarConfig.java
+++ b/sidecar/src/main/java/sagefall/config/SidecarConfig.java
@@ -17,7 +17,7 @@
  * @param maxDescriptors maximum number of file descriptors that the process may have open
  * @param settings settings of the balancer, with limits adapted to sockets
  * @param connectTimeoutMicros maximum duration of the set-up of a connection to an endpoint
- * @param configuredEndpoints endpoint list in the configuration file, which may be outdated
+ * @param configuredEndpoints endpoint list in the configuration file; the list may be outdated
  * @param endpointListCodec codec that uses the zone names and model names of the configuration
  * @param extensions optional features that the operators have enabled
  */
@@ -49,8 +49,9 @@
     }
 
     /**
-     * Reads the files again for a running sidecar. The address of discovery is taken from the file
-     * rather than from the environment, since the file is newer.
+     * Reads the files again for a running sidecar. The address of discovery is taken from the file,
+     * because the environment of the process dates from its start and the file may have changed
+     * since.
      *
      * @throws ConfigException with a single line for the user
      */
--- a/sidecar/src/main/java/sagefall/discovery/Backoff.java
+++ b/sidecar/src/main/java/sagefall/discovery/Backoff.java
@@ -11,7 +11,7 @@
  *
  * <h2>Why a change is received within 6 s</h2>
  *
- * If a call is lost, the sidecar must receive the changes that the call would have reported before
+ * If a call is lost, the changes that the call would have reported must reach the sidecar before
  * the later of two times: 6 s after discovery stopped responding; 2 s after the end of the hold
  * time. In the worst case discovery stops responding at the start of a long poll:
  *
@@ -28,9 +28,10 @@
  * time at which discovery has the change and is reachable. The call in flight at that time has the
  * minimum hold time, because the previous call failed. If that call and the next one are lost, the
  * list arrives after 2 (0.5 + 0.15) s plus the response time of an agent, or after 2 (1.75 + 0.6) s
- * plus the response time of a shared service. After SIGHUP, which may change the address of
- * discovery, the sidecar must have received the changes within 4 s. The new address is called at
- * once. If that call is lost, the list arrives after 1.75 + 0.6 s plus the response time.
+ * plus the response time of a shared service. A SIGHUP may change the address of discovery. The
+ * sidecar must have received the changes from the new address within 4 s after the SIGHUP. The new
+ * address is called at once. If that call is lost, the list arrives after 1.75 + 0.6 s plus the
+ * response time.
  *
  * <p>A pending long poll costs the service nothing, so a shorter hold time costs only the sidecar's
  * own processor time. Used on the event loop only.
--- a/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
+++ b/sidecar/src/main/java/sagefall/discovery/EndpointPoll.java
@@ -83,7 +83,8 @@
     }
 
     /**
-     * Makes a call, as soon as the connection is established.
+     * Makes a call. The request is sent at once if the connection is established, and otherwise as
+     * soon as the connection is established.
      *
      * @param timeoutMillis duration from now after which the call fails
      */
--- a/sidecar/src/main/java/sagefall/discovery/StableHash.java
+++ b/sidecar/src/main/java/sagefall/discovery/StableHash.java
@@ -10,7 +10,7 @@
 
     /**
      * Returns the 64-bit FNV-1a hash over the UTF-16 code units, without the sign bit. Used for
-     * endpoint ids and request keys, which must be equal in all sidecars, so this function is part
+     * endpoint ids and request keys. Both must be equal in all sidecars, so this function is part
      * of the wire format and of the format of stored data.
      */
     public static long of(String text) {
--- a/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
+++ b/sidecar/src/main/java/sagefall/http/HttpClientConnection.java
@@ -166,7 +166,7 @@
 
     /**
      * Sends a request. {@link HttpConnectionListener#requestWritten} is called when the request has
-     * been passed to the network. If that fails, the connection is closed.
+     * been passed to the network. If the request cannot be written, the connection is closed.
      *
      * @param request ownership passes to the connection
      * @param maxStreamedBytes maximum length, in bytes, of a response body that is streamed; 0 if
--- a/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
+++ b/sidecar/src/main/java/sagefall/http/HttpConnectionListener.java
@@ -15,14 +15,17 @@
     /** Called when the connection has been established. */
     void connectionOpened();
 
-    /** Called when the last byte of a request with a complete body was passed to the network. */
+    /**
+     * Called when a request has been passed to the network up to its last byte. Not called for a
+     * request whose body is streamed.
+     */
     void requestWritten();
 
     /**
      * Called when a response has been buffered completely.
      *
-     * @param response the response, owned by the connection, which releases it when this method
-     *     returns
+     * @param response the response; the connection owns the response and releases it when this
+     *     method returns
      * @param clean true if nothing arrived beyond the response; if false, the connection cannot be
      *     reused
      */
--- a/sidecar/src/main/java/sagefall/http/ResponseHandler.java
+++ b/sidecar/src/main/java/sagefall/http/ResponseHandler.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Handles a message, which the caller releases when this method returns. Retains a message that
-     * is used later.
+     * Handles a message. The caller releases the message when this method returns, so a message
+     * that is used later is retained.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseDirectory.java
@@ -77,8 +77,8 @@
     /**
      * Deletes the temporary files of processes that have exited, and old files with the prefix. A
      * file is old if its number is less than {@code newest} by more than {@link #MAX_PAST_TERMS}. A
-     * former leader may write a deleted file again. This has no effect, because a file with a
-     * greater number exists.
+     * former leader may write a deleted file again. Such a write has no effect, because a file with
+     * a greater number exists.
      */
     void cleanUp(String prefix, long newest) throws IOException {
         for (String file : storage.list()) {
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTerm.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTerm.java
@@ -26,7 +26,7 @@
         return new LeaseTerm(number, leader, bootId, newExpiresAtNanos, grantedAtMillis);
     }
 
-    /** Returns a released copy of the term, which has no leader and has expired. */
+    /** Returns a released copy of the term. The copy has no leader and has expired. */
     LeaseTerm released(String currentBootId) {
         return new LeaseTerm(number, NO_LEADER, currentBootId, 0, grantedAtMillis);
     }
--- a/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/LeaseTimings.java
@@ -20,9 +20,10 @@
     private static final long LONGEST_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
-     * Returns durations that are fractions of the lease duration. The margin is a sixth and covers
-     * a late step of the state machine and an action in progress. The maximum pause is a sixth. The
-     * poll interval is a thirtieth, but at most 100 ms.
+     * Returns durations that are fractions of the lease duration. The margin is a sixth of the
+     * lease duration. It covers a late step of the state machine and an action in progress. The
+     * maximum pause is a sixth of the lease duration as well. The poll interval is a thirtieth of
+     * the lease duration, but at most 100 ms.
      */
     public static LeaseTimings of(long leaseNanos) {
         return new LeaseTimings(
@@ -33,8 +34,8 @@
     }
 
     /**
-     * Returns the interval between two renewals: a third of the lease, so that the lease does not
-     * expire if one of two renewals fails.
+     * Returns the interval between two renewals: a third of the lease duration. Two renewals are
+     * then due before the lease expires, so the lease does not expire if one of them fails.
      */
     long renewalNanos() {
         return leaseNanos / RENEWALS_PER_LEASE;
--- a/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/leaderelection/SharedEndpointSnapshot.java
@@ -6,9 +6,9 @@
 import sagefall.persistence.SnapshotChange;
 
 /**
- * Publishes the endpoints that discovery reported last, for all sidecars of a machine. This is the
- * leader's task. A sidecar that starts without a snapshot of its own uses the published snapshot to
- * exclude draining and removed endpoints from endpoint lists with a lower revision. The sidecar
+ * Publishes the endpoints that discovery reported last, for all sidecars of a machine. Only the
+ * leader publishes. A sidecar that starts without a snapshot of its own uses the published snapshot
+ * to exclude draining and removed endpoints from endpoint lists with a lower revision. The sidecar
  * takes no additional endpoints from the published snapshot, because the addresses of endpoints
  * differ between the endpoint lists of different sidecars. The published revision never decreases,
  * even when the leader changes.
--- a/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
+++ b/sidecar/src/main/java/sagefall/persistence/EndpointSnapshot.java
@@ -27,8 +27,8 @@
         Map<Long, SnapshotEntry> endpoints) {
 
     /**
-     * Maximum number of removed endpoints in a snapshot. The endpoints that stopped being ready
-     * first are dropped first.
+     * Maximum number of removed endpoints in a snapshot. If there are more, the removed endpoints
+     * with the earliest {@link SnapshotEntry#notReadySinceMillis} are dropped.
      */
     static final int MAX_REMOVED = 1024;
 
--- a/sidecar/src/main/java/sagefall/persistence/LogReader.java
+++ b/sidecar/src/main/java/sagefall/persistence/LogReader.java
@@ -10,7 +10,7 @@
  *
  * <p>A bad record has one of two causes. If a later intact record states that the file had been
  * forced beyond the start of the bad record, the log is corrupt. Otherwise a power loss has torn
- * the tail of the log, which starts with the bad record. The tail is discarded.
+ * the tail of the log. The tail starts with the bad record and is discarded.
  */
 final class LogReader {
 
--- a/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
+++ b/sidecar/src/main/java/sagefall/persistence/PersistenceSettings.java
@@ -14,7 +14,7 @@
  * @param maxAgeMillis maximum age of a snapshot that is used as an endpoint list; an older snapshot
  *     is used only to exclude its draining and removed endpoints from lists with a lower revision
  * @param forceEachChange whether each change is forced to the disk; if false, only snapshots are
- *     forced, which contain the epoch
+ *     forced; a snapshot contains the epoch
  * @param clockOffsetMillis offset added to the wall clock; simulates a wrong clock in tests
  */
 public record PersistenceSettings(
--- a/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
+++ b/sidecar/src/main/java/sagefall/persistence/RecordFormat.java
@@ -27,7 +27,8 @@
     private static final int FORCED_BYTES_OFFSET = 8;
 
     /**
-     * Length in bytes of the checksummed part of the header, which is the number of forced bytes.
+     * Length in bytes of the checksummed part of the header. This part contains the number of
+     * forced bytes.
      */
     private static final int CHECKED_HEADER_BYTES = HEADER_BYTES - FORCED_BYTES_OFFSET;
 
--- a/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
+++ b/sidecar/src/main/java/sagefall/persistence/SnapshotStore.java
@@ -108,7 +108,7 @@
         return settings.wallMillis();
     }
 
-    /** Passes a change to the worker thread, which persists it. Does not wait for the disk. */
+    /** Passes a change to the worker thread to be persisted. Does not wait for the disk. */
     public synchronized void persist(SnapshotChange change) {
         pending = SnapshotChange.merge(pending, change);
         notifyAll();
--- a/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
+++ b/sidecar/src/main/java/sagefall/persistence/StoredDataException.java
@@ -34,7 +34,10 @@
             this.logName = logName;
         }
 
-        /** Returns the value of the log field {@code reason}, which never changes. */
+        /**
+         * Returns the value of the log field {@code reason} for this reason. The value is the same
+         * in all versions of the program.
+         */
         public String logName() {
             return logName;
         }
--- a/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
+++ b/sidecar/src/main/java/sagefall/proxy/AttemptForwarder.java
@@ -189,8 +189,8 @@
 
     /**
      * Ends the attempts of a request whose client has disconnected and whose body or response is
-     * streamed. This includes attempts that the balancer would not cancel, because without the
-     * client a streamed body has no sender and a streamed response has no receiver.
+     * streamed. Also ends attempts that the balancer would not cancel, because without the client a
+     * streamed body has no sender and a streamed response has no receiver.
      */
     void endStreams(ProxiedRequest request) {
         if (request.streamingAttempt != null) {
@@ -252,7 +252,7 @@
         outcomes.report(attempt, result, report);
     }
 
-    /** Copies the response, whose ownership does not change. */
+    /** Copies the response. The ownership of the response does not change. */
     private static ProxiedRequest.UploadRefusal copyOf(FullHttpResponse response) {
         return new ProxiedRequest.UploadRefusal(
                 response.status(),
--- a/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
+++ b/sidecar/src/main/java/sagefall/proxy/EndpointRecorder.java
@@ -36,7 +36,7 @@
         sharedSnapshot = newSharedSnapshot;
     }
 
-    /** Records an endpoint list, which may be complete or contain only changes. */
+    /** Records an endpoint list. The list may be complete or contain only changes. */
     void record(EndpointList list) {
         if (store != null) {
             store.persist(codec.toSnapshotChange(list, store.wallMillis()));
--- a/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
+++ b/sidecar/src/main/java/sagefall/proxy/JvmWarmUp.java
@@ -16,17 +16,19 @@
 import sagefall.proxy.downstream.DownstreamListener;
 
 /**
- * Sends artificial requests before the sidecar serves, so that the JVM has loaded and compiled the
- * code that handles requests. A temporary {@link SidecarServer} runs between {@link WarmUpClient}s
- * and a {@link WarmUpService}; the service listens on the address of the real sidecar and acts as
- * all endpoints. Only compiled code remains after the warm-up, and no request leaves the process.
+ * Warms up the JVM before the sidecar serves: sends artificial requests, so that the JVM loads and
+ * compiles the code that handles requests. A temporary {@link SidecarServer} runs between {@link
+ * WarmUpClient}s and a {@link WarmUpService}. The service listens on the address of the real
+ * sidecar and acts as all endpoints. Only compiled code remains after the warm-up, and no request
+ * leaves the process.
  *
  * <p>Without a warm-up, a sidecar accepts all of its clients while each request costs tens of times
  * its usual CPU time and the JIT compiler takes half of the available CPU time. Waiting requests
- * are then late and are retried, which keeps the process busy for seconds. This occurs whenever CPU
- * time is scarce at the start, because the process has a small share of a core or because other
- * processes are busy. The warm-up prolongs a restart. Therefore both its duration and its number of
- * requests are limited. During the warm-up, {@code /healthz} responds with 503.
+ * are then late, and their retries keep the process busy for seconds. Such an overload occurs
+ * whenever CPU time is scarce at the start, for example because the process has a small share of a
+ * core or because other processes are busy. The warm-up prolongs a restart. Therefore both its
+ * duration and its number of requests are limited. During the warm-up, {@code /healthz} responds
+ * with 503.
  */
 final class JvmWarmUp implements WarmUpClient.Progress {
 
--- a/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
+++ b/sidecar/src/main/java/sagefall/proxy/LeaderElectionService.java
@@ -47,7 +47,7 @@
      * Reads the shared snapshot and becomes a candidate. Blocks for a bounded time, so it must not
      * be called on the event loop.
      *
-     * @return the service; null if the lease directory cannot be used, which is logged
+     * @return the service; null if the lease directory cannot be used; this failure is logged
      */
     static LeaderElectionService start(SidecarConfig config, WallClock clock, Consumer<String> log)
             throws InterruptedException {
--- a/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
+++ b/sidecar/src/main/java/sagefall/proxy/LoopLatencyClock.java
@@ -31,14 +31,14 @@
 
     /**
      * A time from the start of the select to the first read is treated as a sleep only if it is
-     * longer than this.
+     * longer than this duration.
      */
     private static final long SHORTEST_SLEEP_NANOS = 2_000_000;
 
     /**
-     * If the time from the start of the select to the first read is longer than this, the process
-     * must have been stopped meanwhile, because the periodic sweep of the client connections wakes
-     * the event loop every 25 ms. A time up to this maximum may be a sleep.
+     * If the time from the start of the select to the first read is longer than this duration, the
+     * process must have been stopped meanwhile, because the periodic sweep of the client
+     * connections wakes the event loop every 25 ms. A time up to this maximum may be a sleep.
      */
     private static final long LONGEST_SLEEP_NANOS = 50_000_000;
 
@@ -66,8 +66,8 @@
     private long previousStartNanos = readStartNanos;
 
     /**
-     * Time at which the current iteration began to select, which is the end of the previous
-     * iteration.
+     * Time at which the current iteration began to select. The previous iteration ended at this
+     * time.
      */
     private long selectStartNanos = readStartNanos;
 
--- a/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
+++ b/sidecar/src/main/java/sagefall/proxy/OutcomeReporter.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Reports how an attempt ended. If the response to the client comes from this attempt, it must
-     * be sent before this call.
+     * Reports how an attempt ended. If the response to the client comes from this attempt, the
+     * response must be sent before this call.
      *
      * @param report the endpoint's load report; null if there was none
      */
--- a/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
+++ b/sidecar/src/main/java/sagefall/proxy/RecoveryStartup.java
@@ -18,7 +18,7 @@
  * from persisted snapshots. This sidecar's own snapshot may add endpoints while the snapshot is
  * fresh. Two snapshots add no endpoints: an own snapshot that is no longer fresh, and the snapshot
  * that the sidecars of a machine share. Such a snapshot only prevents the balancer from using
- * endpoints that had been removed. Used on the event loop only.
+ * endpoints that were draining or removed. Used on the event loop only.
  */
 final class RecoveryStartup {
 
@@ -140,9 +140,9 @@
     }
 
     /**
-     * Delivers the shared snapshot as not fresh. The balancer then adds no endpoint from the
-     * snapshot, because the endpoint list and the addresses in the snapshot come from another
-     * sidecar.
+     * Delivers the endpoint list of the shared snapshot to the balancer, marked as not fresh. The
+     * balancer then adds no endpoint from the snapshot, because both the endpoint list and the
+     * addresses in the snapshot come from another sidecar.
      */
     private void recoverShared() {
         EndpointList recovered = config.endpointListCodec().fromSnapshot(shared.snapshot());
--- a/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
+++ b/sidecar/src/main/java/sagefall/proxy/ReloadSignal.java
@@ -3,9 +3,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP, which terminates the JVM by default. Java has no supported API for signals. The
- * unsupported API is accessed by reflection, because a direct use of that API causes a compiler
- * warning that cannot be suppressed.
+ * Handles SIGHUP. Without a handler, SIGHUP terminates the JVM. Java has no supported API for
+ * signals. The unsupported API is accessed by reflection, because a direct use of that API causes a
+ * compiler warning that cannot be suppressed.
  */
 final class ReloadSignal {
 
--- a/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
+++ b/sidecar/src/main/java/sagefall/proxy/ResponseWriter.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Responds with 200, the body of an endpoint's response, and its headers except the hop-by-hop
-     * headers and the load report.
+     * Responds with 200, and with the body and the headers of an endpoint's response. The
+     * hop-by-hop headers and the load report are left out.
      *
      * @param response the endpoint's response, which remains owned by the caller; its content is
      *     retained for the client
--- a/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarProcess.java
@@ -25,8 +25,8 @@
 
     /**
      * Number of warm-up requests. With a seventh of a core, only a third of these requests complete
-     * before {@link #WARM_UP_END_MILLIS}. That is still useful, because the first requests cost the
-     * most CPU time.
+     * before {@link #WARM_UP_END_MILLIS}. Even so few requests are useful, because the first
+     * requests cost the most CPU time.
      */
     private static final int WARM_UP_REQUESTS = 250;
 
--- a/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
+++ b/sidecar/src/main/java/sagefall/proxy/SidecarServer.java
@@ -161,8 +161,8 @@
     /**
      * Sets the snapshot that the sidecars of a machine share; to be called before the start.
      *
-     * @param snapshot receiver of the endpoint lists, which this process publishes while it is the
-     *     leader
+     * @param snapshot receiver of the endpoint lists; this process publishes the lists while it is
+     *     the leader
      * @param snapshotAtStart the snapshot that was read at the start; null if there was none
      */
     void useSharedSnapshot(SharedEndpointSnapshot snapshot, PublishedSnapshot snapshotAtStart) {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientConnection.java
@@ -229,7 +229,7 @@
     }
 
     /**
-     * Ends the current exchange, if there is one, and notifies the request handler, whose response
+     * Ends the current exchange, if there is one. Notifies the request handler that its response
      * can no longer be sent.
      */
     void abandonExchange() {
@@ -251,8 +251,9 @@
     /**
      * Half-closes the connection if it is between requests, as RFC 9112, section 9.6, requires:
      * shuts down the output, then reads until the client closes too. A request that arrives after
-     * the half-close is not handled. The client can tell this from the end of the stream. Closing
-     * the socket at once would send a reset if there were unread bytes.
+     * the half-close is not handled. The client can tell from the end of the stream that its
+     * request was not handled. Closing the socket at once would send a reset if there were unread
+     * bytes.
      */
     void halfClose() {
         if (isStillBetweenRequests()) {
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ClientExchange.java
@@ -160,7 +160,7 @@
         upload.flush();
     }
 
-    /** Forwards the end of the body, which the caller releases. */
+    /** Forwards the end of the body. The caller releases the given content. */
     void endUpload(LastHttpContent end) {
         upload.end(ProtocolHeaders.forwardableTrailers(end.trailingHeaders()));
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/ConnectionLimiter.java
@@ -51,9 +51,9 @@
     /**
      * Adjusts how many connections the listening channel accepts. At the limit, evicts one
      * connection that carries no request. Half-closed connections are evicted first, then
-     * connections that have never sent anything, then idle connections. Among these, the connection
-     * that has been in its state longest is evicted. If all connections are busy, new ones wait in
-     * the kernel's accept queue.
+     * connections that have never sent anything, then idle connections. Within each of these
+     * groups, the connection that has been in its state longest is evicted first. If all
+     * connections are busy, new ones wait in the kernel's accept queue.
      *
      * <p>Below the limit, all waiting connections are accepted at once. Accepting one connection
      * per event loop iteration is too slow if iterations are long (a cold JVM, no CPU time, a
--- a/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/GracefulShutdown.java
@@ -58,7 +58,7 @@
         lastAcceptedNanos = acceptedAtNanos;
     }
 
-    /** Records that a connection is being half-closed, after which its client may reconnect. */
+    /** Records that a connection is being half-closed. Its client may reconnect afterwards. */
     void connectionHalfClosed() {
         lastHalfClosedNanos = System.nanoTime();
     }
--- a/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
+++ b/sidecar/src/main/java/sagefall/proxy/downstream/RequestReader.java
@@ -93,7 +93,8 @@
     }
 
     /**
-     * Dispatches a message, which the caller releases. Retains a message that is needed for longer.
+     * Dispatches a message. The caller releases the message, so a message that is needed for longer
+     * is retained.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
@@ -200,7 +201,7 @@
         context.fireChannelReadComplete();
     }
 
-    /** Handles a complete request, which the caller releases. */
+    /** Handles a complete request. The caller releases the request. */
     private void handleRequest(FullHttpRequest request) {
         if (connection.state().discardsInput()) {
             return;
--- a/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/AttemptListener.java
@@ -21,8 +21,8 @@
      * {@link #responseFinished} is called instead.
      *
      * @param report the endpoint's load report; null if there is none
-     * @param response the endpoint's response; null if there is none; owned by the connection,
-     *     which releases it on return
+     * @param response the endpoint's response; null if there is none. The connection owns the
+     *     response and releases it when this method returns
      */
     void attemptEnded(
             ForwardedAttempt attempt,
--- a/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/ConnectionPool.java
@@ -78,7 +78,9 @@
         }
     }
 
-    /** Applies an endpoint list from discovery, which may be complete or contain only changes. */
+    /**
+     * Applies an endpoint list from discovery. The list may be complete or contain only changes.
+     */
     public void update(EndpointList list) {
         Set<Long> listedIds = new HashSet<>();
         for (EndpointList.Entry entry : list.entries()) {
@@ -149,7 +151,7 @@
         return connectionCount < maxConnections || closeOldestIdle();
     }
 
-    /** Cancels an attempt and closes its connection, which notifies the server. */
+    /** Cancels an attempt and closes its connection. The close notifies the endpoint. */
     public void abandon(ForwardedAttempt attempt) {
         UpstreamConnection connection = release(attempt);
         if (connection != null) {
--- a/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
+++ b/sidecar/src/main/java/sagefall/proxy/upstream/UpstreamConnection.java
@@ -13,7 +13,7 @@
 import sagefall.proxy.ForwardedAttempt;
 
 /**
- * A connection to an endpoint, which carries one attempt at a time. The connection is opened for an
+ * A connection to an endpoint. The connection carries one attempt at a time. It is opened for an
  * attempt and is idle between attempts. Used on the event loop only.
  */
 final class UpstreamConnection implements HttpConnectionListener {
@@ -58,7 +58,7 @@
     /** Whether the streamed response in progress permits reuse of the connection. */
     private boolean keepAlive;
 
-    /** Starts to connect for an attempt, which waits until the connection is established. */
+    /** Starts to connect. The attempt waits until the connection is established. */
     UpstreamConnection(PooledEndpoint endpoint, ForwardedAttempt attempt) {
         this.endpoint = endpoint;
         this.attempt = attempt;
@@ -72,7 +72,7 @@
         sendUnlessOutdated();
     }
 
-    /** Returns the duration, in microseconds, for which this idle connection has been idle. */
+    /** Returns the number of microseconds since this connection became idle. */
     long idleMicros(long nowMicros) {
         return nowMicros - idleSinceMicros;
     }
--- a/sidecar/src/main/java/sagefall/simulator/BatchReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/BatchReader.java
@@ -18,19 +18,19 @@
     /** Receives the contents of a batch. */
     interface Handler {
         /**
-         * Sets the instance of the following messages. Called with null at the start of each group,
-         * and with the name when the group names its instance.
+         * Sets the instance of the following messages. Called with null at the start of each group.
+         * Called with the name of the instance when the group names its instance.
          *
          * @param instance name of the instance; null if the group has not named one. A group that
-         *     contains only endpoint tables needs no name, because the tables belong to the process
+         *     contains only endpoint tables need not name an instance, because all instances share
+         *     the tables
          */
         void onGroup(String instance) throws IOException;
 
         /**
-         * Handles a message.
+         * Handles a message. Must leave the parser at the end of the message.
          *
-         * @param parser parser at the start of the message. The method must leave the parser at the
-         *     end of the message
+         * @param parser parser at the start of the message's object
          */
         void onMessage(long nowMicros, JsonParser parser)
                 throws IOException, MalformedMessageException;
--- a/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
+++ b/sidecar/src/main/java/sagefall/simulator/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package sagefall.simulator;
 
 /**
- * Reports input that violates the simulator's protocol. The exception message is one line, which
- * the adapter prints to standard error.
+ * Reports input that violates the simulator's protocol. The exception message is one line. The
+ * adapter prints this line to standard error.
  */
 final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/sidecar/src/main/java/sagefall/simulator/MessageReader.java
+++ b/sidecar/src/main/java/sagefall/simulator/MessageReader.java
@@ -28,15 +28,15 @@
     private static final long NO_KEY = -1;
 
     /**
-     * Checks the instance of a message. The instance is checked before the message's fields, so if
-     * both are invalid, the error names the instance.
+     * Checks the instance of a message. Only the operation is checked before the instance. So if
+     * the instance and another field are invalid, the error names the instance.
      */
     interface InstanceValidator {
-        /** Throws an exception unless the group names an instance. */
+        /** Throws an exception if the message's group has not named an instance. */
         void requireInstanceName() throws MalformedMessageException;
 
         /**
-         * Throws an exception unless the named instance is running.
+         * Throws an exception if the named instance is not running.
          *
          * @param operation operation of the message, for the error message
          */
--- a/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/sagefall/simulator/SimulatorAdapter.java
@@ -11,9 +11,9 @@
 import sagefall.config.ConfigException;
 
 /**
- * Connects the balancers to the simulator, which starts this process. Reads batches of messages,
- * replies to each batch with the balancers' actions, and exits at the end of the input. If the
- * input violates the protocol, the process prints one line to standard error and exits.
+ * Connects the balancers to the simulator. The simulator starts this process. Reads batches of
+ * messages, replies to each batch with the balancers' actions, and exits at the end of the input.
+ * If the input violates the protocol, the process prints one line to standard error and exits.
  */
 public final class SimulatorAdapter {
 
--- a/sidecar/src/main/java/sagefall/streaming/ReplayBuffer.java
+++ b/sidecar/src/main/java/sagefall/streaming/ReplayBuffer.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Appends a copy of a part, which remains owned by the caller. Has no effect if the upload can
-     * no longer be replayed.
+     * Appends a copy of a part. The part itself remains owned by the caller. Has no effect if the
+     * upload can no longer be replayed.
      */
     void append(ByteBuf part) {
         if (replayable) {
--- a/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamedUpload.java
@@ -186,7 +186,10 @@
         return state != State.CLOSED && sink != null && flow.isSinkStalled();
     }
 
-    /** Writes a part, whose ownership passes to the channel, and counts it until it is written. */
+    /**
+     * Writes a part and counts the part until it is written. The ownership of the part passes to
+     * the channel.
+     */
     private void write(ByteBuf part) {
         int accountedBytes = FlowControl.accountedBytes(part);
         Channel endpoint = sink;
--- a/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
+++ b/sidecar/src/main/java/sagefall/streaming/StreamingSettings.java
@@ -9,8 +9,8 @@
 
 /**
  * The settings of the section {@code streaming} of the extensions file: which bodies are streamed,
- * and how much they may buffer. The bodies of a request class that the section does not name are
- * buffered completely before they are forwarded.
+ * and how many bytes the streams may buffer. The bodies of a request class that the section does
+ * not name are buffered completely before they are forwarded.
  *
  * @param classes bounds of each streamed request class, by the name of the request class
  * @param highWatermarkBytes number of pending bytes in one direction at which the source of that
--- a/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/FleetOverloadTest.java
@@ -206,9 +206,9 @@
     }
 
     /**
-     * A sidecar of a large fleet sends each server few requests, and each of them on a connection
-     * that was idle for long. An error on such a connection must be treated as a failure of the
-     * server.
+     * A sidecar of a large fleet sends each server only few requests, so its connection to the
+     * server has been idle for long before each request. An error response on such a connection
+     * must be treated as a failure of the server.
      */
     @Test
     void errorsOfASeldomUsedServerMoveItsTrafficToOtherServers() {
--- a/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/RequestRulesTest.java
@@ -72,8 +72,10 @@
     }
 
     /**
-     * The host may have to wait for a connection before it sends an attempt. So the balancer passes
-     * the latest start time with the attempt: one tick before the end of the deduplication window.
+     * The host may have to wait for a connection before it sends an attempt. For a retry that
+     * relies on an idempotency key, the balancer therefore passes the latest start time with the
+     * attempt: one tick before the end of the deduplication window. Other attempts have no latest
+     * start time.
      */
     @ParameterizedTest
     @EnumSource
@@ -268,8 +270,9 @@
     }
 
     /**
-     * Overloaded servers never recovered while each of many sidecars always had one attempt in
-     * flight at them. So a sidecar pauses between attempts at an overloaded server.
+     * Guards against a fault in which overloaded servers never recovered. Each of many sidecars
+     * always had one attempt in flight at each of these servers. A sidecar must therefore pause
+     * between attempts at an overloaded server.
      */
     @Test
     void overloadedServersAreSentNoRequestsDuringAPause() {
@@ -386,8 +389,9 @@
     }
 
     /**
-     * The first responses after a start are slow for reasons other than load. They used to cut the
-     * concurrency limits even of idle servers, which were then sent hardly any requests.
+     * The first responses after a start are slow for reasons other than load. These responses used
+     * to cut the concurrency limits even of idle servers. The idle servers were then sent hardly
+     * any requests.
      */
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
--- a/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/balancer/SparseTrafficTest.java
@@ -185,7 +185,10 @@
         assertEquals(1, servers.size());
     }
 
-    /** An endpoint that is no longer listed is sent no attempt, however often the list changes. */
+    /**
+     * Each of 50 successive endpoint lists names server 1 and one new server. A request must be
+     * sent to one of the two servers of the current list.
+     */
     @Test
     void removedEndpointIsSentNoRequests() {
         RecordingActions host = new RecordingActions(fleetSettings(0, 3, defaultRules(), false), 6);
--- a/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/LateEventLoopTest.java
@@ -26,8 +26,9 @@
     }
 
     /**
-     * Guards against a fault in which the timeout ran from the time at which the sidecar read the
-     * request. The response was then late by the time for which the request had waited unread.
+     * Guards against a fault in which the timeout of a request started when the sidecar read the
+     * request, not when the request arrived. The response was then late by the time for which the
+     * request had waited unread.
      */
     @ParameterizedTest
     @EnumSource
--- a/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
+++ b/sidecar/src/test/java/sagefall/proxy/MalformedTrafficTest.java
@@ -20,7 +20,10 @@
 import sagefall.balancer.api.Request;
 import sagefall.http.HttpClientConnection;
 
-/** Tests servers that send more than one response and clients that send malformed requests. */
+/**
+ * Tests the sidecar with servers that send more than one response and with clients that send
+ * malformed requests.
+ */
 class MalformedTrafficTest extends SocketTest {
 
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
--- a/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
+++ b/sidecar/src/test/java/sagefall/proxy/ScriptedBalancer.java
@@ -64,7 +64,7 @@
     /**
      * Responds to discovery requests until the sidecar has received a response. If the JVM is not
      * warmed up, a request may time out before the sidecar reads the response. This method then
-     * makes the sidecar send another request, which is otherwise a task of the load balancer.
+     * makes the sidecar send another request. In other cases, a load balancer does so.
      */
     private void awaitFirstDiscoveryResponse(SidecarHarness harness) throws InterruptedException {
         respondWithoutChanges(harness);
--- a/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarHarness.java
@@ -182,7 +182,10 @@
         return withConfig("'discovery':'ask'", "'discovery':'push'");
     }
 
-    /** Replaces each occurrence of a text with single quotes in the configuration file. */
+    /**
+     * Replaces each occurrence of the first text in the configuration file with the second. Both
+     * texts are JSON written with single quotes instead of double quotes.
+     */
     SidecarHarness withConfig(String quotedBefore, String quotedAfter) throws IOException {
         String text = Files.readString(configFile);
         Files.writeString(configFile, text.replace(json(quotedBefore), json(quotedAfter)));
@@ -234,17 +237,17 @@
     }
 
     /**
-     * Responds to the sidecar's discovery requests with the given list until the sidecar has read
-     * the list. The revision in the sidecar's next discovery request shows that the sidecar has
-     * read the list.
+     * Responds to the sidecar's discovery requests with the given list until a discovery request
+     * contains the given revision. Such a request shows that the sidecar has read the list.
      */
     void publishEndpoints(int revision, String quotedList) throws InterruptedException {
         publishEndpoints(discovery, revision, quotedList);
     }
 
     /**
-     * Responds to the sidecar's requests to the given discovery service with the given list until
-     * the sidecar has read the list.
+     * Responds with the given list to the requests that the given discovery service receives from
+     * the sidecar, until a request contains the given revision. Such a request shows that the
+     * sidecar has read the list.
      */
     static void publishEndpoints(ScriptedPeer discovery, int revision, String quotedList)
             throws InterruptedException {
--- a/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
+++ b/sidecar/src/test/java/sagefall/proxy/SidecarProgram.java
@@ -88,7 +88,8 @@
                 }
                 client.close();
             } catch (IOException | AssertionError e) {
-                // The process does not listen yet, or its warm-up ended, which closes connections.
+                // The process does not listen yet, or its warm-up has ended and closed the
+                // connection.
             }
             Assertions.assertTrue(process.isAlive(), "the process has exited");
             process.waitFor(READY_POLL_MILLIS, TimeUnit.MILLISECONDS);
--- a/testbed/src/main/java/sagefall/cli/CommandLineMain.java
+++ b/testbed/src/main/java/sagefall/cli/CommandLineMain.java
@@ -15,7 +15,7 @@
 import sagefall.policy.PolicyException;
 import sagefall.scenario.ScenarioException;
 
-/** The command line of the test bed, which the script {@code ./sagefall} starts. */
+/** Main class of the test bed's command line. The script {@code ./sagefall} starts this class. */
 @Command(
         name = "./sagefall",
         mixinStandardHelpOptions = true,
--- a/testbed/src/main/java/sagefall/emulator/ClientOperation.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientOperation.java
@@ -14,7 +14,7 @@
      * @param number sequence number of the operation, from 0
      * @param arrivedAtMicros time of the client's first request
      * @param deadlineMicros time at which the client abandons the operation
-     * @param key key of the operation, which a server may have cached
+     * @param key key of the operation; a server may have cached the key
      * @param tenant index of the tenant
      * @param overQuota whether the tenant had used up its quota at the arrival
      * @param workMicros work that the operation requires of a server, in microseconds on a core of
@@ -38,7 +38,7 @@
     /** Time of the client's first request. */
     public final long arrivedAtMicros;
 
-    /** Key of the operation, which a server may have cached. */
+    /** Key of the operation. A server may have cached the key. */
     public final long key;
 
     /** Index of the tenant. */
--- a/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
+++ b/testbed/src/main/java/sagefall/emulator/ClientTraffic.java
@@ -81,9 +81,9 @@
     public double disconnectShare;
 
     /**
-     * Maximum number of immediate retries of an operation. A client makes an immediate retry
-     * without a delay and ignores Retry-After. If the maximum is 0, the configured number of
-     * retries and the configured delay apply.
+     * If this number is greater than 0, clients retry an operation without a delay, ignore
+     * Retry-After and make at most this number of retries. If this number is 0, the configured
+     * delay, compliance with Retry-After and number of retries apply.
      */
     public int immediateRetries;
 
@@ -212,8 +212,8 @@
 
     /**
      * Returns the preferred sidecar. If that sidecar drains, returns the next sidecar of the zone
-     * that does not drain. This models that a planned restart of a sidecar also restarts the client
-     * process beside the sidecar.
+     * that does not drain. The change of the sidecar models that a planned restart of a sidecar
+     * also restarts the client process beside the sidecar.
      */
     private SidecarHandle sidecarFor(SidecarHandle preferred) {
         SidecarHandle sidecar = preferred;
--- a/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
+++ b/testbed/src/main/java/sagefall/emulator/EmulatedAttempt.java
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns whether the server has possibly executed the request. This is the case unless the
+     * Returns whether the server has possibly executed the request. Returns false only if the
      * result of the attempt proves that the request was not executed.
      */
     boolean mayHaveExecuted() {
--- a/testbed/src/main/java/sagefall/emulator/JobExecutor.java
+++ b/testbed/src/main/java/sagefall/emulator/JobExecutor.java
@@ -13,13 +13,13 @@
     static final long WARM_UP_STEP_MICROS = 50_000;
 
     /**
-     * A job is treated as done if its remaining work is at most this. Rounding errors can leave
-     * such a remainder.
+     * A job is treated as done if its remaining work is at most this amount. Rounding errors can
+     * leave such a remainder.
      */
     private static final double DONE_TOLERANCE_MICROS = 1e-6;
 
     /**
-     * A completion is scheduled only if its delay is less than this. A job with a longer delay
+     * A completion is scheduled only if its delay is less than this time. A job with a longer delay
      * makes practically no progress.
      */
     private static final double MAX_DELAY_MICROS = 1e15;
--- a/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
+++ b/testbed/src/main/java/sagefall/emulator/SimulationResultFactory.java
@@ -8,16 +8,19 @@
 import org.HdrHistogram.Histogram;
 import sagefall.scenario.Scenario;
 
-/** Computes the result of a run from the recorded observations. */
+/**
+ * Computes the result of a run from the recorded observations. {@link SimulationResult} defines the
+ * score and its components.
+ */
 final class SimulationResultFactory {
 
-    /** Weight of the served share of the value in the score. */
+    /** Weight of the component {@code served} in the score. */
     private static final double SERVED_WEIGHT = 0.55;
 
-    /** Weight of the worst window of {@link #WINDOW_SECONDS} in the score. */
+    /** Weight of the component {@code worstTenSeconds} in the score. */
     private static final double WORST_WINDOW_WEIGHT = 0.35;
 
-    /** Weight of the served share of the worst tenant in the score. */
+    /** Weight of the component {@code worstTenant} in the score. */
     private static final double WORST_TENANT_WEIGHT = 0.1;
 
     /**
--- a/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
+++ b/testbed/src/main/java/sagefall/emulator/ValueAccounting.java
@@ -54,10 +54,10 @@
     /** Lost value of operations beyond the quota of their tenant, by cause. */
     final Map<String, Sum> lostOverQuota = new TreeMap<>();
 
-    /** Lost value by cause and second. */
+    /** Lost value by cause. Each array has one element for each second. */
     final Map<String, double[]> lostBySecond = new TreeMap<>();
 
-    /** Lost value by cause and zone. */
+    /** Lost value by cause. Each array has one element for each zone. */
     final Map<String, double[]> lostByZone = new TreeMap<>();
 
     /**
--- a/testbed/src/main/java/sagefall/emulator/WarmUp.java
+++ b/testbed/src/main/java/sagefall/emulator/WarmUp.java
@@ -19,7 +19,7 @@
         this.spec = spec;
     }
 
-    /** Restarts the warm-up for a new process, which is cold. */
+    /** Restarts the warm-up for a new, cold process. */
     void restart(long nowMicros) {
         startedAtMicros = nowMicros;
         workDoneMicros = 0;
--- a/testbed/src/main/java/sagefall/experiment/PairedDifference.java
+++ b/testbed/src/main/java/sagefall/experiment/PairedDifference.java
@@ -34,10 +34,10 @@
         double low,
         double high) {
 
-    /** Minimum number of seeds for a verdict. */
+    /** There is a verdict only if there are at least this number of seeds. */
     public static final int MIN_SEEDS = 5;
 
-    /** Share of the resampled means that lie within the interval. */
+    /** Fraction of the means of the resamples that lies within the confidence interval. */
     public static final double CONFIDENCE = 0.95;
 
     private static final int BOOTSTRAP_SAMPLES = 10_000;
--- a/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
+++ b/testbed/src/main/java/sagefall/experiment/PolicyComparison.java
@@ -72,8 +72,8 @@
         b.forEach(result -> causes.addAll(result.lost().keySet()));
         Map<String, PairedDifference> keptShareByCause = new TreeMap<>();
         for (String cause : causes) {
-            // The name of the bootstrap's random stream contains the text of the variable figure. A
-            // change of this text would therefore change the confidence interval.
+            // The name of the bootstrap's random stream contains the text below. A change of the
+            // text would therefore change the confidence interval.
             String figure = "kept from " + cause;
             keptShareByCause.put(
                     cause, PairedDifference.of(figure, a, b, result -> -lostShare(result, cause)));
--- a/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ClientLoad.java
@@ -108,7 +108,7 @@
         return exchange;
     }
 
-    /** Closes the connection of a request. The listener of the request is not called after that. */
+    /** Closes the connection of a request. The listener of the request is not called afterwards. */
     void disconnect(Exchange exchange) {
         loop.execute(
                 () -> {
--- a/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultInjectionRun.java
@@ -65,8 +65,8 @@
     FaultInjectionRun(RunPlan plan, Path output)
             throws IOException, ScenarioException, InterruptedException {
         Scenario scenario = plan.scenario();
-        // This loop throws an exception, before any file or link is created, if a sidecar can't be
-        // started from a checkout.
+        // If a sidecar can't be started from a checkout, this loop throws an exception before any
+        // file or link is created.
         for (Path build : plan.builds()) {
             SidecarChildProcess.runCommand(build);
         }
@@ -141,7 +141,7 @@
     }
 
     /**
-     * Starts all processes and waits until all are ready. Returns the time that this took, in
+     * Starts all processes and waits until all are ready. Returns the duration of the start, in
      * seconds.
      */
     double start() throws IOException, InterruptedException, ExecutionException, TimeoutException {
--- a/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
+++ b/testbed/src/main/java/sagefall/faultinjection/FaultSchedule.java
@@ -75,8 +75,7 @@
 
     /**
      * Returns the sidecars from which the affected ones are drawn. If a kill of sidecars or a power
-     * loss is limited to a zone, these are the sidecars of that zone. Otherwise these are all
-     * sidecars.
+     * loss is limited to a zone, returns the sidecars of that zone. Otherwise returns all sidecars.
      */
     private static List<SidecarMember> eligibleSidecars(RunMembers members, Fault fault) {
         boolean limitableToZone =
--- a/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/MemberFactory.java
@@ -33,7 +33,7 @@
  */
 final class MemberFactory {
 
-    /** Slot of a replacement server, which determines its addresses. */
+    /** Slot of a replacement server. The slot determines the addresses of the server. */
     enum Placement {
         /** The slot, and therefore the addresses, of the replaced server. */
         SAME_SLOT,
--- a/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/ServerFaults.java
@@ -143,8 +143,8 @@
     }
 
     /**
-     * When the fault begins, reports servers to discovery as draining while they continue to serve.
-     * When the fault ends, drains and stops the servers.
+     * When the fault begins, reports servers to discovery as draining, but lets the servers accept
+     * requests. When the fault ends, calls {@link #drainAndStop} for each server.
      */
     private void drain(List<ServerMember> servers, boolean begins) {
         for (ServerMember server : servers) {
@@ -160,10 +160,11 @@
     }
 
     /**
-     * Schedules the replacement of servers one after another over the duration of the fault. Each
-     * server is reported as draining, and its replacement is started. The replaced server begins to
-     * drain once discovery has notified all sidecars or, in mode {@link FaultMode#EARLY},
-     * immediately. {@link #drainAndStop} describes when the replaced server stops.
+     * Schedules the replacement of servers one after another over the duration of the fault. To
+     * replace a server, the run starts a new server and reports the old server to discovery as
+     * draining. The old server accepts requests until discovery should have notified all sidecars.
+     * In mode {@link FaultMode#EARLY}, the old server rejects requests immediately. {@link
+     * #drainAndStop} describes when the old server stops.
      */
     private void scheduleReplacements(ScheduledFault fault) {
         int count = fault.servers().size();
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarFaults.java
@@ -35,7 +35,7 @@
      * Creates the fault group of a run.
      *
      * @param leaseObserver observer of the leader election; null if the run has no leader election
-     * @param servers fault group of server faults, which kills and restarts servers in a power loss
+     * @param servers group of server faults; this group kills and restarts servers in a power loss
      */
     SidecarFaults(
             RunContext context,
--- a/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
+++ b/testbed/src/main/java/sagefall/faultinjection/SidecarRequests.java
@@ -17,7 +17,7 @@
 final class SidecarRequests {
 
     /**
-     * Time after the deadline during which a late response is awaited, in microseconds. After that,
+     * Time after the deadline during which a late response is awaited, in microseconds. Afterwards,
      * the request ends without a response.
      */
     private static final long LATE_RESPONSE_WAIT_MICROS = 5_000_000;
--- a/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
+++ b/testbed/src/main/java/sagefall/faultinjection/history/EntryKind.java
@@ -44,8 +44,8 @@
     /** A fault began or ended. */
     FAULT("fault"),
     /**
-     * A save server, which is the server behind an endpoint, started, shut down, or failed because
-     * of an overload in its slow start.
+     * A save server started, shut down, or failed because of an overload in its slow start. A save
+     * server is the server behind an endpoint.
      */
     SERVER("server"),
     /** Number of open descriptors and resident memory of a sidecar without load. */
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/EffectInvariant.java
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Returns whether any server may execute a request again. This is allowed if requests have no
-     * side effects. It is also allowed if the deduplication scope spans all servers.
+     * Returns whether any server is allowed to execute a request again. A repeated execution is
+     * allowed if requests have no side effects or if the deduplication scope spans all servers.
      */
     private boolean allowsRepeatedExecution() {
         return run.parameters().sideEffectFree() || run.parameters().scopeSpansZones();
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/NotifiedEndpoints.java
@@ -20,8 +20,8 @@
      * @param state state of the server in the endpoint list
      * @param startMillis start time of the server in the endpoint list; 0 if it is missing
      * @param at time, in nanoseconds on the history's clock, at which the first list with this
-     *     server, state and start time was written. If several consecutive lists show that the
-     *     server is out of service, this is the time of the first of these lists.
+     *     server, state and start time was written; if several consecutive lists show that the
+     *     server is out of service, time of the earliest one
      */
     record Notice(long server, String state, long startMillis, long at) {
         boolean isInService() {
--- a/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
+++ b/testbed/src/main/java/sagefall/faultinjection/invariant/ProcessStates.java
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Returns the earliest time at which a sidecar could have read a notice. Normally this is the
+     * Returns the earliest time at which a sidecar could have read a notice. Normally, returns the
      * time at which the notice was written. If the process of the sidecar was stopped at that time,
-     * or at most {@link SchedulingDelays#SOCKET_SLACK_NANOS} later, this is the time at which the
+     * or at most {@link SchedulingDelays#SOCKET_SLACK_NANOS} later, returns the time at which the
      * process was resumed.
      */
     long earliestReadAt(int sidecar, long noticeAt) {
--- a/testbed/src/main/java/sagefall/faultinjection/link/ConnectMode.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/ConnectMode.java
@@ -4,13 +4,13 @@
 public enum ConnectMode {
     /** The connection is relayed. */
     FORWARD,
-    /** The connection is refused. This simulates a server whose process has exited. */
+    /** The connection is refused, as by a server whose process has exited. */
     REFUSE,
     /** The connection is accepted, but the client never gets a response. */
     SILENT,
     /**
-     * The connection is never established. This simulates a machine that has vanished or that the
-     * network has partitioned from the client.
+     * The connection is never established, as with a machine that has vanished or that the network
+     * has partitioned from the client.
      */
     BLACKHOLE;
 
--- a/testbed/src/main/java/sagefall/faultinjection/link/RelayDirection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/link/RelayDirection.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Returns whether the connection must be reset. This is so if the direction is no longer
-     * blocked, but has data or an end of stream that arrived while it was blocked.
+     * Returns whether the connection must be reset, because the direction is no longer blocked but
+     * has data or an end of stream that arrived while the direction was blocked.
      */
     boolean mustReset() {
         return !conditions().blocked() && (!blockedData.isEmpty() || blockedEndOfStream);
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunDirectory.java
@@ -13,7 +13,7 @@
  */
 public record RunDirectory(Path path) {
 
-    /** Returns the file of the plan, which can be replayed. */
+    /** Returns the file of the plan. The plan can be replayed. */
     public Path plan() {
         return path.resolve("plan.json");
     }
--- a/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
+++ b/testbed/src/main/java/sagefall/faultinjection/plan/RunPlan.java
@@ -13,7 +13,7 @@
 import sagefall.scenario.ScenarioRunner;
 
 /**
- * The input of a run, from which the run can be executed and replayed.
+ * The input of a run. The run can be executed and replayed from this input.
  *
  * @param file name of the scenario file, for error messages
  * @param text text of the scenario
--- a/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/ProcessGuard.java
@@ -7,8 +7,8 @@
 /**
  * Ensures that no child process outlives this process, even if this process is killed. A shell
  * process is notified of the start and exit of each child. Once the standard input of the shell is
- * closed, the shell kills the remaining children. The shell also sends signals to children, which
- * is cheaper than starting a program for each signal.
+ * closed, the shell kills the remaining children. The shell also sends signals to children, because
+ * starting a program for each signal would cost more.
  */
 public final class ProcessGuard implements AutoCloseable {
 
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Adds a process to the watched processes, which are killed when this process exits. The
-     * process is removed from the watched processes once it has exited.
+     * Adds a process to the watched processes. The watched processes are killed when this process
+     * exits. A watched process is removed once it has exited.
      */
     public void watch(Process process) throws IOException {
         send("add " + process.pid());
--- a/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
+++ b/testbed/src/main/java/sagefall/faultinjection/process/StandInProcess.java
@@ -40,7 +40,8 @@
      * Starts a process.
      *
      * @param guard guard that kills the process when this process exits
-     * @param mainClass name of the main class, whose only argument is the history file
+     * @param mainClass name of the main class; the only argument of the main class is the history
+     *     file
      * @param history file to which the process writes its history
      * @param log file to which the standard error of the process is appended
      */
--- a/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
+++ b/testbed/src/main/java/sagefall/faultinjection/report/RunStatisticsCollector.java
@@ -10,7 +10,10 @@
 import sagefall.faultinjection.history.HistoryEntry;
 import sagefall.faultinjection.history.ResponseStatus;
 
-/** Computes the statistics of a run from its entries, which are added in order of time. */
+/**
+ * Computes the statistics of a run from its history entries. The entries are added in order of
+ * time.
+ */
 final class RunStatisticsCollector {
 
     private static final long NANOS_PER_SECOND = 1_000_000_000;
--- a/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/RealTimeEventLoop.java
@@ -10,25 +10,25 @@
 /**
  * Runs the event queue of the emulator's model in one thread. The clock of the model follows the
  * machine's monotonic clock, so that the emulator's clients, servers and discovery work unchanged
- * with real processes. Events from sockets are submitted by {@link #run}.
+ * with real processes. Events from sockets are passed to {@link #run}.
  */
 public final class RealTimeEventLoop implements AutoCloseable {
 
     /**
      * A delay of an event is reported only if it is longer than this time, in nanoseconds. Checks
-     * of time limits must allow for such delays.
+     * of time limits must allow for the reported delays.
      */
     private static final long STALL_NANOS = 20_000_000;
 
     private static final long NANOS_PER_MICRO = 1000;
     private static final long NOT_ARMED = Long.MAX_VALUE;
 
-    /** Is notified of delays of the event loop's thread. */
+    /** Listener that is notified if the event loop runs events late. */
     @FunctionalInterface
     public interface StallListener {
 
         /**
-         * Called when the thread ran a scheduled event late.
+         * Called if the event loop runs a scheduled event late by more than {@link #STALL_NANOS}.
          *
          * @param nanos time in nanoseconds between the scheduled start and the actual start of the
          *     event
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ReceivedRequest.java
@@ -41,7 +41,7 @@
 
     /**
      * Returns true, because a server can't know whether the sender was notified of the start of
-     * this server. The invariants check this on the history.
+     * this server. An invariant checks the notification in the history instead.
      */
     @Override
     protected boolean senderKnowsStart(EmulatedServer server) {
--- a/testbed/src/main/java/sagefall/faultinjection/standin/ServerConnection.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/ServerConnection.java
@@ -15,7 +15,7 @@
 
 /**
  * A connection from a sidecar to a {@link SocketServer}, with at most one request in flight.
- * Requests are passed to the event loop of the process, which also sends the responses.
+ * Requests are passed to the event loop of the process. This event loop also sends the responses.
  */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
--- a/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/SocketServer.java
@@ -113,7 +113,7 @@
                 spec.slowStartMicros());
     }
 
-    /** Sets the active faults. A fault whose value is missing from the command stays unchanged. */
+    /** Sets the faults whose values the command contains. All other faults stay unchanged. */
     void setFaults(JsonNode command) {
         model.slowdown = command.path("slow").asDouble(model.slowdown);
         model.stolenShare = command.path("stolen").asDouble(model.stolenShare);
@@ -127,7 +127,7 @@
         model.reschedule();
     }
 
-    /** Shuts down the server. */
+    /** Stops the server, closes its listening socket and resets its connections. */
     void shutDown() {
         listener.close();
         model.stop(false);
--- a/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/StandInHost.java
@@ -28,10 +28,10 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * Main class of a stand-in process, which runs save servers with the emulator's model, or a
- * discovery replica. Commands are read from standard input, with one JSON object per line. For each
- * command, one reply line is written to standard output. The process exits at the end of standard
- * input, so that it never outlives the run.
+ * Main class of a stand-in process. The process runs either save servers with the emulator's model
+ * or a discovery replica. Commands are read from standard input, with one JSON object per line. For
+ * each command, one reply line is written to standard output. The process exits at the end of
+ * standard input, so that it never outlives the run.
  */
 public final class StandInHost {
 
--- a/testbed/src/main/java/sagefall/faultinjection/standin/package-info.java
+++ b/testbed/src/main/java/sagefall/faultinjection/standin/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Stand-in processes of a fault injection run. They host save servers, which use the emulator's
- * server model, and discovery agents. Both use real sockets and run in real time.
+ * Stand-in processes of a fault injection run. They host save servers and discovery agents. The
+ * save servers use the emulator's server model. Servers and agents use real sockets and run in real
+ * time.
  */
 package sagefall.faultinjection.standin;
--- a/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
+++ b/testbed/src/main/java/sagefall/load/OpenLoopLoadGenerator.java
@@ -17,7 +17,7 @@
 /**
  * Sends open-loop load: Poisson arrivals that do not depend on responses. The latency of a request
  * is measured from the time at which it was due, so that a stall counts for all requests that it
- * delays. This avoids coordinated omission.
+ * delays. Measuring from the due time avoids coordinated omission.
  */
 public final class OpenLoopLoadGenerator {
 
--- a/testbed/src/main/java/sagefall/load/StandInServer.java
+++ b/testbed/src/main/java/sagefall/load/StandInServer.java
@@ -21,8 +21,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for a save server and for discovery, which listens on loopback and serves tests and
- * measurements of a sidecar. Each connection has a thread.
+ * A stand-in for a save server and for discovery. The stand-in listens on loopback and is used for
+ * tests and measurements of a sidecar. Each connection has a thread.
  *
  * <ul>
  *   <li>The response to {@code GET /CLASS/LENGTH/SEED/PAUSE_MS} is a {@link BytePattern} of that
--- a/testbed/src/main/java/sagefall/load/StandInService.java
+++ b/testbed/src/main/java/sagefall/load/StandInService.java
@@ -3,7 +3,7 @@
 /**
  * Settings for the processing of a {@code POST} by a stand-in server.
  *
- * @param slots maximum number of requests that are processed at a time
+ * @param slots maximum number of requests that are processed concurrently
  * @param queue maximum number of queued requests; a request that arrives at a full queue is
  *     rejected unprocessed
  * @param millis mean of the exponentially distributed processing time; 0 for none
--- a/testbed/src/main/java/sagefall/policy/GroundTruth.java
+++ b/testbed/src/main/java/sagefall/policy/GroundTruth.java
@@ -1,6 +1,6 @@
 package sagefall.policy;
 
-/** True state of the fleet, which only the oracle policy may use. */
+/** True state of the fleet. Only the oracle policy is allowed to use the state. */
 public interface GroundTruth {
 
     /**
--- a/testbed/src/main/java/sagefall/policy/Mechanism.java
+++ b/testbed/src/main/java/sagefall/policy/Mechanism.java
@@ -39,8 +39,8 @@
     /** Retries of failed attempts. */
     RETRIES("retries", "retries", "MAX_SAVED_RETRIES=0"),
     /**
-     * Connection cost, which raises the cost of an endpoint to which a new connection is needed, if
-     * many sidecars share few endpoints.
+     * Connection cost: raises the cost of an endpoint that needs a new connection, if many sidecars
+     * share few endpoints.
      */
     CONNECTION_COST(
             "connection-cost",
--- a/testbed/src/main/java/sagefall/policy/RoundRobinBalancer.java
+++ b/testbed/src/main/java/sagefall/policy/RoundRobinBalancer.java
@@ -8,7 +8,7 @@
 /** Sends requests to the servers in turn, starting with a random one. */
 final class RoundRobinBalancer extends BaselineBalancer {
 
-    /** The initial value of {@code nextPosition} is random and less than this. */
+    /** The initial value of {@code nextPosition} is random and less than this bound. */
     private static final int FIRST_POSITION_BOUND = 1 << 20;
 
     private int nextPosition;
--- a/testbed/src/main/java/sagefall/report/HeatMap.java
+++ b/testbed/src/main/java/sagefall/report/HeatMap.java
@@ -35,7 +35,8 @@
      * @param title title of the heat map, as HTML
      * @param rows values by row and second; a value below 0 stands for a missing value and is drawn
      *     in black
-     * @param max minimum value that is drawn in the darkest red
+     * @param max end of the colour scale; this value and all greater values are drawn in the
+     *     darkest red
      * @param groups groups of rows, with the names that are written beside them
      * @param legend explanation of the colours, as HTML
      */
--- a/testbed/src/main/java/sagefall/report/HtmlPage.java
+++ b/testbed/src/main/java/sagefall/report/HtmlPage.java
@@ -42,17 +42,17 @@
                         + "</h1>");
     }
 
-    /** Adds a line of HTML, which is not escaped. */
+    /** Adds a line of HTML without escaping the line. */
     void add(String html) {
         out.append(html).append('\n');
     }
 
-    /** Adds a table row of header cells, whose content is HTML. */
+    /** Adds a table row of header cells. The content of the cells is HTML. */
     void addHeadings(String... cells) {
         addRow("th", cells);
     }
 
-    /** Adds a table row of cells, whose content is HTML. */
+    /** Adds a table row of cells. The content of the cells is HTML. */
     void addCells(String... cells) {
         addRow("td", cells);
     }
--- a/testbed/src/main/java/sagefall/report/RunCharts.java
+++ b/testbed/src/main/java/sagefall/report/RunCharts.java
@@ -12,8 +12,8 @@
 final class RunCharts {
 
     /**
-     * Latency that the dashed line in the chart marks. It is also the minimum latency that the heat
-     * map draws in the darkest red.
+     * End of the colour scale of the latency heat map. This latency and all greater latencies are
+     * drawn in the darkest red. The latency chart marks this latency with a dashed line.
      */
     private static final double MAX_LATENCY_MILLIS = 1200;
 
@@ -21,7 +21,8 @@
     private static final int MAX_CAUSES = 7;
 
     /**
-     * Minimum number of requests per core that the heat map of servers draws in the darkest red.
+     * End of the colour scale of the heat map of servers. This number of requests per core and all
+     * greater numbers are drawn in the darkest red.
      */
     private static final double MAX_REQUESTS_PER_CORE = 12;
 
@@ -100,7 +101,10 @@
         return Arrays.stream(values).max().orElse(1);
     }
 
-    /** Returns the heat map of the lost share of the value by zone. */
+    /**
+     * Returns the heat map of the fraction of the offered value that was lost, by second and by
+     * zone of the sidecar.
+     */
     String lossesByZone() {
         double[][] lost = transpose(series.zoneOffered());
         for (int zone = 0; zone < lost.length; zone++) {
@@ -118,7 +122,10 @@
                 "each column is a second; white: all served, red: all lost");
     }
 
-    /** Returns the heat map of the latency by zone. */
+    /**
+     * Returns the heat map of the 95th percentile of the latency, by second and by zone of the
+     * sidecar.
+     */
     String latencyByZone() {
         return HeatMap.figure(
                 "95th percentile of the latency by the zone of the sidecar",
--- a/testbed/src/main/java/sagefall/scenario/DrawnFault.java
+++ b/testbed/src/main/java/sagefall/scenario/DrawnFault.java
@@ -25,7 +25,7 @@
         double periodSeconds,
         UniformRandomProvider random) {
 
-    /** Returns randomly selected elements, whose share of all elements is {@code fraction}. */
+    /** Returns the share {@code fraction} of all elements. The elements are selected randomly. */
     public <T> List<T> pickFraction(List<T> all) {
         List<T> shuffled = new ArrayList<>(all);
         ListSampler.shuffle(random, shuffled);
--- a/testbed/src/main/java/sagefall/scenario/FaultReader.java
+++ b/testbed/src/main/java/sagefall/scenario/FaultReader.java
@@ -18,7 +18,7 @@
      * Creates a reader for the faults of one scenario.
      *
      * @param runSeconds time in seconds for which requests arrive; the times of a fault are at most
-     *     this
+     *     {@code runSeconds}
      */
     FaultReader(FleetSettings fleet, List<TenantSettings> tenants, double runSeconds) {
         this.fleet = fleet;
--- a/testbed/src/main/java/sagefall/scenario/TomlTable.java
+++ b/testbed/src/main/java/sagefall/scenario/TomlTable.java
@@ -14,7 +14,7 @@
  */
 final class TomlTable {
 
-    /** An integer is printed without an exponent if its absolute value is less than this. */
+    /** An integer is printed without an exponent if its absolute value is less than this number. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
 
     private final String file;
@@ -148,7 +148,7 @@
         return text;
     }
 
-    /** Reads a list of distinct strings, which must not be empty. */
+    /** Reads a list of distinct strings. The list must not be empty. */
     List<String> strings(String key, List<String> defaultValue) throws ScenarioException {
         JsonNode value = get(key);
         if (value == null) {
--- a/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
+++ b/testbed/src/test/java/sagefall/cli/DocumentedCommandsTest.java
@@ -26,8 +26,9 @@
     private static final Path ROOT = Path.of(System.getProperty("sagefall.root"));
 
     /**
-     * Historical pages. They are not checked, because they name the commands of older builds. The
-     * program rejects such a command with a message that has the new name.
+     * Names of pages that are not checked, because the pages contain commands of older builds. If a
+     * command was renamed, the program rejects the old name with an error message that contains the
+     * new name.
      */
     private static final Set<String> HISTORICAL_PAGES = Set.of("MEASURING.md", "QUESTIONS.md");
 
--- a/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
+++ b/testbed/src/test/java/sagefall/emulator/InvariantCheckerTest.java
@@ -75,8 +75,8 @@
         private static final long UNLISTED_SERVER = 7;
 
         /**
-         * Number of the last attempt, counted from 0, that the mutant for {@link Rule#ATTEMPTS}
-         * makes.
+         * Index, from 0, of the last attempt that the mutant for {@link Rule#ATTEMPTS} sends for a
+         * request.
          */
         private static final int ATTEMPT_NUMBER_LIMIT = 7;
 
--- a/testbed/src/test/java/sagefall/faultinjection/HistoryText.java
+++ b/testbed/src/test/java/sagefall/faultinjection/HistoryText.java
@@ -6,7 +6,8 @@
 import sagefall.faultinjection.history.JsonLines;
 
 /**
- * Parses histories from a text format for tests, which is shorter than the JSON of history files.
+ * Parses histories from a text format for tests. The format is shorter than the JSON of history
+ * files.
  */
 public final class HistoryText {
 
--- a/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantChecksTest.java
@@ -51,7 +51,7 @@
     /**
      * A request after the notice that its server is draining. Test cases include this text as
      * {@code @draining}. The grace period ends at 550 ms. The slack for the delays of sockets
-     * extends it to 600 ms.
+     * extends the grace period to 600 ms.
      */
     private static final String DRAINING =
             "50 told who 0 all false targets A:1:terminating; " + INTENT;
@@ -176,9 +176,10 @@
 
     /**
      * The cold server has one core and reports a capacity share of 0.31. In the span of 1 s the
-     * server may receive 3 * 0.31 s of work and three more requests of 0.1 s, which is 1.23 s.
-     * Forty requests are 4 s of work and exceed this limit. Eight requests are 0.8 s of work and do
-     * not. Requests from a sidecar that was not notified of the start are no violation.
+     * server may receive 3 * 0.31 s of work and three more requests of 0.1 s. The limit is
+     * therefore 1.23 s of work. Forty requests are 4 s of work and exceed the limit. Eight requests
+     * are 0.8 s of work and do not exceed the limit. Requests from a sidecar that was not notified
+     * of the start are no violation.
      */
     @ParameterizedTest
     @CsvSource({"true, 40, true", "true, 8, false", "false, 40, false"})
--- a/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantNameTest.java
+++ b/testbed/src/test/java/sagefall/faultinjection/invariant/InvariantNameTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks that the names of the invariants, which reports and printed results show, are stable. */
+/**
+ * Checks that the names of the invariants do not change. Reports and printed results contain the
+ * names.
+ */
 class InvariantNameTest {
 
     @Test
--- a/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
+++ b/testbed/src/test/java/sagefall/policy/PolicyRegistryTest.java
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Policy files of an older checkout, which implement another version of {@code LoadBalancer},
-     * must cause an error message of one line, not the whole output of the compiler.
+     * The policy files of an older checkout may implement another version of {@code LoadBalancer}.
+     * The error message must then be one line, not the whole output of the compiler.
      */
     @Test
     void errorForPolicyFilesOfAnotherBuildIsOneLine(@TempDir Path checkout) throws Exception {
